--- a/crates/control/tests/handover.rs
+++ b/crates/control/tests/handover.rs
@@ -115,3 +115,14 @@
         }
     }
 }
+
+/// A process of version 0.2.0 hands on to this one, and this one to it: the text is the same to the letter.
+#[test]
+fn the_text_is_that_of_version_0_2_0() {
+    let text = include_str!("fixtures/hot-restart-snapshot.txt");
+    let memory = read(text, NOW).expect("it is read");
+    let hosts = [(0x00ff_1234_5678_9abc, 0.05), (u64::MAX, 1e-6), (7, 0.123_456_789_012_345_68), (9, 600.0)];
+    let hosts = hosts.map(|(hash, e)| HostMemory { hash, e }).into();
+    assert_eq!(memory, Memory { hosts, rates: [10.25, 12.5, 0.1 + 0.2], latency: 0.0875 });
+    assert_eq!(write(&memory, NOW), text);
+}
--- a/crates/gateway/src/config/operator.rs
+++ b/crates/gateway/src/config/operator.rs
@@ -87,4 +87,27 @@
         let places: Vec<_> = problems.list.iter().map(|p| (p.line, p.key.as_str())).collect();
         assert_eq!(places, [(1, "x"), (3, "tsl")]);
     }
+
+    const EVERY_KEY: &str = include_str!("../../tests/fixtures/operator-every-key.toml");
+
+    /// An operator's file of version 0.2.0 is read as it was: each key counts, and a misspelt one is told with its line.
+    #[test]
+    fn every_key_of_version_0_2_0_is_read() {
+        let operator = Operator::parse("g.toml", EVERY_KEY).expect("every key, with its unit");
+        assert!(operator.storm.is_some() && operator.fleet.is_some());
+        for (n, line) in EVERY_KEY.lines().enumerate() {
+            let Some((key, value)) = line.split_once(" = ") else { continue };
+            let misspelt = format!("{key}_ = {value}");
+            let lines = EVERY_KEY.lines().enumerate();
+            let text: String =
+                lines.map(|(m, line)| format!("{}\n", if m == n { &misspelt } else { line })).collect();
+            let problems = Operator::parse("g.toml", &text).expect_err("a key that nobody knows");
+            let told =
+                |p: &ottervane_settings::Problem| p.line == n + 1 && p.key.ends_with(&format!("{key}_"));
+            assert!(problems.list.iter().any(told), "{key}: {problems}");
+            // A value of another kind is turned down as well: the key was looked at.
+            let text = EVERY_KEY.replacen(line, &format!("{key} = [1]"), 1);
+            assert!(Operator::parse("g.toml", &text).is_err(), "{key}");
+        }
+    }
 }
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/figures.rs
@@ -178,6 +178,24 @@
         assert!(figures.text().contains("router_current 0\n"));
     }
 
+    /// Scrapers of operators read these names and this order: the text is version 0.2.0's to the letter.
+    #[test]
+    fn the_text_is_that_of_version_0_2_0() {
+        let figures = Rc::new(Figures::default());
+        figures.know(&["look".into(), "pay".into()]);
+        for ending in [Ending::Answered, Ending::Answered, Ending::Deferred, Ending::Errored] {
+            figures.ended("pay", ending);
+        }
+        let _open = figures.open();
+        figures.sent();
+        figures.cluster_size.set(12);
+        figures.cluster_unhealthy.set(3);
+        for taken in [true, true, false] {
+            figures.reloaded(taken);
+        }
+        assert_eq!(figures.text(), include_str!("../tests/fixtures/figures.txt"));
+    }
+
     /// What is being decided when something panics is answered 500, and counts as that.
     #[test]
     fn a_request_whose_deciding_panics_has_failed_and_one_whose_client_goes_counts_as_nothing() {
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -8,6 +8,8 @@
 mod link;
 mod staff;
 mod store;
+#[cfg(test)]
+mod stored_files_tests;
 
 use crate::core::messages::{Handle, Message};
 use ottervane::HostId;
--- /dev/null
+++ b/crates/gateway/src/fleet/stored_files_tests.rs
@@ -0,0 +1,204 @@
+//! Files that version 0.2.0 wrote are opened, told and written on by this build: a gateway that is upgraded must not lose its vote or its
+//! audit. `cargo test -p <this package> --lib write_stored_files -- --ignored` writes the fixtures anew, with the code as it stands.
+
+use super::books::{Books, Clock};
+use super::store;
+use ottervane_fleet::audit::pages::{ToldPast, Wanted};
+use ottervane_fleet::audit::{Audit, Decision, Kind};
+use ottervane_fleet::council::{Config, Seat, Stored, Write};
+use ottervane_fleet::register::{Entry, Renewal};
+use ottervane_fleet::settings::FleetSettings;
+use ottervane_fleet::version::{Incarnation, Version};
+use std::cell::RefCell;
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant};
+
+const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/stored-files");
+const COUNCIL: &str = "council-a.redb";
+const AUDIT: &str = "audit-a.redb";
+/// The folder of files that lack their last quarter, as a full disk leaves them.
+const TORN: &str = "torn";
+
+fn settings() -> FleetSettings {
+    let peers = ["a", "b", "c"]
+        .map(|n| format!("[[fleet.peer]]\nname = \"{n}\"\naddress = \"127.0.0.1:1\"\ncouncil = true\n"));
+    let text = format!("[fleet]\nname = \"f\"\ngateway = \"a\"\n{}", peers.concat());
+    crate::config::operator::Operator::parse("f.toml", &text).expect("a table").fleet.expect("a fleet")
+}
+
+fn temporary_folder(name: &str) -> PathBuf {
+    let folder = std::env::temp_dir().join(format!("weldworks-stored-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir_all(&folder).expect("a folder");
+    folder
+}
+
+fn copy_of(fixture: &str, name: &str) -> PathBuf {
+    let folder = temporary_folder(&format!("{fixture}-{name}"));
+    std::fs::copy(Path::new(FIXTURES).join(fixture).join(name), folder.join(name)).expect("the fixture");
+    folder
+}
+
+/// Tries until the thread that wrote before has let go of the file.
+fn until<T>(mut attempt: impl FnMut() -> Option<T>) -> T {
+    for _ in 0..1000 {
+        if let Some(done) = attempt() {
+            return done;
+        }
+        std::thread::sleep(Duration::from_millis(5));
+    }
+    panic!("the file is held for good");
+}
+
+fn block_on<T>(future: impl std::future::Future<Output = T>) -> T {
+    let mut builder = tokio::runtime::Builder::new_current_thread();
+    builder.enable_time().build().expect("a runtime").block_on(future)
+}
+
+fn log() -> Vec<Stored> {
+    let seats =
+        ["a", "b", "c"].map(|name| Seat { name: name.into(), process: Incarnation(7) }).into_iter().collect();
+    let open = |name: &str| Entry::Open {
+        name: name.into(),
+        process: Incarnation(7),
+        version: Version::default(),
+        ask: 1,
+    };
+    let renewals = vec![Renewal { session: 1, count: 2, version: Some(Version::default()) }];
+    vec![
+        Stored::Began { config: Config { founding: 1, id: 2, seats }, base: Box::default() },
+        Stored::Wrote(Write::Log(0, vec![open("a"), open("b")])),
+        Stored::Wrote(Write::Decided(1)),
+        Stored::Wrote(Write::Log(2, vec![Entry::Renew(renewals), Entry::Close { session: 2 }])),
+        Stored::Wrote(Write::Decided(4)),
+    ]
+}
+
+fn open_council(folder: &Path, process: u64) -> store::Found {
+    until(|| {
+        let found = store::open(folder, &settings(), Incarnation(process)).expect("the folder can be used");
+        found.store.is_some().then_some(found)
+    })
+}
+
+fn write_council(found: &mut store::Found, batch: &[Stored]) {
+    let store = found.store.as_mut().expect("a store");
+    let mut done = store.written.take().expect("what is written is told");
+    let number = store.write(batch);
+    while done.blocking_recv().expect("the thread lives").expect("written") < number {}
+    store.written = Some(done);
+}
+
+fn open_audit(folder: &Path, process: u64) -> Books {
+    let clock = Clock {
+        process: Incarnation(process),
+        start: Instant::now(),
+        began_unix_ms: 1_790_000_000_000 + process * 1000,
+    };
+    Books::open(folder, &settings(), clock).expect("the folder can be used")
+}
+
+/// A process that does something to each request, one segment a request.
+fn write_audit(folder: &Path, process: u64, requests: &[&str], ended: bool) {
+    let books = open_audit(folder, process);
+    let audit = RefCell::new(Audit::new(Duration::ZERO, Version::default()));
+    for (n, request) in requests.iter().enumerate() {
+        let now = Duration::from_millis(n as u64 * 20);
+        for kind in [Kind::Pick, Kind::Resend, Kind::Refuse] {
+            audit.borrow_mut().book(now, Decision { kind, class: 1, request, host: Some("n1") });
+        }
+        let is_last = n + 1 == requests.len();
+        let write = || block_on(books.write(&audit, || now, ended && is_last)).ok();
+        until(write);
+    }
+}
+
+fn told(folder: &Path, wanted: &Wanted) -> ToldPast {
+    until(|| {
+        let books = open_audit(folder, 90);
+        let own = Audit::new(Duration::ZERO, Version::default()).remembered(Incarnation(90));
+        block_on(books.past(wanted.clone(), own)).ok()
+    })
+}
+
+/// Steps and stretches of unknown time of a process.
+fn summary(past: &ToldPast, process: u64) -> (usize, usize) {
+    let process = Incarnation(process).to_string();
+    let told = past.processes.iter().find(|p| p.process == process);
+    told.map_or((0, 0), |p| (p.steps.len(), p.unknown.len()))
+}
+
+#[test]
+#[ignore = "writes the fixtures"]
+fn write_stored_files() {
+    for name in ["complete", TORN] {
+        std::fs::create_dir_all(Path::new(FIXTURES).join(name)).expect("a folder");
+    }
+    let folder = temporary_folder("write");
+    let mut found = open_council(&folder, 7);
+    write_council(&mut found, &log()[..3]);
+    write_council(&mut found, &log()[3..]);
+    drop(found);
+    write_audit(&folder, 1, &["r-1", "r-2", "r-3"], true);
+    write_audit(&folder, 2, &["r-4", "r-5"], false);
+    drop(open_council(&folder, 8));
+    std::thread::sleep(Duration::from_millis(300));
+    for name in [COUNCIL, AUDIT] {
+        let complete = Path::new(FIXTURES).join("complete").join(name);
+        std::fs::copy(folder.join(name), &complete).expect("a copy");
+        let bytes = std::fs::read(&complete).expect("the copy");
+        let torn = Path::new(FIXTURES).join(TORN).join(name);
+        std::fs::write(torn, &bytes[..bytes.len() * 3 / 4]).expect("a torn copy");
+    }
+}
+
+#[test]
+fn a_council_store_of_version_0_2_0_is_read_and_written_on() {
+    let folder = copy_of("complete", COUNCIL);
+    let mut found = open_council(&folder, 30);
+    assert_eq!(found.voter, Incarnation(7), "it votes as the process before");
+    assert_eq!(found.stored, log());
+    let next = Stored::Wrote(Write::Decided(5));
+    write_council(&mut found, std::slice::from_ref(&next));
+    drop(found);
+    let mut all = log();
+    all.push(next);
+    assert_eq!(open_council(&folder, 31).stored, all);
+    let _ = std::fs::remove_dir_all(&folder);
+}
+
+#[test]
+fn a_torn_council_store_of_version_0_2_0_is_set_aside() {
+    let folder = copy_of(TORN, COUNCIL);
+    let found = open_council(&folder, 30);
+    assert_eq!(found.voter, Incarnation(30), "it has no vote until it is seated");
+    assert!(found.stored.is_empty());
+    assert!(folder.join("council-a.spoilt-0").exists());
+    let _ = std::fs::remove_dir_all(&folder);
+}
+
+#[test]
+fn an_audit_store_of_version_0_2_0_is_told_and_written_on() {
+    let folder = copy_of("complete", AUDIT);
+    for (request, process, expected) in
+        [("r-1", 1, (3, 0)), ("r-3", 1, (3, 0)), ("r-4", 2, (3, 1)), ("r-5", 2, (3, 1)), ("r-9", 1, (0, 0))]
+    {
+        let past = told(&folder, &Wanted::Request(request.to_owned()));
+        assert_eq!(summary(&past, process), expected, "{request} of process {process}: {past:?}");
+    }
+    write_audit(&folder, 40, &["r-6"], true);
+    let past = told(&folder, &Wanted::Request("r-6".to_owned()));
+    assert_eq!(summary(&past, 40), (3, 0));
+    let past = told(&folder, &Wanted::Request("r-2".to_owned()));
+    assert_eq!(summary(&past, 1), (3, 0), "what was there stays");
+    let _ = std::fs::remove_dir_all(&folder);
+}
+
+#[test]
+fn a_torn_audit_store_of_version_0_2_0_is_set_aside() {
+    let folder = copy_of(TORN, AUDIT);
+    let past = told(&folder, &Wanted::Request("r-1".to_owned()));
+    assert_eq!(summary(&past, 1), (0, 0));
+    assert!(folder.join("audit-a.spoilt-0").exists());
+    let _ = std::fs::remove_dir_all(&folder);
+}
