--- a/examples/by_hand.rs
+++ b/crates/balancer/examples/by_hand.rs
@@ -1,7 +1,9 @@
 //! Drives the module by hand: two hosts, a slow answer, a second copy.
 
-use ottervane::{Action, Balancer, Class, Event, Host, HostId, Outcome, Request, RequestId, Settings};
 use std::time::Duration;
+use weldworks_balancer::{
+    Action, Balancer, Class, Event, Host, HostId, Outcome, Request, RequestId, Settings,
+};
 
 /// Prints each event and what the module does about it.
 pub fn main() {
--- a/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -5,7 +5,7 @@
 //! Nothing is shared between instances; every gateway keeps the rules on its own.
 //!
 //! ```
-//! use ottervane::{Action, Balancer, Class, Event, Host, HostId, Request, RequestId, Settings};
+//! use weldworks_balancer::{Action, Balancer, Class, Event, Host, HostId, Request, RequestId, Settings};
 //! use std::time::Duration;
 //!
 //! let mut settings = Settings::default();
@@ -22,8 +22,9 @@
 
 pub mod api;
 pub mod balancer;
-pub mod report;
-pub mod wire;
+pub mod load_report;
+mod settings_document;
 
 pub use api::*;
 pub use balancer::{Balancer, HostMemory, Memory};
+pub use settings_document::parse_settings;
--- a/tests/behaviour.rs
+++ b/crates/balancer/tests/behaviour.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{host, settings, Bench};
-use ottervane::*;
 use std::time::Duration;
+use weldworks_balancer::*;
 
 #[test]
 fn the_lowest_in_flight_times_e_is_picked() {
--- a/tests/coming.rs
+++ b/crates/balancer/tests/coming.rs
@@ -3,10 +3,10 @@
 mod common;
 
 use common::{host, settings, Bench};
-use ottervane::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
+use weldworks_balancer::*;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 const FAR: Duration = Duration::from_secs(1000);
--- a/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -2,9 +2,9 @@
 //! outcomes are drawn at random from what could happen.
 #![allow(dead_code)]
 
-use ottervane::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
+use weldworks_balancer::*;
 
 /// A gateway may be held up for so long between reading its clock and writing.
 pub const HELD_UP: Duration = Duration::from_millis(150);
--- a/tests/reports.rs
+++ b/crates/balancer/tests/reports.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{host, settings};
-use ottervane::*;
 use proptest::prelude::*;
 use std::time::Duration;
+use weldworks_balancer::*;
 
 fn figure() -> impl Strategy<Value = f64> {
     prop_oneof![
@@ -79,7 +79,7 @@
     #[test]
     fn any_text_is_read_without_a_fault(text in ".{0,200}", row in prop::collection::vec(any::<f64>(), 0..4)) {
         let json = r#"{"stats":{"how":"inline","fields":["qps","inflight"]}}"#;
-        let fields = report::ReportFields::parse(json).expect("settings");
+        let fields = load_report::ReportFields::parse(json).expect("settings");
         let read = [fields.in_text(&text), fields.in_text(&format!("TEXT {text}")), fields.in_row(&row)];
         for report in read.into_iter().flatten() {
             prop_assert_eq!(report.checked(), Some(report));
--- a/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{further, host, settings, Checker, Open, Play, Sent, COLD_S, HOSTS};
-use ottervane::*;
 use std::time::Duration;
+use weldworks_balancer::*;
 
 #[test]
 fn no_rule_is_broken_on_generated_days() {
--- a/crates/settings/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -6,7 +6,7 @@
 //! Times are written as text with a unit (`"250ms"`, `"2s"`, `"1.5min"`), sizes likewise (`"64KiB"`).
 //!
 //! ```
-//! use ottervane_settings::Document;
+//! use weldworks_config::Document;
 //! use std::time::Duration;
 //!
 //! let document = Document::parse("gateway.toml", "[limits]\nwait = \"250ms\"\nwiat = 1\n").unwrap();
--- a/crates/settings/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -1,9 +1,9 @@
 //! What is read, what is refused, and how it is said.
 
-use ottervane_settings::{Bytes, Document, Named};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
+use weldworks_config::{Bytes, Document, Named};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Shape {
--- a/crates/control/src/classes.rs
+++ b/crates/control/src/classes.rs
@@ -3,9 +3,9 @@
 //! The decision module knows a class by its number. A number may pass to another class only once nobody holds the old one any
 //! more: a request keeps the rules that it came under to its end, and an attempt's end is booked under its class.
 
-use ottervane::{Class, Effect};
 use std::rc::Rc;
 use std::time::Duration;
+use weldworks_balancer::{Class, Effect};
 
 /// Clients go on using a class for so long after the settings have dropped it, or given its name other rules: they turn to the new one
 /// 1.2 s after the file, and what they sent just before then is still on its way.
--- a/crates/control/src/execution.rs
+++ b/crates/control/src/execution.rs
@@ -3,7 +3,7 @@
 //! A host begins with a request's last byte. So what decides is whether that byte has gone to the kernel, told by who writes it and
 //! not by who frames it; in doubt it has. The one table: [`outcome`].
 
-use ottervane::Outcome;
+use weldworks_balancer::Outcome;
 
 /// How much of a request has gone to the kernel.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/control/src/handover.rs
+++ b/crates/control/src/handover.rs
@@ -1,9 +1,9 @@
 //! What a process writes for the one that takes over from it: a bounded text, checked as a whole. Whatever is wrong with it, the new
 //! process starts without.
 
-use ottervane::{HostMemory, Memory};
 use std::fmt::Write as _;
 use std::time::Duration;
+use weldworks_balancer::{HostMemory, Memory};
 
 /// The first line: whose it is, and its version. Another version is passed over.
 const HEAD: &str = "ottervane-handover 2";
--- a/crates/control/src/storm/mod.rs
+++ b/crates/control/src/storm/mod.rs
@@ -113,7 +113,7 @@
 /// What a request is allowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// The part of the admission that it may use; see [`ottervane::Request::allowance`].
+    /// The part of the admission that it may use; see [`weldworks_balancer::Request::allowance`].
     pub part: f64,
     /// Why.
     pub reason: Reason,
--- a/crates/control/src/storm/seen.rs
+++ b/crates/control/src/storm/seen.rs
@@ -17,7 +17,7 @@
     }
 
     fn place(&mut self, identity: u64) -> &mut (u64, Duration) {
-        let at = (ottervane::mix(identity) % self.0.len() as u64) as usize;
+        let at = (weldworks_balancer::mix(identity) % self.0.len() as u64) as usize;
         &mut self.0[at]
     }
 }
--- a/crates/control/src/storm/settings.rs
+++ b/crates/control/src/storm/settings.rs
@@ -1,7 +1,7 @@
 //! What operators may set, as the table `[storm]` of their file.
 
-use ottervane_settings::Table;
 use std::time::Duration;
+use weldworks_config::Table;
 
 /// The settings of storm control. The defaults are those of `docs/operate/storms.md`.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/control/tests/bodies.rs
+++ b/crates/control/tests/bodies.rs
@@ -1,8 +1,8 @@
 //! What is held, what passes through, and who is waited for.
 
-use ottervane_control::bodies::{Fault, Intake, Passage, Transit, Verdict, HELD, MOST, STALL};
 use proptest::prelude::*;
 use std::time::Duration;
+use weldworks_control::bodies::{Fault, Intake, Passage, Transit, Verdict, HELD, MOST, STALL};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
@@ -97,7 +97,7 @@
 /// A client that stops is owed its error within 3 s, however much it brought before; one that keeps its rate has its time.
 #[test]
 fn a_client_that_stops_has_no_more_time_for_what_it_brought() {
-    use ottervane_control::bodies::STOPPED;
+    use weldworks_control::bodies::STOPPED;
     for brought in [0, 100, 64 << 10, 1 << 20, 31 << 20] {
         let mut transit = Transit::new(brought);
         let stopped = Duration::from_secs(7);
--- a/crates/control/tests/classes.rs
+++ b/crates/control/tests/classes.rs
@@ -1,10 +1,10 @@
 //! Classes come and go while requests hold on to theirs.
 
-use ottervane::{Class, Effect};
-use ottervane_control::classes::{Classes, Form, Kept, NoClass, GRACE};
 use proptest::prelude::*;
 use std::rc::Rc;
 use std::time::Duration;
+use weldworks_balancer::{Class, Effect};
+use weldworks_control::classes::{Classes, Form, Kept, NoClass, GRACE};
 
 const READ: Form = Form { writes: false, keyed: false };
 const WRITE: Form = Form { writes: true, keyed: false };
--- a/crates/control/tests/drain.rs
+++ b/crates/control/tests/drain.rs
@@ -1,7 +1,7 @@
 //! The drain and the stop: every interleaving of calls and moments to a stated depth, against what the front and clients see.
 
-use ottervane_control::drain::{Drain, Terms, CLOSED, GENTLE, LISTEN_ON, NOTICED};
 use std::time::Duration;
+use weldworks_control::drain::{Drain, Terms, CLOSED, GENTLE, LISTEN_ON, NOTICED};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
--- a/crates/control/tests/execution.rs
+++ b/crates/control/tests/execution.rs
@@ -1,7 +1,7 @@
 //! What the end of an attempt proves of its request.
 
-use ottervane::Outcome;
-use ottervane_control::execution::{outcome, said, Ended, Said, Written};
+use weldworks_balancer::Outcome;
+use weldworks_control::execution::{outcome, said, Ended, Said, Written};
 
 /// Every case, written out.
 #[test]
--- a/crates/control/tests/handover.rs
+++ b/crates/control/tests/handover.rs
@@ -1,9 +1,9 @@
 //! What one process writes is read back by the next, whole or not at all.
 
-use ottervane::{HostMemory, Memory};
-use ottervane_control::handover::{left, read, write, Awaited, Entry, Held, Unfit, LONGEST, OLDEST};
 use proptest::prelude::*;
 use std::time::Duration;
+use weldworks_balancer::{HostMemory, Memory};
+use weldworks_control::handover::{left, read, write, Awaited, Entry, Held, Unfit, LONGEST, OLDEST};
 
 const NOW: Duration = Duration::from_secs(1_800_000_000);
 
--- a/crates/control/tests/host_start.rs
+++ b/crates/control/tests/host_start.rs
@@ -1,8 +1,8 @@
 //! Starts of hosts under a wall clock that is right, ahead and behind.
 
-use ottervane_control::host_start::{started, Evidence, TOLD_LATE};
 use proptest::prelude::*;
 use std::time::Duration;
+use weldworks_control::host_start::{started, Evidence, TOLD_LATE};
 
 const S: fn(u64) -> Duration = Duration::from_secs;
 const HOUR: Duration = Duration::from_secs(3600);
--- a/crates/control/tests/storm.rs
+++ b/crates/control/tests/storm.rs
@@ -1,11 +1,11 @@
 //! Storm control in virtual time: when it says storm, what it allows, and what it promises.
 
-use ottervane_control::storm::{
+use proptest::prelude::*;
+use std::time::Duration;
+use weldworks_control::storm::{
     surely, Answered, Arriving, Budget, Host, Promise, Promised, Reason, Returns, Seen, Shares, State, Storm,
     StormSettings, Terms,
 };
-use proptest::prelude::*;
-use std::time::Duration;
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/crates/control/tests/told.rs
+++ b/crates/control/tests/told.rs
@@ -1,10 +1,10 @@
 //! Where discovery is asked: whatever goes wrong with a watch or a call, a change is known 6 s after discovery had it and could be
 //! reached. Played in virtual time with the decision module, and with the times after which the gateway gives a watch or a call up.
 
-use ottervane::{Action, Balancer, Event, Host, HostId, Settings};
-use ottervane_control::rewatch::{GIVEN_UP, SILENCE};
 use proptest::prelude::*;
 use std::time::Duration;
+use weldworks_balancer::{Action, Balancer, Event, Host, HostId, Settings};
+use weldworks_control::rewatch::{GIVEN_UP, SILENCE};
 
 /// The latest at which a change may be known.
 const TOLD: Duration = Duration::from_secs(6);
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -3,10 +3,10 @@
 use crate::audit::pages::Bounds;
 use crate::clock::Lease;
 use crate::version::Name;
-use ottervane_settings::{Bytes, Named, Table};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
+use weldworks_config::{Bytes, Named, Table};
 
 /// The most gateways of one fleet.
 pub const MOST: usize = 1000;
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -12,15 +12,15 @@
 };
 use omnipaxos::messages::Message;
 use omnipaxos::util::{LogSync, SequenceNumber};
-use ottervane_fleet::council::{Config, Seat, Stored, Tag, Word, Write};
-use ottervane_fleet::members::View;
-use ottervane_fleet::register::{Behind, Cause, Entry, Register, Renewal, Require};
-use ottervane_fleet::settings::Stragglers;
-use ottervane_fleet::version::{Incarnation, Listed, Version};
-use ottervane_fleet::wire::{self, Caller, Frame, Gone, Hello, News, Question};
 use std::fmt::Write as _;
 use std::path::Path;
 use std::time::Duration;
+use weldworks_fleet::council::{Config, Council, Said, Seat, Stored, Tag, Word, Write};
+use weldworks_fleet::members::View;
+use weldworks_fleet::register::{Behind, Cause, Entry, Register, Renewal, Require};
+use weldworks_fleet::settings::Stragglers;
+use weldworks_fleet::version::{Incarnation, Listed, Version};
+use weldworks_fleet::wire::{self, Caller, Frame, Gone, Hello, News, Question};
 
 const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/formats.txt");
 
@@ -272,3 +272,42 @@
         assert_eq!(hex(&again.expect("short enough")), hex(&bytes), "{name}");
     }
 }
+
+/// Digests that gateways of two builds compare: those of [fleet]'s terms in a hello, and that of a founded consensus group. They are
+/// taken of a text, which has to stay what it was whatever the types are called.
+#[test]
+fn digests_that_gateways_compare_are_those_of_version_0_2_0() {
+    let peers: String = ["g0", "g1", "g2"]
+        .map(|name| format!("[[fleet.peer]]\nname = \"{name}\"\naddress = \"127.0.0.1:1\"\ncouncil = true\n"))
+        .concat();
+    let text =
+        format!("[fleet]\nname = \"valpadana\"\ngateway = \"g0\"\nlease = \"4s\"\nmargin = 0.03\n{peers}");
+    let document = weldworks_config::Document::parse("f.toml", &text).expect("a document");
+    let settings =
+        weldworks_fleet::settings::FleetSettings::read(&document.root().table("fleet").expect("a table"));
+    assert_eq!(format!("{:016x}", settings.digest()), "bdf005d04b337653");
+
+    let names = ["g0", "g1", "g2"].map(str::to_owned);
+    let process = |name: &str| Incarnation(u64::from(name.as_bytes()[1]));
+    let member =
+        |name: &String| Council::new(name.clone(), process(name), names.to_vec(), Register::default());
+    let mut members: Vec<Council> = names.iter().map(member).collect();
+    let mut on_the_way: Vec<(usize, Said)> = Vec::new();
+    for (n, member) in members.iter_mut().enumerate() {
+        for other in names.iter().filter(|other| **other != names[n]) {
+            on_the_way.extend(member.linked(other, process(other)).said.into_iter().map(|said| (n, said)));
+        }
+    }
+    for _ in 0..400 {
+        for (from, said) in std::mem::take(&mut on_the_way) {
+            let to = names.iter().position(|name| *name == said.to).expect("a member");
+            let done = members[to].hear(&names[from], said.word);
+            on_the_way.extend(done.said.into_iter().map(|said| (to, said)));
+        }
+        for (n, member) in members.iter_mut().enumerate() {
+            on_the_way.extend(member.tick().said.into_iter().map(|said| (n, said)));
+        }
+    }
+    let config = members[0].config().expect("three of three found it");
+    assert_eq!(format!("{:016x}", config.founding), "dfb1af7152f4ebbb");
+}
--- a/crates/fleet/tests/hostile.rs
+++ b/crates/fleet/tests/hostile.rs
@@ -2,13 +2,13 @@
 
 use omnipaxos::messages::sequence_paxos::PaxosMsg;
 use omnipaxos::messages::Message;
-use ottervane_fleet::agent::{Agent, Output};
-use ottervane_fleet::council::{Word, TICK};
-use ottervane_fleet::settings::FleetSettings;
-use ottervane_fleet::version::{Incarnation, Version};
-use ottervane_fleet::wire::{self, Frame};
 use std::collections::VecDeque;
 use std::time::Duration;
+use weldworks_fleet::agent::{Agent, Output};
+use weldworks_fleet::council::{Word, TICK};
+use weldworks_fleet::settings::FleetSettings;
+use weldworks_fleet::version::{Incarnation, Version};
+use weldworks_fleet::wire::{self, Frame};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
@@ -16,7 +16,7 @@
     let peers =
         NAMES.map(|n| format!("[[peer]]\nname = \"{n}\"\naddress = \"127.0.0.1:1\"\ncouncil = true\n"));
     let text = format!("name = \"f\"\ngateway = \"{own}\"\n{}", peers.concat());
-    let document = ottervane_settings::Document::parse("f", &text).expect("a file");
+    let document = weldworks_config::Document::parse("f", &text).expect("a file");
     FleetSettings::read(&document.root())
 }
 
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,13 +1,13 @@
 //! The register's rules of sessions under every order of asking, loss, doubling and delay, to a stated depth. The register is the real
 //! one; time, the messages and what a holder may believe are the model's.
 
-use ottervane_fleet::clock::Lease;
-use ottervane_fleet::register::{Applied, Entry, Register, Renewal, SessionId};
-use ottervane_fleet::settings::Stragglers;
-use ottervane_fleet::version::{Incarnation, Listed, Version};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::time::Duration;
+use weldworks_fleet::clock::Lease;
+use weldworks_fleet::register::{Applied, Entry, Register, Renewal, SessionId};
+use weldworks_fleet::settings::Stragglers;
+use weldworks_fleet::version::{Incarnation, Listed, Version};
 
 /// Two processes of one name.
 const PROCESSES: [(&str, u64); 2] = [("a", 1), ("a", 2)];
--- a/crates/fleet/tests/register.rs
+++ b/crates/fleet/tests/register.rs
@@ -1,10 +1,10 @@
 //! The register's rules, whatever is applied in which order.
 
-use ottervane_fleet::register::{Applied, Behind, Cause, Entry, Register, Renewal, Require};
-use ottervane_fleet::settings::Stragglers;
-use ottervane_fleet::version::{Incarnation, Listed, Version};
 use proptest::prelude::*;
 use std::time::Duration;
+use weldworks_fleet::register::{Applied, Behind, Cause, Entry, Register, Renewal, Require};
+use weldworks_fleet::settings::Stragglers;
+use weldworks_fleet::version::{Incarnation, Listed, Version};
 
 fn terms() -> Stragglers {
     Stragglers { versions: 3, time: Duration::from_secs(5), most: 0.2 }
--- a/crates/fleet/tests/throughput.rs
+++ b/crates/fleet/tests/throughput.rs
@@ -1,12 +1,12 @@
-//! What an entry of the register costs. `cargo test --release -p ottervane-fleet --test throughput -- --ignored --nocapture`
+//! What an entry of the register costs. `cargo test --release -p weldworks-fleet --test throughput -- --ignored --nocapture`
 
-use ottervane_fleet::council::{Council, Doings};
-use ottervane_fleet::register::{Entry, Register, Renewal};
-use ottervane_fleet::settings::Stragglers;
-use ottervane_fleet::version::{Incarnation, Version};
-use ottervane_fleet::wire;
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
+use weldworks_fleet::council::{Council, Doings};
+use weldworks_fleet::register::{Entry, Register, Renewal};
+use weldworks_fleet::settings::Stragglers;
+use weldworks_fleet::version::{Incarnation, Version};
+use weldworks_fleet::wire;
 
 struct Members {
     names: Vec<String>,
--- a/crates/gateway/benches/per_request.rs
+++ b/crates/gateway/benches/per_request.rs
@@ -4,12 +4,8 @@
 //! by turns in one run, so that a machine whose speed drifts moves both. Nodes answer at once. At 12 and at 69 nodes, and at 12 in
 //! a fleet of three that books what it does; the other two are idle.
 //!
-//!     cargo bench -p ottervane-gateway [-- ROUNDS]
+//!     cargo bench -p weldworks-gateway [-- ROUNDS]
 
-use ottervane_rig::live::gateways::listening;
-use ottervane_rig::live::http::{Connection, Kind};
-use ottervane_rig::script::Script;
-use ottervane_rig::scripted::ScriptedRegister;
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -19,6 +15,10 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{spawn_local, LocalSet};
+use weldworks_testbed::live::gateways::listening;
+use weldworks_testbed::live::http::{Connection, Kind};
+use weldworks_testbed::script::Script;
+use weldworks_testbed::scripted::ScriptedRegister;
 
 const ROUNDS: usize = 5;
 const ROUND: Duration = Duration::from_secs(2);
@@ -94,7 +94,7 @@
         "known": {"index": 1, "snapshot": true, "endpoints": known}, "settings": script.settings(0, 1)});
     let file = format!("{}/bench-{}.json", env!("CARGO_TARGET_TMPDIR"), nodes.len());
     std::fs::write(&file, config.to_string()).expect("a file");
-    let mut command = Command::new(env!("CARGO_BIN_EXE_ottervane-gateway"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_weldworks-gateway"));
     command.env("ROUTER_CONFIG", &file).env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY");
     if let Some(settings) = fleet {
         command.args(["--settings", settings, "run", "--fleet"]);
--- a/crates/gateway/src/config/operator.rs
+++ b/crates/gateway/src/config/operator.rs
@@ -1,11 +1,11 @@
 //! The operator's file: a table for each subsystem. One with no table is off and costs nothing.
 
 use crate::daemon::log::Log;
-use ottervane_control::storm::StormSettings;
-use ottervane_fleet::settings::FleetSettings;
-use ottervane_fleet::version::digest;
-use ottervane_settings::{Document, Problems};
 use std::path::Path;
+use weldworks_config::{Document, Problems};
+use weldworks_control::storm::StormSettings;
+use weldworks_fleet::settings::FleetSettings;
+use weldworks_fleet::version::digest;
 
 /// Why the operator's file does not hold.
 #[derive(Debug, thiserror::Error)]
@@ -102,12 +102,20 @@
             let text: String =
                 lines.map(|(m, line)| format!("{}\n", if m == n { &misspelt } else { line })).collect();
             let problems = Operator::parse("g.toml", &text).expect_err("a key that nobody knows");
-            let told =
-                |p: &ottervane_settings::Problem| p.line == n + 1 && p.key.ends_with(&format!("{key}_"));
+            let told = |p: &weldworks_config::Problem| p.line == n + 1 && p.key.ends_with(&format!("{key}_"));
             assert!(problems.list.iter().any(told), "{key}: {problems}");
             // A value of another kind is turned down as well: the key was looked at.
             let text = EVERY_KEY.replacen(line, &format!("{key} = [1]"), 1);
             assert!(Operator::parse("g.toml", &text).is_err(), "{key}");
         }
     }
+
+    /// Gateways of two builds compare it by the version that they act on: it stays what it was, whatever the types are called.
+    #[test]
+    fn digests_are_those_of_version_0_2_0() {
+        let digest =
+            |text: &str| format!("{:016x}", Operator::parse("g.toml", text).expect("a file").digest());
+        assert_eq!(digest(""), "333ee037bd6566bd");
+        assert_eq!(digest(EVERY_KEY), "f542ce8e946b42aa");
+    }
 }
--- a/crates/gateway/src/config/platform.rs
+++ b/crates/gateway/src/config/platform.rs
@@ -5,10 +5,6 @@
 use crate::limits::Limits;
 use crate::names::Names;
 use crate::upstream::Terms;
-use ottervane::report::ReportFields;
-use ottervane::wire::parse_settings;
-use ottervane::{stable_hash, Class, Settings};
-use ottervane_fleet::version::digest;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::Value;
@@ -17,6 +13,10 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
+use weldworks_balancer::load_report::ReportFields;
+use weldworks_balancer::parse_settings;
+use weldworks_balancer::{stable_hash, Class, Settings};
+use weldworks_fleet::version::digest;
 
 /// The least memory in which a few clients fit.
 const LEAST_MEMORY_MB: usize = 16;
--- a/crates/gateway/src/core/endpoints.rs
+++ b/crates/gateway/src/core/endpoints.rs
@@ -3,14 +3,14 @@
 use super::Gateway;
 use crate::discovery::list::{Endpoint, Fault, List, Status};
 use crate::upstream::Host;
-use ottervane::{Event, HostId, HostState};
-use ottervane_control::host_start::{self, Evidence};
-use ottervane_fleet::wire::Gone;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
+use weldworks_balancer::{Event, HostId, HostState};
+use weldworks_control::host_start::{self, Evidence};
+use weldworks_fleet::wire::Gone;
 
 /// So many faults of one list are told, each with its entry.
 const FAULTS_TOLD: usize = 3;
@@ -57,7 +57,8 @@
             self.listed.iter_mut().for_each(|h| h.state = HostState::Removed);
         }
         let starts = self.starts(&list, heard_before);
-        let news: Vec<ottervane::Host> = list.endpoints.iter().map(|e| self.host(e, &starts)).collect();
+        let news: Vec<weldworks_balancer::Host> =
+            list.endpoints.iter().map(|e| self.host(e, &starts)).collect();
         for host in &news {
             match self.listed.get_mut(host.id.0 as usize) {
                 Some(listed) => *listed = host.clone(),
@@ -66,7 +67,7 @@
         }
         if let Some(storm) = &mut self.storm {
             let up = self.listed.iter().filter(|h| h.state == HostState::Up);
-            let up: Vec<_> = up.map(|h| ottervane_control::storm::Host { started: h.started }).collect();
+            let up: Vec<_> = up.map(|h| weldworks_control::storm::Host { started: h.started }).collect();
             storm.hosts(self.handle.time(Instant::now()), &up);
         }
         for e in &list.endpoints {
@@ -189,7 +190,7 @@
 
     /// An entry in the module's terms. A host keeps its number by its name for as long as it is known; the module tells
     /// by the name's hash that a number has passed to another.
-    fn host(&mut self, entry: &Endpoint, starts: &Starts) -> ottervane::Host {
+    fn host(&mut self, entry: &Endpoint, starts: &Starts) -> weldworks_balancer::Host {
         let known = self.host_ids.get(&entry.name).copied();
         let id = known.or_else(|| self.free_ids.pop()).unwrap_or(HostId(self.hosts.len() as u32));
         if known.is_none() {
@@ -219,14 +220,14 @@
             Status::Leaving | Status::Unknown => HostState::Draining,
         };
         host.takes_work.set(state == HostState::Up);
-        ottervane::Host {
+        weldworks_balancer::Host {
             state,
             zone: self.names.zone(&entry.zone, id.0),
             cell: entry.group.unwrap_or(u32::MAX - id.0),
             started: self.started(id, entry.since_ms, starts),
             kind: self.names.kind(&entry.kind, id.0),
             weight: entry.weight,
-            ..ottervane::Host::new(id, &entry.name)
+            ..weldworks_balancer::Host::new(id, &entry.name)
         }
     }
 }
--- a/crates/gateway/src/core/messages.rs
+++ b/crates/gateway/src/core/messages.rs
@@ -6,15 +6,15 @@
 use crate::presence::Presence;
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
-use ottervane::{HostId, LoadReport, Memory, Outcome, RequestId, Settings};
-use ottervane_control::classes::Kept;
-use ottervane_fleet::wire::Gone;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
+use weldworks_balancer::{HostId, LoadReport, Memory, Outcome, RequestId, Settings};
+use weldworks_control::classes::Kept;
+use weldworks_fleet::wire::Gone;
 
 /// The gateway's clock starts here, so that hosts started before this process have a time on it.
 const BEFORE_START: Duration = Duration::from_secs(86_400);
@@ -47,7 +47,7 @@
 /// A request that a client is owed an answer to.
 pub struct Arrival {
     /// What the module is told.
-    pub request: ottervane::Request,
+    pub request: weldworks_balancer::Request,
     /// The client's number for it, `X-Request-ID`.
     pub number: HeaderValue,
     /// What goes on to a host.
--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -15,12 +15,6 @@
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use messages::{Arrival, Final, Handle, Message, Retune};
-use ottervane::{Action, Balancer, Event, HostId, HostState, LoadReport, Outcome, RequestId, Settings};
-use ottervane_control::bodies::Passage;
-use ottervane_control::classes::Kept;
-use ottervane_control::rewatch::{self, Rewatch};
-use ottervane_control::storm::{Answered, Arriving, Storm, StormSettings, Terms};
-use ottervane_fleet::audit::Kind;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -33,6 +27,14 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep_until, Instant};
 use tracing::{debug, error, info, warn};
+use weldworks_balancer::{
+    Action, Balancer, Event, HostId, HostState, LoadReport, Outcome, RequestId, Settings,
+};
+use weldworks_control::bodies::Passage;
+use weldworks_control::classes::Kept;
+use weldworks_control::rewatch::{self, Rewatch};
+use weldworks_control::storm::{Answered, Arriving, Storm, StormSettings, Terms};
+use weldworks_fleet::audit::Kind;
 
 /// The figures of the hosts are taken this often; they may be half a second late.
 const FIGURES: Duration = Duration::from_millis(250);
@@ -64,9 +66,9 @@
 }
 
 /// What tells a request from the others: its client's retry is about the same subject.
-fn identity(request: &ottervane::Request) -> Option<u64> {
+fn identity(request: &weldworks_balancer::Request) -> Option<u64> {
     let place = (request.class as u64) << 32 | request.tenant as u64;
-    request.key.map(|key| ottervane::mix(key) ^ ottervane::mix(place))
+    request.key.map(|key| weldworks_balancer::mix(key) ^ weldworks_balancer::mix(place))
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -132,7 +134,7 @@
     watching: Option<JoinHandle<()>>,
     rewatch: Rewatch,
     hosts: Vec<Rc<Host>>,
-    listed: Vec<ottervane::Host>,
+    listed: Vec<weldworks_balancer::Host>,
     /// When each last started, as discovery dates it; 0 for long ago.
     since_ms: Vec<u64>,
     host_ids: FxHashMap<String, HostId>,
@@ -242,7 +244,7 @@
     }
 
     /// What storm control allows a request.
-    fn allowance(&mut self, request: &ottervane::Request) -> f64 {
+    fn allowance(&mut self, request: &weldworks_balancer::Request) -> f64 {
         let Some(storm) = &mut self.storm else { return 1.0 };
         let worths = self.settings.classes.iter().map(|c| c.worth);
         let mean = worths.sum::<f64>() / self.settings.classes.len().max(1) as f64;
--- a/crates/gateway/src/core/tests.rs
+++ b/crates/gateway/src/core/tests.rs
@@ -8,11 +8,11 @@
 fn arrival(handle: &Handle) -> (Box<Arrival>, oneshot::Receiver<Final>) {
     let (answer, answered) = oneshot::channel();
     let give_up = handle.time(Instant::now()) + Duration::from_secs(20);
-    let request = ottervane::Request::new(handle.next_request(), 0, give_up);
+    let request = weldworks_balancer::Request::new(handle.next_request(), 0, give_up);
     let (method, uri) = Default::default();
     let forward = Forward { method, uri, headers: Default::default(), body: Default::default() };
     let number = HeaderValue::from(request.id.0);
-    let class = ottervane::Class::new(Duration::from_secs(10), Duration::from_secs(30));
+    let class = weldworks_balancer::Class::new(Duration::from_secs(10), Duration::from_secs(30));
     let class = Rc::new(Kept { name: "look".into(), number: 0, class });
     let client = Rc::new(Presence::unseen());
     (Box::new(Arrival { request, number, forward, class, answer, client }), answered)
@@ -20,7 +20,7 @@
 
 fn gateway() -> (Gateway, Handle) {
     let mut settings = Settings::default();
-    settings.classes.push(ottervane::Class::new(Duration::from_secs(10), Duration::from_secs(30)));
+    settings.classes.push(weldworks_balancer::Class::new(Duration::from_secs(10), Duration::from_secs(30)));
     let names = Names { tenants: vec![], zones: vec![], kinds: vec![] };
     let budget = Budget::new(&Default::default(), false);
     let (dial_timeout, keepalive) = (Duration::from_secs(5), Duration::from_secs(10));
--- a/crates/gateway/src/daemon/handover.rs
+++ b/crates/gateway/src/daemon/handover.rs
@@ -4,8 +4,6 @@
 use crate::core::messages::{Handle, Message};
 use crate::daemon::service::Service;
 use crate::sockets::Budget;
-use ottervane::Memory;
-use ottervane_control::handover::{self, look_again, Held, Unfit, EVERY, LONGEST};
 use std::fs::{self, File, TryLockError};
 use std::io::{self, Read};
 use std::os::unix::fs::FileExt;
@@ -13,6 +11,8 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tracing::{info, warn};
+use weldworks_balancer::Memory;
+use weldworks_control::handover::{self, look_again, Held, Unfit, EVERY, LONGEST};
 
 /// While the folder can't be used it is tried again this often.
 const FOLDER_AGAIN: Duration = Duration::from_millis(250);
@@ -169,7 +169,7 @@
     /// Locks of one process exclude each other like those of two, as each opens the file anew.
     #[test]
     fn each_knows_of_the_other_until_it_has_gone() {
-        let folder = std::env::temp_dir().join(format!("ottervane-places-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("weldworks-places-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("a folder");
         let step = |mut place| {
             let other = look(&folder, &mut place, Held { clients: 7, ..Held::default() })
--- a/crates/gateway/src/daemon/log.rs
+++ b/crates/gateway/src/daemon/log.rs
@@ -1,8 +1,8 @@
 //! The log: one line an event on standard error, as text or as JSON.
 
-use ottervane_settings::{Named, Table};
 use std::io;
 use tracing::level_filters::LevelFilter;
+use weldworks_config::{Named, Table};
 
 /// How a line is worded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     /// What an operator should know of.
     #[default]
     Info,
-    /// Also each request, attempt and list: for finding causes, and for `ottervane-rig count`.
+    /// Also each request, attempt and list: for finding causes, and for `weldworks-testbed count`.
     Debug,
 }
 
--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -15,10 +15,6 @@
 use crate::listeners::management;
 use crate::sockets::Budget;
 use crate::upstream::{Closed, Pool};
-use ottervane::Settings;
-use ottervane_control::classes::Classes;
-use ottervane_control::drain;
-use ottervane_control::handover::Awaited;
 use serde_json::Value;
 use service::Service;
 use std::env;
@@ -32,6 +28,10 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::{error, info, warn};
+use weldworks_balancer::Settings;
+use weldworks_control::classes::Classes;
+use weldworks_control::drain;
+use weldworks_control::handover::Awaited;
 
 /// Connections that the kernel holds for us: a burst must find room there.
 const BACKLOG: u32 = 4096;
--- a/crates/gateway/src/daemon/service.rs
+++ b/crates/gateway/src/daemon/service.rs
@@ -4,13 +4,13 @@
 use crate::core::messages::{Handle, Message};
 use crate::figures::Figures;
 use crate::fleet::Fleet;
-use ottervane_control::drain::{Drain, Terms};
-use ottervane_control::handover::{Awaited, Entry};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::Instant;
+use weldworks_control::drain::{Drain, Terms};
+use weldworks_control::handover::{Awaited, Entry};
 
 /// The state.
 pub struct Service {
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -9,12 +9,12 @@
 use hyper::client::conn::http1;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use ottervane_control::rewatch::{AT_ONCE, GIVEN_UP, SILENCE};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
+use weldworks_control::rewatch::{AT_ONCE, GIVEN_UP, SILENCE};
 
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -11,7 +11,6 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::header::HeaderMap;
 use hyper::{Method, Uri};
-use ottervane_control::bodies::{Fault, Passage, Transit};
 use std::any::Any;
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
@@ -21,6 +20,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, timeout_at, Instant, Sleep};
+use weldworks_control::bodies::{Fault, Passage, Transit};
 
 /// What nobody has read for so long may be all that its client wrote before it left. An attempt begins with its last byte, and none may
 /// begin more than 0.1 s after its client has left.
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/figures.rs
@@ -1,10 +1,10 @@
 //! The figures: what this process has done and how it stands, counted where it happens and read at the second address.
 
-use ottervane_control::classes::Kept;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::rc::Rc;
+use weldworks_control::classes::Kept;
 
 /// A request that is open: counted for as long as this lives.
 #[derive(Debug)]
@@ -201,7 +201,7 @@
     fn a_request_whose_deciding_panics_has_failed_and_one_whose_client_goes_counts_as_nothing() {
         let figures = Rc::new(Figures::default());
         figures.know(&["look".into()]);
-        let class = ottervane::Class::new(std::time::Duration::ZERO, std::time::Duration::ZERO);
+        let class = weldworks_balancer::Class::new(std::time::Duration::ZERO, std::time::Duration::ZERO);
         let kept = Rc::new(Kept { name: "look".into(), number: 0, class });
         let taken = || {
             let mut taken = Taken::new(figures.clone(), kept.clone());
--- a/crates/gateway/src/fleet/books.rs
+++ b/crates/gateway/src/fleet/books.rs
@@ -2,14 +2,6 @@
 //! onto it, what is dropped and what is told of it is decided in [`pages`].
 
 use super::store::{create, set_aside, torn, Spoilt, StoreError, Tried};
-use ottervane_fleet::audit::pages::{
-    self, Bounds, Dropped, Filling, Mark, Page, Past, Record, Remembered, Shelf, Steps, ToldPast, Wanted,
-    Writer,
-};
-use ottervane_fleet::audit::Audit;
-use ottervane_fleet::settings::FleetSettings;
-use ottervane_fleet::version::Incarnation;
-use ottervane_fleet::wire;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -21,6 +13,14 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 use tracing::{info, warn};
+use weldworks_fleet::audit::pages::{
+    self, Bounds, Dropped, Filling, Mark, Page, Past, Record, Remembered, Shelf, Steps, ToldPast, Wanted,
+    Writer,
+};
+use weldworks_fleet::audit::Audit;
+use weldworks_fleet::settings::FleetSettings;
+use weldworks_fleet::version::Incarnation;
+use weldworks_fleet::wire;
 
 /// The form of what is stored: raised when it changes.
 const FORM: u32 = 1;
@@ -347,8 +347,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use ottervane_fleet::audit::{Decision, Kind};
-    use ottervane_fleet::version::Version;
+    use weldworks_fleet::audit::{Decision, Kind};
+    use weldworks_fleet::version::Version;
 
     fn settings(gateway: &str) -> FleetSettings {
         let peers = ["a", "b", "c"]
@@ -362,7 +362,7 @@
     }
 
     fn folder(name: &str) -> PathBuf {
-        let folder = std::env::temp_dir().join(format!("ottervane-books-{name}-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("weldworks-books-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         folder
     }
--- a/crates/gateway/src/fleet/commands.rs
+++ b/crates/gateway/src/fleet/commands.rs
@@ -4,16 +4,16 @@
 use crate::stream::Stream;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use ottervane_fleet::register::{Entry, Require};
-use ottervane_fleet::settings::{FleetSettings, Peer};
-use ottervane_fleet::version::Listed;
-use ottervane_fleet::wire::{self, Caller, Frame, Hello, Question, LONGEST};
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
+use weldworks_fleet::register::{Entry, Require};
+use weldworks_fleet::settings::{FleetSettings, Peer};
+use weldworks_fleet::version::Listed;
+use weldworks_fleet::wire::{self, Caller, Frame, Hello, Question, LONGEST};
 
 /// One that does not answer within this could not be asked.
 const ANSWER: Duration = Duration::from_secs(4);
--- a/crates/gateway/src/fleet/link.rs
+++ b/crates/gateway/src/fleet/link.rs
@@ -8,10 +8,6 @@
 use crate::stream::Stream;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use ottervane_fleet::members::Down;
-use ottervane_fleet::settings::Peer;
-use ottervane_fleet::version::{Incarnation, Name};
-use ottervane_fleet::wire::{self, Caller, Frame, Hello, Unfit, LONGEST};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
@@ -25,6 +21,10 @@
 use tokio::time::{sleep, timeout, Instant};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 use tracing::{info, warn};
+use weldworks_fleet::members::Down;
+use weldworks_fleet::settings::Peer;
+use weldworks_fleet::version::{Incarnation, Name};
+use weldworks_fleet::wire::{self, Caller, Frame, Hello, Unfit, LONGEST};
 
 /// Connections of staff at a time.
 pub(super) const STAFF: usize = 8;
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -12,14 +12,6 @@
 mod stored_files_tests;
 
 use crate::core::messages::{Handle, Message};
-use ottervane::HostId;
-use ottervane_fleet::agent::{Acting, Agent, Output};
-use ottervane_fleet::audit::{Audit, Decision, Exception, Kind};
-use ottervane_fleet::council::TICK;
-use ottervane_fleet::departures::Departures;
-use ottervane_fleet::settings::FleetSettings;
-use ottervane_fleet::version::{digest, Incarnation, Listed, Name, Version};
-use ottervane_fleet::wire::{Frame, Gone};
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
 use std::collections::VecDeque;
@@ -33,6 +25,14 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant, MissedTickBehavior};
 use tracing::{error, info, warn};
+use weldworks_balancer::HostId;
+use weldworks_fleet::agent::{Acting, Agent, Output};
+use weldworks_fleet::audit::{Audit, Decision, Exception, Kind};
+use weldworks_fleet::council::TICK;
+use weldworks_fleet::departures::Departures;
+use weldworks_fleet::settings::FleetSettings;
+use weldworks_fleet::version::{digest, Incarnation, Listed, Name, Version};
+use weldworks_fleet::wire::{Frame, Gone};
 
 /// The most frames that wait behind one batch for the disk.
 const WAITING: usize = 4096;
--- a/crates/gateway/src/fleet/staff.rs
+++ b/crates/gateway/src/fleet/staff.rs
@@ -4,13 +4,13 @@
 use super::Fleet;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use ottervane_fleet::audit::pages::Wanted;
-use ottervane_fleet::register::{Entry, Register};
-use ottervane_fleet::wire::{self, Frame, Question};
 use serde_json::{json, Value};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
+use weldworks_fleet::audit::pages::Wanted;
+use weldworks_fleet::register::{Entry, Register};
+use weldworks_fleet::wire::{self, Frame, Question};
 
 /// Staff who ask nothing for so long are cut off.
 const QUIET: Duration = Duration::from_secs(5);
--- a/crates/gateway/src/fleet/store.rs
+++ b/crates/gateway/src/fleet/store.rs
@@ -4,10 +4,6 @@
 //! `redb` and not `fjall`: one file with checksums and one sync a transaction; `fjall` keeps a folder of journals and tables with threads
 //! that compact, which pays where there is much more data than the few hundred KB here.
 
-use ottervane_fleet::council::Stored;
-use ottervane_fleet::settings::FleetSettings;
-use ottervane_fleet::version::{digest, Incarnation};
-use ottervane_fleet::wire;
 use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -15,6 +11,10 @@
 use std::sync::mpsc as threads;
 use tokio::sync::mpsc;
 use tracing::{info, warn};
+use weldworks_fleet::council::Stored;
+use weldworks_fleet::settings::FleetSettings;
+use weldworks_fleet::version::{digest, Incarnation};
+use weldworks_fleet::wire;
 
 /// The form of what is stored: raised when it changes.
 const FORM: u32 = 1;
@@ -284,7 +284,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use ottervane_fleet::council::{Config, Seat, Write};
+    use weldworks_fleet::council::{Config, Seat, Write};
 
     fn settings(gateway: &str) -> FleetSettings {
         let text = format!(
@@ -299,7 +299,7 @@
     }
 
     fn folder(name: &str) -> PathBuf {
-        let folder = std::env::temp_dir().join(format!("ottervane-store-{name}-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("weldworks-store-{name}-{}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         folder
     }
--- a/crates/gateway/src/fleet/stored_files_tests.rs
+++ b/crates/gateway/src/fleet/stored_files_tests.rs
@@ -3,15 +3,16 @@
 
 use super::books::{Books, Clock};
 use super::store;
-use ottervane_fleet::audit::pages::{ToldPast, Wanted};
-use ottervane_fleet::audit::{Audit, Decision, Kind};
-use ottervane_fleet::council::{Config, Seat, Stored, Write};
-use ottervane_fleet::register::{Entry, Renewal};
-use ottervane_fleet::settings::FleetSettings;
-use ottervane_fleet::version::{Incarnation, Version};
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
+use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
+use weldworks_fleet::audit::pages::{ToldPast, Wanted};
+use weldworks_fleet::audit::{Audit, Decision, Kind};
+use weldworks_fleet::council::{Config, Seat, Stored, Write};
+use weldworks_fleet::register::{Entry, Renewal};
+use weldworks_fleet::settings::FleetSettings;
+use weldworks_fleet::version::{Incarnation, Version};
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/stored-files");
 const COUNCIL: &str = "council-a.redb";
@@ -27,14 +28,17 @@
 }
 
 fn temporary_folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("weldworks-stored-{name}-{}", std::process::id()));
+    static CREATED: AtomicU32 = AtomicU32::new(0);
+    let number = CREATED.fetch_add(1, Ordering::Relaxed);
+    let folder =
+        std::env::temp_dir().join(format!("weldworks-stored-{name}-{}-{number}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
 fn copy_of(fixture: &str, name: &str) -> PathBuf {
-    let folder = temporary_folder(&format!("{fixture}-{name}"));
+    let folder = temporary_folder(fixture);
     std::fs::copy(Path::new(FIXTURES).join(fixture).join(name), folder.join(name)).expect("the fixture");
     folder
 }
@@ -202,3 +206,81 @@
     assert!(folder.join("audit-a.spoilt-0").exists());
     let _ = std::fs::remove_dir_all(&folder);
 }
+
+/// Administrators' tools read the names in these answers.
+#[test]
+fn answers_to_administrators_have_the_names_of_version_0_2_0() {
+    use weldworks_fleet::agent::{Row, Status};
+    use weldworks_fleet::audit::pages::{Gap, Lost, ToldProcess};
+    use weldworks_fleet::audit::Exception;
+    use weldworks_fleet::members::State;
+    use weldworks_fleet::version::Listed;
+
+    let list = Listed { lineage: "register-a".into(), index: 9 };
+    let version = Version { list, config: 3, generation: 2, operator: 5, build: "0.2.0".into() };
+    let states =
+        [State::Here, State::CutFromMe, State::Gone, State::PausedOrSlow, State::Unreachable, State::Unknown];
+    let status = Status {
+        gateway: "a".into(),
+        process: "p".into(),
+        standing: "in session 4".into(),
+        session: Some(4),
+        held_ms: 1500,
+        version: version.clone(),
+        position: 12,
+        current: Some(9),
+        leader: Some("b".into()),
+        council: Some((3, true)),
+        members: states.iter().enumerate().map(|(n, state)| (n.to_string(), *state)).collect(),
+        sessions: vec![Row {
+            gateway: "a".into(),
+            process: "p".into(),
+            session: 4,
+            version: version.clone(),
+            behind: 2,
+            out: Some("held".into()),
+        }],
+        held_out: vec!["c".into()],
+    };
+    let mut audit = Audit::new(Duration::ZERO, version);
+    let exceptions = [
+        Exception::OlderThanTold { own: 1, told: 2 },
+        Exception::ToldGone { host: "n1".into() },
+        Exception::WithoutSession,
+        Exception::ShutOut,
+    ];
+    for (n, exception) in exceptions.into_iter().enumerate() {
+        let now = Duration::from_secs(n as u64);
+        audit.except(now, exception, "r-1");
+        for kind in [Kind::Pick, Kind::Resend, Kind::Refuse, Kind::Drain] {
+            audit.book(now, Decision { kind, class: 1, request: "r-1", host: Some("n1") });
+        }
+    }
+    audit.register_at(13);
+    audit.turn_to(Duration::from_secs(5), Version::default());
+    let (since_ms, steps) = audit.request("r-1");
+    let gap = |what| Gap { from_ms: 20, to_ms: 900, what };
+    let process = ToldProcess {
+        process: "p".into(),
+        began_unix_ms: 1_790_000_001_000,
+        since_ms: 10,
+        until_ms: 950,
+        unknown: vec![gap(Lost::Requests), gap(Lost::All)],
+        intervals: Vec::new(),
+        exceptions: Vec::new(),
+        steps: steps.clone(),
+    };
+    let past = ToldPast { processes: vec![process], more: 2 };
+    let answers = serde_json::json!({
+        "status": status,
+        "audit": audit.told(Duration::from_secs(6), 0..=9),
+        "request": { "since_ms": since_ms, "steps": steps },
+        "earlier": past,
+    });
+    let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/admin-answers.json");
+    let text = serde_json::to_string_pretty(&answers).expect("JSON") + "\n";
+    if std::env::var_os("WRITE_FIXTURES").is_some() {
+        std::fs::write(path, &text).expect("the fixture");
+    }
+    assert_eq!(text, std::fs::read_to_string(path).expect("the fixture is in the repository"));
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,4 +1,4 @@
-//! The gateway on real sockets. The decisions are those of [`ottervane`]; here they are carried out.
+//! The gateway on real sockets. The decisions are those of [`weldworks_balancer`]; here they are carried out.
 //!
 //! A folder for each side: [`core`] owns the module and the request table, [`listeners`] take requests in,
 //! [`upstream`] sends them on, [`discovery`] brings news of the hosts, [`daemon`] is the process, [`config`] what it
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 
-pub use ottervane_control::bodies::{HELD as MAX_BODY, MOST as MAX_LARGE};
+pub use weldworks_control::bodies::{HELD as MAX_BODY, MOST as MAX_LARGE};
 /// The most that is read ahead of a head or body on one connection.
 pub const MAX_BUFFER: usize = 32 << 10;
 
--- a/crates/gateway/src/listeners/http/request.rs
+++ b/crates/gateway/src/listeners/http/request.rs
@@ -10,14 +10,14 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use ottervane::{stable_hash, RequestId, Settings};
-use ottervane_control::bodies::{Fault, Passage};
-use ottervane_control::classes::{Classes, Form, NoClass, Offer};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
+use weldworks_balancer::{stable_hash, RequestId, Settings};
+use weldworks_control::bodies::{Fault, Passage};
+use weldworks_control::classes::{Classes, Form, NoClass, Offer};
 
 /// A body that is not held may come for so long: the longest one at the slowest rate.
 const UPLOAD: Duration = Duration::from_secs(1100);
@@ -287,7 +287,7 @@
         // settings has none, and nobody else's.
         let tenant = text(headers, "x-tenant-id");
         let tenant = self.terms.borrow().tenant(tenant);
-        let request = ottervane::Request {
+        let request = weldworks_balancer::Request {
             id,
             class: kept.number,
             tenant,
--- a/crates/gateway/src/listeners/http/tests.rs
+++ b/crates/gateway/src/listeners/http/tests.rs
@@ -2,19 +2,21 @@
 
 use super::*;
 use crate::core::messages::Message;
-use ottervane::Settings;
-use ottervane_control::classes::Classes;
-use ottervane_control::drain;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream as Plain};
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::LocalSet;
+use weldworks_balancer::Settings;
+use weldworks_control::classes::Classes;
+use weldworks_control::drain;
 
 /// Terms with one class, and these tenants.
 fn terms(tenants: &[&str]) -> Terms {
     let mut classes = Classes::default();
-    let class =
-        ottervane::Class { effect: ottervane::Effect::Unsafe, ..ottervane::Class::new(LONGEST, LONGEST) };
+    let class = weldworks_balancer::Class {
+        effect: weldworks_balancer::Effect::Unsafe,
+        ..weldworks_balancer::Class::new(LONGEST, LONGEST)
+    };
     classes.take(Duration::ZERO, [("once".to_owned(), class)]);
     Terms::new(&classes, tenants.iter().map(|t| (*t).to_owned()).collect(), &Settings::default())
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,16 +1,16 @@
 //! The gateway's command line.
 
 use clap::{Parser, Subcommand};
-use ottervane_fleet::settings::FleetSettings;
-use ottervane_gateway::config::operator::Operator;
-use ottervane_gateway::config::platform::Config;
-use ottervane_gateway::daemon;
-use ottervane_gateway::fleet::commands::{self, Shown};
 use std::error::Error;
 use std::future::Future;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use tokio::task::LocalSet;
+use weldworks_fleet::settings::FleetSettings;
+use weldworks_gateway::config::operator::Operator;
+use weldworks_gateway::config::platform::Config;
+use weldworks_gateway::daemon;
+use weldworks_gateway::fleet::commands::{self, Shown};
 
 /// The gateway of the booking service.
 ///
@@ -18,7 +18,7 @@
 /// Exit codes: 0, it was told to stop and has, or the file is as it should be; 1, it can't start or has broken down;
 /// 2, the command or a file that was to be checked is not as it should be; 3, some gateways of the fleet could not be asked.
 #[derive(Parser)]
-#[command(name = "ottervane-gateway", version)]
+#[command(name = "weldworks-gateway", version)]
 struct Arguments {
     /// The operator's file; it switches subsystems on.
     #[arg(long, global = true, env = "OTTERVANE_SETTINGS")]
@@ -122,7 +122,7 @@
     match done {
         Ok(code) => code,
         Err(error) => {
-            eprintln!("ottervane-gateway: {error}");
+            eprintln!("weldworks-gateway: {error}");
             failure
         }
     }
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -1,9 +1,9 @@
 //! The budget of descriptors: a fixed share for clients and one for hosts, so that neither starves the other.
 
 use crate::limits::{Limits, MAX_BODY, MAX_BUFFER};
-use ottervane_control::handover::{left, Held};
 use std::cell::Cell;
 use std::rc::Rc;
+use weldworks_control::handover::{left, Held};
 
 /// The most memory that a client's connection and its request can hold: a body each way, what was read ahead of a head,
 /// and the tasks.
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -12,9 +12,6 @@
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::{Request, StatusCode};
-use ottervane::{LoadReport, Outcome};
-use ottervane_control::bodies::{Intake, Passage, Verdict, STALL};
-use ottervane_control::execution::{outcome, said, Ended, Said, Written};
 use std::cell::{Cell, RefCell};
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
@@ -24,6 +21,9 @@
 use std::task::Poll;
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep_until, timeout, Instant};
+use weldworks_balancer::{LoadReport, Outcome};
+use weldworks_control::bodies::{Intake, Passage, Verdict, STALL};
+use weldworks_control::execution::{outcome, said, Ended, Said, Written};
 
 /// The header of an answer that carries the host's load report.
 const LOAD: &str = "x-server-load";
--- a/crates/gateway/src/upstream/dial.rs
+++ b/crates/gateway/src/upstream/dial.rs
@@ -1,11 +1,11 @@
 //! Opens a connection to a host, through moments in which this machine can't.
 
 use crate::system_errors::is_own_connect_failure;
-use ottervane_control::execution::Ended;
 use std::future::Future;
 use std::io;
 use std::time::Duration;
 use tokio::time::{sleep, timeout_at, Instant};
+use weldworks_control::execution::Ended;
 
 /// A call that failed for want of something here is made again after this.
 const AGAIN: Duration = Duration::from_millis(5);
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -13,9 +13,6 @@
 use crate::wire::{Marks, Wire};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
-use ottervane::report::ReportFields;
-use ottervane::HostId;
-use ottervane_control::execution::Ended;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::future::{poll_fn, Future};
@@ -26,6 +23,9 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
+use weldworks_balancer::load_report::ReportFields;
+use weldworks_balancer::HostId;
+use weldworks_control::execution::Ended;
 
 /// A connection rests for so long between two requests: what a host sends beyond an answer comes right behind it or some milliseconds
 /// later (3.7 at the most of those measured, `docs/measurements/brink.md`), and must not be read as the answer to the next.
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -4,9 +4,9 @@
 use crate::exchange::Forward;
 use crate::sockets::Budget;
 use hyper::HeaderMap;
-use ottervane::{LoadReport, Outcome};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
+use weldworks_balancer::{LoadReport, Outcome};
 
 /// The load report that is read from an answer with this head, and the outcome.
 async fn heard(status: &str, head: &str) -> (Outcome, Option<LoadReport>) {
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/wire.rs
@@ -2,7 +2,6 @@
 
 use crate::framing::Framing;
 use crate::stream::{self, is_transient};
-use ottervane_control::execution::Written;
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -16,6 +15,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant, Sleep};
+use weldworks_control::execution::Written;
 
 /// What the other side still writes when this one has said its last is read, and let go, for so long: a close with bytes unread is a
 /// reset, and that may take the last answer with it before it is read.
--- a/crates/gateway/src/wire/tests.rs
+++ b/crates/gateway/src/wire/tests.rs
@@ -1,11 +1,11 @@
 //! What a wire says of the requests that are written to it: whole with their last byte, in whatever pieces they go.
 
 use super::*;
-use ottervane_control::execution::{outcome, Ended, Said};
 use proptest::prelude::*;
 use std::future::poll_fn;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
+use weldworks_control::execution::{outcome, Ended, Said};
 
 /// Heads and bodies as they go to a host: none, with a length, in chunks, with a length of nothing.
 const REQUESTS: [&str; 4] = [
--- a/crates/gateway/tests/crossings/closing.rs
+++ b/crates/gateway/tests/crossings/closing.rs
@@ -18,7 +18,7 @@
     for _ in 0..64 {
         client.write_all(&piece).expect("it is still read");
     }
-    let answer = ottervane_rig::scripted::Http::read(&mut BufReader::new(client)).expect("an answer");
+    let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(client)).expect("an answer");
     assert_eq!(answer.status(), 413);
 }
 
@@ -35,7 +35,7 @@
         told.fetch_add(1, Ordering::SeqCst);
     });
     let (gateway, discovery) =
-        start("endless", &[ottervane_rig::scripted::entry("s-1", &endless.address, 1, "active")]);
+        start("endless", &[weldworks_testbed::scripted::entry("s-1", &endless.address, 1, "active")]);
     for (n, class) in ["brief", "brief-once"].into_iter().enumerate() {
         let asked = Instant::now();
         let status = gateway.ask(class).status();
@@ -70,7 +70,7 @@
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole");
             hold(stream);
         });
-        let entry = |name: &str| ottervane_rig::scripted::entry(name, &host.address, 1, "active");
+        let entry = |name: &str| weldworks_testbed::scripted::entry(name, &host.address, 1, "active");
         let (gateway, _discovery) = start(&format!("reset-{class}"), &[entry("s-1"), entry("s-2")]);
         let answer = gateway.ask(class);
         let wanted: &[u8] = if status == 200 { b"whole" } else { b"failed\n" };
--- a/crates/gateway/tests/crossings/crowded.rs
+++ b/crates/gateway/tests/crossings/crowded.rs
@@ -1,7 +1,7 @@
 //! Clients that rest and fill the descriptors while discovery is down.
 
 use super::*;
-use ottervane_rig::scripted::entry;
+use weldworks_testbed::scripted::entry;
 
 /// Many clients that each come, are answered or never say a word, and rest.
 fn fill(gateway: &Gateway, clients: usize, asks: bool) -> Vec<TcpStream> {
@@ -76,7 +76,7 @@
     discovery.push(json!({"index": 43, "snapshot": true, "endpoints": [other.entry("s-2", 1)]}));
     wait_for("the news", || gateway.ask("look").status() == 200 && other.count() > 0);
     drop(resting);
-    let mut too_few = ottervane_rig::scripted::spawn_gateway(
+    let mut too_few = weldworks_testbed::scripted::spawn_gateway(
         &few("too-few-descriptors", 40),
         "too-few-descriptors",
         &config.to_string(),
--- a/crates/gateway/tests/crossings/leaving.rs
+++ b/crates/gateway/tests/crossings/leaving.rs
@@ -101,7 +101,7 @@
 
     pub(super) fn entry(&self, name: &str) -> Value {
         let address = self.listener.local_addr().expect("an address").to_string();
-        ottervane_rig::scripted::entry(name, &address, 1, "active")
+        weldworks_testbed::scripted::entry(name, &address, 1, "active")
     }
 
     /// Takes all connections from now on; gives how many came beyond those that filled the queue, and what was asked on them.
@@ -118,7 +118,7 @@
                 let asked = asked.clone();
                 spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-                    while ottervane_rig::scripted::Http::read(&mut reader).is_some() {
+                    while weldworks_testbed::scripted::Http::read(&mut reader).is_some() {
                         asked.fetch_add(1, Ordering::SeqCst);
                         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                     }
--- a/crates/gateway/tests/crossings/main.rs
+++ b/crates/gateway/tests/crossings/main.rs
@@ -1,10 +1,6 @@
 //! Two events that cross, forced on the built program over loopback sockets: peers that stop at a stated step and go on when told.
 //! No verdict hangs on how fast the machine is. The table of crossings is docs/design/crossings.md.
 
-use ottervane_rig::scripted::{
-    config, entry, request, wait_for, write_config, Client, Gateway, Program, Reply, ScriptedNode,
-    ScriptedRegister, LONG,
-};
 use serde_json::{json, Value};
 use std::io::{BufReader, Read, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -12,6 +8,10 @@
 use std::sync::Arc;
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
+use weldworks_testbed::scripted::{
+    config, entry, request, wait_for, write_config, Client, Gateway, Program, Reply, ScriptedNode,
+    ScriptedRegister, LONG,
+};
 
 mod closing;
 mod crowded;
@@ -24,7 +24,7 @@
 mod watching;
 
 const PROGRAM: Program =
-    Program { path: env!("CARGO_BIN_EXE_ottervane-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
+    Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
 fn managed(discovery: &ScriptedRegister, hosts: &[Value]) -> Value {
     let mut config = config(&discovery.address.to_string(), 256, hosts);
@@ -69,7 +69,7 @@
                 let (counted, treat) = (counted.clone(), treat.clone());
                 spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-                    if ottervane_rig::scripted::Http::read(&mut reader).is_none() {
+                    if weldworks_testbed::scripted::Http::read(&mut reader).is_none() {
                         return;
                     }
                     let call = counted.fetch_add(1, Ordering::SeqCst);
--- a/crates/gateway/tests/crossings/once.rs
+++ b/crates/gateway/tests/crossings/once.rs
@@ -2,7 +2,7 @@
 
 use super::leaving::Shut;
 use super::*;
-use ottervane_rig::scripted::entry;
+use weldworks_testbed::scripted::entry;
 
 /// More than is held whole, and more than any buffers on the way take in.
 const LONG_BODY: usize = 100 << 10;
@@ -108,7 +108,7 @@
     };
     let mut writer = stream.try_clone().expect("a clone");
     let writing = spawn(move || writer.write_all(&text));
-    let answer = ottervane_rig::scripted::Http::read(&mut BufReader::new(stream)).expect("an answer");
+    let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(stream)).expect("an answer");
     let _ = writing.join(); // it may be told before it has written all
     answer.status()
 }
--- a/crates/gateway/tests/crossings/watching.rs
+++ b/crates/gateway/tests/crossings/watching.rs
@@ -1,7 +1,7 @@
 //! Watches that fall silent, trickle, or come in pieces.
 
 use super::*;
-use ottervane_rig::scripted::entry;
+use weldworks_testbed::scripted::entry;
 
 fn pushed(name: &str, agent: &Agent, known: &[Value]) -> Gateway {
     let nobody = ScriptedRegister::start();
--- a/crates/gateway/tests/day_by_day/bodies.rs
+++ b/crates/gateway/tests/day_by_day/bodies.rs
@@ -129,7 +129,7 @@
         drop(held);
     });
     let (gateway, _discovery) =
-        start("takes-none", &[ottervane_rig::scripted::entry("s-1", &at, 1, "active")]);
+        start("takes-none", &[weldworks_testbed::scripted::entry("s-1", &at, 1, "active")]);
     let up = Bulk::new(30 << 20, Form::Length);
     let answer = ask(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
     assert_eq!(answer.status(), 503, "it has not had the whole, so it has not run");
@@ -151,7 +151,8 @@
         seen.store(true, Ordering::SeqCst);
         sleep(LONG);
     });
-    let (gateway, _discovery) = start("rests", &[ottervane_rig::scripted::entry("s-1", &at, 1, "active")]);
+    let (gateway, _discovery) =
+        start("rests", &[weldworks_testbed::scripted::entry("s-1", &at, 1, "active")]);
     let mut client = TcpStream::connect(&gateway.address).expect("a connection");
     client.write_all(request("look").as_bytes()).expect("a request");
     client.read_exact(&mut vec![0; 150_000]).expect("a beginning");
@@ -166,7 +167,7 @@
     // The host that takes no connection is tried first or not: either way the other one gets the whole body.
     let (_held, nobody) = refusing();
     let node = BulkNode::start(Bulk::new(10, Form::Length));
-    let dead = ottervane_rig::scripted::entry("s-0", &nobody, 1, "active");
+    let dead = weldworks_testbed::scripted::entry("s-0", &nobody, 1, "active");
     let (gateway, _discovery) = start("unspent", &[dead, node.entry("s-1")]);
     for _ in 0..6 {
         let up = Bulk::new(1 << 20, Form::Chunked);
@@ -187,7 +188,7 @@
         }
     });
     let hosts: Vec<Value> =
-        (0..3).map(|n| ottervane_rig::scripted::entry(&format!("s-{n}"), &at, 1, "active")).collect();
+        (0..3).map(|n| weldworks_testbed::scripted::entry(&format!("s-{n}"), &at, 1, "active")).collect();
     let (gateway, _discovery) = start("spent", &hosts);
     let up = Bulk { pace: Some((64 << 10, Duration::from_millis(20))), ..Bulk::new(2 << 20, Form::Length) };
     let answer = ask(&gateway.address, &request("pay"), Some(up), Duration::ZERO).expect("an answer");
@@ -254,7 +255,7 @@
 #[test]
 fn pieces_cut_anywhere_arrive_as_they_were_sent() {
     for seed in 0u64..8 {
-        let draw = |n: u64, most: u64| 1 + ottervane::mix(seed << 8 | n) % most;
+        let draw = |n: u64, most: u64| 1 + weldworks_balancer::mix(seed << 8 | n) % most;
         let paced = |n: u64, length: u64, form: Form| Bulk {
             pace: Some((draw(n, 40_000) as usize, Duration::from_micros(200))),
             ..Bulk::new(length, form)
@@ -274,7 +275,7 @@
     }
 }
 
-/// A measurement, not a check of each landing: `cargo test --release -p ottervane-gateway --test day_by_day -- --ignored --nocapture`.
+/// A measurement, not a check of each landing: `cargo test --release -p weldworks-gateway --test day_by_day -- --ignored --nocapture`.
 #[test]
 #[ignore = "13 GB over loopback"]
 fn two_hundred_transfers_of_32_mb_at_once() {
--- a/crates/gateway/tests/day_by_day/main.rs
+++ b/crates/gateway/tests/day_by_day/main.rs
@@ -1,11 +1,6 @@
 //! What staff do to a running gateway, and what large and slow clients and hosts do to it: the built program on loopback
 //! sockets. No verdict hangs on how fast the machine is.
 
-use ottervane_rig::bulk::{ask, Bulk, BulkNode, Form};
-use ottervane_rig::scripted::{
-    config, refusing, request, wait_for, write_config, Gateway, Program, Reply, ScriptedNode,
-    ScriptedRegister, LONG,
-};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -13,6 +8,11 @@
 use std::sync::Arc;
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
+use weldworks_testbed::bulk::{ask, Bulk, BulkNode, Form};
+use weldworks_testbed::scripted::{
+    config, refusing, request, wait_for, write_config, Gateway, Program, Reply, ScriptedNode,
+    ScriptedRegister, LONG,
+};
 
 mod bodies;
 mod settings;
@@ -20,7 +20,7 @@
 mod upgrade;
 
 const PROGRAM: Program =
-    Program { path: env!("CARGO_BIN_EXE_ottervane-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
+    Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
 fn managed(discovery: &ScriptedRegister, hosts: &[Value]) -> Value {
     let mut config = config(&discovery.address.to_string(), 256, hosts);
--- a/crates/gateway/tests/day_by_day/staff.rs
+++ b/crates/gateway/tests/day_by_day/staff.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn counts_what_became_of_each_request() {
-    let answers = |r: &ottervane_rig::scripted::Http| match r.first.split(['/', '?', ' ']).nth(2) {
+    let answers = |r: &weldworks_testbed::scripted::Http| match r.first.split(['/', '?', ' ']).nth(2) {
         Some("look") => Reply::ok("ok"),
         Some("brief-once") => Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()),
         Some("once") => Reply::Answer(500, "", Vec::new()),
@@ -80,8 +80,8 @@
         start("avoided", &[host.entry("s-1", 1), host.entry("s-2", 1), host.entry("s-3", 1)]);
     wait_for("the hosts' figures", || gateway.figure("router_cluster_size") == Some(3));
     assert_eq!(gateway.figure("router_cluster_unhealthy"), Some(0));
-    let leaving = ottervane_rig::scripted::entry("s-2", &host.address.to_string(), 1, "leaving");
-    let left = ottervane_rig::scripted::entry("s-3", "", 1, "left");
+    let leaving = weldworks_testbed::scripted::entry("s-2", &host.address.to_string(), 1, "leaving");
+    let left = weldworks_testbed::scripted::entry("s-3", "", 1, "left");
     discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [leaving, left]}));
     wait_for("the news", || gateway.figure("router_cluster_size") == Some(2));
     assert_eq!(gateway.figure("router_cluster_unhealthy"), Some(1), "one that leaves is sent nothing new");
@@ -142,7 +142,8 @@
 fn figures_agree_with_what_clients_got_on_days_drawn_at_random() {
     for seed in [3u64, 11, 29] {
         let drawn = Arc::new(AtomicUsize::new(0));
-        let draw = move |n: usize| (ottervane::mix(seed.wrapping_mul(1 << 20) ^ n as u64) % 100) as usize;
+        let draw =
+            move |n: usize| (weldworks_balancer::mix(seed.wrapping_mul(1 << 20) ^ n as u64) % 100) as usize;
         let next = drawn.clone();
         let host = ScriptedNode::start(move |_| match draw(next.fetch_add(1, Ordering::SeqCst)) {
             0..70 => Reply::ok("ok"),
--- a/crates/gateway/tests/day_by_day/upgrade.rs
+++ b/crates/gateway/tests/day_by_day/upgrade.rs
@@ -73,7 +73,7 @@
                     stream.set_read_timeout(Some(LONG)).expect("a time-out");
                     stream.write_all(request("look").as_bytes()).expect("written");
                     let mut reader = std::io::BufReader::new(stream.try_clone().expect("a clone"));
-                    let answer = ottervane_rig::scripted::Http::read(&mut reader).expect("an answer");
+                    let answer = weldworks_testbed::scripted::Http::read(&mut reader).expect("an answer");
                     assert_eq!(answer.status(), 200);
                     served.fetch_add(1, Ordering::SeqCst);
                     let close = answer.header("connection") == Some("close");
@@ -294,7 +294,7 @@
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock").as_millis();
     let mut starting = cold.entry("s-3", 1);
     starting["since_ms"] = (now as u64).into();
-    let leaving = ottervane_rig::scripted::entry("s-2", &drained.address.to_string(), 1, "leaving");
+    let leaving = weldworks_testbed::scripted::entry("s-2", &drained.address.to_string(), 1, "leaving");
     let (new, _new_news) = place.start("small-new", &small, &[warm.entry("s-1", 1), leaving, starting]);
     ready(&new);
     old.signal("TERM");
--- a/crates/gateway/tests/fleet_cases.rs
+++ b/crates/gateway/tests/fleet_cases.rs
@@ -8,7 +8,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_ottervane-gateway");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_weldworks-gateway");
 const LONG: Duration = Duration::from_secs(60);
 
 /// A door that stands open at a port of the kernel's choice before anybody is behind it.
--- a/crates/gateway/tests/fleet_off.rs
+++ b/crates/gateway/tests/fleet_off.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_ottervane-gateway");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_weldworks-gateway");
 const FLEET: &str = "[fleet]\nname = \"f\"\ngateway = \"a\"\nlisten = \"127.0.0.1:0\"\n\
     [[fleet.peer]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\ncouncil = true\n\
     [[fleet.peer]]\nname = \"b\"\naddress = \"127.0.0.1:2\"\ncouncil = true\n\
@@ -27,7 +27,7 @@
     let line = deploy.lines().find_map(|l| l.strip_prefix("run = ")).expect("a run line");
     let mut words = line.trim_matches('"').split_whitespace();
     assert_eq!(words.next(), Some("exec"));
-    assert!(words.next().is_some_and(|program| program.ends_with("ottervane-gateway")));
+    assert!(words.next().is_some_and(|program| program.ends_with("weldworks-gateway")));
     words.map(str::to_owned).collect()
 }
 
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,19 +1,19 @@
 //! The built gateway on loopback sockets, against hosts and a discovery that fail on purpose. Each test guards
 //! against one failure; none depends on how fast the machine is.
 
-use ottervane_rig::scripted::{
-    config, entry, refusing, request, settings, spawn_gateway, wait_for, write_config, Client, Gateway, Http,
-    Program, Reply, ScriptedNode, ScriptedRegister,
-};
 use serde_json::{json, Value};
 use std::io::Read;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
+use weldworks_testbed::scripted::{
+    config, entry, refusing, request, settings, spawn_gateway, wait_for, write_config, Client, Gateway, Http,
+    Program, Reply, ScriptedNode, ScriptedRegister,
+};
 
 const PROGRAM: Program =
-    Program { path: env!("CARGO_BIN_EXE_ottervane-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
+    Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
 /// Clients that have every place, with requests that wait for a host: the gateway knows none.
 fn hold_all_places(gateway: &Gateway) -> Vec<Client> {
@@ -851,6 +851,6 @@
         child.stderr.take().expect("a log").read_to_string(&mut log).expect("text");
         assert!(!child.wait().expect("a status").success(), "{name}");
         assert_eq!(log.lines().count(), 1, "{name}: {log}");
-        assert!(log.starts_with("ottervane-gateway: "), "{name}: {log}");
+        assert!(log.starts_with("weldworks-gateway: "), "{name}: {log}");
     }
 }
--- a/crates/gateway/tests/growth.rs
+++ b/crates/gateway/tests/growth.rs
@@ -1,13 +1,15 @@
 //! What a gateway needs as the list of endpoints grows sixteenfold while its own traffic stays the same, held against the operators'
 //! table. Processor time counts with optimisation only: `cargo test --release --test growth -- --nocapture`.
 
-use ottervane_rig::scripted::{config, wait_for, Gateway, Program, Reply, ScriptedNode, ScriptedRegister};
 use serde_json::{json, Value};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
+use weldworks_testbed::scripted::{
+    config, wait_for, Gateway, Program, Reply, ScriptedNode, ScriptedRegister,
+};
 
 const PROGRAM: Program =
-    Program { path: env!("CARGO_BIN_EXE_ottervane-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
+    Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
 /// The usual number of endpoints, and the most.
 const USUAL: usize = 200;
--- a/crates/gateway/tests/replay.rs
+++ b/crates/gateway/tests/replay.rs
@@ -1,18 +1,18 @@
 //! The built gateway between the rig's nodes and clients, on incidents short enough for every change. The ledger
 //! proves the four rules on each.
 
-use ottervane_rig::live::gateways::Program;
-use ottervane_rig::replay::{replay, ReplayError};
-use ottervane_rig::report::Report;
-use ottervane_rig::script::Script;
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
+use weldworks_testbed::live::gateways::Program;
+use weldworks_testbed::replay::{replay, ReplayError};
+use weldworks_testbed::report::Report;
+use weldworks_testbed::script::Script;
 
 fn played(name: &str, text: &str, settings: Option<PathBuf>) -> Report {
     let script = Script::parse(name, text).unwrap_or_else(|problems| panic!("{problems}"));
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("replay-{name}"));
     std::fs::create_dir_all(&folder).expect("a folder");
-    let start = Program { path: PathBuf::from(env!("CARGO_BIN_EXE_ottervane-gateway")), folder, settings };
+    let start = Program { path: PathBuf::from(env!("CARGO_BIN_EXE_weldworks-gateway")), folder, settings };
     let (report, _) = replay(&script, 2, None, &start, &|_, _, _| {}, std::future::pending()).expect("a run");
     assert_eq!(report.breaches, [], "{}", report.to_text());
     report
@@ -142,7 +142,7 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let file = folder.join("gateway-0.json");
     let start =
-        Program { path: PathBuf::from(env!("CARGO_BIN_EXE_ottervane-gateway")), folder, settings: None };
+        Program { path: PathBuf::from(env!("CARGO_BIN_EXE_weldworks-gateway")), folder, settings: None };
     let stop = async { tokio::time::sleep(Duration::from_secs(2)).await };
     let played = replay(&script, 1, None, &start, &|_, _, _| {}, stop);
     assert!(matches!(played, Err(ReplayError::Stopped)), "{played:?}");
--- a/crates/gateway/tests/soak/clients.rs
+++ b/crates/gateway/tests/soak/clients.rs
@@ -2,12 +2,12 @@
 
 use crate::peers::made_for;
 use crate::world::{Ask, Effect, Outcome, World, CLASSES};
-use ottervane_rig::scripted::Http;
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
+use weldworks_testbed::scripted::Http;
 
 /// The front goes on sending new connections to a process for so long after that was told to end.
 const NOTICED: Duration = Duration::from_millis(300);
--- a/crates/gateway/tests/soak/main.rs
+++ b/crates/gateway/tests/soak/main.rs
@@ -9,7 +9,6 @@
 mod world;
 
 use clients::{Behind, Front};
-use ottervane_rig::scripted::{config, write_config, Gateway, Program, ScriptedRegister};
 use peers::{start_discovery, start_host, Listed};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
@@ -17,10 +16,11 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
+use weldworks_testbed::scripted::{config, write_config, Gateway, Program, ScriptedRegister};
 use world::{Drain, World};
 
 const PROGRAM: Program =
-    Program { path: env!("CARGO_BIN_EXE_ottervane-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
+    Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
 const HOSTS: usize = 6;
 const GATEWAYS: usize = 2;
@@ -37,7 +37,7 @@
         json!({"name": name, "promise_s": deadline.as_secs_f64() * 0.8, "deadline_s": deadline.as_secs_f64(), "effect": effect,
             "group": "all", "dedup_window_s": world.window.as_secs_f64(), "importance": 1.0, "late_worth": 0.0, "streaming": false})
     };
-    let mut settings = ottervane_rig::scripted::settings();
+    let mut settings = weldworks_testbed::scripted::settings();
     settings["classes"] = json!([
         class("look", "free", world.longest),
         class("pay", "guarded", world.longest),
--- a/crates/gateway/tests/soak/peers.rs
+++ b/crates/gateway/tests/soak/peers.rs
@@ -1,7 +1,6 @@
 //! Stand-ins of a run: endpoints that misbehave by the seed, and a discovery service that tells changes at once.
 
 use crate::world::{Attempt, World};
-use ottervane_rig::scripted::Http;
 use serde_json::{json, Value};
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,6 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
+use weldworks_testbed::scripted::Http;
 
 /// This often a peer that waits looks whether its wait is over.
 const LOOK: Duration = Duration::from_millis(2);
@@ -132,7 +132,7 @@
     pub fn entries(&self) -> Vec<Value> {
         let entry = |(n, address): (usize, &SocketAddr)| {
             let status = if self.leaving[n] { "leaving" } else { "active" };
-            ottervane_rig::scripted::entry(&format!("s-{n}"), &address.to_string(), n as u32 % 2, status)
+            weldworks_testbed::scripted::entry(&format!("s-{n}"), &address.to_string(), n as u32 % 2, status)
         };
         self.hosts.iter().enumerate().map(entry).collect()
     }
--- a/crates/gateway/tests/whole.rs
+++ b/crates/gateway/tests/whole.rs
@@ -1,9 +1,9 @@
 //! Several processes of the program as one fleet, with faults between them: each link through a relay, nodes, registers and clients
 //! round them. What has to hold is judged by the rig, from what nodes, registers, clients and logs saw.
 
-use ottervane_rig::whole::live;
-use ottervane_rig::whole::script::Script;
 use std::path::Path;
+use weldworks_testbed::whole::live;
+use weldworks_testbed::whole::script::Script;
 
 /// Plays a script that ships; the gateways' logs are to say all of this.
 fn play(name: &str, said: &[&str]) {
@@ -11,7 +11,7 @@
     let text = std::fs::read_to_string(&path).expect("the script");
     let script = Script::parse(&path, &text).expect("as it should be");
     let folder = live::folder_of(&script, 1, Path::new(env!("CARGO_TARGET_TMPDIR"))).expect("a folder");
-    let program = Path::new(env!("CARGO_BIN_EXE_ottervane-gateway"));
+    let program = Path::new(env!("CARGO_BIN_EXE_weldworks-gateway"));
     let (report, told) = live::play(&script, 1, program, &folder).expect("it can be played");
     assert!(report.breaches.is_empty(), "{:#?}\n{}", report.breaches, told.join("\n"));
     for said in said {
--- a/src/bin/ottervane-adapter.rs
+++ b/crates/simhost/src/main.rs
@@ -1,9 +1,9 @@
 //! Hosts many instances of the decision module on the simulator's wire: batches on standard input, replies on
 //! standard output.
 
-use ottervane::wire::Adapter;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
+use weldworks_simhost::Adapter;
 
 fn run() -> Result<(), Box<dyn std::error::Error>> {
     let mut input = io::BufReader::with_capacity(1 << 20, io::stdin().lock());
@@ -26,7 +26,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("ottervane-adapter: {error}");
+            eprintln!("weldworks-simhost: {error}");
             ExitCode::FAILURE
         }
     }
--- a/tests/recorded_exchange.rs
+++ b/crates/simhost/tests/recorded_exchange.rs
@@ -3,7 +3,7 @@
 //! The replies were written by version 0.2.0. They hold the order of draws, of floating-point operations and of iteration: a change that
 //! means to leave the decisions alone must not move one byte.
 
-use ottervane::wire::Adapter;
+use weldworks_simhost::Adapter;
 
 fn assert_same_replies(input: &str, output: &str) {
     let mut adapter = Adapter::default();
--- a/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,6 +1,6 @@
 //! The adapter: replies, leniency, and plain messages on bad input.
 
-use ottervane::wire::Adapter;
+use weldworks_simhost::Adapter;
 
 const LIST: &str = r#"{"type":"Inventory","roster_id":0,"elements":[{"az":0,"cohort":0,"status":"up","host":"10.0.0.1:80","scale":1,"hw":0},{"az":0,"cohort":0,"status":"up","host":"10.0.0.2:80","novel":[1]}]}"#;
 const NEWS: &str = r#"{"type":"BackendsChanged","gateway":3,"roster_id":0,"index":1,"mode":"stale_copy"}"#;
--- a/crates/rig/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -2,8 +2,8 @@
 
 use crate::plan::Asked;
 use crate::script::Script;
-use ottervane::{Effect, Group};
 use std::time::Duration;
+use weldworks_balancer::{Effect, Group};
 
 /// Nobody asks again with less time left than an answer needs on its way.
 const LEAST: Duration = Duration::from_millis(50);
--- a/crates/rig/src/draws.rs
+++ b/crates/testbed/src/draws.rs
@@ -4,10 +4,10 @@
 //! who gets which, and two runs with one seed would be two different days. So each draw has a stream of its own,
 //! made from the seed, what it is for and whose it is: the work of request 17 is the same in every run.
 
-use ottervane::mix;
 use rand::{Rng, RngCore, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal, StandardNormal};
 use rand_pcg::Pcg64Mcg;
+use weldworks_balancer::mix;
 
 /// What a draw is for. The number is part of the seed, so it never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/rig/src/ledger/mod.rs
+++ b/crates/testbed/src/ledger/mod.rs
@@ -11,9 +11,9 @@
 pub use service::{back_after, Service, Tally, Window};
 
 use crate::model::AttemptId;
-use ottervane::Effect;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
+use weldworks_balancer::Effect;
 
 /// A request's number: one try of a client.
 pub type RequestNumber = u64;
@@ -58,7 +58,7 @@
 /// What the ledger has to know of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassTerms {
-    /// See [`ottervane::Class::aim`].
+    /// See [`weldworks_balancer::Class::aim`].
     pub aim: Duration,
     /// What repeating it does.
     pub effect: Effect,
--- a/crates/rig/src/ledger/rules.rs
+++ b/crates/testbed/src/ledger/rules.rs
@@ -1,9 +1,9 @@
 //! The four rules, held against the ledger. Each breach names its request, its nodes and what happened.
 
 use super::{Got, Ledger, Record, RequestNumber, Told};
-use ottervane::{Effect, Group};
 use serde::Serialize;
 use std::time::Duration;
+use weldworks_balancer::{Effect, Group};
 
 /// A rule that may be broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
--- a/crates/rig/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -6,7 +6,6 @@
 use crate::client::{next_try, patience, Seen};
 use crate::ledger::{Ask, Got};
 use crate::plan::Asked;
-use ottervane::Effect;
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -16,6 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout_at};
+use weldworks_balancer::Effect;
 
 /// An answer is waited for so long after the client's time is up: late by a little is told from never.
 const LINGER: Duration = Duration::from_millis(60);
@@ -160,7 +160,7 @@
         let all: Vec<usize> = (0..self.gateways.len()).filter(there).collect();
         let own: Vec<usize> = all.iter().copied().filter(|g| self.gateways[*g].zone == asked.zone).collect();
         let among = if own.is_empty() { all } else { own };
-        among.get(ottervane::mix(number) as usize % among.len().max(1)).copied()
+        among.get(weldworks_balancer::mix(number) as usize % among.len().max(1)).copied()
     }
 
     async fn ask_once(&self, asked: &Asked, number: u64, first: Duration, tries: u32) -> Seen {
--- a/crates/rig/src/live/nodes.rs
+++ b/crates/testbed/src/live/nodes.rs
@@ -11,7 +11,6 @@
 use crate::model::{Answer, AttemptId, ConnectionId, Node, Output, Refusal, Report, State, Work};
 use crate::plan::attempt_seconds;
 use crate::register::Deed;
-use ottervane::Effect;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -22,6 +21,7 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep_until;
+use weldworks_balancer::Effect;
 
 const BACKLOG: u32 = 4096;
 
--- a/crates/rig/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,29 +1,29 @@
 //! The rig's command line: play a script on sockets or in virtual time, or check it.
 
 use clap::{Parser, Subcommand};
-use ottervane_rig::count;
-use ottervane_rig::live::gateways::Program;
-use ottervane_rig::replay::replay;
-use ottervane_rig::report::{Counts, Report};
-use ottervane_rig::resends;
-use ottervane_rig::script::Script;
-use ottervane_rig::simulate::simulate;
-use ottervane_rig::sweep::{self, plot, study, table, Study};
-use ottervane_rig::timeline::svg;
-use ottervane_rig::whole;
 use std::error::Error;
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
+use weldworks_testbed::count;
+use weldworks_testbed::live::gateways::Program;
+use weldworks_testbed::replay::replay;
+use weldworks_testbed::report::{Counts, Report};
+use weldworks_testbed::resends;
+use weldworks_testbed::script::Script;
+use weldworks_testbed::simulate::simulate;
+use weldworks_testbed::sweep::{self, plot, study, table, Study};
+use weldworks_testbed::timeline::svg;
+use weldworks_testbed::whole;
 
 /// Rehearse incidents of the booking service against stand-in nodes.
 ///
 /// Exit codes: 0, all rules kept and the figure counts; 1, a rule was broken; 2, the script, the command or a file is
 /// not as it should be; 3, the machine was too busy or a gateway ended, so there is no figure.
 #[derive(Parser)]
-#[command(name = "ottervane-rig", version)]
+#[command(name = "weldworks-testbed", version)]
 struct Arguments {
     #[command(subcommand)]
     command: Sub,
@@ -149,12 +149,12 @@
 fn program() -> Result<PathBuf, Box<dyn Error>> {
     let own = std::env::current_exe()?;
     let folder = own.parent().ok_or("the rig's program lies in no folder")?;
-    let path = folder.join("ottervane-gateway");
+    let path = folder.join("weldworks-gateway");
     // Started by cargo, the workspace is at hand, and what was built before may be older than its sources.
     if let Some(cargo) = std::env::var_os("CARGO") {
         let manifest = concat!(env!("CARGO_MANIFEST_DIR"), "/../../Cargo.toml");
         let mut build = Command::new(cargo);
-        build.args(["build", "--locked", "--quiet", "-p", "ottervane-gateway", "--manifest-path", manifest]);
+        build.args(["build", "--locked", "--quiet", "-p", "weldworks-gateway", "--manifest-path", manifest]);
         if folder.ends_with("release") {
             build.arg("--release");
         }
@@ -318,7 +318,7 @@
         Sub::Replay { play, program: named } => {
             let script = read(&play.script)?;
             let path = named.map_or_else(program, Ok)?;
-            let folder = std::env::temp_dir().join(format!("ottervane-rig-{}", std::process::id()));
+            let folder = std::env::temp_dir().join(format!("weldworks-testbed-{}", std::process::id()));
             std::fs::create_dir_all(&folder)?;
             let start = Program { path, folder: folder.clone(), settings: play.settings.clone() };
             let show = |at, counts, in_time| progress(script.lasts, at, counts, in_time);
--- a/crates/rig/src/model/node.rs
+++ b/crates/testbed/src/model/node.rs
@@ -10,12 +10,12 @@
 use super::reports::{Report, Reports};
 use super::spec::{NodeSpec, WarmBy};
 use crate::draws::{Draws, For, Stream};
-use ottervane::Group;
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
+use weldworks_balancer::Group;
 
 /// An attempt, by a number that is used once.
 pub type AttemptId = u64;
--- a/crates/rig/src/plain.rs
+++ b/crates/testbed/src/plain.rs
@@ -4,9 +4,9 @@
 //! can't be dialled is held until its time is up: the ledger books both. Never part of the program.
 
 use crate::draws::Stream;
-use ottervane::{Action, Effect, Event, Host, HostId, HostState, Outcome, RequestId, Settings};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
+use weldworks_balancer::{Action, Effect, Event, Host, HostId, HostState, Outcome, RequestId, Settings};
 
 /// The wait before discovery is asked again after a failure.
 const ASK_AGAIN: Duration = Duration::from_secs(1);
@@ -106,7 +106,8 @@
         let fit: Vec<HostId> = self.up.iter().copied().filter(fits).collect();
         let may = open.attempts < self.settings.max_attempts && now < open.until && !fit.is_empty();
         if !may {
-            let all = matches!(effect, Effect::Safe | Effect::Keyed { group: ottervane::Group::All, .. });
+            let all =
+                matches!(effect, Effect::Safe | Effect::Keyed { group: weldworks_balancer::Group::All, .. });
             let harmless = all || open.ran.is_empty();
             self.open.remove(&request);
             return actions.push(match harmless {
--- a/crates/rig/src/script/defaults.rs
+++ b/crates/testbed/src/script/defaults.rs
@@ -2,8 +2,8 @@
 
 use super::{Class, Kind, Tenant};
 use crate::model::{ChokeSpec, Distribution, NodeSpec, PauseSpec, ReportSpec, WarmBy};
-use ottervane::{Effect, Group};
 use std::time::Duration;
+use weldworks_balancer::{Effect, Group};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/crates/rig/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -7,9 +7,9 @@
 mod read;
 
 use crate::model::{Distribution, NodeSpec};
-use ottervane::Effect;
 use serde_json::{json, Value};
 use std::time::Duration;
+use weldworks_balancer::Effect;
 
 /// A day to rehearse.
 #[derive(Clone, Debug, PartialEq)]
@@ -339,7 +339,7 @@
     ///
     /// # Errors
     /// All that is wrong with it, each with its line and key.
-    pub fn parse(file: &str, text: &str) -> Result<Script, ottervane_settings::Problems> {
+    pub fn parse(file: &str, text: &str) -> Result<Script, weldworks_config::Problems> {
         read::script(file, text)
     }
 
@@ -443,9 +443,9 @@
         Effect::Unsafe => ("single_shot", "all", 5.0),
         Effect::Keyed { group, window } => {
             let group = match group {
-                ottervane::Group::All => "all",
-                ottervane::Group::Zone => "zone",
-                ottervane::Group::Cell => "cell",
+                weldworks_balancer::Group::All => "all",
+                weldworks_balancer::Group::Zone => "zone",
+                weldworks_balancer::Group::Cell => "cell",
             };
             ("guarded", group, window.as_secs_f64())
         }
--- a/crates/rig/src/script/read.rs
+++ b/crates/testbed/src/script/read.rs
@@ -5,9 +5,9 @@
     Shape, Tenant, What, Whom,
 };
 use crate::model::{ChokeSpec, Distribution, PauseSpec, WarmBy};
-use ottervane::{Effect, Group};
-use ottervane_settings::{Document, Named, Problems, Table};
 use std::time::Duration;
+use weldworks_balancer::{Effect, Group};
+use weldworks_config::{Document, Named, Problems, Table};
 
 impl Named for Shape {
     const WORDS: &'static [(&'static str, Shape)] =
--- a/crates/rig/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -9,7 +9,6 @@
 use crate::ledger::{Ask, AttemptSeen, ClassTerms, Ended, Got, Ledger, Rule, Rules};
 use crate::live::gateways::listening;
 use crate::live::nodes::number;
-use ottervane::{Effect, Group};
 use serde_json::{json, Value};
 use std::collections::{HashMap, VecDeque};
 use std::io::{BufRead, BufReader, Write};
@@ -20,6 +19,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
+use weldworks_balancer::{Effect, Group};
 
 /// No condition takes this long, on whatever machine.
 pub const LONG: Duration = Duration::from_secs(60);
--- a/crates/rig/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -4,8 +4,8 @@
 use crate::client::Seen;
 use crate::draws::For;
 use crate::plain::Plain;
-use ottervane::wire::parse_settings;
-use ottervane::Balancer;
+use weldworks_balancer::parse_settings;
+use weldworks_balancer::Balancer;
 
 impl World<'_> {
     /// Which ones: every other one from the first, so that each zone loses its part.
--- a/crates/rig/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -16,14 +16,14 @@
 use crate::register::{deeds, Deed, List, Register};
 use crate::report::{back, fresh, service, tallies, Counts, Report, Runner, Sample};
 use crate::script::Script;
-use ottervane::wire::parse_settings;
-use ottervane::{
-    Action, Balancer, Effect, Event, HostId, HostState, LoadReport, Outcome, Request, RequestId, Settings,
-};
-use ottervane_control::storm::{Answered, Arriving, Storm, StormSettings, Terms};
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
+use weldworks_balancer::parse_settings;
+use weldworks_balancer::{
+    Action, Balancer, Effect, Event, HostId, HostState, LoadReport, Outcome, Request, RequestId, Settings,
+};
+use weldworks_control::storm::{Answered, Arriving, Storm, StormSettings, Terms};
 
 /// A gateway's clock starts so long before the day, so that what started before it has a time.
 const BEFORE: Duration = Duration::from_secs(86_400);
@@ -170,7 +170,7 @@
     mind: Mind,
     storm: Option<Storm>,
     zone: usize,
-    hosts: Vec<ottervane::Host>,
+    hosts: Vec<weldworks_balancer::Host>,
     idle: Vec<Vec<(u64, Duration)>>,
     version: u64,
     watching: bool,
@@ -501,7 +501,7 @@
         let until = self.now + patience(self.script, asked, self.firsts[place], self.now);
         let class = asked.class;
         let own = &self.by_zone[asked.zone];
-        let gateway = own[ottervane::mix(number) as usize % own.len()];
+        let gateway = own[weldworks_balancer::mix(number) as usize % own.len()];
         self.ledger.asked(number, Ask { gateway, class, at: self.now, until });
         let n = self.tries.len();
         let (closed, answered, attempts) = Default::default();
@@ -594,7 +594,7 @@
             id: id(n),
             class: asked.class,
             tenant: asked.tenant,
-            key: asked.subject.map(ottervane::mix),
+            key: asked.subject.map(weldworks_balancer::mix),
             cost_hint: self.script.clients.hints.then(|| Duration::from_secs_f64(asked.seconds)),
             repeat: tries > 0,
             allowance,
--- a/crates/rig/src/simulate/register.rs
+++ b/crates/testbed/src/simulate/register.rs
@@ -4,7 +4,7 @@
 use crate::ledger::Told;
 use crate::model::Node;
 use crate::register::{Call, Entry, List, Status};
-use ottervane::{Event, HostId, HostState};
+use weldworks_balancer::{Event, HostId, HostState};
 
 impl World<'_> {
     /// A gateway's call has come.
@@ -82,7 +82,7 @@
         if list.version < self.gateways[gateway].version {
             return; // an older word, overtaken on its way
         }
-        let hosts: Vec<ottervane::Host> = list.entries.iter().map(|e| self.host(e)).collect();
+        let hosts: Vec<weldworks_balancer::Host> = list.entries.iter().map(|e| self.host(e)).collect();
         let g = &mut self.gateways[gateway];
         g.version = list.version;
         if list.whole {
@@ -102,7 +102,7 @@
         }
         if let Some(storm) = &mut g.storm {
             let up = g.hosts.iter().filter(|h| h.state == HostState::Up);
-            let up: Vec<_> = up.map(|h| ottervane_control::storm::Host { started: h.started }).collect();
+            let up: Vec<_> = up.map(|h| weldworks_control::storm::Host { started: h.started }).collect();
             storm.hosts(BEFORE + self.now, &up);
         }
         self.decide(gateway, Event::Hosts { full: list.whole, hosts: &hosts });
@@ -146,21 +146,21 @@
     }
 
     /// An entry in the module's terms.
-    fn host(&self, entry: &Entry) -> ottervane::Host {
+    fn host(&self, entry: &Entry) -> weldworks_balancer::Host {
         let script = self.script;
         let state = match entry.status {
             Status::Active => HostState::Up,
             Status::Leaving => HostState::Draining,
             Status::Left => HostState::Removed,
         };
-        ottervane::Host {
+        weldworks_balancer::Host {
             state,
             zone: script.zone_of(entry.node) as u32,
             cell: script.rack_of(entry.node) as u32,
             started: entry.started.map(|at| BEFORE + at),
             weight: self.weights[entry.node],
             kind: self.kinds[entry.node] as u32,
-            ..ottervane::Host::new(HostId(entry.node as u32), &script.node_name(entry.node))
+            ..weldworks_balancer::Host::new(HostId(entry.node as u32), &script.node_name(entry.node))
         }
     }
 }
--- a/crates/rig/src/sweep/study.rs
+++ b/crates/testbed/src/sweep/study.rs
@@ -2,9 +2,9 @@
 
 use super::run::ORACLE;
 use crate::script::Script;
-use ottervane_control::storm::StormSettings;
-use ottervane_settings::{Document, Table};
 use std::path::{Path, PathBuf};
+use weldworks_config::{Document, Table};
+use weldworks_control::storm::StormSettings;
 
 /// The most runs of one study: more is a slip of the pen.
 const MOST_RUNS: usize = 100_000;
@@ -115,7 +115,7 @@
     },
     /// What a file holds is not as it should be.
     #[error("{0}")]
-    Wrong(#[from] ottervane_settings::Problems),
+    Wrong(#[from] weldworks_config::Problems),
 }
 
 fn text_of(path: &Path) -> Result<String, StudyError> {
--- a/crates/rig/src/whole/history.rs
+++ b/crates/testbed/src/whole/history.rs
@@ -1,11 +1,11 @@
 //! What happened in a play: who stood how, what was decided, who led. All checks read it, whichever runner wrote it.
 
-use ottervane_fleet::agent::Acting;
-use ottervane_fleet::register::{Cause, SessionId};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::time::Duration;
+use weldworks_fleet::agent::Acting;
+use weldworks_fleet::register::{Cause, SessionId};
 
 /// What was seen.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/rig/src/whole/judge.rs
+++ b/crates/testbed/src/whole/judge.rs
@@ -5,11 +5,11 @@
 use super::live::{Play, NODES, SLACK};
 use super::place::Served;
 use super::script::What;
-use ottervane_fleet::agent::Acting;
-use ottervane_fleet::wire::Question;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::time::Duration;
+use weldworks_fleet::agent::Acting;
+use weldworks_fleet::wire::Question;
 
 /// A host that others were told leaves gets nothing new from a gateway whose own list does not say so, after this.
 const TOLD_GONE: Duration = Duration::from_secs(2);
--- a/crates/rig/src/whole/relay.rs
+++ b/crates/testbed/src/whole/relay.rs
@@ -29,7 +29,7 @@
     /// The delay of the next piece, where there is one: by a sequence of this direction's own.
     fn delay(&self) -> Option<Duration> {
         let (least, most) = self.slow.borrow().last().copied()?;
-        let draw = ottervane::mix(self.draw.get());
+        let draw = weldworks_balancer::mix(self.draw.get());
         self.draw.set(draw);
         Some(least + (most - least).mul_f64((draw >> 11) as f64 / (1u64 << 53) as f64))
     }
--- a/crates/rig/src/whole/script.rs
+++ b/crates/testbed/src/whole/script.rs
@@ -1,8 +1,8 @@
 //! A script of faults for a fleet: who, what, from when, for how long.
 
 use crate::draws::Draws;
-use ottervane_settings::{Document, Named, Problems, Table};
 use std::time::Duration;
+use weldworks_config::{Document, Named, Problems, Table};
 
 /// What happens.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/rig/src/whole/virtual_time.rs
+++ b/crates/testbed/src/whole/virtual_time.rs
@@ -4,18 +4,18 @@
 use super::history::{Figures, History, Seen};
 use super::script::{Event, Script, What, Whom};
 use crate::draws::{Draws, For, Stream};
-use ottervane_fleet::agent::{Acting, Agent, Output};
-use ottervane_fleet::audit::pages::Bounds;
-use ottervane_fleet::clock::Lease;
-use ottervane_fleet::council::{Stored, TICK};
-use ottervane_fleet::members::Down;
-use ottervane_fleet::register::SessionId;
-use ottervane_fleet::settings::{Alone, FleetSettings, Peer, Stragglers};
-use ottervane_fleet::version::{digest, Incarnation, Listed, Version};
-use ottervane_fleet::wire::Frame;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
+use weldworks_fleet::agent::{Acting, Agent, Output};
+use weldworks_fleet::audit::pages::Bounds;
+use weldworks_fleet::clock::Lease;
+use weldworks_fleet::council::{Stored, TICK};
+use weldworks_fleet::members::Down;
+use weldworks_fleet::register::SessionId;
+use weldworks_fleet::settings::{Alone, FleetSettings, Peer, Stragglers};
+use weldworks_fleet::version::{digest, Incarnation, Listed, Version};
+use weldworks_fleet::wire::Frame;
 
 /// A dial that meets nothing ends after this.
 const DIAL: Duration = Duration::from_millis(1000);
@@ -460,7 +460,7 @@
         let at = self.at;
         let Some(process) = &mut self.gateways[gateway] else { return };
         let now = process.clock(at);
-        let before = process.agent.register().map(ottervane_fleet::register::Register::position);
+        let before = process.agent.register().map(weldworks_fleet::register::Register::position);
         let mut out = Vec::new();
         event(&mut process.agent, now, &mut out);
         let number = process.number;
@@ -536,7 +536,7 @@
         }
         let generation = link.generation;
         self.frames += 1;
-        self.bytes += ottervane_fleet::wire::write(&frame).map_or(0, |b| b.len() as u64 + 4);
+        self.bytes += weldworks_fleet::wire::write(&frame).map_or(0, |b| b.len() as u64 + 4);
         self.way(from, to, Do::Deliver { from, to, generation, frame: Box::new(frame) });
     }
 
@@ -795,7 +795,7 @@
             .iter()
             .flatten()
             .filter_map(|p| p.agent.register())
-            .map(ottervane_fleet::register::Register::position)
+            .map(weldworks_fleet::register::Register::position)
             .max()
             .unwrap_or_default();
         let lasts = self.script.lasts.as_secs_f64();
--- a/crates/rig/tests/at_size.rs
+++ b/crates/testbed/tests/at_size.rs
@@ -1,9 +1,9 @@
 //! What a hundred gateways do together to sixty nodes, in virtual time: the hard cases of the days at size, held to the
 //! rules, counted over all gateways, and to a service some points under what they reach today.
 
-use ottervane_rig::ledger::Service;
-use ottervane_rig::script::Script;
-use ottervane_rig::simulate::simulate;
+use weldworks_testbed::ledger::Service;
+use weldworks_testbed::script::Script;
+use weldworks_testbed::simulate::simulate;
 
 fn script(text: &str) -> Script {
     Script::parse("at-size.toml", text).expect("a script that ships is as it should be")
--- a/crates/rig/tests/count.rs
+++ b/crates/testbed/tests/count.rs
@@ -1,16 +1,16 @@
 //! Counting over a fleet, on logs made here.
 
-use ottervane_rig::count::Counts;
-use ottervane_rig::logs::LogsError;
 use std::fs;
 use std::path::PathBuf;
+use weldworks_testbed::count::Counts;
+use weldworks_testbed::logs::LogsError;
 
 /// A folder of its own, gone at the end.
 struct Folder(PathBuf);
 
 impl Folder {
     fn with(name: &str, files: &[(&str, &str)]) -> Folder {
-        let folder = std::env::temp_dir().join(format!("ottervane-count-{name}-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("weldworks-count-{name}-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("a folder");
         for (file, text) in files {
             fs::write(folder.join(file), text).expect("a file");
--- a/crates/rig/tests/ledger.rs
+++ b/crates/testbed/tests/ledger.rs
@@ -1,10 +1,10 @@
 //! The ledger alone: each rule at its edge, event by event.
 
-use ottervane::{Effect, Group};
-use ottervane_rig::ledger::{
+use std::time::Duration;
+use weldworks_balancer::{Effect, Group};
+use weldworks_testbed::ledger::{
     Ask, AttemptSeen, ClassTerms, Ended, Got, Ledger, Rule, Rules, Service, Tally, Told,
 };
-use std::time::Duration;
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/crates/rig/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -1,14 +1,14 @@
 //! The node model in virtual time: against queueing theory, and at the edges of what it promises.
 
-use ottervane::Group;
-use ottervane_rig::draws::{Draws, For};
-use ottervane_rig::model::{
-    Answer, Budget, ChokeSpec, Memories, Node, NodeSpec, Output, PauseSpec, Refusal, Repeats, State, WarmBy,
-    Work,
-};
 use proptest::prelude::*;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
+use weldworks_balancer::Group;
+use weldworks_testbed::draws::{Draws, For};
+use weldworks_testbed::model::{
+    Answer, Budget, ChokeSpec, Memories, Node, NodeSpec, Output, PauseSpec, Refusal, Repeats, State, WarmBy,
+    Work,
+};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -186,7 +186,7 @@
 fn drops_a_repeat_within_the_window_and_only_inside_its_group() {
     let window = ms(1200);
     let mut memory = Repeats::default();
-    use ottervane_rig::model::Meeting::{Dropped, Runs};
+    use weldworks_testbed::model::Meeting::{Dropped, Runs};
     assert_eq!(memory.meet(ms(900), 5, window), Runs);
     assert_eq!(memory.meet(ms(950), 5, window), Runs, "nothing has been done yet");
     memory.done(ms(1000), 5);
--- a/crates/rig/tests/mutants.rs
+++ b/crates/testbed/tests/mutants.rs
@@ -1,12 +1,6 @@
 //! A small gateway with one fault at a time, and the ledger that has to name just that fault. If wrong bookkeeping
 //! could pass as good service, no other test on the rig would be worth anything.
 
-use ottervane_rig::ledger::Rule;
-use ottervane_rig::live::gateways::{RunningGateway, StartGateway, Starting, Stopping};
-use ottervane_rig::live::http::{Connection, First, Kind, Message};
-use ottervane_rig::replay::replay;
-use ottervane_rig::report::Report;
-use ottervane_rig::script::Script;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -16,6 +10,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
+use weldworks_testbed::ledger::Rule;
+use weldworks_testbed::live::gateways::{RunningGateway, StartGateway, Starting, Stopping};
+use weldworks_testbed::live::http::{Connection, First, Kind, Message};
+use weldworks_testbed::replay::replay;
+use weldworks_testbed::report::Report;
+use weldworks_testbed::script::Script;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
--- a/crates/rig/tests/resends.rs
+++ b/crates/testbed/tests/resends.rs
@@ -1,16 +1,16 @@
 //! The audit of resends, fed with a history that breaks each rule and with one that breaks none.
 
-use ottervane::{Effect, Group};
-use ottervane_rig::resends::Audit;
 use std::path::PathBuf;
 use std::time::Duration;
+use weldworks_balancer::{Effect, Group};
+use weldworks_testbed::resends::Audit;
 
 /// A folder of its own, gone at the end.
 struct Folder(PathBuf);
 
 impl Folder {
     fn with(name: &str, files: &[String]) -> Folder {
-        let folder = std::env::temp_dir().join(format!("ottervane-resends-{name}-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("weldworks-resends-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         for (n, text) in files.iter().enumerate() {
             std::fs::write(folder.join(format!("g{n}.log")), text).expect("a file");
--- a/crates/rig/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -1,16 +1,16 @@
 //! Scripts: those that ship hold, mistakes are all told, and two runs of one seed are the same to the byte.
 
-use ottervane_control::storm::StormSettings;
-use ottervane_rig::draws::Draws;
-use ottervane_rig::ledger::Rule;
-use ottervane_rig::plan::{met, plan};
-use ottervane_rig::report::Report;
-use ottervane_rig::script::Script;
-use ottervane_rig::simulate::{simulate, simulate_with, Minds};
-use ottervane_rig::timeline::svg;
 use proptest::prelude::*;
 use std::collections::HashSet;
 use std::fs;
+use weldworks_control::storm::StormSettings;
+use weldworks_testbed::draws::Draws;
+use weldworks_testbed::ledger::Rule;
+use weldworks_testbed::plan::{met, plan};
+use weldworks_testbed::report::Report;
+use weldworks_testbed::script::Script;
+use weldworks_testbed::simulate::{simulate, simulate_with, Minds};
+use weldworks_testbed::timeline::svg;
 
 fn shipped() -> Vec<(String, String)> {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/scripts");
--- a/crates/rig/tests/sweep.rs
+++ b/crates/testbed/tests/sweep.rs
@@ -1,18 +1,18 @@
 //! Studies: read whole or refused with the place, the same figures each time, and a bound that is one.
 
-use ottervane_rig::script::Script;
-use ottervane_rig::simulate::{simulate, simulate_with, Minds};
-use ottervane_rig::sweep::run::ORACLE;
-use ottervane_rig::sweep::{plot, run, table, Study};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
+use weldworks_testbed::script::Script;
+use weldworks_testbed::simulate::{simulate, simulate_with, Minds};
+use weldworks_testbed::sweep::run::ORACLE;
+use weldworks_testbed::sweep::{plot, run, table, Study};
 
 /// A folder of this test's own with a script and a study in it.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str, study: &str) -> Folder {
-        let folder = std::env::temp_dir().join(format!("ottervane-sweep-{name}-{}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("weldworks-sweep-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).expect("a folder");
         let write = |file: &str, text: &str| std::fs::write(folder.join(file), text).expect("a file");
         write("day.toml", "name = \"day\"\nlasts = \"4s\"\n[load]\nrate = 200\n");
@@ -108,7 +108,7 @@
     let script = Script::parse("busy.toml", text).expect("a script");
     let (own, _) = simulate(&script, 1, Some(45), None).expect("settings");
     let (shared, _) = simulate_with(&script, 1, Some(45), None, Minds::Shared).expect("settings");
-    let whole = |r: &ottervane_rig::report::Report| r.service.as_ref().expect("a figure").whole;
+    let whole = |r: &weldworks_testbed::report::Report| r.service.as_ref().expect("a figure").whole;
     assert!(whole(&shared) > whole(&own), "{} and {}", whole(&shared), whole(&own));
     assert_eq!((shared.breaches.len(), own.breaches.len()), (0, 0));
 }
--- a/crates/rig/tests/whole.rs
+++ b/crates/testbed/tests/whole.rs
@@ -1,11 +1,11 @@
 //! The fleet's decisions under faults, in virtual time.
 
-use ottervane_fleet::agent::Acting;
-use ottervane_rig::whole::history::Seen;
-use ottervane_rig::whole::script::{Event, Script, What, Whom};
-use ottervane_rig::whole::virtual_time::{play, shrunk, Mistake};
 use std::panic::catch_unwind;
 use std::time::Duration;
+use weldworks_fleet::agent::Acting;
+use weldworks_testbed::whole::history::Seen;
+use weldworks_testbed::whole::script::{Event, Script, What, Whom};
+use weldworks_testbed::whole::virtual_time::{play, shrunk, Mistake};
 
 /// Plays drawn scripts, and shows the shortest one of the first that fails.
 fn search(seeds: std::ops::Range<u64>, gateways: usize, council: usize) {
@@ -167,7 +167,7 @@
     format!("{:.2} {:.2} {:.2}", at(0.5), at(0.95), at(1.0))
 }
 
-/// The figures of docs/measurements/fleet.md. `cargo test --release -p ottervane-rig --test whole -- --ignored --nocapture`
+/// The figures of docs/measurements/fleet.md. `cargo test --release -p weldworks-testbed --test whole -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement"]
 fn figures() {
@@ -248,9 +248,9 @@
 #[test]
 #[ignore = "a measurement"]
 fn figures_of_the_books() {
-    use ottervane_fleet::audit::pages::{head, Filling, Mark, Writer};
-    use ottervane_fleet::audit::{Audit, Decision, Kind};
-    use ottervane_fleet::version::{Incarnation, Listed, Version};
+    use weldworks_fleet::audit::pages::{head, Filling, Mark, Writer};
+    use weldworks_fleet::audit::{Audit, Decision, Kind};
+    use weldworks_fleet::version::{Incarnation, Listed, Version};
     let version = |index| Version {
         list: Listed { lineage: "register".into(), index },
         build: "0.2.0".into(),
