--- a/crates/balancer/examples/by_hand.rs
+++ b/crates/balancer/examples/by_hand.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 use weldworks_balancer::{
-    Action, Balancer, Class, Event, Host, HostId, Outcome, Request, RequestId, Settings,
+    Action, Balancer, Endpoint, EndpointId, Event, Outcome, Request, RequestClass, RequestId, Settings,
 };
 
 /// Prints each event and what the module does about it.
 pub fn main() {
     let ms = Duration::from_millis;
-    let settings = Settings { classes: vec![Class::new(ms(200), ms(1000))], ..Settings::default() };
+    let settings = Settings { classes: vec![RequestClass::new(ms(200), ms(1000))], ..Settings::default() };
     let mut balancer = Balancer::new(settings, 42);
     let mut actions = Vec::new();
     let mut step = |now: Duration, event: Event<'_>| {
@@ -19,11 +19,11 @@
         actions.clone()
     };
 
-    let hosts = [Host::new(HostId(0), "10.0.0.1:80"), Host::new(HostId(1), "10.0.0.2:80")];
-    step(ms(0), Event::Hosts { full: true, hosts: &hosts });
+    let hosts = [Endpoint::new(EndpointId(0), "10.0.0.1:80"), Endpoint::new(EndpointId(1), "10.0.0.2:80")];
+    step(ms(0), Event::EndpointList { is_snapshot: true, endpoints: &hosts });
     let served = |request, attempt, latency| {
         let outcome = Outcome::Served;
-        Event::Outcome { request, attempt, latency, outcome, over: true }
+        Event::AttemptEnded { request, attempt, latency, outcome, request_ended: true }
     };
 
     // A first request teaches the module what an answer takes.
@@ -32,7 +32,8 @@
 
     // The next one is not answered: at the planned look a second copy goes to the other host.
     let sent = step(ms(140), Event::Request(Request::new(RequestId(2), 0, ms(1140))));
-    let look = sent.iter().find_map(|a| if let Action::Wake { after, .. } = a { Some(*after) } else { None });
+    let look =
+        sent.iter().find_map(|a| if let Action::SetTimer { after, .. } = a { Some(*after) } else { None });
     let then = ms(140) + look.expect("a look is planned for a class that is safe to repeat");
     let copy = step(then, Event::Timer { token: 2 });
     assert!(copy.iter().any(|a| matches!(a, Action::Send { .. })), "a second copy");
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -9,13 +9,13 @@
 mod admission;
 mod detector;
 mod knowledge;
-mod memory;
 mod pick;
+mod snapshot;
 
 pub use detector::Cusum;
-pub use memory::{HostMemory, Memory};
+pub use snapshot::{EndpointSnapshot, Snapshot};
 
-use crate::api::{self, Action, Effect, Event, HostId, HostState, Outcome, RequestId, Settings};
+use crate::api::{self, Action, EndpointId, EndpointState, Event, Idempotency, Outcome, RequestId, Settings};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -58,21 +58,21 @@
 
 /// What follows from the settings alone: how little of a host's traffic is this gateway's own, the shortest and the longest aim.
 fn terms(settings: &Settings) -> (f64, (f64, f64)) {
-    let aims = settings.classes.iter().filter(|c| !c.dropped).map(|c| c.aim.as_secs_f64());
+    let aims = settings.classes.iter().filter(|c| !c.retired).map(|c| c.latency_objective.as_secs_f64());
     let aims = (aims.clone().fold(f64::INFINITY, f64::min), aims.fold(0.0, f64::max));
-    ((1.0 - 1.0 / f64::from(settings.gateways.max(1))).powi(4), aims)
+    ((1.0 - 1.0 / f64::from(settings.gateway_count.max(1))).powi(4), aims)
 }
 
 type Out<'a> = &'a mut Vec<Action>;
 
 fn wake(after: f64, token: u64) -> Action {
-    Action::Wake { after: Duration::from_secs_f64(after.max(0.0)), token }
+    Action::SetTimer { after: Duration::from_secs_f64(after.max(0.0)), token }
 }
 
 /// A host as this gateway sees it.
 #[derive(Clone, Debug, Default)]
 struct Host {
-    entry: api::Host,
+    entry: api::Endpoint,
     started: f64,
     size: f64, // its weight against the mean of the ready hosts, where weights tell sizes
     detector: Cusum,
@@ -141,10 +141,10 @@
     fn of(set: &Settings) -> Limits {
         Limits {
             attempts: set.max_attempts,
-            copies: usize::from(set.second_copies),
-            cancel: set.may_cancel,
-            key_rest: set.key_rest.as_secs_f64(),
-            keep_away: set.max_keep_away,
+            copies: usize::from(set.hedging_allowed),
+            cancel: set.cancellation_allowed,
+            key_rest: set.key_quiet_period.as_secs_f64(),
+            keep_away: set.max_retry_after,
         }
     }
 }
@@ -209,7 +209,7 @@
 /// The last idle connection that a host ended: when, how long it had been idle, and the one before of another moment.
 #[derive(Clone, Copy, Debug)]
 struct Ended {
-    host: HostId,
+    host: EndpointId,
     at: f64,
     usual: f64,
     last: f64,
@@ -266,7 +266,7 @@
             asked: 0.0,
             ask_due: f64::INFINITY,
             closing: false,
-            ended: Ended { host: HostId(u32::MAX), at: f64::NEG_INFINITY, usual: 0.0, last: 0.0 },
+            ended: Ended { host: EndpointId(u32::MAX), at: f64::NEG_INFINITY, usual: 0.0, last: 0.0 },
         }
     }
 
@@ -275,7 +275,9 @@
     pub fn retune(&mut self, settings: Settings) {
         (self.many, self.aims) = terms(&settings);
         self.traffic.class_latency.resize(settings.classes.len(), 0.0);
-        let same = |(a, b): (&api::Class, &api::Class)| a == &api::Class { dropped: a.dropped, ..b.clone() };
+        let same = |(a, b): (&api::RequestClass, &api::RequestClass)| {
+            a == &api::RequestClass { retired: a.retired, ..b.clone() }
+        };
         let both = self.set.classes.iter().zip(&settings.classes);
         for (n, _) in both.enumerate().filter(|(_, pair)| !same(*pair)) {
             self.traffic.class_latency[n] = 0.0;
@@ -291,27 +293,31 @@
             self.upkeep(now);
         }
         match event {
-            Event::Hosts { full, hosts } => self.learn(now, full, hosts, actions),
-            Event::DiscoveryFailed { quiet } => {
+            Event::EndpointList { is_snapshot: full, endpoints: hosts } => {
+                self.learn(now, full, hosts, actions)
+            }
+            Event::DiscoveryFailed { silent_for: quiet } => {
                 let quiet = if self.asking { now - self.asked } else { quiet.as_secs_f64() };
                 self.ask_later(now, quiet, actions);
             }
-            Event::DiscoveryMoved => self.ask_within(now, MOVED_S, actions),
+            Event::DiscoveryChanged => self.ask_within(now, MOVED_S, actions),
             Event::Request(r) => self.arrive(now, &r, actions),
             // What follows is between the host and the client: the module is through with it.
-            Event::Started { request, attempt, latency } => {
+            Event::ResponseStarted { request, attempt, latency } => {
                 self.with(now, request, actions, |me, req, actions| {
                     req.open = false;
                     me.settle(now, req, attempt, Outcome::Served, latency.as_secs_f64(), actions);
                 })
             }
-            Event::Spent { request } => self.with(now, request, actions, |_, req, _| req.spent = true),
-            Event::Complete { request, give_up_at } => {
+            Event::BodyForwardingStarted { request } => {
+                self.with(now, request, actions, |_, req, _| req.spent = true)
+            }
+            Event::BodyForwarded { request, client_deadline: give_up_at } => {
                 self.with(now, request, actions, |me, req, actions| {
                     me.complete(now, request, req, give_up_at.as_secs_f64(), actions);
                 })
             }
-            Event::Outcome { request, attempt, latency, outcome, over } => {
+            Event::AttemptEnded { request, attempt, latency, outcome, request_ended: over } => {
                 self.with(now, request, actions, |me, req, actions| {
                     req.open &= !over;
                     me.settle(now, req, attempt, outcome, latency.as_secs_f64(), actions);
@@ -320,12 +326,14 @@
                     }
                 })
             }
-            Event::Abandoned { request } => self.with(now, request, actions, |_, req, _| req.open = false),
+            Event::ClientDisconnected { request } => {
+                self.with(now, request, actions, |_, req, _| req.open = false)
+            }
             // One that a sooner call has taken the place of.
             Event::Timer { token: ASK } if now + TIMER_GRAIN_S < self.ask_due => {}
             Event::Timer { token: ASK } => {
                 (self.asking, self.asked, self.ask_due) = (true, now, f64::INFINITY);
-                actions.push(Action::Subscribe);
+                actions.push(Action::PollDiscovery);
             }
             Event::Timer { token: CLOSE } => {
                 self.closing = false;
@@ -336,9 +344,11 @@
                     me.advance(now, RequestId(token), req, actions);
                 }
             }),
-            Event::Load { host, report } => self.take_report(now, host, report),
-            Event::Closed { host, idle, left } => self.take_close(now, host, idle.as_secs_f64(), left),
-            Event::Probed { .. } => {}
+            Event::LoadReport { endpoint: host, report } => self.take_report(now, host, report),
+            Event::IdleConnectionClosed { endpoint: host, idle, remaining: left } => {
+                self.take_close(now, host, idle.as_secs_f64(), left)
+            }
+            Event::ProbeEnded { .. } => {}
         }
     }
 
@@ -391,9 +401,11 @@
     /// Idle connections to draining hosts are closed at once, and again while the drain lasts: one that an
     /// attempt called off still holds turns idle unseen.
     fn close_draining(&mut self, actions: Out) {
-        let Some(within) = self.set.release_within else { return };
-        let (before, draining) = (actions.len(), |h: &&Host| h.entry.state == HostState::Draining);
-        actions.extend(self.hosts.iter().filter(draining).map(|h| Action::Close { host: h.entry.id }));
+        let Some(within) = self.set.drain_close_within else { return };
+        let (before, draining) = (actions.len(), |h: &&Host| h.entry.state == EndpointState::Draining);
+        actions.extend(
+            self.hosts.iter().filter(draining).map(|h| Action::CloseIdleConnections { endpoint: h.entry.id }),
+        );
         if actions.len() > before && !std::mem::replace(&mut self.closing, true) {
             actions.push(wake(within.as_secs_f64() / 3.0, CLOSE));
         }
@@ -402,7 +414,7 @@
     /// Asks discovery after a while, later with each failure in a row, but soon enough for what it may have had to tell since it
     /// fell `quiet`. The wait is spread from next to nothing, so that many gateways do not come together.
     fn ask_later(&mut self, now: f64, quiet: f64, actions: Out) {
-        let Some(within) = self.set.ask_within else { return };
+        let Some(within) = self.set.discovery_poll_interval else { return };
         let most = within.as_secs_f64() * (0.1 * 2f64.powi(self.asks_failed.clamp(1, 3) + 1)).min(0.8);
         let most =
             if self.asks_failed < 0 { most } else { most.min((TOLD_S - ANSWER_S - quiet).max(SPREAD_S)) };
@@ -415,7 +427,7 @@
     fn ask_within(&mut self, now: f64, most: f64, actions: Out) {
         self.asking = false;
         let at = now + most * self.rng.f64();
-        if self.set.ask_within.is_some() && at < self.ask_due {
+        if self.set.discovery_poll_interval.is_some() && at < self.ask_due {
             self.ask_due = at;
             actions.push(wake(at - now, ASK));
         }
@@ -512,10 +524,10 @@
     /// Until when another attempt may be written, where one before may have run: as long as its host's group knows the key, however
     /// late the write comes after the last look at the clock. A window that is no longer than that allows none.
     fn write_by(&self, req: &Request) -> Option<f64> {
-        let known = match self.set.classes[req.class].effect {
-            Effect::Safe => return None,
-            Effect::Keyed { window, .. } => window.as_secs_f64() - HELD_UP_S,
-            Effect::Unsafe => f64::NEG_INFINITY,
+        let known = match self.set.classes[req.class].idempotency {
+            Idempotency::Idempotent => return None,
+            Idempotency::IdempotencyKey { window, .. } => window.as_secs_f64() - HELD_UP_S,
+            Idempotency::NotIdempotent => f64::NEG_INFINITY,
         };
         let ran = req.attempts.iter().filter(|a| !a.never_ran);
         ran.map(|a| a.begun + known).min_by(f64::total_cmp)
@@ -531,15 +543,15 @@
         }
         h.tokens -= 1.0;
         let e = if self.traffic.latency > 0.0 { h.e * req.work } else { req.worth_by - now }; // no blind copy
-        let group = match self.set.classes[req.class].effect {
-            Effect::Keyed { group, .. } => group.of(&h.entry),
+        let group = match self.set.classes[req.class].idempotency {
+            Idempotency::IdempotencyKey { scope: group, .. } => group.partition_of(&h.entry),
             _ => 0,
         };
-        let look = (COPY_AT * e).max(self.set.tick.as_secs_f64());
+        let look = (COPY_AT * e).max(self.set.timer_tick.as_secs_f64());
         let write_by = self.write_by(req).map(|by| Duration::from_secs_f64(by.max(0.0)));
         req.attempts.push(Attempt { host, group, begun: now, sent, out: true, never_ran: false });
-        let (host, until) = (HostId(host as u32), Duration::from_secs_f64(req.worth_by));
-        actions.push(Action::Send { request: id, host, until, write_by });
+        let (host, until) = (EndpointId(host as u32), Duration::from_secs_f64(req.worth_by));
+        actions.push(Action::Send { request: id, endpoint: host, deadline: until, write_by });
         if self.may_go_on(now, req) && now + look < req.worth_by {
             actions.push(wake(look, id.0));
         }
@@ -557,20 +569,20 @@
             a.sent = now;
         }
         let until = Duration::from_secs_f64(req.worth_by);
-        actions.push(Action::Until { request: id, until });
+        actions.push(Action::SetAttemptDeadline { request: id, deadline: until });
     }
 
     /// Books the end of an attempt: what it proves of the request and what it tells of the host.
     fn settle(&mut self, now: f64, req: &mut Request, n: u32, how: Outcome, y: f64, actions: Out) {
         let (work, class, key_rest) = (req.work, req.class, req.limits.key_rest);
         let Some(a) = req.attempts.get_mut(n as usize).filter(|a| a.out) else { return };
-        (a.out, a.never_ran) = (false, how.never_ran());
+        (a.out, a.never_ran) = (false, how.proves_not_processed());
         let (host, sent) = (a.host, a.sent);
         self.traffic.out -= f64::from(u8::from(req.out() == 0 && !req.coming));
         let (h, t) = (&mut self.hosts[host], &mut self.traffic);
         let _ = h.out.iter().position(|&t| t == sent).map(|at| h.out.remove(at));
-        if h.entry.state == HostState::Draining && self.set.release_within.is_some() {
-            actions.push(Action::Close { host: h.entry.id });
+        if h.entry.state == EndpointState::Draining && self.set.drain_close_within.is_some() {
+            actions.push(Action::CloseIdleConnections { endpoint: h.entry.id });
         }
         // What may still be running keeps its key at rest.
         let rests = matches!(how, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
@@ -605,25 +617,25 @@
             _ => {
                 let ill = &mut h.ill[class];
                 // A host that has served others since this class began to fail is not to blame as a whole.
-                if h.served > ill.served && !how.never_ran() {
+                if h.served > ill.served && !how.proves_not_processed() {
                     return (ill.count, ill.last) = (ill.count + 1, now);
                 }
                 h.failures += 1;
-                self.observe(now, host, self.set.classes[class].aim.as_secs_f64().max(y));
+                self.observe(now, host, self.set.classes[class].latency_objective.as_secs_f64().max(y));
             }
         }
     }
 
     /// The one way to end a request: refused where that is true, failed otherwise.
     fn end(&mut self, id: RequestId, req: &mut Request, actions: Out) {
-        let harmless = match self.set.classes[req.class].effect {
-            Effect::Safe | Effect::Keyed { group: api::Group::All, .. } => true,
+        let harmless = match self.set.classes[req.class].idempotency {
+            Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: api::KeyScope::All, .. } => true,
             _ => req.attempts.iter().all(|a| a.never_ran),
         };
         req.open = false;
         self.traffic.lost.count += 1.0;
         actions.push(if harmless {
-            Action::Refuse { request: id, keep_away: req.limits.keep_away }
+            Action::Reject { request: id, retry_after: req.limits.keep_away }
         } else {
             Action::Fail { request: id }
         });
--- a/crates/balancer/src/balancer/admission.rs
+++ b/crates/balancer/src/balancer/admission.rs
@@ -31,10 +31,10 @@
             return;
         }
         let Some(class) = self.set.classes.get(r.class) else {
-            return actions.push(Action::Refuse { request: r.id, keep_away: Duration::ZERO });
+            return actions.push(Action::Reject { request: r.id, retry_after: Duration::ZERO });
         };
         let t = &mut self.traffic;
-        t.asked.count += f64::from(u8::from(!r.repeat));
+        t.asked.count += f64::from(u8::from(!r.is_client_retry));
         let hint = r.cost_hint.map_or(0.0, |h| h.as_secs_f64());
         let own = t.class_latency[r.class] / t.latency; // no number before anything was served
         let mut work = if own > 0.0 { own } else { 1.0 };
@@ -43,18 +43,19 @@
             work = 0.5 + 0.5 * hint / t.hint;
         }
         let work = work.clamp(0.25, 4.0);
-        let give_up = r.give_up_at.as_secs_f64();
-        let aim = class.aim.as_secs_f64() + class.aim_stretch * hint - self.set.tick.as_secs_f64();
+        let give_up = r.client_deadline.as_secs_f64();
+        let aim = class.latency_objective.as_secs_f64() + class.objective_stretch * hint
+            - self.set.timer_tick.as_secs_f64();
         let hold_by = now + aim;
-        let aim = if class.late_worth > 0.0 { f64::INFINITY } else { aim };
-        let worth_by = if r.coming { give_up } else { give_up.min(now + aim) };
+        let aim = if class.late_value_fraction > 0.0 { f64::INFINITY } else { aim };
+        let worth_by = if r.body_streaming { give_up } else { give_up.min(now + aim) };
         // Little's law on own in-flight: what is out must still be served within its aim. What is worth least
         // goes first, but not by far: a day is also judged by its worst-served class.
-        follow(&mut t.worth, class.worth);
+        follow(&mut t.worth, class.priority_weight);
         let slow = (t.latency / (SLOW * self.aims.0)).powi(2).min(1.0);
         let fits = t.served.per_s * self.aims.0 * (1.0 - (1.0 - TIGHT) * t.late * slow);
         let chance = CHANCE.0 + (CHANCE.1 - CHANCE.0) * t.ease;
-        let slack = SLACK * self.ready.len() as f64 / f64::from(self.set.gateways.max(1));
+        let slack = SLACK * self.ready.len() as f64 / f64::from(self.set.gateway_count.max(1));
         let mut room = fits + chance * fits.sqrt() + slack;
         let mut strain = t.late;
         if now - self.listed.1 < STALE_S {
@@ -64,8 +65,8 @@
             strain = strain.max(t.crowd / FULL);
         }
         let hopeless = hint * t.pace > worth_by - now && strain > HOPELESS;
-        if hopeless || t.out > room * (class.worth / t.worth).powf(0.25) * r.allowance {
-            return actions.push(Action::Refuse { request: r.id, keep_away: self.set.max_keep_away });
+        if hopeless || t.out > room * (class.priority_weight / t.worth).powf(0.25) * r.admission_share {
+            return actions.push(Action::Reject { request: r.id, retry_after: self.set.max_retry_after });
         }
         self.spare = (self.spare + COPY_SHARE).min(1.0);
         let mut turn = f64::NEG_INFINITY;
@@ -76,7 +77,7 @@
         }
         let (class, key, attempts) = (r.class, r.key, Vec::new());
         let limits = Limits::of(&self.set);
-        let (coming, spent, open) = (r.coming, false, true);
+        let (coming, spent, open) = (r.body_streaming, false, true);
         self.requests.insert(
             r.id.0,
             Request {
--- a/crates/balancer/src/balancer/knowledge.rs
+++ b/crates/balancer/src/balancer/knowledge.rs
@@ -1,7 +1,7 @@
 //! What is known of hosts: from lists, from their reports and answers, and from the ends of idle connections.
 
 use super::{Balancer, Cusum, Ended, Host, Out, RETEST};
-use crate::api::{self, HostId, HostState, Weights};
+use crate::api::{self, EndpointId, EndpointState, EndpointWeights};
 use rustc_hash::FxHashMap;
 
 const CROWDED_MOST: f64 = 20.0; // what a core holds at most, as far as it counts
@@ -21,14 +21,14 @@
 const QPS_S: f64 = 5.0;
 
 impl Balancer {
-    pub(super) fn learn(&mut self, now: f64, full: bool, list: &[api::Host], actions: Out) {
+    pub(super) fn learn(&mut self, now: f64, full: bool, list: &[api::Endpoint], actions: Out) {
         if self.asks_failed < 0 {
             self.ask_later(now, 0.0, actions); // first list: spread the gateways' first calls
         } else if std::mem::take(&mut self.asking) {
             self.asks_failed = 0;
         }
-        self.hosts.iter_mut().filter(|_| full).for_each(|h| h.entry.state = HostState::Removed);
-        for entry in list.iter().filter(|e| e.id.0 < HostId::LIMIT) {
+        self.hosts.iter_mut().filter(|_| full).for_each(|h| h.entry.state = EndpointState::Removed);
+        for entry in list.iter().filter(|e| e.id.0 < EndpointId::LIMIT) {
             let (i, known) = (entry.id.0 as usize, self.hosts.len());
             let unknown = || Host { started: f64::NEG_INFINITY, size: 1.0, ..Host::default() };
             self.hosts.resize_with(self.hosts.len().max(i + 1), unknown);
@@ -43,13 +43,16 @@
             h.entry = entry.clone();
         }
         self.close_draining(actions);
-        self.ready = (0..self.hosts.len()).filter(|&i| self.hosts[i].entry.state == HostState::Up).collect();
+        self.ready =
+            (0..self.hosts.len()).filter(|&i| self.hosts[i].entry.state == EndpointState::Up).collect();
         let weights: f64 = self.ready.iter().map(|&i| self.hosts[i].entry.weight).sum();
-        for &i in self.ready.iter().filter(|_| self.set.weights == Weights::Size && weights > 0.0) {
+        for &i in
+            self.ready.iter().filter(|_| self.set.endpoint_weights == EndpointWeights::Size && weights > 0.0)
+        {
             let h = &mut self.hosts[i];
             h.size = (h.entry.weight * self.ready.len() as f64 / weights).clamp(0.1, 10.0);
         }
-        if self.set.weights == Weights::Live && !list.is_empty() {
+        if self.set.endpoint_weights == EndpointWeights::Live && !list.is_empty() {
             self.listed = (self.crowding(), now);
         }
         self.upkeep(now);
@@ -81,8 +84,8 @@
     /// How much of its full work a host can do at least, from its start.
     pub(super) fn warmth(&self, now: f64, h: &Host) -> f64 {
         // Held to 1: where hosts are never cold, what has been up for ever gives 0 x infinity.
-        let part = ((now - h.started) / self.set.cold_for.as_secs_f64().max(1e-3)).min(1.0);
-        (self.set.cold_from + (1.0 - self.set.cold_from) * part).clamp(0.01, 1.0)
+        let part = ((now - h.started) / self.set.slow_start_duration.as_secs_f64().max(1e-3)).min(1.0);
+        (self.set.slow_start_min_capacity + (1.0 - self.set.slow_start_min_capacity) * part).clamp(0.01, 1.0)
     }
 
     /// What a host not heard from is taken for: the mean of its kind, or of all, scaled by its size.
@@ -92,7 +95,7 @@
 
     /// Books a load report. It tells of all gateways' requests but is seconds old by the time it is heard, so it says
     /// how full the fleet is and not where the next request should go: docs/design/fleet-size.md.
-    pub(super) fn take_report(&mut self, now: f64, host: HostId, report: api::LoadReport) {
+    pub(super) fn take_report(&mut self, now: f64, host: EndpointId, report: api::LoadReport) {
         let Some(report) = report.checked() else { return };
         let Some(h) = self.hosts.get_mut(host.0 as usize) else { return };
         let gap = match h.report {
@@ -100,20 +103,23 @@
             Some((_, at)) => now - at,
             None => f64::INFINITY,
         };
-        if h.qps >= RUNS && report.qps < ANEW * h.qps && gap < self.aims.1 * RETEST && h.tokens.is_infinite()
+        if h.qps >= RUNS
+            && report.requests_per_second < ANEW * h.qps
+            && gap < self.aims.1 * RETEST
+            && h.tokens.is_infinite()
         {
             // It served steadily a moment ago and begins at nothing: perhaps a new process, not told of yet.
             (h.started, h.tokens) = (h.started.max(now), 0.0);
         }
         h.report = Some((report, now));
         let gain = |time: f64| 1.0 - (-gap / time).exp();
-        h.held += gain(HELD_S) * (report.inflight - h.held);
-        h.qps += gain(QPS_S) * (report.qps - h.qps);
+        h.held += gain(HELD_S) * (report.in_flight - h.held);
+        h.qps += gain(QPS_S) * (report.requests_per_second - h.qps);
     }
 
     /// Books that a host has ended an idle connection. A process that ends does so to all gateways in one moment, long
     /// before discovery tells of it.
-    pub(super) fn take_close(&mut self, now: f64, host: HostId, idle: f64, left: usize) {
+    pub(super) fn take_close(&mut self, now: f64, host: EndpointId, idle: f64, left: usize) {
         // Several of one host that end together were idle for alike times too, and say nothing of its habit.
         let burst = self.ended.host == host && now - self.ended.at < BURST_S;
         let usual = if burst { self.ended.usual } else { self.ended.last };
@@ -132,7 +138,7 @@
         let spared = 2 * (cold + 1) <= self.ready.len();
         let first = self.rng.f64();
         if let Some(h) = self.hosts.get_mut(host) {
-            let idle = h.out.is_empty() && h.entry.state == HostState::Up;
+            let idle = h.out.is_empty() && h.entry.state == EndpointState::Up;
             if spared && idle && h.tokens.is_infinite() {
                 (h.cleared, h.untold) = (h.started, true);
                 (h.started, h.tokens) = (h.started.max(now), first);
@@ -145,7 +151,7 @@
     pub(super) fn clear(&mut self, host: usize, y: f64) {
         let prior = self.prior(&self.hosts[host]);
         let h = &mut self.hosts[host];
-        if h.untold && y <= h.detector.estimate().min(prior) && self.set.cold_from <= CLEAR {
+        if h.untold && y <= h.detector.estimate().min(prior) && self.set.slow_start_min_capacity <= CLEAR {
             (h.started, h.tokens, h.untold) = (h.cleared, f64::INFINITY, false);
         }
     }
--- a/crates/balancer/src/balancer/pick.rs
+++ b/crates/balancer/src/balancer/pick.rs
@@ -1,7 +1,7 @@
 //! Where a request goes: among the hosts that it may be sent to, the one with the lowest (in flight + 1) x E.
 
 use super::{lasting, Attempt, Balancer, Request};
-use crate::api::{self, Effect};
+use crate::api::{self, Idempotency};
 
 const CROSSING: f64 = 30.0; // what a zone crossing adds to a host's score, times its price, while all is well
 /// What a new connection adds to a host's score, times its price. Where many gateways see little of each host, an idle
@@ -20,9 +20,9 @@
         let all: f64 = self.ready.iter().map(|&i| e(&self.hosts[i])).sum();
         let usual = 2.0 + self.traffic.out / ready.max(1.0);
         let shunned = |h: &&super::Host| match h.entry.state {
-            api::HostState::Removed => false,
-            api::HostState::Draining => true,
-            api::HostState::Up => ready > 1.0 && e(h) > usual * (all - e(h)) / (ready - 1.0),
+            api::EndpointState::Removed => false,
+            api::EndpointState::Draining => true,
+            api::EndpointState::Up => ready > 1.0 && e(h) > usual * (all - e(h)) / (ready - 1.0),
         };
         self.hosts.iter().filter(shunned).count()
     }
@@ -30,8 +30,8 @@
     /// The gate of every send to a host.
     pub(super) fn may_send(&self, now: f64, req: &Request, host: usize) -> bool {
         let h = &self.hosts[host];
-        let joins = |a: &Attempt| match self.set.classes[req.class].effect {
-            Effect::Keyed { group, .. } => group.of(&h.entry) == a.group,
+        let joins = |a: &Attempt| match self.set.classes[req.class].idempotency {
+            Idempotency::IdempotencyKey { scope: group, .. } => group.partition_of(&h.entry) == a.group,
             _ => true,
         };
         now >= req.turn
@@ -42,10 +42,10 @@
     /// The ready host with the lowest (in-flight + 1) x E among those that may be sent to.
     pub(super) fn pick(&mut self, now: f64, req: &Request) -> Option<usize> {
         let (mut best, mut own) = ((f64::INFINITY, None), [(0, f64::INFINITY, 0); 2]);
-        let aim = self.set.classes[req.class].aim.as_secs_f64();
+        let aim = self.set.classes[req.class].latency_objective.as_secs_f64();
         let calm = 1.0 - SPILL * self.traffic.late;
-        let crossing = CROSSING * self.set.cross_zone_price * calm;
-        let dialling = DIALLING * self.set.handshake_price * calm;
+        let crossing = CROSSING * self.set.cross_zone_cost * calm;
+        let dialling = DIALLING * self.set.handshake_cost * calm;
         let start = self.rng.usize(0..=self.ready.len()); // of equals the first wins
         for &i in self.ready[start..].iter().chain(&self.ready[..start]) {
             let h = &self.hosts[i];
@@ -60,7 +60,7 @@
             let new = if dials { 1.0 + dialling } else { 1.0 };
             let score = (h.out.len() as f64 + 1.0) * e * away * new;
             let score = if self.may_send(now, req, i) { score } else { f64::INFINITY };
-            if let Some(key) = req.key.filter(|_| self.set.warm_keys) {
+            if let Some(key) = req.key.filter(|_| self.set.key_cache_affinity) {
                 let rank = api::mix(key ^ h.entry.hash);
                 if rank > own[0].0 {
                     own = [(rank, score, i), own[0]];
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -5,16 +5,16 @@
 //! Nothing is shared between instances; every gateway keeps the rules on its own.
 //!
 //! ```
-//! use weldworks_balancer::{Action, Balancer, Class, Event, Host, HostId, Request, RequestId, Settings};
+//! use weldworks_balancer::{Action, Balancer, Endpoint, EndpointId, Event, Request, RequestClass, RequestId, Settings};
 //! use std::time::Duration;
 //!
 //! let mut settings = Settings::default();
-//! settings.classes.push(Class::new(Duration::from_millis(200), Duration::from_secs(1)));
+//! settings.classes.push(RequestClass::new(Duration::from_millis(200), Duration::from_secs(1)));
 //! let mut balancer = Balancer::new(settings, 7);
 //! let mut actions = Vec::new();
 //!
-//! let hosts = [Host::new(HostId(0), "10.0.0.1:80"), Host::new(HostId(1), "10.0.0.2:80")];
-//! balancer.handle(Duration::ZERO, Event::Hosts { full: true, hosts: &hosts }, &mut actions);
+//! let endpoints = [Endpoint::new(EndpointId(0), "10.0.0.1:80"), Endpoint::new(EndpointId(1), "10.0.0.2:80")];
+//! balancer.handle(Duration::ZERO, Event::EndpointList { is_snapshot: true, endpoints: &endpoints }, &mut actions);
 //! let request = Request::new(RequestId(1), 0, Duration::from_secs(1));
 //! balancer.handle(Duration::from_millis(5), Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
@@ -26,5 +26,5 @@
 mod settings_document;
 
 pub use api::*;
-pub use balancer::{Balancer, HostMemory, Memory};
+pub use balancer::{Balancer, EndpointSnapshot, Snapshot};
 pub use settings_document::parse_settings;
--- a/crates/balancer/src/settings_document.rs
+++ b/crates/balancer/src/settings_document.rs
@@ -1,7 +1,7 @@
 //! The settings object of the platform, as the simulator's wire and the gateway's configuration file carry it. The protocol's field
 //! names are mapped to [`Settings`] here and nowhere else.
 
-use crate::api::{Class, Effect, Group, Settings, Weights};
+use crate::api::{EndpointWeights, Idempotency, KeyScope, RequestClass, Settings};
 use rustc_hash::FxHashMap;
 use serde::Deserialize;
 use std::time::Duration;
@@ -85,51 +85,57 @@
 }
 
 fn settings(raw: RawSettings) -> Settings {
-    let class = |c: RawClass| Class {
-        aim: time(c.promise_s),
-        aim_stretch: c.aim_stretch,
+    let class = |c: RawClass| RequestClass {
+        latency_objective: time(c.promise_s),
+        objective_stretch: c.aim_stretch,
         deadline: time(c.deadline_s),
-        worth: c.importance,
-        late_worth: c.late_worth,
+        priority_weight: c.importance,
+        late_value_fraction: c.late_worth,
         sequential: c.sequential,
-        dropped: false,
-        effect: match (c.effect.as_str(), c.group.as_str()) {
-            ("free", _) => Effect::Safe,
-            ("guarded", "all") => Effect::Keyed { group: Group::All, window: time(c.dedup_window_s) },
-            ("guarded", "zone") => Effect::Keyed { group: Group::Zone, window: time(c.dedup_window_s) },
-            ("guarded", "cell") => Effect::Keyed { group: Group::Cell, window: time(c.dedup_window_s) },
-            _ => Effect::Unsafe,
+        retired: false,
+        idempotency: match (c.effect.as_str(), c.group.as_str()) {
+            ("free", _) => Idempotency::Idempotent,
+            ("guarded", "all") => {
+                Idempotency::IdempotencyKey { scope: KeyScope::All, window: time(c.dedup_window_s) }
+            }
+            ("guarded", "zone") => {
+                Idempotency::IdempotencyKey { scope: KeyScope::Zone, window: time(c.dedup_window_s) }
+            }
+            ("guarded", "cell") => {
+                Idempotency::IdempotencyKey { scope: KeyScope::Cell, window: time(c.dedup_window_s) }
+            }
+            _ => Idempotency::NotIdempotent,
         },
     };
     let price = |name| raw.costs.get(name).copied().unwrap_or(0.0);
     Settings {
-        gateways: raw.fleet_size.max(1),
+        gateway_count: raw.fleet_size.max(1),
         zone: raw.locality,
         classes: raw.classes.into_iter().map(class).collect(),
-        quotas: raw.accounts.iter().map(|t| t.quota_per_s).collect(),
-        over_quota_worth: raw.over_share_worth,
-        ask_within: (raw.discovery == "ask").then(|| time(raw.safety.ask_within_s)),
-        tick: time(raw.quantum_s),
+        tenant_quotas: raw.accounts.iter().map(|t| t.quota_per_s).collect(),
+        over_quota_weight: raw.over_share_worth,
+        discovery_poll_interval: (raw.discovery == "ask").then(|| time(raw.safety.ask_within_s)),
+        timer_tick: time(raw.quantum_s),
         max_attempts: raw.policy_limits.try_limit,
-        may_cancel: raw.policy_limits.may_cancel,
-        second_copies: raw.policy_limits.second_copies,
-        probes: raw.policy_limits.probes,
-        max_keep_away: time(raw.policy_limits.max_retry_after_s)
+        cancellation_allowed: raw.policy_limits.may_cancel,
+        hedging_allowed: raw.policy_limits.second_copies,
+        probes_allowed: raw.policy_limits.probes,
+        max_retry_after: time(raw.policy_limits.max_retry_after_s)
             .mul_f64(f64::from(raw.policy_limits.retry_after)),
-        cold_from: raw.safety.cold_from,
-        cold_for: time(raw.safety.cold_s),
+        slow_start_min_capacity: raw.safety.cold_from,
+        slow_start_duration: time(raw.safety.cold_s),
         overload_factor: raw.safety.overload_factor,
-        overload_for: time(raw.safety.fall_s),
-        key_rest: time(raw.safety.key_rest_s),
-        release_within: raw.safety.release_within_s.map(time),
-        cross_zone_price: price("cross_zone"),
-        handshake_price: price("handshake"),
+        overload_duration: time(raw.safety.fall_s),
+        key_quiet_period: time(raw.safety.key_rest_s),
+        drain_close_within: raw.safety.release_within_s.map(time),
+        cross_zone_cost: price("cross_zone"),
+        handshake_cost: price("handshake"),
         keep_alive: raw.policy_limits.keepalive_s.map_or(Settings::default().keep_alive, time),
-        warm_keys: raw.family_info.warm_keys,
-        weights: match raw.weight_source.as_str() {
-            "nominal" | "rough" => Weights::Size,
-            "live" => Weights::Live,
-            _ => Weights::Off,
+        key_cache_affinity: raw.family_info.warm_keys,
+        endpoint_weights: match raw.weight_source.as_str() {
+            "nominal" | "rough" => EndpointWeights::Size,
+            "live" => EndpointWeights::Live,
+            _ => EndpointWeights::Off,
         },
     }
 }
--- a/crates/balancer/tests/behaviour.rs
+++ b/crates/balancer/tests/behaviour.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn the_lowest_in_flight_times_e_is_picked() {
-    let mut bench = Bench::new(Settings { gateways: 1, ..settings() }, 2);
+    let mut bench = Bench::new(Settings { gateway_count: 1, ..settings() }, 2);
     bench.serve(40, |h| if h == 0 { 10 } else { 25 });
     // E is near 10 and 25 ms: two go to host 0 (10, 20 against 25), the third to host 1 (30 against 25).
     let picks: Vec<_> = (0..3).map(|_| bench.request(0, None).unwrap()).collect();
@@ -17,7 +17,7 @@
 
 #[test]
 fn a_host_that_fails_fast_does_not_attract_work() {
-    let mut bench = Bench::new(Settings { second_copies: false, ..settings() }, 6);
+    let mut bench = Bench::new(Settings { hedging_allowed: false, ..settings() }, 6);
     bench.serve(60, |_| 20);
     let mut to_bad = 0;
     for _ in 0..200 {
@@ -53,7 +53,10 @@
     let first = bench.request(0, None).unwrap();
     let id = bench.id;
     let wake =
-        bench.last.iter().find_map(|a| if let Action::Wake { after, .. } = a { Some(*after) } else { None });
+        bench
+            .last
+            .iter()
+            .find_map(|a| if let Action::SetTimer { after, .. } = a { Some(*after) } else { None });
     bench.now += wake.expect("a look is planned");
     bench.give(Event::Timer { token: id });
     let second = bench.sent_to().expect("a second copy");
@@ -62,12 +65,15 @@
     bench.outcome(id, 1, Duration::from_millis(20), Outcome::Served);
     assert_eq!(bench.last, [Action::Cancel { request: RequestId(id), attempt: 0 }]);
     bench.request(4, None);
-    assert!(!bench.last.iter().any(|a| matches!(a, Action::Wake { .. })), "none for what must not run twice");
+    assert!(
+        !bench.last.iter().any(|a| matches!(a, Action::SetTimer { .. })),
+        "none for what must not run twice"
+    );
 }
 
 #[test]
 fn a_key_goes_to_its_own_hosts_at_every_gateway_and_leaves_them_when_they_are_ill() {
-    let warm = Settings { warm_keys: true, second_copies: false, ..settings() };
+    let warm = Settings { key_cache_affinity: true, hedging_allowed: false, ..settings() };
     let (mut a, mut b) = (Bench::new(warm.clone(), 12), Bench::seeded(warm, 12, 99));
     let mut own = std::collections::BTreeSet::new();
     for bench in [&mut a, &mut b] {
@@ -93,11 +99,11 @@
 /// Guards against a start that sends small hosts as much as large ones, before anything is known of either.
 #[test]
 fn before_anything_is_heard_sends_follow_size_where_weights_tell_it() {
-    for (weights, range) in [(Weights::Size, 7..9), (Weights::Off, 2..7)] {
-        let mut bench = Bench::new(Settings { weights, gateways: 1, ..settings() }, 0);
-        let host = |i| Host { zone: 0, weight: if i < 4 { 3.0 } else { 1.0 }, ..host(i, None) };
-        let list: Vec<Host> = (0..8).map(host).collect();
-        bench.give(Event::Hosts { full: true, hosts: &list });
+    for (weights, range) in [(EndpointWeights::Size, 7..9), (EndpointWeights::Off, 2..7)] {
+        let mut bench = Bench::new(Settings { endpoint_weights: weights, gateway_count: 1, ..settings() }, 0);
+        let host = |i| Endpoint { zone: 0, weight: if i < 4 { 3.0 } else { 1.0 }, ..host(i, None) };
+        let list: Vec<Endpoint> = (0..8).map(host).collect();
+        bench.give(Event::EndpointList { is_snapshot: true, endpoints: &list });
         let large = (0..8).filter(|_| bench.request(0, None).is_some_and(|h| h < 4)).count();
         assert!(
             range.contains(&large),
@@ -109,10 +115,11 @@
 /// Guards against a large fleet seen seldom: what one host of a machine kind shows holds for those not yet heard.
 #[test]
 fn a_host_not_heard_from_is_taken_for_its_kind() {
-    let mut bench = Bench::new(Settings { second_copies: false, gateways: 1, ..settings() }, 0);
-    let host = |i| Host { zone: 0, kind: i % 2, ..host(i, None) };
-    let (first, all): (Vec<Host>, Vec<Host>) = ((0..2).map(host).collect(), (0..12).map(host).collect());
-    bench.give(Event::Hosts { full: true, hosts: &first });
+    let mut bench = Bench::new(Settings { hedging_allowed: false, gateway_count: 1, ..settings() }, 0);
+    let host = |i| Endpoint { zone: 0, kind: i % 2, ..host(i, None) };
+    let (first, all): (Vec<Endpoint>, Vec<Endpoint>) =
+        ((0..2).map(host).collect(), (0..12).map(host).collect());
+    bench.give(Event::EndpointList { is_snapshot: true, endpoints: &first });
     bench.request(0, None);
     bench.request(0, None);
     bench.now += Duration::from_millis(10);
@@ -121,7 +128,7 @@
         bench.outcome(id, 0, quick, Outcome::Served);
     }
     bench.serve(40, |h| if h % 2 == 0 { 60 } else { 10 });
-    bench.give(Event::Hosts { full: true, hosts: &all });
+    bench.give(Event::EndpointList { is_snapshot: true, endpoints: &all });
     let quick = (0..5).filter(|_| bench.request(0, None).is_some_and(|h| h % 2 == 1)).count();
     assert_eq!(quick, 5, "new hosts of the quick kind first");
 }
@@ -132,10 +139,10 @@
     let mut bench = Bench::new(settings(), 2);
     let counts = bench.serve(200, |host| if host == 0 { 200 } else { 20 });
     assert!(counts[0] < 40, "{counts:?}: the first one is shunned");
-    let gone = Host { state: HostState::Removed, ..host(0, None) };
-    bench.give(Event::Hosts { full: false, hosts: &[gone] });
-    let other = Host { zone: 0, ..Host::new(HostId(0), "another") };
-    bench.give(Event::Hosts { full: false, hosts: &[other] });
+    let gone = Endpoint { state: EndpointState::Removed, ..host(0, None) };
+    bench.give(Event::EndpointList { is_snapshot: false, endpoints: &[gone] });
+    let other = Endpoint { zone: 0, ..Endpoint::new(EndpointId(0), "another") };
+    bench.give(Event::EndpointList { is_snapshot: false, endpoints: &[other] });
     let mut to = [0; 2];
     (0..8).filter_map(|_| bench.request(0, None)).for_each(|host| to[host as usize] += 1);
     assert_eq!(to, [4, 4]);
@@ -144,7 +151,7 @@
 /// Guards against blaming a host for all when it fails one class only: that class leaves, the others stay.
 #[test]
 fn a_host_that_fails_one_class_keeps_the_others() {
-    let mut bench = Bench::new(Settings { second_copies: false, gateways: 1, ..settings() }, 6);
+    let mut bench = Bench::new(Settings { hedging_allowed: false, gateway_count: 1, ..settings() }, 6);
     let ms = Duration::from_millis;
     let mut ill = [0, 0]; // sends to host 0 in the second half, of the class that it fails and of the other
     for round in 0..100 {
@@ -163,14 +170,14 @@
 /// Guards against crossings that cost more than they earn, and against a zone that keeps its trouble to itself.
 #[test]
 fn a_zone_keeps_its_requests_until_they_end_unserved_and_then_spills_over() {
-    let set = Settings { second_copies: false, cross_zone_price: 0.05, gateways: 1, ..settings() };
+    let set = Settings { hedging_allowed: false, cross_zone_cost: 0.05, gateway_count: 1, ..settings() };
     let mut bench = Bench::new(set, 0);
-    let host = |i| Host { zone: i % 2, ..host(i, None) };
-    let list: Vec<Host> = (0..8).map(host).collect();
-    let away: Vec<Host> = list.iter().filter(|h| h.zone == 1).cloned().collect();
-    bench.give(Event::Hosts { full: true, hosts: &away });
+    let host = |i| Endpoint { zone: i % 2, ..host(i, None) };
+    let list: Vec<Endpoint> = (0..8).map(host).collect();
+    let away: Vec<Endpoint> = list.iter().filter(|h| h.zone == 1).cloned().collect();
+    bench.give(Event::EndpointList { is_snapshot: true, endpoints: &away });
     bench.serve(100, |_| 20);
-    bench.give(Event::Hosts { full: true, hosts: &list });
+    bench.give(Event::EndpointList { is_snapshot: true, endpoints: &list });
     bench.serve(100, |h| if h % 2 == 0 { 40 } else { 20 });
     let quiet = bench.serve(50, |h| if h % 2 == 0 { 40 } else { 20 });
     assert_eq!(quiet.iter().skip(1).step_by(2).sum::<u32>(), 0, "twice as slow, but at home");
@@ -192,7 +199,7 @@
 /// gateways close what has been idle for a second.
 fn dials(handshake_price: f64) -> usize {
     let keep_alive = Duration::from_secs(2);
-    let mut bench = Bench::new(Settings { handshake_price, keep_alive, ..settings() }, 12);
+    let mut bench = Bench::new(Settings { handshake_cost: handshake_price, keep_alive, ..settings() }, 12);
     let mut used = [None; 12];
     (0..60)
         .filter(|_| {
@@ -216,12 +223,12 @@
 
 #[test]
 fn a_slow_host_is_left_for_a_new_connection_to_a_quicker_one() {
-    let mut bench = Bench::new(Settings { handshake_price: 0.1, gateways: 1, ..settings() }, 2);
+    let mut bench = Bench::new(Settings { handshake_cost: 0.1, gateway_count: 1, ..settings() }, 2);
     bench.serve(40, |_| 20);
     let counts = bench.serve(40, |h| if h == 0 { 200 } else { 20 });
     assert!(counts[1] >= 35, "{counts:?}");
     // The only idle connection is to the one that is slow now.
-    let mut bench = Bench::new(Settings { handshake_price: 0.1, gateways: 1, ..settings() }, 2);
+    let mut bench = Bench::new(Settings { handshake_cost: 0.1, gateway_count: 1, ..settings() }, 2);
     let first = bench.request(0, None).expect("a host is ready");
     bench.now += Duration::from_millis(20);
     bench.outcome(1, 0, Duration::from_millis(20), Outcome::Served);
@@ -274,7 +281,7 @@
     let sent = (0..200).filter(|_| bench.request(0, None).is_some()).count();
     assert!((3..80).contains(&sent), "{sent} of 200 at once were let in");
     assert!(
-        matches!(bench.last[0], Action::Refuse { keep_away, .. } if keep_away.is_zero()),
+        matches!(bench.last[0], Action::Reject { retry_after: keep_away, .. } if keep_away.is_zero()),
         "none heed advice"
     );
 }
@@ -297,9 +304,9 @@
 #[test]
 fn who_is_refused_at_capacity_is_asked_to_stay_away_where_clients_heed_it() {
     let max_keep_away = Duration::from_secs(2);
-    let mut bench = Bench::new(Settings { max_keep_away, ..settings() }, 2);
+    let mut bench = Bench::new(Settings { max_retry_after: max_keep_away, ..settings() }, 2);
     (0..200).for_each(|_| _ = bench.request(0, None));
-    assert_eq!(bench.last, [Action::Refuse { request: RequestId(bench.id), keep_away: max_keep_away }]);
+    assert_eq!(bench.last, [Action::Reject { request: RequestId(bench.id), retry_after: max_keep_away }]);
 }
 
 /// Guards against issue 6: a start that let everything in overdrove every host for the rest of the day.
@@ -319,27 +326,38 @@
 fn nonsense_is_passed_over_or_refused_and_never_panics() {
     let mut bench = Bench::new(Settings::default(), 0);
     assert_eq!(bench.request(0, None), None);
-    assert!(matches!(bench.last[..], [Action::Refuse { .. }]), "a class that the settings do not have");
+    assert!(matches!(bench.last[..], [Action::Reject { .. }]), "a class that the settings do not have");
     bench.outcome(77, 3, Duration::ZERO, Outcome::Served);
     bench.give(Event::Timer { token: 12345 });
-    bench.give(Event::Abandoned { request: RequestId(9) });
-    bench.give(Event::Probed { host: HostId(70), outcome: Outcome::Served, latency: Duration::ZERO });
-    bench.give(Event::Hosts { full: false, hosts: &[Host::new(HostId(u32::MAX), "far")] });
+    bench.give(Event::ClientDisconnected { request: RequestId(9) });
+    bench.give(Event::ProbeEnded {
+        endpoint: EndpointId(70),
+        outcome: Outcome::Served,
+        latency: Duration::ZERO,
+    });
+    bench.give(Event::EndpointList {
+        is_snapshot: false,
+        endpoints: &[Endpoint::new(EndpointId(u32::MAX), "far")],
+    });
     assert!(bench.last.is_empty());
 
     let odd = Settings {
-        gateways: 0,
-        cold_from: 0.0,
-        cold_for: Duration::ZERO,
+        gateway_count: 0,
+        slow_start_min_capacity: 0.0,
+        slow_start_duration: Duration::ZERO,
         max_attempts: 0,
-        classes: vec![Class { worth: 0.0, ..Class::new(Duration::ZERO, Duration::ZERO) }],
+        classes: vec![RequestClass {
+            priority_weight: 0.0,
+            ..RequestClass::new(Duration::ZERO, Duration::ZERO)
+        }],
         ..Settings::default()
     };
     let mut bench = Bench::new(odd, 3);
-    bench.give(Event::Hosts { full: true, hosts: &[host(1, Some(Duration::from_secs(5)))] });
+    bench
+        .give(Event::EndpointList { is_snapshot: true, endpoints: &[host(1, Some(Duration::from_secs(5)))] });
     for _ in 0..20 {
         bench.request(0, None); // the clock stands still
-        assert!(bench.last.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Send { .. })));
+        assert!(bench.last.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Send { .. })));
     }
 }
 
@@ -348,19 +366,19 @@
     let within = Duration::from_secs(10);
     let mut firsts = std::collections::BTreeSet::new();
     for seed in 0..20 {
-        let mut bench = Bench::new(Settings { ask_within: Some(within), ..settings() }, 0);
-        bench.b = Balancer::new(Settings { ask_within: Some(within), ..settings() }, seed);
-        bench.give(Event::Hosts { full: true, hosts: &[] });
+        let mut bench = Bench::new(Settings { discovery_poll_interval: Some(within), ..settings() }, 0);
+        bench.b = Balancer::new(Settings { discovery_poll_interval: Some(within), ..settings() }, seed);
+        bench.give(Event::EndpointList { is_snapshot: true, endpoints: &[] });
         for failure in 0..8 {
-            let Some(Action::Wake { after, token }) = bench.last.first().cloned() else {
+            let Some(Action::SetTimer { after, token }) = bench.last.first().cloned() else {
                 panic!("asks later")
             };
             assert!(after < within, "seed {seed}, failure {failure}: {after:?}");
             firsts.extend((failure == 0).then_some(after));
             bench.now += after;
             bench.give(Event::Timer { token });
-            assert_eq!(bench.last, [Action::Subscribe]);
-            bench.give(Event::DiscoveryFailed { quiet: Duration::ZERO });
+            assert_eq!(bench.last, [Action::PollDiscovery]);
+            bench.give(Event::DiscoveryFailed { silent_for: Duration::ZERO });
         }
     }
     assert!(firsts.len() == 20, "spread over the instances");
@@ -377,7 +395,7 @@
 
 /// A bank of many gateways under a load that its own few requests say nothing about.
 fn among_many() -> Bench {
-    let mut bench = Bench::new(Settings { gateways: 45, ..settings() }, 4);
+    let mut bench = Bench::new(Settings { gateway_count: 45, ..settings() }, 4);
     bench.serve(40, |_| 20);
     bench
 }
@@ -390,8 +408,11 @@
 #[test]
 fn more_is_let_in_at_once_while_hosts_report_that_they_hold_little() {
     let report = |bench: &mut Bench, qps: f64, inflight: f64| {
-        for host in (0..4).map(HostId) {
-            bench.give(Event::Load { host, report: LoadReport { qps, inflight } });
+        for host in (0..4).map(EndpointId) {
+            bench.give(Event::LoadReport {
+                endpoint: host,
+                report: LoadReport { requests_per_second: qps, in_flight: inflight },
+            });
         }
         bench.now += Duration::from_millis(100); // an upkeep takes it up
     };
@@ -409,7 +430,10 @@
 #[test]
 fn a_host_that_serves_steadily_and_begins_at_nothing_is_treated_as_cold() {
     let mut bench = among_many();
-    let report = |qps| Event::Load { host: HostId(1), report: LoadReport { qps, inflight: 2.0 } };
+    let report = |qps| Event::LoadReport {
+        endpoint: EndpointId(1),
+        report: LoadReport { requests_per_second: qps, in_flight: 2.0 },
+    };
     bench.give(report(30.0));
     bench.now += Duration::from_millis(700);
     bench.give(report(0.0));
@@ -420,10 +444,13 @@
 
 #[test]
 fn a_cold_host_gets_what_its_tokens_allow_though_nothing_was_heard_of_it() {
-    let mut bench = Bench::new(Settings { gateways: 100, ..settings() }, 4);
+    let mut bench = Bench::new(Settings { gateway_count: 100, ..settings() }, 4);
     bench.serve(200, |_| 20);
     let started = Some(bench.now);
-    bench.give(Event::Hosts { full: false, hosts: &[Host { zone: 0, ..host(4, started) }] });
+    bench.give(Event::EndpointList {
+        is_snapshot: false,
+        endpoints: &[Endpoint { zone: 0, ..host(4, started) }],
+    });
     // 2 s and more, in which each warm one would serve 25; an answer as slow as this gives no token back.
     let counts = bench.serve(100, |host| if host == 4 { 62 } else { 20 });
     let allowed = 2.0 * 0.25 * 25.0; // overload_factor times its warmth, which is 0.15 to 0.25
@@ -432,10 +459,13 @@
 
 /// How many of 150 requests over 3 s or more a cold host gets that takes so long, beside four warm ones that take 20 ms.
 fn cold_one_gets(ms: u64) -> u32 {
-    let mut bench = Bench::new(Settings { gateways: 100, ..settings() }, 4);
+    let mut bench = Bench::new(Settings { gateway_count: 100, ..settings() }, 4);
     bench.serve(200, |_| 20);
     let started = Some(bench.now);
-    bench.give(Event::Hosts { full: false, hosts: &[Host { zone: 0, ..host(4, started) }] });
+    bench.give(Event::EndpointList {
+        is_snapshot: false,
+        endpoints: &[Endpoint { zone: 0, ..host(4, started) }],
+    });
     bench.serve(150, |host| if host == 4 { ms } else { 20 })[4]
 }
 
@@ -449,7 +479,11 @@
 fn sent_after(closes: &[(u32, u64, usize)]) -> Vec<u32> {
     let mut bench = among_many();
     for &(host, idle, left) in closes {
-        bench.give(Event::Closed { host: HostId(host), idle: Duration::from_millis(idle), left });
+        bench.give(Event::IdleConnectionClosed {
+            endpoint: EndpointId(host),
+            idle: Duration::from_millis(idle),
+            remaining: left,
+        });
     }
     bench.now += Duration::from_millis(40);
     (0..8).filter_map(|_| bench.request(0, None)).collect()
@@ -467,7 +501,11 @@
     let sent = sent_after(&[(1, 700, 0), (2, 720, 0)]);
     assert!(!sent.contains(&1) && sent.contains(&2), "idle for as long as the one before: {sent:?}");
     let mut bench = among_many();
-    bench.give(Event::Closed { host: HostId(1), idle: Duration::from_millis(700), left: 0 });
+    bench.give(Event::IdleConnectionClosed {
+        endpoint: EndpointId(1),
+        idle: Duration::from_millis(700),
+        remaining: 0,
+    });
     bench.serve(400, |_| 20);
     let sent: Vec<_> = (0..8).filter_map(|_| bench.request(0, None)).collect();
     assert!(sent.contains(&1), "it has answered as quickly as ever: {sent:?}");
@@ -480,7 +518,11 @@
     assert!(sent_after(&[(1, 3, 0)]).contains(&1), "idle for no time to speak of");
     let mut bench = among_many();
     while bench.request(0, None) != Some(1) {}
-    bench.give(Event::Closed { host: HostId(1), idle: Duration::from_millis(700), left: 0 });
+    bench.give(Event::IdleConnectionClosed {
+        endpoint: EndpointId(1),
+        idle: Duration::from_millis(700),
+        remaining: 0,
+    });
     bench.now += Duration::from_millis(40);
     bench.outcome(bench.id, 0, Duration::from_millis(40), Outcome::Served);
     let sent: Vec<_> = (0..8).filter_map(|_| bench.request(0, None)).collect();
@@ -489,9 +531,13 @@
 
 /// Whether a suspected host that took long before, and whose next answer takes so long, is sent two more at once.
 fn cleared_by(ms: u64) -> bool {
-    let mut bench = Bench::new(Settings { gateways: 1, ..settings() }, 4);
+    let mut bench = Bench::new(Settings { gateway_count: 1, ..settings() }, 4);
     bench.serve(400, |host| if host == 1 { 90 } else { 20 });
-    bench.give(Event::Closed { host: HostId(1), idle: Duration::from_millis(700), left: 0 });
+    bench.give(Event::IdleConnectionClosed {
+        endpoint: EndpointId(1),
+        idle: Duration::from_millis(700),
+        remaining: 0,
+    });
     for _ in 0..8 {
         bench.now += Duration::from_millis(100);
         bench.give(Event::Timer { token: u64::MAX }); // nobody's: time passes
@@ -511,19 +557,20 @@
 
 #[test]
 fn hosts_that_are_never_cold_are_sent_to() {
-    let mut bench = Bench::new(Settings { cold_from: 1.0, ..settings() }, 4);
+    let mut bench = Bench::new(Settings { slow_start_min_capacity: 1.0, ..settings() }, 4);
     assert!(bench.request(0, None).is_some());
 }
 
 /// Four hosts whose live weights, listed every 500 ms for 10 s, say that a core holds `held` requests.
 fn listed(held: f64) -> Bench {
-    let mut bench = Bench::new(Settings { gateways: 3, weights: Weights::Live, ..settings() }, 4);
-    let list = |held: f64| -> Vec<Host> {
-        (0..4).map(|i| Host { zone: 0, weight: 6.0 / (1.0 + held), ..host(i, None) }).collect()
+    let mut bench =
+        Bench::new(Settings { gateway_count: 3, endpoint_weights: EndpointWeights::Live, ..settings() }, 4);
+    let list = |held: f64| -> Vec<Endpoint> {
+        (0..4).map(|i| Endpoint { zone: 0, weight: 6.0 / (1.0 + held), ..host(i, None) }).collect()
     };
-    bench.give(Event::Hosts { full: true, hosts: &list(0.0) }); // seen idle once
+    bench.give(Event::EndpointList { is_snapshot: true, endpoints: &list(0.0) }); // seen idle once
     for _ in 0..20 {
-        bench.give(Event::Hosts { full: false, hosts: &list(held) });
+        bench.give(Event::EndpointList { is_snapshot: false, endpoints: &list(held) });
         bench.serve(25, |_| 20);
     }
     bench
@@ -551,9 +598,9 @@
 fn live_weights_that_are_none_are_passed_over() {
     for weight in [0.0, -1.0, f64::NAN, f64::INFINITY] {
         let mut bench = listed(0.1);
-        let strange: Vec<Host> = (0..4).map(|i| Host { zone: 0, weight, ..host(i, None) }).collect();
+        let strange: Vec<Endpoint> = (0..4).map(|i| Endpoint { zone: 0, weight, ..host(i, None) }).collect();
         for _ in 0..20 {
-            bench.give(Event::Hosts { full: false, hosts: &strange });
+            bench.give(Event::EndpointList { is_snapshot: false, endpoints: &strange });
             bench.serve(25, |_| 20);
         }
         assert!(let_in(bench) >= let_in(listed(0.1)), "with a weight of {weight}");
@@ -589,10 +636,10 @@
 #[test]
 fn a_fresh_gateway_serves_where_every_host_is_cold() {
     for gateways in [1, 12, 100] {
-        let mut bench = Bench::new(Settings { gateways, ..settings() }, 0);
+        let mut bench = Bench::new(Settings { gateway_count: gateways, ..settings() }, 0);
         let started = Some(bench.now);
-        let list: Vec<Host> = (0..12).map(|i| Host { zone: 0, ..host(i, started) }).collect();
-        bench.give(Event::Hosts { full: true, hosts: &list });
+        let list: Vec<Endpoint> = (0..12).map(|i| Endpoint { zone: 0, ..host(i, started) }).collect();
+        bench.give(Event::EndpointList { is_snapshot: true, endpoints: &list });
         let mut served = 0;
         for _ in 0..100 {
             bench.now += Duration::from_millis(50);
--- a/crates/balancer/tests/coming.rs
+++ b/crates/balancer/tests/coming.rs
@@ -19,7 +19,10 @@
 impl Coming for Bench {
     fn ask(&mut self, id: u64, class: usize, coming: bool) -> Option<u32> {
         let give_up = if coming { self.now + FAR } else { self.now + MS(1200) };
-        self.give(Event::Request(Request { coming, ..Request::new(RequestId(id), class, give_up) }));
+        self.give(Event::Request(Request {
+            body_streaming: coming,
+            ..Request::new(RequestId(id), class, give_up)
+        }));
         self.sent_to()
     }
 }
@@ -39,16 +42,21 @@
         bench.outcome(id, 0, MS(20), Outcome::Served);
     }
     assert!(met.iter().all(|n| *n > 20), "{met:?}, and host {busy} has the body");
-    assert!(!bench.last.iter().any(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. })));
+    assert!(!bench.last.iter().any(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. })));
     let request = RequestId(100);
-    bench.give(Event::Spent { request });
+    bench.give(Event::BodyForwardingStarted { request });
     let give_up_at = bench.now + MS(1200);
-    bench.give(Event::Complete { request, give_up_at });
-    let until =
-        bench.last.iter().find_map(|a| if let Action::Until { until, .. } = a { Some(*until) } else { None });
+    bench.give(Event::BodyForwarded { request, client_deadline: give_up_at });
+    let until = bench.last.iter().find_map(|a| {
+        if let Action::SetAttemptDeadline { deadline: until, .. } = a {
+            Some(*until)
+        } else {
+            None
+        }
+    });
     let until = until.expect("its time begins") - bench.now;
     assert!(until > MS(250) && until <= MS(300), "{until:?}, of an aim of 300 ms");
-    bench.give(Event::Complete { request, give_up_at: bench.now + FAR });
+    bench.give(Event::BodyForwarded { request, client_deadline: bench.now + FAR });
     assert!(bench.last.is_empty(), "it begins once");
 }
 
@@ -65,28 +73,28 @@
         bench.serve(39, |_| 20);
         bench.ask(100, class, true).expect("a host");
         if spent {
-            bench.give(Event::Spent { request: RequestId(100) });
+            bench.give(Event::BodyForwardingStarted { request: RequestId(100) });
         }
         bench.outcome(100, 0, MS(30), how);
-        let answer = bench.last.iter().find(|a| matches!(a, Action::Refuse { .. } | Action::Fail { .. }));
+        let answer = bench.last.iter().find(|a| matches!(a, Action::Reject { .. } | Action::Fail { .. }));
         match (spent, class, how) {
             (false, ..) => assert!(bench.sent_to().is_some(), "{:?}", bench.last),
             // An unsafe one that may have run is not said to be harmless to try again.
             (true, 4, Outcome::Reset) => {
                 assert!(matches!(answer, Some(Action::Fail { .. })), "{:?}", bench.last)
             }
-            (true, ..) => assert!(matches!(answer, Some(Action::Refuse { .. })), "{:?}", bench.last),
+            (true, ..) => assert!(matches!(answer, Some(Action::Reject { .. })), "{:?}", bench.last),
         }
     }
 }
 
 #[test]
 fn an_answer_that_has_begun_is_booked_at_its_first_byte() {
-    let mut bench = Bench::new(Settings { second_copies: true, ..settings() }, 2);
+    let mut bench = Bench::new(Settings { hedging_allowed: true, ..settings() }, 2);
     bench.serve(39, |_| 20);
     bench.ask(100, 0, false).expect("a host");
     bench.now += MS(25);
-    bench.give(Event::Started { request: RequestId(100), attempt: 0, latency: MS(20) });
+    bench.give(Event::ResponseStarted { request: RequestId(100), attempt: 0, latency: MS(20) });
     assert!(bench.last.is_empty(), "{:?}", bench.last);
     // The rest takes half a minute: no copy, no time-out, and the host is as good as before.
     let mut met = [0; 2];
@@ -127,20 +135,20 @@
     assert!(met[3] * 10 < met[0].max(met[1]), "{met:?}");
     bench.b.retune(settings());
     assert_eq!(bench.b.avoided(bench.now), 1, "new settings leave hosts what is known of them");
-    let leaving = Host { state: HostState::Draining, ..host(0, None) };
-    bench.give(Event::Hosts { full: false, hosts: &[leaving] });
+    let leaving = Endpoint { state: EndpointState::Draining, ..host(0, None) };
+    bench.give(Event::EndpointList { is_snapshot: false, endpoints: &[leaving] });
     assert!(bench.b.avoided(bench.now) >= 1, "one that leaves gets nothing");
 }
 
 #[test]
 fn new_settings_leave_open_requests_their_rules_and_hosts_their_history() {
-    let old = Settings { max_attempts: 3, second_copies: false, ..settings() };
+    let old = Settings { max_attempts: 3, hedging_allowed: false, ..settings() };
     let mut bench = Bench::new(old.clone(), 4);
     bench.serve(79, |_| 20);
     bench.ask(100, 1, false).expect("a host");
     let mut new = old;
-    new.classes[1].dropped = true;
-    new.classes.push(Class { effect: Effect::Unsafe, ..new.classes[1].clone() });
+    new.classes[1].retired = true;
+    new.classes.push(RequestClass { idempotency: Idempotency::NotIdempotent, ..new.classes[1].clone() });
     new.max_attempts = 1;
     bench.b.retune(new);
     // The open one may be tried again, as a keyed request with attempts left.
@@ -155,9 +163,19 @@
 /// settings that it came under, whoever's settings are in force when it ends.
 #[test]
 fn new_settings_leave_open_requests_their_limits() {
-    let mut old = Settings { may_cancel: true, max_keep_away: MS(700), key_rest: MS(100), ..settings() };
+    let mut old = Settings {
+        cancellation_allowed: true,
+        max_retry_after: MS(700),
+        key_quiet_period: MS(100),
+        ..settings()
+    };
     old.classes[1].sequential = true;
-    let new = Settings { may_cancel: false, max_keep_away: MS(90), key_rest: MS(3000), ..old.clone() };
+    let new = Settings {
+        cancellation_allowed: false,
+        max_retry_after: MS(90),
+        key_quiet_period: MS(3000),
+        ..old.clone()
+    };
     let mut bench = Bench::new(old, 4);
     bench.serve(79, |_| 20);
     let keyed = |bench: &mut Bench, id: u64| {
@@ -169,10 +187,10 @@
     keyed(&mut bench, 101);
     bench.ask(102, 0, false).expect("a host");
     bench.b.retune(new);
-    bench.give(Event::Abandoned { request: RequestId(102) });
+    bench.give(Event::ClientDisconnected { request: RequestId(102) });
     let off = |a: &Action| matches!(a, Action::Cancel { request: RequestId(102), .. });
     assert!(bench.last.iter().any(off), "{:?}", bench.last);
-    bench.give(Event::Abandoned { request: RequestId(100) });
+    bench.give(Event::ClientDisconnected { request: RequestId(100) });
     bench.outcome(100, 0, MS(20), Outcome::Cancelled);
     // Its key rests for 100 ms, not for 3 s.
     assert_eq!(bench.sent_to(), None);
@@ -181,13 +199,14 @@
         bench.give(Event::Timer { token: 101 });
         assert_eq!(bench.sent_to().is_some(), sent, "{:?}", bench.last);
     }
-    let hosts: Vec<Host> = (0..4).map(|n| Host { state: HostState::Draining, ..host(n, None) }).collect();
-    bench.give(Event::Hosts { full: false, hosts: &hosts });
+    let hosts: Vec<Endpoint> =
+        (0..4).map(|n| Endpoint { state: EndpointState::Draining, ..host(n, None) }).collect();
+    bench.give(Event::EndpointList { is_snapshot: false, endpoints: &hosts });
     bench.outcome(101, 0, MS(20), Outcome::Rejected);
     bench.now += MS(2000);
     bench.give(Event::Timer { token: 101 });
     let away = bench.last.iter().find_map(|a| match a {
-        Action::Refuse { request: RequestId(101), keep_away } => Some(*keep_away),
+        Action::Reject { request: RequestId(101), retry_after: keep_away } => Some(*keep_away),
         _ => None,
     });
     assert_eq!(away, Some(MS(700)), "{:?}", bench.last);
@@ -198,7 +217,7 @@
     /// attempt once some of its body has left.
     #[test]
     fn any_order_of_events_keeps_the_rules(steps in prop::collection::vec((0u8..9, 0u64..6, 0u64..900), 1..120)) {
-        let mut bench = Bench::new(Settings { second_copies: false, ..settings() }, 4);
+        let mut bench = Bench::new(Settings { hedging_allowed: false, ..settings() }, 4);
         #[derive(Default)]
         struct Told { known: bool, over: bool, spent: bool, sends: u32, out: u32 }
         let mut told: BTreeMap<u64, Told> = BTreeMap::new();
@@ -213,31 +232,31 @@
                     seen.known = true;
                     let give_up = bench.now + FAR;
                     let class = (ms % 6) as usize;
-                    bench.give(Event::Request(Request { coming: step == 1, ..Request::new(request, class, give_up) }));
+                    bench.give(Event::Request(Request { body_streaming: step == 1, ..Request::new(request, class, give_up) }));
                 }
                 2 if seen.out > 0 => {
                     seen.spent = true;
-                    bench.give(Event::Spent { request });
+                    bench.give(Event::BodyForwardingStarted { request });
                 }
-                3 => bench.give(Event::Complete { request, give_up_at: bench.now + MS(1200) }),
+                3 => bench.give(Event::BodyForwarded { request, client_deadline: bench.now + MS(1200) }),
                 4 if seen.out > 0 && !seen.over => {
                     (seen.over, seen.out) = (true, 0);
-                    bench.give(Event::Started { request, attempt, latency: MS(ms) });
+                    bench.give(Event::ResponseStarted { request, attempt, latency: MS(ms) });
                 }
                 5 if seen.out > 0 => {
                     let how = [Outcome::NoConnection, Outcome::Reset, Outcome::TimedOut, Outcome::Rejected][(ms % 4) as usize];
                     seen.out = 0;
                     let over = seen.over;
-                    bench.give(Event::Outcome { request, attempt, latency: MS(ms), outcome: how, over });
+                    bench.give(Event::AttemptEnded { request, attempt, latency: MS(ms), outcome: how, request_ended: over });
                 }
                 6 => {
                     seen.over |= seen.known;
-                    bench.give(Event::Abandoned { request });
+                    bench.give(Event::ClientDisconnected { request });
                 }
                 7 => bench.give(Event::Timer { token: id }),
                 8 => {
-                    let mut new = Settings { second_copies: false, ..settings() };
-                    new.classes[(ms % 6) as usize].dropped = true;
+                    let mut new = Settings { hedging_allowed: false, ..settings() };
+                    new.classes[(ms % 6) as usize].retired = true;
                     new.max_attempts = 1 + (ms % 4) as u32;
                     bench.b.retune(new);
                     bench.last.clear();
@@ -251,7 +270,7 @@
                         prop_assert!(!seen.over && seen.out == 0 && !seen.spent, "{:?}", action);
                         (seen.sends, seen.out) = (seen.sends + 1, 1);
                     }
-                    Action::Refuse { request, .. } | Action::Fail { request } => {
+                    Action::Reject { request, .. } | Action::Fail { request } => {
                         let seen = told.entry(request.0).or_default();
                         prop_assert!(!seen.over && seen.out == 0, "{:?}", action);
                         seen.over = true;
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -13,21 +13,21 @@
 
 pub fn settings() -> Settings {
     let ms = Duration::from_millis;
-    let class = |effect| Class { effect, ..Class::new(ms(300), ms(1200)) };
-    let keyed = |group| Effect::Keyed { group, window: ms(500) };
+    let class = |effect| RequestClass { idempotency: effect, ..RequestClass::new(ms(300), ms(1200)) };
+    let keyed = |group| Idempotency::IdempotencyKey { scope: group, window: ms(500) };
     Settings {
-        gateways: 4,
+        gateway_count: 4,
         classes: vec![
-            class(Effect::Safe),
-            class(keyed(Group::All)),
-            class(keyed(Group::Zone)),
-            class(keyed(Group::Cell)),
-            class(Effect::Unsafe),
-            Class { late_worth: 0.3, ..class(Effect::Unsafe) },
+            class(Idempotency::Idempotent),
+            class(keyed(KeyScope::All)),
+            class(keyed(KeyScope::Zone)),
+            class(keyed(KeyScope::Cell)),
+            class(Idempotency::NotIdempotent),
+            RequestClass { late_value_fraction: 0.3, ..class(Idempotency::NotIdempotent) },
         ],
         max_attempts: 4,
-        cold_from: 0.15,
-        cold_for: Duration::from_secs_f64(COLD_S),
+        slow_start_min_capacity: 0.15,
+        slow_start_duration: Duration::from_secs_f64(COLD_S),
         ..Settings::default()
     }
 }
@@ -39,13 +39,13 @@
         set.classes[class].sequential = true;
     }
     let (key_rest, release_within) = (Duration::from_millis(50), Some(Duration::from_millis(400)));
-    Settings { key_rest, release_within, ..set }
+    Settings { key_quiet_period: key_rest, drain_close_within: release_within, ..set }
 }
 
 #[derive(Clone)]
 pub struct Sent {
     /// The host as it was listed then.
-    pub entry: Host,
+    pub entry: Endpoint,
     pub host: u32,
     pub at: Duration,
     pub outcome: Option<Outcome>,
@@ -78,7 +78,7 @@
 /// Checks actions against the rules as the page states them; it knows nothing of how they were chosen.
 pub struct Checker {
     pub settings: Settings,
-    pub hosts: BTreeMap<u32, Host>,
+    pub hosts: BTreeMap<u32, Endpoint>,
     pub requests: BTreeMap<u64, Open>,
     /// Per draining host: when its idle connections became due for closing.
     pub unclosed: BTreeMap<u32, Duration>,
@@ -94,18 +94,18 @@
     }
 
     /// Host news: a drain starts the time for closing; a host that is back or gone has none.
-    pub fn learn(&mut self, now: Duration, host: &Host) {
+    pub fn learn(&mut self, now: Duration, host: &Endpoint) {
         let before = self.hosts.insert(host.id.0, host.clone()).map(|h| h.state);
-        if host.state != HostState::Draining {
+        if host.state != EndpointState::Draining {
             self.unclosed.remove(&host.id.0);
-        } else if before != Some(HostState::Draining) {
+        } else if before != Some(EndpointState::Draining) {
             self.unclosed.insert(host.id.0, now);
         }
     }
 
     /// A send or outcome at a host: while it drains, its connections are due for closing anew.
     pub fn used(&mut self, now: Duration, host: u32) {
-        if self.hosts[&host].state == HostState::Draining {
+        if self.hosts[&host].state == EndpointState::Draining {
             self.unclosed.insert(host, now);
         }
     }
@@ -117,7 +117,7 @@
                 self.seen.broken.insert("not answered in time");
             }
         }
-        if let Some(within) = self.settings.release_within {
+        if let Some(within) = self.settings.drain_close_within {
             if self.unclosed.values().any(|&since| now > since + within) {
                 self.seen.broken.insert("left connections to a draining host open");
             }
@@ -131,7 +131,7 @@
         let rests = |s: &Sent| match s.outcome {
             None => true,
             Some(Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) => {
-                now < s.ended + self.settings.key_rest
+                now < s.ended + self.settings.key_quiet_period
             }
             Some(_) => false,
         };
@@ -148,13 +148,16 @@
         for action in actions {
             self.seen.log.push((now, action.clone()));
             match action {
-                Action::Send { request, host, until, write_by } => {
+                Action::Send { request, endpoint: host, deadline: until, write_by } => {
                     self.send(now, request.0, host.0, *until, *write_by)
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let req = self.requests.get_mut(&request.0).expect("refused a known request");
-                    let effect = self.settings.classes[req.class].effect;
-                    let harmless = matches!(effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+                    let effect = self.settings.classes[req.class].idempotency;
+                    let harmless = matches!(
+                        effect,
+                        Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
+                    );
                     if !harmless && req.sent.iter().any(Self::may_have_run) {
                         self.seen.broken.insert("refused what may have run");
                     }
@@ -165,15 +168,15 @@
                     self.seen.failed += 1;
                     self.answer(request.0);
                 }
-                Action::Wake { after, token } => self.timers.push((now + *after, *token)),
+                Action::SetTimer { after, token } => self.timers.push((now + *after, *token)),
                 Action::Cancel { request, attempt } => {
                     assert!(self.requests[&request.0].sent.get(*attempt as usize).is_some());
                 }
-                Action::Close { host } => {
+                Action::CloseIdleConnections { endpoint: host } => {
                     self.unclosed.remove(&host.0);
                     self.seen.closed += 1;
                 }
-                Action::Probe { .. } | Action::Subscribe | Action::Until { .. } => {}
+                Action::Probe { .. } | Action::PollDiscovery | Action::SetAttemptDeadline { .. } => {}
             }
         }
     }
@@ -199,23 +202,29 @@
         };
         rule(req.over, "sent after the end");
         rule(out_of_turn, "sent out of turn");
-        rule(entry.state != HostState::Up, "sent to a host that drains or is gone");
+        rule(entry.state != EndpointState::Up, "sent to a host that drains or is gone");
         rule(until > req.give_up, "sent beyond the client's time");
         rule(req.sent.len() as u32 >= self.settings.max_attempts, "too many attempts");
         let out = req.sent.iter().filter(|s| s.outcome.is_none()).count();
-        rule(out > usize::from(self.settings.second_copies), "too many attempts out at once");
+        rule(out > usize::from(self.settings.hedging_allowed), "too many attempts out at once");
         let mut known_until = None;
         for earlier in req.sent.iter().filter(|s| Self::may_have_run(s)) {
             let first = &earlier.entry; // as it was listed then: that is whom it told of the key
-            match self.settings.classes[req.class].effect {
-                Effect::Safe => {}
-                Effect::Unsafe => rule(true, "ran an unsafe request twice"),
-                Effect::Keyed { group, window } => {
+            match self.settings.classes[req.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NotIdempotent => rule(true, "ran an unsafe request twice"),
+                Idempotency::IdempotencyKey { scope: group, window } => {
                     let until = (earlier.at + window).saturating_sub(HELD_UP);
                     known_until = known_until.into_iter().chain([until]).min();
                     rule(now >= until, "repeated a key after its window");
-                    rule(group == Group::Zone && first.zone != entry.zone, "repeated a key outside its zone");
-                    rule(group == Group::Cell && first.cell != entry.cell, "repeated a key outside its cell");
+                    rule(
+                        group == KeyScope::Zone && first.zone != entry.zone,
+                        "repeated a key outside its zone",
+                    );
+                    rule(
+                        group == KeyScope::Cell && first.cell != entry.cell,
+                        "repeated a key outside its cell",
+                    );
                 }
             }
         }
@@ -227,7 +236,7 @@
         rule(wrong, "may be written at another time than hosts know its key");
         self.seen.repeats += u64::from(!req.sent.is_empty());
         self.seen.sends += 1;
-        let cold = entry.started.is_some_and(|s| now < s + self.settings.cold_for);
+        let cold = entry.started.is_some_and(|s| now < s + self.settings.slow_start_duration);
         self.seen.cold_sends += u64::from(cold);
         req.sent.push(Sent { host, entry, at: now, outcome: None, ended: now });
     }
@@ -253,29 +262,29 @@
             next: 0,
             pending: Vec::new(),
         };
-        let list: Vec<Host> = (0..HOSTS).map(|i| host(i, None)).collect();
+        let list: Vec<Endpoint> = (0..HOSTS).map(|i| host(i, None)).collect();
         play.news(true, &list);
         play
     }
 
-    pub fn news(&mut self, full: bool, list: &[Host]) {
+    pub fn news(&mut self, full: bool, list: &[Endpoint]) {
         if full {
-            let gone: Vec<Host> = self.check.hosts.values().cloned().collect();
+            let gone: Vec<Endpoint> = self.check.hosts.values().cloned().collect();
             for h in gone.into_iter().filter(|h| list.iter().all(|l| l.id != h.id)) {
-                self.check.learn(self.now, &Host { state: HostState::Removed, ..h });
+                self.check.learn(self.now, &Endpoint { state: EndpointState::Removed, ..h });
             }
         }
         for h in list {
             self.check.learn(self.now, h);
         }
-        self.give(Event::Hosts { full, hosts: list });
+        self.give(Event::EndpointList { is_snapshot: full, endpoints: list });
     }
 
     pub fn give(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for a in &actions {
-            if let Action::Send { request, until, .. } = a {
+            if let Action::Send { request, deadline: until, .. } = a {
                 let n = self.check.requests[&request.0].sent.len() as u32;
                 let ends = self.now + Duration::from_micros(self.rng.u64(500..180_000));
                 let sends =
@@ -323,7 +332,7 @@
             let over = req.over;
             self.check.used(now, host);
             let request = RequestId(id);
-            self.give(Event::Outcome { request, attempt, latency, outcome, over });
+            self.give(Event::AttemptEnded { request, attempt, latency, outcome, request_ended: over });
         }
         let due: Vec<_> = self.check.timers.iter().filter(|t| t.0 <= now).map(|t| t.1).collect();
         self.check.timers.retain(|t| t.0 > now);
@@ -342,19 +351,19 @@
                 self.request(class);
             }
             if self.rng.u32(0..60) == 0 {
-                let (host, left) = (HostId(self.rng.u32(0..HOSTS + 2)), self.rng.usize(0..2));
+                let (host, left) = (EndpointId(self.rng.u32(0..HOSTS + 2)), self.rng.usize(0..2));
                 let idle = Duration::from_millis(self.rng.u64(0..5000));
-                self.give(Event::Closed { host, idle, left });
+                self.give(Event::IdleConnectionClosed { endpoint: host, idle, remaining: left });
             }
             if self.rng.u32(0..150) == 0 {
                 let i = self.rng.u32(0..HOSTS);
                 let mut h = self.check.hosts[&i].clone();
                 h.state = match h.state {
-                    HostState::Up => HostState::Draining,
-                    HostState::Draining => HostState::Removed,
-                    HostState::Removed => HostState::Up,
+                    EndpointState::Up => EndpointState::Draining,
+                    EndpointState::Draining => EndpointState::Removed,
+                    EndpointState::Removed => EndpointState::Up,
                 };
-                if h.state == HostState::Up {
+                if h.state == EndpointState::Up {
                     h.started = Some(self.now);
                 }
                 self.news(false, &[h]);
@@ -366,8 +375,8 @@
     }
 }
 
-pub fn host(i: u32, started: Option<Duration>) -> Host {
-    Host { zone: i % 2, cell: i / 3, started, ..Host::new(HostId(i), &format!("10.0.0.{i}:80")) }
+pub fn host(i: u32, started: Option<Duration>) -> Endpoint {
+    Endpoint { zone: i % 2, cell: i / 3, started, ..Endpoint::new(EndpointId(i), &format!("10.0.0.{i}:80")) }
 }
 
 /// One module, told one thing after another.
@@ -386,8 +395,8 @@
     pub fn seeded(settings: Settings, hosts: u32, seed: u64) -> Self {
         let mut bench =
             Bench { b: Balancer::new(settings, seed), now: Duration::from_secs(5), id: 0, last: vec![] };
-        let list: Vec<Host> = (0..hosts).map(|i| Host { zone: 0, ..host(i, None) }).collect();
-        bench.give(Event::Hosts { full: true, hosts: &list });
+        let list: Vec<Endpoint> = (0..hosts).map(|i| Endpoint { zone: 0, ..host(i, None) }).collect();
+        bench.give(Event::EndpointList { is_snapshot: true, endpoints: &list });
         bench
     }
 
@@ -406,13 +415,19 @@
     }
 
     pub fn sent_to(&self) -> Option<u32> {
-        self.last.iter().find_map(|a| if let Action::Send { host, .. } = a { Some(host.0) } else { None })
+        self.last.iter().find_map(|a| {
+            if let Action::Send { endpoint: host, .. } = a {
+                Some(host.0)
+            } else {
+                None
+            }
+        })
     }
 
     pub fn outcome(&mut self, id: u64, attempt: u32, latency: Duration, outcome: Outcome) {
         let over = outcome == Outcome::Served;
         let request = RequestId(id);
-        self.give(Event::Outcome { request, attempt, latency, outcome, over });
+        self.give(Event::AttemptEnded { request, attempt, latency, outcome, request_ended: over });
     }
 
     /// `n` requests one after another, each host taking its own time.
--- a/crates/balancer/tests/reports.rs
+++ b/crates/balancer/tests/reports.rs
@@ -27,42 +27,42 @@
         gateways in prop_oneof![Just(1u32), Just(45), Just(250)],
         seed in any::<u64>(),
     ) {
-        let mut balancer = Balancer::new(Settings { gateways, second_copies: false, ..settings() }, seed);
-        let hosts: Vec<Host> = (0..4).map(|i| Host { zone: 0, ..host(i, None) }).collect();
+        let mut balancer = Balancer::new(Settings { gateway_count: gateways, hedging_allowed: false, ..settings() }, seed);
+        let hosts: Vec<Endpoint> = (0..4).map(|i| Endpoint { zone: 0, ..host(i, None) }).collect();
         let mut now = Duration::from_secs(100);
         let mut actions = Vec::new();
-        balancer.handle(now, Event::Hosts { full: true, hosts: &hosts }, &mut actions);
+        balancer.handle(now, Event::EndpointList { is_snapshot: true, endpoints: &hosts }, &mut actions);
         let mut id = 0;
         let mut met = [0u32; 4];
         type Told = ((u32, LoadReport), (u32, u64, usize));
         let mut serve = |now: &mut Duration, told: Option<Told>, met: &mut [u32; 4]| {
             let mut actions = Vec::new();
             if let Some(((host, report), (closed, idle, left))) = told {
-                balancer.handle(*now, Event::Load { host: HostId(host), report }, &mut actions);
-                let (host, idle) = (HostId(closed), Duration::from_millis(idle));
-                balancer.handle(*now, Event::Closed { host, idle, left }, &mut actions);
+                balancer.handle(*now, Event::LoadReport { endpoint: EndpointId(host), report }, &mut actions);
+                let (host, idle) = (EndpointId(closed), Duration::from_millis(idle));
+                balancer.handle(*now, Event::IdleConnectionClosed { endpoint: host, idle, remaining: left }, &mut actions);
             }
             id += 1;
             let request = RequestId(id);
             let give_up = *now + Duration::from_secs(1);
             balancer.handle(*now, Event::Request(Request::new(request, 0, give_up)), &mut actions);
             let sent = actions.iter().find_map(|a| match a {
-                Action::Send { host, .. } => Some(*host),
+                Action::Send { endpoint: host, .. } => Some(*host),
                 _ => None,
             });
-            let refused = actions.iter().any(|a| matches!(a, Action::Refuse { .. }));
+            let refused = actions.iter().any(|a| matches!(a, Action::Reject { .. }));
             *now += Duration::from_millis(20);
             if let Some(host) = sent {
                 met[host.0 as usize] += 1;
                 let (latency, outcome) = (Duration::from_millis(20), Outcome::Served);
-                let event = Event::Outcome { request, attempt: 0, latency, outcome, over: true };
+                let event = Event::AttemptEnded { request, attempt: 0, latency, outcome, request_ended: true };
                 balancer.handle(*now, event, &mut actions);
             }
             (sent.is_some(), refused)
         };
         for ((host, qps, inflight, pause), close) in reports.into_iter().zip(closes) {
             now += Duration::from_millis(pause);
-            let told = (host, LoadReport { qps, inflight });
+            let told = (host, LoadReport { requests_per_second: qps, in_flight: inflight });
             let (sent, refused) = serve(&mut now, Some((told, close)), &mut met);
             prop_assert!(!(sent && refused), "a request was sent and refused");
         }
@@ -79,8 +79,8 @@
     #[test]
     fn any_text_is_read_without_a_fault(text in ".{0,200}", row in prop::collection::vec(any::<f64>(), 0..4)) {
         let json = r#"{"stats":{"how":"inline","fields":["qps","inflight"]}}"#;
-        let fields = load_report::ReportFields::parse(json).expect("settings");
-        let read = [fields.in_text(&text), fields.in_text(&format!("TEXT {text}")), fields.in_row(&row)];
+        let fields = load_report::LoadReportFields::parse(json).expect("settings");
+        let read = [fields.parse_header(&text), fields.parse_header(&format!("TEXT {text}")), fields.parse_row(&row)];
         for report in read.into_iter().flatten() {
             prop_assert_eq!(report.checked(), Some(report));
         }
--- a/crates/balancer/tests/rules.rs
+++ b/crates/balancer/tests/rules.rs
@@ -12,8 +12,8 @@
         for (second_copies, set) in
             [(true, settings()), (false, settings()), (true, further()), (false, further())]
         {
-            let closes = set.release_within.is_some();
-            let mut play = Play::new(Settings { second_copies, ..set }, seed);
+            let closes = set.drain_close_within.is_some();
+            let mut play = Play::new(Settings { hedging_allowed: second_copies, ..set }, seed);
             play.day(1500);
             let seen = &play.check.seen;
             assert!(seen.broken.is_empty(), "seed {seed}: {:?}", seen.broken);
@@ -36,8 +36,12 @@
         c
     };
     let sent = |outcome| vec![Sent { host: 0, entry: host(0, None), at: sec(10), outcome, ended: sec(10) }];
-    let send_by =
-        |host, write_by| Action::Send { request: RequestId(1), host: HostId(host), until: sec(11), write_by };
+    let send_by = |host, write_by| Action::Send {
+        request: RequestId(1),
+        endpoint: EndpointId(host),
+        deadline: sec(11),
+        write_by,
+    };
     let send = |host| send_by(host, None);
     let finds = |mut c: Checker, req: Open, action: Action, name: &str| {
         c.requests.insert(1, req);
@@ -62,10 +66,10 @@
         send_by(1, Some(known)),
         "repeated a key outside its zone",
     );
-    let refuse = Action::Refuse { request: RequestId(1), keep_away: Duration::ZERO };
+    let refuse = Action::Reject { request: RequestId(1), retry_after: Duration::ZERO };
     finds(fresh(), request(3, sent(Some(Outcome::Error))), refuse, "refused what may have run");
     let mut draining = fresh();
-    draining.hosts.get_mut(&1).unwrap().state = HostState::Draining;
+    draining.hosts.get_mut(&1).unwrap().state = EndpointState::Draining;
     finds(draining, request(0, vec![]), send(1), "sent to a host that drains or is gone");
     let mut clean = fresh();
     clean.requests.insert(1, request(4, sent(Some(Outcome::Rejected))));
@@ -89,8 +93,8 @@
         c.requests.insert(1, Open { class: 0, key: Some(7), give_up: sec(11), sent, over, answered: 0 });
         let second = Open { class, key: Some(key), give_up: sec(11), sent: vec![], over: false, answered: 0 };
         c.requests.insert(2, second);
-        let (request, host, until) = (RequestId(2), HostId(1), sec(11));
-        c.take(sec(10) + after, &[Action::Send { request, host, until, write_by: None }]);
+        let (request, host, until) = (RequestId(2), EndpointId(1), sec(11));
+        c.take(sec(10) + after, &[Action::Send { request, endpoint: host, deadline: until, write_by: None }]);
         c.seen.broken.contains("sent out of turn")
     };
     assert!(out_of_turn(None, false, ms(5), 0, 7), "the first is still out");
@@ -102,10 +106,10 @@
     assert!(!out_of_turn(None, false, ms(5), 1, 7), "a class that takes no turns");
 
     let mut c = Checker::new(further());
-    c.learn(sec(10), &Host { state: HostState::Draining, ..host(3, None) });
+    c.learn(sec(10), &Endpoint { state: EndpointState::Draining, ..host(3, None) });
     c.look(sec(10) + ms(400));
     assert!(c.seen.broken.is_empty(), "there is time yet");
-    c.take(sec(10) + ms(400), &[Action::Close { host: HostId(3) }]);
+    c.take(sec(10) + ms(400), &[Action::CloseIdleConnections { endpoint: EndpointId(3) }]);
     c.look(sec(12));
     assert!(c.seen.broken.is_empty(), "closed");
     c.used(sec(12), 3);
@@ -116,10 +120,14 @@
 /// Guards against a queue on one hot key that costs more per event the longer it is.
 #[test]
 fn a_hot_key_is_served_in_order_and_its_waiting_requests_end_in_time() {
-    let mut b = Balancer::new(Settings { gateways: 1, ..further() }, 1);
+    let mut b = Balancer::new(Settings { gateway_count: 1, ..further() }, 1);
     let mut actions = Vec::new();
     let at = Duration::from_millis;
-    b.handle(at(0), Event::Hosts { full: true, hosts: &[host(0, None), host(2, None)] }, &mut actions);
+    b.handle(
+        at(0),
+        Event::EndpointList { is_snapshot: true, endpoints: &[host(0, None), host(2, None)] },
+        &mut actions,
+    );
     actions.clear();
     for id in 1..=4000 {
         let request = Request { key: Some(9), ..Request::new(RequestId(id), 0, at(1000)) };
@@ -132,17 +140,17 @@
     assert_eq!(sends(&actions), [1]);
     let outcome = |request, outcome, over| {
         let (request, latency) = (RequestId(request), at(9));
-        Event::Outcome { request, attempt: 0, latency, outcome, over }
+        Event::AttemptEnded { request, attempt: 0, latency, outcome, request_ended: over }
     };
     actions.clear();
     b.handle(at(10), outcome(1, Outcome::Served, true), &mut actions);
     assert_eq!(sends(&actions), [2], "served: the next at once");
     actions.clear();
-    b.handle(at(15), Event::Abandoned { request: RequestId(2) }, &mut actions);
+    b.handle(at(15), Event::ClientDisconnected { request: RequestId(2) }, &mut actions);
     assert_eq!(actions, [Action::Cancel { request: RequestId(2), attempt: 0 }]);
     actions.clear();
     b.handle(at(20), outcome(2, Outcome::Cancelled, true), &mut actions);
-    let rest = Action::Wake { after: at(50), token: 3 };
+    let rest = Action::SetTimer { after: at(50), token: 3 };
     assert_eq!(actions, [rest], "called off: the key rests");
     actions.clear();
     b.handle(at(70), Event::Timer { token: 3 }, &mut actions);
@@ -151,7 +159,7 @@
     actions.clear();
     (4..=4000).for_each(|token| b.handle(at(310), Event::Timer { token }, &mut actions));
     assert_eq!(actions.len(), 3997);
-    assert!(actions.iter().all(|a| matches!(a, Action::Refuse { .. })));
+    assert!(actions.iter().all(|a| matches!(a, Action::Reject { .. })));
 }
 
 /// Guards against many gateways' first sends meeting at a host just started.
@@ -159,7 +167,7 @@
 fn a_cold_host_gets_its_share_only_and_later_more() {
     let (mut early, mut late, mut warm) = (0, 0, 0);
     for seed in 0..10 {
-        let mut play = Play::new(Settings { gateways: 4, ..settings() }, seed);
+        let mut play = Play::new(Settings { gateway_count: 4, ..settings() }, seed);
         let run = |play: &mut Play, ticks| {
             let before = play.check.seen.cold_sends;
             let all = play.check.seen.sends;
@@ -190,7 +198,7 @@
         play.tick();
         play.request(0);
     }
-    let list: Vec<Host> = (0..HOSTS).map(|i| host(i, Some(play.now))).collect();
+    let list: Vec<Endpoint> = (0..HOSTS).map(|i| host(i, Some(play.now))).collect();
     play.news(true, &list);
     let before = play.check.seen.sends;
     for _ in 0..200 {
@@ -205,13 +213,13 @@
 #[test]
 fn a_host_missing_from_a_full_list_is_gone_and_one_back_with_a_new_start_is_cold() {
     let mut play = Play::new(settings(), 9);
-    let list: Vec<Host> = (1..HOSTS).map(|i| host(i, None)).collect();
+    let list: Vec<Endpoint> = (1..HOSTS).map(|i| host(i, None)).collect();
     play.news(true, &list);
     for _ in 0..200 {
         play.tick();
         play.request(0);
     }
-    let to_0 = |a: &(Duration, Action)| matches!(a.1, Action::Send { host: HostId(0), .. });
+    let to_0 = |a: &(Duration, Action)| matches!(a.1, Action::Send { endpoint: EndpointId(0), .. });
     assert!(!play.check.seen.log.iter().any(to_0));
     assert!(play.check.seen.broken.is_empty(), "{:?}", play.check.seen.broken);
 }
--- a/crates/control/src/classes.rs
+++ b/crates/control/src/classes.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 use std::time::Duration;
-use weldworks_balancer::{Class, Effect};
+use weldworks_balancer::{Idempotency, RequestClass};
 
 /// Clients go on using a class for so long after the settings have dropped it, or given its name other rules: they turn to the new one
 /// 1.2 s after the file, and what they sent just before then is still on its way.
@@ -19,7 +19,7 @@
     /// Its number for the decision module.
     pub number: usize,
     /// Its rules.
-    pub class: Class,
+    pub class: RequestClass,
 }
 
 /// What a request looks like, as far as its class shows in it.
@@ -33,11 +33,11 @@
 
 impl Form {
     /// That of the requests of a class.
-    pub fn of(class: &Class) -> Form {
-        match class.effect {
-            Effect::Safe => Form { writes: false, keyed: false },
-            Effect::Keyed { .. } => Form { writes: true, keyed: true },
-            Effect::Unsafe => Form { writes: true, keyed: false },
+    pub fn of(class: &RequestClass) -> Form {
+        match class.idempotency {
+            Idempotency::Idempotent => Form { writes: false, keyed: false },
+            Idempotency::IdempotencyKey { .. } => Form { writes: true, keyed: true },
+            Idempotency::NotIdempotent => Form { writes: true, keyed: false },
         }
     }
 }
@@ -88,8 +88,8 @@
 
 impl Classes {
     /// Takes the classes of new settings at this moment. One that is as before stays what it is; any other gets a number that nobody holds.
-    pub fn take(&mut self, now: Duration, named: impl IntoIterator<Item = (String, Class)>) {
-        let mut new: Vec<(String, Class)> = named.into_iter().collect();
+    pub fn take(&mut self, now: Duration, named: impl IntoIterator<Item = (String, RequestClass)>) {
+        let mut new: Vec<(String, RequestClass)> = named.into_iter().collect();
         self.leaving.retain(|(_, since)| now < *since + GRACE);
         for (kept, live) in &mut self.slots {
             let same = new.iter().position(|(name, class)| *name == kept.name && *class == kept.class);
@@ -125,8 +125,8 @@
     }
 
     /// The rules by number, as the decision module wants them: those that have left the settings are marked.
-    pub fn by_number(&self) -> Vec<Class> {
-        let rules = |(kept, live): &(Rc<Kept>, bool)| Class { dropped: !live, ..kept.class.clone() };
+    pub fn by_number(&self) -> Vec<RequestClass> {
+        let rules = |(kept, live): &(Rc<Kept>, bool)| RequestClass { retired: !live, ..kept.class.clone() };
         self.slots.iter().map(rules).collect()
     }
 }
--- a/crates/control/src/handover.rs
+++ b/crates/control/src/handover.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write as _;
 use std::time::Duration;
-use weldworks_balancer::{HostMemory, Memory};
+use weldworks_balancer::{EndpointSnapshot, Snapshot};
 
 /// The first line: whose it is, and its version. Another version is passed over.
 const HEAD: &str = "ottervane-handover 2";
@@ -37,13 +37,19 @@
 }
 
 /// The text of a memory, written at this moment of the machine's monotonic clock, which a step of the wall clock does not move.
-pub fn write(memory: &Memory, now: Duration) -> String {
-    let [served, asked, warm] = memory.rates;
+pub fn write(memory: &Snapshot, now: Duration) -> String {
     let mut text = format!("{HEAD}\nwritten {}\n", now.as_millis());
-    let _ = writeln!(text, "traffic {served} {asked} {warm} {}", memory.latency);
-    let hosts = &memory.hosts[..memory.hosts.len().min(MOST)];
+    let _ = writeln!(
+        text,
+        "traffic {} {} {} {}",
+        memory.served_per_s,
+        memory.first_attempts_per_s,
+        memory.served_per_warm_endpoint_per_s,
+        memory.mean_latency_s
+    );
+    let hosts = &memory.endpoints[..memory.endpoints.len().min(MOST)];
     for host in hosts {
-        let _ = writeln!(text, "host {:016x} {}", host.hash, host.e);
+        let _ = writeln!(text, "host {:016x} {}", host.name_hash, host.latency_estimate_s);
     }
     let _ = writeln!(text, "end {}", hosts.len());
     text
@@ -53,7 +59,7 @@
 ///
 /// # Errors
 /// Why it is to be passed over.
-pub fn read(text: &str, now: Duration) -> Result<Memory, Unfit> {
+pub fn read(text: &str, now: Duration) -> Result<Snapshot, Unfit> {
     if text.len() > LONGEST {
         return Err(Unfit::Long);
     }
@@ -76,24 +82,33 @@
     let figures = line.strip_prefix("traffic ").map(|rest| rest.split(' ').map(str::parse::<f64>));
     let figures: Option<Vec<f64>> = figures.and_then(|f| f.collect::<Result<_, _>>().ok());
     let Some(&[served, asked, warm, latency]) = figures.as_deref() else { return Err(Unfit::Figure(n)) };
-    let mut memory = Memory { hosts: Vec::new(), rates: [served, asked, warm], latency };
-    if !memory.holds() {
+    let mut memory = Snapshot {
+        endpoints: Vec::new(),
+        served_per_s: served,
+        first_attempts_per_s: asked,
+        served_per_warm_endpoint_per_s: warm,
+        mean_latency_s: latency,
+    };
+    if !memory.is_valid() {
         return Err(Unfit::Figure(n));
     }
     loop {
         let (n, line) = next()?;
         if let Some(count) = line.strip_prefix("end ") {
-            let whole = count.parse() == Ok(memory.hosts.len()) && next() == Err(Unfit::Torn);
+            let whole = count.parse() == Ok(memory.endpoints.len()) && next() == Err(Unfit::Torn);
             return if whole { Ok(memory) } else { Err(Unfit::Torn) };
         }
         let host = line.strip_prefix("host ").and_then(|rest| rest.split_once(' ')).and_then(|(hash, e)| {
-            Some(HostMemory { hash: u64::from_str_radix(hash, 16).ok()?, e: e.parse().ok()? })
+            Some(EndpointSnapshot {
+                name_hash: u64::from_str_radix(hash, 16).ok()?,
+                latency_estimate_s: e.parse().ok()?,
+            })
         });
         let host = host.ok_or(Unfit::Figure(n))?;
-        if !(Memory { hosts: vec![host], ..Memory::default() }).holds() {
+        if !(Snapshot { endpoints: vec![host], ..Snapshot::default() }).is_valid() {
             return Err(Unfit::Figure(n));
         }
-        memory.hosts.push(host);
+        memory.endpoints.push(host);
     }
 }
 
--- a/crates/control/tests/execution.rs
+++ b/crates/control/tests/execution.rs
@@ -21,7 +21,7 @@
         assert_eq!([n, p, w].map(|written| outcome(written, ended)), outcomes, "{ended:?}");
         // The rule behind it: but for a host's own word, only what lacks its last byte has surely not run.
         let own_word = ended == Answered(Said::NotProcessed);
-        assert!(own_word || !outcome(w, ended).never_ran(), "{ended:?}");
+        assert!(own_word || !outcome(w, ended).proves_not_processed(), "{ended:?}");
     }
 }
 
--- a/crates/control/tests/handover.rs
+++ b/crates/control/tests/handover.rs
@@ -2,19 +2,22 @@
 
 use proptest::prelude::*;
 use std::time::Duration;
-use weldworks_balancer::{HostMemory, Memory};
+use weldworks_balancer::{EndpointSnapshot, Snapshot};
 use weldworks_control::handover::{left, read, write, Awaited, Entry, Held, Unfit, LONGEST, OLDEST};
 
 const NOW: Duration = Duration::from_secs(1_800_000_000);
 
-fn memory() -> impl Strategy<Value = Memory> {
-    let host = (any::<u64>(), 1e-6..500.0f64).prop_map(|(hash, e)| HostMemory { hash, e });
+fn snapshot(endpoints: Vec<EndpointSnapshot>, rates: [f64; 3], mean_latency_s: f64) -> Snapshot {
+    let [served_per_s, first_attempts_per_s, served_per_warm_endpoint_per_s] = rates;
+    Snapshot { endpoints, served_per_s, first_attempts_per_s, served_per_warm_endpoint_per_s, mean_latency_s }
+}
+
+fn memory() -> impl Strategy<Value = Snapshot> {
+    let host = (any::<u64>(), 1e-6..500.0f64)
+        .prop_map(|(hash, e)| EndpointSnapshot { name_hash: hash, latency_estimate_s: e });
     let rates = [0.0..1e6f64, 0.0..1e6f64, 0.0..1e3f64];
-    (prop::collection::vec(host, 0..40), rates, 0.0..10.0f64).prop_map(|(hosts, rates, latency)| Memory {
-        hosts,
-        rates,
-        latency,
-    })
+    (prop::collection::vec(host, 0..40), rates, 0.0..10.0f64)
+        .prop_map(|(endpoints, rates, mean_latency_s)| snapshot(endpoints, rates, mean_latency_s))
 }
 
 proptest! {
@@ -34,7 +37,7 @@
         spoilt[at.index(text.len())] = byte;
         // A digit may have become another one: then the figures hold, and are as good as any.
         if let Ok(memory) = read(&String::from_utf8_lossy(&spoilt), NOW) {
-            prop_assert!(memory.holds());
+            prop_assert!(memory.is_valid());
         }
     }
 
@@ -47,7 +50,7 @@
 #[test]
 fn what_can_not_be_is_told_with_its_line() {
     let memory =
-        Memory { hosts: vec![HostMemory { hash: 7, e: 0.05 }], rates: [10.0, 12.0, 3.0], latency: 0.05 };
+        snapshot(vec![EndpointSnapshot { name_hash: 7, latency_estimate_s: 0.05 }], [10.0, 12.0, 3.0], 0.05);
     let text = write(&memory, NOW);
     assert_eq!(read(&text.replace("handover 2", "handover 1"), NOW), Err(Unfit::Foreign));
     assert_eq!(read("", NOW), Err(Unfit::Foreign));
@@ -122,7 +125,7 @@
     let text = include_str!("fixtures/hot-restart-snapshot.txt");
     let memory = read(text, NOW).expect("it is read");
     let hosts = [(0x00ff_1234_5678_9abc, 0.05), (u64::MAX, 1e-6), (7, 0.123_456_789_012_345_68), (9, 600.0)];
-    let hosts = hosts.map(|(hash, e)| HostMemory { hash, e }).into();
-    assert_eq!(memory, Memory { hosts, rates: [10.25, 12.5, 0.1 + 0.2], latency: 0.0875 });
+    let hosts = hosts.map(|(hash, e)| EndpointSnapshot { name_hash: hash, latency_estimate_s: e }).into();
+    assert_eq!(memory, snapshot(hosts, [10.25, 12.5, 0.1 + 0.2], 0.0875));
     assert_eq!(write(&memory, NOW), text);
 }
--- a/crates/control/tests/told.rs
+++ b/crates/control/tests/told.rs
@@ -3,7 +3,7 @@
 
 use proptest::prelude::*;
 use std::time::Duration;
-use weldworks_balancer::{Action, Balancer, Event, Host, HostId, Settings};
+use weldworks_balancer::{Action, Balancer, Endpoint, EndpointId, Event, Settings};
 use weldworks_control::rewatch::{GIVEN_UP, SILENCE};
 
 /// The latest at which a change may be known.
@@ -46,7 +46,8 @@
 
 impl Play {
     fn new(within: Duration, seed: u64) -> Play {
-        let module = Balancer::new(Settings { ask_within: Some(within), ..Settings::default() }, seed);
+        let module =
+            Balancer::new(Settings { discovery_poll_interval: Some(within), ..Settings::default() }, seed);
         let now = Duration::from_secs(1000);
         let mut play = Play { module, now, actions: Vec::new(), asks: None, calls: 0 };
         play.hear();
@@ -56,7 +57,7 @@
     fn give(&mut self, event: Event<'_>) {
         self.module.handle(self.now, event, &mut self.actions);
         for action in self.actions.drain(..) {
-            if let Action::Wake { after, token } = action {
+            if let Action::SetTimer { after, token } = action {
                 assert!(self.asks.is_none(), "one call at a time");
                 self.asks = Some((self.now + after, token));
             }
@@ -64,13 +65,13 @@
     }
 
     fn hear(&mut self) {
-        let hosts = [Host::new(HostId(0), "s-1")];
-        self.give(Event::Hosts { full: true, hosts: &hosts });
+        let hosts = [Endpoint::new(EndpointId(0), "s-1")];
+        self.give(Event::EndpointList { is_snapshot: true, endpoints: &hosts });
     }
 
     fn fail(&mut self, after: Duration, quiet: Duration) {
         self.now += after;
-        self.give(Event::DiscoveryFailed { quiet });
+        self.give(Event::DiscoveryFailed { silent_for: quiet });
     }
 
     /// Waits for the module to ask; it does so at this moment.
@@ -78,7 +79,7 @@
         let (at, token) = self.asks.take().expect("it asks again");
         self.now = at;
         self.module.handle(self.now, Event::Timer { token }, &mut self.actions);
-        assert_eq!(self.actions.drain(..).collect::<Vec<_>>(), [Action::Subscribe]);
+        assert_eq!(self.actions.drain(..).collect::<Vec<_>>(), [Action::PollDiscovery]);
         self.calls += 1;
     }
 }
--- a/crates/gateway/src/config/platform.rs
+++ b/crates/gateway/src/config/platform.rs
@@ -13,9 +13,9 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Duration;
-use weldworks_balancer::load_report::ReportFields;
+use weldworks_balancer::load_report::LoadReportFields;
 use weldworks_balancer::parse_settings;
-use weldworks_balancer::{stable_hash, Class, Settings};
+use weldworks_balancer::{stable_hash, RequestClass, Settings};
 use weldworks_fleet::version::digest;
 
 /// The least memory in which a few clients fit.
@@ -149,7 +149,7 @@
 
 impl Config {
     /// The classes with their names.
-    pub fn named_classes(&self) -> impl Iterator<Item = (String, Class)> + '_ {
+    pub fn named_classes(&self) -> impl Iterator<Item = (String, RequestClass)> + '_ {
         self.classes.iter().cloned().zip(self.settings.classes.iter().cloned())
     }
 
@@ -280,7 +280,7 @@
         }
         let raw: RawConfig = serde_json::from_str(text).map_err(malformed)?;
         let settings = parse_settings(raw.settings.get()).map_err(malformed)?;
-        let reports = ReportFields::parse(raw.settings.get()).map_err(malformed)?;
+        let reports = LoadReportFields::parse(raw.settings.get()).map_err(malformed)?;
         let names: RawNames = serde_json::from_str(raw.settings.get()).map_err(malformed)?;
         if raw.limits.sockets < LEAST_SOCKETS {
             let few = format!("{path}: {} descriptors, at least {LEAST_SOCKETS} needed", raw.limits.sockets);
--- a/crates/gateway/src/core/endpoints.rs
+++ b/crates/gateway/src/core/endpoints.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
-use weldworks_balancer::{Event, HostId, HostState};
+use weldworks_balancer::{EndpointId, EndpointState, Event};
 use weldworks_control::host_start::{self, Evidence};
 use weldworks_fleet::wire::Gone;
 
@@ -46,7 +46,7 @@
         self.faults = faults;
         if old {
             // The call that brought it is answered, with no news: the module would wait for its answer for ever.
-            return self.decide(Event::Hosts { full: false, hosts: &[] });
+            return self.decide(Event::EndpointList { is_snapshot: false, endpoints: &[] });
         }
         self.version = list.index;
         let before = self.departing(&list);
@@ -54,10 +54,10 @@
         if list.snapshot {
             // What a whole list lacks is gone.
             self.hosts.iter().for_each(|h| h.takes_work.set(false));
-            self.listed.iter_mut().for_each(|h| h.state = HostState::Removed);
+            self.listed.iter_mut().for_each(|h| h.state = EndpointState::Removed);
         }
         let starts = self.starts(&list, heard_before);
-        let news: Vec<weldworks_balancer::Host> =
+        let news: Vec<weldworks_balancer::Endpoint> =
             list.endpoints.iter().map(|e| self.host(e, &starts)).collect();
         for host in &news {
             match self.listed.get_mut(host.id.0 as usize) {
@@ -66,7 +66,7 @@
             }
         }
         if let Some(storm) = &mut self.storm {
-            let up = self.listed.iter().filter(|h| h.state == HostState::Up);
+            let up = self.listed.iter().filter(|h| h.state == EndpointState::Up);
             let up: Vec<_> = up.map(|h| weldworks_control::storm::Host { started: h.started }).collect();
             storm.hosts(self.handle.time(Instant::now()), &up);
         }
@@ -77,15 +77,16 @@
         self.pool.keep(|id| self.hosts.get(id.0 as usize).is_some_and(|h| h.takes_work.get()));
         self.handle.set_hosts_up(self.hosts.iter().any(|h| h.takes_work.get()));
         self.tell_departed(&before);
-        self.decide(Event::Hosts { full: list.snapshot, hosts: &news });
+        self.decide(Event::EndpointList { is_snapshot: list.snapshot, endpoints: &news });
     }
 
     /// Where the fleet is to be told: the hosts that a list is about to change and that take work, by name.
-    fn departing(&self, list: &List) -> Vec<(String, HostId)> {
+    fn departing(&self, list: &List) -> Vec<(String, EndpointId)> {
         let Some(fleet) = &self.fleet else { return Vec::new() };
         fleet.lists(list.index);
-        let up = |id: HostId| self.listed.get(id.0 as usize).is_some_and(|h| h.state == HostState::Up);
-        let taking = |(name, id): (&String, &HostId)| up(*id).then(|| (name.clone(), *id));
+        let up =
+            |id: EndpointId| self.listed.get(id.0 as usize).is_some_and(|h| h.state == EndpointState::Up);
+        let taking = |(name, id): (&String, &EndpointId)| up(*id).then(|| (name.clone(), *id));
         if list.snapshot {
             return self.host_ids.iter().filter_map(taking).collect();
         }
@@ -94,11 +95,12 @@
     }
 
     /// Tells the fleet which of these leave or are gone now.
-    fn tell_departed(&self, before: &[(String, HostId)]) {
+    fn tell_departed(&self, before: &[(String, EndpointId)]) {
         let Some(fleet) = &self.fleet else { return };
-        let state = |id: &HostId| self.listed.get(id.0 as usize).map_or(HostState::Removed, |h| h.state);
-        let departed = before.iter().filter(|(_, id)| state(id) != HostState::Up);
-        let departed = departed.map(|(name, id)| (name.clone(), state(id) == HostState::Removed));
+        let state =
+            |id: &EndpointId| self.listed.get(id.0 as usize).map_or(EndpointState::Removed, |h| h.state);
+        let departed = before.iter().filter(|(_, id)| state(id) != EndpointState::Up);
+        let departed = departed.map(|(name, id)| (name.clone(), state(id) == EndpointState::Removed));
         fleet.listed(self.version, departed.collect());
     }
 
@@ -112,7 +114,7 @@
         if self.pushed() {
             self.subscribe();
         } else if watched {
-            self.decide(Event::DiscoveryFailed { quiet: Duration::ZERO });
+            self.decide(Event::DiscoveryFailed { silent_for: Duration::ZERO });
         }
     }
 
@@ -123,8 +125,8 @@
         for name in fleet.told_gone(gone) {
             let Some(id) = self.host_ids.get(&name) else { continue };
             let Some(listed) = self.listed.get_mut(id.0 as usize) else { continue };
-            if listed.state == HostState::Up {
-                listed.state = HostState::Draining;
+            if listed.state == EndpointState::Up {
+                listed.state = EndpointState::Draining;
                 news.push(listed.clone());
                 if let Some(host) = self.hosts.get(id.0 as usize) {
                     host.takes_work.set(false);
@@ -141,7 +143,7 @@
         );
         self.pool.keep(|id| self.hosts.get(id.0 as usize).is_some_and(|h| h.takes_work.get()));
         self.handle.set_hosts_up(self.hosts.iter().any(|h| h.takes_work.get()));
-        self.decide(Event::Hosts { full: false, hosts: &news });
+        self.decide(Event::EndpointList { is_snapshot: false, endpoints: &news });
     }
 
     /// Frees the numbers of the hosts that are gone and that no open request has been sent to. Hosts come and go for
@@ -150,7 +152,7 @@
         let (hosts, listed, free) = (&self.hosts, &self.listed, &mut self.free_ids);
         self.host_ids.retain(|_, id| {
             let at = id.0 as usize;
-            let gone = listed.get(at).is_some_and(|h| h.state == HostState::Removed)
+            let gone = listed.get(at).is_some_and(|h| h.state == EndpointState::Removed)
                 && hosts.get(at).is_some_and(|h| Rc::strong_count(h) == 1);
             if gone {
                 free.push(*id);
@@ -170,7 +172,7 @@
     }
 
     /// When a host started that discovery says to be up since this Unix time. One that is known to have started then keeps its date.
-    fn started(&mut self, id: HostId, since_ms: u64, starts: &Starts) -> Option<Duration> {
+    fn started(&mut self, id: EndpointId, since_ms: u64, starts: &Starts) -> Option<Duration> {
         let at = id.0 as usize;
         self.since_ms.resize(self.since_ms.len().max(at + 1), 0);
         let before = std::mem::replace(&mut self.since_ms[at], since_ms);
@@ -190,9 +192,9 @@
 
     /// An entry in the module's terms. A host keeps its number by its name for as long as it is known; the module tells
     /// by the name's hash that a number has passed to another.
-    fn host(&mut self, entry: &Endpoint, starts: &Starts) -> weldworks_balancer::Host {
+    fn host(&mut self, entry: &Endpoint, starts: &Starts) -> weldworks_balancer::Endpoint {
         let known = self.host_ids.get(&entry.name).copied();
-        let id = known.or_else(|| self.free_ids.pop()).unwrap_or(HostId(self.hosts.len() as u32));
+        let id = known.or_else(|| self.free_ids.pop()).unwrap_or(EndpointId(self.hosts.len() as u32));
         if known.is_none() {
             self.host_ids.insert(entry.name.clone(), id);
             if let Some(since_ms) = self.since_ms.get_mut(id.0 as usize) {
@@ -214,20 +216,20 @@
         }
         let overruled = || self.fleet.as_ref().is_some_and(|fleet| fleet.overrules(&entry.name));
         let state = match entry.status {
-            Status::Active if host.address.get().is_some() && overruled() => HostState::Draining,
-            Status::Active if host.address.get().is_some() => HostState::Up,
-            Status::Active | Status::Left => HostState::Removed,
-            Status::Leaving | Status::Unknown => HostState::Draining,
+            Status::Active if host.address.get().is_some() && overruled() => EndpointState::Draining,
+            Status::Active if host.address.get().is_some() => EndpointState::Up,
+            Status::Active | Status::Left => EndpointState::Removed,
+            Status::Leaving | Status::Unknown => EndpointState::Draining,
         };
-        host.takes_work.set(state == HostState::Up);
-        weldworks_balancer::Host {
+        host.takes_work.set(state == EndpointState::Up);
+        weldworks_balancer::Endpoint {
             state,
             zone: self.names.zone(&entry.zone, id.0),
             cell: entry.group.unwrap_or(u32::MAX - id.0),
             started: self.started(id, entry.since_ms, starts),
             kind: self.names.kind(&entry.kind, id.0),
             weight: entry.weight,
-            ..weldworks_balancer::Host::new(id, &entry.name)
+            ..weldworks_balancer::Endpoint::new(id, &entry.name)
         }
     }
 }
--- a/crates/gateway/src/core/messages.rs
+++ b/crates/gateway/src/core/messages.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
-use weldworks_balancer::{HostId, LoadReport, Memory, Outcome, RequestId, Settings};
+use weldworks_balancer::{EndpointId, LoadReport, Outcome, RequestId, Settings, Snapshot};
 use weldworks_control::classes::Kept;
 use weldworks_fleet::wire::Gone;
 
@@ -124,7 +124,7 @@
     /// A host has ended an idle connection.
     Closed {
         /// Which host.
-        host: HostId,
+        host: EndpointId,
         /// Where the connection went.
         address: SocketAddr,
         /// How long the connection had been idle.
@@ -142,9 +142,9 @@
         heard_before: Option<Instant>,
     },
     /// What another process knew is to be gone on from.
-    Recall(Memory),
+    Recall(Snapshot),
     /// What is known is to be told.
-    Remember(oneshot::Sender<Memory>),
+    Remember(oneshot::Sender<Snapshot>),
     /// Other settings hold from now on.
     Retune(Box<Retune>),
     /// Other gateways have a newer list: discovery is to be asked again.
--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -28,7 +28,7 @@
 use tokio::time::{sleep_until, Instant};
 use tracing::{debug, error, info, warn};
 use weldworks_balancer::{
-    Action, Balancer, Event, HostId, HostState, LoadReport, Outcome, RequestId, Settings,
+    Action, Balancer, EndpointId, EndpointState, Event, LoadReport, Outcome, RequestId, Settings,
 };
 use weldworks_control::bodies::Passage;
 use weldworks_control::classes::Kept;
@@ -134,11 +134,11 @@
     watching: Option<JoinHandle<()>>,
     rewatch: Rewatch,
     hosts: Vec<Rc<Host>>,
-    listed: Vec<weldworks_balancer::Host>,
+    listed: Vec<weldworks_balancer::Endpoint>,
     /// When each last started, as discovery dates it; 0 for long ago.
     since_ms: Vec<u64>,
-    host_ids: FxHashMap<String, HostId>,
-    free_ids: Vec<HostId>,
+    host_ids: FxHashMap<String, EndpointId>,
+    free_ids: Vec<EndpointId>,
     requests: FxHashMap<RequestId, Entry>,
     numbers: FxHashSet<HeaderValue>,
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
@@ -194,11 +194,11 @@
     pub fn control_storms(&mut self, storms: StormSettings) {
         let set = &self.settings;
         let terms = Terms {
-            cold_from: set.cold_from,
-            cold_for: set.cold_for,
-            most: set.max_keep_away,
-            quotas: &set.quotas,
-            gateways: set.gateways,
+            cold_from: set.slow_start_min_capacity,
+            cold_for: set.slow_start_duration,
+            most: set.max_retry_after,
+            quotas: &set.tenant_quotas,
+            gateways: set.gateway_count,
         };
         let storm = Storm::new(storms, terms, self.seed);
         (self.storm, self.storms) = (Some(storm), Some(storms));
@@ -211,7 +211,7 @@
     }
 
     /// Books a decision about a request, where there are books.
-    fn book(&self, kind: Kind, id: RequestId, host: Option<HostId>) {
+    fn book(&self, kind: Kind, id: RequestId, host: Option<EndpointId>) {
         let Some((fleet, entry)) = self.fleet.as_ref().zip(self.requests.get(&id)) else { return };
         fleet.book(kind, entry.class, entry.number.to_str().unwrap_or_default(), host);
     }
@@ -236,7 +236,7 @@
 
     fn note_hosts(&mut self) {
         let Some(figures) = &self.figures else { return };
-        let listed = self.listed.iter().filter(|h| h.state != HostState::Removed).count();
+        let listed = self.listed.iter().filter(|h| h.state != EndpointState::Removed).count();
         let avoided = self.balancer.avoided(self.handle.time(Instant::now()));
         figures.cluster_size.set(listed as u64);
         figures.cluster_unhealthy.set(avoided as u64);
@@ -246,10 +246,11 @@
     /// What storm control allows a request.
     fn allowance(&mut self, request: &weldworks_balancer::Request) -> f64 {
         let Some(storm) = &mut self.storm else { return 1.0 };
-        let worths = self.settings.classes.iter().map(|c| c.worth);
+        let worths = self.settings.classes.iter().map(|c| c.priority_weight);
         let mean = worths.sum::<f64>() / self.settings.classes.len().max(1) as f64;
-        let worth = self.settings.classes.get(request.class).map_or(1.0, |c| c.worth / mean.max(1e-9));
-        let (repeat, tenant) = (request.repeat, request.tenant);
+        let worth =
+            self.settings.classes.get(request.class).map_or(1.0, |c| c.priority_weight / mean.max(1e-9));
+        let (repeat, tenant) = (request.is_client_retry, request.tenant);
         let arriving = Arriving { repeat, identity: identity(request), worth, tenant };
         let part = storm.arrive(self.handle.time(Instant::now()), arriving).part;
         self.tell_storm();
@@ -287,7 +288,7 @@
     /// Whether host news come unasked. Then the watch is the gateway's own affair: the module asks only where asking
     /// has a price.
     fn pushed(&self) -> bool {
-        self.settings.ask_within.is_none()
+        self.settings.discovery_poll_interval.is_none()
     }
 
     /// Runs for as long as the process does.
@@ -340,7 +341,7 @@
 
     /// Tells the module that a request is over without its doing.
     fn abandon(&mut self, id: RequestId) {
-        self.decide(Event::Abandoned { request: id });
+        self.decide(Event::ClientDisconnected { request: id });
         self.forget_if_done(id);
     }
 
@@ -354,7 +355,7 @@
             Message::Arrived(arrival) if self.turned_away(&arrival) => {
                 arrival.client.end();
                 let advised = self.fleet.as_ref().map_or(Duration::ZERO, |fleet| fleet.keep_away());
-                let keep_away = advised.min(self.settings.max_keep_away);
+                let keep_away = advised.min(self.settings.max_retry_after);
                 let _ = arrival.answer.send(Final::Refused { keep_away }); // a client that has gone wants none
             }
             Message::Arrived(arrival) => {
@@ -365,15 +366,15 @@
                     let _ = answer.send(Final::Failed(StatusCode::CONFLICT)); // a client that has gone wants none
                     return;
                 }
-                let give_up = self.handle.instant(request.give_up_at);
-                request.allowance = self.allowance(&request);
+                let give_up = self.handle.instant(request.client_deadline);
+                request.admission_share = self.allowance(&request);
                 let identity = identity(&request);
                 let (forward, answer) = (Rc::new(forward), Some(answer));
                 let (attempts, out, last) = (Vec::new(), 0, Outcome::NotSent);
                 let (arrived, place) = (Instant::now(), request.class);
                 debug!(
                     request = request.id.0, number = number.to_str().unwrap_or_default(), class = class.name,
-                    effect = ?class.class.effect, repeat = request.repeat, "arrived"
+                    effect = ?class.class.idempotency, repeat = request.is_client_retry, "arrived"
                 );
                 self.timers.push(Reverse((give_up, Timer::Backstop(request.id))));
                 let id = request.id;
@@ -420,10 +421,10 @@
                     request = request.0, attempt, host = to.map(tracing::field::display),
                     ms = latency.as_millis() as u64, written_us = written.map(|w| w.as_micros() as u64), how = ?outcome, "ended"
                 );
-                self.decide(Event::Outcome { request, attempt, latency, outcome, over });
+                self.decide(Event::AttemptEnded { request, attempt, latency, outcome, request_ended: over });
                 self.forget_if_done(request);
             }
-            Message::Spent(request) => self.decide(Event::Spent { request }),
+            Message::Spent(request) => self.decide(Event::BodyForwardingStarted { request }),
             Message::Complete { request, give_up } => {
                 let Some(entry) = self.requests.get_mut(&request) else { return };
                 // A stop that has come meanwhile has its own end.
@@ -431,7 +432,7 @@
                 entry.give_up = give_up;
                 self.timers.push(Reverse((give_up, Timer::Backstop(request))));
                 let give_up_at = self.handle.time(give_up);
-                self.decide(Event::Complete { request, give_up_at });
+                self.decide(Event::BodyForwarded { request, client_deadline: give_up_at });
             }
             Message::Started { request, attempt, latency, answer, load } => {
                 let Some(entry) = self.requests.get(&request) else { return };
@@ -439,12 +440,12 @@
                 self.book_load(host, load);
                 self.answer(request, Final::Served(answer));
                 debug!(request = request.0, attempt, ms = latency.as_millis() as u64, "started");
-                self.decide(Event::Started { request, attempt, latency });
+                self.decide(Event::ResponseStarted { request, attempt, latency });
             }
             // A number may have gone to another host meanwhile, which ended nothing.
             Message::Closed { host, address, idle, left } => {
                 if self.hosts.get(host.0 as usize).is_some_and(|h| h.address.get() == Some(address)) {
-                    self.decide(Event::Closed { host, idle, left });
+                    self.decide(Event::IdleConnectionClosed { endpoint: host, idle, remaining: left });
                 }
             }
             // What a watch said before it was ended may wait here still: it is no news of the present discovery.
@@ -460,11 +461,11 @@
             }
             Message::Hosts { .. } | Message::DiscoveryFailed { .. } => {}
             Message::Recall(memory) => {
-                let taken = self.balancer.recall(self.handle.time(Instant::now()), &memory);
-                info!(hosts = memory.hosts.len(), taken, "going on from what the process before knew");
+                let taken = self.balancer.restore(self.handle.time(Instant::now()), &memory);
+                info!(hosts = memory.endpoints.len(), taken, "going on from what the process before knew");
             }
             // Who asked may have been told to stop.
-            Message::Remember(answer) => drop(answer.send(self.balancer.memory())),
+            Message::Remember(answer) => drop(answer.send(self.balancer.snapshot())),
             Message::Retune(retune) => self.retune(*retune),
             Message::Stopping => self.hasten(),
             Message::Behind { current } => self.catch_up(current),
@@ -491,7 +492,7 @@
     fn book_load(&mut self, host: Option<Rc<Host>>, load: Option<LoadReport>) {
         let known = |h: &Rc<Host>| self.hosts.get(h.id.0 as usize).is_some_and(|known| Rc::ptr_eq(known, h));
         if let Some((host, report)) = host.filter(known).zip(load) {
-            self.decide(Event::Load { host: host.id, report });
+            self.decide(Event::LoadReport { endpoint: host.id, report });
         }
     }
 
@@ -502,7 +503,7 @@
         let (address, version) = (self.discovery, self.version);
         if !self.pushed() {
             warn!(%address, version, why, "discovery: the watch has ended; it is asked again within seconds");
-            return self.decide(Event::DiscoveryFailed { quiet });
+            return self.decide(Event::DiscoveryFailed { silent_for: quiet });
         }
         let now = Instant::now();
         let lost = self.rewatch.lost(self.handle.time(now));
@@ -553,7 +554,15 @@
             settings.zone = zone as u32;
         }
         let before = std::mem::replace(&mut self.settings, settings.clone());
-        let weather = |s: &Settings| (s.quotas.clone(), s.max_keep_away, s.cold_from, s.cold_for, s.gateways);
+        let weather = |s: &Settings| {
+            (
+                s.tenant_quotas.clone(),
+                s.max_retry_after,
+                s.slow_start_min_capacity,
+                s.slow_start_duration,
+                s.gateway_count,
+            )
+        };
         if let Some(storms) = self.storms.filter(|_| weather(&before) != weather(&settings)) {
             self.control_storms(storms); // what it had seen was by other shares
         }
@@ -570,7 +579,7 @@
             if self.pushed() {
                 self.subscribe();
             } else {
-                self.decide(Event::DiscoveryMoved);
+                self.decide(Event::DiscoveryChanged);
             }
         }
     }
@@ -610,7 +619,11 @@
         self.balancer = Balancer::new(self.settings.clone(), self.seed);
         let (mut actions, now) = (Vec::new(), self.handle.time(Instant::now()));
         // Another panic is not caught: a module that cannot take the list in serves nobody, so the process ends.
-        self.balancer.handle(now, Event::Hosts { full: true, hosts: &self.listed }, &mut actions);
+        self.balancer.handle(
+            now,
+            Event::EndpointList { is_snapshot: true, endpoints: &self.listed },
+            &mut actions,
+        );
         for action in actions {
             self.act(action);
         }
@@ -618,14 +631,14 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { request, host, until, write_by } => {
+            Action::Send { request, endpoint: host, deadline: until, write_by } => {
                 if self.fleet.is_some() {
                     let again = self.requests.get(&request).is_some_and(|e| !e.attempts.is_empty());
                     self.book(if again { Kind::Resend } else { Kind::Pick }, request, Some(host));
                 }
                 self.send(request, host, until, write_by);
             }
-            Action::Until { request, until } => {
+            Action::SetAttemptDeadline { request, deadline: until } => {
                 let until = self.handle.instant(until);
                 if let Some(entry) = self.requests.get(&request) {
                     entry.attempts.iter().for_each(|(.., at)| at.set(until.min(entry.give_up)));
@@ -637,7 +650,7 @@
                     cancel.notify_one();
                 }
             }
-            Action::Refuse { request, keep_away } => {
+            Action::Reject { request, retry_after: keep_away } => {
                 self.book(Kind::Refuse, request, None);
                 self.finish(request, Final::Refused { keep_away });
             }
@@ -646,16 +659,16 @@
                 let status = if late { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
                 self.finish(request, Final::Failed(status));
             }
-            Action::Wake { after, token } => {
+            Action::SetTimer { after, token } => {
                 self.timers.push(Reverse((Instant::now() + after, Timer::Module(token))));
             }
             // The module asks for none: probing has no place in its design.
-            Action::Probe { host } => {
+            Action::Probe { endpoint: host } => {
                 let (outcome, latency) = (Outcome::NotSent, Duration::ZERO);
-                self.decide(Event::Probed { host, outcome, latency });
+                self.decide(Event::ProbeEnded { endpoint: host, outcome, latency });
             }
-            Action::Close { host } => self.pool.close(host),
-            Action::Subscribe => self.subscribe(),
+            Action::CloseIdleConnections { endpoint: host } => self.pool.close(host),
+            Action::PollDiscovery => self.subscribe(),
         }
     }
 
@@ -675,7 +688,7 @@
         }
     }
 
-    fn send(&mut self, id: RequestId, host: HostId, until: Duration, write_by: Option<Duration>) {
+    fn send(&mut self, id: RequestId, host: EndpointId, until: Duration, write_by: Option<Duration>) {
         let (until, write_by) = (self.handle.instant(until), write_by.map(|by| self.handle.instant(by)));
         let Some(entry) = self.requests.get_mut(&id) else { return };
         let listed = self.listed.get(host.0 as usize).map(|h| (h.zone, h.cell));
--- a/crates/gateway/src/core/tests.rs
+++ b/crates/gateway/src/core/tests.rs
@@ -12,7 +12,7 @@
     let (method, uri) = Default::default();
     let forward = Forward { method, uri, headers: Default::default(), body: Default::default() };
     let number = HeaderValue::from(request.id.0);
-    let class = weldworks_balancer::Class::new(Duration::from_secs(10), Duration::from_secs(30));
+    let class = weldworks_balancer::RequestClass::new(Duration::from_secs(10), Duration::from_secs(30));
     let class = Rc::new(Kept { name: "look".into(), number: 0, class });
     let client = Rc::new(Presence::unseen());
     (Box::new(Arrival { request, number, forward, class, answer, client }), answered)
@@ -20,7 +20,9 @@
 
 fn gateway() -> (Gateway, Handle) {
     let mut settings = Settings::default();
-    settings.classes.push(weldworks_balancer::Class::new(Duration::from_secs(10), Duration::from_secs(30)));
+    settings
+        .classes
+        .push(weldworks_balancer::RequestClass::new(Duration::from_secs(10), Duration::from_secs(30)));
     let names = Names { tenants: vec![], zones: vec![], kinds: vec![] };
     let budget = Budget::new(&Default::default(), false);
     let (dial_timeout, keepalive) = (Duration::from_secs(5), Duration::from_secs(10));
@@ -51,7 +53,7 @@
     assert!(gateway.host_ids.len() <= 4 && gateway.listed.len() == gateway.hosts.len());
     // But not while an open request has been sent to the one that is gone.
     let host = gateway.host_ids.get("first").copied();
-    assert_eq!(host, Some(HostId(0)), "its request is open still");
+    assert_eq!(host, Some(EndpointId(0)), "its request is open still");
 }
 
 /// Two of sixty hosts are replaced by new ones every half second for a minute, some while a request is out there.
@@ -84,7 +86,7 @@
             }
         }
     }
-    let up = gateway.listed.iter().filter(|h| h.state == HostState::Up).count();
+    let up = gateway.listed.iter().filter(|h| h.state == EndpointState::Up).count();
     assert_eq!((up, gateway.requests.len()), (60, 0));
     assert!(gateway.hosts.len() <= 70, "{} numbers for 60 hosts at a time", gateway.hosts.len());
 }
@@ -105,14 +107,14 @@
     let state = |gateway: &Gateway, name: &str| {
         gateway.host_ids.get(name).map(|id| gateway.listed[id.0 as usize].state)
     };
-    assert_eq!(state(&gateway, "a"), Some(HostState::Draining), "the older word is passed over");
+    assert_eq!(state(&gateway, "a"), Some(EndpointState::Draining), "the older word is passed over");
     assert_eq!(gateway.version, 9);
     gateway.learn(news(
         r#"{"index":10,"endpoints":[{"name":"b","address":"nowhere"},{"name":"c","address":"127.0.0.1:3","status":"leaving"},{"name":"c","address":"127.0.0.1:3"},{"name":"d","address":"?"}]}"#,
     ));
-    assert_eq!(state(&gateway, "b"), Some(HostState::Up), "it keeps the address it is known by");
-    assert_eq!(state(&gateway, "c"), Some(HostState::Up), "the last one counts");
-    assert_eq!(state(&gateway, "d"), Some(HostState::Removed), "nowhere to send to");
+    assert_eq!(state(&gateway, "b"), Some(EndpointState::Up), "it keeps the address it is known by");
+    assert_eq!(state(&gateway, "c"), Some(EndpointState::Up), "the last one counts");
+    assert_eq!(state(&gateway, "d"), Some(EndpointState::Removed), "nowhere to send to");
     assert_eq!(gateway.faults.len(), 3);
 }
 
@@ -157,7 +159,8 @@
     let _inside = local.enter();
     for seed in 0..200 {
         let (mut gateway, _handle) = gateway();
-        let settings = Settings { ask_within: Some(Duration::from_secs(10)), ..gateway.settings.clone() };
+        let settings =
+            Settings { discovery_poll_interval: Some(Duration::from_secs(10)), ..gateway.settings.clone() };
         gateway.balancer = Balancer::new(settings.clone(), seed);
         gateway.settings = settings;
         gateway.learn(list("s-1"));
@@ -165,7 +168,7 @@
             gateway.subscribe();
         }
         gateway.timers.clear();
-        gateway.decide(Event::DiscoveryFailed { quiet: Duration::ZERO }); // the next call is seconds away
+        gateway.decide(Event::DiscoveryFailed { silent_for: Duration::ZERO }); // the next call is seconds away
         let moved = Instant::now();
         gateway.rediscover(SocketAddr::from(([127, 0, 0, 1], 2)));
         let asks = gateway.timers.iter().filter(|Reverse((_, timer))| *timer == Timer::Module(0));
--- a/crates/gateway/src/daemon/handover.rs
+++ b/crates/gateway/src/daemon/handover.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tracing::{info, warn};
-use weldworks_balancer::Memory;
+use weldworks_balancer::Snapshot;
 use weldworks_control::handover::{self, look_again, Held, Unfit, EVERY, LONGEST};
 
 /// While the folder can't be used it is tried again this often.
@@ -30,7 +30,7 @@
 }
 
 /// What a process before this one knew, where it has just written it.
-pub fn read(folder: &Path) -> Option<Memory> {
+pub fn read(folder: &Path) -> Option<Snapshot> {
     let mut text = String::new();
     let file = match File::open(folder.join(MEMORY)) {
         Ok(file) => file,
@@ -56,7 +56,7 @@
     }
 }
 
-fn write(folder: &Path, memory: &Memory) -> io::Result<()> {
+fn write(folder: &Path, memory: &Snapshot) -> io::Result<()> {
     // The folder is memory: nothing outlives the machine, so there is nothing to make durable.
     let beside = folder.join(format!("{MEMORY}.{}", std::process::id()));
     fs::write(&beside, handover::write(memory, monotonic()))?;
--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -129,7 +129,7 @@
     settings
         .classes
         .iter()
-        .filter(|class| !class.dropped)
+        .filter(|class| !class.retired)
         .map(|class| class.deadline)
         .max()
         .unwrap_or_default()
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/figures.rs
@@ -201,7 +201,8 @@
     fn a_request_whose_deciding_panics_has_failed_and_one_whose_client_goes_counts_as_nothing() {
         let figures = Rc::new(Figures::default());
         figures.know(&["look".into()]);
-        let class = weldworks_balancer::Class::new(std::time::Duration::ZERO, std::time::Duration::ZERO);
+        let class =
+            weldworks_balancer::RequestClass::new(std::time::Duration::ZERO, std::time::Duration::ZERO);
         let kept = Rc::new(Kept { name: "look".into(), number: 0, class });
         let taken = || {
             let mut taken = Taken::new(figures.clone(), kept.clone());
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -25,7 +25,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant, MissedTickBehavior};
 use tracing::{error, info, warn};
-use weldworks_balancer::HostId;
+use weldworks_balancer::EndpointId;
 use weldworks_fleet::agent::{Acting, Agent, Output};
 use weldworks_fleet::audit::{Audit, Decision, Exception, Kind};
 use weldworks_fleet::council::TICK;
@@ -273,7 +273,7 @@
     }
 
     /// A number stands for this host from now on.
-    pub fn know_host(&self, id: HostId, name: &str) {
+    pub fn know_host(&self, id: EndpointId, name: &str) {
         let mut hosts = self.hosts.borrow_mut();
         let at = id.0 as usize;
         if hosts.len() <= at {
@@ -334,7 +334,7 @@
     }
 
     /// Books a decision about a request, and what speaks against it.
-    pub fn book(&self, kind: Kind, class: usize, request: &str, host: Option<HostId>) {
+    pub fn book(&self, kind: Kind, class: usize, request: &str, host: Option<EndpointId>) {
         let now = self.now();
         let hosts = self.hosts.borrow();
         let host = host.and_then(|id| hosts.get(id.0 as usize)).map(|name| &**name);
--- a/crates/gateway/src/listeners/http/request.rs
+++ b/crates/gateway/src/listeners/http/request.rs
@@ -120,7 +120,7 @@
 impl Terms {
     /// The terms of these settings.
     pub fn new(classes: &Classes, tenants: Vec<String>, settings: &Settings) -> Terms {
-        Terms { classes: classes.offer(), tenants, keep_away: ROOM_AGAIN.min(settings.max_keep_away) }
+        Terms { classes: classes.offer(), tenants, keep_away: ROOM_AGAIN.min(settings.max_retry_after) }
     }
 
     /// The tenant's place in the settings; beyond the last one where it has none there.
@@ -293,10 +293,10 @@
             tenant,
             key: subject(headers).map(stable_hash),
             cost_hint: cost,
-            repeat: text(headers, "x-retried") == Some("1"),
-            allowance: 1.0,
-            give_up_at: self.gateway.time(give_up),
-            coming: upload.is_ok(),
+            is_client_retry: text(headers, "x-retried") == Some("1"),
+            admission_share: 1.0,
+            client_deadline: self.gateway.time(give_up),
+            body_streaming: upload.is_ok(),
         };
         let passed_on = |(name, value): (&HeaderName, &HeaderValue)| {
             PASSED_ON.contains(name).then(|| (name.clone(), value.clone()))
--- a/crates/gateway/src/listeners/http/tests.rs
+++ b/crates/gateway/src/listeners/http/tests.rs
@@ -13,9 +13,9 @@
 /// Terms with one class, and these tenants.
 fn terms(tenants: &[&str]) -> Terms {
     let mut classes = Classes::default();
-    let class = weldworks_balancer::Class {
-        effect: weldworks_balancer::Effect::Unsafe,
-        ..weldworks_balancer::Class::new(LONGEST, LONGEST)
+    let class = weldworks_balancer::RequestClass {
+        idempotency: weldworks_balancer::Idempotency::NotIdempotent,
+        ..weldworks_balancer::RequestClass::new(LONGEST, LONGEST)
     };
     classes.take(Duration::ZERO, [("once".to_owned(), class)]);
     Terms::new(&classes, tenants.iter().map(|t| (*t).to_owned()).collect(), &Settings::default())
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -254,7 +254,7 @@
         // Said twice it is no report: nothing tells which of the two is the host's.
         let mut reports = head.headers.get_all(LOAD).iter();
         if let (Some(Ok(text)), None) = (reports.next().map(HeaderValue::to_str), reports.next()) {
-            progress.load.set(self.terms.borrow().reports.in_text(text));
+            progress.load.set(self.terms.borrow().reports.parse_header(text));
         }
         let body = match body {
             Taken::Whole(body) => body,
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -23,8 +23,8 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
-use weldworks_balancer::load_report::ReportFields;
-use weldworks_balancer::HostId;
+use weldworks_balancer::load_report::LoadReportFields;
+use weldworks_balancer::EndpointId;
 use weldworks_control::execution::Ended;
 
 /// A connection rests for so long between two requests: what a host sends beyond an answer comes right behind it or some milliseconds
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub struct Host {
     /// Its number.
-    pub id: HostId,
+    pub id: EndpointId,
     /// Where it listens.
     pub address: Cell<Option<SocketAddr>>,
     /// Whether anything new may be sent to it.
@@ -48,7 +48,7 @@
 /// A connection to a host. It is driven by whoever holds it and by no task of its own, so that dropping it
 /// closes the socket there and then: a later attempt must not find an earlier one still out.
 struct Connection {
-    host: HostId,
+    host: EndpointId,
     address: SocketAddr,
     sender: SendRequest<Sending>,
     driver: Pin<Box<http1::Connection<TokioIo<Wire>, Sending>>>,
@@ -76,7 +76,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Closed {
     /// Which host.
-    pub host: HostId,
+    pub host: EndpointId,
     /// Where it stood then.
     pub address: SocketAddr,
     /// How long it had been idle.
@@ -93,7 +93,7 @@
     /// Hosts close what has been idle for so long.
     pub keepalive: Duration,
     /// How hosts word their load reports.
-    pub reports: ReportFields,
+    pub reports: LoadReportFields,
 }
 
 impl Terms {
@@ -108,7 +108,7 @@
 pub struct Pool {
     idle: RefCell<VecDeque<Connection>>,
     /// Connections that their hosts ended and that were found so on reuse: told with the others.
-    found: RefCell<Vec<(HostId, SocketAddr, Duration)>>,
+    found: RefCell<Vec<(EndpointId, SocketAddr, Duration)>>,
     terms: RefCell<Terms>,
     slots: Slots,
     figures: Rc<Figures>,
@@ -127,12 +127,12 @@
     }
 
     /// Closes the idle connections to a host.
-    pub fn close(&self, host: HostId) {
+    pub fn close(&self, host: EndpointId) {
         self.keep(|other| other != host);
     }
 
     /// Keeps the idle connections to these hosts and closes all others.
-    pub fn keep(&self, these: impl Fn(HostId) -> bool) {
+    pub fn keep(&self, these: impl Fn(EndpointId) -> bool) {
         self.idle.borrow_mut().retain(|c| these(c.host));
     }
 
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -20,7 +20,7 @@
         stream
     };
     let settings = r#"{"stats":{"how":"inline","fields":["throughput","outstanding"]}}"#;
-    let fields = ReportFields::parse(settings).expect("settings");
+    let fields = LoadReportFields::parse(settings).expect("settings");
     let (dial, keep) = (Duration::from_secs(5), Duration::from_secs(10));
     let pool = Pool::new(
         Budget::new(&Default::default(), false).hosts,
@@ -30,7 +30,11 @@
     let (method, uri) = (hyper::Method::GET, hyper::Uri::from_static("/look"));
     let forward = Forward { method, uri, headers: HeaderMap::new(), body: Default::default() };
     let attempt = Attempt {
-        host: Rc::new(Host { id: HostId(0), address: Cell::new(Some(address)), takes_work: Cell::new(true) }),
+        host: Rc::new(Host {
+            id: EndpointId(0),
+            address: Cell::new(Some(address)),
+            takes_work: Cell::new(true),
+        }),
         forward: Rc::new(forward),
         until: Until::new(Instant::now() + Duration::from_secs(10)),
         write_by: None,
@@ -44,7 +48,7 @@
 #[tokio::test]
 async fn a_load_report_is_read_from_any_answer_and_a_bad_one_costs_nothing_else() {
     let good = "X-Server-Load: TEXT throughput=27.5, outstanding=7\r\n";
-    let report = Some(LoadReport { qps: 27.5, inflight: 7.0 });
+    let report = Some(LoadReport { requests_per_second: 27.5, in_flight: 7.0 });
     assert_eq!(heard("200 OK", good).await, (Outcome::Served, report));
     assert_eq!(heard("500 Oops", good).await, (Outcome::Error, report));
     let twice = good.repeat(2);
@@ -62,13 +66,13 @@
     let (dial, keep) = (Duration::from_secs(5), Duration::from_secs(60));
     let pool = Pool::new(
         Budget::new(&Default::default(), false).hosts,
-        Terms { dial_timeout: dial, keepalive: keep, reports: ReportFields::default() },
+        Terms { dial_timeout: dial, keepalive: keep, reports: LoadReportFields::default() },
         Rc::default(),
     );
     let (method, uri) = (hyper::Method::GET, hyper::Uri::from_static("/look"));
     let forward = Forward { method, uri, headers: HeaderMap::new(), body: Default::default() };
     let attempt = Attempt {
-        host: Rc::new(Host { id: HostId(3), address, takes_work: Cell::new(true) }),
+        host: Rc::new(Host { id: EndpointId(3), address, takes_work: Cell::new(true) }),
         forward: Rc::new(forward),
         until: Until::new(Instant::now() + Duration::from_secs(10)),
         write_by: None,
@@ -102,7 +106,7 @@
 async fn an_end_by_the_host_is_told_and_noise_is_not() {
     let ended = told_after(async |_, stream| stream.shutdown().await.expect("an end")).await;
     let Closed { host, idle, left, .. } = ended.expect("told");
-    assert_eq!((host, left), (HostId(3), 0));
+    assert_eq!((host, left), (EndpointId(3), 0));
     assert!(idle >= 4 * LOOK, "{idle:?}");
     assert_eq!(told_after(async |_, stream| stream.write_all(b"noise").await.expect("written")).await, None);
     assert_eq!(told_after(async |_, _| {}).await, None);
@@ -116,7 +120,7 @@
         let left = Rc::new(Cell::new(None));
         let found = left.clone();
         told_after(async move |pool, stream| {
-            let host = HostId(3);
+            let host = EndpointId(3);
             let age = |to: Duration| {
                 for connection in pool.idle.borrow_mut().iter_mut() {
                     connection.idle_since = Instant::now() - to;
--- a/crates/gateway/src/wire/tests.rs
+++ b/crates/gateway/src/wire/tests.rs
@@ -61,7 +61,7 @@
                     };
                     prop_assert_eq!(marks.written.get(), wanted, "{} of {:?}", gone, REQUESTS[kind]);
                     for ended in [Ended::Withheld, Ended::Broken, Ended::TimedOut, Ended::Answered(Said::Served)] {
-                        prop_assert!(outcome(marks.written.get(), ended).never_ran());
+                        prop_assert!(outcome(marks.written.get(), ended).proves_not_processed());
                     }
                     let (cut, buffers) = *cuts.next().expect("endless");
                     let piece = &text[gone..text.len().min(gone + cut)];
@@ -73,7 +73,7 @@
                     Ended::Withheld, Ended::Broken, Ended::TimedOut, Ended::Cancelled,
                     Ended::Answered(Said::Served), Ended::Answered(Said::Error),
                 ] {
-                    prop_assert!(!outcome(marks.written.get(), ended).never_ran(), "{:?}", ended);
+                    prop_assert!(!outcome(marks.written.get(), ended).proves_not_processed(), "{:?}", ended);
                 }
             }
             Ok(())
@@ -96,7 +96,7 @@
         assert!(marks.is_late());
         let late = put(&mut wire, &text[already..], 1 + already % 2).await;
         assert_eq!(late.map_err(|error| error.kind()), Err(io::ErrorKind::TimedOut), "after {already}");
-        assert!(outcome(marks.written.get(), Ended::Withheld).never_ran());
+        assert!(outcome(marks.written.get(), Ended::Withheld).proves_not_processed());
         drop(wire);
         let mut came = Vec::new();
         far.read_to_end(&mut came).await.expect("its end");
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -6,10 +6,10 @@
 use std::borrow::Cow;
 use std::fmt::Write as _;
 use std::time::Duration;
-use weldworks_balancer::load_report::ReportFields;
+use weldworks_balancer::load_report::LoadReportFields;
 use weldworks_balancer::{
-    parse_settings, stable_hash, Action, Balancer, Event, Host, HostId, HostState, Outcome, Request,
-    RequestId,
+    parse_settings, stable_hash, Action, Balancer, Endpoint, EndpointId, EndpointState, Event, Outcome,
+    Request, RequestId,
 };
 
 /// What is wrong with a line of input, and where.
@@ -117,8 +117,8 @@
 /// One gateway: its decisions, and the names of its hosts and requests.
 struct Instance {
     balancer: Balancer,
-    report_fields: ReportFields,
-    hosts: FxHashMap<Box<str>, HostId>,
+    report_fields: LoadReportFields,
+    hosts: FxHashMap<Box<str>, EndpointId>,
     host_texts: Vec<String>,
     requests: FxHashMap<Box<str>, u64>,
     request_texts: FxHashMap<u64, Named>,
@@ -126,11 +126,11 @@
 }
 
 impl Instance {
-    fn host(&mut self, name: &str) -> HostId {
+    fn host(&mut self, name: &str) -> EndpointId {
         if let Some(&id) = self.hosts.get(name) {
             return id;
         }
-        let id = HostId(self.host_texts.len() as u32);
+        let id = EndpointId(self.host_texts.len() as u32);
         self.hosts.insert(name.into(), id);
         self.host_texts.push(serde_json::Value::from(name).to_string());
         id
@@ -145,7 +145,7 @@
 
     /// Appends an action in the dialect; hosts and requests it names are known here.
     fn write(&mut self, gateway: u64, action: &Action, now: Duration, reply: &mut String) {
-        let mut put = |name: &str, request: Option<&RequestId>, host: Option<&HostId>| {
+        let mut put = |name: &str, request: Option<&RequestId>, host: Option<&EndpointId>| {
             reply.push_str(if reply.ends_with('[') { "" } else { "," });
             let _ = write!(reply, r#"{{"type":"{name}","gateway":{gateway}"#);
             if let Some(named) = request.and_then(|r| self.request_texts.get(&r.0)) {
@@ -157,7 +157,7 @@
             }
         };
         match action {
-            Action::Send { request, host, until, .. } => {
+            Action::Send { request, endpoint: host, deadline: until, .. } => {
                 put("Dispatch", Some(request), Some(host));
                 let _ = write!(reply, r#","until_s":{:.6}"#, until.max(&now).as_secs_f64());
                 self.request_texts.entry(request.0).and_modify(|n| n.out += 1);
@@ -166,10 +166,10 @@
                 put("DropAttempt", Some(request), None);
                 let _ = write!(reply, r#","copy":{attempt}"#);
             }
-            Action::Refuse { request, .. } | Action::Fail { request } => {
+            Action::Reject { request, .. } | Action::Fail { request } => {
                 let name = if matches!(action, Action::Fail { .. }) { "ReportFailure" } else { "Busy" };
                 put(name, Some(request), None);
-                if let Action::Refuse { keep_away, .. } = action {
+                if let Action::Reject { retry_after: keep_away, .. } = action {
                     if !keep_away.is_zero() {
                         let _ = write!(reply, r#","not_before_for_s":{:.6}"#, keep_away.as_secs_f64());
                     }
@@ -177,15 +177,15 @@
                 self.request_texts.entry(request.0).and_modify(|n| n.over = true);
                 self.forget_if_done(request.0);
             }
-            Action::Wake { after, token } => {
+            Action::SetTimer { after, token } => {
                 put("WakeMe", None, None);
                 let _ = write!(reply, r#","delay_s":{:.6},"label":{token}"#, after.as_secs_f64());
             }
             // Bodies of the simulator's requests do not come in pieces.
-            Action::Until { .. } => return,
-            Action::Probe { host } => put("Check", None, Some(host)),
-            Action::Close { host } => put("Disconnect", None, Some(host)),
-            Action::Subscribe => {
+            Action::SetAttemptDeadline { .. } => return,
+            Action::Probe { endpoint: host } => put("Check", None, Some(host)),
+            Action::CloseIdleConnections { endpoint: host } => put("Disconnect", None, Some(host)),
+            Action::PollDiscovery => {
                 put("StreamChanges", None, None);
                 reply.push_str(r#","on":true"#);
             }
@@ -205,7 +205,7 @@
 
 struct ListEntry {
     name: String,
-    host: Host,
+    host: Endpoint,
 }
 
 impl Adapter {
@@ -239,7 +239,8 @@
             let seed = e.random_seed.ok_or_else(|| lacks("random_seed"))?;
             let instance = Instance {
                 balancer: Balancer::new(settings, seed),
-                report_fields: ReportFields::parse(info.get()).map_err(|err| format!("settings: {err}"))?,
+                report_fields: LoadReportFields::parse(info.get())
+                    .map_err(|err| format!("settings: {err}"))?,
                 hosts: FxHashMap::default(),
                 host_texts: Vec::new(),
                 requests: FxHashMap::default(),
@@ -260,15 +261,15 @@
         };
         let known = e.request.as_deref().and_then(|r| inst.requests.get(r).copied()).map(RequestId);
         let (mut done, mut load) = (None, None);
-        let mut hosts: Vec<Host> = Vec::new();
+        let mut hosts: Vec<Endpoint> = Vec::new();
         let event = match kind {
             "BackendsChanged" => match e.mode.as_deref() {
-                Some("broken") => Event::DiscoveryFailed { quiet: Duration::ZERO },
+                Some("broken") => Event::DiscoveryFailed { silent_for: Duration::ZERO },
                 Some(mode @ ("patch" | "whole" | "stale_copy")) => {
                     let number = e.roster_id.ok_or_else(|| lacks("roster_id"))?;
                     let list = self.lists.get(&number).ok_or_else(|| format!("unknown list {number}"))?;
-                    hosts.extend(list.iter().map(|l| Host { id: inst.host(&l.name), ..l.host.clone() }));
-                    Event::Hosts { full: mode != "patch", hosts: &hosts }
+                    hosts.extend(list.iter().map(|l| Endpoint { id: inst.host(&l.name), ..l.host.clone() }));
+                    Event::EndpointList { is_snapshot: mode != "patch", endpoints: &hosts }
                 }
                 other => return Err(format!("{kind} with unknown mode {other:?}")),
             },
@@ -285,15 +286,15 @@
                     tenant: e.billing.unwrap_or(0),
                     key: e.item.as_deref().map(stable_hash),
                     cost_hint: e.size_hint_s.filter(|_| bits & 1 != 0).map(time),
-                    repeat: bits & 2 != 0,
-                    allowance: 1.0,
-                    give_up_at: time(e.not_after_s.ok_or_else(|| lacks("not_after_s"))?),
-                    coming: false,
+                    is_client_retry: bits & 2 != 0,
+                    admission_share: 1.0,
+                    client_deadline: time(e.not_after_s.ok_or_else(|| lacks("not_after_s"))?),
+                    body_streaming: false,
                 })
             }
             "Begun" => {
                 let Some(request) = known else { return Ok(()) };
-                Event::Started { request, attempt: e.copy.unwrap_or(0), latency }
+                Event::ResponseStarted { request, attempt: e.copy.unwrap_or(0), latency }
             }
             "Result" => {
                 let outcome = how()?;
@@ -304,22 +305,22 @@
                     named.over |= over;
                 }
                 done = Some(request.0);
-                let report = e.metrics.as_deref().and_then(|row| inst.report_fields.in_row(row));
+                let report = e.metrics.as_deref().and_then(|row| inst.report_fields.parse_row(row));
                 let host = e.host.as_deref().and_then(|name| inst.hosts.get(name)).copied();
-                load = host.zip(report).map(|(host, report)| Event::Load { host, report });
+                load = host.zip(report).map(|(host, report)| Event::LoadReport { endpoint: host, report });
                 let attempt = e.copy.unwrap_or(0);
-                Event::Outcome { request, attempt, latency, outcome, over }
+                Event::AttemptEnded { request, attempt, latency, outcome, request_ended: over }
             }
             "Lapsed" => {
                 let Some(request) = known else { return Ok(()) };
                 inst.request_texts.entry(request.0).and_modify(|n| n.over = true);
                 done = Some(request.0);
-                Event::Abandoned { request }
+                Event::ClientDisconnected { request }
             }
             "Reminder" => Event::Timer { token: e.label.ok_or_else(|| lacks("label"))? },
             "PingResult" => {
                 let host = inst.host(e.host.as_deref().ok_or_else(|| lacks("host"))?);
-                Event::Probed { host, outcome: how()?, latency }
+                Event::ProbeEnded { endpoint: host, outcome: how()?, latency }
             }
             "Inbox" => return Ok(()),
             "Exit" => {
@@ -344,18 +345,18 @@
 
 fn list_entry(raw: RawHost<'_>) -> ListEntry {
     let state = match raw.status.as_deref() {
-        Some("draining") => HostState::Draining,
-        Some("removed") => HostState::Removed,
-        _ => HostState::Up,
+        Some("draining") => EndpointState::Draining,
+        Some("removed") => EndpointState::Removed,
+        _ => EndpointState::Up,
     };
-    let host = Host {
+    let host = Endpoint {
         state,
         zone: raw.az.unwrap_or(0),
         cell: raw.cohort.unwrap_or(0),
         started: raw.launched_s.filter(|&s| s > 0.0).map(time),
         kind: raw.hw.unwrap_or(0),
         weight: raw.scale.unwrap_or(1.0),
-        ..Host::new(HostId(0), &raw.host)
+        ..Endpoint::new(EndpointId(0), &raw.host)
     };
     ListEntry { name: raw.host.into_owned(), host }
 }
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -3,7 +3,7 @@
 use crate::plan::Asked;
 use crate::script::Script;
 use std::time::Duration;
-use weldworks_balancer::{Effect, Group};
+use weldworks_balancer::{Idempotency, KeyScope};
 
 /// Nobody asks again with less time left than an answer needs on its way.
 const LEAST: Duration = Duration::from_millis(50);
@@ -37,12 +37,14 @@
     let class = &script.classes[asked.class];
     let (harmless, until) = match (class.effect, seen) {
         (_, Seen::Served) => (false, first),
-        (Effect::Safe, _) | (_, Seen::Refused { .. } | Seen::Unreachable) => (true, first + class.deadline),
+        (Idempotency::Idempotent, _) | (_, Seen::Refused { .. } | Seen::Unreachable) => {
+            (true, first + class.deadline)
+        }
         // The key keeps a repeat from running twice, as long as every node remembers it.
-        (Effect::Keyed { group: Group::All, window }, Seen::Failed) => {
+        (Idempotency::IdempotencyKey { scope: KeyScope::All, window }, Seen::Failed) => {
             (true, first + window.min(class.deadline))
         }
-        (Effect::Keyed { .. } | Effect::Unsafe, Seen::Failed) => (false, first),
+        (Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent, Seen::Failed) => (false, first),
     };
     let wait = match seen {
         Seen::Refused { come_back: Some(advice) } if asked.heeds => {
--- a/crates/testbed/src/ledger/mod.rs
+++ b/crates/testbed/src/ledger/mod.rs
@@ -13,7 +13,7 @@
 use crate::model::AttemptId;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
-use weldworks_balancer::Effect;
+use weldworks_balancer::Idempotency;
 
 /// A request's number: one try of a client.
 pub type RequestNumber = u64;
@@ -61,7 +61,7 @@
     /// See [`weldworks_balancer::Class::aim`].
     pub aim: Duration,
     /// What repeating it does.
-    pub effect: Effect,
+    pub effect: Idempotency,
 }
 
 /// What a client asked.
--- a/crates/testbed/src/ledger/rules.rs
+++ b/crates/testbed/src/ledger/rules.rs
@@ -3,7 +3,7 @@
 use super::{Got, Ledger, Record, RequestNumber, Told};
 use serde::Serialize;
 use std::time::Duration;
-use weldworks_balancer::{Effect, Group};
+use weldworks_balancer::{Idempotency, KeyScope};
 
 /// A rule that may be broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -159,7 +159,10 @@
             }
         }
         if got == Got::Refused {
-            let harmless = matches!(class.effect, Effect::Safe | Effect::Keyed { group: Group::All, .. });
+            let harmless = matches!(
+                class.effect,
+                Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
+            );
             let may_have_run = |a: &&super::AttemptSeen| {
                 a.whole.is_some() && a.ended.is_none_or(|(_, how)| !how.never_ran())
             };
@@ -184,9 +187,9 @@
             }
             if let (Some((sent, node)), Some(class)) = (may_have_run, class) {
                 let allowed = match class.effect {
-                    Effect::Safe => true,
-                    Effect::Unsafe => false,
-                    Effect::Keyed { group, window } => {
+                    Idempotency::Idempotent => true,
+                    Idempotency::NotIdempotent => false,
+                    Idempotency::IdempotencyKey { scope: group, window } => {
                         came <= sent + window + self.rules.slack && self.joined(group, node, attempt.node)
                     }
                 };
@@ -201,12 +204,12 @@
         }
     }
 
-    fn joined(&self, group: Group, one: usize, other: usize) -> bool {
+    fn joined(&self, group: KeyScope, one: usize, other: usize) -> bool {
         let of = |node: usize| self.ledger.groups.get(node).copied().unwrap_or_default();
         match group {
-            Group::All => true,
-            Group::Zone => of(one).0 == of(other).0,
-            Group::Cell => of(one).1 == of(other).1,
+            KeyScope::All => true,
+            KeyScope::Zone => of(one).0 == of(other).0,
+            KeyScope::Cell => of(one).1 == of(other).1,
         }
     }
 
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -15,7 +15,7 @@
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout_at};
-use weldworks_balancer::Effect;
+use weldworks_balancer::Idempotency;
 
 /// An answer is waited for so long after the client's time is up: late by a little is told from never.
 const LINGER: Duration = Duration::from_millis(60);
@@ -289,12 +289,12 @@
     let body = format!("{{\"place\":{}}}", asked.place);
     let length = body.len();
     match class.effect {
-        Effect::Safe => format!("GET /{} HTTP/1.1\r\n{common}\r\n", class.name),
-        Effect::Keyed { .. } => format!(
+        Idempotency::Idempotent => format!("GET /{} HTTP/1.1\r\n{common}\r\n", class.name),
+        Idempotency::IdempotencyKey { .. } => format!(
             "POST /{} HTTP/1.1\r\n{common}Idempotency-Key: {:016x}\r\nContent-Length: {length}\r\n\r\n{body}",
             class.name, asked.key
         ),
-        Effect::Unsafe => {
+        Idempotency::NotIdempotent => {
             format!("POST /{} HTTP/1.1\r\n{common}Content-Length: {length}\r\n\r\n{body}", class.name)
         }
     }
--- a/crates/testbed/src/live/nodes.rs
+++ b/crates/testbed/src/live/nodes.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::sleep_until;
-use weldworks_balancer::Effect;
+use weldworks_balancer::Idempotency;
 
 const BACKLOG: u32 = 4096;
 
@@ -387,7 +387,7 @@
         let asked = self.day.plan.get(place)?;
         let class = self.day.script.classes.get(asked.class)?;
         let keyed = match class.effect {
-            Effect::Keyed { group, window } => Some((asked.key, group, window)),
+            Idempotency::IdempotencyKey { scope: group, window } => Some((asked.key, group, window)),
             _ => None,
         };
         let wait = timeout.and_then(wait).unwrap_or(class.deadline);
--- a/crates/testbed/src/model/node.rs
+++ b/crates/testbed/src/model/node.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 use std::time::Duration;
-use weldworks_balancer::Group;
+use weldworks_balancer::KeyScope;
 
 /// An attempt, by a number that is used once.
 pub type AttemptId = u64;
@@ -37,7 +37,7 @@
     /// What it is about.
     pub subject: Option<u64>,
     /// The key by which repeats are known, who drops them and for how long.
-    pub keyed: Option<(u64, Group, Duration)>,
+    pub keyed: Option<(u64, KeyScope, Duration)>,
     /// When it is over.
     pub until: Duration,
 }
@@ -124,11 +124,11 @@
 }
 
 impl Memories {
-    fn of(&self, group: Group) -> &Rc<RefCell<Repeats>> {
+    fn of(&self, group: KeyScope) -> &Rc<RefCell<Repeats>> {
         match group {
-            Group::All => &self.all,
-            Group::Zone => &self.zone,
-            Group::Cell => &self.rack,
+            KeyScope::All => &self.all,
+            KeyScope::Zone => &self.zone,
+            KeyScope::Cell => &self.rack,
         }
     }
 }
--- a/crates/testbed/src/script/defaults.rs
+++ b/crates/testbed/src/script/defaults.rs
@@ -3,7 +3,7 @@
 use super::{Class, Kind, Tenant};
 use crate::model::{ChokeSpec, Distribution, NodeSpec, PauseSpec, ReportSpec, WarmBy};
 use std::time::Duration;
-use weldworks_balancer::{Effect, Group};
+use weldworks_balancer::{Idempotency, KeyScope};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -23,12 +23,12 @@
         worth,
         effect,
     };
-    let keyed = |group| Effect::Keyed { group, window: ms(1200) };
+    let keyed = |group| Idempotency::IdempotencyKey { scope: group, window: ms(1200) };
     vec![
-        class("timetable", 0.34, 40, 0.45, 300, 1200, 2.0, Effect::Safe),
-        class("room-status", 0.23, 45, 0.55, 200, 800, 3.0, Effect::Safe),
-        class("enrol-pay", 0.22, 57, 0.45, 300, 1200, 8.0, keyed(Group::All)),
-        class("book-room", 0.21, 77, 0.5, 600, 1200, 3.0, keyed(Group::Cell)),
+        class("timetable", 0.34, 40, 0.45, 300, 1200, 2.0, Idempotency::Idempotent),
+        class("room-status", 0.23, 45, 0.55, 200, 800, 3.0, Idempotency::Idempotent),
+        class("enrol-pay", 0.22, 57, 0.45, 300, 1200, 8.0, keyed(KeyScope::All)),
+        class("book-room", 0.21, 77, 0.5, 600, 1200, 3.0, keyed(KeyScope::Cell)),
     ]
 }
 
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -9,7 +9,7 @@
 use crate::model::{Distribution, NodeSpec};
 use serde_json::{json, Value};
 use std::time::Duration;
-use weldworks_balancer::Effect;
+use weldworks_balancer::Idempotency;
 
 /// A day to rehearse.
 #[derive(Clone, Debug, PartialEq)]
@@ -161,7 +161,7 @@
     /// The worth of one.
     pub worth: f64,
     /// What repeating it does.
-    pub effect: Effect,
+    pub effect: Idempotency,
 }
 
 /// A tenant.
@@ -439,13 +439,13 @@
 
 fn class_settings(class: &Class) -> Value {
     let (effect, group, window) = match class.effect {
-        Effect::Safe => ("free", "all", 5.0),
-        Effect::Unsafe => ("single_shot", "all", 5.0),
-        Effect::Keyed { group, window } => {
+        Idempotency::Idempotent => ("free", "all", 5.0),
+        Idempotency::NotIdempotent => ("single_shot", "all", 5.0),
+        Idempotency::IdempotencyKey { scope: group, window } => {
             let group = match group {
-                weldworks_balancer::Group::All => "all",
-                weldworks_balancer::Group::Zone => "zone",
-                weldworks_balancer::Group::Cell => "cell",
+                weldworks_balancer::KeyScope::All => "all",
+                weldworks_balancer::KeyScope::Zone => "zone",
+                weldworks_balancer::KeyScope::Cell => "cell",
             };
             ("guarded", group, window.as_secs_f64())
         }
--- a/crates/testbed/src/script/read.rs
+++ b/crates/testbed/src/script/read.rs
@@ -6,7 +6,7 @@
 };
 use crate::model::{ChokeSpec, Distribution, PauseSpec, WarmBy};
 use std::time::Duration;
-use weldworks_balancer::{Effect, Group};
+use weldworks_balancer::{Idempotency, KeyScope};
 use weldworks_config::{Document, Named, Problems, Table};
 
 impl Named for Shape {
@@ -39,11 +39,14 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct GroupWord(Group);
+struct GroupWord(KeyScope);
 
 impl Named for GroupWord {
-    const WORDS: &'static [(&'static str, GroupWord)] =
-        &[("all", GroupWord(Group::All)), ("zone", GroupWord(Group::Zone)), ("rack", GroupWord(Group::Cell))];
+    const WORDS: &'static [(&'static str, GroupWord)] = &[
+        ("all", GroupWord(KeyScope::All)),
+        ("zone", GroupWord(KeyScope::Zone)),
+        ("rack", GroupWord(KeyScope::Cell)),
+    ];
 }
 
 /// The longest day, and the latest moment of one.
@@ -270,14 +273,14 @@
     }
     let mut classes = Vec::new();
     for t in &tables {
-        let group = t.or("group", GroupWord(Group::All)).0;
+        let group = t.or("group", GroupWord(KeyScope::All)).0;
         let window = t.within("window", Duration::ZERO..=LONGEST, ms(1200));
         let effect = match t.or("effect", EffectWord::Safe) {
-            EffectWord::Safe => Effect::Safe,
-            EffectWord::Unsafe => Effect::Unsafe,
-            EffectWord::Keyed => Effect::Keyed { group, window },
+            EffectWord::Safe => Idempotency::Idempotent,
+            EffectWord::Unsafe => Idempotency::NotIdempotent,
+            EffectWord::Keyed => Idempotency::IdempotencyKey { scope: group, window },
         };
-        if !matches!(effect, Effect::Keyed { .. }) {
+        if !matches!(effect, Idempotency::IdempotencyKey { .. }) {
             for key in ["group", "window"].into_iter().filter(|key| t.has(key)) {
                 t.wrong(key, "goes with effect = \"keyed\" only");
             }
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -19,7 +19,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
-use weldworks_balancer::{Effect, Group};
+use weldworks_balancer::{Idempotency, KeyScope};
 
 /// No condition takes this long, on whatever machine.
 pub const LONG: Duration = Duration::from_secs(60);
@@ -39,18 +39,18 @@
 
 /// The classes of [`settings`], by name: the aim, and what a repeat does.
 const WINDOW: Duration = Duration::from_secs(40);
-const CLASSES: [(&str, u64, Effect); 6] = [
-    ("look", 30_000, Effect::Safe),
-    ("pay", 30_000, Effect::Keyed { group: Group::All, window: WINDOW }),
-    ("book", 30_000, Effect::Keyed { group: Group::Cell, window: WINDOW }),
-    ("once", 30_000, Effect::Unsafe),
-    ("brief", 1500, Effect::Safe),
-    ("brief-once", 1500, Effect::Unsafe),
+const CLASSES: [(&str, u64, Idempotency); 6] = [
+    ("look", 30_000, Idempotency::Idempotent),
+    ("pay", 30_000, Idempotency::IdempotencyKey { scope: KeyScope::All, window: WINDOW }),
+    ("book", 30_000, Idempotency::IdempotencyKey { scope: KeyScope::Cell, window: WINDOW }),
+    ("once", 30_000, Idempotency::NotIdempotent),
+    ("brief", 1500, Idempotency::Idempotent),
+    ("brief-once", 1500, Idempotency::NotIdempotent),
 ];
 
 impl Book {
     fn new() -> Book {
-        let terms = |(_, aim, effect): &(&str, u64, Effect)| ClassTerms {
+        let terms = |(_, aim, effect): &(&str, u64, Idempotency)| ClassTerms {
             aim: Duration::from_millis(*aim),
             effect: *effect,
         };
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -21,7 +21,8 @@
 use std::time::{Duration, Instant};
 use weldworks_balancer::parse_settings;
 use weldworks_balancer::{
-    Action, Balancer, Effect, Event, HostId, HostState, LoadReport, Outcome, Request, RequestId, Settings,
+    Action, Balancer, EndpointId, EndpointState, Event, Idempotency, LoadReport, Outcome, Request, RequestId,
+    Settings,
 };
 use weldworks_control::storm::{Answered, Arriving, Storm, StormSettings, Terms};
 
@@ -170,7 +171,7 @@
     mind: Mind,
     storm: Option<Storm>,
     zone: usize,
-    hosts: Vec<weldworks_balancer::Host>,
+    hosts: Vec<weldworks_balancer::Endpoint>,
     idle: Vec<Vec<(u64, Duration)>>,
     version: u64,
     watching: bool,
@@ -306,11 +307,11 @@
             gateways.push(Gateway {
                 storm: storm.map(|s| {
                     let terms = Terms {
-                        cold_from: settings.cold_from,
-                        cold_for: settings.cold_for,
-                        most: settings.max_keep_away,
-                        quotas: &settings.quotas,
-                        gateways: settings.gateways,
+                        cold_from: settings.slow_start_min_capacity,
+                        cold_for: settings.slow_start_duration,
+                        most: settings.max_retry_after,
+                        quotas: &settings.tenant_quotas,
+                        gateways: settings.gateway_count,
                     };
                     Storm::new(s, terms, draws.number(For::Advice, g as u64))
                 }),
@@ -423,7 +424,7 @@
             Happening::Backstop { n } => {
                 if !self.tries[n].answered {
                     self.answer(n, Seen::Failed);
-                    self.decide(self.tries[n].gateway, Event::Abandoned { request: id(n) });
+                    self.decide(self.tries[n].gateway, Event::ClientDisconnected { request: id(n) });
                 }
             }
             // One set by a process that is no more is nobody's.
@@ -530,7 +531,7 @@
         self.close(n, Seen::Failed);
         if !self.tries[n].answered {
             self.tries[n].answered = true;
-            self.decide(self.tries[n].gateway, Event::Abandoned { request: id(n) });
+            self.decide(self.tries[n].gateway, Event::ClientDisconnected { request: id(n) });
         }
     }
 
@@ -596,10 +597,10 @@
             tenant: asked.tenant,
             key: asked.subject.map(weldworks_balancer::mix),
             cost_hint: self.script.clients.hints.then(|| Duration::from_secs_f64(asked.seconds)),
-            repeat: tries > 0,
-            allowance,
-            give_up_at: BEFORE + give_up,
-            coming: false,
+            is_client_retry: tries > 0,
+            admission_share: allowance,
+            client_deadline: BEFORE + give_up,
+            body_streaming: false,
         };
         self.cost.requests += 1;
         self.at(give_up, Happening::Backstop { n });
@@ -641,13 +642,13 @@
 
     fn act(&mut self, gateway: usize, action: Action) {
         match action {
-            Action::Send { request, host, until, write_by } => {
+            Action::Send { request, endpoint: host, deadline: until, write_by } => {
                 let n = place_of(request);
                 let write_by = write_by.map(|by| by.saturating_sub(BEFORE));
                 self.send(self.tries[n].gateway, n, host, until.saturating_sub(BEFORE), write_by);
             }
             // No body of a script comes in pieces.
-            Action::Until { .. } => {}
+            Action::SetAttemptDeadline { .. } => {}
             Action::Cancel { request, attempt } => {
                 let n = place_of(request);
                 let found = self.tries.get(n).and_then(|t| t.attempts.get(attempt as usize)).copied();
@@ -656,20 +657,20 @@
                     self.end_attempt(a, Outcome::Cancelled);
                 }
             }
-            Action::Refuse { request, keep_away } => {
+            Action::Reject { request, retry_after: keep_away } => {
                 let come_back = Some(keep_away).filter(|t| !t.is_zero());
                 self.answer(place_of(request), Seen::Refused { come_back });
             }
             Action::Fail { request } => self.answer(place_of(request), Seen::Failed),
-            Action::Wake { after, token } => {
+            Action::SetTimer { after, token } => {
                 let life = self.gateways[gateway].life;
                 self.at(self.now + after.max(TICK), Happening::Timer { gateway, life, token });
             }
-            Action::Probe { host } => {
+            Action::Probe { endpoint: host } => {
                 let (outcome, latency) = (Outcome::NotSent, Duration::ZERO);
-                self.decide(gateway, Event::Probed { host, outcome, latency });
+                self.decide(gateway, Event::ProbeEnded { endpoint: host, outcome, latency });
             }
-            Action::Close { host } => {
+            Action::CloseIdleConnections { endpoint: host } => {
                 let node = host.0 as usize;
                 for g in 0..self.gateways.len() {
                     if self.mind_of(g) == gateway {
@@ -680,7 +681,7 @@
                     }
                 }
             }
-            Action::Subscribe => {
+            Action::PollDiscovery => {
                 self.gateways[gateway].watching = false;
                 let at = self.now + self.script.network.same;
                 self.at(at, Happening::RegisterCall { gateway });
@@ -705,7 +706,14 @@
         }
     }
 
-    fn send(&mut self, gateway: usize, n: usize, host: HostId, until: Duration, write_by: Option<Duration>) {
+    fn send(
+        &mut self,
+        gateway: usize,
+        n: usize,
+        host: EndpointId,
+        until: Duration,
+        write_by: Option<Duration>,
+    ) {
         let node = host.0 as usize;
         let until = until.min(self.tries[n].until.saturating_sub(AHEAD));
         let a = self.attempts.len();
@@ -765,7 +773,7 @@
         let takes_work = self.gateways[self.mind_of(gateway)]
             .hosts
             .iter()
-            .any(|h| h.id.0 as usize == node && h.state == HostState::Up);
+            .any(|h| h.id.0 as usize == node && h.state == EndpointState::Up);
         if self.tries[n].answered || !takes_work || write_by.is_some_and(|by| self.now >= by) {
             self.gateways[gateway].idle[node].push((connection, self.now));
             return self.end_attempt(a, Outcome::NotSent);
@@ -785,7 +793,7 @@
         let class = &self.script.classes[asked.class];
         let seconds = attempt_seconds(self.draws, class, asked, node as u64);
         let keyed = match class.effect {
-            Effect::Keyed { group, window } => Some((asked.key, group, window)),
+            Idempotency::IdempotencyKey { scope: group, window } => Some((asked.key, group, window)),
             _ => None,
         };
         let (attempt, whole) = (a as u64, Some(self.now));
@@ -810,8 +818,8 @@
             return;
         }
         if let Some(report) = report {
-            let host = HostId(node as u32);
-            self.decide(self.tries[n].gateway, Event::Load { host, report });
+            let host = EndpointId(node as u32);
+            self.decide(self.tries[n].gateway, Event::LoadReport { endpoint: host, report });
         }
         if outcome != Outcome::Reset {
             self.gateways[self.tries[n].gateway].idle[node].push((connection, self.now));
@@ -833,7 +841,14 @@
             let of_mind = (0..self.gateways.len()).filter(|g| self.mind_of(*g) == mind);
             let held = of_mind.flat_map(|g| &self.gateways[g].idle[node]);
             let left = held.filter(|(_, since)| now - *since < fresh).count();
-            self.decide(gateway, Event::Closed { host: HostId(node as u32), idle: now - since, left });
+            self.decide(
+                gateway,
+                Event::IdleConnectionClosed {
+                    endpoint: EndpointId(node as u32),
+                    idle: now - since,
+                    remaining: left,
+                },
+            );
         }
     }
 
@@ -854,7 +869,8 @@
         let Attempt { n, in_try, sent, .. } = self.attempts[a];
         self.attempts[a].over = true;
         let (latency, over) = (self.now - sent, self.tries[n].answered);
-        let event = Event::Outcome { request: id(n), attempt: in_try, latency, outcome, over };
+        let event =
+            Event::AttemptEnded { request: id(n), attempt: in_try, latency, outcome, request_ended: over };
         self.decide(self.tries[n].gateway, event);
     }
 
@@ -878,7 +894,8 @@
                     self.ledger.ended(attempt, self.now, ended);
                     let a = attempt as usize;
                     let way = self.node_way(a, Hop::FromNode);
-                    let report = LoadReport { qps: report.qps, inflight: report.inflight }.checked();
+                    let report =
+                        LoadReport { requests_per_second: report.qps, in_flight: report.inflight }.checked();
                     self.at(self.now + way, Happening::Reply { a, outcome, report });
                 }
                 Output::Ended { attempt: Some(attempt), .. } => {
--- a/crates/testbed/src/simulate/register.rs
+++ b/crates/testbed/src/simulate/register.rs
@@ -4,7 +4,7 @@
 use crate::ledger::Told;
 use crate::model::Node;
 use crate::register::{Call, Entry, List, Status};
-use weldworks_balancer::{Event, HostId, HostState};
+use weldworks_balancer::{EndpointId, EndpointState, Event};
 
 impl World<'_> {
     /// A gateway's call has come.
@@ -27,7 +27,7 @@
         self.gateways[gateway].watching = list.is_some();
         match list {
             Some(list) => self.tell(gateway, list),
-            None => self.decide(gateway, Event::DiscoveryFailed { quiet: std::time::Duration::ZERO }),
+            None => self.decide(gateway, Event::DiscoveryFailed { silent_for: std::time::Duration::ZERO }),
         }
     }
 
@@ -82,13 +82,13 @@
         if list.version < self.gateways[gateway].version {
             return; // an older word, overtaken on its way
         }
-        let hosts: Vec<weldworks_balancer::Host> = list.entries.iter().map(|e| self.host(e)).collect();
+        let hosts: Vec<weldworks_balancer::Endpoint> = list.entries.iter().map(|e| self.host(e)).collect();
         let g = &mut self.gateways[gateway];
         g.version = list.version;
         if list.whole {
             for known in &mut g.hosts {
                 if !hosts.iter().any(|h| h.id == known.id) {
-                    known.state = HostState::Removed;
+                    known.state = EndpointState::Removed;
                     self.ledger.told(gateway, known.id.0 as usize, self.now, Told::Gone);
                 }
             }
@@ -101,11 +101,11 @@
             self.ledger.told(gateway, entry.node, self.now, entry.told());
         }
         if let Some(storm) = &mut g.storm {
-            let up = g.hosts.iter().filter(|h| h.state == HostState::Up);
+            let up = g.hosts.iter().filter(|h| h.state == EndpointState::Up);
             let up: Vec<_> = up.map(|h| weldworks_control::storm::Host { started: h.started }).collect();
             storm.hosts(BEFORE + self.now, &up);
         }
-        self.decide(gateway, Event::Hosts { full: list.whole, hosts: &hosts });
+        self.decide(gateway, Event::EndpointList { is_snapshot: list.whole, endpoints: &hosts });
     }
 
     /// What a node is worth now: its size, divided by 1 + what it holds a core.
@@ -137,30 +137,30 @@
                 continue;
             }
             let mut hosts = self.gateways[gateway].hosts.clone();
-            hosts.retain(|h| h.state != HostState::Removed);
+            hosts.retain(|h| h.state != EndpointState::Removed);
             for host in &mut hosts {
                 host.weight = self.weights[host.id.0 as usize];
             }
-            self.decide(gateway, Event::Hosts { full: false, hosts: &hosts });
+            self.decide(gateway, Event::EndpointList { is_snapshot: false, endpoints: &hosts });
         }
     }
 
     /// An entry in the module's terms.
-    fn host(&self, entry: &Entry) -> weldworks_balancer::Host {
+    fn host(&self, entry: &Entry) -> weldworks_balancer::Endpoint {
         let script = self.script;
         let state = match entry.status {
-            Status::Active => HostState::Up,
-            Status::Leaving => HostState::Draining,
-            Status::Left => HostState::Removed,
+            Status::Active => EndpointState::Up,
+            Status::Leaving => EndpointState::Draining,
+            Status::Left => EndpointState::Removed,
         };
-        weldworks_balancer::Host {
+        weldworks_balancer::Endpoint {
             state,
             zone: script.zone_of(entry.node) as u32,
             cell: script.rack_of(entry.node) as u32,
             started: entry.started.map(|at| BEFORE + at),
             weight: self.weights[entry.node],
             kind: self.kinds[entry.node] as u32,
-            ..weldworks_balancer::Host::new(HostId(entry.node as u32), &script.node_name(entry.node))
+            ..weldworks_balancer::Endpoint::new(EndpointId(entry.node as u32), &script.node_name(entry.node))
         }
     }
 }
--- a/crates/testbed/tests/ledger.rs
+++ b/crates/testbed/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! The ledger alone: each rule at its edge, event by event.
 
 use std::time::Duration;
-use weldworks_balancer::{Effect, Group};
+use weldworks_balancer::{Idempotency, KeyScope};
 use weldworks_testbed::ledger::{
     Ask, AttemptSeen, ClassTerms, Ended, Got, Ledger, Rule, Rules, Service, Tally, Told,
 };
@@ -17,8 +17,9 @@
 
 /// Nodes 0 and 1 share a rack, node 2 has one of its own.
 fn ledger() -> Ledger {
-    let keyed = |group| Effect::Keyed { group, window: ms(1000) };
-    let terms = [Effect::Safe, keyed(Group::Cell), Effect::Unsafe, keyed(Group::All)];
+    let keyed = |group| Idempotency::IdempotencyKey { scope: group, window: ms(1000) };
+    let terms =
+        [Idempotency::Idempotent, keyed(KeyScope::Cell), Idempotency::NotIdempotent, keyed(KeyScope::All)];
     let terms = terms.map(|effect| ClassTerms { aim: ms(300), effect }).to_vec();
     Ledger::new(terms, vec![(0, 0), (0, 0), (1, 1)])
 }
--- a/crates/testbed/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
-use weldworks_balancer::Group;
+use weldworks_balancer::KeyScope;
 use weldworks_testbed::draws::{Draws, For};
 use weldworks_testbed::model::{
     Answer, Budget, ChokeSpec, Memories, Node, NodeSpec, Output, PauseSpec, Refusal, Repeats, State, WarmBy,
@@ -200,24 +200,24 @@
     let other = Memories { all: rack.all.clone(), ..all };
     let of = |memories: &Memories| Node::new(0, NodeSpec::default(), Draws::new(1), memories.clone(), ms(0));
     let mut nodes = [of(&rack), of(&rack), of(&other)];
-    let mut ask = |n: usize, at: Duration, key: u64, group: Group| {
+    let mut ask = |n: usize, at: Duration, key: u64, group: KeyScope| {
         let (id, node) = (at.as_millis() as u64 + key * 1_000_000, &mut nodes[n]);
         assert!(node.connect(at, id));
         node.request(at, id, id, Work { keyed: Some((key, group, window)), ..work(id, 0.01) });
         let out = run_until(node, at + ms(50));
         answers(&out, id)[0].1 == Answer::Served { dropped: true }
     };
-    assert!(!ask(0, ms(0), 1, Group::Cell), "the first one runs");
-    assert!(ask(1, ms(100), 1, Group::Cell), "its rack knows it");
-    assert!(!ask(2, ms(200), 1, Group::Cell), "another rack does not");
-    assert!(!ask(0, ms(300), 2, Group::All));
-    assert!(ask(2, ms(400), 2, Group::All), "all nodes know this one");
+    assert!(!ask(0, ms(0), 1, KeyScope::Cell), "the first one runs");
+    assert!(ask(1, ms(100), 1, KeyScope::Cell), "its rack knows it");
+    assert!(!ask(2, ms(200), 1, KeyScope::Cell), "another rack does not");
+    assert!(!ask(0, ms(300), 2, KeyScope::All));
+    assert!(ask(2, ms(400), 2, KeyScope::All), "all nodes know this one");
 }
 
 /// A payment that was called off half way has not been made: its repeat does the whole work, or nobody does.
 #[test]
 fn a_repeat_of_what_was_cancelled_or_failed_runs_in_full() {
-    let keyed = |n| Work { keyed: Some((9, Group::All, ms(1200))), ..work(n, 0.1) };
+    let keyed = |n| Work { keyed: Some((9, KeyScope::All, ms(1200))), ..work(n, 0.1) };
     let mut node = node(NodeSpec { cores: 1, ..NodeSpec::default() });
     assert!(node.connect(ms(0), 0) && node.connect(ms(0), 1) && node.connect(ms(0), 2));
     node.request(ms(0), 0, 0, keyed(0));
@@ -250,7 +250,7 @@
     let mut node = node(NodeSpec { cores: 1, slots: 1, ..NodeSpec::default() });
     for n in 0..2 {
         assert!(node.connect(ms(0), n));
-        node.request(ms(0), n, n, Work { keyed: Some((9, Group::All, ms(1000))), ..work(n, 0.1) });
+        node.request(ms(0), n, n, Work { keyed: Some((9, KeyScope::All, ms(1000))), ..work(n, 0.1) });
     }
     node.disconnect(ms(10), 1);
     let out = run_until(&mut node, ms(500));
--- a/crates/testbed/tests/resends.rs
+++ b/crates/testbed/tests/resends.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 use std::time::Duration;
-use weldworks_balancer::{Effect, Group};
+use weldworks_balancer::{Idempotency, KeyScope};
 use weldworks_testbed::resends::Audit;
 
 /// A folder of its own, gone at the end.
@@ -33,7 +33,7 @@
     )
 }
 
-fn arrived(effect: Effect) -> String {
+fn arrived(effect: Idempotency) -> String {
     line(
         0,
         &format!(r#""message":"arrived","request":1,"number":"ab01","class":"book","effect":"{effect:?}""#),
@@ -56,8 +56,8 @@
     line(ms, r#""message":"refused","request":1,"attempts":1,"ms":9"#)
 }
 
-fn keyed(group: Group) -> Effect {
-    Effect::Keyed { group, window: Duration::from_millis(1200) }
+fn keyed(group: KeyScope) -> Idempotency {
+    Idempotency::IdempotencyKey { scope: group, window: Duration::from_millis(1200) }
 }
 
 fn audit(name: &str, files: &[Vec<String>]) -> Audit {
@@ -70,35 +70,35 @@
     let (here, other) = ((0, 3), (1, 4));
     let reset = ended(10, 0, "Reset", Some(900));
     let first = sent(5, 0, here, None);
-    let cases: Vec<(&str, Effect, Vec<String>)> = vec![
+    let cases: Vec<(&str, Idempotency, Vec<String>)> = vec![
         (
             "unsafe work was sent again after an attempt that may have run",
-            Effect::Unsafe,
+            Idempotency::NotIdempotent,
             vec![first.clone(), reset.clone(), sent(11, 1, here, None)],
         ),
         (
             "unsafe work was sent again after an attempt that may have run",
-            Effect::Unsafe,
+            Idempotency::NotIdempotent,
             vec![first.clone(), sent(11, 1, here, None)], // out still
         ),
         (
             "sent again outside its group",
-            keyed(Group::Zone),
+            keyed(KeyScope::Zone),
             vec![first.clone(), reset.clone(), sent(11, 1, other, Some(9000))],
         ),
         (
             "sent again outside its group",
-            keyed(Group::Cell),
+            keyed(KeyScope::Cell),
             vec![first.clone(), reset.clone(), sent(11, 1, other, Some(9000))],
         ),
         (
             "sent again with no latest moment for its last byte",
-            keyed(Group::All),
+            keyed(KeyScope::All),
             vec![first.clone(), reset.clone(), sent(11, 1, other, None)],
         ),
         (
             "its last byte was written after its window",
-            keyed(Group::All),
+            keyed(KeyScope::All),
             vec![
                 first.clone(),
                 reset.clone(),
@@ -108,17 +108,17 @@
         ),
         (
             "its last byte was written, and it was taken for one that never ran",
-            Effect::Safe,
+            Idempotency::Idempotent,
             vec![first.clone(), ended(10, 0, "NoConnection", Some(900))],
         ),
         (
             "refused after an attempt that may have run",
-            keyed(Group::Cell),
+            keyed(KeyScope::Cell),
             vec![first.clone(), reset.clone(), refused(12)],
         ),
         (
             "refused after an attempt that may have run",
-            Effect::Unsafe,
+            Idempotency::NotIdempotent,
             vec![first.clone(), ended(10, 0, "NoConnection", Some(900)), refused(12)],
         ),
     ];
@@ -127,7 +127,7 @@
         assert!(audit.breaches.iter().any(|b| b.what == what), "{n}: {what} in {:?}", audit.breaches);
         assert!(audit.tables().contains(what) && audit.tables().contains("ab01"));
     }
-    let one = vec![arrived(Effect::Unsafe), first, ended(10, 0, "TimedOut", Some(900))];
+    let one = vec![arrived(Idempotency::NotIdempotent), first, ended(10, 0, "TimedOut", Some(900))];
     let audit = audit("two", &[one.clone(), one]);
     assert!(audit.breaches.iter().any(|b| b.what == "ran under two gateways"), "{:?}", audit.breaches);
 }
@@ -136,7 +136,7 @@
 fn what_is_allowed_breaks_nothing_and_its_margin_is_told() {
     let here = (0, 3);
     let lines = vec![
-        arrived(keyed(Group::Cell)),
+        arrived(keyed(KeyScope::Cell)),
         sent(5, 0, here, None),
         ended(10, 0, "Reset", Some(900)),
         sent(11, 1, here, Some(9000)),
@@ -156,7 +156,7 @@
 fn what_surely_never_ran_may_be_refused_and_sent_anywhere() {
     for (how, written) in [("Rejected", Some(900)), ("NoConnection", None), ("NotSent", None)] {
         let lines = vec![
-            arrived(Effect::Unsafe),
+            arrived(Idempotency::NotIdempotent),
             sent(5, 0, (0, 3), None),
             ended(10, 0, how, written),
             sent(11, 1, (1, 4), None),
