--- a/crates/control/src/host_start.rs
+++ b/crates/control/src/endpoint_start.rs
@@ -8,27 +8,32 @@
 use std::time::Duration;
 
 /// Discovery tells of a start so late, as a rule: what came with its next word may have started so long before the word ahead of it.
-pub const TOLD_LATE: Duration = Duration::from_secs(2);
+pub const MAX_START_REPORT_DELAY: Duration = Duration::from_secs(2);
 
 /// What is known of a start when it is first listed. All times are on the process's own monotonic clock.
 #[derive(Clone, Copy, Debug)]
-pub struct Evidence {
+pub struct StartEvidence {
     /// Now.
     pub now: Duration,
     /// When it was by the wall clock, perhaps ahead of now; none for longer ago than that clock's tie reaches.
-    pub by_wall_clock: Option<Duration>,
+    pub wall_clock_start: Option<Duration>,
     /// How long before the newest start of all that are listed.
-    pub before_newest: Duration,
+    pub offset_before_newest: Duration,
     /// When discovery had last spoken before it told of this start, where it had since the process began.
-    pub heard_before: Option<Duration>,
+    pub last_discovery_message: Option<Duration>,
 }
 
 /// When the host started.
-pub fn started(evidence: Evidence) -> Duration {
-    let Evidence { now, by_wall_clock, before_newest, heard_before } = evidence;
+pub fn estimate_start(evidence: StartEvidence) -> Duration {
+    let StartEvidence {
+        now,
+        wall_clock_start: by_wall_clock,
+        offset_before_newest: before_newest,
+        last_discovery_message: heard_before,
+    } = evidence;
     // The newest start is not ahead of now, and this one came so long before.
     let latest = now.saturating_sub(before_newest);
-    let earliest = heard_before.map_or(latest, |heard| heard.saturating_sub(TOLD_LATE).min(now));
+    let earliest = heard_before.map_or(latest, |heard| heard.saturating_sub(MAX_START_REPORT_DELAY).min(now));
     match by_wall_clock {
         // A clock that is behind says nothing.
         Some(by) if by > now => earliest.max(latest),
--- a/crates/control/src/execution.rs
+++ b/crates/control/src/execution.rs
@@ -7,19 +7,19 @@
 
 /// How much of a request has gone to the kernel.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Written {
+pub enum WriteProgress {
     /// Not a byte.
     #[default]
     Nothing,
     /// Some of it, and surely not its last byte.
-    Part,
+    Partial,
     /// All of it, or so much that its last byte may be among it.
-    Whole,
+    Complete,
 }
 
 /// What a host's answer says, once all of it has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum ResponseVerdict {
     /// Status 200.
     Served,
     /// A refusal that says, just once, that the request was not processed.
@@ -30,44 +30,47 @@
 
 /// What ended an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptEnd {
     /// The gateway had reasons of its own not to write it, or not all of it.
     Withheld,
     /// No connection came up; the connection broke or ended; what came of an answer is not whole.
-    Broken,
+    ConnectionFailed,
     /// It was given up when its time was over.
     TimedOut,
     /// It was called off.
     Cancelled,
     /// A whole answer came, or one that is longer than any may be.
-    Answered(Said),
+    Answered(ResponseVerdict),
 }
 
 /// The outcome of an attempt whose connection is closed by now, or was answered.
-pub fn outcome(written: Written, ended: Ended) -> Outcome {
-    let ran_perhaps = written == Written::Whole;
+pub fn classify_attempt(written: WriteProgress, ended: AttemptEnd) -> Outcome {
+    let ran_perhaps = written == WriteProgress::Complete;
     match ended {
-        Ended::Cancelled => Outcome::Cancelled,
-        Ended::Withheld if ran_perhaps => Outcome::Reset,
-        Ended::Withheld => Outcome::NotSent,
-        Ended::Broken if ran_perhaps => Outcome::Reset,
-        Ended::TimedOut if ran_perhaps => Outcome::TimedOut,
-        Ended::Broken | Ended::TimedOut => Outcome::NoConnection,
-        Ended::Answered(Said::Error) => Outcome::Error,
-        Ended::Answered(Said::NotProcessed) => Outcome::Rejected,
-        Ended::Answered(Said::Served) if ran_perhaps => Outcome::Served,
+        AttemptEnd::Cancelled => Outcome::Cancelled,
+        AttemptEnd::Withheld if ran_perhaps => Outcome::Reset,
+        AttemptEnd::Withheld => Outcome::NotSent,
+        AttemptEnd::ConnectionFailed if ran_perhaps => Outcome::Reset,
+        AttemptEnd::TimedOut if ran_perhaps => Outcome::TimedOut,
+        AttemptEnd::ConnectionFailed | AttemptEnd::TimedOut => Outcome::NoConnection,
+        AttemptEnd::Answered(ResponseVerdict::Error) => Outcome::Error,
+        AttemptEnd::Answered(ResponseVerdict::NotProcessed) => Outcome::Rejected,
+        AttemptEnd::Answered(ResponseVerdict::Served) if ran_perhaps => Outcome::Served,
         // What has not had the whole request has not served it: this answers something else.
-        Ended::Answered(Said::Served) => Outcome::NoConnection,
+        AttemptEnd::Answered(ResponseVerdict::Served) => Outcome::NoConnection,
     }
 }
 
 /// What an answer says of the request, by its status and by the marks of not having processed it, one for each time that its head says
 /// so.
-pub fn said<'a>(status: u16, mut not_processed: impl Iterator<Item = &'a [u8]>) -> Said {
+pub fn classify_response<'a>(
+    status: u16,
+    mut not_processed: impl Iterator<Item = &'a [u8]>,
+) -> ResponseVerdict {
     match (status, not_processed.next(), not_processed.next()) {
-        (200, ..) => Said::Served,
+        (200, ..) => ResponseVerdict::Served,
         // Twice, or in other words: who knows what it means.
-        (503 | 504, Some(b"1"), None) => Said::NotProcessed,
-        _ => Said::Error,
+        (503 | 504, Some(b"1"), None) => ResponseVerdict::NotProcessed,
+        _ => ResponseVerdict::Error,
     }
 }
--- a/crates/control/src/handover.rs
+++ b/crates/control/src/hot_restart.rs
@@ -8,36 +8,36 @@
 /// The first line: whose it is, and its version. Another version is passed over.
 const HEAD: &str = "ottervane-handover 2";
 /// The longest text that is read.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_SNAPSHOT_BYTES: usize = 1 << 20;
 /// The most hosts that are written.
 const MOST: usize = 10_000;
 /// What is older tells of other days. It is written once in [`EVERY`].
-pub const OLDEST: Duration = Duration::from_secs(5);
+pub const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(5);
 /// See [`OLDEST`].
-pub const EVERY: Duration = Duration::from_secs(1);
+pub const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Why a text is passed over.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unfit {
+pub enum SnapshotError {
     /// It is longer than any that this program writes.
-    #[error("it is longer than {LONGEST} bytes")]
-    Long,
+    #[error("it is longer than {MAX_SNAPSHOT_BYTES} bytes")]
+    TooLong,
     /// It is another program's, or another version's.
     #[error("its first line is not {HEAD:?}")]
-    Foreign,
+    UnknownFormat,
     /// It was written too long ago, or is said to come from the future.
-    #[error("it was written {0} ms before now; at most {max} ms count", max = OLDEST.as_millis())]
-    Old(i128),
+    #[error("it was written {0} ms before now; at most {max} ms count", max = MAX_SNAPSHOT_AGE.as_millis())]
+    Expired(i128),
     /// Its end is missing, or a line of it.
     #[error("it is not whole")]
-    Torn,
+    Truncated,
     /// A line that says nothing, or a figure that can't be.
     #[error("line {0} does not hold")]
-    Figure(usize),
+    InvalidLine(usize),
 }
 
 /// The text of a memory, written at this moment of the machine's monotonic clock, which a step of the wall clock does not move.
-pub fn write(memory: &Snapshot, now: Duration) -> String {
+pub fn encode_snapshot(memory: &Snapshot, now: Duration) -> String {
     let mut text = format!("{HEAD}\nwritten {}\n", now.as_millis());
     let _ = writeln!(
         text,
@@ -59,29 +59,31 @@
 ///
 /// # Errors
 /// Why it is to be passed over.
-pub fn read(text: &str, now: Duration) -> Result<Snapshot, Unfit> {
-    if text.len() > LONGEST {
-        return Err(Unfit::Long);
+pub fn decode_snapshot(text: &str, now: Duration) -> Result<Snapshot, SnapshotError> {
+    if text.len() > MAX_SNAPSHOT_BYTES {
+        return Err(SnapshotError::TooLong);
     }
     let mut lines = text.split_inclusive('\n').enumerate();
     let mut next = || match lines.next() {
-        Some((n, line)) => line.strip_suffix('\n').map(|line| (n + 1, line)).ok_or(Unfit::Torn),
-        None => Err(Unfit::Torn),
+        Some((n, line)) => line.strip_suffix('\n').map(|line| (n + 1, line)).ok_or(SnapshotError::Truncated),
+        None => Err(SnapshotError::Truncated),
     };
     if !matches!(next(), Ok((_, HEAD))) {
-        return Err(Unfit::Foreign);
+        return Err(SnapshotError::UnknownFormat);
     }
     let (n, line) = next()?;
     let written: i128 =
-        line.strip_prefix("written ").and_then(|ms| ms.parse().ok()).ok_or(Unfit::Figure(n))?;
+        line.strip_prefix("written ").and_then(|ms| ms.parse().ok()).ok_or(SnapshotError::InvalidLine(n))?;
     let age = (now.as_millis() as i128).saturating_sub(written);
-    if !(0..=OLDEST.as_millis() as i128).contains(&age) {
-        return Err(Unfit::Old(age));
+    if !(0..=MAX_SNAPSHOT_AGE.as_millis() as i128).contains(&age) {
+        return Err(SnapshotError::Expired(age));
     }
     let (n, line) = next()?;
     let figures = line.strip_prefix("traffic ").map(|rest| rest.split(' ').map(str::parse::<f64>));
     let figures: Option<Vec<f64>> = figures.and_then(|f| f.collect::<Result<_, _>>().ok());
-    let Some(&[served, asked, warm, latency]) = figures.as_deref() else { return Err(Unfit::Figure(n)) };
+    let Some(&[served, asked, warm, latency]) = figures.as_deref() else {
+        return Err(SnapshotError::InvalidLine(n));
+    };
     let mut memory = Snapshot {
         endpoints: Vec::new(),
         served_per_s: served,
@@ -90,13 +92,14 @@
         mean_latency_s: latency,
     };
     if !memory.is_valid() {
-        return Err(Unfit::Figure(n));
+        return Err(SnapshotError::InvalidLine(n));
     }
     loop {
         let (n, line) = next()?;
         if let Some(count) = line.strip_prefix("end ") {
-            let whole = count.parse() == Ok(memory.endpoints.len()) && next() == Err(Unfit::Torn);
-            return if whole { Ok(memory) } else { Err(Unfit::Torn) };
+            let whole =
+                count.parse() == Ok(memory.endpoints.len()) && next() == Err(SnapshotError::Truncated);
+            return if whole { Ok(memory) } else { Err(SnapshotError::Truncated) };
         }
         let host = line.strip_prefix("host ").and_then(|rest| rest.split_once(' ')).and_then(|(hash, e)| {
             Some(EndpointSnapshot {
@@ -104,9 +107,9 @@
                 latency_estimate_s: e.parse().ok()?,
             })
         });
-        let host = host.ok_or(Unfit::Figure(n))?;
+        let host = host.ok_or(SnapshotError::InvalidLine(n))?;
         if !(Snapshot { endpoints: vec![host], ..Snapshot::default() }).is_valid() {
-            return Err(Unfit::Figure(n));
+            return Err(SnapshotError::InvalidLine(n));
         }
         memory.endpoints.push(host);
     }
@@ -119,30 +122,30 @@
 
 /// What a process that does not serve yet waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Awaited {
+pub enum StartupWait {
     /// Discovery's first word: what another process was told of drains binds this one too, so nobody is taken in on a list that
     /// may be old, unless there is no other to be had.
     Discovery,
     /// A host that takes work: without one it would only take clients from the process that serves.
-    Hosts,
+    Endpoints,
 }
 
 /// How a process begins to serve.
 #[derive(Clone, Copy, Debug)]
-pub struct Entry {
+pub struct Startup {
     /// Another process may serve on the same listener.
-    pub shared: bool,
+    pub shared_listener: bool,
     /// When this one started.
-    pub since: Duration,
+    pub started_at: Duration,
 }
 
-impl Entry {
+impl Startup {
     /// What it waits for now, if anything. One with a listener of its own waits for nothing: there is nobody else to ask.
-    pub fn awaits(&self, now: Duration, heard: bool, hosts_up: bool) -> Option<Awaited> {
-        let waited = now.saturating_sub(self.since);
-        match (self.shared, heard, hosts_up) {
-            (true, false, _) if waited < FIRST_NEWS => Some(Awaited::Discovery),
-            (true, _, false) if waited < FIRST_HOST => Some(Awaited::Hosts),
+    pub fn waiting_for(&self, now: Duration, heard: bool, hosts_up: bool) -> Option<StartupWait> {
+        let waited = now.saturating_sub(self.started_at);
+        match (self.shared_listener, heard, hosts_up) {
+            (true, false, _) if waited < FIRST_NEWS => Some(StartupWait::Discovery),
+            (true, _, false) if waited < FIRST_HOST => Some(StartupWait::Endpoints),
             _ => None,
         }
     }
@@ -150,41 +153,45 @@
 
 /// Two processes look for each other so often that the one that stays has all descriptors before the clients that the other sends
 /// away come to it: those are answered goodbye within milliseconds. One that is alone has time.
-pub fn look_again(other: bool) -> Duration {
+pub fn peer_check_interval(other: bool) -> Duration {
     Duration::from_millis(if other { 10 } else { 250 })
 }
 
 /// How many descriptors a process has open, by what for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct DescriptorUsage {
     /// Connections of clients.
     pub clients: usize,
     /// Those that are taken in only to be told that there is no room.
     pub overflow: usize,
     /// Connections to hosts.
-    pub hosts: usize,
+    pub endpoints: usize,
 }
 
-impl Held {
+impl DescriptorUsage {
     /// Its text: always as long, so that a newer one stands whole in the place of an older one.
-    pub fn text(self) -> String {
+    pub fn encode(self) -> String {
         let within = |count: usize| count.min(999_999);
-        format!("{:06} {:06} {:06}\n", within(self.clients), within(self.overflow), within(self.hosts))
+        format!("{:06} {:06} {:06}\n", within(self.clients), within(self.overflow), within(self.endpoints))
     }
 
     /// Reads such a text; none where it is another, or not whole.
-    pub fn read(text: &str) -> Option<Held> {
+    pub fn decode(text: &str) -> Option<DescriptorUsage> {
         let mut counts = text
             .strip_suffix('\n')?
             .split(' ')
             .map(|count| (count.len() == 6).then_some(count)?.parse().ok());
-        let held = Held { clients: counts.next()??, overflow: counts.next()??, hosts: counts.next()?? };
+        let held = DescriptorUsage {
+            clients: counts.next()??,
+            overflow: counts.next()??,
+            endpoints: counts.next()??,
+        };
         counts.next().is_none().then_some(held)
     }
 }
 
 /// What one process may have open of a limit that both keep: what the other one has not. A fixed half would refuse clients that hold
 /// more than half at the one while the other has none yet.
-pub fn left(most: usize, other: usize) -> usize {
+pub fn remaining_descriptors(most: usize, other: usize) -> usize {
     most.saturating_sub(other)
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -3,11 +3,11 @@
 //! Each subsystem brings a module of its own here. None does any I/O: the time comes in as a [`std::time::Duration`],
 //! events come in, actions go out, and what is random comes from a seed.
 
-pub mod bodies;
-pub mod classes;
+pub mod body_streaming;
+pub mod class_registry;
 pub mod drain;
+pub mod endpoint_start;
 pub mod execution;
-pub mod handover;
-pub mod host_start;
-pub mod rewatch;
-pub mod storm;
+pub mod hot_restart;
+pub mod retry_storm;
+pub mod watch_backoff;
--- a/crates/control/src/storm/detector.rs
+++ b/crates/control/src/retry_storm/detector.rs
@@ -4,15 +4,15 @@
 //! because others were not served, so both are asked for at once. Each state is left by other limits than it was
 //! entered by, so that a figure at the edge changes nothing back and forth.
 
+use super::fair_share::{wilson_lower_bound, Fading};
 use super::settings::StormSettings;
-use super::share::{surely, Fading};
-use super::Answered;
+use super::RequestResult;
 use std::fmt;
 use std::time::Duration;
 
 /// The state of the storm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum StormState {
     /// Nothing is wrong.
     Calm,
     /// It looks like one, and may be chance.
@@ -27,29 +27,29 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
     /// The share of arrivals that are marked as repeats.
-    pub marked: f64,
+    pub client_retry_ratio: f64,
     /// The share of arrivals whose key was seen a moment ago.
-    pub known: f64,
+    pub repeated_key_ratio: f64,
     /// The share of answers that are refusals or failures.
-    pub unserved: f64,
+    pub unserved_ratio: f64,
     /// Connections accepted a second.
-    pub connections: f64,
+    pub connections_per_s: f64,
     /// Arrivals a second.
-    pub arrivals: f64,
+    pub arrivals_per_s: f64,
 }
 
 /// A change of state.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Change {
+pub struct StateChange {
     /// From.
-    pub from: State,
+    pub from: StormState,
     /// To.
-    pub to: State,
+    pub to: StormState,
     /// The figures that caused it.
     pub signals: Signals,
 }
 
-impl fmt::Display for Change {
+impl fmt::Display for StateChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let s = &self.signals;
         write!(
@@ -58,11 +58,11 @@
              {:.0} arrivals and {:.0} new connections a second",
             self.from,
             self.to,
-            100.0 * s.marked,
-            100.0 * s.known,
-            100.0 * s.unserved,
-            s.arrivals,
-            s.connections
+            100.0 * s.client_retry_ratio,
+            100.0 * s.repeated_key_ratio,
+            100.0 * s.unserved_ratio,
+            s.arrivals_per_s,
+            s.connections_per_s
         )
     }
 }
@@ -72,9 +72,9 @@
 
 /// Notices storms.
 #[derive(Clone, Debug)]
-pub struct Detector {
+pub struct StormDetector {
     settings: StormSettings,
-    state: State,
+    state: StormState,
     since: f64,
     arrivals: Fading,
     marked: Fading,
@@ -84,12 +84,12 @@
     connections: Fading,
 }
 
-impl Detector {
+impl StormDetector {
     /// A calm one.
-    pub fn new(settings: &StormSettings) -> Detector {
+    pub fn new(settings: &StormSettings) -> StormDetector {
         let (arrivals, marked, known, answers, unserved, connections) = Default::default();
-        let (state, since) = (State::Calm, 0.0);
-        Detector {
+        let (state, since) = (StormState::Calm, 0.0);
+        StormDetector {
             settings: *settings,
             state,
             since,
@@ -103,7 +103,7 @@
     }
 
     /// The state.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> StormState {
         self.state
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// A request has come.
-    pub fn arrived(&mut self, now: Duration, marked: bool, known: bool) {
+    pub fn record_arrival(&mut self, now: Duration, marked: bool, known: bool) {
         let (now, window) = (now.as_secs_f64(), self.window());
         self.arrivals.add(now, window, 1.0);
         self.marked.add(now, window, f64::from(u8::from(marked)));
@@ -125,14 +125,14 @@
     }
 
     /// A request has been answered.
-    pub fn answered(&mut self, now: Duration, how: Answered) {
+    pub fn record_result(&mut self, now: Duration, how: RequestResult) {
         let (now, window) = (now.as_secs_f64(), self.window());
         self.answers.add(now, window, 1.0);
-        self.unserved.add(now, window, f64::from(u8::from(how != Answered::Served)));
+        self.unserved.add(now, window, f64::from(u8::from(how != RequestResult::Served)));
     }
 
     /// A connection has been accepted.
-    pub fn connected(&mut self, now: Duration) {
+    pub fn record_connection(&mut self, now: Duration) {
         self.connections.add(now.as_secs_f64(), self.window(), 1.0);
     }
 
@@ -142,37 +142,39 @@
         let (arrivals, answers) = (self.arrivals.at(now, window), self.answers.at(now, window));
         let share = |part: Fading, of: f64| if of > 0.0 { part.at(now, window) / of } else { 0.0 };
         Signals {
-            marked: share(self.marked, arrivals),
-            known: share(self.known, arrivals),
-            unserved: share(self.unserved, answers),
-            connections: self.connections.at(now, window) / window,
-            arrivals: arrivals / window,
+            client_retry_ratio: share(self.marked, arrivals),
+            repeated_key_ratio: share(self.known, arrivals),
+            unserved_ratio: share(self.unserved, answers),
+            connections_per_s: self.connections.at(now, window) / window,
+            arrivals_per_s: arrivals / window,
         }
     }
 
     /// Goes to the state that the figures ask for; gives the change, where there is one.
-    pub fn step(&mut self, now: Duration) -> Option<Change> {
+    pub fn step(&mut self, now: Duration) -> Option<StateChange> {
         let (signals, at) = (self.signals(now), now.as_secs_f64());
         let enough = self.arrivals.at(at, self.window()) >= ENOUGH;
         let s = &self.settings;
-        let marked = surely(self.marked.at(at, self.window()), self.arrivals.at(at, self.window()));
-        let unserved = surely(self.unserved.at(at, self.window()), self.answers.at(at, self.window()));
+        let marked =
+            wilson_lower_bound(self.marked.at(at, self.window()), self.arrivals.at(at, self.window()));
+        let unserved =
+            wilson_lower_bound(self.unserved.at(at, self.window()), self.answers.at(at, self.window()));
         let bad = enough && marked > s.repeats && unserved > s.unserved;
         // At the edge a share moves with every arrival: what is suspected is so until it is clearly under its limits.
         let doubtful = marked < 0.75 * s.repeats || unserved < 0.75 * s.unserved;
         let good = marked < 0.5 * s.repeats && unserved < 0.5 * s.unserved;
         let stood = |time: Duration| at - self.since >= time.as_secs_f64();
         let to = match self.state {
-            State::Calm if bad => State::Suspected,
-            State::Suspected if doubtful => State::Calm,
-            State::Suspected if stood(s.confirm) => State::Storm,
-            State::Storm if good && stood(s.calm_after) => State::Recovering,
-            State::Recovering if bad => State::Storm,
-            State::Recovering if stood(s.recover) => State::Calm,
+            StormState::Calm if bad => StormState::Suspected,
+            StormState::Suspected if doubtful => StormState::Calm,
+            StormState::Suspected if stood(s.confirm) => StormState::Storm,
+            StormState::Storm if good && stood(s.calm_after) => StormState::Recovering,
+            StormState::Recovering if bad => StormState::Storm,
+            StormState::Recovering if stood(s.recover) => StormState::Calm,
             same => same,
         };
         (to != self.state).then(|| {
-            let change = Change { from: self.state, to, signals };
+            let change = StateChange { from: self.state, to, signals };
             (self.state, self.since) = (to, at);
             change
         })
--- a/crates/control/src/storm/share.rs
+++ b/crates/control/src/retry_storm/fair_share.rs
@@ -10,7 +10,7 @@
 const SURE: f64 = 1.96;
 
 /// The lower end of the interval of a share, of which `part` in `of` was seen; 0 where nothing was.
-pub fn surely(part: f64, of: f64) -> f64 {
+pub fn wilson_lower_bound(part: f64, of: f64) -> f64 {
     if of <= 0.0 {
         return 0.0;
     }
@@ -47,7 +47,7 @@
 /// number of gateways, more than the quota. Both, since either errs: the part where others ask for less than is theirs or
 /// where a front deals a tenant's requests to few gateways; the rate where a front deals unevenly or the number is wrong.
 #[derive(Clone, Debug)]
-pub struct Shares {
+pub struct FairShare {
     tenants: Vec<Tenant>,
     all: Fading,
     gateways: f64,
@@ -62,10 +62,10 @@
     asked: Fading,
 }
 
-impl Shares {
+impl FairShare {
     /// From the quotas, requests a second over all of so many gateways. A quota that is no positive number is none, and
     /// its tenant is never beyond it.
-    pub fn new(quotas: &[f64], gateways: u32) -> Shares {
+    pub fn new(quotas: &[f64], gateways: u32) -> FairShare {
         let fit = |quota: f64| if quota.is_finite() && quota > 0.0 { quota } else { 0.0 };
         let whole: f64 = quotas.iter().map(|q| fit(*q)).sum();
         let tenant = |quota: &f64| {
@@ -73,11 +73,11 @@
             Tenant { quota, share: quota / whole.max(f64::MIN_POSITIVE), asked: Fading::default() }
         };
         let gateways = f64::from(gateways.max(1));
-        Shares { tenants: quotas.iter().map(tenant).collect(), all: Fading::default(), gateways }
+        FairShare { tenants: quotas.iter().map(tenant).collect(), all: Fading::default(), gateways }
     }
 
     /// A request of a tenant comes; whether the tenant may be within its share. One that is not known is.
-    pub fn within(&mut self, now: Duration, tenant: usize) -> bool {
+    pub fn is_within_share(&mut self, now: Duration, tenant: usize) -> bool {
         let now = now.as_secs_f64();
         self.all.add(now, WINDOW_S, 1.0);
         let all = self.all.at(now, WINDOW_S);
@@ -85,6 +85,6 @@
         tenant.asked.add(now, WINDOW_S, 1.0);
         let asked = tenant.asked.at(now, WINDOW_S);
         let more = asked / WINDOW_S * self.gateways > tenant.quota;
-        tenant.quota <= 0.0 || !more || surely(asked, all) <= BEYOND * tenant.share
+        tenant.quota <= 0.0 || !more || wilson_lower_bound(asked, all) <= BEYOND * tenant.share
     }
 }
--- a/crates/control/src/storm/seen.rs
+++ b/crates/control/src/retry_storm/repeat_cache.rs
@@ -24,19 +24,19 @@
 
 /// The keys seen lately.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct RepeatCache {
     places: Places,
     lasts: Duration,
 }
 
-impl Seen {
+impl RepeatCache {
     /// Remembers a key for so long, in so many places.
-    pub fn new(lasts: Duration, places: usize) -> Seen {
-        Seen { places: Places::new(places), lasts }
+    pub fn new(lasts: Duration, places: usize) -> RepeatCache {
+        RepeatCache { places: Places::new(places), lasts }
     }
 
     /// Meets a key; whether it was seen a moment ago.
-    pub fn meet(&mut self, now: Duration, identity: u64) -> bool {
+    pub fn insert(&mut self, now: Duration, identity: u64) -> bool {
         let lasts = self.lasts;
         let place = self.places.place(identity);
         let known = place.0 == identity && place.1 + lasts >= now && !place.1.is_zero();
@@ -52,21 +52,21 @@
 
 /// The times that clients were promised.
 #[derive(Clone, Debug)]
-pub struct Promised(Places);
+pub struct ReservationCache(Places);
 
-impl Promised {
+impl ReservationCache {
     /// So many promises at the most.
-    pub fn new(places: usize) -> Promised {
-        Promised(Places::new(places))
+    pub fn new(places: usize) -> ReservationCache {
+        ReservationCache(Places::new(places))
     }
 
     /// A client is told to come at a time.
-    pub fn give(&mut self, identity: u64, at: Duration) {
+    pub fn insert(&mut self, identity: u64, at: Duration) {
         *self.0.place(identity) = (identity, at);
     }
 
     /// A client comes; whether at the time it was promised. A promise is good once.
-    pub fn keep(&mut self, now: Duration, identity: u64) -> bool {
+    pub fn redeem(&mut self, now: Duration, identity: u64) -> bool {
         let place = self.0.place(identity);
         let on_time = place.0 == identity && now + EARLY >= place.1 && now <= place.1 + KEPT;
         if on_time {
--- a/crates/control/src/storm/returns.rs
+++ b/crates/control/src/retry_storm/retry_after.rs
@@ -1,15 +1,15 @@
 //! When refused clients should come back: spread so that what returns never outruns what hosts will be able to do.
 
-use super::{Answered, Host};
+use super::{RequestResult, StartedEndpoint};
 use std::time::Duration;
 
 /// Advice on when to come back.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Promise {
+pub struct Reservation {
     /// From now.
     pub after: Duration,
     /// A place is kept for it then. Otherwise all places within the longest advice are given away.
-    pub counted: bool,
+    pub is_reserved: bool,
 }
 
 /// Over how long rates are averaged, in seconds.
@@ -26,12 +26,12 @@
 
 /// The times given away, as one pointer that moves by the time each return takes up.
 #[derive(Clone, Debug)]
-pub struct Returns {
+pub struct RetryAfterSchedule {
     cold_from: f64,
     cold_for: f64,
     most: f64,
     rng: fastrand::Rng,
-    hosts: Vec<Host>,
+    hosts: Vec<StartedEndpoint>,
     served: (f64, f64),
     firsts: (f64, f64),
     each: f64,
@@ -44,10 +44,10 @@
     rate.0 / WINDOW
 }
 
-impl Returns {
+impl RetryAfterSchedule {
     /// Hosts start at `cold_from` of what they can do and are warm after `cold_for`; clients heed at most `most`.
-    pub fn new(cold_from: f64, cold_for: Duration, most: Duration, seed: u64) -> Returns {
-        Returns {
+    pub fn new(cold_from: f64, cold_for: Duration, most: Duration, seed: u64) -> RetryAfterSchedule {
+        RetryAfterSchedule {
             cold_from: cold_from.clamp(0.01, 1.0),
             cold_for: cold_for.as_secs_f64().max(1e-3),
             most: most.as_secs_f64(),
@@ -61,24 +61,24 @@
     }
 
     /// The hosts that take work now.
-    pub fn hosts(&mut self, now: Duration, hosts: &[Host]) {
+    pub fn set_endpoints(&mut self, now: Duration, hosts: &[StartedEndpoint]) {
         self.hosts = hosts.to_vec();
         self.next = self.next.min(now.as_secs_f64() + self.most);
     }
 
     /// A first try has come.
-    pub fn expect(&mut self, now: Duration) {
+    pub fn record_first_attempt(&mut self, now: Duration) {
         fade(&mut self.firsts, now.as_secs_f64(), 1.0);
     }
 
     /// A request has been answered. What is served while others are refused is what the hosts can do.
-    pub fn answered(&mut self, now: Duration, how: Answered) {
+    pub fn record_result(&mut self, now: Duration, how: RequestResult) {
         let now = now.as_secs_f64();
         match how {
-            Answered::Served => {
+            RequestResult::Served => {
                 fade(&mut self.served, now, 1.0);
             }
-            Answered::Refused => {
+            RequestResult::Rejected => {
                 let rate = fade(&mut self.served, now, 0.0);
                 let warm = self.warm_hosts(now);
                 if warm > 0.0 {
@@ -89,13 +89,13 @@
                     };
                 }
             }
-            Answered::Failed => {}
+            RequestResult::Failed => {}
         }
     }
 
     /// The hosts that take work, each counted by the share of its capacity that it has at a time.
     fn warm_hosts(&self, at: f64) -> f64 {
-        let warmth = |host: &Host| match host.started {
+        let warmth = |host: &StartedEndpoint| match host.started_at {
             None => 1.0,
             Some(started) => {
                 let part = ((at - started.as_secs_f64()) / self.cold_for).clamp(0.0, 1.0);
@@ -111,7 +111,7 @@
     }
 
     /// The rate of returns that fits in at a time, in requests a second.
-    pub fn spare(&self, now: Duration, at: Duration) -> f64 {
+    pub fn spare_rate(&self, now: Duration, at: Duration) -> f64 {
         let (sum, since) = self.firsts;
         let firsts = sum * (-(now.as_secs_f64() - since).max(0.0) / WINDOW).exp() / WINDOW;
         let capacity = self.capacity(at);
@@ -119,12 +119,12 @@
     }
 
     /// A storm begins: nothing is given away yet.
-    pub fn begin(&mut self, now: Duration) {
+    pub fn reset(&mut self, now: Duration) {
         self.next = now.as_secs_f64();
     }
 
     /// When the next one to be refused should come back.
-    pub fn promise(&mut self, now: Duration) -> Promise {
+    pub fn reserve(&mut self, now: Duration) -> Reservation {
         let at = now.as_secs_f64();
         let earliest = at + SHORTEST.min(self.most);
         self.next = self.next.max(earliest);
@@ -132,11 +132,11 @@
         if self.next > at + self.most * (1.0 - JITTER) {
             // Every place is given away. Who can't be promised one is spread over the later half of what clients heed.
             let after = self.most * (0.5 + 0.5 * self.rng.f64());
-            return Promise { after: Duration::from_secs_f64(after), counted: false };
+            return Reservation { after: Duration::from_secs_f64(after), is_reserved: false };
         }
         let after = ((self.next - at) * jitter).clamp(SHORTEST.min(self.most), self.most);
-        let rate = self.spare(now, Duration::from_secs_f64(self.next));
+        let rate = self.spare_rate(now, Duration::from_secs_f64(self.next));
         self.next += if rate > 0.0 { 1.0 / rate } else { self.most };
-        Promise { after: Duration::from_secs_f64(after), counted: true }
+        Reservation { after: Duration::from_secs_f64(after), is_reserved: true }
     }
 }
--- a/crates/control/tests/classes.rs
+++ b/crates/control/tests/class_registry.rs
@@ -4,10 +4,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, RequestClass};
-use weldworks_control::classes::{Classes, Form, Kept, NoClass, GRACE};
+use weldworks_control::class_registry::{
+    ClassError, ClassRegistry, RegisteredClass, RequestForm, RETIRED_CLASS_GRACE,
+};
 
-const READ: Form = Form { writes: false, keyed: false };
-const WRITE: Form = Form { writes: true, keyed: false };
+const READ: RequestForm = RequestForm { is_write: false, has_idempotency_key: false };
+const WRITE: RequestForm = RequestForm { is_write: true, has_idempotency_key: false };
 const NOW: Duration = Duration::from_secs(100);
 
 fn class(aim: u64, effect: Idempotency) -> RequestClass {
@@ -17,14 +19,14 @@
     }
 }
 
-fn named(classes: &Classes, name: &str) -> Option<Rc<Kept>> {
-    classes.live().find(|kept| kept.name == name).cloned()
+fn named(classes: &ClassRegistry, name: &str) -> Option<Rc<RegisteredClass>> {
+    classes.active().find(|kept| kept.name == name).cloned()
 }
 
 #[test]
 fn a_class_with_another_effect_is_another_class() {
-    let mut classes = Classes::default();
-    classes.take(
+    let mut classes = ClassRegistry::default();
+    classes.replace(
         NOW,
         [
             ("pay".to_owned(), class(300, Idempotency::Idempotent)),
@@ -32,7 +34,7 @@
         ],
     );
     let (pay, look) = (named(&classes, "pay").expect("pay"), named(&classes, "look").expect("look").number);
-    classes.take(
+    classes.replace(
         NOW,
         [
             ("look".to_owned(), class(100, Idempotency::Idempotent)),
@@ -61,13 +63,13 @@
         files in prop::collection::vec(prop::collection::btree_map("[a-d]", 1u64..4, 1..4), 1..40),
         hold in prop::collection::vec(0usize..5, 40),
     ) {
-        let mut classes = Classes::default();
-        let mut held: Vec<Rc<Kept>> = Vec::new();
+        let mut classes = ClassRegistry::default();
+        let mut held: Vec<Rc<RegisteredClass>> = Vec::new();
         let mut before = std::collections::BTreeMap::<String, u64>::new();
         for (n, (file, hold)) in files.iter().zip(&hold).enumerate() {
             let now = NOW + Duration::from_millis(700 * n as u64);
-            classes.take(now, file.iter().map(|(name, aim)| (name.clone(), class(*aim, Idempotency::Idempotent))));
-            prop_assert_eq!(classes.live().count(), file.len());
+            classes.replace(now, file.iter().map(|(name, aim)| (name.clone(), class(*aim, Idempotency::Idempotent))));
+            prop_assert_eq!(classes.active().count(), file.len());
             for (name, aim) in file {
                 let kept = named(&classes, name).expect("every class of the file");
                 prop_assert_eq!(kept.class.latency_objective, Duration::from_millis(*aim));
@@ -76,18 +78,18 @@
             for kept in &held {
                 prop_assert_eq!(&rules[kept.number].latency_objective, &kept.class.latency_objective, "{:?} has lost its number", kept);
             }
-            held.extend(classes.live().take(*hold).cloned());
+            held.extend(classes.active().take(*hold).cloned());
             let over = held.len().saturating_sub(6);
             held.drain(..over);
             // Four live, six held, and three files' worth that clients may still use.
             prop_assert!(rules.len() <= 4 + 6 + 4 * 4, "{} numbers", rules.len());
             // Whatever was named a moment ago is still served by the rules it had, and some time later no more.
-            let offer = classes.offer();
+            let offer = classes.table();
             for (name, aim) in before.iter().filter(|(name, _)| !file.contains_key(name.as_str())) {
-                let kept = offer.choose(now, name, READ).expect("clients may still use it");
+                let kept = offer.resolve(now, name, READ).expect("clients may still use it");
                 prop_assert_eq!(kept.class.latency_objective, Duration::from_millis(*aim));
                 prop_assert_eq!(&rules[kept.number].latency_objective, &kept.class.latency_objective, "{:?} has lost its number", kept);
-                prop_assert_eq!(offer.choose(now + GRACE, name, READ).err(), Some(NoClass::Unknown));
+                prop_assert_eq!(offer.resolve(now + RETIRED_CLASS_GRACE, name, READ).err(), Some(ClassError::Unknown));
             }
             before = file.clone();
         }
@@ -96,29 +98,35 @@
 
 #[test]
 fn a_request_comes_under_the_rules_that_it_was_made_for() {
-    let mut classes = Classes::default();
-    classes.take(
+    let mut classes = ClassRegistry::default();
+    classes.replace(
         NOW,
         [
             ("pay".to_owned(), class(300, Idempotency::Idempotent)),
             ("look".to_owned(), class(100, Idempotency::Idempotent)),
         ],
     );
-    let later = NOW + GRACE / 2;
-    classes.take(later, [("pay".to_owned(), class(300, Idempotency::NotIdempotent))]);
-    let offer = classes.offer();
-    let effect = |now, name, form| offer.choose(now, name, form).map(|kept| kept.class.idempotency);
-    let end = later + GRACE;
+    let later = NOW + RETIRED_CLASS_GRACE / 2;
+    classes.replace(later, [("pay".to_owned(), class(300, Idempotency::NotIdempotent))]);
+    let offer = classes.table();
+    let effect = |now, name, form| offer.resolve(now, name, form).map(|kept| kept.class.idempotency);
+    let end = later + RETIRED_CLASS_GRACE;
     assert_eq!(effect(later, "pay", WRITE), Ok(Idempotency::NotIdempotent), "by the new rules at once");
     assert_eq!(effect(later, "pay", READ), Ok(Idempotency::Idempotent), "and by the old ones for a while");
     assert_eq!(effect(later, "look", READ), Ok(Idempotency::Idempotent));
-    assert_eq!(effect(end, "pay", READ), Err(NoClass::Method));
-    assert_eq!(effect(end, "look", READ), Err(NoClass::Unknown));
-    assert_eq!(effect(later, "pay", Form { writes: true, keyed: true }), Err(NoClass::Key));
-    assert_eq!(effect(later, "nobody", READ), Err(NoClass::Unknown));
+    assert_eq!(effect(end, "pay", READ), Err(ClassError::MethodMismatch));
+    assert_eq!(effect(end, "look", READ), Err(ClassError::Unknown));
+    assert_eq!(
+        effect(later, "pay", RequestForm { is_write: true, has_idempotency_key: true }),
+        Err(ClassError::KeyMismatch)
+    );
+    assert_eq!(effect(later, "nobody", READ), Err(ClassError::Unknown));
     // A file that changes nothing more, a moment later, does not end it; one after its time does.
-    classes.take(later + GRACE / 2, [("pay".to_owned(), class(300, Idempotency::NotIdempotent))]);
-    assert!(classes.offer().choose(end - Duration::from_millis(1), "look", READ).is_ok());
-    classes.take(end, [("pay".to_owned(), class(300, Idempotency::NotIdempotent))]);
-    assert_eq!(classes.offer().choose(end, "look", READ).err(), Some(NoClass::Unknown));
+    classes.replace(
+        later + RETIRED_CLASS_GRACE / 2,
+        [("pay".to_owned(), class(300, Idempotency::NotIdempotent))],
+    );
+    assert!(classes.table().resolve(end - Duration::from_millis(1), "look", READ).is_ok());
+    classes.replace(end, [("pay".to_owned(), class(300, Idempotency::NotIdempotent))]);
+    assert_eq!(classes.table().resolve(end, "look", READ).err(), Some(ClassError::Unknown));
 }
--- a/crates/control/tests/drain.rs
+++ b/crates/control/tests/drain.rs
@@ -1,7 +1,10 @@
 //! The drain and the stop: every interleaving of calls and moments to a stated depth, against what the front and clients see.
 
 use std::time::Duration;
-use weldworks_control::drain::{Drain, Terms, CLOSED, GENTLE, LISTEN_ON, NOTICED};
+use weldworks_control::drain::{
+    Drain, DrainSettings, IDLE_CLOSE_END, LISTENER_CLOSE_WINDOW, NOT_READY_NOTICE,
+    SHARED_LISTENER_CLOSE_WINDOW,
+};
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
@@ -20,27 +23,30 @@
 /// What is true of the machine at any moment, whatever came before.
 fn holds(drain: &Drain, now: Duration, on: Option<Duration>, stop: Option<Duration>, shared: bool) {
     let before = drain.clone();
-    assert_eq!(drain.ready(), on.is_none() && stop.is_none(), "ready at {now:?}");
-    let rest = drain.may_rest(now, now);
+    assert_eq!(drain.is_ready(), on.is_none() && stop.is_none(), "ready at {now:?}");
+    let rest = drain.idle_limit(now, now);
     if on.is_none() && stop.is_none() {
-        assert!(!drain.says_goodbye(now) && rest.is_none() && drain.accepts_until(now).is_none());
-        assert!(drain.answers_by().is_none());
+        assert!(!drain.sends_connection_close(now) && rest.is_none() && drain.accept_deadline(now).is_none());
+        assert!(drain.answer_deadline().is_none());
     }
     if let Some(since) = on {
-        assert!(now < since + NOTICED || drain.says_goodbye(now), "goodbye at {now:?}");
+        assert!(now < since + NOT_READY_NOTICE || drain.sends_connection_close(now), "goodbye at {now:?}");
         // A request that comes now has the 2 s that the page leaves until nothing may be held.
         assert!(now < since + MS(2000) || rest.is_some_and(|rest| rest <= MS(200)), "{rest:?} at {now:?}");
     }
     if let Some(since) = stop {
-        assert!(drain.says_goodbye(now));
-        assert_eq!(drain.accepts_until(since), Some(if shared { since } else { since + LISTEN_ON.0 }));
-        let end = if shared { GENTLE.1 } else { LISTEN_ON.1 };
+        assert!(drain.sends_connection_close(now));
+        assert_eq!(
+            drain.accept_deadline(since),
+            Some(if shared { since } else { since + LISTENER_CLOSE_WINDOW.0 })
+        );
+        let end = if shared { SHARED_LISTENER_CLOSE_WINDOW.1 } else { LISTENER_CLOSE_WINDOW.1 };
         assert!(now < since + end || rest == Some(Duration::ZERO), "{rest:?} at {now:?}");
-        assert!(drain.answers_by() > Some(since + MS(1200)));
+        assert!(drain.answer_deadline() > Some(since + MS(1200)));
     }
     // What has been allowed to rest for less than now is not allowed more later, unless the drain is taken back.
-    if let (Some(rest), true) = (rest, now < on.unwrap_or(now) + CLOSED) {
-        let later = drain.may_rest(now + MS(50), now + MS(50));
+    if let (Some(rest), true) = (rest, now < on.unwrap_or(now) + IDLE_CLOSE_END) {
+        let later = drain.idle_limit(now + MS(50), now + MS(50));
         assert!(on.is_none() && !shared || later.is_some_and(|later| later <= rest.max(MS(150))));
     }
     assert_eq!(format!("{before:?}"), format!("{drain:?}"), "asking changes nothing");
@@ -51,20 +57,20 @@
     for shared in [false, true] {
         for course in 0..STEPS.len().pow(DEPTH) {
             let (mut now, mut on, mut stop) = (MS(1000), None, None);
-            let mut drain = Drain::new(Terms { longest: MS(1200), shared });
+            let mut drain = Drain::new(DrainSettings { longest_deadline: MS(1200), shared_listener: shared });
             let mut rest = course;
             for _ in 0..DEPTH {
                 match STEPS[rest % STEPS.len()] {
                     Step::On => {
-                        assert_eq!(drain.call(now, true), on.is_none(), "a second call is no news");
+                        assert_eq!(drain.set_draining(now, true), on.is_none(), "a second call is no news");
                         on = on.or(Some(now));
                     }
                     Step::Off => {
-                        assert_eq!(drain.call(now, false), on.is_some());
+                        assert_eq!(drain.set_draining(now, false), on.is_some());
                         on = None;
                     }
                     Step::Stop => {
-                        assert_eq!(drain.stop(now), stop.is_none());
+                        assert_eq!(drain.begin_shutdown(now), stop.is_none());
                         stop = stop.or(Some(now));
                     }
                     Step::Wait(ms) => now += MS(ms),
@@ -79,8 +85,8 @@
 /// The point of the shrinking rest: closes are spread over the time there is, and no moment has more than its part.
 #[test]
 fn closes_are_spread_and_the_longest_idle_goes_first() {
-    let mut drain = Drain::new(Terms { longest: MS(1200), shared: false });
-    drain.call(MS(10_000), true);
+    let mut drain = Drain::new(DrainSettings { longest_deadline: MS(1200), shared_listener: false });
+    drain.set_draining(MS(10_000), true);
     // A hundred connections, idle for 0 to 1.3 s when the closing begins.
     let idle: Vec<Duration> = (0..100).map(|n| MS(10_500 - n * 13)).collect();
     let mut closed = vec![None; idle.len()];
@@ -88,7 +94,7 @@
         let now = MS(ms);
         let mut at_once = 0;
         for (since, closed) in idle.iter().zip(&mut closed) {
-            if closed.is_none() && drain.may_rest(now, MS(0)).is_some_and(|rest| now - *since >= rest) {
+            if closed.is_none() && drain.idle_limit(now, MS(0)).is_some_and(|rest| now - *since >= rest) {
                 *closed = Some(now);
                 at_once += 1;
             }
@@ -133,28 +139,29 @@
     for shared in [false, true] {
         for course in 0..ACTS.len().pow(DEPTH) {
             let (mut now, mut on, mut stop) = (MS(9000), None, None);
-            let mut drain = Drain::new(Terms { longest: MS(1200), shared });
+            let mut drain = Drain::new(DrainSettings { longest_deadline: MS(1200), shared_listener: shared });
             let mut held = [Held::Rests(now), Held::Rests(now)];
             let mut rest = course;
             for _ in 0..DEPTH {
                 let mut pass = MS(0);
                 match ACTS[rest % ACTS.len()] {
                     Act::Step(Step::On) => {
-                        drain.call(now, true);
+                        drain.set_draining(now, true);
                         on = on.or(Some(now));
                     }
                     Act::Step(Step::Off) => {
-                        drain.call(now, false);
+                        drain.set_draining(now, false);
                         on = None;
                     }
                     Act::Step(Step::Stop) => {
-                        drain.stop(now);
+                        drain.begin_shutdown(now);
                         stop = stop.or(Some(now));
                     }
                     Act::Step(Step::Wait(ms)) => pass = MS(ms),
                     Act::Ask if matches!(held[0], Held::Rests(_)) => held[0] = Held::Asked(now),
                     Act::Answer if matches!(held[0], Held::Asked(_)) => {
-                        held[0] = if drain.says_goodbye(now) { Held::Closed } else { Held::Rests(now) };
+                        held[0] =
+                            if drain.sends_connection_close(now) { Held::Closed } else { Held::Rests(now) };
                         assert!(held[0] != Held::Closed || on.is_some() || stop.is_some());
                     }
                     Act::Ask | Act::Answer => {}
@@ -164,7 +171,7 @@
                 loop {
                     for connection in &mut held {
                         let Held::Rests(since) = *connection else { continue };
-                        if drain.may_rest(now, MS(9000)).is_some_and(|most| now - since >= most) {
+                        if drain.idle_limit(now, MS(9000)).is_some_and(|most| now - since >= most) {
                             assert!(on.is_some() || stop.is_some(), "ended at {now:?} without cause");
                             *connection = Held::Closed;
                         }
@@ -191,14 +198,14 @@
 #[test]
 fn a_new_connection_keeps_its_time_after_the_signal_and_only_then() {
     let at = Duration::from_millis;
-    let mut drain = Drain::new(Terms { longest: at(1200), shared: false });
-    assert!(!drain.awaits_first(at(100)));
-    drain.call(at(200), true);
-    assert!(!drain.awaits_first(at(300)), "a drain leaves it to the rest that it allows");
-    drain.stop(at(1000));
-    assert_eq!(drain.may_rest(at(1650), at(0)), Some(Duration::ZERO), "others may not rest");
-    assert!(drain.awaits_first(at(1650)) && drain.awaits_first(at(1740)));
-    assert!(!drain.awaits_first(at(1750)), "0.7 s and the protocol's slack");
+    let mut drain = Drain::new(DrainSettings { longest_deadline: at(1200), shared_listener: false });
+    assert!(!drain.awaits_first_request(at(100)));
+    drain.set_draining(at(200), true);
+    assert!(!drain.awaits_first_request(at(300)), "a drain leaves it to the rest that it allows");
+    drain.begin_shutdown(at(1000));
+    assert_eq!(drain.idle_limit(at(1650), at(0)), Some(Duration::ZERO), "others may not rest");
+    assert!(drain.awaits_first_request(at(1650)) && drain.awaits_first_request(at(1740)));
+    assert!(!drain.awaits_first_request(at(1750)), "0.7 s and the protocol's slack");
 }
 
 /// The kill comes as early as the longest deadline and 0.7 s after the signal, and a process may be held up for 0.15 s between its
@@ -206,10 +213,10 @@
 #[test]
 fn the_last_answer_is_due_long_enough_before_the_kill_for_a_process_that_is_held_up() {
     for longest in [MS(50), MS(300), MS(1200), MS(3000)] {
-        let mut drain = Drain::new(Terms { longest, shared: false });
-        drain.stop(MS(1000));
+        let mut drain = Drain::new(DrainSettings { longest_deadline: longest, shared_listener: false });
+        drain.begin_shutdown(MS(1000));
         let kill = MS(1000) + longest + MS(700);
-        let due = drain.answers_by().expect("a stop has an end");
+        let due = drain.answer_deadline().expect("a stop has an end");
         assert!(due + MS(150) < kill, "{longest:?}: due at {due:?}, killed at {kill:?}");
     }
 }
--- a/crates/control/tests/told.rs
+++ b/crates/control/tests/told.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 use weldworks_balancer::{Action, Balancer, Endpoint, EndpointId, Event, Settings};
-use weldworks_control::rewatch::{GIVEN_UP, SILENCE};
+use weldworks_control::watch_backoff::{POLL_FIRST_LIST_TIMEOUT, WATCH_SILENCE_TIMEOUT};
 
 /// The latest at which a change may be known.
 const TOLD: Duration = Duration::from_secs(6);
@@ -96,7 +96,7 @@
         let unheard = match *fate {
             Fate::Held => {
                 let since = play.now;
-                play.fail(GIVEN_UP, GIVEN_UP);
+                play.fail(POLL_FIRST_LIST_TIMEOUT, POLL_FIRST_LIST_TIMEOUT);
                 since
             }
             Fate::Fails(after) => {
@@ -114,7 +114,7 @@
             Fate::FallsSilent(after) => {
                 play.hear();
                 let since = play.now + after;
-                play.fail(after + SILENCE, SILENCE);
+                play.fail(after + WATCH_SILENCE_TIMEOUT, WATCH_SILENCE_TIMEOUT);
                 since
             }
         };
--- a/crates/fleet/src/audit/mod.rs
+++ b/crates/fleet/src/audit/mod.rs
@@ -4,10 +4,16 @@
 //! number grows with changes of version and not with traffic; the newest requests are kept one by one. All of it is bounded: what no
 //! longer fits is forgotten oldest first, and *that* it was is told with every answer, so that silence never looks like innocence.
 
-pub mod pages;
+mod pages;
+
+pub use pages::{
+    decode_header, AuditQuery, EncodedSegment, Evicted, HistoryQuery, HistoryReport, MemorySpan,
+    ProcessReport, RetentionIndex, RetentionLimits, Segment, SegmentBuilder, SegmentCursor, SegmentHeader,
+    SegmentSteps, SegmentWriter, UnknownKind, UnknownSpan,
+};
 
 use crate::version::{digest, Version};
-use pages::{Gap, Lost, Mark, Page, PageStep, Remembered, Steps};
+use pages::PageStep;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -27,13 +33,15 @@
 
 /// A kind of decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Kind {
+pub enum DecisionKind {
     /// A request goes to a host for the first time.
     Pick,
     /// It goes out again.
-    Resend,
+    #[serde(rename = "Resend")]
+    Retry,
     /// It is refused.
-    Refuse,
+    #[serde(rename = "Refuse")]
+    Reject,
     /// A host gets nothing new.
     Drain,
 }
@@ -44,34 +52,37 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Exception {
     /// It acted on a list older than one that it had been told of.
-    OlderThanTold {
+    #[serde(rename = "OlderThanTold")]
+    StaleList {
         /// What it had.
         own: u64,
         /// What it had been told of.
         told: u64,
     },
     /// It sent to a host that it had been told leaves or is gone.
-    ToldGone {
+    #[serde(rename = "ToldGone")]
+    RemovedEndpoint {
         /// The host.
         host: String,
     },
     /// It acted without a session.
     WithoutSession,
     /// It sent although it was shut out.
-    ShutOut,
+    #[serde(rename = "ShutOut")]
+    Fenced,
 }
 
 /// A decision.
 #[derive(Clone, Copy, Debug)]
 pub struct Decision<'a> {
     /// Its kind.
-    pub kind: Kind,
+    pub kind: DecisionKind,
     /// The class of the request; 0 for a drain.
     pub class: usize,
     /// The request's number, as the client wrote it; empty for a drain.
-    pub request: &'a str,
+    pub request_id: &'a str,
     /// The host, where it is about one.
-    pub host: Option<&'a str>,
+    pub endpoint: Option<&'a str>,
 }
 
 /// A stretch of time under one version.
@@ -98,8 +109,8 @@
 }
 
 impl Run {
-    fn told(&self) -> ToldException {
-        ToldException {
+    fn told(&self) -> ExceptionReport {
+        ExceptionReport {
             what: self.what.clone(),
             from_ms: ms(self.from),
             to_ms: ms(self.to),
@@ -114,14 +125,14 @@
 struct Step {
     at: Duration,
     request: u64,
-    kind: Kind,
+    kind: DecisionKind,
     host: u64,
     interval: u64,
 }
 
 /// The books.
 #[derive(Clone, Debug)]
-pub struct Audit {
+pub struct AuditLog {
     began: Duration,
     intervals: VecDeque<Interval>,
     /// Intervals forgotten: the number of the first one kept.
@@ -135,7 +146,7 @@
 
 /// An interval, as it is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldInterval {
+pub struct IntervalReport {
     /// The version in force.
     pub version: Version,
     /// From when, in milliseconds of the teller's clock.
@@ -145,7 +156,7 @@
     /// The position of the register that it knew at the beginning, and last: it moves with every renewal of anybody's session.
     pub register: (u64, u64),
     /// How many decisions of each kind, by class.
-    pub decisions: Vec<(Kind, usize, u64)>,
+    pub decisions: Vec<(DecisionKind, usize, u64)>,
     /// The first request.
     pub first: Option<String>,
     /// A digest of the last request's number.
@@ -154,7 +165,7 @@
 
 /// A run of exceptions, as it is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldException {
+pub struct ExceptionReport {
     /// What.
     pub what: Exception,
     /// From when, in milliseconds of the teller's clock.
@@ -169,11 +180,11 @@
 
 /// A step, as it is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldStep {
+pub struct StepReport {
     /// When, in milliseconds of the teller's clock.
     pub at_ms: u64,
     /// What.
-    pub kind: Kind,
+    pub kind: DecisionKind,
     /// To whom, where it is known still.
     pub host: Option<String>,
     /// Under which version, where it is known still.
@@ -182,7 +193,7 @@
 
 /// What one gateway answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct AuditReport {
     /// Since when its books go, in milliseconds of its clock: what its processes before did is not in them.
     pub since_ms: u64,
     /// Up to when.
@@ -192,14 +203,14 @@
     /// How many runs of exceptions have been forgotten.
     pub exceptions_forgotten: u64,
     /// The intervals asked for.
-    pub intervals: Vec<ToldInterval>,
+    pub intervals: Vec<IntervalReport>,
     /// The exceptions in that time.
-    pub exceptions: Vec<ToldException>,
+    pub exceptions: Vec<ExceptionReport>,
 }
 
-impl ToldException {
+impl ExceptionReport {
     /// Whether it fell into one of these intervals.
-    fn during(&self, intervals: &[ToldInterval]) -> bool {
+    fn during(&self, intervals: &[IntervalReport]) -> bool {
         intervals.iter().any(|i| self.to_ms >= i.from_ms && i.to_ms.is_none_or(|to| self.from_ms <= to))
     }
 }
@@ -208,10 +219,10 @@
     at.as_millis() as u64
 }
 
-impl Audit {
+impl AuditLog {
     /// Empty books that begin now.
-    pub fn new(now: Duration, version: Version) -> Audit {
-        let mut audit = Audit {
+    pub fn new(now: Duration, version: Version) -> AuditLog {
+        let mut audit = AuditLog {
             began: now,
             intervals: VecDeque::new(),
             forgotten: 0,
@@ -221,12 +232,12 @@
             steps_forgotten: 0,
             names: BTreeMap::new(),
         };
-        audit.turn_to(now, version);
+        audit.set_version(now, version);
         audit
     }
 
     /// Another version is in force from now on.
-    pub fn turn_to(&mut self, now: Duration, version: Version) {
+    pub fn set_version(&mut self, now: Duration, version: Version) {
         if self.intervals.back().is_some_and(|i| i.version == version) {
             return;
         }
@@ -248,35 +259,35 @@
     }
 
     /// The register has come to this position, as far as is known here.
-    pub fn register_at(&mut self, position: u64) {
+    pub fn set_log_index(&mut self, position: u64) {
         if let Some(interval) = self.intervals.back_mut() {
             interval.register.1 = interval.register.1.max(position);
         }
     }
 
     /// Books a decision under the version in force.
-    pub fn book(&mut self, now: Duration, decision: Decision<'_>) {
-        let request = digest(decision.request.as_bytes());
+    pub fn record_decision(&mut self, now: Duration, decision: Decision<'_>) {
+        let request = digest(decision.request_id.as_bytes());
         if let Some(interval) = self.intervals.back_mut() {
             if interval.counts.len() <= decision.class {
                 interval.counts.resize(decision.class + 1, [0; KINDS]);
             }
             interval.counts[decision.class][decision.kind as usize] += 1;
-            if !decision.request.is_empty() {
+            if !decision.request_id.is_empty() {
                 if interval.first.is_none() {
-                    interval.first = Some(decision.request.to_owned());
+                    interval.first = Some(decision.request_id.to_owned());
                 }
                 interval.last = Some(request);
             }
         }
-        let host = decision.host.map_or(0, |host| {
+        let host = decision.endpoint.map_or(0, |host| {
             let hash = digest(host.as_bytes());
             if self.names.len() < NAMES && !self.names.contains_key(&hash) {
                 self.names.insert(hash, host.to_owned());
             }
             hash
         });
-        if decision.request.is_empty() {
+        if decision.request_id.is_empty() {
             return;
         }
         if self.steps.len() == STEPS {
@@ -288,7 +299,7 @@
     }
 
     /// Books that a decision should not have been.
-    pub fn except(&mut self, now: Duration, what: Exception, request: &str) {
+    pub fn record_exception(&mut self, now: Duration, what: Exception, request: &str) {
         let run = self.exceptions.iter_mut().rev().take(OPEN_RUNS).find(|r| r.what == what);
         if let Some(run) = run.filter(|r| now.saturating_sub(r.to) <= RUN) {
             (run.to, run.count) = (now, run.count + 1);
@@ -303,11 +314,11 @@
     }
 
     /// The intervals from this number on, by number.
-    fn tell_from(&self, number: u64) -> impl Iterator<Item = (u64, ToldInterval)> + '_ {
+    fn tell_from(&self, number: u64) -> impl Iterator<Item = (u64, IntervalReport)> + '_ {
         let skip = number.saturating_sub(self.forgotten) as usize;
         let ends = self.intervals.iter().skip(skip + 1).map(|i| Some(ms(i.from))).chain([None]);
         let numbers = self.forgotten + skip as u64..;
-        numbers.zip(self.intervals.iter().skip(skip).zip(ends).map(|(interval, to_ms)| ToldInterval {
+        numbers.zip(self.intervals.iter().skip(skip).zip(ends).map(|(interval, to_ms)| IntervalReport {
             version: interval.version.clone(),
             from_ms: ms(interval.from),
             to_ms,
@@ -319,22 +330,27 @@
     }
 
     /// What was booked since a mark, for the disk; and the mark that holds once it is there.
-    pub fn page(&self, since: &Mark, now: Duration, ended: bool) -> (Page, Steps, Mark) {
+    pub fn segment_since(
+        &self,
+        since: &SegmentCursor,
+        now: Duration,
+        ended: bool,
+    ) -> (Segment, SegmentSteps, SegmentCursor) {
         let from_ms = ms(since.to);
-        let mut page = Page { from_ms, to_ms: ms(now), ended, ..Page::default() };
+        let mut page = Segment { from_ms, to_ms: ms(now), ended, ..Segment::default() };
         if since.interval < self.forgotten || since.exception < self.exceptions_forgotten {
             let to_ms = self.intervals.front().map_or(page.to_ms, |i| ms(i.from));
-            page.gaps.push(Gap { from_ms, to_ms, what: Lost::All });
+            page.gaps.push(UnknownSpan { from_ms, to_ms, what: UnknownKind::All });
         }
         page.intervals.extend(self.tell_from(since.interval));
         // The newest few of before may have grown.
         let first = since.exception.saturating_sub(OPEN_RUNS as u64).max(self.exceptions_forgotten);
         let runs = self.exceptions.iter().skip((first - self.exceptions_forgotten) as usize);
         page.exceptions.extend((first..).zip(runs.map(Run::told)));
-        let mut steps = Steps::default();
+        let mut steps = SegmentSteps::default();
         if since.step < self.steps_forgotten {
             let to_ms = self.steps.front().map_or(page.to_ms, |s| ms(s.at));
-            page.gaps.push(Gap { from_ms, to_ms, what: Lost::Requests });
+            page.gaps.push(UnknownSpan { from_ms, to_ms, what: UnknownKind::Requests });
         }
         let skip = since.step.saturating_sub(self.steps_forgotten) as usize;
         for step in self.steps.iter().skip(skip) {
@@ -347,7 +363,7 @@
                 interval: step.interval,
             });
         }
-        let mark = Mark {
+        let mark = SegmentCursor {
             to: now,
             // One in which nothing was decided may begin later yet, and the one before it end later.
             interval: self.forgotten + (self.intervals.len() as u64).saturating_sub(2),
@@ -358,18 +374,18 @@
     }
 
     /// How far back these books go themselves, of this process.
-    pub fn remembered(&self, process: crate::version::Incarnation) -> Remembered {
-        let (step_ms, _) = self.request("");
+    pub fn memory_span(&self, process: crate::version::Incarnation) -> MemorySpan {
+        let (step_ms, _) = self.report_request("");
         let (interval, exception) = (self.forgotten, self.exceptions_forgotten);
-        Remembered { process, interval, exception, step_ms }
+        MemorySpan { process, interval, exception, step_ms }
     }
 
     /// What was done under lists of these indices.
-    pub fn told(&self, now: Duration, indices: std::ops::RangeInclusive<u64>) -> Told {
+    pub fn report_lists(&self, now: Duration, indices: std::ops::RangeInclusive<u64>) -> AuditReport {
         let wanted = self.tell_from(0).filter(|(_, i)| indices.contains(&i.version.list.index));
-        let intervals: Vec<ToldInterval> = wanted.map(|(_, interval)| interval).collect();
+        let intervals: Vec<IntervalReport> = wanted.map(|(_, interval)| interval).collect();
         let exceptions = self.exceptions.iter().map(Run::told).filter(|e| e.during(&intervals)).collect();
-        Told {
+        AuditReport {
             since_ms: ms(self.began),
             until_ms: ms(now),
             forgotten: self.forgotten,
@@ -380,9 +396,9 @@
     }
 
     /// What a request met; and from when on the books hold single requests.
-    pub fn request(&self, number: &str) -> (u64, Vec<ToldStep>) {
+    pub fn report_request(&self, number: &str) -> (u64, Vec<StepReport>) {
         let wanted = digest(number.as_bytes());
-        let step = |s: &Step| ToldStep {
+        let step = |s: &Step| StepReport {
             at_ms: ms(s.at),
             kind: s.kind,
             host: self.names.get(&s.host).cloned(),
@@ -400,8 +416,8 @@
     }
 }
 
-fn decisions(counts: &[[u64; KINDS]]) -> Vec<(Kind, usize, u64)> {
-    let kinds = [Kind::Pick, Kind::Resend, Kind::Refuse, Kind::Drain];
+fn decisions(counts: &[[u64; KINDS]]) -> Vec<(DecisionKind, usize, u64)> {
+    let kinds = [DecisionKind::Pick, DecisionKind::Retry, DecisionKind::Reject, DecisionKind::Drain];
     let by_class = |(class, of): (usize, &[u64; KINDS])| {
         let of = *of;
         kinds.into_iter().filter_map(move |kind| {
@@ -415,7 +431,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::version::Listed;
+    use crate::version::ListVersion;
     use proptest::prelude::*;
 
     pub(super) fn at(ms: u64) -> Duration {
@@ -423,32 +439,35 @@
     }
 
     pub(super) fn version(index: u64) -> Version {
-        Version { list: Listed { lineage: "r".into(), index }, ..Version::default() }
+        Version { list: ListVersion { lineage: "r".into(), index }, ..Version::default() }
     }
 
     fn pick(request: &str) -> Decision<'_> {
-        Decision { kind: Kind::Pick, class: 1, request, host: Some("n1") }
+        Decision { kind: DecisionKind::Pick, class: 1, request_id: request, endpoint: Some("n1") }
     }
 
     #[test]
     fn who_acted_on_a_version_after_a_moment_is_told() {
-        let mut audit = Audit::new(at(0), version(1));
-        audit.book(at(10), pick("a"));
-        audit.turn_to(at(100), version(2));
-        audit.book(at(110), pick("b"));
-        audit.register_at(7);
-        audit.book(at(120), Decision { kind: Kind::Refuse, class: 0, request: "c", host: None });
-        audit.except(at(120), Exception::WithoutSession, "c");
-        let told = audit.told(at(200), 1..=1);
+        let mut audit = AuditLog::new(at(0), version(1));
+        audit.record_decision(at(10), pick("a"));
+        audit.set_version(at(100), version(2));
+        audit.record_decision(at(110), pick("b"));
+        audit.set_log_index(7);
+        audit.record_decision(
+            at(120),
+            Decision { kind: DecisionKind::Reject, class: 0, request_id: "c", endpoint: None },
+        );
+        audit.record_exception(at(120), Exception::WithoutSession, "c");
+        let told = audit.report_lists(at(200), 1..=1);
         assert_eq!(told.intervals.len(), 1);
         assert_eq!((told.intervals[0].from_ms, told.intervals[0].to_ms), (0, Some(100)));
-        assert_eq!(told.intervals[0].decisions, [(Kind::Pick, 1, 1)]);
+        assert_eq!(told.intervals[0].decisions, [(DecisionKind::Pick, 1, 1)]);
         assert!(told.exceptions.is_empty(), "that was under another version");
-        let told = audit.told(at(200), 2..=9);
+        let told = audit.report_lists(at(200), 2..=9);
         assert_eq!(told.intervals[0].register, (0, 7));
-        assert_eq!(told.intervals[0].decisions, [(Kind::Refuse, 0, 1), (Kind::Pick, 1, 1)]);
+        assert_eq!(told.intervals[0].decisions, [(DecisionKind::Reject, 0, 1), (DecisionKind::Pick, 1, 1)]);
         assert_eq!(told.exceptions.len(), 1);
-        let (from, steps) = audit.request("b");
+        let (from, steps) = audit.report_request("b");
         assert_eq!((from, steps.len()), (0, 1));
         assert_eq!(steps[0].host.as_deref(), Some("n1"));
         assert_eq!(steps[0].version.as_ref().map(|v| v.list.index), Some(2));
@@ -456,12 +475,12 @@
 
     #[test]
     fn exceptions_in_a_row_are_one_run_and_later_ones_another() {
-        let mut audit = Audit::new(at(0), version(1));
+        let mut audit = AuditLog::new(at(0), version(1));
         for n in 0..50 {
-            audit.except(at(n * 100), Exception::WithoutSession, "x");
+            audit.record_exception(at(n * 100), Exception::WithoutSession, "x");
         }
-        audit.except(at(9000), Exception::WithoutSession, "y");
-        let told = audit.told(at(9000), 0..=u64::MAX);
+        audit.record_exception(at(9000), Exception::WithoutSession, "y");
+        let told = audit.report_lists(at(9000), 0..=u64::MAX);
         assert_eq!(told.exceptions.iter().map(|e| e.count).collect::<Vec<_>>(), [50, 1]);
     }
 
@@ -469,15 +488,15 @@
         /// However many versions and requests there are, the books stay bounded, and say what they no longer hold.
         #[test]
         fn books_are_bounded_and_say_what_is_forgotten(versions in 1u64..12_000, each in 0u64..3) {
-            let mut audit = Audit::new(at(0), version(0));
+            let mut audit = AuditLog::new(at(0), version(0));
             for v in 1..=versions {
-                audit.turn_to(at(v), version(v));
+                audit.set_version(at(v), version(v));
                 for n in 0..each {
-                    audit.book(at(v), pick(&format!("{v}-{n}")));
+                    audit.record_decision(at(v), pick(&format!("{v}-{n}")));
                 }
             }
             prop_assert!(audit.intervals.len() <= INTERVALS && audit.steps.len() <= STEPS);
-            let told = audit.told(at(versions), 0..=u64::MAX);
+            let told = audit.report_lists(at(versions), 0..=u64::MAX);
             let counted: u64 = told.intervals.iter().flat_map(|i| &i.decisions).map(|(_, _, n)| n).sum();
             if told.forgotten == 0 {
                 prop_assert_eq!(counted, versions * each);
@@ -486,22 +505,22 @@
             }
             // A version that nothing was done under costs no place.
             prop_assert!(each > 0 || told.intervals.len() <= 2);
-            let (from, _) = audit.request("none");
+            let (from, _) = audit.report_request("none");
             prop_assert_eq!(from > 0, audit.steps_forgotten > 0);
         }
 
         /// Every decision is in the interval whose version was in force.
         #[test]
         fn counts_add_up(steps in prop::collection::vec((0u64..5, 0usize..3), 1..200)) {
-            let mut audit = Audit::new(at(0), version(0));
+            let mut audit = AuditLog::new(at(0), version(0));
             let mut sums = BTreeMap::new();
             for (n, (index, class)) in steps.iter().enumerate() {
-                audit.turn_to(at(n as u64), version(*index));
-                audit.book(at(n as u64), Decision { class: *class, ..pick("r") });
+                audit.set_version(at(n as u64), version(*index));
+                audit.record_decision(at(n as u64), Decision { class: *class, ..pick("r") });
                 *sums.entry(*index).or_insert(0u64) += 1;
             }
             for (index, sum) in sums {
-                let told = audit.told(at(999), index..=index);
+                let told = audit.report_lists(at(999), index..=index);
                 let counted: u64 = told.intervals.iter().flat_map(|i| &i.decisions).map(|(_, _, n)| n).sum();
                 prop_assert_eq!(counted, sum);
             }
--- a/crates/fleet/src/audit/pages.rs
+++ b/crates/fleet/src/audit/pages.rs
@@ -4,9 +4,9 @@
 //! dropped takes nothing from the next one, and single requests. [`Filling`] gathers pages until one is full, [`Shelf`] says what is
 //! dropped, and [`Past`] puts together what was written by which process, with each time of which nothing is known.
 
-use super::{Kind, ToldException, ToldInterval, ToldStep};
+use super::{DecisionKind, ExceptionReport, IntervalReport, StepReport};
+use crate::protocol;
 use crate::version::{digest, Incarnation};
-use crate::wire;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -21,27 +21,27 @@
 /// The most requests told of earlier processes under one number.
 const MOST_STEPS: usize = 256;
 /// No page is longer than this when it is taken apart: what says so was not written here.
-const LONGEST_PAGE: usize = wire::LONGEST;
+const LONGEST_PAGE: usize = protocol::MAX_FRAME_BYTES;
 
 /// How far the books are on the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct SegmentCursor {
     pub(super) to: Duration,
     pub(super) interval: u64,
     pub(super) exception: u64,
     pub(super) step: u64,
 }
 
-impl Mark {
+impl SegmentCursor {
     /// Nothing is, of books that began then.
-    pub fn none(began: Duration) -> Mark {
-        Mark { to: began, interval: 0, exception: 0, step: 0 }
+    pub fn start(began: Duration) -> SegmentCursor {
+        SegmentCursor { to: began, interval: 0, exception: 0, step: 0 }
     }
 }
 
 /// What is lost of a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Lost {
+pub enum UnknownKind {
     /// Single requests; the counts are there.
     Requests,
     /// Everything.
@@ -50,13 +50,13 @@
 
 /// A time of which something is lost, in milliseconds of the process's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Gap {
+pub struct UnknownSpan {
     /// From when.
     pub from_ms: u64,
     /// To when.
     pub to_ms: u64,
     /// What.
-    pub what: Lost,
+    pub what: UnknownKind,
 }
 
 /// A request's step. Short, for there are many.
@@ -66,7 +66,7 @@
     pub(super) after: u32,
     /// Digests don't gain by a variable length.
     pub(super) request: [u8; 8],
-    pub(super) kind: Kind,
+    pub(super) kind: DecisionKind,
     /// Which of the page's hosts, from 1; 0 is none.
     pub(super) host: u16,
     pub(super) interval: u64,
@@ -74,24 +74,24 @@
 
 /// What goes into one record.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Page {
+pub struct Segment {
     pub(super) from_ms: u64,
     pub(super) to_ms: u64,
-    pub(super) intervals: BTreeMap<u64, ToldInterval>,
-    pub(super) exceptions: BTreeMap<u64, ToldException>,
-    pub(super) gaps: Vec<Gap>,
+    pub(super) intervals: BTreeMap<u64, IntervalReport>,
+    pub(super) exceptions: BTreeMap<u64, ExceptionReport>,
+    pub(super) gaps: Vec<UnknownSpan>,
     /// The process wrote this as its last.
     pub(super) ended: bool,
 }
 
 /// The single requests of a page.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Steps {
+pub struct SegmentSteps {
     pub(super) hosts: Vec<String>,
     pub(super) steps: Vec<PageStep>,
 }
 
-impl Steps {
+impl SegmentSteps {
     pub(super) fn host(&mut self, name: &str) -> u16 {
         let at = self.hosts.iter().position(|h| h == name).unwrap_or_else(|| {
             self.hosts.push(name.to_owned());
@@ -103,7 +103,7 @@
 
 /// Whose a page is and what it spans: enough to pass it over.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct SegmentHeader {
     /// The process that wrote it.
     pub process: Incarnation,
     /// When that began, by its wall clock.
@@ -125,7 +125,7 @@
 
 /// The process that writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Writer {
+pub struct SegmentWriter {
     /// It.
     pub process: Incarnation,
     /// When it began, by its wall clock.
@@ -136,13 +136,13 @@
 
 /// A record, as it is written.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Record {
+pub struct EncodedSegment {
     /// Its number.
     pub number: u64,
     /// Whose it is, and of what.
-    pub head: Vec<u8>,
+    pub header: Vec<u8>,
     /// The page.
-    pub page: Vec<u8>,
+    pub segment: Vec<u8>,
     /// Its requests.
     pub steps: Vec<u8>,
 }
@@ -160,28 +160,34 @@
     if seal != digest(packed).to_le_bytes() || length > LONGEST_PAGE {
         return None;
     }
-    wire::read(&lz4_flex::decompress_size_prepended(packed).ok()?).ok()
+    protocol::decode_frame(&lz4_flex::decompress_size_prepended(packed).ok()?).ok()
 }
 
 /// The page that is being filled.
 #[derive(Clone, Debug)]
-pub struct Filling {
-    writer: Writer,
+pub struct SegmentBuilder {
+    writer: SegmentWriter,
     number: u64,
-    page: Page,
-    steps: Steps,
+    page: Segment,
+    steps: SegmentSteps,
     /// Nothing was added yet.
     empty: bool,
 }
 
-impl Filling {
+impl SegmentBuilder {
     /// Begins with this number.
-    pub fn new(writer: Writer, number: u64) -> Filling {
-        Filling { writer, number, page: Page::default(), steps: Steps::default(), empty: true }
+    pub fn new(writer: SegmentWriter, number: u64) -> SegmentBuilder {
+        SegmentBuilder {
+            writer,
+            number,
+            page: Segment::default(),
+            steps: SegmentSteps::default(),
+            empty: true,
+        }
     }
 
     /// Adds what came after; the record to write, in place of the one with its number where there is one.
-    pub fn add(&mut self, page: Page, steps: Steps, written_unix_ms: u64) -> Record {
+    pub fn append(&mut self, page: Segment, steps: SegmentSteps, written_unix_ms: u64) -> EncodedSegment {
         let spans = Duration::from_millis(self.page.to_ms.saturating_sub(self.page.from_ms));
         if self.empty {
             (self.page, self.steps, self.empty) = (page, steps, false);
@@ -193,7 +199,7 @@
         }
         let (page, steps) = (pack(&self.page), pack(&self.steps));
         let indices = self.page.intervals.values().map(|i| i.version.list.index);
-        let head = Head {
+        let head = SegmentHeader {
             process: self.writer.process,
             began_unix_ms: self.writer.began_unix_ms,
             opened_unix_ms: self.writer.opened_unix_ms,
@@ -205,10 +211,10 @@
             gaps: !self.page.gaps.is_empty(),
             lengths: (page.len() as u32, if self.steps.steps.is_empty() { 0 } else { steps.len() as u32 }),
         };
-        Record { number: self.number, head: pack(&head), page, steps }
+        EncodedSegment { number: self.number, header: pack(&head), segment: page, steps }
     }
 
-    fn absorb(&mut self, later: Page, steps: Steps) {
+    fn absorb(&mut self, later: Segment, steps: SegmentSteps) {
         let shift = later.from_ms.saturating_sub(self.page.from_ms);
         for step in steps.steps {
             let host = match usize::from(step.host).checked_sub(1).and_then(|at| steps.hosts.get(at)) {
@@ -227,46 +233,46 @@
 }
 
 /// Reads a record's head.
-pub fn head(bytes: &[u8]) -> Option<Head> {
+pub fn decode_header(bytes: &[u8]) -> Option<SegmentHeader> {
     unpack(bytes)
 }
 
 /// How much is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct RetentionLimits {
     /// Bytes, compressed.
-    pub size: u64,
+    pub max_bytes: u64,
     /// How old a page becomes, by the wall clock.
-    pub age: Duration,
+    pub max_age: Duration,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds { size: 64 << 20, age: Duration::from_secs(7 * 86_400) }
+impl Default for RetentionLimits {
+    fn default() -> RetentionLimits {
+        RetentionLimits { max_bytes: 64 << 20, max_age: Duration::from_secs(7 * 86_400) }
     }
 }
 
 /// What is to be dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum Evicted {
     /// The requests of the record of this number.
     Steps(u64),
     /// All of it.
-    Record(u64),
+    Segment(u64),
 }
 
 /// What is on the disk, by number: its bytes and its age.
 #[derive(Clone, Debug, Default)]
-pub struct Shelf {
+pub struct RetentionIndex {
     kept: BTreeMap<u64, (u32, u32, u64)>,
     total: u64,
     /// Records before this one have no requests any more.
     bare: u64,
 }
 
-impl Shelf {
+impl RetentionIndex {
     /// A record is there, anew or in place of one with its number.
-    pub fn put(&mut self, number: u64, head: &Head) {
+    pub fn insert(&mut self, number: u64, head: &SegmentHeader) {
         let (page, steps) = head.lengths;
         self.remove(number);
         self.kept.insert(number, (page, steps, head.written_unix_ms));
@@ -280,35 +286,35 @@
     }
 
     /// The number for the next process's first record.
-    pub fn next(&self) -> u64 {
+    pub fn next_number(&self) -> u64 {
         self.kept.last_key_value().map_or(1, |(number, _)| number + 1)
     }
 
     /// What goes now: what is too old; then single requests, oldest first, until the rest fits; then the oldest records. The newest stays.
-    pub fn over(&mut self, bounds: &Bounds, now_unix_ms: u64) -> Vec<Dropped> {
+    pub fn evict(&mut self, bounds: &RetentionLimits, now_unix_ms: u64) -> Vec<Evicted> {
         let mut dropped = Vec::new();
-        let newest = self.next() - 1;
-        let age = bounds.age.as_millis() as u64;
+        let newest = self.next_number() - 1;
+        let age = bounds.max_age.as_millis() as u64;
         let oldest = |kept: &BTreeMap<u64, (u32, u32, u64)>| kept.first_key_value().map(|(n, of)| (*n, of.2));
         while let Some((number, at)) = oldest(&self.kept).filter(|(n, _)| *n < newest) {
             if at.saturating_add(age) >= now_unix_ms {
                 break;
             }
             self.remove(number);
-            dropped.push(Dropped::Record(number));
+            dropped.push(Evicted::Segment(number));
         }
-        while self.total > bounds.size {
+        while self.total > bounds.max_bytes {
             let full = self.kept.range_mut(self.bare..newest).find(|(_, (_, steps, _))| *steps > 0);
             if let Some((number, (_, steps, _))) = full {
                 self.total -= u64::from(*steps);
                 *steps = 0;
                 self.bare = number + 1;
-                dropped.push(Dropped::Steps(*number));
+                dropped.push(Evicted::Steps(*number));
                 continue;
             }
             let Some((number, _)) = oldest(&self.kept).filter(|(n, _)| *n < newest) else { break };
             self.remove(number);
-            dropped.push(Dropped::Record(number));
+            dropped.push(Evicted::Segment(number));
         }
         dropped
     }
@@ -316,7 +322,7 @@
 
 /// What is asked of the past.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Wanted {
+pub enum AuditQuery {
     /// What was done under lists of these indices.
     Lists(RangeInclusive<u64>),
     /// What a request met.
@@ -325,7 +331,7 @@
 
 /// What an earlier process did, or what this one no longer has in memory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldProcess {
+pub struct ProcessReport {
     /// Which.
     pub process: String,
     /// When it began, by its wall clock.
@@ -335,27 +341,27 @@
     /// Up to when.
     pub until_ms: u64,
     /// Times of which not all is known.
-    pub unknown: Vec<Gap>,
+    pub unknown: Vec<UnknownSpan>,
     /// The intervals asked for.
-    pub intervals: Vec<ToldInterval>,
+    pub intervals: Vec<IntervalReport>,
     /// The exceptions in them.
-    pub exceptions: Vec<ToldException>,
+    pub exceptions: Vec<ExceptionReport>,
     /// What the request met that was asked for.
-    pub steps: Vec<ToldStep>,
+    pub steps: Vec<StepReport>,
 }
 
 /// What one gateway's disk tells.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldPast {
+pub struct HistoryReport {
     /// By process, the earliest first.
-    pub processes: Vec<ToldProcess>,
+    pub processes: Vec<ProcessReport>,
     /// So many intervals, exceptions and steps more there are than are told: the earliest.
     pub more: u64,
 }
 
 /// How far back this process's own memory goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Remembered {
+pub struct MemorySpan {
     /// It.
     pub process: Incarnation,
     pub(super) interval: u64,
@@ -365,39 +371,39 @@
 
 #[derive(Debug)]
 struct Of {
-    head: Head,
+    head: SegmentHeader,
     last: u64,
     since_ms: u64,
-    unknown: Vec<Gap>,
-    intervals: BTreeMap<u64, ToldInterval>,
-    exceptions: BTreeMap<u64, ToldException>,
-    steps: Vec<(u64, ToldStep)>,
+    unknown: Vec<UnknownSpan>,
+    intervals: BTreeMap<u64, IntervalReport>,
+    exceptions: BTreeMap<u64, ExceptionReport>,
+    steps: Vec<(u64, StepReport)>,
 }
 
 /// Puts together what was written. Records are to be given in the order of their numbers.
 #[derive(Debug)]
-pub struct Past {
-    wanted: Wanted,
+pub struct HistoryQuery {
+    wanted: AuditQuery,
     request: [u8; 8],
-    own: Remembered,
+    own: MemorySpan,
     processes: Vec<Of>,
 }
 
-impl Past {
+impl HistoryQuery {
     /// Nothing yet.
-    pub fn new(wanted: Wanted, own: Remembered) -> Past {
+    pub fn new(wanted: AuditQuery, own: MemorySpan) -> HistoryQuery {
         let request = match &wanted {
-            Wanted::Request(number) => digest(number.as_bytes()).to_le_bytes(),
-            Wanted::Lists(_) => [0; 8],
+            AuditQuery::Request(number) => digest(number.as_bytes()).to_le_bytes(),
+            AuditQuery::Lists(_) => [0; 8],
         };
-        Past { wanted, request, own, processes: Vec::new() }
+        HistoryQuery { wanted, request, own, processes: Vec::new() }
     }
 
     /// Takes a record's head, and reads of it what is wanted. One whose head can't be read is not given, and is missed by its number.
-    pub fn take(
+    pub fn add_segment(
         &mut self,
         number: u64,
-        head: Head,
+        head: SegmentHeader,
         page: impl FnOnce() -> Option<Vec<u8>>,
         steps: impl FnOnce() -> Option<Vec<u8>>,
     ) {
@@ -415,38 +421,46 @@
         }
         let Some(of) = self.processes.last_mut() else { return };
         if !another && number > of.last + 1 {
-            of.unknown.push(Gap { from_ms: of.head.to_ms, to_ms: head.from_ms, what: Lost::All });
+            of.unknown.push(UnknownSpan {
+                from_ms: of.head.to_ms,
+                to_ms: head.from_ms,
+                what: UnknownKind::All,
+            });
         }
         (of.last, of.head) = (number, head.clone());
         let in_reach = match (&self.wanted, head.indices) {
-            (Wanted::Lists(range), Some((least, most))) => *range.start() <= most && least <= *range.end(),
+            (AuditQuery::Lists(range), Some((least, most))) => {
+                *range.start() <= most && least <= *range.end()
+            }
             _ => true,
         };
         if !in_reach && !head.gaps {
             return;
         }
-        let lost = |what| Gap { from_ms: head.from_ms, to_ms: head.to_ms, what };
-        let Some(read) = page().and_then(|bytes| unpack::<Page>(&bytes)) else {
-            of.unknown.push(lost(Lost::All));
+        let lost = |what| UnknownSpan { from_ms: head.from_ms, to_ms: head.to_ms, what };
+        let Some(read) = page().and_then(|bytes| unpack::<Segment>(&bytes)) else {
+            of.unknown.push(lost(UnknownKind::All));
             return;
         };
         of.unknown.extend(&read.gaps);
         of.intervals.extend(read.intervals);
         of.exceptions.extend(read.exceptions);
-        if matches!(self.wanted, Wanted::Lists(_)) {
+        if matches!(self.wanted, AuditQuery::Lists(_)) {
             return;
         }
         match steps() {
-            None => of.unknown.push(lost(Lost::Requests)),
-            Some(bytes) => match unpack::<Steps>(&bytes) {
-                None => of.unknown.push(lost(Lost::Requests)),
-                Some(Steps { hosts, steps }) => {
+            None => of.unknown.push(lost(UnknownKind::Requests)),
+            Some(bytes) => match unpack::<SegmentSteps>(&bytes) {
+                None => of.unknown.push(lost(UnknownKind::Requests)),
+                Some(SegmentSteps { hosts, steps }) => {
                     for step in steps.iter().filter(|s| s.request == self.request) {
                         let host =
                             usize::from(step.host).checked_sub(1).and_then(|at| hosts.get(at).cloned());
                         let at_ms = head.from_ms + u64::from(step.after);
-                        of.steps
-                            .push((step.interval, ToldStep { at_ms, kind: step.kind, host, version: None }));
+                        of.steps.push((
+                            step.interval,
+                            StepReport { at_ms, kind: step.kind, host, version: None },
+                        ));
                     }
                 }
             },
@@ -454,27 +468,27 @@
     }
 
     /// All of it. A process that did not write that it ends is unknown from its last page until another opened the file.
-    pub fn told(self) -> ToldPast {
-        let mut past = ToldPast::default();
+    pub fn finish(self) -> HistoryReport {
+        let mut past = HistoryReport::default();
         let opened: Vec<u64> = self.processes.iter().skip(1).map(|of| of.head.opened_unix_ms).collect();
         for (n, mut of) in self.processes.into_iter().enumerate() {
             let own = of.head.process == self.own.process;
             if let Some(next) = opened.get(n).filter(|_| !of.head.ended) {
                 // By wall clocks, which may have been set back: never before the last that is known.
                 let to_ms = next.saturating_sub(of.head.began_unix_ms).max(of.head.to_ms);
-                of.unknown.push(Gap { from_ms: of.head.to_ms, to_ms, what: Lost::All });
+                of.unknown.push(UnknownSpan { from_ms: of.head.to_ms, to_ms, what: UnknownKind::All });
             }
             of.steps.retain(|(_, step)| !own || step.at_ms < self.own.step_ms);
-            let steps: Vec<ToldStep> = of
+            let steps: Vec<StepReport> = of
                 .steps
                 .into_iter()
-                .map(|(n, step)| ToldStep {
+                .map(|(n, step)| StepReport {
                     version: of.intervals.get(&n).map(|i| i.version.clone()),
                     ..step
                 })
                 .collect();
             let (mut intervals, mut exceptions) = (Vec::new(), Vec::new());
-            if let Wanted::Lists(range) = &self.wanted {
+            if let AuditQuery::Lists(range) = &self.wanted {
                 let first = if own { self.own.interval } else { u64::MAX };
                 let wanted =
                     of.intervals.range(..first).filter(|(_, i)| range.contains(&i.version.list.index));
@@ -492,7 +506,7 @@
                 continue;
             }
             let until_ms = of.head.to_ms;
-            past.processes.push(ToldProcess {
+            past.processes.push(ProcessReport {
                 process: of.head.process.to_string(),
                 began_unix_ms: of.head.began_unix_ms,
                 since_ms: of.since_ms,
@@ -508,7 +522,7 @@
     }
 }
 
-impl ToldPast {
+impl HistoryReport {
     /// Leaves out the earliest of what would be too much for one answer.
     fn cut(&mut self) {
         let (mut intervals, mut exceptions, mut steps) = (MOST_TOLD, MOST_TOLD, MOST_STEPS);
@@ -530,54 +544,59 @@
 #[cfg(test)]
 mod tests {
     use super::super::tests::{at, version};
-    use super::super::{Audit, Decision, Exception};
+    use super::super::{AuditLog, Decision, Exception};
     use super::*;
     use proptest::prelude::*;
 
-    fn writer(process: u64) -> Writer {
+    fn writer(process: u64) -> SegmentWriter {
         let began_unix_ms = process * 1_000_000;
-        Writer { process: Incarnation(process), began_unix_ms, opened_unix_ms: began_unix_ms + 50 }
+        SegmentWriter { process: Incarnation(process), began_unix_ms, opened_unix_ms: began_unix_ms + 50 }
     }
 
     /// A disk as the gateway keeps it.
     #[derive(Default)]
     struct Disk {
-        records: BTreeMap<u64, Record>,
-        shelf: Shelf,
+        records: BTreeMap<u64, EncodedSegment>,
+        shelf: RetentionIndex,
     }
 
     impl Disk {
         fn write(
             &mut self,
-            filling: &mut Filling,
-            audit: &Audit,
-            mark: &mut Mark,
+            filling: &mut SegmentBuilder,
+            audit: &AuditLog,
+            mark: &mut SegmentCursor,
             now: Duration,
             ended: bool,
         ) {
-            let (page, steps, next) = audit.page(mark, now, ended);
-            let record = filling.add(page, steps, 0);
-            self.shelf.put(record.number, &head(&record.head).expect("a head"));
+            let (page, steps, next) = audit.segment_since(mark, now, ended);
+            let record = filling.append(page, steps, 0);
+            self.shelf.insert(record.number, &decode_header(&record.header).expect("a head"));
             self.records.insert(record.number, record);
             *mark = next;
         }
 
-        fn past(&self, wanted: Wanted, own: Remembered) -> ToldPast {
-            let mut past = Past::new(wanted, own);
+        fn past(&self, wanted: AuditQuery, own: MemorySpan) -> HistoryReport {
+            let mut past = HistoryQuery::new(wanted, own);
             for (number, record) in &self.records {
-                let Some(head) = head(&record.head) else { continue };
-                past.take(*number, head, || Some(record.page.clone()), || Some(record.steps.clone()));
+                let Some(head) = decode_header(&record.header) else { continue };
+                past.add_segment(
+                    *number,
+                    head,
+                    || Some(record.segment.clone()),
+                    || Some(record.steps.clone()),
+                );
             }
-            past.told()
+            past.finish()
         }
     }
 
-    fn other() -> Remembered {
-        Remembered { process: Incarnation(99), interval: 0, exception: 0, step_ms: 0 }
+    fn other() -> MemorySpan {
+        MemorySpan { process: Incarnation(99), interval: 0, exception: 0, step_ms: 0 }
     }
 
-    fn all() -> Wanted {
-        Wanted::Lists(0..=u64::MAX)
+    fn all() -> AuditQuery {
+        AuditQuery::Lists(0..=u64::MAX)
     }
 
     #[derive(Clone, Debug)]
@@ -606,79 +625,79 @@
         /// each request with its host and its version, and the rest of the time is unknown.
         #[test]
         fn a_crash_leaves_the_books_as_last_written(deeds in prop::collection::vec(deed(), 1..400)) {
-            let mut audit = Audit::new(at(0), version(0));
-            let (mut disk, mut filling) = (Disk::default(), Filling::new(writer(1), 1));
-            let (mut mark, mut now) = (Mark::none(at(0)), 0);
+            let mut audit = AuditLog::new(at(0), version(0));
+            let (mut disk, mut filling) = (Disk::default(), SegmentBuilder::new(writer(1), 1));
+            let (mut mark, mut now) = (SegmentCursor::start(at(0)), 0);
             let mut written = None;
             for deed in deeds {
                 now += 1;
                 match deed {
-                    Deed::Turn(index) => audit.turn_to(at(now), version(index)),
+                    Deed::Turn(index) => audit.set_version(at(now), version(index)),
                     Deed::Book(request, host) => {
                         let (request, host) = (request.to_string(), format!("n{host}"));
-                        let decision = Decision { kind: Kind::Pick, class: 1, request: &request, host: Some(&host) };
-                        audit.book(at(now), decision);
+                        let decision = Decision { kind: DecisionKind::Pick, class: 1, request_id: &request, endpoint: Some(&host) };
+                        audit.record_decision(at(now), decision);
                     }
-                    Deed::Except(told) => audit.except(at(now), Exception::OlderThanTold { own: 0, told }, "x"),
+                    Deed::Except(told) => audit.record_exception(at(now), Exception::StaleList { own: 0, told }, "x"),
                     Deed::Wait(long) => now += long,
                     Deed::Write { reaches: true } => {
                         disk.write(&mut filling, &audit, &mut mark, at(now), false);
                         written = Some((now, audit.clone()));
                     }
                     // Made, and lost on its way: the mark stays.
-                    Deed::Write { reaches: false } => drop(audit.page(&mark, at(now), false)),
+                    Deed::Write { reaches: false } => drop(audit.segment_since(&mark, at(now), false)),
                 }
             }
             let Some((until, audit)) = written else { return Ok(()) };
-            let mut next = Filling::new(writer(2), disk.shelf.next());
-            disk.write(&mut next, &Audit::new(at(0), version(0)), &mut Mark::none(at(0)), at(10), false);
+            let mut next = SegmentBuilder::new(writer(2), disk.shelf.next_number());
+            disk.write(&mut next, &AuditLog::new(at(0), version(0)), &mut SegmentCursor::start(at(0)), at(10), false);
             let past = disk.past(all(), other());
-            let told = audit.told(at(until), 0..=u64::MAX);
+            let told = audit.report_lists(at(until), 0..=u64::MAX);
             prop_assert_eq!(&past.processes[0].intervals, &told.intervals);
             prop_assert_eq!(&past.processes[0].exceptions, &told.exceptions);
-            let gap = Gap { from_ms: until, to_ms: 1_000_050.max(until), what: Lost::All };
+            let gap = UnknownSpan { from_ms: until, to_ms: 1_000_050.max(until), what: UnknownKind::All };
             prop_assert_eq!(&past.processes[0].unknown, &[gap]);
             for request in 0..20u16 {
                 let number = request.to_string();
-                let past = disk.past(Wanted::Request(number.clone()), other());
-                prop_assert_eq!(&past.processes[0].steps, &audit.request(&number).1);
+                let past = disk.past(AuditQuery::Request(number.clone()), other());
+                prop_assert_eq!(&past.processes[0].steps, &audit.report_request(&number).1);
             }
         }
 
         /// Bytes of others, or of ours with one changed, are never read as something else, and never end the process.
         #[test]
         fn what_is_not_as_it_was_written_is_not_read(bytes in prop::collection::vec(any::<u8>(), 0..200), at_byte in any::<prop::sample::Index>()) {
-            prop_assert!(unpack::<Page>(&bytes).is_none());
-            let mut packed = pack(&Page { from_ms: 1, to_ms: 2, ..Page::default() });
+            prop_assert!(unpack::<Segment>(&bytes).is_none());
+            let mut packed = pack(&Segment { from_ms: 1, to_ms: 2, ..Segment::default() });
             let byte = at_byte.index(packed.len());
             packed[byte] ^= 1;
-            prop_assert!(unpack::<Page>(&packed).is_none());
+            prop_assert!(unpack::<Segment>(&packed).is_none());
         }
 
         /// What is kept fits, the newest always stays, and requests go before any record does.
         #[test]
         fn the_disk_is_bounded(sizes in prop::collection::vec((1u32..50, 0u32..400), 1..60), size in 100u64..2000) {
-            let bounds = Bounds { size, age: at(1_000_000) };
-            let mut shelf = Shelf::default();
+            let bounds = RetentionLimits { max_bytes: size, max_age: at(1_000_000) };
+            let mut shelf = RetentionIndex::default();
             for (n, (page, steps)) in sizes.iter().enumerate() {
                 let writer = writer(1);
-                let head = Head {
+                let head = SegmentHeader {
                     process: writer.process, began_unix_ms: 0, opened_unix_ms: 0, written_unix_ms: n as u64 * 1000, from_ms: 0, to_ms: 0,
                     ended: false, indices: None, gaps: false, lengths: (*page, *steps),
                 };
-                shelf.put(n as u64 + 1, &head);
-                let dropped = shelf.over(&bounds, n as u64 * 1000);
+                shelf.insert(n as u64 + 1, &head);
+                let dropped = shelf.evict(&bounds, n as u64 * 1000);
                 let newest = u64::from(*page) + u64::from(*steps);
                 prop_assert!(shelf.total <= size.max(newest));
                 let sum: u64 = shelf.kept.values().map(|(p, s, _)| u64::from(*p) + u64::from(*s)).sum();
                 prop_assert_eq!(sum, shelf.total);
-                if dropped.iter().any(|d| matches!(d, Dropped::Record(_))) {
-                    let bare = shelf.kept.range(..shelf.next() - 1).all(|(_, (_, steps, _))| *steps == 0);
+                if dropped.iter().any(|d| matches!(d, Evicted::Segment(_))) {
+                    let bare = shelf.kept.range(..shelf.next_number() - 1).all(|(_, (_, steps, _))| *steps == 0);
                     prop_assert!(bare, "a record went while an older one had its requests");
                 }
             }
             let later = 1_000_000 + 2 * sizes.len() as u64 * 1000;
-            shelf.over(&bounds, later);
+            shelf.evict(&bounds, later);
             prop_assert_eq!(shelf.kept.len(), 1, "all but the newest are too old");
         }
     }
@@ -686,48 +705,51 @@
     #[test]
     fn an_end_in_order_leaves_no_gap_and_a_lost_record_does() {
         let mut disk = Disk::default();
-        let audit = Audit::new(at(0), version(3));
+        let audit = AuditLog::new(at(0), version(3));
         for process in 1..=2 {
-            let mut mark = Mark::none(at(0));
+            let mut mark = SegmentCursor::start(at(0));
             for minute in 1..=3 {
-                let mut filling = Filling::new(writer(process), disk.shelf.next());
+                let mut filling = SegmentBuilder::new(writer(process), disk.shelf.next_number());
                 disk.write(&mut filling, &audit, &mut mark, at(minute * 70_000), minute == 3);
             }
         }
         assert!(disk.past(all(), other()).processes.iter().all(|p| p.unknown.is_empty()));
         disk.records.remove(&2);
         if let Some(record) = disk.records.get_mut(&5) {
-            record.page.pop();
+            record.segment.pop();
         }
         let past = disk.past(all(), other());
-        let gap = [Gap { from_ms: 70_000, to_ms: 140_000, what: Lost::All }];
+        let gap = [UnknownSpan { from_ms: 70_000, to_ms: 140_000, what: UnknownKind::All }];
         assert_eq!((&past.processes[0].unknown[..], &past.processes[1].unknown[..]), (&gap[..], &gap[..]));
     }
 
     /// What a process's memory has dropped is told from its disk, and nothing twice.
     #[test]
     fn memory_and_disk_together_tell_all_of_a_long_life() {
-        let mut audit = Audit::new(at(0), version(0));
+        let mut audit = AuditLog::new(at(0), version(0));
         let (mut disk, mut filling, mut mark) =
-            (Disk::default(), Filling::new(writer(7), 1), Mark::none(at(0)));
+            (Disk::default(), SegmentBuilder::new(writer(7), 1), SegmentCursor::start(at(0)));
         let versions = 6000;
         for n in 1..=versions {
-            audit.turn_to(at(n), version(n));
+            audit.set_version(at(n), version(n));
             for again in 0..4 {
                 let request = format!("{n}-{again}");
-                audit.book(at(n), Decision { kind: Kind::Pick, class: 0, request: &request, host: None });
+                audit.record_decision(
+                    at(n),
+                    Decision { kind: DecisionKind::Pick, class: 0, request_id: &request, endpoint: None },
+                );
             }
             if n % 100 == 0 {
                 disk.write(&mut filling, &audit, &mut mark, at(n), false);
             }
         }
-        let own = audit.remembered(Incarnation(7));
-        let (past, told) = (disk.past(all(), own), audit.told(at(versions), 0..=u64::MAX));
-        let indices = |of: &[ToldInterval]| of.iter().map(|i| i.version.list.index).collect::<Vec<_>>();
+        let own = audit.memory_span(Incarnation(7));
+        let (past, told) = (disk.past(all(), own), audit.report_lists(at(versions), 0..=u64::MAX));
+        let indices = |of: &[IntervalReport]| of.iter().map(|i| i.version.list.index).collect::<Vec<_>>();
         let both = [indices(&past.processes[0].intervals), indices(&told.intervals)].concat();
         assert!(both == (0..=versions).collect::<Vec<_>>(), "{} of {versions}", both.len());
-        let early = disk.past(Wanted::Request("50-1".into()), own);
-        assert!(audit.request("50-1").1.is_empty() && early.processes[0].steps.len() == 1);
-        assert!(disk.past(Wanted::Request("5990-1".into()), own).processes.is_empty(), "memory has it");
+        let early = disk.past(AuditQuery::Request("50-1".into()), own);
+        assert!(audit.report_request("50-1").1.is_empty() && early.processes[0].steps.len() == 1);
+        assert!(disk.past(AuditQuery::Request("5990-1".into()), own).processes.is_empty(), "memory has it");
     }
 }
--- a/crates/fleet/src/council/storage.rs
+++ b/crates/fleet/src/consensus/storage.rs
@@ -1,7 +1,7 @@
 //! What the library keeps of one configuration, in memory, with a journal of what it changes. Where the journal goes to a disk, a
 //! process that comes back reads it and votes on; where it does not, the process has forgotten, and has no vote when it comes back.
 
-use crate::register::Entry;
+use crate::state_machine::Command;
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::storage::{NoSnapshot, StopSign, Storage, StorageOp, StorageResult};
 use serde::{Deserialize, Serialize};
@@ -10,9 +10,9 @@
 
 /// A change, as it goes to the disk.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Write {
+pub enum StorageChange {
     /// The log is this from an index on.
-    Log(usize, Vec<Entry>),
+    Log(usize, Vec<Command>),
     /// Nothing older is promised any more.
     Promise(Ballot),
     /// The round of what the log holds.
@@ -20,17 +20,17 @@
     /// So much of the log is decided.
     Decided(usize),
     /// The configuration's end.
-    Stop(Option<StopSign>),
+    StopSign(Option<StopSign>),
 }
 
 /// What has been written and has not been passed on yet.
-pub type Journal = Rc<RefCell<Vec<Write>>>;
+pub type ChangeJournal = Rc<RefCell<Vec<StorageChange>>>;
 
 /// Log and promises.
 #[derive(Debug, Default)]
-pub struct Kept {
-    journal: Journal,
-    log: Vec<Entry>,
+pub struct LogStorage {
+    journal: ChangeJournal,
+    log: Vec<Command>,
     promise: Option<Ballot>,
     accepted: Option<Ballot>,
     decided: usize,
@@ -39,28 +39,28 @@
     stop: Option<StopSign>,
 }
 
-impl Kept {
+impl LogStorage {
     /// Empty, with this journal.
-    pub fn new(journal: Journal) -> Kept {
-        Kept { journal, ..Kept::default() }
+    pub fn new(journal: ChangeJournal) -> LogStorage {
+        LogStorage { journal, ..LogStorage::default() }
     }
 
     /// Takes in what was written before, which is on the disk already.
-    pub fn recall(&mut self, write: Write) {
+    pub fn restore(&mut self, write: StorageChange) {
         match write {
-            Write::Log(from, entries) => {
+            StorageChange::Log(from, entries) => {
                 let from = self.at(from);
                 self.log.truncate(from);
                 self.log.extend(entries);
             }
-            Write::Promise(ballot) => self.promise = Some(ballot),
-            Write::Accepted(ballot) => self.accepted = Some(ballot),
-            Write::Decided(index) => self.decided = index,
-            Write::Stop(stop) => self.stop = stop,
+            StorageChange::Promise(ballot) => self.promise = Some(ballot),
+            StorageChange::Accepted(ballot) => self.accepted = Some(ballot),
+            StorageChange::Decided(index) => self.decided = index,
+            StorageChange::StopSign(stop) => self.stop = stop,
         }
     }
 
-    fn note(&self, write: Write) {
+    fn note(&self, write: StorageChange) {
         self.journal.borrow_mut().push(write);
     }
 
@@ -69,8 +69,8 @@
     }
 }
 
-impl Storage<Entry> for Kept {
-    fn write_atomically(&mut self, ops: Vec<StorageOp<Entry>>) -> StorageResult<()> {
+impl Storage<Command> for LogStorage {
+    fn write_atomically(&mut self, ops: Vec<StorageOp<Command>>) -> StorageResult<()> {
         for op in ops {
             match op {
                 StorageOp::AppendEntry(entry) => self.append_entry(entry)?,
@@ -88,30 +88,30 @@
         Ok(())
     }
 
-    fn append_entry(&mut self, entry: Entry) -> StorageResult<()> {
+    fn append_entry(&mut self, entry: Command) -> StorageResult<()> {
         self.append_entries(vec![entry])
     }
 
-    fn append_entries(&mut self, entries: Vec<Entry>) -> StorageResult<()> {
-        self.note(Write::Log(self.trimmed + self.log.len(), entries.clone()));
+    fn append_entries(&mut self, entries: Vec<Command>) -> StorageResult<()> {
+        self.note(StorageChange::Log(self.trimmed + self.log.len(), entries.clone()));
         self.log.extend(entries);
         Ok(())
     }
 
-    fn append_on_prefix(&mut self, from: usize, entries: Vec<Entry>) -> StorageResult<()> {
+    fn append_on_prefix(&mut self, from: usize, entries: Vec<Command>) -> StorageResult<()> {
         let from = self.at(from);
         self.log.truncate(from);
         self.append_entries(entries)
     }
 
     fn set_promise(&mut self, promise: Ballot) -> StorageResult<()> {
-        self.note(Write::Promise(promise));
+        self.note(StorageChange::Promise(promise));
         self.promise = Some(promise);
         Ok(())
     }
 
     fn set_decided_idx(&mut self, decided: usize) -> StorageResult<()> {
-        self.note(Write::Decided(decided));
+        self.note(StorageChange::Decided(decided));
         self.decided = decided;
         Ok(())
     }
@@ -121,7 +121,7 @@
     }
 
     fn set_accepted_round(&mut self, accepted: Ballot) -> StorageResult<()> {
-        self.note(Write::Accepted(accepted));
+        self.note(StorageChange::Accepted(accepted));
         self.accepted = Some(accepted);
         Ok(())
     }
@@ -130,15 +130,15 @@
         Ok(self.accepted)
     }
 
-    fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Entry>> {
-        Ok(self.log.get(self.at(from)..self.at(to)).map(<[Entry]>::to_vec).unwrap_or_default())
+    fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Command>> {
+        Ok(self.log.get(self.at(from)..self.at(to)).map(<[Command]>::to_vec).unwrap_or_default())
     }
 
     fn get_log_len(&self) -> StorageResult<usize> {
         Ok(self.log.len())
     }
 
-    fn get_suffix(&self, from: usize) -> StorageResult<Vec<Entry>> {
+    fn get_suffix(&self, from: usize) -> StorageResult<Vec<Command>> {
         Ok(self.log[self.at(from)..].to_vec())
     }
 
@@ -147,7 +147,7 @@
     }
 
     fn set_stopsign(&mut self, stop: Option<StopSign>) -> StorageResult<()> {
-        self.note(Write::Stop(stop.clone()));
+        self.note(StorageChange::StopSign(stop.clone()));
         self.stop = stop;
         Ok(())
     }
--- a/crates/fleet/src/clock.rs
+++ b/crates/fleet/src/lease.rs
@@ -20,23 +20,23 @@
 
 impl Lease {
     /// Until when the holder may act on it, that asked for it at `asked`.
-    pub fn held_until(&self, asked: Duration) -> Duration {
+    pub fn holder_expiry(&self, asked: Duration) -> Duration {
         asked + self.length.mul_f64(1.0 - self.margin)
     }
 
     /// From when on others may count on its end, with whom it came into force at `since`.
-    pub fn over_from(&self, since: Duration) -> Duration {
+    pub fn grantor_expiry(&self, since: Duration) -> Duration {
         since + self.length.mul_f64(1.0 + self.margin)
     }
 
     /// How often it is renewed: three tries are lost before it ends.
-    pub fn renew_every(&self) -> Duration {
+    pub fn renewal_interval(&self) -> Duration {
         self.length / 4
     }
 
     /// The longest that a gateway which is cut off at the worst moment goes on beyond the last moment at which the others could have
     /// told it anything, and the shortest after which they count on its end: the window between both is the margin's doing.
-    pub fn window(&self) -> Duration {
+    pub fn uncertainty_window(&self) -> Duration {
         self.length.mul_f64(2.0 * self.margin)
     }
 }
@@ -57,8 +57,8 @@
             // True time is that of neither; each clock shows true time times its rate.
             let (holder, grantor) = (1.0 + holder * margin, 1.0 + grantor * margin);
             let (asked, force) = (asked as f64 / 1e3, (asked + after) as f64 / 1e3);
-            let let_go = lease.held_until(Duration::from_secs_f64(asked * holder)).as_secs_f64() / holder;
-            let counted = lease.over_from(Duration::from_secs_f64(force * grantor)).as_secs_f64() / grantor;
+            let let_go = lease.holder_expiry(Duration::from_secs_f64(asked * holder)).as_secs_f64() / holder;
+            let counted = lease.grantor_expiry(Duration::from_secs_f64(force * grantor)).as_secs_f64() / grantor;
             prop_assert!(let_go <= counted + 1e-6, "{let_go} {counted}");
         }
     }
@@ -66,7 +66,7 @@
     #[test]
     fn three_renewals_are_lost_before_it_ends() {
         let lease = Lease { length: Duration::from_secs(4), margin: 0.02 };
-        assert!(lease.renew_every() * 3 < lease.held_until(Duration::ZERO));
-        assert_eq!(lease.window(), Duration::from_millis(160));
+        assert!(lease.renewal_interval() * 3 < lease.holder_expiry(Duration::ZERO));
+        assert_eq!(lease.uncertainty_window(), Duration::from_millis(160));
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -5,13 +5,13 @@
 //! what one gateway sees of the others; [`audit`] keeps what was done under which [`version`]; [`clock`] holds every margin;
 //! [`wire`] is what gateways say to each other; [`settings`] what the operator says.
 
-pub mod agent;
 pub mod audit;
-pub mod clock;
-pub mod council;
+pub mod consensus;
 pub mod departures;
-pub mod members;
-pub mod register;
+pub mod lease;
+pub mod membership;
+pub mod node;
+pub mod protocol;
 pub mod settings;
+pub mod state_machine;
 pub mod version;
-pub mod wire;
--- a/crates/fleet/src/agent/session.rs
+++ b/crates/fleet/src/node/session_client.rs
@@ -1,11 +1,11 @@
 //! The holder's side of a session: asking for it, believing in it no longer than its lease, and heeding what comes with it.
 
-use super::Output;
-use crate::clock::Lease;
-use crate::members::{Members, View};
-use crate::register::{Behind, Cause, SessionId};
-use crate::version::{Listed, Name, Version};
-use crate::wire::{Frame, Gone, News};
+use super::NodeAction;
+use crate::lease::Lease;
+use crate::membership::{Membership, PeerView};
+use crate::protocol::{DepartedEndpoint, Frame, StateUpdate};
+use crate::state_machine::{FenceReason, ReplicaLag, SessionId};
+use crate::version::{GatewayName, ListVersion, Version};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
@@ -23,31 +23,31 @@
 
 /// How a gateway may act.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Acting {
+pub enum SessionState {
     /// In a session that it holds.
     InSession(SessionId),
     /// Without one: the council can't be reached, or has none for it.
-    Alone,
+    WithoutSession,
     /// Shut out: it takes no client.
-    Out(Cause),
+    Fenced(FenceReason),
 }
 
-impl Acting {
+impl SessionState {
     /// Whether it may do the same, in whichever session.
-    pub fn alike(&self, other: &Acting) -> bool {
+    pub fn is_same_kind(&self, other: &SessionState) -> bool {
         match (self, other) {
-            (Acting::InSession(_), Acting::InSession(_)) => true,
+            (SessionState::InSession(_), SessionState::InSession(_)) => true,
             _ => self == other,
         }
     }
 }
 
-impl fmt::Display for Acting {
+impl fmt::Display for SessionState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Acting::InSession(id) => write!(f, "in session {id}"),
-            Acting::Alone => write!(f, "alone"),
-            Acting::Out(cause) => write!(f, "shut out: {cause}"),
+            SessionState::InSession(id) => write!(f, "in session {id}"),
+            SessionState::WithoutSession => write!(f, "alone"),
+            SessionState::Fenced(cause) => write!(f, "shut out: {cause}"),
         }
     }
 }
@@ -62,23 +62,23 @@
 #[derive(Clone, Debug)]
 struct Asking {
     at: Duration,
-    keeper: Name,
+    keeper: GatewayName,
 }
 
 /// The holder.
 #[derive(Clone, Debug)]
 pub(super) struct Holder {
-    own: Name,
-    council: Vec<Name>,
+    own: GatewayName,
+    council: Vec<GatewayName>,
     lease: Lease,
     rng: fastrand::Rng,
     pub(super) version: Version,
-    pub(super) news: News,
+    pub(super) news: StateUpdate,
     asks: u64,
     asked_at: BTreeMap<u64, Duration>,
     asking: Option<Asking>,
     next: Duration,
-    keeper: Option<Name>,
+    keeper: Option<GatewayName>,
     held: Option<Held>,
     /// Hosts by name: whether gone, by which index, and how often to tell it yet.
     departing: BTreeMap<String, (bool, u64, u32)>,
@@ -100,7 +100,13 @@
 }
 
 impl Holder {
-    pub(super) fn new(own: Name, council: Vec<Name>, lease: Lease, version: Version, seed: u64) -> Holder {
+    pub(super) fn new(
+        own: GatewayName,
+        council: Vec<GatewayName>,
+        lease: Lease,
+        version: Version,
+        seed: u64,
+    ) -> Holder {
         Holder {
             own,
             council,
@@ -108,7 +114,7 @@
             rng: fastrand::Rng::with_seed(seed),
             lineage: version.list.lineage.clone(),
             version,
-            news: News::default(),
+            news: StateUpdate::default(),
             asks: 0,
             asked_at: BTreeMap::new(),
             asking: None,
@@ -132,22 +138,22 @@
         self.held.as_ref().map_or(Duration::ZERO, |h| h.until.saturating_sub(now))
     }
 
-    pub(super) fn acting(&self, now: Duration) -> Acting {
+    pub(super) fn acting(&self, now: Duration) -> SessionState {
         // Who is shut out stays so without a session too, until it has what it lacked: it knows better than to serve.
-        match (&self.news.out, &self.held) {
-            (Some(cause), _) if self.lacks_still(cause) => Acting::Out(cause.clone()),
-            (_, Some(held)) if now < held.until => Acting::InSession(held.id),
-            _ => Acting::Alone,
+        match (&self.news.fence_reason, &self.held) {
+            (Some(cause), _) if self.lacks_still(cause) => SessionState::Fenced(cause.clone()),
+            (_, Some(held)) if now < held.until => SessionState::InSession(held.id),
+            _ => SessionState::WithoutSession,
         }
     }
 
     /// Whether what it was shut out for holds by its own knowledge, so that nobody has to be reached to know it.
-    fn lacks_still(&self, cause: &Cause) -> bool {
+    fn lacks_still(&self, cause: &FenceReason) -> bool {
         match cause {
-            Cause::Held => true,
-            Cause::Behind(Behind::List { current, .. }) => self.version.list.index < *current,
-            Cause::Behind(Behind::Config { required, .. }) => self.version.config != *required,
-            Cause::Behind(Behind::Build { required, .. }) => self.version.build != *required,
+            FenceReason::Administrator => true,
+            FenceReason::Lagging(ReplicaLag::List { current, .. }) => self.version.list.index < *current,
+            FenceReason::Lagging(ReplicaLag::Config { required, .. }) => self.version.config != *required,
+            FenceReason::Lagging(ReplicaLag::Build { required, .. }) => self.version.build != *required,
         }
     }
 
@@ -163,7 +169,7 @@
         self.next = self.next.min(now);
     }
 
-    pub(super) fn departed(&mut self, now: Duration, list: Listed, hosts: Vec<(String, bool)>) {
+    pub(super) fn departed(&mut self, now: Duration, list: ListVersion, hosts: Vec<(String, bool)>) {
         if list.lineage != self.lineage {
             return;
         }
@@ -185,10 +191,10 @@
     }
 
     /// What there is to ask and to tell at this moment.
-    pub(super) fn ask(&mut self, now: Duration, members: &Members) -> Vec<(Name, Frame)> {
+    pub(super) fn ask(&mut self, now: Duration, members: &Membership) -> Vec<(GatewayName, Frame)> {
         let mut frames = Vec::new();
         // One that does not answer is left for another: three can be tried within a lease.
-        let patience = self.lease.renew_every() / 2;
+        let patience = self.lease.renewal_interval() / 2;
         if self.asking.as_ref().is_some_and(|asking| now.saturating_sub(asking.at) >= patience) {
             self.keeper = None;
             self.asking = None;
@@ -212,20 +218,20 @@
         let (ask, version) = (self.asks, self.version.clone());
         // One that has lapsed may be the register's still, and is renewed there; its holder believes in it from this asking on only.
         let frame = match self.held.as_ref().map(|h| h.id) {
-            Some(session) => Frame::Renew { session, ask, version },
-            None => Frame::Open { ask, version },
+            Some(session) => Frame::RenewSession { session, request: ask, version },
+            None => Frame::OpenSession { request: ask, version },
         };
         self.asking = Some(Asking { at: now, keeper: keeper.clone() });
         frames.push((keeper.clone(), frame));
         frames.extend(self.departures(keeper));
         // Spread, so that gateways that began together don't ask together for ever.
-        let every = self.lease.renew_every();
+        let every = self.lease.renewal_interval();
         self.next = now + every.mul_f64(0.8 + 0.2 * self.rng.f64());
         frames
     }
 
     /// What hosts are to be told of, by index.
-    fn departures(&mut self, keeper: Name) -> Vec<(Name, Frame)> {
+    fn departures(&mut self, keeper: GatewayName) -> Vec<(GatewayName, Frame)> {
         let mut by_index: BTreeMap<u64, Vec<(String, bool)>> = BTreeMap::new();
         self.departing.retain(|host, (gone, index, left)| {
             by_index.entry(*index).or_default().push((host.clone(), *gone));
@@ -233,34 +239,37 @@
             *left > 0
         });
         let lineage = self.lineage.clone();
-        let frame =
-            |(index, hosts)| Frame::Departed { list: Listed { lineage: lineage.clone(), index }, hosts };
+        let frame = |(index, hosts)| Frame::Departures {
+            list: ListVersion { lineage: lineage.clone(), index },
+            endpoints: hosts,
+        };
         by_index.into_iter().map(|told| (keeper.clone(), frame(told))).collect()
     }
 
     /// Whom to ask: itself where it has a seat and is asked first, else one that speaks, by draw.
-    fn choose(&mut self, now: Duration, members: &Members) -> Option<Name> {
-        let speaks = |name: &&Name| **name == self.own || members.view(now, name) == View::Here;
-        let all: Vec<&Name> = self.council.iter().filter(speaks).collect();
+    fn choose(&mut self, now: Duration, members: &Membership) -> Option<GatewayName> {
+        let speaks =
+            |name: &&GatewayName| **name == self.own || members.view(now, name) == PeerView::Reachable;
+        let all: Vec<&GatewayName> = self.council.iter().filter(speaks).collect();
         (!all.is_empty()).then(|| all[self.rng.usize(..all.len())].clone())
     }
 
-    pub(super) fn hear(&mut self, now: Duration, from: &str, frame: Frame, out: &mut Vec<Output>) {
+    pub(super) fn hear(&mut self, now: Duration, from: &str, frame: Frame, out: &mut Vec<NodeAction>) {
         match frame {
-            Frame::Granted { session, ask, news } => {
+            Frame::SessionGranted { session, request: ask, update: news } => {
                 let Some(asked) = self.asked_at.remove(&ask) else { return };
                 // Older askings are answered by this one too.
                 self.asked_at.retain(|n, _| *n > ask);
                 self.answered(from);
-                let until = self.lease.held_until(asked);
+                let until = self.lease.holder_expiry(asked);
                 match &mut self.held {
                     Some(held) if held.id == session => held.until = held.until.max(until),
                     _ => self.held = Some(Held { id: session, until }),
                 }
                 self.heed(now, news, out);
             }
-            Frame::Told(news) if news.position >= self.news.position => self.heed(now, news, out),
-            Frame::NoSession { ask, taken } => {
+            Frame::StateUpdate(news) if news.log_index >= self.news.log_index => self.heed(now, news, out),
+            Frame::NoSession { request: ask, holder: taken } => {
                 if self.asked_at.remove(&ask).is_none() {
                     return;
                 }
@@ -268,7 +277,7 @@
                 match taken {
                     Some(process) => {
                         if due(&mut self.told_taken, now, TOLD_TAKEN) {
-                            out.push(Output::Note(format!(
+                            out.push(NodeAction::Notice(format!(
                                 "no session: process {process} has the name {} in the fleet; it keeps it until its lease is over, so \
                                  end it or give this gateway a name of its own",
                                 self.own
@@ -282,11 +291,11 @@
                     }
                 }
             }
-            Frame::NotNow { ask } if self.asked_at.remove(&ask).is_some() => {
+            Frame::Unavailable { request: ask } if self.asked_at.remove(&ask).is_some() => {
                 self.answered(from);
                 // Another may know a leader already.
                 self.keeper = None;
-                self.next = now + self.lease.renew_every() / 4;
+                self.next = now + self.lease.renewal_interval() / 4;
             }
             _ => {}
         }
@@ -299,29 +308,30 @@
     }
 
     /// Heeds what the register says.
-    fn heed(&mut self, now: Duration, news: News, out: &mut Vec<Output>) {
+    fn heed(&mut self, now: Duration, news: StateUpdate, out: &mut Vec<NodeAction>) {
         let own = self.version.list.index;
-        let newer: Vec<Gone> = news.gone.iter().filter(|g| g.index > own).cloned().collect();
-        if !newer.is_empty() && newer != self.news.gone {
-            out.push(Output::Gone(newer));
+        let newer: Vec<DepartedEndpoint> =
+            news.departures.iter().filter(|g| g.list_index > own).cloned().collect();
+        if !newer.is_empty() && newer != self.news.departures {
+            out.push(NodeAction::EndpointsDeparted(newer));
         }
-        if let Some(current) = news.current.filter(|c| *c > own) {
+        if let Some(current) = news.current_list_index.filter(|c| *c > own) {
             if due(&mut self.asked_discovery, now, ASK_AGAIN) {
-                out.push(Output::AskDiscovery { current });
+                out.push(NodeAction::PollDiscovery { current });
             }
         }
-        if let Some(required) = news.config.filter(|c| *c != self.version.config) {
+        if let Some(required) = news.required_config.filter(|c| *c != self.version.config) {
             if due(&mut self.reread, now, REREAD) {
-                out.push(Output::Reread { required });
+                out.push(NodeAction::ReloadConfig { required });
             }
         }
         self.news = news;
     }
 
     /// The word with which it leaves in order.
-    pub(super) fn close(&mut self) -> Option<(Name, Frame)> {
+    pub(super) fn close(&mut self) -> Option<(GatewayName, Frame)> {
         self.closed = true;
         let held = self.held.take()?;
-        Some((self.keeper.clone()?, Frame::Close { session: held.id }))
+        Some((self.keeper.clone()?, Frame::CloseSession { session: held.id }))
     }
 }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,50 +1,62 @@
 //! What operators may set, as the table `[fleet]` of their file.
 
-use crate::audit::pages::Bounds;
-use crate::clock::Lease;
-use crate::version::Name;
+use crate::audit::RetentionLimits;
+use crate::lease::Lease;
+use crate::version::GatewayName;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 use weldworks_config::{Bytes, Named, Table};
 
 /// The most gateways of one fleet.
-pub const MOST: usize = 1000;
+pub const MAX_PEERS: usize = 1000;
 
 /// What a gateway does that has no session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Alone {
+pub enum WithoutSessionPolicy {
     /// It serves, as without a fleet; what it does is booked as done alone.
     #[default]
     Serve,
     /// It takes no client and refuses.
-    Refuse,
+    Reject,
 }
 
-impl Named for Alone {
-    const WORDS: &'static [(&'static str, Alone)] = &[("serve", Alone::Serve), ("refuse", Alone::Refuse)];
+impl Named for WithoutSessionPolicy {
+    const WORDS: &'static [(&'static str, WithoutSessionPolicy)] =
+        &[("serve", WithoutSessionPolicy::Serve), ("refuse", WithoutSessionPolicy::Reject)];
 }
 
 /// A gateway of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Its name.
-    pub name: Name,
+    pub name: GatewayName,
     /// Where its link listens.
     pub address: SocketAddr,
     /// Whether it has a seat in the council.
-    pub council: bool,
+    pub is_voter: bool,
 }
 
 /// When a gateway that lags is shut out.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stragglers {
+pub struct LagPolicy {
     /// It is behind when its list is older by this many versions or more.
-    pub versions: u64,
+    pub max_list_lag: u64,
     /// One that stays behind for so long is shut out.
-    pub time: Duration,
+    pub max_lag_duration: Duration,
     /// At most this part of the sessions is shut out at once.
-    pub most: f64,
+    pub max_fenced_fraction: f64,
+}
+
+impl LagPolicy {
+    /// The text that the fleet's digest is taken of. Gateways of other builds compare that digest, so the text keeps the names of
+    /// version 0.2.0 whatever the fields are called here.
+    fn digest_text(&self) -> String {
+        format!(
+            "Stragglers {{ versions: {:?}, time: {:?}, most: {:?} }}",
+            self.max_list_lag, self.max_lag_duration, self.max_fenced_fraction
+        )
+    }
 }
 
 /// The table.
@@ -53,7 +65,7 @@
     /// The fleet's name: gateways of another are turned away.
     pub name: String,
     /// This gateway's name.
-    pub gateway: Name,
+    pub gateway: GatewayName,
     /// Where its link listens; its own entry among the peers, unless said otherwise.
     pub listen: SocketAddr,
     /// All gateways of the fleet, this one among them.
@@ -63,14 +75,14 @@
     /// Sessions.
     pub lease: Lease,
     /// What is done without one.
-    pub alone: Alone,
+    pub without_session: WithoutSessionPolicy,
     /// Those that lag.
-    pub stragglers: Stragglers,
+    pub lag_policy: LagPolicy,
     /// How much of the audit's books is kept on the disk.
-    pub books: Bounds,
+    pub audit_retention: RetentionLimits,
     /// Where a council member keeps its vote and log, and each gateway the audit's books; without it a member that comes back is seated
     /// anew, and a process's books end with it.
-    pub state: Option<PathBuf>,
+    pub state_folder: Option<PathBuf>,
 }
 
 impl FleetSettings {
@@ -85,7 +97,7 @@
             let peer = Peer {
                 name: entry.need("name").unwrap_or_default(),
                 address: entry.need("address").unwrap_or(nowhere),
-                council: entry.or("council", false),
+                is_voter: entry.or("council", false),
             };
             if peers.iter().any(|p: &Peer| p.name == peer.name && !p.name.is_empty()) {
                 entry.wrong("name", "is there twice: each gateway has one entry");
@@ -98,20 +110,20 @@
             table.wrong("gateway", "is not among the peers: add a [[fleet.peer]] with this name");
         }
         let listen = table.get("listen").or(own.map(|p| p.address)).unwrap_or(nowhere);
-        let council = peers.iter().filter(|p| p.council).count();
+        let council = peers.iter().filter(|p| p.is_voter).count();
         if !matches!(council, 3 | 5) {
             table.wrong(
                 "peer",
                 format!("{council} of them have council = true: a council has 3 or 5, so that a majority is left when 1 or 2 are lost"),
             );
         }
-        if peers.len() > MOST {
-            table.wrong("peer", format!("{} gateways: a fleet has {MOST} at most", peers.len()));
+        if peers.len() > MAX_PEERS {
+            table.wrong("peer", format!("{} gateways: a fleet has {MAX_PEERS} at most", peers.len()));
         }
         if name.is_empty() || name.len() > 64 {
             table.wrong("name", "has 1 to 64 letters");
         }
-        let books = Bounds::default();
+        let books = RetentionLimits::default();
         let settings = FleetSettings {
             listen,
             lineage: table.get("lineage"),
@@ -119,21 +131,27 @@
                 length: table.within("lease", Duration::from_millis(500)..=long, Duration::from_secs(3)),
                 margin: table.within("margin", 0.001..=0.2, 0.02),
             },
-            alone: table.or("alone", Alone::default()),
-            stragglers: Stragglers {
-                versions: table.within("behind", 1..=1_000_000, 3),
-                time: table.within("behind_for", Duration::from_millis(500)..=long, Duration::from_secs(5)),
-                most: table.within("shut_out_most", 0.0..=0.5, 0.2),
+            without_session: table.or("alone", WithoutSessionPolicy::default()),
+            lag_policy: LagPolicy {
+                max_list_lag: table.within("behind", 1..=1_000_000, 3),
+                max_lag_duration: table.within(
+                    "behind_for",
+                    Duration::from_millis(500)..=long,
+                    Duration::from_secs(5),
+                ),
+                max_fenced_fraction: table.within("shut_out_most", 0.0..=0.5, 0.2),
             },
-            books: Bounds {
-                size: table.within("audit_size", Bytes(1 << 20)..=Bytes(64 << 30), Bytes(books.size)).0,
-                age: table.within(
+            audit_retention: RetentionLimits {
+                max_bytes: table
+                    .within("audit_size", Bytes(1 << 20)..=Bytes(64 << 30), Bytes(books.max_bytes))
+                    .0,
+                max_age: table.within(
                     "audit_age",
                     Duration::from_secs(60)..=Duration::from_secs(366 * 86_400),
-                    books.age,
+                    books.max_age,
                 ),
             },
-            state: table.get::<String>("state").map(PathBuf::from),
+            state_folder: table.get::<String>("state").map(PathBuf::from),
             name,
             gateway,
             peers,
@@ -143,17 +161,18 @@
     }
 
     /// The peers with a seat, in the order of their names: what every gateway computes alike.
-    pub fn council(&self) -> Vec<&Peer> {
-        let mut council: Vec<&Peer> = self.peers.iter().filter(|p| p.council).collect();
+    pub fn voters(&self) -> Vec<&Peer> {
+        let mut council: Vec<&Peer> = self.peers.iter().filter(|p| p.is_voter).collect();
         council.sort_by(|a, b| a.name.cmp(&b.name));
         council
     }
 
     /// A digest of what all gateways of the fleet have to agree on.
     pub fn digest(&self) -> u64 {
-        let council: Vec<_> = self.council().iter().map(|p| p.name.as_str()).collect();
+        let council: Vec<_> = self.voters().iter().map(|p| p.name.as_str()).collect();
         crate::version::digest(
-            format!("{} {council:?} {:?} {:?}", self.name, self.lease, self.stragglers).as_bytes(),
+            format!("{} {council:?} {:?} {}", self.name, self.lease, self.lag_policy.digest_text())
+                .as_bytes(),
         )
     }
 }
--- a/crates/fleet/src/register/mod.rs
+++ b/crates/fleet/src/state_machine/mod.rs
@@ -1,12 +1,12 @@
 //! The register: one deterministic state machine, the same at every council member. [`Register::apply`] and nothing else moves it; it
 //! knows no clock, so whatever depends on time is proposed by somebody who waited for it, and names what he had seen when he began to.
 
-mod standing;
+mod replica_lag;
 
-pub use standing::{Behind, Cause};
+pub use replica_lag::{FenceReason, ReplicaLag};
 
-use crate::settings::Stragglers;
-use crate::version::{Incarnation, Listed, Name, Version};
+use crate::settings::LagPolicy;
+use crate::version::{GatewayName, Incarnation, ListVersion, Version};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -21,56 +21,56 @@
 
 /// A change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Entry {
+pub enum Command {
     /// A process asks for a session.
-    Open {
+    OpenSession {
         /// Its gateway.
-        name: Name,
+        name: GatewayName,
         /// The process.
         process: Incarnation,
         /// What it acts on.
         version: Version,
         /// The number of its asking: asked again, it counts as a renewal, for its lease is counted from there.
-        ask: u64,
+        request: u64,
     },
     /// Sessions go on. Several at once: a council member gathers them.
-    Renew(Vec<Renewal>),
+    RenewSessions(Vec<Renewal>),
     /// A session has not been renewed for a lease and its margin, says one who saw this many renewals and none since.
-    Lapse {
+    ExpireSession {
         /// The session.
         session: SessionId,
         /// The renewals that had been seen.
         renewals: u64,
     },
     /// A process ends its own session, in order.
-    Close {
+    CloseSession {
         /// The session.
         session: SessionId,
     },
     /// A straggler is to be shut out, says one who saw it behind for the stated time.
-    ShutOut {
+    FenceLagging {
         /// The session.
         session: SessionId,
         /// The version it was behind with: a newer one since makes this void.
         version: Version,
     },
     /// Staff shut a gateway out, or let it in again.
-    Hold {
+    SetFenced {
         /// The gateway.
-        name: Name,
+        name: GatewayName,
         /// Out, or in again.
-        out: bool,
+        fenced: bool,
     },
     /// Staff declare what counts as current.
-    Require(Require),
+    SetRequirements(Requirements),
     /// A host leaves or is gone, by a list.
-    Departed {
+    RecordDepartures {
         /// The list that says so.
-        list: Listed,
+        list: ListVersion,
         /// The hosts' names, and whether each is gone.
-        hosts: Vec<(String, bool)>,
+        endpoints: Vec<(String, bool)>,
         /// Who was told.
-        by: Name,
+        reported_by: GatewayName,
     },
 }
 
@@ -87,9 +87,9 @@
 
 /// What counts as current by the word of staff.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Require {
+pub struct Requirements {
     /// Lists of this lineage have at least this index.
-    pub list: Option<Listed>,
+    pub list: Option<ListVersion>,
     /// The configuration is this.
     pub config: Option<u64>,
     /// The build is this.
@@ -100,7 +100,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Session {
     /// The gateway.
-    pub name: Name,
+    pub name: GatewayName,
     /// The process.
     pub process: Incarnation,
     /// What it acts on.
@@ -108,79 +108,79 @@
     /// The number of the last asking that renewed it.
     pub renewals: u64,
     /// Why it is shut out, where it is.
-    pub out: Option<Cause>,
+    pub fence_reason: Option<FenceReason>,
 }
 
 /// A session that is over.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ended {
+pub struct EndedSession {
     /// The gateway.
-    pub name: Name,
+    pub name: GatewayName,
     /// The process.
     pub process: Incarnation,
     /// Where it ended.
-    pub position: u64,
+    pub log_index: u64,
     /// Whether it lapsed; otherwise its own process closed it.
-    pub lapsed: bool,
+    pub expired: bool,
 }
 
 /// A host that leaves or is gone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Departure {
     /// The index of the list that says so.
-    pub index: u64,
+    pub list_index: u64,
     /// Gone; otherwise it leaves.
-    pub gone: bool,
+    pub removed: bool,
     /// The gateway that was told.
-    pub by: Name,
+    pub reported_by: GatewayName,
     /// Where it came into the register.
-    pub position: u64,
+    pub log_index: u64,
 }
 
 /// What an entry came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Applied {
+pub enum CommandOutcome {
     /// A session was opened.
     Opened(SessionId),
     /// Its name has a session of another process, which has to end first.
     NameTaken {
         /// The process that has it.
-        by: Incarnation,
+        holder: Incarnation,
     },
     /// It changed something.
-    Done,
+    Applied,
     /// It was void: what it was about had changed before.
-    Void,
+    Obsolete,
     /// A straggler was not shut out, for too many are.
-    TooMany,
+    FenceLimitReached,
 }
 
 /// The state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Register {
+pub struct StateMachine {
     position: u64,
     sessions: BTreeMap<SessionId, Session>,
-    ended: BTreeMap<SessionId, Ended>,
+    ended: BTreeMap<SessionId, EndedSession>,
     departures: BTreeMap<(String, String), Departure>,
-    required: Require,
-    held: BTreeMap<Name, u64>,
+    required: Requirements,
+    held: BTreeMap<GatewayName, u64>,
     /// The most that may be shut out at once, in thousandths of the sessions; whole numbers, so that all members reckon alike.
     most_out: u64,
     behind: u64,
 }
 
-impl Register {
+impl StateMachine {
     /// An empty one, under these terms, which all members have alike.
-    pub fn new(terms: &Stragglers) -> Register {
-        Register {
-            most_out: (terms.most * 1000.0).round() as u64,
-            behind: terms.versions,
-            ..Register::default()
+    pub fn new(terms: &LagPolicy) -> StateMachine {
+        StateMachine {
+            most_out: (terms.max_fenced_fraction * 1000.0).round() as u64,
+            behind: terms.max_list_lag,
+            ..StateMachine::default()
         }
     }
 
     /// How many entries have been applied.
-    pub fn position(&self) -> u64 {
+    pub fn log_index(&self) -> u64 {
         self.position
     }
 
@@ -190,17 +190,17 @@
     }
 
     /// The newest sessions that are over.
-    pub fn ended(&self) -> &BTreeMap<SessionId, Ended> {
+    pub fn ended_sessions(&self) -> &BTreeMap<SessionId, EndedSession> {
         &self.ended
     }
 
     /// What staff require.
-    pub fn required(&self) -> &Require {
+    pub fn requirements(&self) -> &Requirements {
         &self.required
     }
 
     /// Whom staff have shut out.
-    pub fn held(&self) -> impl Iterator<Item = &Name> {
+    pub fn fenced_by_administrator(&self) -> impl Iterator<Item = &GatewayName> {
         self.held.keys()
     }
 
@@ -212,27 +212,31 @@
     /// What a gateway that acts on this list should know of hosts: what newer lists of the same lineage say.
     pub fn departures_since<'a>(
         &'a self,
-        list: &'a Listed,
+        list: &'a ListVersion,
     ) -> impl Iterator<Item = (&'a str, &'a Departure)> + 'a {
         let of = self.departures.range((list.lineage.clone(), String::new())..);
         of.take_while(|((lineage, _), _)| *lineage == list.lineage)
-            .filter(|(_, d)| d.index > list.index)
+            .filter(|(_, d)| d.list_index > list.index)
             .map(|((_, host), d)| (host.as_str(), d))
     }
 
     /// Whether it is known already that these leave or are gone, by this list or a newer one.
-    pub fn knows_departed(&self, list: &Listed, host: &str, gone: bool) -> bool {
+    pub fn has_departure(&self, list: &ListVersion, host: &str, gone: bool) -> bool {
         let known = self.departures.get(&(list.lineage.clone(), host.to_owned()));
-        known.is_some_and(|d| d.index > list.index || (d.index == list.index && (d.gone || !gone)))
+        known.is_some_and(|d| {
+            d.list_index > list.index || (d.list_index == list.index && (d.removed || !gone))
+        })
     }
 
     /// Applies an entry.
-    pub fn apply(&mut self, entry: &Entry) -> Applied {
+    pub fn apply(&mut self, entry: &Command) -> CommandOutcome {
         self.position += 1;
         match entry {
-            Entry::Open { name, process, version, ask } => self.open(name, *process, version, *ask),
-            Entry::Renew(renewals) => {
-                let (mut applied, mut turned) = (Applied::Void, false);
+            Command::OpenSession { name, process, version, request: ask } => {
+                self.open(name, *process, version, *ask)
+            }
+            Command::RenewSessions(renewals) => {
+                let (mut applied, mut turned) = (CommandOutcome::Obsolete, false);
                 for renewal in renewals {
                     if let Some(session) = self.sessions.get_mut(&renewal.session) {
                         if renewal.count > session.renewals {
@@ -241,7 +245,7 @@
                                 session.version.clone_from(version);
                                 turned = true;
                             }
-                            applied = Applied::Done;
+                            applied = CommandOutcome::Applied;
                         }
                     }
                 }
@@ -250,43 +254,43 @@
                 }
                 applied
             }
-            Entry::Lapse { session, renewals } => match self.sessions.get(session) {
+            Command::ExpireSession { session, renewals } => match self.sessions.get(session) {
                 Some(known) if known.renewals == *renewals => self.end(*session, true),
-                _ => Applied::Void,
+                _ => CommandOutcome::Obsolete,
             },
-            Entry::Close { session } => self.end(*session, false),
-            Entry::ShutOut { session, version } => self.shut_out(*session, version),
-            Entry::Hold { name, out } => {
+            Command::CloseSession { session } => self.end(*session, false),
+            Command::FenceLagging { session, version } => self.shut_out(*session, version),
+            Command::SetFenced { name, fenced: out } => {
                 let changed = match out {
                     true => self.held.insert(name.clone(), self.position).is_none(),
                     false => self.held.remove(name).is_some(),
                 };
                 for session in self.sessions.values_mut().filter(|s| s.name == *name) {
-                    session.out = out.then_some(Cause::Held);
+                    session.fence_reason = out.then_some(FenceReason::Administrator);
                 }
                 if changed {
-                    Applied::Done
+                    CommandOutcome::Applied
                 } else {
-                    Applied::Void
+                    CommandOutcome::Obsolete
                 }
             }
-            Entry::Require(require) => {
+            Command::SetRequirements(require) => {
                 self.required = require.clone();
                 self.let_in();
-                Applied::Done
+                CommandOutcome::Applied
             }
-            Entry::Departed { list, hosts, by } => {
-                let mut applied = Applied::Void;
+            Command::RecordDepartures { list, endpoints: hosts, reported_by: by } => {
+                let mut applied = CommandOutcome::Obsolete;
                 for (host, gone) in hosts {
-                    if !self.knows_departed(list, host, *gone) {
+                    if !self.has_departure(list, host, *gone) {
                         let departure = Departure {
-                            index: list.index,
-                            gone: *gone,
-                            by: by.clone(),
-                            position: self.position,
+                            list_index: list.index,
+                            removed: *gone,
+                            reported_by: by.clone(),
+                            log_index: self.position,
                         };
                         self.departures.insert((list.lineage.clone(), host.clone()), departure);
-                        applied = Applied::Done;
+                        applied = CommandOutcome::Applied;
                     }
                 }
                 self.forget_departures();
@@ -295,39 +299,56 @@
         }
     }
 
-    fn open(&mut self, name: &Name, process: Incarnation, version: &Version, ask: u64) -> Applied {
+    fn open(
+        &mut self,
+        name: &GatewayName,
+        process: Incarnation,
+        version: &Version,
+        ask: u64,
+    ) -> CommandOutcome {
         if let Some((id, session)) = self.session_of(name) {
             if session.process != process {
-                return Applied::NameTaken { by: session.process };
+                return CommandOutcome::NameTaken { holder: session.process };
             }
             // Asked again, for the answer was lost.
             if let Some(session) = self.sessions.get_mut(&id) {
                 session.renewals = session.renewals.max(ask);
             }
-            return Applied::Opened(id);
+            return CommandOutcome::Opened(id);
         }
         let id = self.position;
-        let out = self.held.contains_key(name).then_some(Cause::Held);
-        let session = Session { name: name.clone(), process, version: version.clone(), renewals: ask, out };
+        let out = self.held.contains_key(name).then_some(FenceReason::Administrator);
+        let session = Session {
+            name: name.clone(),
+            process,
+            version: version.clone(),
+            renewals: ask,
+            fence_reason: out,
+        };
         self.sessions.insert(id, session);
-        Applied::Opened(id)
+        CommandOutcome::Opened(id)
     }
 
-    fn end(&mut self, id: SessionId, lapsed: bool) -> Applied {
-        let Some(session) = self.sessions.remove(&id) else { return Applied::Void };
-        let ended = Ended { name: session.name, process: session.process, position: self.position, lapsed };
+    fn end(&mut self, id: SessionId, lapsed: bool) -> CommandOutcome {
+        let Some(session) = self.sessions.remove(&id) else { return CommandOutcome::Obsolete };
+        let ended = EndedSession {
+            name: session.name,
+            process: session.process,
+            log_index: self.position,
+            expired: lapsed,
+        };
         self.ended.insert(id, ended);
         while self.ended.len() > ENDED {
             self.ended.pop_first();
         }
         self.let_in();
-        Applied::Done
+        CommandOutcome::Applied
     }
 
     /// Keeps the departures bounded: the oldest lists' go first.
     fn forget_departures(&mut self) {
         while self.departures.len() > DEPARTURES {
-            let oldest = self.departures.iter().min_by_key(|(_, d)| d.position).map(|(key, _)| key.clone());
+            let oldest = self.departures.iter().min_by_key(|(_, d)| d.log_index).map(|(key, _)| key.clone());
             let Some(oldest) = oldest else { return };
             self.departures.remove(&oldest);
         }
--- a/crates/fleet/src/version.rs
+++ b/crates/fleet/src/version.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 /// The name of a gateway, as the operator's file has it.
-pub type Name = String;
+pub type GatewayName = String;
 
 /// Tells a process from all that ever had its name. Not ordered: wall clocks may be set back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -18,7 +18,7 @@
 
 /// A list of hosts: whose, and which of it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Listed {
+pub struct ListVersion {
     /// Whose numbers these are: indices of two registers can't be compared.
     pub lineage: String,
     /// The list's index.
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
     /// The list of hosts.
-    pub list: Listed,
+    pub list: ListVersion,
     /// What the platform's configuration says of the whole site, as a digest: what differs from gateway to gateway is left out.
     pub config: u64,
     /// How often this process has taken a configuration, from 1.
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -15,69 +15,93 @@
 use std::fmt::Write as _;
 use std::path::Path;
 use std::time::Duration;
-use weldworks_fleet::council::{Config, Council, Said, Seat, Stored, Tag, Word, Write};
-use weldworks_fleet::members::View;
-use weldworks_fleet::register::{Behind, Cause, Entry, Register, Renewal, Require};
-use weldworks_fleet::settings::Stragglers;
-use weldworks_fleet::version::{Incarnation, Listed, Version};
-use weldworks_fleet::wire::{self, Caller, Frame, Gone, Hello, News, Question};
+use weldworks_fleet::consensus::{
+    ConfigTag, ConsensusGroup, ConsensusMessage, GroupConfig, OutgoingMessage, Replica, StorageChange,
+    StoredRecord,
+};
+use weldworks_fleet::membership::PeerView;
+use weldworks_fleet::protocol::{self, AdminQuery, Caller, DepartedEndpoint, Frame, Hello, StateUpdate};
+use weldworks_fleet::settings::LagPolicy;
+use weldworks_fleet::state_machine::{Command, FenceReason, Renewal, ReplicaLag, Requirements, StateMachine};
+use weldworks_fleet::version::{Incarnation, ListVersion, Version};
 
 const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/formats.txt");
 
-fn list(index: u64) -> Listed {
-    Listed { lineage: "register-a".to_owned(), index }
+fn list(index: u64) -> ListVersion {
+    ListVersion { lineage: "register-a".to_owned(), index }
 }
 
 fn version(index: u64) -> Version {
     Version { list: list(index), config: 0xc0ff, generation: 2, operator: 77, build: "0.2.0+00ab".to_owned() }
 }
 
-fn entries() -> Vec<(&'static str, Entry)> {
+fn entries() -> Vec<(&'static str, Command)> {
     vec![
-        ("open", Entry::Open { name: "g0".into(), process: Incarnation(7), version: version(300), ask: 4 }),
+        (
+            "open",
+            Command::OpenSession {
+                name: "g0".into(),
+                process: Incarnation(7),
+                version: version(300),
+                request: 4,
+            },
+        ),
         (
             "renew",
-            Entry::Renew(vec![
+            Command::RenewSessions(vec![
                 Renewal { session: 1, count: 5, version: None },
                 Renewal { session: 2, count: 6, version: Some(version(301)) },
             ]),
         ),
-        ("lapse", Entry::Lapse { session: 1, renewals: 5 }),
-        ("close", Entry::Close { session: 2 }),
-        ("shut-out", Entry::ShutOut { session: 1, version: version(299) }),
-        ("hold", Entry::Hold { name: "g1".into(), out: true }),
+        ("lapse", Command::ExpireSession { session: 1, renewals: 5 }),
+        ("close", Command::CloseSession { session: 2 }),
+        ("shut-out", Command::FenceLagging { session: 1, version: version(299) }),
+        ("hold", Command::SetFenced { name: "g1".into(), fenced: true }),
         (
             "require",
-            Entry::Require(Require { list: Some(list(9)), config: Some(3), build: Some("b".into()) }),
+            Command::SetRequirements(Requirements {
+                list: Some(list(9)),
+                config: Some(3),
+                build: Some("b".into()),
+            }),
         ),
         (
             "departed",
-            Entry::Departed {
+            Command::RecordDepartures {
                 list: list(302),
-                hosts: vec![("n1".into(), true), ("n2".into(), false)],
-                by: "g0".into(),
+                endpoints: vec![("n1".into(), true), ("n2".into(), false)],
+                reported_by: "g0".into(),
             },
         ),
     ]
 }
 
-fn register() -> Register {
-    let mut register = Register::new(&Stragglers { most: 0.5, versions: 3, time: Duration::from_secs(5) });
+fn register() -> StateMachine {
+    let mut register = StateMachine::new(&LagPolicy {
+        max_fenced_fraction: 0.5,
+        max_list_lag: 3,
+        max_lag_duration: Duration::from_secs(5),
+    });
     for gateway in ["g0", "g1", "g2", "g3"] {
         let index = if gateway == "g3" { 1 } else { 300 };
         let process = Incarnation(u64::from(gateway.as_bytes()[1]));
-        register.apply(&Entry::Open { name: gateway.into(), process, version: version(index), ask: 1 });
+        register.apply(&Command::OpenSession {
+            name: gateway.into(),
+            process,
+            version: version(index),
+            request: 1,
+        });
     }
     for (_, entry) in entries() {
         register.apply(&entry);
     }
-    register.apply(&Entry::ShutOut { session: 4, version: version(1) });
+    register.apply(&Command::FenceLagging { session: 4, version: version(1) });
     register
 }
 
-fn config() -> Config {
-    let seats = ["g0", "g1", "g2"].map(|name| Seat { name: name.into(), process: Incarnation(7) });
-    Config { founding: 99, id: 3, seats: seats.into() }
+fn config() -> GroupConfig {
+    let seats = ["g0", "g1", "g2"].map(|name| Replica { name: name.into(), process: Incarnation(7) });
+    GroupConfig { group_id: 99, generation: 3, replicas: seats.into() }
 }
 
 fn ballot(n: u32) -> Ballot {
@@ -88,8 +112,9 @@
     SequenceNumber { session: 1, counter }
 }
 
-fn messages() -> Vec<(&'static str, Message<Entry>)> {
-    let log = || vec![Entry::Close { session: 2 }, Entry::Lapse { session: 1, renewals: 5 }];
+fn messages() -> Vec<(&'static str, Message<Command>)> {
+    let log =
+        || vec![Command::CloseSession { session: 2 }, Command::ExpireSession { session: 1, renewals: 5 }];
     let sync = LogSync { decided_snapshot: None, suffix: log(), sync_idx: 4, stopsign: None };
     let paxos = [
         ("prepare-request", PaxosMsg::PrepareReq(PrepareReq { n: ballot(1) })),
@@ -138,83 +163,118 @@
 }
 
 fn frames() -> Vec<(String, Frame)> {
-    let news = News {
-        position: 12,
-        out: Some(Cause::Behind(Behind::List { own: 1, current: 300 })),
-        current: Some(300),
-        config: Some(3),
-        gone: vec![Gone { host: "n1".into(), gone: true, index: 302, by: "g0".into() }],
+    let news = StateUpdate {
+        log_index: 12,
+        fence_reason: Some(FenceReason::Lagging(ReplicaLag::List { own: 1, current: 300 })),
+        current_list_index: Some(300),
+        required_config: Some(3),
+        departures: vec![DepartedEndpoint {
+            endpoint: "n1".into(),
+            removed: true,
+            list_index: 302,
+            reported_by: "g0".into(),
+        }],
     };
     let mut frames: Vec<(String, Frame)> = Vec::new();
     let mut add = |name: &str, frame| frames.push((name.to_owned(), frame));
     let views = vec![
-        ("g1".to_owned(), View::Here),
-        ("g2".to_owned(), View::Silent),
-        ("g3".to_owned(), View::Refused),
-        ("g4".to_owned(), View::Unreachable),
-        ("g5".to_owned(), View::Unknown),
+        ("g1".to_owned(), PeerView::Reachable),
+        ("g2".to_owned(), PeerView::Silent),
+        ("g3".to_owned(), PeerView::Refused),
+        ("g4".to_owned(), PeerView::Unreachable),
+        ("g5".to_owned(), PeerView::Unknown),
     ];
-    add("pulse", Frame::Pulse { views });
-    add("council-holds-none", Frame::Council(Word::Holds { tag: None, follows: Some(Incarnation(7)) }));
-    let tag = Tag { founding: 99, id: 3 };
-    add("council-holds", Frame::Council(Word::Holds { tag: Some(tag), follows: None }));
-    add("council-formed", Frame::Council(Word::Formed { config: config(), base: Box::new(register()) }));
+    add("pulse", Frame::Heartbeat { views });
+    add(
+        "council-holds-none",
+        Frame::Consensus(ConsensusMessage::Holds { tag: None, follows: Some(Incarnation(7)) }),
+    );
+    let tag = ConfigTag { group_id: 99, generation: 3 };
+    add("council-holds", Frame::Consensus(ConsensusMessage::Holds { tag: Some(tag), follows: None }));
+    add(
+        "council-formed",
+        Frame::Consensus(ConsensusMessage::Formed { config: config(), base: Box::new(register()) }),
+    );
     for (name, message) in messages() {
-        add(&format!("council-log-{name}"), Frame::Council(Word::Log { tag, message: Box::new(message) }));
+        add(
+            &format!("council-log-{name}"),
+            Frame::Consensus(ConsensusMessage::Log { tag, message: Box::new(message) }),
+        );
     }
-    add("open", Frame::Open { ask: 4, version: version(300) });
-    add("renew", Frame::Renew { session: 1, ask: 5, version: version(300) });
-    add("granted", Frame::Granted { session: 1, ask: 5, news: news.clone() });
-    add("granted-plain", Frame::Granted { session: 1, ask: 6, news: News::default() });
-    add("told", Frame::Told(news));
+    add("open", Frame::OpenSession { request: 4, version: version(300) });
+    add("renew", Frame::RenewSession { session: 1, request: 5, version: version(300) });
+    add("granted", Frame::SessionGranted { session: 1, request: 5, update: news.clone() });
+    add("granted-plain", Frame::SessionGranted { session: 1, request: 6, update: StateUpdate::default() });
+    add("told", Frame::StateUpdate(news));
     add(
         "told-config",
-        Frame::Told(News {
-            out: Some(Cause::Behind(Behind::Config { own: 1, required: 2 })),
-            ..News::default()
+        Frame::StateUpdate(StateUpdate {
+            fence_reason: Some(FenceReason::Lagging(ReplicaLag::Config { own: 1, required: 2 })),
+            ..StateUpdate::default()
         }),
     );
     add(
         "told-build",
-        Frame::Told(News {
-            out: Some(Cause::Behind(Behind::Build { own: "a".into(), required: "b".into() })),
-            ..News::default()
+        Frame::StateUpdate(StateUpdate {
+            fence_reason: Some(FenceReason::Lagging(ReplicaLag::Build {
+                own: "a".into(),
+                required: "b".into(),
+            })),
+            ..StateUpdate::default()
+        }),
+    );
+    add(
+        "told-held",
+        Frame::StateUpdate(StateUpdate {
+            fence_reason: Some(FenceReason::Administrator),
+            ..StateUpdate::default()
         }),
     );
-    add("told-held", Frame::Told(News { out: Some(Cause::Held), ..News::default() }));
-    add("no-session", Frame::NoSession { ask: 4, taken: Some(Incarnation(8)) });
-    add("not-now", Frame::NotNow { ask: 4 });
-    add("departed", Frame::Departed { list: list(302), hosts: vec![("n1".into(), true)] });
-    add("close", Frame::Close { session: 1 });
-    add("ask-status", Frame::Ask(Question::Status));
-    add("ask-audit", Frame::Ask(Question::Audit { from_index: 1, to_index: 300 }));
-    add("ask-request", Frame::Ask(Question::Request { number: "r-1".into() }));
+    add("no-session", Frame::NoSession { request: 4, holder: Some(Incarnation(8)) });
+    add("not-now", Frame::Unavailable { request: 4 });
+    add("departed", Frame::Departures { list: list(302), endpoints: vec![("n1".into(), true)] });
+    add("close", Frame::CloseSession { session: 1 });
+    add("ask-status", Frame::AdminQuery(AdminQuery::Status));
+    add("ask-audit", Frame::AdminQuery(AdminQuery::Audit { from_index: 1, to_index: 300 }));
+    add("ask-request", Frame::AdminQuery(AdminQuery::Request { request_id: "r-1".into() }));
     for (name, entry) in entries() {
-        add(&format!("ask-decide-{name}"), Frame::Ask(Question::Decide(Box::new(entry))));
+        add(&format!("ask-decide-{name}"), Frame::AdminQuery(AdminQuery::Propose(Box::new(entry))));
     }
-    add("answer", Frame::Answer("{\"a\":1}".into()));
-    add("whole", Frame::Whole(Box::new(register())));
+    add("answer", Frame::AdminAnswer("{\"a\":1}".into()));
+    add("whole", Frame::StateSnapshot(Box::new(register())));
     frames
 }
 
 fn records() -> Vec<(String, Vec<u8>)> {
     let stored = [
-        ("began", Stored::Began { config: config(), base: Box::new(register()) }),
-        ("log", Stored::Wrote(Write::Log(4, entries().into_iter().map(|(_, entry)| entry).collect()))),
-        ("promise", Stored::Wrote(Write::Promise(ballot(2)))),
-        ("accepted", Stored::Wrote(Write::Accepted(ballot(2)))),
-        ("decided", Stored::Wrote(Write::Decided(300))),
-        ("stop", Stored::Wrote(Write::Stop(None))),
+        ("began", StoredRecord::ConfigStarted { config: config(), base: Box::new(register()) }),
+        (
+            "log",
+            StoredRecord::StorageChanged(StorageChange::Log(
+                4,
+                entries().into_iter().map(|(_, entry)| entry).collect(),
+            )),
+        ),
+        ("promise", StoredRecord::StorageChanged(StorageChange::Promise(ballot(2)))),
+        ("accepted", StoredRecord::StorageChanged(StorageChange::Accepted(ballot(2)))),
+        ("decided", StoredRecord::StorageChanged(StorageChange::Decided(300))),
+        ("stop", StoredRecord::StorageChanged(StorageChange::StopSign(None))),
     ];
-    let caller =
-        Caller::Gateway { name: "g0".into(), process: Incarnation(7), voter: Incarnation(6), terms: 55 };
+    let caller = Caller::Gateway {
+        name: "g0".into(),
+        process: Incarnation(7),
+        voter: Incarnation(6),
+        agreement_digest: 55,
+    };
     let hellos = [
         ("hello-gateway", Hello::new("valpadana", caller, "g1")),
-        ("hello-staff", Hello::new("valpadana", Caller::Staff, "")),
+        ("hello-staff", Hello::new("valpadana", Caller::Administrator, "")),
     ];
-    let frames = frames().into_iter().map(|(name, frame)| (format!("frame-{name}"), wire::write(&frame)));
-    let stored = stored.iter().map(|(name, stored)| (format!("stored-{name}"), wire::write(stored)));
-    let hellos = hellos.iter().map(|(name, hello)| ((*name).to_owned(), wire::write(hello)));
+    let frames =
+        frames().into_iter().map(|(name, frame)| (format!("frame-{name}"), protocol::encode_frame(&frame)));
+    let stored =
+        stored.iter().map(|(name, stored)| (format!("stored-{name}"), protocol::encode_frame(stored)));
+    let hellos = hellos.iter().map(|(name, hello)| ((*name).to_owned(), protocol::encode_frame(hello)));
     let all = hellos.chain(frames).chain(stored);
     all.map(|(name, bytes)| (name, bytes.expect("it is short enough for the link"))).collect()
 }
@@ -263,11 +323,11 @@
 fn bytes_of_version_0_2_0_are_read_and_encode_to_the_same_again() {
     for (name, bytes) in fixtures() {
         let again = if name.starts_with("hello") {
-            wire::write(&wire::read::<Hello>(&bytes).expect(&name))
+            protocol::encode_frame(&protocol::decode_frame::<Hello>(&bytes).expect(&name))
         } else if name.starts_with("stored") {
-            wire::write(&wire::read::<Stored>(&bytes).expect(&name))
+            protocol::encode_frame(&protocol::decode_frame::<StoredRecord>(&bytes).expect(&name))
         } else {
-            wire::write(&wire::read::<Frame>(&bytes).expect(&name))
+            protocol::encode_frame(&protocol::decode_frame::<Frame>(&bytes).expect(&name))
         };
         assert_eq!(hex(&again.expect("short enough")), hex(&bytes), "{name}");
     }
@@ -289,25 +349,27 @@
 
     let names = ["g0", "g1", "g2"].map(str::to_owned);
     let process = |name: &str| Incarnation(u64::from(name.as_bytes()[1]));
-    let member =
-        |name: &String| Council::new(name.clone(), process(name), names.to_vec(), Register::default());
-    let mut members: Vec<Council> = names.iter().map(member).collect();
-    let mut on_the_way: Vec<(usize, Said)> = Vec::new();
+    let member = |name: &String| {
+        ConsensusGroup::new(name.clone(), process(name), names.to_vec(), StateMachine::default())
+    };
+    let mut members: Vec<ConsensusGroup> = names.iter().map(member).collect();
+    let mut on_the_way: Vec<(usize, OutgoingMessage)> = Vec::new();
     for (n, member) in members.iter_mut().enumerate() {
         for other in names.iter().filter(|other| **other != names[n]) {
-            on_the_way.extend(member.linked(other, process(other)).said.into_iter().map(|said| (n, said)));
+            on_the_way
+                .extend(member.link_up(other, process(other)).messages.into_iter().map(|said| (n, said)));
         }
     }
     for _ in 0..400 {
         for (from, said) in std::mem::take(&mut on_the_way) {
             let to = names.iter().position(|name| *name == said.to).expect("a member");
-            let done = members[to].hear(&names[from], said.word);
-            on_the_way.extend(done.said.into_iter().map(|said| (to, said)));
+            let done = members[to].receive(&names[from], said.message);
+            on_the_way.extend(done.messages.into_iter().map(|said| (to, said)));
         }
         for (n, member) in members.iter_mut().enumerate() {
-            on_the_way.extend(member.tick().said.into_iter().map(|said| (n, said)));
+            on_the_way.extend(member.tick().messages.into_iter().map(|said| (n, said)));
         }
     }
     let config = members[0].config().expect("three of three found it");
-    assert_eq!(format!("{:016x}", config.founding), "dfb1af7152f4ebbb");
+    assert_eq!(format!("{:016x}", config.group_id), "dfb1af7152f4ebbb");
 }
--- a/crates/fleet/tests/hostile.rs
+++ b/crates/fleet/tests/hostile.rs
@@ -4,11 +4,11 @@
 use omnipaxos::messages::Message;
 use std::collections::VecDeque;
 use std::time::Duration;
-use weldworks_fleet::agent::{Agent, Output};
-use weldworks_fleet::council::{Word, TICK};
+use weldworks_fleet::consensus::{ConsensusMessage, TICK_INTERVAL};
+use weldworks_fleet::node::{Node, NodeAction};
+use weldworks_fleet::protocol::{self, Frame};
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::{Incarnation, Version};
-use weldworks_fleet::wire::{self, Frame};
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
 
@@ -23,7 +23,7 @@
 /// Three members in session, and some of what they say to each other.
 struct Three {
     now: Duration,
-    agents: Vec<Agent>,
+    agents: Vec<Node>,
     rng: fastrand::Rng,
     lies: bool,
     broke_off: usize,
@@ -33,7 +33,7 @@
     fn new(seed: u64) -> Three {
         let agent = |n: usize| {
             let process = Incarnation(n as u64 + 1);
-            Agent::new(settings(NAMES[n]), process, Version::default(), n as u64, (process, Vec::new()))
+            Node::new(settings(NAMES[n]), process, Version::default(), n as u64, (process, Vec::new()))
         };
         let mut three = Three {
             now: Duration::ZERO,
@@ -51,11 +51,11 @@
         three
     }
 
-    fn deliver(&mut self, from: usize, out: Vec<Output>) {
+    fn deliver(&mut self, from: usize, out: Vec<NodeAction>) {
         let mut queue: VecDeque<(usize, usize, Frame)> = VecDeque::new();
-        let sends = |from: usize, out: Vec<Output>| {
+        let sends = |from: usize, out: Vec<NodeAction>| {
             out.into_iter().filter_map(move |output| match output {
-                Output::Send { to, frame } => Some((from, NAMES.iter().position(|n| *n == to)?, frame)),
+                NodeAction::Send { to, frame } => Some((from, NAMES.iter().position(|n| *n == to)?, frame)),
                 _ => None,
             })
         };
@@ -65,8 +65,9 @@
                 lie(&mut frame, &mut self.rng);
             }
             let mut out = Vec::new();
-            self.agents[to].hear(self.now, NAMES[from], frame, &mut out);
-            let broke_off = |o: &&Output| matches!(o, Output::Note(note) if note.contains("broke off"));
+            self.agents[to].receive(self.now, NAMES[from], frame, &mut out);
+            let broke_off =
+                |o: &&NodeAction| matches!(o, NodeAction::Notice(note) if note.contains("broke off"));
             self.broke_off += out.iter().filter(broke_off).count();
             queue.extend(sends(to, out));
         }
@@ -75,13 +76,13 @@
     fn link(&mut self, one: usize, other: usize) {
         let process = Incarnation(other as u64 + 1);
         let mut out = Vec::new();
-        self.agents[one].linked(self.now, NAMES[other], (process, process), &mut out);
+        self.agents[one].link_up(self.now, NAMES[other], (process, process), &mut out);
         self.deliver(one, out);
     }
 
     fn run(&mut self, ticks: u32) {
         for _ in 0..ticks {
-            self.now += TICK;
+            self.now += TICK_INTERVAL;
             for n in 0..3 {
                 let mut out = Vec::new();
                 self.agents[n].tick(self.now, &mut out);
@@ -93,7 +94,7 @@
 
 /// Changes what a member says to what it can't have meant.
 fn lie(frame: &mut Frame, rng: &mut fastrand::Rng) {
-    let Frame::Council(Word::Log { message, .. }) = frame else { return };
+    let Frame::Consensus(ConsensusMessage::Log { message, .. }) = frame else { return };
     let Message::SequencePaxos(said) = &mut **message else { return };
     let mut any =
         |index: &mut usize| *index = index.wrapping_add(rng.usize(..2000)).wrapping_sub(1000) % 100_000;
@@ -145,14 +146,14 @@
 #[test]
 fn changed_bytes_are_turned_down_or_heard() {
     let mut three = Three::new(1);
-    let said = Frame::Pulse { views: Vec::new() };
+    let said = Frame::Heartbeat { views: Vec::new() };
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..2000 {
-        let mut bytes = wire::write(&said).expect("a frame");
+        let mut bytes = protocol::encode_frame(&said).expect("a frame");
         bytes.extend((0..rng.usize(..64)).map(|_| rng.u8(..)));
         bytes[0] = rng.u8(..16);
-        if let Ok(frame) = wire::read::<Frame>(&bytes) {
-            three.agents[0].hear(three.now, "b", frame, &mut Vec::new());
+        if let Ok(frame) = protocol::decode_frame::<Frame>(&bytes) {
+            three.agents[0].receive(three.now, "b", frame, &mut Vec::new());
         }
     }
     three.run(10);
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -4,10 +4,10 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 use std::time::Duration;
-use weldworks_fleet::clock::Lease;
-use weldworks_fleet::register::{Applied, Entry, Register, Renewal, SessionId};
-use weldworks_fleet::settings::Stragglers;
-use weldworks_fleet::version::{Incarnation, Listed, Version};
+use weldworks_fleet::lease::Lease;
+use weldworks_fleet::settings::LagPolicy;
+use weldworks_fleet::state_machine::{Command, CommandOutcome, Renewal, SessionId, StateMachine};
+use weldworks_fleet::version::{Incarnation, ListVersion, Version};
 
 /// Two processes of one name.
 const PROCESSES: [(&str, u64); 2] = [("a", 1), ("a", 2)];
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
-    register: Register,
+    register: StateMachine,
     holders: Vec<Holder>,
     /// Entries on their way to the register: each may come late, twice, or never.
     entries: BTreeSet<Asked>,
@@ -75,7 +75,7 @@
 struct Sessions(Broken);
 
 fn version(index: u64) -> Version {
-    Version { list: Listed { lineage: "r".into(), index }, ..Version::default() }
+    Version { list: ListVersion { lineage: "r".into(), index }, ..Version::default() }
 }
 
 fn secs(at: u64) -> Duration {
@@ -83,7 +83,7 @@
 }
 
 impl Sessions {
-    fn entry(&self, state: &State, asked: Asked) -> Entry {
+    fn entry(&self, state: &State, asked: Asked) -> Command {
         match asked {
             Asked::Open(who, ask) => {
                 let (name, process) = PROCESSES[who];
@@ -92,13 +92,20 @@
                     (Broken::ReopenUncounted, Some(renewals)) => renewals,
                     _ => ask,
                 };
-                Entry::Open { name: name.into(), process: Incarnation(process), version: version(1), ask }
+                Command::OpenSession {
+                    name: name.into(),
+                    process: Incarnation(process),
+                    version: version(1),
+                    request: ask,
+                }
+            }
+            Asked::Renew(_, session, count) => {
+                Command::RenewSessions(vec![Renewal { session, count, version: None }])
             }
-            Asked::Renew(_, session, count) => Entry::Renew(vec![Renewal { session, count, version: None }]),
             Asked::Lapse(session, seen) => {
                 let now = state.register.sessions().get(&session).map_or(seen, |s| s.renewals);
                 let renewals = if self.0 == Broken::BlindLapse { now } else { seen };
-                Entry::Lapse { session, renewals }
+                Command::ExpireSession { session, renewals }
             }
         }
     }
@@ -109,10 +116,10 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let terms = Stragglers { versions: 3, time: secs(5), most: 0.2 };
+        let terms = LagPolicy { max_list_lag: 3, max_lag_duration: secs(5), max_fenced_fraction: 0.2 };
         vec![State {
             now: 0,
-            register: Register::new(&terms),
+            register: StateMachine::new(&terms),
             holders: vec![Holder::default(); PROCESSES.len()],
             entries: BTreeSet::new(),
             grants: BTreeSet::new(),
@@ -132,7 +139,7 @@
         actions.extend(state.entries.iter().map(|asked| Action::Arrive(*asked)));
         actions.extend(state.grants.iter().map(|(who, session, ask)| Action::Grant(*who, *session, *ask)));
         for (session, renewals, since) in &state.seen {
-            if secs(state.now) >= LEASE.over_from(secs(*since)) {
+            if secs(state.now) >= LEASE.grantor_expiry(secs(*since)) {
                 actions.push(Action::Give(*session, *renewals));
             }
         }
@@ -155,16 +162,16 @@
             Action::Arrive(asked) => {
                 let applied = state.register.apply(&self.entry(last, asked));
                 match (asked, applied) {
-                    (Asked::Open(who, ask), Applied::Opened(session)) => {
+                    (Asked::Open(who, ask), CommandOutcome::Opened(session)) => {
                         state.grants.insert((who, session, ask));
                     }
-                    (Asked::Renew(who, session, ask), Applied::Done) => {
+                    (Asked::Renew(who, session, ask), CommandOutcome::Applied) => {
                         state.grants.insert((who, session, ask));
                     }
                     _ => {}
                 }
                 // The position of an entry that comes again and again would make the search endless.
-                if state.register.position() > MOST {
+                if state.register.log_index() > MOST {
                     return None;
                 }
                 state.seen.retain(|(id, ..)| state.register.sessions().contains_key(id));
@@ -182,7 +189,7 @@
                 let holder = &mut state.holders[who];
                 let asked = holder.asked[ask as usize - 1];
                 let from = if self.0 == Broken::CountsFromGrant { state.now } else { asked };
-                let until = LEASE.held_until(secs(from)).as_secs();
+                let until = LEASE.holder_expiry(secs(from)).as_secs();
                 holder.until = if holder.session == Some(session) { holder.until.max(until) } else { until };
                 holder.session = Some(session);
             }
@@ -208,10 +215,12 @@
                     |who: usize| state.holders[who].session.is_some() && state.now < state.holders[who].until;
                 !(acts(0) && acts(1))
             }),
-            Property::sometimes("a session lapses", |_, state: &State| !state.register.ended().is_empty()),
+            Property::sometimes("a session lapses", |_, state: &State| {
+                !state.register.ended_sessions().is_empty()
+            }),
             Property::sometimes("a second process takes the name over", |_, state: &State| {
                 state.register.session_of("a").is_some_and(|(_, s)| s.process == Incarnation(2))
-                    && !state.register.ended().is_empty()
+                    && !state.register.ended_sessions().is_empty()
             }),
         ]
     }
--- a/crates/fleet/tests/throughput.rs
+++ b/crates/fleet/tests/throughput.rs
@@ -2,15 +2,15 @@
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
-use weldworks_fleet::council::{Council, Doings};
-use weldworks_fleet::register::{Entry, Register, Renewal};
-use weldworks_fleet::settings::Stragglers;
+use weldworks_fleet::consensus::{ConsensusGroup, StepOutput};
+use weldworks_fleet::protocol;
+use weldworks_fleet::settings::LagPolicy;
+use weldworks_fleet::state_machine::{Command, Renewal, StateMachine};
 use weldworks_fleet::version::{Incarnation, Version};
-use weldworks_fleet::wire;
 
 struct Members {
     names: Vec<String>,
-    councils: Vec<Council>,
+    councils: Vec<ConsensusGroup>,
     said: VecDeque<(usize, usize, Vec<u8>)>,
     bytes: usize,
 }
@@ -18,16 +18,22 @@
 impl Members {
     fn new(count: usize) -> Members {
         let names: Vec<String> = (0..count).map(|n| format!("m{n}")).collect();
-        let terms = Stragglers { versions: 3, time: Duration::from_secs(5), most: 0.2 };
+        let terms =
+            LagPolicy { max_list_lag: 3, max_lag_duration: Duration::from_secs(5), max_fenced_fraction: 0.2 };
         let council = |n: usize| {
-            Council::new(names[n].clone(), Incarnation(n as u64 + 1), names.clone(), Register::new(&terms))
+            ConsensusGroup::new(
+                names[n].clone(),
+                Incarnation(n as u64 + 1),
+                names.clone(),
+                StateMachine::new(&terms),
+            )
         };
         let councils = (0..count).map(council).collect();
         let mut members = Members { names, councils, said: VecDeque::new(), bytes: 0 };
         for one in 0..count {
             for other in (0..count).filter(|o| *o != one) {
                 let doings = members.councils[one]
-                    .linked(&members.names[other].clone(), Incarnation(other as u64 + 1));
+                    .link_up(&members.names[other].clone(), Incarnation(other as u64 + 1));
                 members.put(one, doings);
             }
         }
@@ -35,10 +41,10 @@
     }
 
     /// Words go encoded, as on a link.
-    fn put(&mut self, from: usize, doings: Doings) {
-        for said in doings.said {
+    fn put(&mut self, from: usize, doings: StepOutput) {
+        for said in doings.messages {
             let Some(to) = self.names.iter().position(|n| *n == said.to) else { continue };
-            let bytes = wire::write(&said.word).expect("a word");
+            let bytes = protocol::encode_frame(&said.message).expect("a word");
             self.bytes += bytes.len();
             self.said.push_back((from, to, bytes));
         }
@@ -50,9 +56,9 @@
             self.put(n, doings);
         }
         while let Some((from, to, bytes)) = self.said.pop_front() {
-            let word = wire::read(&bytes).expect("a word");
+            let word = protocol::decode_frame(&bytes).expect("a word");
             let from = self.names[from].clone();
-            let doings = self.councils[to].hear(&from, word);
+            let doings = self.councils[to].receive(&from, word);
             self.put(to, doings);
         }
     }
@@ -60,8 +66,8 @@
     fn leader(&self) -> Option<usize> {
         self.councils
             .iter()
-            .position(|c| c.leads() && c.register().position() > 0)
-            .or_else(|| self.councils.iter().position(Council::leads))
+            .position(|c| c.is_leader() && c.state().log_index() > 0)
+            .or_else(|| self.councils.iter().position(ConsensusGroup::is_leader))
     }
 }
 
@@ -76,21 +82,21 @@
             }
             let leader = fleet.leader().expect("a leader");
             for n in 0..renewals {
-                let open = Entry::Open {
+                let open = Command::OpenSession {
                     name: format!("g{n}"),
                     process: Incarnation(9),
                     version: Version::default(),
-                    ask: 1,
+                    request: 1,
                 };
                 assert!(fleet.councils[leader].propose(open));
             }
             for _ in 0..5 {
                 fleet.tick();
             }
-            let sessions: Vec<u64> = fleet.councils[leader].register().sessions().keys().copied().collect();
+            let sessions: Vec<u64> = fleet.councils[leader].state().sessions().keys().copied().collect();
             assert_eq!(sessions.len(), renewals);
             let (began, from, bytes) =
-                (Instant::now(), fleet.councils[leader].register().position(), fleet.bytes);
+                (Instant::now(), fleet.councils[leader].state().log_index(), fleet.bytes);
             let mut count = 1;
             while began.elapsed() < Duration::from_secs(2) {
                 // A long log is begun anew, and for some ticks nobody leads.
@@ -101,12 +107,13 @@
                 for _ in 0..256 {
                     count += 1;
                     let renewal = |session: &u64| Renewal { session: *session, count, version: None };
-                    fleet.councils[leader].propose(Entry::Renew(sessions.iter().map(renewal).collect()));
+                    fleet.councils[leader]
+                        .propose(Command::RenewSessions(sessions.iter().map(renewal).collect()));
                 }
                 fleet.tick();
             }
             let took = began.elapsed().as_secs_f64();
-            let entries = (fleet.councils[0].register().position() - from) as f64;
+            let entries = (fleet.councils[0].state().log_index() - from) as f64;
             println!(
                 "{members} members, {renewals} renewals an entry: {:.0} entries a second on one core for all members, {:.1} us an entry and member, {:.0} bytes an entry",
                 entries / took, took * 1e6 / entries / members as f64, (fleet.bytes - bytes) as f64 / entries
--- a/crates/gateway/src/config/operator.rs
+++ b/crates/gateway/src/config/operator.rs
@@ -3,7 +3,7 @@
 use crate::daemon::log::Log;
 use std::path::Path;
 use weldworks_config::{Document, Problems};
-use weldworks_control::storm::StormSettings;
+use weldworks_control::retry_storm::StormSettings;
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::digest;
 
--- a/crates/gateway/src/core/endpoints.rs
+++ b/crates/gateway/src/core/endpoints.rs
@@ -9,8 +9,8 @@
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
 use weldworks_balancer::{EndpointId, EndpointState, Event};
-use weldworks_control::host_start::{self, Evidence};
-use weldworks_fleet::wire::Gone;
+use weldworks_control::endpoint_start::{self, StartEvidence};
+use weldworks_fleet::protocol::DepartedEndpoint;
 
 /// So many faults of one list are told, each with its entry.
 const FAULTS_TOLD: usize = 3;
@@ -67,8 +67,10 @@
         }
         if let Some(storm) = &mut self.storm {
             let up = self.listed.iter().filter(|h| h.state == EndpointState::Up);
-            let up: Vec<_> = up.map(|h| weldworks_control::storm::Host { started: h.started }).collect();
-            storm.hosts(self.handle.time(Instant::now()), &up);
+            let up: Vec<_> = up
+                .map(|h| weldworks_control::retry_storm::StartedEndpoint { started_at: h.started })
+                .collect();
+            storm.set_endpoints(self.handle.time(Instant::now()), &up);
         }
         for e in &list.endpoints {
             debug!(host = e.address, name = e.name, zone = e.zone, kind = e.kind, status = ?e.status, since = e.since_ms, "listed");
@@ -119,7 +121,7 @@
     }
 
     /// Newer lists than the one held say that hosts leave or are gone: nothing new goes there.
-    pub(super) fn turn_from(&mut self, gone: &[Gone]) {
+    pub(super) fn turn_from(&mut self, gone: &[DepartedEndpoint]) {
         let Some(fleet) = self.fleet.clone() else { return };
         let mut news = Vec::new();
         for name in fleet.told_gone(gone) {
@@ -182,11 +184,11 @@
         if let Some(listed) = self.listed.get(at).filter(|_| before == since_ms) {
             return listed.started;
         }
-        Some(host_start::started(Evidence {
+        Some(endpoint_start::estimate_start(StartEvidence {
             now: starts.now,
-            by_wall_clock: self.handle.by_wall_clock(since_ms),
-            before_newest: Duration::from_millis(starts.newest_ms.saturating_sub(since_ms)),
-            heard_before: starts.heard_before,
+            wall_clock_start: self.handle.by_wall_clock(since_ms),
+            offset_before_newest: Duration::from_millis(starts.newest_ms.saturating_sub(since_ms)),
+            last_discovery_message: starts.heard_before,
         }))
     }
 
--- a/crates/gateway/src/core/messages.rs
+++ b/crates/gateway/src/core/messages.rs
@@ -13,8 +13,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 use weldworks_balancer::{EndpointId, LoadReport, Outcome, RequestId, Settings, Snapshot};
-use weldworks_control::classes::Kept;
-use weldworks_fleet::wire::Gone;
+use weldworks_control::class_registry::RegisteredClass;
+use weldworks_fleet::protocol::DepartedEndpoint;
 
 /// The gateway's clock starts here, so that hosts started before this process have a time on it.
 const BEFORE_START: Duration = Duration::from_secs(86_400);
@@ -53,7 +53,7 @@
     /// What goes on to a host.
     pub forward: Forward,
     /// The class it came under; held to its end.
-    pub class: Rc<Kept>,
+    pub class: Rc<RegisteredClass>,
     /// Where the answer goes.
     pub answer: oneshot::Sender<Final>,
     /// Its client; told as soon as no answer is wanted any more.
@@ -153,7 +153,7 @@
         current: u64,
     },
     /// Newer lists than the one held say that hosts leave or are gone.
-    Told(Vec<Gone>),
+    Told(Vec<DepartedEndpoint>),
     /// The process is on its way out: what is open has no more time than that.
     Stopping,
     /// A watch on the hosts has failed or ended.
