--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/core/mod.rs
@@ -30,11 +30,13 @@
 use weldworks_balancer::{
     Action, Balancer, EndpointId, EndpointState, Event, LoadReport, Outcome, RequestId, Settings,
 };
-use weldworks_control::bodies::Passage;
-use weldworks_control::classes::Kept;
-use weldworks_control::rewatch::{self, Rewatch};
-use weldworks_control::storm::{Answered, Arriving, Storm, StormSettings, Terms};
-use weldworks_fleet::audit::Kind;
+use weldworks_control::body_streaming::TransferState;
+use weldworks_control::class_registry::RegisteredClass;
+use weldworks_control::retry_storm::{
+    ArrivingRequest, PlatformTerms, RequestResult, RetryStormControl, StormSettings,
+};
+use weldworks_control::watch_backoff::{self, WatchBackoff};
+use weldworks_fleet::audit::DecisionKind;
 
 /// The figures of the hosts are taken this often; they may be half a second late.
 const FIGURES: Duration = Duration::from_millis(250);
@@ -52,7 +54,7 @@
     out: u32,
     last: Outcome,
     class: usize,
-    _class: Rc<Kept>,
+    _class: Rc<RegisteredClass>,
 }
 
 impl Entry {
@@ -132,7 +134,7 @@
     faults: Vec<Fault>,
     watch: u64,
     watching: Option<JoinHandle<()>>,
-    rewatch: Rewatch,
+    rewatch: WatchBackoff,
     hosts: Vec<Rc<Host>>,
     listed: Vec<weldworks_balancer::Endpoint>,
     /// When each last started, as discovery dates it; 0 for long ago.
@@ -144,7 +146,7 @@
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     messages: mpsc::UnboundedReceiver<Message>,
     handle: Handle,
-    storm: Option<Storm>,
+    storm: Option<RetryStormControl>,
     storms: Option<StormSettings>,
     figures: Option<Rc<Figures>>,
     fleet: Option<Rc<Fleet>>,
@@ -171,7 +173,7 @@
             faults: Vec::new(),
             watch: 0,
             watching: None,
-            rewatch: Rewatch::default(),
+            rewatch: WatchBackoff::default(),
             hosts: Vec::new(),
             listed: Vec::new(),
             since_ms: Vec::new(),
@@ -193,14 +195,14 @@
     /// Switches storm control on.
     pub fn control_storms(&mut self, storms: StormSettings) {
         let set = &self.settings;
-        let terms = Terms {
-            cold_from: set.slow_start_min_capacity,
-            cold_for: set.slow_start_duration,
-            most: set.max_retry_after,
-            quotas: &set.tenant_quotas,
-            gateways: set.gateway_count,
+        let terms = PlatformTerms {
+            slow_start_min_capacity: set.slow_start_min_capacity,
+            slow_start_duration: set.slow_start_duration,
+            max_retry_after: set.max_retry_after,
+            tenant_quotas: &set.tenant_quotas,
+            gateway_count: set.gateway_count,
         };
-        let storm = Storm::new(storms, terms, self.seed);
+        let storm = RetryStormControl::new(storms, terms, self.seed);
         (self.storm, self.storms) = (Some(storm), Some(storms));
         self.handle.count_connections();
     }
@@ -211,7 +213,7 @@
     }
 
     /// Books a decision about a request, where there are books.
-    fn book(&self, kind: Kind, id: RequestId, host: Option<EndpointId>) {
+    fn book(&self, kind: DecisionKind, id: RequestId, host: Option<EndpointId>) {
         let Some((fleet, entry)) = self.fleet.as_ref().zip(self.requests.get(&id)) else { return };
         fleet.book(kind, entry.class, entry.number.to_str().unwrap_or_default(), host);
     }
@@ -222,7 +224,7 @@
             let away = !fleet.takes_clients();
             if away {
                 let number = arrival.number.to_str().unwrap_or_default();
-                fleet.book(Kind::Refuse, arrival.request.class, number, None);
+                fleet.book(DecisionKind::Reject, arrival.request.class, number, None);
             }
             away
         })
@@ -251,8 +253,13 @@
         let worth =
             self.settings.classes.get(request.class).map_or(1.0, |c| c.priority_weight / mean.max(1e-9));
         let (repeat, tenant) = (request.is_client_retry, request.tenant);
-        let arriving = Arriving { repeat, identity: identity(request), worth, tenant };
-        let part = storm.arrive(self.handle.time(Instant::now()), arriving).part;
+        let arriving = ArrivingRequest {
+            is_client_retry: repeat,
+            identity: identity(request),
+            relative_weight: worth,
+            tenant,
+        };
+        let part = storm.admit(self.handle.time(Instant::now()), arriving).admission_share;
         self.tell_storm();
         part
     }
@@ -263,16 +270,16 @@
         let now = self.handle.time(Instant::now());
         let answer = match answer {
             Final::Served(_) => {
-                storm.answered(now, Answered::Served);
+                storm.record_result(now, RequestResult::Served);
                 answer
             }
             Final::Failed(_) => {
-                storm.answered(now, Answered::Failed);
+                storm.record_result(now, RequestResult::Failed);
                 answer
             }
             Final::Refused { keep_away } => {
-                storm.answered(now, Answered::Refused);
-                Final::Refused { keep_away: storm.refuse(now, identity, keep_away) }
+                storm.record_result(now, RequestResult::Rejected);
+                Final::Refused { keep_away: storm.retry_after(now, identity, keep_away) }
             }
         };
         self.tell_storm();
@@ -280,7 +287,7 @@
     }
 
     fn tell_storm(&mut self) {
-        if let Some(change) = self.storm.as_mut().and_then(Storm::take_change) {
+        if let Some(change) = self.storm.as_mut().and_then(RetryStormControl::take_change) {
             info!("{change}");
         }
     }
@@ -349,7 +356,7 @@
         match message {
             Message::Connected => {
                 if let Some(storm) = &mut self.storm {
-                    storm.connected(self.handle.time(Instant::now()));
+                    storm.record_connection(self.handle.time(Instant::now()));
                 }
             }
             Message::Arrived(arrival) if self.turned_away(&arrival) => {
@@ -451,7 +458,7 @@
             // What a watch said before it was ended may wait here still: it is no news of the present discovery.
             Message::Hosts { watch, list, heard_before } if watch == self.watch => {
                 self.handle.note_heard();
-                if let Some(silent) = self.rewatch.heard(self.handle.time(Instant::now())) {
+                if let Some(silent) = self.rewatch.record_message(self.handle.time(Instant::now())) {
                     info!(address = %self.discovery, after = ?silent, "discovery: news are pushed again");
                 }
                 self.learn_after(heard_before, list);
@@ -479,7 +486,7 @@
         let Some(by) = self.handle.answers_by() else { return };
         for (id, entry) in self.requests.iter_mut().filter(|(_, entry)| entry.give_up > by) {
             // A body that still comes is not taken yet, and gets its time with its last byte.
-            if matches!(&entry.forward.body, Payload::Coming(upload) if upload.passage() != Passage::Complete)
+            if matches!(&entry.forward.body, Payload::Coming(upload) if upload.passage() != TransferState::Complete)
             {
                 continue;
             }
@@ -506,18 +513,18 @@
             return self.decide(Event::DiscoveryFailed { silent_for: quiet });
         }
         let now = Instant::now();
-        let lost = self.rewatch.lost(self.handle.time(now));
-        if lost.report {
+        let lost = self.rewatch.record_loss(self.handle.time(now));
+        if lost.should_report {
             warn!(
-                %address, version, why, failed = lost.failed,
+                %address, version, why, failed = lost.consecutive_failures,
                 "discovery: no news of drains and new hosts; going on with the list held and trying again every {:?} at the \
                  latest. `failed` counts watches in a row that lasted under {:?}. The address is `discovery` in the file \
                  that ROUTER_CONFIG names; after a change there, send SIGHUP",
-                rewatch::LONGEST,
-                rewatch::HELD
+                watch_backoff::MAX_RETRY_DELAY,
+                watch_backoff::STABLE_WATCH_AGE
             );
         }
-        self.timers.push(Reverse((now + lost.wait, Timer::Watch)));
+        self.timers.push(Reverse((now + lost.retry_delay, Timer::Watch)));
     }
 
     /// Ends the watch, if there is one; whether there was.
@@ -532,7 +539,7 @@
     fn subscribe(&mut self) {
         debug!(version = self.version, "watch");
         self.watch += 1;
-        self.rewatch.opened(self.handle.time(Instant::now()));
+        self.rewatch.record_open(self.handle.time(Instant::now()));
         let (version, number, pushed) = (self.version, self.watch, self.pushed());
         let watching = spawn_local(watch(self.discovery, version, number, pushed, self.handle.clone()));
         if let Some(before) = self.watching.replace(watching) {
@@ -574,7 +581,7 @@
     fn rediscover(&mut self, address: SocketAddr) {
         if address != self.discovery {
             (self.discovery, self.version) = (address, 0);
-            self.rewatch.turned();
+            self.rewatch.reset();
             self.end_watch();
             if self.pushed() {
                 self.subscribe();
@@ -634,7 +641,11 @@
             Action::Send { request, endpoint: host, deadline: until, write_by } => {
                 if self.fleet.is_some() {
                     let again = self.requests.get(&request).is_some_and(|e| !e.attempts.is_empty());
-                    self.book(if again { Kind::Resend } else { Kind::Pick }, request, Some(host));
+                    self.book(
+                        if again { DecisionKind::Retry } else { DecisionKind::Pick },
+                        request,
+                        Some(host),
+                    );
                 }
                 self.send(request, host, until, write_by);
             }
@@ -651,7 +662,7 @@
                 }
             }
             Action::Reject { request, retry_after: keep_away } => {
-                self.book(Kind::Refuse, request, None);
+                self.book(DecisionKind::Reject, request, None);
                 self.finish(request, Final::Refused { keep_away });
             }
             Action::Fail { request } => {
--- a/crates/gateway/src/core/tests.rs
+++ b/crates/gateway/src/core/tests.rs
@@ -13,7 +13,7 @@
     let forward = Forward { method, uri, headers: Default::default(), body: Default::default() };
     let number = HeaderValue::from(request.id.0);
     let class = weldworks_balancer::RequestClass::new(Duration::from_secs(10), Duration::from_secs(30));
-    let class = Rc::new(Kept { name: "look".into(), number: 0, class });
+    let class = Rc::new(RegisteredClass { name: "look".into(), number: 0, class });
     let client = Rc::new(Presence::unseen());
     (Box::new(Arrival { request, number, forward, class, answer, client }), answered)
 }
--- a/crates/gateway/src/daemon/handover.rs
+++ b/crates/gateway/src/daemon/handover.rs
@@ -12,7 +12,9 @@
 use tokio::sync::oneshot;
 use tracing::{info, warn};
 use weldworks_balancer::Snapshot;
-use weldworks_control::handover::{self, look_again, Held, Unfit, EVERY, LONGEST};
+use weldworks_control::hot_restart::{
+    self, peer_check_interval, DescriptorUsage, SnapshotError, MAX_SNAPSHOT_BYTES, SNAPSHOT_INTERVAL,
+};
 
 /// While the folder can't be used it is tried again this often.
 const FOLDER_AGAIN: Duration = Duration::from_millis(250);
@@ -41,10 +43,10 @@
         }
     };
     // One byte more than may be read tells that it is too long.
-    let read = file.take(LONGEST as u64 + 1).read_to_string(&mut text);
-    match read.map(|_| handover::read(&text, monotonic())) {
+    let read = file.take(MAX_SNAPSHOT_BYTES as u64 + 1).read_to_string(&mut text);
+    match read.map(|_| hot_restart::decode_snapshot(&text, monotonic())) {
         Ok(Ok(memory)) => Some(memory),
-        Ok(Err(Unfit::Old(_))) => None, // nobody serves beside this one
+        Ok(Err(SnapshotError::Expired(_))) => None, // nobody serves beside this one
         Ok(Err(why)) => {
             warn!(%why, "what the process before knew is passed over; starting without");
             None
@@ -59,7 +61,7 @@
 fn write(folder: &Path, memory: &Snapshot) -> io::Result<()> {
     // The folder is memory: nothing outlives the machine, so there is nothing to make durable.
     let beside = folder.join(format!("{MEMORY}.{}", std::process::id()));
-    fs::write(&beside, handover::write(memory, monotonic()))?;
+    fs::write(&beside, hot_restart::encode_snapshot(memory, monotonic()))?;
     fs::rename(beside, folder.join(MEMORY))
 }
 
@@ -113,7 +115,7 @@
                 None => info!("no other process of this gateway: all descriptors are this one's"),
             }
         }
-        let due = written.is_none_or(|at: tokio::time::Instant| at.elapsed() >= EVERY);
+        let due = written.is_none_or(|at: tokio::time::Instant| at.elapsed() >= SNAPSHOT_INTERVAL);
         if due && matches!(place, Place::Serves(_)) {
             let (answer, told) = oneshot::channel();
             gateway.tell(Message::Remember(answer));
@@ -125,7 +127,7 @@
             written = Some(tokio::time::Instant::now());
         }
         tokio::select! {
-            () = tokio::time::sleep(look_again(other.is_some())) => {}
+            () = tokio::time::sleep(peer_check_interval(other.is_some())) => {}
             // It takes nobody in any more: what its clients leave is the other's to give them.
             () = service.stopped.notified() => return drop(place),
         }
@@ -136,7 +138,7 @@
 ///
 /// # Errors
 /// Where the folder can't be used. The locks that it holds stay held.
-fn look(folder: &Path, place: &mut Place, own: Held) -> io::Result<Option<Held>> {
+fn look(folder: &Path, place: &mut Place, own: DescriptorUsage) -> io::Result<Option<DescriptorUsage>> {
     if let Place::Follows(held) = place {
         if let Some(serves) = lock(folder, SERVES)? {
             *place = Place::Serves(serves);
@@ -146,19 +148,21 @@
     }
     let other = match place {
         Place::Serves(file) => {
-            file.write_all_at(own.text().as_bytes(), 0)?;
+            file.write_all_at(own.encode().as_bytes(), 0)?;
             // Taken for a moment only, and free again before anything else runs.
             lock(folder, FOLLOWS)?.is_none().then_some(FOLLOWS)
         }
         Place::Follows(file) => {
             if let Some(file) = file {
-                file.write_all_at(own.text().as_bytes(), 0)?;
+                file.write_all_at(own.encode().as_bytes(), 0)?;
             }
             Some(SERVES)
         }
     };
     // One that has just come has said nothing yet, and has nothing.
-    let says = |name: &str| fs::read_to_string(folder.join(name)).ok().and_then(|text| Held::read(&text));
+    let says = |name: &str| {
+        fs::read_to_string(folder.join(name)).ok().and_then(|text| DescriptorUsage::decode(&text))
+    };
     Ok(other.map(|name| says(name).unwrap_or_default()))
 }
 
@@ -172,8 +176,9 @@
         let folder = std::env::temp_dir().join(format!("weldworks-places-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("a folder");
         let step = |mut place| {
-            let other = look(&folder, &mut place, Held { clients: 7, ..Held::default() })
-                .expect("the folder can be used");
+            let other =
+                look(&folder, &mut place, DescriptorUsage { clients: 7, ..DescriptorUsage::default() })
+                    .expect("the folder can be used");
             (place, other.map(|held| held.clients))
         };
         let (old, other) = step(Place::Follows(None));
@@ -194,7 +199,7 @@
         // The folder fails for a while: the lock is not let go, or a third process would take this one's place.
         let away = folder.with_extension("away");
         fs::rename(&folder, &away).expect("a folder that is away");
-        assert!(look(&folder, &mut new, Held::default()).is_err());
+        assert!(look(&folder, &mut new, DescriptorUsage::default()).is_err());
         fs::rename(&away, &folder).expect("it is back");
         assert!(lock(&folder, SERVES).expect("the folder").is_none(), "the lock is held still");
         drop((new, third));
--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/daemon/mod.rs
@@ -29,9 +29,9 @@
 use tokio::time::{sleep, sleep_until, Instant};
 use tracing::{error, info, warn};
 use weldworks_balancer::Settings;
-use weldworks_control::classes::Classes;
+use weldworks_control::class_registry::ClassRegistry;
 use weldworks_control::drain;
-use weldworks_control::handover::Awaited;
+use weldworks_control::hot_restart::StartupWait;
 
 /// Connections that the kernel holds for us: a burst must find room there.
 const BACKLOG: u32 = 4096;
@@ -79,7 +79,7 @@
 /// What a new file is compared with and applied to.
 struct Reload {
     running: Value,
-    classes: Classes,
+    classes: ClassRegistry,
     gateway: Handle,
     server: Rc<Server>,
     service: Rc<Service>,
@@ -103,7 +103,7 @@
 
     fn apply(&mut self, config: Config) {
         let digest = config.site_digest();
-        self.classes.take(self.gateway.time(Instant::now()), config.named_classes());
+        self.classes.replace(self.gateway.time(Instant::now()), config.named_classes());
         let settings = Settings { classes: self.classes.by_number(), ..config.settings };
         self.service.figures.know(&config.classes);
         self.service.longest(longest(&settings));
@@ -172,8 +172,8 @@
         operator: operator.digest(),
         discovery: config.discovery,
     });
-    let mut classes = Classes::default();
-    classes.take(Duration::ZERO, config.named_classes());
+    let mut classes = ClassRegistry::default();
+    classes.replace(Duration::ZERO, config.named_classes());
     let budget = Budget::new(&config.limits, config.management.is_some());
     let settings = Settings { classes: classes.by_number(), ..config.settings };
     let terms = Terms::new(&classes, config.names.tenants.clone(), &settings);
@@ -196,7 +196,7 @@
             .map_err(|source| LinkError { address: settings.listen, source })?;
         gateway.join(fleet.clone());
     }
-    let leaving = drain::Terms { longest: longest(&settings), shared };
+    let leaving = drain::DrainSettings { longest_deadline: longest(&settings), shared_listener: shared };
     let service = Rc::new(Service::new(leaving, handle.clone(), figures.clone(), fleet.clone()));
     if let Some(address) = config.management {
         let listener = listen("management", "ROUTER_MANAGEMENT", address)?;
@@ -245,7 +245,7 @@
     };
     tokio::pin!(running);
     let serving = async {
-        while service.awaits() == Some(Awaited::Discovery) {
+        while service.awaits() == Some(StartupWait::Discovery) {
             sleep(LOOK_AGAIN).await;
         }
         if shared && !handle.heard() {
--- a/crates/gateway/src/daemon/service.rs
+++ b/crates/gateway/src/daemon/service.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::Instant;
-use weldworks_control::drain::{Drain, Terms};
-use weldworks_control::handover::{Awaited, Entry};
+use weldworks_control::drain::{Drain, DrainSettings};
+use weldworks_control::hot_restart::{Startup, StartupWait};
 
 /// The state.
 pub struct Service {
@@ -19,7 +19,7 @@
     accepted: Cell<Duration>,
     gateway: Handle,
     hosts_up: Rc<Cell<bool>>,
-    entry: Entry,
+    entry: Startup,
     /// Wakes who waits for the next change of the drain.
     pub changed: Notify,
     /// Wakes who waits for the end of its service.
@@ -31,7 +31,12 @@
 
 impl Service {
     /// In service, once it awaits nothing more.
-    pub fn new(terms: Terms, gateway: Handle, figures: Rc<Figures>, fleet: Option<Rc<Fleet>>) -> Service {
+    pub fn new(
+        terms: DrainSettings,
+        gateway: Handle,
+        figures: Rc<Figures>,
+        fleet: Option<Rc<Fleet>>,
+    ) -> Service {
         let hosts_up = gateway.hosts_up();
         Service {
             start: Instant::now(),
@@ -39,7 +44,7 @@
             accepted: Cell::default(),
             gateway,
             hosts_up,
-            entry: Entry { shared: terms.shared, since: Duration::ZERO },
+            entry: Startup { shared_listener: terms.shared_listener, started_at: Duration::ZERO },
             changed: Notify::new(),
             stopped: Notify::new(),
             figures,
@@ -52,15 +57,15 @@
     }
 
     /// What it waits for before it takes clients, if anything.
-    pub fn awaits(&self) -> Option<Awaited> {
-        self.entry.awaits(self.now(), self.gateway.heard(), self.hosts_up.get())
+    pub fn awaits(&self) -> Option<StartupWait> {
+        self.entry.waiting_for(self.now(), self.gateway.heard(), self.hosts_up.get())
     }
 
     /// Why this process can't serve, be it drained or not; none where it can.
     pub fn unready(&self) -> Option<&'static str> {
         match self.awaits() {
             _ if self.stopping() => Some("stopping"),
-            Some(Awaited::Discovery) => Some("waiting for discovery's first word"),
+            Some(StartupWait::Discovery) => Some("waiting for discovery's first word"),
             _ if !self.hosts_up.get() => Some("no host in discovery's list takes work"),
             _ => self.fleet.as_ref().and_then(|fleet| fleet.unready()),
         }
@@ -68,21 +73,21 @@
 
     /// Whether the front may send clients here.
     pub fn ready(&self) -> bool {
-        self.unready().is_none() && self.drain.borrow().ready()
+        self.unready().is_none() && self.drain.borrow().is_ready()
     }
 
     /// Drains it, or takes that back. Whether this changed anything.
     pub fn drain(&self, on: bool) -> bool {
-        let changed = self.drain.borrow_mut().call(self.now(), on);
+        let changed = self.drain.borrow_mut().set_draining(self.now(), on);
         self.changed.notify_one();
         changed
     }
 
     /// Ends its service.
     pub fn stop(&self) {
-        self.drain.borrow_mut().stop(self.now());
+        self.drain.borrow_mut().begin_shutdown(self.now());
         self.stopped.notify_one();
-        if let Some(by) = self.drain.borrow().answers_by() {
+        if let Some(by) = self.drain.borrow().answer_deadline() {
             self.gateway.set_answers_by(self.start + by);
             self.gateway.tell(Message::Stopping);
         }
@@ -91,17 +96,17 @@
 
     /// Clients wait for so long at most from now on.
     pub fn longest(&self, longest: Duration) {
-        self.drain.borrow_mut().longest(longest);
+        self.drain.borrow_mut().set_longest_deadline(longest);
     }
 
     /// Whether it is on its way out.
     pub fn stopping(&self) -> bool {
-        self.drain.borrow().stopping()
+        self.drain.borrow().is_shutting_down()
     }
 
     /// Whether an answer ends its connection.
     pub fn says_goodbye(&self) -> bool {
-        self.drain.borrow().says_goodbye(self.now())
+        self.drain.borrow().sends_connection_close(self.now())
     }
 
     /// A connection has been accepted.
@@ -111,16 +116,16 @@
 
     /// Until when connections are accepted, where that has an end.
     pub fn accepts_until(&self) -> Option<Instant> {
-        Some(self.start + self.drain.borrow().accepts_until(self.accepted.get())?)
+        Some(self.start + self.drain.borrow().accept_deadline(self.accepted.get())?)
     }
 
     /// For how long a connection may rest, where that has a limit.
     pub fn may_rest(&self) -> Option<Duration> {
-        self.drain.borrow().may_rest(self.now(), self.accepted.get())
+        self.drain.borrow().idle_limit(self.now(), self.accepted.get())
     }
 
     /// Whether new connections keep their time to bring a first request.
     pub fn awaits_first(&self) -> bool {
-        self.drain.borrow().awaits_first(self.now())
+        self.drain.borrow().awaits_first_request(self.now())
     }
 }
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -14,7 +14,9 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
-use weldworks_control::rewatch::{AT_ONCE, GIVEN_UP, SILENCE};
+use weldworks_control::watch_backoff::{
+    POLL_FIRST_LIST_TIMEOUT, PUSH_FIRST_LIST_TIMEOUT, WATCH_SILENCE_TIMEOUT,
+};
 
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
@@ -55,7 +57,7 @@
 pub async fn watch(address: SocketAddr, since: u64, watch: u64, pushed: bool, gateway: Handle) {
     let heard = Cell::new(Instant::now());
     let mut ended = Ended { gateway, watch, why: "its task has panicked".to_owned(), heard };
-    let first = if pushed { AT_ONCE } else { GIVEN_UP };
+    let first = if pushed { PUSH_FIRST_LIST_TIMEOUT } else { POLL_FIRST_LIST_TIMEOUT };
     if let Err(error) = follow(address, since, watch, first, &ended).await {
         ended.why = error.to_string();
     }
@@ -100,7 +102,7 @@
             lists.take(&data);
             while let Some(word) = lists.word()? {
                 heard.set(Instant::now());
-                due = heard.get() + SILENCE;
+                due = heard.get() + WATCH_SILENCE_TIMEOUT;
                 let heard_before = gateway.note_word();
                 match word {
                     Word::List(list) => gateway.tell(Message::Hosts { watch, list, heard_before }),
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -20,7 +20,7 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout, timeout_at, Instant, Sleep};
-use weldworks_control::bodies::{Fault, Passage, Transit};
+use weldworks_control::body_streaming::{BodyError, BodyTransfer, TransferState};
 
 /// What nobody has read for so long may be all that its client wrote before it left. An attempt begins with its last byte, and none may
 /// begin more than 0.1 s after its client has left.
@@ -68,7 +68,7 @@
     length: Option<u64>,
     /// Since when its times count.
     start: Instant,
-    transit: RefCell<Transit>,
+    transit: RefCell<BodyTransfer>,
     /// How long the client waits, from its last byte on.
     pub patience: Duration,
     /// Who sends it, and what has passed over its connection.
@@ -92,7 +92,7 @@
         client: Rc<Presence>,
         marks: Rc<Marks>,
     ) -> Upload {
-        let transit = RefCell::new(Transit::new(held.len() as u64));
+        let transit = RefCell::new(BodyTransfer::new(held.len() as u64));
         let (held, rest, taken) = (RefCell::new(Some(held)), RefCell::new(rest), RefCell::new(Some(taken)));
         let (awaited, came_awaited) = Default::default();
         let start = Instant::now();
@@ -123,7 +123,7 @@
     /// Takes the rest and lets it go, for at most this long: a client that writes is not cut off before it has read
     /// that its request is over.
     pub async fn discard(&self, most: Duration) {
-        if self.passage() == Passage::Complete {
+        if self.passage() == TransferState::Complete {
             return;
         }
         let rest = poll_fn(|cx| loop {
@@ -137,19 +137,19 @@
     }
 
     /// How it stands.
-    pub fn passage(&self) -> Passage {
-        self.transit.borrow().passage()
+    pub fn passage(&self) -> TransferState {
+        self.transit.borrow().state()
     }
 
     /// By when its host must take more of it, where that is waited for.
     pub fn host_due(&self) -> Option<Instant> {
-        Some(self.start + self.transit.borrow().host_due()?)
+        Some(self.start + self.transit.borrow().endpoint_deadline()?)
     }
 
-    fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
+    fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let now = self.start.elapsed();
         let mut transit = self.transit.borrow_mut();
-        transit.wanted(now);
+        transit.record_demand(now);
         if let Some(held) = self.held.take() {
             self.note_end(&mut transit);
             return Poll::Ready(Some(Ok(held)));
@@ -162,11 +162,11 @@
                     self.note_end(&mut transit);
                     return Poll::Ready(None);
                 }
-                Some(Err(_)) => return Poll::Ready(Some(Err(transit.fail(Fault::Off)))),
+                Some(Err(_)) => return Poll::Ready(Some(Err(transit.fail(BodyError::Incomplete)))),
                 Some(Ok(frame)) => frame.into_data(),
             };
             let Ok(data) = data else { continue }; // trailers are the client's connection's own
-            let came = transit.came(now, data.len() as u64).map(|()| data);
+            let came = transit.record_received(now, data.len() as u64).map(|()| data);
             if came.is_ok() {
                 self.note_end(&mut transit);
             }
@@ -186,9 +186,9 @@
     }
 
     /// Notes the end of the body where it has come. One whose length was said ends with its last byte: nobody asks for more of it.
-    fn note_end(&self, transit: &mut Transit) {
-        if self.rest.borrow().is_end_stream() && transit.passage() != Passage::Complete {
-            transit.ended();
+    fn note_end(&self, transit: &mut BodyTransfer) {
+        if self.rest.borrow().is_end_stream() && transit.state() != TransferState::Complete {
+            transit.record_end();
             if let Some(taken) = &mut *self.taken.borrow_mut() {
                 taken.open();
             }
@@ -234,12 +234,12 @@
 
 impl Body for Sending {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut *self {
             Sending::Whole(bytes) => held_frame(bytes),
             Sending::Coming { upload, due, end, stayed } => {
@@ -248,7 +248,7 @@
                         Poll::Ready(Some(Err(fault))) => return Poll::Ready(Some(Err(fault))),
                         Poll::Ready(piece) => {
                             let piece = piece.and_then(Result::ok);
-                            let ends = upload.passage() == Passage::Complete;
+                            let ends = upload.passage() == TransferState::Complete;
                             if *stayed || !ends || !upload.may_be_left() {
                                 return Poll::Ready(piece.map(|data| Ok(Frame::data(data))));
                             }
@@ -261,18 +261,21 @@
                 if end.is_some() {
                     ready!(due.as_mut().poll(cx));
                     if !upload.client.has_stayed() {
-                        return Poll::Ready(Some(Err(upload.transit.borrow_mut().fail(Fault::Off))));
+                        return Poll::Ready(Some(Err(upload
+                            .transit
+                            .borrow_mut()
+                            .fail(BodyError::Incomplete))));
                     }
                     *stayed = true;
                     return Poll::Ready(end.take().flatten().map(|data| Ok(Frame::data(data))));
                 }
                 let mut transit = upload.transit.borrow_mut();
-                let at = upload.start + transit.await_client(upload.start.elapsed());
+                let at = upload.start + transit.client_deadline(upload.start.elapsed());
                 if due.deadline() != at {
                     due.as_mut().reset(at);
                 }
                 ready!(due.as_mut().poll(cx));
-                Poll::Ready(Some(Err(transit.fail(Fault::Off))))
+                Poll::Ready(Some(Err(transit.fail(BodyError::Incomplete))))
             }
         }
     }
@@ -331,12 +334,12 @@
 
 impl Body for Reply {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut *self {
             Reply::Whole(bytes) => held_frame(bytes),
             Reply::Coming { over: true, .. } => Poll::Ready(None),
@@ -349,7 +352,7 @@
                         (Some(Ok(Frame::data(data))), ending)
                     }
                     Some(Piece::End) => (None, Some(Ending::Answered)),
-                    None => (Some(Err(Fault::Off)), Some(Ending::Errored)),
+                    None => (Some(Err(BodyError::Incomplete)), Some(Ending::Errored)),
                 };
                 if let Some(ending) = ending {
                     *over = true;
@@ -381,17 +384,17 @@
 ///
 /// # Errors
 /// Where it does not come in time.
-pub async fn gather(mut body: Incoming, most: usize) -> Result<(Bytes, Option<Incoming>), Fault> {
-    let (start, mut transit) = (Instant::now(), Transit::default());
+pub async fn gather(mut body: Incoming, most: usize) -> Result<(Bytes, Option<Incoming>), BodyError> {
+    let (start, mut transit) = (Instant::now(), BodyTransfer::default());
     let (mut held, mut grown) = (Bytes::new(), BytesMut::new());
     while held.len() + grown.len() <= most {
-        let due = start + transit.await_client(start.elapsed());
-        let frame = timeout_at(due, body.frame()).await.map_err(|_| Fault::Off)?;
+        let due = start + transit.client_deadline(start.elapsed());
+        let frame = timeout_at(due, body.frame()).await.map_err(|_| BodyError::Incomplete)?;
         let Some(frame) = frame else {
             return Ok((joined(held, grown), None));
         };
-        let Ok(data) = frame.map_err(|_| Fault::Off)?.into_data() else { continue };
-        transit.came(start.elapsed(), data.len() as u64)?;
+        let Ok(data) = frame.map_err(|_| BodyError::Incomplete)?.into_data() else { continue };
+        transit.record_received(start.elapsed(), data.len() as u64)?;
         // The usual body is one piece, and is not copied.
         if held.is_empty() && grown.is_empty() {
             held = data;
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/figures.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::rc::Rc;
-use weldworks_control::classes::Kept;
+use weldworks_control::class_registry::RegisteredClass;
 
 /// A request that is open: counted for as long as this lives.
 #[derive(Debug)]
@@ -20,13 +20,13 @@
 #[derive(Debug)]
 pub struct Taken {
     figures: Rc<Figures>,
-    class: Rc<Kept>,
+    class: Rc<RegisteredClass>,
     open: Option<Open>,
 }
 
 impl Taken {
     /// A request of the class; it is not open yet.
-    pub fn new(figures: Rc<Figures>, class: Rc<Kept>) -> Taken {
+    pub fn new(figures: Rc<Figures>, class: Rc<RegisteredClass>) -> Taken {
         Taken { figures, class, open: None }
     }
 
@@ -203,7 +203,7 @@
         figures.know(&["look".into()]);
         let class =
             weldworks_balancer::RequestClass::new(std::time::Duration::ZERO, std::time::Duration::ZERO);
-        let kept = Rc::new(Kept { name: "look".into(), number: 0, class });
+        let kept = Rc::new(RegisteredClass { name: "look".into(), number: 0, class });
         let taken = || {
             let mut taken = Taken::new(figures.clone(), kept.clone());
             taken.open();
--- a/crates/gateway/src/fleet/books.rs
+++ b/crates/gateway/src/fleet/books.rs
@@ -13,14 +13,14 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 use tracing::{info, warn};
-use weldworks_fleet::audit::pages::{
-    self, Bounds, Dropped, Filling, Mark, Page, Past, Record, Remembered, Shelf, Steps, ToldPast, Wanted,
-    Writer,
+use weldworks_fleet::audit::AuditLog;
+use weldworks_fleet::audit::{
+    decode_header, AuditQuery, EncodedSegment, Evicted, HistoryQuery, HistoryReport, MemorySpan,
+    RetentionIndex, RetentionLimits, Segment, SegmentBuilder, SegmentCursor, SegmentSteps, SegmentWriter,
 };
-use weldworks_fleet::audit::Audit;
+use weldworks_fleet::protocol;
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::Incarnation;
-use weldworks_fleet::wire;
 
 /// The form of what is stored: raised when it changes.
 const FORM: u32 = 1;
@@ -59,7 +59,7 @@
     }
 }
 
-type Order = (Page, Steps, oneshot::Sender<Result<(), String>>);
+type Order = (Segment, SegmentSteps, oneshot::Sender<Result<(), String>>);
 type Shared = Arc<Mutex<Option<Arc<Database>>>>;
 
 /// The way to the thread that writes.
@@ -67,7 +67,7 @@
     orders: threads::Sender<Order>,
     file: Shared,
     path: PathBuf,
-    mark: Cell<Mark>,
+    mark: Cell<SegmentCursor>,
     turn: tokio::sync::Mutex<()>,
 }
 
@@ -91,7 +91,7 @@
             name,
             gateway,
             clock,
-            bounds: settings.books,
+            bounds: settings.audit_retention,
             file: file.clone(),
             open: None,
             there: false,
@@ -119,7 +119,7 @@
             orders,
             file,
             path,
-            mark: Cell::new(Mark::none(Duration::ZERO)),
+            mark: Cell::new(SegmentCursor::start(Duration::ZERO)),
             turn: tokio::sync::Mutex::default(),
         })
     }
@@ -127,12 +127,12 @@
     /// Writes what was booked since the last time, and waits until it is on the disk.
     pub async fn write(
         &self,
-        audit: &RefCell<Audit>,
+        audit: &RefCell<AuditLog>,
         now: impl Fn() -> Duration,
         ended: bool,
     ) -> Result<(), String> {
         let _turn = self.turn.lock().await;
-        let (page, steps, next) = audit.borrow().page(&self.mark.get(), now(), ended);
+        let (page, steps, next) = audit.borrow().segment_since(&self.mark.get(), now(), ended);
         let (done, told) = oneshot::channel();
         let gone = || "the thread that writes has ended".to_owned();
         self.orders.send((page, steps, done)).map_err(|_| gone())?;
@@ -142,7 +142,7 @@
     }
 
     /// Writes on for as long as it is polled.
-    pub async fn keep(&self, audit: &RefCell<Audit>, now: impl Fn() -> Duration) {
+    pub async fn keep(&self, audit: &RefCell<AuditLog>, now: impl Fn() -> Duration) {
         let mut failing: Option<String> = None;
         loop {
             sleep(EVERY).await;
@@ -169,7 +169,7 @@
     }
 
     /// What earlier processes did, and this one before its memory.
-    pub async fn past(&self, wanted: Wanted, own: Remembered) -> Result<ToldPast, String> {
+    pub async fn past(&self, wanted: AuditQuery, own: MemorySpan) -> Result<HistoryReport, String> {
         let Some(file) = shared(&self.file) else {
             return Err(format!(
                 "{} is another process's, or its disk fails: this gateway's log says which",
@@ -189,21 +189,21 @@
     error.into().to_string()
 }
 
-fn read(file: &Database, wanted: Wanted, own: Remembered) -> Result<ToldPast, String> {
+fn read(file: &Database, wanted: AuditQuery, own: MemorySpan) -> Result<HistoryReport, String> {
     let reading = file.begin_read().map_err(told)?;
     let heads = reading.open_table(HEADS).map_err(told)?;
     let (all_pages, all_steps) =
         (reading.open_table(PAGES).map_err(told)?, reading.open_table(STEPS).map_err(told)?);
-    let mut past = Past::new(wanted, own);
+    let mut past = HistoryQuery::new(wanted, own);
     for entry in heads.iter().map_err(told)? {
         let (number, head) = entry.map_err(told)?;
         let number = number.value();
-        let Some(head) = pages::head(head.value()) else { continue };
+        let Some(head) = decode_header(head.value()) else { continue };
         let page = || all_pages.get(number).ok().flatten().map(|bytes| bytes.value().to_vec());
         let steps = || all_steps.get(number).ok().flatten().map(|bytes| bytes.value().to_vec());
-        past.take(number, head, page, steps);
+        past.add_segment(number, head, page, steps);
     }
-    Ok(past.told())
+    Ok(past.finish())
 }
 
 /// What the thread has.
@@ -212,9 +212,9 @@
     name: String,
     gateway: String,
     clock: Clock,
-    bounds: Bounds,
+    bounds: RetentionLimits,
     file: Shared,
-    open: Option<(Filling, Shelf)>,
+    open: Option<(SegmentBuilder, RetentionIndex)>,
     /// This process has a page there.
     there: bool,
 }
@@ -244,14 +244,15 @@
             match found {
                 None => {
                     let own = Owner { form: FORM, fleet: self.name.clone(), gateway: self.gateway.clone() };
-                    owner.insert(0, &wire::write(&own).unwrap_or_default()[..]).map_err(torn)?;
+                    owner.insert(0, &protocol::encode_frame(&own).unwrap_or_default()[..]).map_err(torn)?;
                 }
                 Some(bytes) => {
                     let form = bytes.first().copied().unwrap_or_default();
                     if u32::from(form) != FORM {
                         return Err(Spoilt::Form(form.into()).into());
                     }
-                    let found = wire::read::<Owner>(&bytes).map_err(|e| Spoilt::Torn(e.to_string()))?;
+                    let found =
+                        protocol::decode_frame::<Owner>(&bytes).map_err(|e| Spoilt::Torn(e.to_string()))?;
                     if found.fleet != self.name || found.gateway != self.gateway {
                         return Err(Tried::Another { gateway: found.gateway, fleet: found.fleet });
                     }
@@ -262,26 +263,26 @@
             writing.open_table(HEADS).map_err(torn)?;
         }
         writing.commit().map_err(torn)?;
-        let mut shelf = Shelf::default();
+        let mut shelf = RetentionIndex::default();
         {
             let reading = file.begin_read().map_err(torn)?;
             for entry in reading.open_table(HEADS).map_err(torn)?.iter().map_err(torn)? {
                 let (number, head) = entry.map_err(torn)?;
-                match pages::head(head.value()) {
-                    Some(head) => shelf.put(number.value(), &head),
+                match decode_header(head.value()) {
+                    Some(head) => shelf.insert(number.value(), &head),
                     None => warn!(record = number.value(), "fleet: a record of the audit's books is not as it was written; its time is told as unknown"),
                 }
             }
         }
         let (process, began_unix_ms) = (self.clock.process, self.clock.began_unix_ms);
-        let writer = Writer { process, began_unix_ms, opened_unix_ms: self.clock.unix_ms() };
-        let mut filling = Filling::new(writer, shelf.next());
+        let writer = SegmentWriter { process, began_unix_ms, opened_unix_ms: self.clock.unix_ms() };
+        let mut filling = SegmentBuilder::new(writer, shelf.next_number());
         if !self.there {
             // That this process was there, before it does anything: one that dies before its first page has done something unknown.
-            let record = filling.add(Page::default(), Steps::default(), self.clock.unix_ms());
+            let record = filling.append(Segment::default(), SegmentSteps::default(), self.clock.unix_ms());
             commit(&file, &record, &[]).map_err(Tried::Unusable)?;
-            if let Some(head) = pages::head(&record.head) {
-                shelf.put(record.number, &head);
+            if let Some(head) = decode_header(&record.header) {
+                shelf.insert(record.number, &head);
             }
             self.there = true;
         }
@@ -290,7 +291,7 @@
         Ok(())
     }
 
-    fn write(&mut self, page: Page, steps: Steps) -> Result<(), String> {
+    fn write(&mut self, page: Segment, steps: SegmentSteps) -> Result<(), String> {
         if self.open.is_none() {
             self.open().map_err(|tried| match tried {
                 Tried::Held => "another process of this gateway has the file".to_owned(),
@@ -305,11 +306,11 @@
             return Err("the file is not open".to_owned());
         };
         let now = self.clock.unix_ms();
-        let record = filling.add(page, steps, now);
-        if let Some(head) = pages::head(&record.head) {
-            shelf.put(record.number, &head);
+        let record = filling.append(page, steps, now);
+        if let Some(head) = decode_header(&record.header) {
+            shelf.insert(record.number, &head);
         }
-        let dropped = shelf.over(&self.bounds, now);
+        let dropped = shelf.evict(&self.bounds, now);
         let written = catch_unwind(AssertUnwindSafe(|| commit(&file, &record, &dropped)));
         let written = written.unwrap_or_else(|_| Err("the library broke off writing it".to_owned()));
         if written.is_err() {
@@ -321,7 +322,7 @@
     }
 }
 
-fn commit(file: &Database, record: &Record, dropped: &[Dropped]) -> Result<(), String> {
+fn commit(file: &Database, record: &EncodedSegment, dropped: &[Evicted]) -> Result<(), String> {
     let writing = file.begin_write().map_err(told)?;
     {
         let mut heads = writing.open_table(HEADS).map_err(told)?;
@@ -329,16 +330,16 @@
         let mut steps = writing.open_table(STEPS).map_err(told)?;
         for dropped in dropped {
             match dropped {
-                Dropped::Steps(number) => drop(steps.remove(number).map_err(told)?),
-                Dropped::Record(number) => {
+                Evicted::Steps(number) => drop(steps.remove(number).map_err(told)?),
+                Evicted::Segment(number) => {
                     heads.remove(number).map_err(told)?;
                     pages.remove(number).map_err(told)?;
                     steps.remove(number).map_err(told)?;
                 }
             }
         }
-        heads.insert(record.number, &record.head[..]).map_err(told)?;
-        pages.insert(record.number, &record.page[..]).map_err(told)?;
+        heads.insert(record.number, &record.header[..]).map_err(told)?;
+        pages.insert(record.number, &record.segment[..]).map_err(told)?;
         steps.insert(record.number, &record.steps[..]).map_err(told)?;
     }
     writing.commit().map_err(told)
@@ -347,7 +348,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use weldworks_fleet::audit::{Decision, Kind};
+    use weldworks_fleet::audit::{Decision, DecisionKind};
     use weldworks_fleet::version::Version;
 
     fn settings(gateway: &str) -> FleetSettings {
@@ -378,8 +379,11 @@
     /// Books of one request, written; the file is let go of once the thread has ended.
     fn write(folder: &Path, process: u64, request: &str, ended: bool) {
         let books = Books::open(folder, &settings("a"), clock(process)).expect("it can be used");
-        let mut audit = Audit::new(Duration::ZERO, Version::default());
-        audit.book(Duration::ZERO, Decision { kind: Kind::Pick, class: 0, request, host: Some("n") });
+        let mut audit = AuditLog::new(Duration::ZERO, Version::default());
+        audit.record_decision(
+            Duration::ZERO,
+            Decision { kind: DecisionKind::Pick, class: 0, request_id: request, endpoint: Some("n") },
+        );
         let audit = RefCell::new(audit);
         let now = || Duration::from_millis(5);
         let mut written = runs(books.write(&audit, now, ended));
@@ -390,12 +394,12 @@
         written.expect("written");
     }
 
-    fn past(folder: &Path, request: &str) -> ToldPast {
-        let own = Audit::new(Duration::ZERO, Version::default()).remembered(Incarnation(9));
+    fn past(folder: &Path, request: &str) -> HistoryReport {
+        let own = AuditLog::new(Duration::ZERO, Version::default()).memory_span(Incarnation(9));
         loop {
             let books = Books::open(folder, &settings("a"), clock(9)).expect("it can be used");
             if shared(&books.file).is_some() {
-                return runs(books.past(Wanted::Request(request.to_owned()), own)).expect("it is told");
+                return runs(books.past(AuditQuery::Request(request.to_owned()), own)).expect("it is told");
             }
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -408,8 +412,8 @@
         let held = Books::open(&folder, &settings("a"), clock(2));
         let second = Books::open(&folder, &settings("a"), clock(3)).expect("it starts all the same");
         let why = runs(second.past(
-            Wanted::Request("x".into()),
-            Audit::new(Duration::ZERO, Version::default()).remembered(Incarnation(3)),
+            AuditQuery::Request("x".into()),
+            AuditLog::new(Duration::ZERO, Version::default()).memory_span(Incarnation(3)),
         ));
         drop(held);
         assert!(why.is_err_and(|why| why.contains("another process")));
@@ -488,7 +492,7 @@
         };
         let newer = Owner { form: FORM + 1, fleet: "f".into(), gateway: "a".into() };
         let writing = file.begin_write().expect("a transaction");
-        let bytes = wire::write(&newer).expect("bytes");
+        let bytes = protocol::encode_frame(&newer).expect("bytes");
         writing.open_table(OWNER).expect("a table").insert(0, &bytes[..]).expect("written");
         writing.commit().expect("written");
         drop(file);
@@ -503,10 +507,10 @@
         let folder = folder("dropped");
         write(&folder, 1, "x", true);
         let mut small = settings("a");
-        small.books.size = 1;
+        small.audit_retention.max_bytes = 1;
         loop {
             let books = Books::open(&folder, &small, clock(2)).expect("it can be used");
-            let audit = RefCell::new(Audit::new(Duration::ZERO, Version::default()));
+            let audit = RefCell::new(AuditLog::new(Duration::ZERO, Version::default()));
             if runs(books.write(&audit, || Duration::from_millis(5), true)).is_ok() {
                 break;
             }
--- a/crates/gateway/src/fleet/commands.rs
+++ b/crates/gateway/src/fleet/commands.rs
@@ -10,17 +10,17 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
-use weldworks_fleet::register::{Entry, Require};
+use weldworks_fleet::protocol::{self, AdminQuery, Caller, Frame, Hello, MAX_FRAME_BYTES};
 use weldworks_fleet::settings::{FleetSettings, Peer};
-use weldworks_fleet::version::Listed;
-use weldworks_fleet::wire::{self, Caller, Frame, Hello, Question, LONGEST};
+use weldworks_fleet::state_machine::{Command, Requirements};
+use weldworks_fleet::version::ListVersion;
 
 /// One that does not answer within this could not be asked.
 const ANSWER: Duration = Duration::from_secs(4);
 
 /// What is asked.
 #[derive(Clone, Debug, clap::Subcommand)]
-pub enum Command {
+pub enum FleetCommand {
     /// Who is in, who leads, who lags by how much, who is shut out and why.
     Status,
     /// Shut a gateway out: it takes no client until it is let in again.
@@ -80,20 +80,22 @@
     pub done: bool,
 }
 
-async fn ask(fleet: &str, peer: &Peer, question: &Question) -> Answered {
+async fn ask(fleet: &str, peer: &Peer, question: &AdminQuery) -> Answered {
     let asking = async {
         let stream = TcpStream::connect(peer.address).await.map_err(|e| e.to_string())?;
-        let codec = LengthDelimitedCodec::builder().max_frame_length(LONGEST).new_codec();
+        let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
         let mut framed = Framed::new(Stream::new(stream), codec);
-        let hello = wire::write(&Hello::new(fleet, Caller::Staff, &peer.name)).unwrap_or_default();
-        let question = wire::write(&Frame::Ask(question.clone())).ok_or("the question is too long")?;
+        let hello =
+            protocol::encode_frame(&Hello::new(fleet, Caller::Administrator, &peer.name)).unwrap_or_default();
+        let question =
+            protocol::encode_frame(&Frame::AdminQuery(question.clone())).ok_or("the question is too long")?;
         framed.send(Bytes::from(hello)).await.map_err(|e| e.to_string())?;
         framed.send(Bytes::from(question)).await.map_err(|e| e.to_string())?;
         let gone = || "it ended the connection: its log says why".to_owned();
         let _hello = framed.next().await.ok_or_else(gone)?.map_err(|e| e.to_string())?;
         let bytes = framed.next().await.ok_or_else(gone)?.map_err(|e| e.to_string())?;
-        match wire::read(&bytes) {
-            Ok(Frame::Answer(text)) => serde_json::from_str(&text).map_err(|e| e.to_string()),
+        match protocol::decode_frame(&bytes) {
+            Ok(Frame::AdminAnswer(text)) => serde_json::from_str(&text).map_err(|e| e.to_string()),
             Ok(_) => Err("it answered with something else".to_owned()),
             Err(error) => Err(error.to_string()),
         }
@@ -105,7 +107,7 @@
     Answered { gateway: peer.name.clone(), answer }
 }
 
-async fn ask_all(settings: &FleetSettings, question: &Question) -> Vec<Answered> {
+async fn ask_all(settings: &FleetSettings, question: &AdminQuery) -> Vec<Answered> {
     let asked = settings.peers.iter().map(|peer| ask(&settings.name, peer, question));
     let mut all = futures_util::future::join_all(asked).await;
     // One that answers that it can't tell has not told.
@@ -118,10 +120,10 @@
 }
 
 /// Puts what staff want before the council, one member after the other until one can have it decided.
-async fn decide(settings: &FleetSettings, entry: Entry) -> Shown {
-    let question = Question::Decide(Box::new(entry));
+async fn decide(settings: &FleetSettings, entry: Command) -> Shown {
+    let question = AdminQuery::Propose(Box::new(entry));
     let mut why = Vec::new();
-    for peer in settings.council() {
+    for peer in settings.voters() {
         let Answered { gateway, answer } = ask(&settings.name, peer, &question).await;
         match answer {
             Ok(answer) if answer["decided"] == true => {
@@ -149,26 +151,30 @@
     list: Option<&str>,
     config: Option<&str>,
     build: Option<&str>,
-) -> Result<Require, CommandError> {
+) -> Result<Requirements, CommandError> {
     let list = list.map(|text| {
         let parts = text.rsplit_once('=').and_then(|(l, i)| Some((l.to_owned(), i.parse().ok()?)));
         let wrong =
             || CommandError::Wrong(format!("--list {text:?} is not LINEAGE=INDEX, as in 127.0.0.1:8500=42"));
-        parts.map(|(lineage, index)| Listed { lineage, index }).ok_or_else(wrong)
+        parts.map(|(lineage, index)| ListVersion { lineage, index }).ok_or_else(wrong)
     });
     let config = config.map(|text| {
         let wrong =
             || CommandError::Wrong(format!("--config {text:?} is not a digest of 16 hexadecimal digits"));
         u64::from_str_radix(text, 16).map_err(|_| wrong())
     });
-    Ok(Require { list: list.transpose()?, config: config.transpose()?, build: build.map(str::to_owned) })
+    Ok(Requirements { list: list.transpose()?, config: config.transpose()?, build: build.map(str::to_owned) })
 }
 
 /// Carries a command out.
 ///
 /// # Errors
 /// Where what it says is not as it should be.
-pub async fn command(settings: &FleetSettings, command: &Command, json: bool) -> Result<Shown, CommandError> {
+pub async fn command(
+    settings: &FleetSettings,
+    command: &FleetCommand,
+    json: bool,
+) -> Result<Shown, CommandError> {
     let known = |name: &String| {
         let peers: Vec<_> = settings.peers.iter().map(|p| p.name.as_str()).collect();
         let wrong =
@@ -176,21 +182,21 @@
         peers.contains(&name.as_str()).then_some(()).ok_or_else(wrong)
     };
     Ok(match command {
-        Command::Status => {
-            let all = ask_all(settings, &Question::Status).await;
+        FleetCommand::Status => {
+            let all = ask_all(settings, &AdminQuery::Status).await;
             show(all, json, status)
         }
-        Command::Out { gateway } => {
+        FleetCommand::Out { gateway } => {
             known(gateway)?;
-            decide(settings, Entry::Hold { name: gateway.clone(), out: true }).await
+            decide(settings, Command::SetFenced { name: gateway.clone(), fenced: true }).await
         }
-        Command::In { gateway } => {
+        FleetCommand::In { gateway } => {
             known(gateway)?;
-            decide(settings, Entry::Hold { name: gateway.clone(), out: false }).await
+            decide(settings, Command::SetFenced { name: gateway.clone(), fenced: false }).await
         }
-        Command::Require { list, config, build } => {
+        FleetCommand::Require { list, config, build } => {
             let require = requirement(list.as_deref(), config.as_deref(), build.as_deref())?;
-            decide(settings, Entry::Require(require)).await
+            decide(settings, Command::SetRequirements(require)).await
         }
     })
 }
@@ -198,11 +204,11 @@
 /// Asks the books.
 pub async fn audit(settings: &FleetSettings, arguments: &AuditArgs, json: bool) -> Shown {
     if let Some(number) = &arguments.request {
-        let all = ask_all(settings, &Question::Request { number: number.clone() }).await;
+        let all = ask_all(settings, &AdminQuery::Request { request_id: number.clone() }).await;
         return show(all, json, |answers| request(number, answers));
     }
     let (from_index, to_index) = (arguments.from_list, arguments.to_list);
-    let mut all = ask_all(settings, &Question::Audit { from_index, to_index }).await;
+    let mut all = ask_all(settings, &AdminQuery::Audit { from_index, to_index }).await;
     if let Some(after) = arguments.after {
         for answered in &mut all {
             if let Ok(answer) = &mut answered.answer {
--- a/crates/gateway/src/fleet/link.rs
+++ b/crates/gateway/src/fleet/link.rs
@@ -21,10 +21,10 @@
 use tokio::time::{sleep, timeout, Instant};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 use tracing::{info, warn};
-use weldworks_fleet::members::Down;
+use weldworks_fleet::membership::LinkFailure;
+use weldworks_fleet::protocol::{self, Caller, Frame, Hello, ProtocolError, MAX_FRAME_BYTES};
 use weldworks_fleet::settings::Peer;
-use weldworks_fleet::version::{Incarnation, Name};
-use weldworks_fleet::wire::{self, Caller, Frame, Hello, Unfit, LONGEST};
+use weldworks_fleet::version::{GatewayName, Incarnation};
 
 /// Connections of staff at a time.
 pub(super) const STAFF: usize = 8;
@@ -35,7 +35,7 @@
 /// The most that waits for one peer.
 const QUEUE_FRAMES: usize = 4096;
 /// The same in bytes, for a member of the council: a whole register and what comes behind it.
-const MEMBER_BYTES: usize = LONGEST + (4 << 20);
+const MEMBER_BYTES: usize = MAX_FRAME_BYTES + (4 << 20);
 /// And for any other gateway, which gets news alone: hundreds of them may be slow at once.
 const OTHER_BYTES: usize = 256 << 10;
 /// The same fault of the same caller is told so often.
@@ -88,7 +88,7 @@
 /// The links that are up, one a peer.
 #[derive(Default)]
 pub(super) struct Links {
-    up: BTreeMap<Name, Rc<Queue>>,
+    up: BTreeMap<GatewayName, Rc<Queue>>,
     /// When what was last told of whom.
     told: BTreeMap<String, (String, Instant)>,
 }
@@ -97,7 +97,7 @@
     /// Puts a frame behind what waits for a peer.
     pub(super) fn send(&mut self, to: &str, frame: &Frame) {
         let Some(queue) = self.up.get(to) else { return };
-        match wire::write(frame) {
+        match protocol::encode_frame(frame) {
             Some(bytes) => queue.push(bytes),
             None => warn!(peer = to, "fleet: a frame is longer than the link allows and was not sent"),
         }
@@ -147,14 +147,14 @@
 fn framed(stream: TcpStream) -> (Reader, Writer) {
     let _ = stream.set_nodelay(true);
     let (read, write) = split(Stream::new(stream));
-    let codec = || LengthDelimitedCodec::builder().max_frame_length(LONGEST).new_codec();
+    let codec = || LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     (FramedRead::new(read, codec()), FramedWrite::new(write, codec()))
 }
 
 async fn hello(reader: &mut Reader) -> Result<Bytes, String> {
     match timeout(HELLO, reader.next()).await {
         Ok(Some(Ok(bytes))) => Ok(bytes.freeze()),
-        Ok(Some(Err(error))) => Err(Unfit::Foreign(error.to_string()).to_string()),
+        Ok(Some(Err(error))) => Err(ProtocolError::NotAFrame(error.to_string()).to_string()),
         Ok(None) => Err("the connection ended before it said hello".to_owned()),
         Err(_) => Err(format!("no hello within {HELLO:?}")),
     }
@@ -163,13 +163,17 @@
 impl Fleet {
     fn own_hello(&self, to: &str) -> Option<Bytes> {
         let (name, terms) = (self.settings.gateway.clone(), self.terms);
-        let caller =
-            Caller::Gateway { name, process: self.agent.borrow().process(), voter: self.voter, terms };
-        wire::write(&Hello::new(&self.settings.name, caller, to)).map(Bytes::from)
+        let caller = Caller::Gateway {
+            name,
+            process: self.agent.borrow().process(),
+            voter: self.voter,
+            agreement_digest: terms,
+        };
+        protocol::encode_frame(&Hello::new(&self.settings.name, caller, to)).map(Bytes::from)
     }
 
-    fn greet(&self, bytes: &[u8], known: &dyn Fn(&str) -> bool) -> Result<Caller, Unfit> {
-        wire::greet(bytes, &self.settings.name, &self.settings.gateway, self.terms, known)
+    fn greet(&self, bytes: &[u8], known: &dyn Fn(&str) -> bool) -> Result<Caller, ProtocolError> {
+        protocol::accept_hello(bytes, &self.settings.name, &self.settings.gateway, self.terms, known)
     }
 
     fn fault(&self, whose: &str, what: &str) {
@@ -212,12 +216,12 @@
     let caller = fleet.greet(&said, &known).map_err(|e| e.to_string())?;
     let to = match &caller {
         Caller::Gateway { name, process, .. } => {
-            if !fleet.agent.borrow().admits(fleet.now(), name, *process) {
-                return Err(Unfit::Doubled(name.clone()).to_string());
+            if !fleet.agent.borrow().admits_peer(fleet.now(), name, *process) {
+                return Err(ProtocolError::DuplicatePeer(name.clone()).to_string());
             }
             name.clone()
         }
-        Caller::Staff => String::new(),
+        Caller::Administrator => String::new(),
     };
     let answer = fleet.own_hello(&to).unwrap_or_default();
     let sent = timeout(HELLO, writer.send(answer)).await;
@@ -226,7 +230,7 @@
         Caller::Gateway { name, process, voter, .. } => {
             link(fleet, &name, (process, voter), reader, writer).await
         }
-        Caller::Staff => super::staff::serve(fleet, reader, writer).await,
+        Caller::Administrator => super::staff::serve(fleet, reader, writer).await,
     }
 }
 
@@ -240,7 +244,7 @@
             if let Some(why) = why {
                 fleet.fault(&peer.name, &why);
             }
-            fleet.step(|agent, now, out| agent.unlinked(now, &peer.name, down, out));
+            fleet.step(|agent, now, out| agent.link_down(now, &peer.name, down, out));
         }
         // One that held for a while is no reason for patience.
         wait = if began.elapsed() > AGAIN.1 { AGAIN.0 } else { (wait * 2).min(AGAIN.1) };
@@ -248,27 +252,27 @@
     }
 }
 
-type Failed = (Down, Option<String>);
+type Failed = (LinkFailure, Option<String>);
 
 async fn dial(fleet: &Rc<Fleet>, peer: &Peer) -> Result<(), Failed> {
-    let broken = |why: String| (Down::Broken, Some(why));
+    let broken = |why: String| (LinkFailure::Broken, Some(why));
     let stream = match timeout(HELLO, TcpStream::connect(peer.address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-            return Err((Down::Refused, None))
+            return Err((LinkFailure::Refused, None))
         }
-        Ok(Err(_)) | Err(_) => return Err((Down::Broken, None)),
+        Ok(Err(_)) | Err(_) => return Err((LinkFailure::Broken, None)),
     };
     let (mut reader, mut writer) = framed(stream);
     let own = fleet.own_hello(&peer.name).unwrap_or_default();
     match timeout(HELLO, writer.send(own)).await {
         Ok(Ok(())) => {}
-        _ => return Err((Down::Broken, None)),
+        _ => return Err((LinkFailure::Broken, None)),
     }
     // One that turns this process away says nothing and closes; its own log says why.
-    let Ok(said) = hello(&mut reader).await else { return Err((Down::Broken, None)) };
+    let Ok(said) = hello(&mut reader).await else { return Err((LinkFailure::Broken, None)) };
     let caller = fleet.greet(&said, &|name| name == peer.name).map_err(|e| broken(e.to_string()))?;
-    let Caller::Gateway { process, voter, .. } = caller else { return Err((Down::Broken, None)) };
+    let Caller::Gateway { process, voter, .. } = caller else { return Err((LinkFailure::Broken, None)) };
     // A link that was up tells of its end by itself.
     let _ = link(fleet, &peer.name, (process, voter), reader, writer).await;
     Ok(())
@@ -282,13 +286,13 @@
     mut reader: Reader,
     mut writer: Writer,
 ) -> Result<(), String> {
-    let member = fleet.settings.peers.iter().any(|p| p.council && p.name == name);
+    let member = fleet.settings.peers.iter().any(|p| p.is_voter && p.name == name);
     let most = if member { MEMBER_BYTES } else { OTHER_BYTES };
     let queue = Rc::new(Queue { most, ..Queue::default() });
     if let Some(before) = fleet.links.borrow_mut().up.insert(name.to_owned(), queue.clone()) {
         before.close();
     }
-    fleet.step(|agent, now, out| agent.linked(now, name, process, out));
+    fleet.step(|agent, now, out| agent.link_up(now, name, process, out));
     let writing = async {
         loop {
             let frame = queue.next().await;
@@ -310,15 +314,15 @@
             let bytes = match bytes {
                 Ok(bytes) => bytes,
                 Err(error) if error.kind() == io::ErrorKind::InvalidData => {
-                    return Err(Unfit::Foreign(error.to_string()).to_string());
+                    return Err(ProtocolError::NotAFrame(error.to_string()).to_string());
                 }
                 Err(_) => return Ok(()),
             };
-            let frame = wire::read(&bytes).map_err(|e| e.to_string())?;
+            let frame = protocol::decode_frame(&bytes).map_err(|e| e.to_string())?;
             if queue.over.get() {
                 return Ok(());
             }
-            fleet.step(|agent, now, out| agent.hear(now, name, frame, out));
+            fleet.step(|agent, now, out| agent.receive(now, name, frame, out));
         }
         Ok(())
     };
@@ -337,7 +341,7 @@
     };
     // Another connection may have taken its place, and is up.
     if current {
-        fleet.step(|agent, now, out| agent.unlinked(now, name, Down::Broken, out));
+        fleet.step(|agent, now, out| agent.link_down(now, name, LinkFailure::Broken, out));
     }
     ended
 }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -26,13 +26,13 @@
 use tokio::time::{sleep, timeout, Instant, MissedTickBehavior};
 use tracing::{error, info, warn};
 use weldworks_balancer::EndpointId;
-use weldworks_fleet::agent::{Acting, Agent, Output};
-use weldworks_fleet::audit::{Audit, Decision, Exception, Kind};
-use weldworks_fleet::council::TICK;
-use weldworks_fleet::departures::Departures;
+use weldworks_fleet::audit::{AuditLog, Decision, DecisionKind, Exception};
+use weldworks_fleet::consensus::TICK_INTERVAL;
+use weldworks_fleet::departures::RemoteDepartures;
+use weldworks_fleet::node::{Node, NodeAction, SessionState};
+use weldworks_fleet::protocol::{DepartedEndpoint, Frame};
 use weldworks_fleet::settings::FleetSettings;
-use weldworks_fleet::version::{digest, Incarnation, Listed, Name, Version};
-use weldworks_fleet::wire::{Frame, Gone};
+use weldworks_fleet::version::{digest, GatewayName, Incarnation, ListVersion, Version};
 
 /// The most frames that wait behind one batch for the disk.
 const WAITING: usize = 4096;
@@ -71,18 +71,18 @@
 }
 
 /// Frames that wait for a batch to be on the disk: its number, and what goes to whom.
-type Behind = (u64, Vec<(Name, Frame)>);
+type Behind = (u64, Vec<(GatewayName, Frame)>);
 
 /// This gateway's part.
 pub struct Fleet {
     settings: FleetSettings,
     terms: u64,
     start: Instant,
-    agent: RefCell<Agent>,
-    audit: RefCell<Audit>,
+    agent: RefCell<Node>,
+    audit: RefCell<AuditLog>,
     version: RefCell<Version>,
     /// Whether the configuration names the lineage; otherwise it is the address of discovery.
-    departures: RefCell<Departures>,
+    departures: RefCell<RemoteDepartures>,
     /// Hosts by number; a name is kept as long as a host has that number.
     hosts: RefCell<Vec<Rc<str>>>,
     told: Cell<u64>,
@@ -107,15 +107,15 @@
     pub fn new(settings: FleetSettings, basis: &Basis, gateway: Handle) -> Result<Rc<Fleet>, StoreError> {
         let lineage = settings.lineage.clone().unwrap_or_else(|| basis.discovery.to_string());
         let version = Version {
-            list: Listed { lineage, index: 0 },
+            list: ListVersion { lineage, index: 0 },
             config: basis.config,
             generation: 1,
             operator: basis.operator,
             build: build(),
         };
         let process = incarnation();
-        let seated = settings.council().iter().any(|p| p.name == settings.gateway);
-        let found = match settings.state.as_deref().filter(|_| seated) {
+        let seated = settings.voters().iter().any(|p| p.name == settings.gateway);
+        let found = match settings.state_folder.as_deref().filter(|_| seated) {
             Some(folder) => store::open(folder, &settings, process)?,
             None => store::Found { voter: process, stored: Vec::new(), store: None },
         };
@@ -124,13 +124,13 @@
         let began_unix_ms = unix.as_millis() as u64;
         let clock = books::Clock { process, start: start.into_std(), began_unix_ms };
         let books = settings
-            .state
+            .state_folder
             .as_deref()
             .map(|folder| books::Books::open(folder, &settings, clock))
             .transpose()?;
         let (voter, store) = (found.voter, found.store);
         let memory = (voter, found.stored);
-        let agent = Agent::new(settings.clone(), process, version.clone(), process.0, memory);
+        let agent = Node::new(settings.clone(), process, version.clone(), process.0, memory);
         info!(
             fleet = settings.name, gateway = settings.gateway, %process, peers = settings.peers.len(), build = version.build,
             "this gateway is in a fleet"
@@ -144,7 +144,7 @@
             terms: settings.digest(),
             start,
             agent: RefCell::new(agent),
-            audit: RefCell::new(Audit::new(Duration::ZERO, version.clone())),
+            audit: RefCell::new(AuditLog::new(Duration::ZERO, version.clone())),
             version: RefCell::new(version),
             departures: RefCell::default(),
             hosts: RefCell::default(),
@@ -158,8 +158,8 @@
 
     /// So many descriptors it may have open: a link to or from each peer that there is one with, staff, and what listens.
     pub fn descriptors(settings: &FleetSettings) -> usize {
-        let seated = settings.peers.iter().any(|p| p.council && p.name == settings.gateway);
-        let linked = if seated { settings.peers.len() } else { settings.council().len() };
+        let seated = settings.peers.iter().any(|p| p.is_voter && p.name == settings.gateway);
+        let linked = if seated { settings.peers.len() } else { settings.voters().len() };
         linked + link::STAFF + 2
     }
 
@@ -168,21 +168,21 @@
     }
 
     /// Has the agent hear of something, and carries out what it says.
-    fn step(&self, event: impl FnOnce(&mut Agent, Duration, &mut Vec<Output>)) {
+    fn step(&self, event: impl FnOnce(&mut Node, Duration, &mut Vec<NodeAction>)) {
         let mut out = Vec::new();
         event(&mut self.agent.borrow_mut(), self.now(), &mut out);
         for output in out {
             match output {
-                Output::Store(stored) => {
+                NodeAction::Store(stored) => {
                     if let Some(store) = self.store.borrow_mut().as_mut() {
                         let number = store.write(&stored);
                         self.behind.borrow_mut().push_back((number, Vec::new()));
                     }
                 }
-                Output::Send { to, frame } => self.send(to, frame),
-                Output::End(peer) => self.links.borrow_mut().end(&peer),
-                Output::Standing(acting) => {
-                    let fine = matches!(acting, Acting::InSession(_));
+                NodeAction::Send { to, frame } => self.send(to, frame),
+                NodeAction::CloseLink(peer) => self.links.borrow_mut().end(&peer),
+                NodeAction::SessionStateChanged(acting) => {
+                    let fine = matches!(acting, SessionState::InSession(_));
                     if fine {
                         info!(standing = %acting, "fleet");
                     } else {
@@ -190,26 +190,26 @@
                     }
                     self.changed.notify_one();
                 }
-                Output::AskDiscovery { current } => self.gateway.tell(Message::Behind { current }),
-                Output::Reread { required } => warn!(
+                NodeAction::PollDiscovery { current } => self.gateway.tell(Message::Behind { current }),
+                NodeAction::ReloadConfig { required } => warn!(
                     required = format!("{required:016x}"),
                     own = format!("{:016x}", self.version.borrow().config),
                     "fleet: staff require another configuration than this process has; put the file in place and send SIGHUP"
                 ),
-                Output::Gone(gone) => self.gateway.tell(Message::Told(gone)),
-                Output::Note(text) => info!("fleet: {text}"),
+                NodeAction::EndpointsDeparted(gone) => self.gateway.tell(Message::Told(gone)),
+                NodeAction::Notice(text) => info!("fleet: {text}"),
             }
         }
         let agent = self.agent.borrow();
-        self.told.set(agent.news().current.unwrap_or_default());
-        self.audit.borrow_mut().register_at(agent.position());
+        self.told.set(agent.last_update().current_list_index.unwrap_or_default());
+        self.audit.borrow_mut().set_log_index(agent.log_index());
     }
 
     /// Sends a frame, behind what is to be on the disk first. That one is here can be said at any time.
-    fn send(&self, to: Name, frame: Frame) {
+    fn send(&self, to: GatewayName, frame: Frame) {
         let mut behind = self.behind.borrow_mut();
         match behind.back_mut() {
-            Some((_, frames)) if !matches!(frame, Frame::Pulse { .. }) => {
+            Some((_, frames)) if !matches!(frame, Frame::Heartbeat { .. }) => {
                 // A disk that hangs costs this member what it would have said; the library says it again.
                 if frames.len() < WAITING {
                     frames.push((to, frame));
@@ -237,7 +237,8 @@
                     ready.iter().for_each(|(to, frame)| links.send(to, frame));
                 }
                 Err(why) => {
-                    let state = self.settings.state.as_deref().unwrap_or(std::path::Path::new("")).display();
+                    let state =
+                        self.settings.state_folder.as_deref().unwrap_or(std::path::Path::new("")).display();
                     error!(
                         why, folder = %state,
                         "fleet: the council's state can't be written: this process votes no longer. Make room or mend the disk of `state` of \
@@ -254,20 +255,20 @@
 
     /// Whether clients are taken at this moment.
     pub fn takes_clients(&self) -> bool {
-        self.agent.borrow().takes_clients(self.now())
+        self.agent.borrow().accepts_clients(self.now())
     }
 
     /// When those that are not may come again.
     pub fn keep_away(&self) -> Duration {
-        self.agent.borrow().keep_away()
+        self.agent.borrow().retry_after()
     }
 
     /// Why they are not, in a word.
     pub fn unready(&self) -> Option<&'static str> {
         let agent = self.agent.borrow();
-        match agent.acting(self.now()) {
-            _ if agent.takes_clients(self.now()) => None,
-            Acting::Out(_) => Some("shut out of the fleet"),
+        match agent.session_state(self.now()) {
+            _ if agent.accepts_clients(self.now()) => None,
+            SessionState::Fenced(_) => Some("shut out of the fleet"),
             _ => Some("without a session in the fleet"),
         }
     }
@@ -286,30 +287,31 @@
 
     /// Whether others' newer lists forbid anything new to a host.
     pub fn overrules(&self, host: &str) -> bool {
-        self.departures.borrow().overrules(host)
+        self.departures.borrow().overrides(host)
     }
 
     /// Others say that hosts leave or are gone; gives those to turn away from.
-    pub fn told_gone(&self, gone: &[Gone]) -> Vec<String> {
+    pub fn told_gone(&self, gone: &[DepartedEndpoint]) -> Vec<String> {
         let own = self.version.borrow().list.index;
-        self.departures.borrow_mut().told(own, gone)
+        self.departures.borrow_mut().record_remote(own, gone)
     }
 
     /// A list of this index is about to be taken in.
     pub fn lists(&self, index: u64) {
-        self.departures.borrow_mut().listed(index);
+        self.departures.borrow_mut().record_own_list(index);
     }
 
     /// A list is in force, by which these hosts leave or are gone that did not before.
     pub fn listed(&self, index: u64, departed: Vec<(String, bool)>) {
-        let list = Listed { index, ..self.version.borrow().list.clone() };
+        let list = ListVersion { index, ..self.version.borrow().list.clone() };
         self.turn_to(|version| version.list = list.clone());
         for (host, _) in &departed {
-            let decision = Decision { kind: Kind::Drain, class: 0, request: "", host: Some(host) };
-            self.audit.borrow_mut().book(self.now(), decision);
+            let decision =
+                Decision { kind: DecisionKind::Drain, class: 0, request_id: "", endpoint: Some(host) };
+            self.audit.borrow_mut().record_decision(self.now(), decision);
         }
         if !departed.is_empty() {
-            self.step(|agent, now, out| agent.departed(now, list, departed, out));
+            self.step(|agent, now, out| agent.record_departures(now, list, departed, out));
         }
     }
 
@@ -320,8 +322,8 @@
             version.config = config;
             version.generation += 1;
             if version.list.lineage != lineage {
-                version.list = Listed { lineage, index: 0 };
-                self.departures.borrow_mut().forget();
+                version.list = ListVersion { lineage, index: 0 };
+                self.departures.borrow_mut().clear();
             }
         });
     }
@@ -329,34 +331,36 @@
     fn turn_to(&self, change: impl FnOnce(&mut Version)) {
         change(&mut self.version.borrow_mut());
         let version = self.version.borrow().clone();
-        self.audit.borrow_mut().turn_to(self.now(), version.clone());
-        self.step(|agent, now, out| agent.turn_to(now, version, out));
+        self.audit.borrow_mut().set_version(self.now(), version.clone());
+        self.step(|agent, now, out| agent.set_version(now, version, out));
     }
 
     /// Books a decision about a request, and what speaks against it.
-    pub fn book(&self, kind: Kind, class: usize, request: &str, host: Option<EndpointId>) {
+    pub fn book(&self, kind: DecisionKind, class: usize, request: &str, host: Option<EndpointId>) {
         let now = self.now();
         let hosts = self.hosts.borrow();
         let host = host.and_then(|id| hosts.get(id.0 as usize)).map(|name| &**name);
         let mut audit = self.audit.borrow_mut();
-        audit.book(now, Decision { kind, class, request, host });
-        let sends = matches!(kind, Kind::Pick | Kind::Resend);
-        match self.agent.borrow().acting(now) {
-            Acting::InSession(_) => {}
-            Acting::Alone => audit.except(now, Exception::WithoutSession, request),
+        audit.record_decision(now, Decision { kind, class, request_id: request, endpoint: host });
+        let sends = matches!(kind, DecisionKind::Pick | DecisionKind::Retry);
+        match self.agent.borrow().session_state(now) {
+            SessionState::InSession(_) => {}
+            SessionState::WithoutSession => audit.record_exception(now, Exception::WithoutSession, request),
             // What it held when it was shut out it finishes; what comes is refused, as it should be.
-            Acting::Out(_) if kind == Kind::Pick => audit.except(now, Exception::ShutOut, request),
-            Acting::Out(_) => {}
+            SessionState::Fenced(_) if kind == DecisionKind::Pick => {
+                audit.record_exception(now, Exception::Fenced, request)
+            }
+            SessionState::Fenced(_) => {}
         }
         if !sends {
             return;
         }
         let (own, told) = (self.version.borrow().list.index, self.told.get());
         if told > own {
-            audit.except(now, Exception::OlderThanTold { own, told }, request);
+            audit.record_exception(now, Exception::StaleList { own, told }, request);
         }
         if let Some(host) = host.filter(|host| self.overrules(host)) {
-            audit.except(now, Exception::ToldGone { host: host.to_owned() }, request);
+            audit.record_exception(now, Exception::RemovedEndpoint { host: host.to_owned() }, request);
         }
     }
 
@@ -365,7 +369,7 @@
         for peer in self.settings.peers.clone() {
             let (own, seated) = (self.settings.gateway.clone(), self.seated());
             // Of two members, the first by name calls the other; whoever has no seat calls all that have.
-            if peer.council && peer.name != own && (!seated || own < peer.name) {
+            if peer.is_voter && peer.name != own && (!seated || own < peer.name) {
                 spawn_local(link::call(self.clone(), peer));
             }
         }
@@ -375,7 +379,7 @@
         }
         spawn_local(self.clone().follow_disk());
         spawn_local(self.clone().keep_books());
-        let mut ticks = tokio::time::interval(TICK);
+        let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
@@ -384,7 +388,7 @@
     }
 
     fn seated(&self) -> bool {
-        self.settings.peers.iter().any(|p| p.council && p.name == self.settings.gateway)
+        self.settings.peers.iter().any(|p| p.is_voter && p.name == self.settings.gateway)
     }
 
     async fn keep_books(self: Rc<Self>) {
@@ -395,11 +399,11 @@
 
     /// Ends the session in order, and the books.
     pub async fn leave(&self) {
-        self.step(|agent, now, out| agent.close(now, out));
+        self.step(|agent, now, out| agent.shut_down(now, out));
         // Where this process has a seat, what it has just proposed has to reach the others.
         let until = Instant::now() + FLUSH;
         while Instant::now() < until {
-            sleep(TICK / 5).await;
+            sleep(TICK_INTERVAL / 5).await;
             self.step(|agent, now, out| agent.tick(now, out));
         }
         if let Some(books) = &self.books {
--- a/crates/gateway/src/fleet/staff.rs
+++ b/crates/gateway/src/fleet/staff.rs
@@ -8,9 +8,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
-use weldworks_fleet::audit::pages::Wanted;
-use weldworks_fleet::register::{Entry, Register};
-use weldworks_fleet::wire::{self, Frame, Question};
+use weldworks_fleet::audit::AuditQuery;
+use weldworks_fleet::protocol::{self, AdminQuery, Frame};
+use weldworks_fleet::state_machine::{Command, StateMachine};
 
 /// Staff who ask nothing for so long are cut off.
 const QUIET: Duration = Duration::from_secs(5);
@@ -22,13 +22,14 @@
 /// Answers one caller's questions.
 pub(super) async fn serve(fleet: &Rc<Fleet>, mut reader: Reader, mut writer: Writer) -> Result<(), String> {
     while let Ok(Some(Ok(bytes))) = timeout(QUIET, reader.next()).await {
-        let Frame::Ask(question) = wire::read(&bytes).map_err(|e| e.to_string())? else {
+        let Frame::AdminQuery(question) = protocol::decode_frame(&bytes).map_err(|e| e.to_string())? else {
             return Err("staff may only ask".to_owned());
         };
         let answer = fleet.told(question).await;
         let long =
             || json!({ "error": "the answer is too long for one frame: ask for fewer lists" }).to_string();
-        let frame = wire::write(&Frame::Answer(answer)).or_else(|| wire::write(&Frame::Answer(long())));
+        let frame = protocol::encode_frame(&Frame::AdminAnswer(answer))
+            .or_else(|| protocol::encode_frame(&Frame::AdminAnswer(long())));
         let frame = frame.unwrap_or_default();
         if timeout(QUIET, writer.send(Bytes::from(frame))).await.is_err() {
             return Ok(());
@@ -39,22 +40,24 @@
 
 impl Fleet {
     /// The answer to a question, as JSON.
-    async fn told(&self, question: Question) -> String {
+    async fn told(&self, question: AdminQuery) -> String {
         let now = self.now();
         let answer = match question {
-            Question::Status => serde_json::to_value(self.agent.borrow().status(now)),
-            Question::Audit { from_index, to_index } => {
+            AdminQuery::Status => serde_json::to_value(self.agent.borrow().status(now)),
+            AdminQuery::Audit { from_index, to_index } => {
                 let lists = from_index..=to_index;
-                let told = serde_json::to_value(self.audit.borrow().told(now, lists.clone()));
-                Ok(self.with_past(told.unwrap_or_default(), Wanted::Lists(lists)).await)
+                let told = serde_json::to_value(self.audit.borrow().report_lists(now, lists.clone()));
+                Ok(self.with_past(told.unwrap_or_default(), AuditQuery::Lists(lists)).await)
             }
-            Question::Request { number } => {
-                let (since_ms, steps) = self.audit.borrow().request(&number);
+            AdminQuery::Request { request_id: number } => {
+                let (since_ms, steps) = self.audit.borrow().report_request(&number);
                 let told = json!({ "since_ms": since_ms, "steps": steps });
-                Ok(self.with_past(told, Wanted::Request(number)).await)
+                Ok(self.with_past(told, AuditQuery::Request(number)).await)
             }
-            Question::Decide(entry) => match *entry {
-                entry @ (Entry::Hold { .. } | Entry::Require(_)) => return self.decide(entry).await,
+            AdminQuery::Propose(entry) => match *entry {
+                entry @ (Command::SetFenced { .. } | Command::SetRequirements(_)) => {
+                    return self.decide(entry).await
+                }
                 _ => return json!({ "error": "this is not for staff to decide" }).to_string(),
             },
         };
@@ -68,9 +71,9 @@
     }
 
     /// Adds what is on the disk of earlier processes, and of this one before its memory; or why that is not known.
-    async fn with_past(&self, mut told: Value, wanted: Wanted) -> Value {
+    async fn with_past(&self, mut told: Value, wanted: AuditQuery) -> Value {
         let Some(books) = &self.books else { return told };
-        let own = self.audit.borrow().remembered(self.agent.borrow().process());
+        let own = self.audit.borrow().memory_span(self.agent.borrow().process());
         match books.past(wanted, own).await {
             Ok(past) => told["earlier"] = serde_json::to_value(past).unwrap_or_default(),
             Err(why) => told["earlier_unread"] = why.into(),
@@ -79,15 +82,15 @@
     }
 
     /// Proposes what staff want, and waits until the register has come past it.
-    async fn decide(&self, entry: Entry) -> String {
-        let position = || self.agent.borrow().register().map(Register::position);
+    async fn decide(&self, entry: Command) -> String {
+        let position = || self.agent.borrow().state_machine().map(StateMachine::log_index);
         let Some(before) = position() else {
             return json!({ "error": "this gateway has no seat in the council: ask one that has" })
                 .to_string();
         };
         let wanted = entry.clone();
         let mut proposed = false;
-        self.step(|agent, _, _| proposed = agent.decide(entry));
+        self.step(|agent, _, _| proposed = agent.propose(entry));
         if !proposed {
             return json!({ "error": "the council has no leader that this gateway knows of; nothing was decided" }).to_string();
         }
@@ -103,12 +106,14 @@
     }
 
     /// Whether the register stands as staff wanted.
-    fn holds(&self, wanted: &Entry) -> bool {
+    fn holds(&self, wanted: &Command) -> bool {
         let agent = self.agent.borrow();
-        let Some(register) = agent.register() else { return false };
+        let Some(register) = agent.state_machine() else { return false };
         match wanted {
-            Entry::Hold { name, out } => register.held().any(|held| held == name) == *out,
-            Entry::Require(require) => register.required() == require,
+            Command::SetFenced { name, fenced: out } => {
+                register.fenced_by_administrator().any(|held| held == name) == *out
+            }
+            Command::SetRequirements(require) => register.requirements() == require,
             _ => true,
         }
     }
--- a/crates/gateway/src/fleet/store.rs
+++ b/crates/gateway/src/fleet/store.rs
@@ -11,10 +11,10 @@
 use std::sync::mpsc as threads;
 use tokio::sync::mpsc;
 use tracing::{info, warn};
-use weldworks_fleet::council::Stored;
+use weldworks_fleet::consensus::StoredRecord;
+use weldworks_fleet::protocol;
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::{digest, Incarnation};
-use weldworks_fleet::wire;
 
 /// The form of what is stored: raised when it changes.
 const FORM: u32 = 1;
@@ -67,7 +67,7 @@
     /// Whose vote this process has.
     pub voter: Incarnation,
     /// What was stored, in order.
-    pub stored: Vec<Stored>,
+    pub stored: Vec<StoredRecord>,
     /// Where to write on; none where another process of this gateway has the file.
     pub store: Option<Store>,
 }
@@ -82,9 +82,9 @@
 
 impl Store {
     /// Gives something to be written; its number.
-    pub fn write(&mut self, stored: &[Stored]) -> u64 {
+    pub fn write(&mut self, stored: &[StoredRecord]) -> u64 {
         self.next += 1;
-        let anew = stored.iter().rposition(|s| matches!(s, Stored::Began { .. }));
+        let anew = stored.iter().rposition(|s| matches!(s, StoredRecord::ConfigStarted { .. }));
         let bytes = stored[anew.unwrap_or(0)..].iter().map(sealed).collect();
         // A thread that has ended has said why.
         let _ = self.batches.send((self.next, bytes, anew.is_some()));
@@ -93,14 +93,14 @@
 }
 
 /// With a digest in front, beside the file's own checksums: a record is taken whole or not at all.
-fn sealed(stored: &Stored) -> Vec<u8> {
-    let bytes = wire::write(stored).unwrap_or_default();
+fn sealed(stored: &StoredRecord) -> Vec<u8> {
+    let bytes = protocol::encode_frame(stored).unwrap_or_default();
     [&digest(&bytes).to_le_bytes()[..], &bytes].concat()
 }
 
-fn unsealed(bytes: &[u8]) -> Option<Stored> {
+fn unsealed(bytes: &[u8]) -> Option<StoredRecord> {
     let (seal, bytes) = bytes.split_at_checked(8)?;
-    (seal == digest(bytes).to_le_bytes()).then(|| wire::read(bytes).ok())?
+    (seal == digest(bytes).to_le_bytes()).then(|| protocol::decode_frame(bytes).ok())?
 }
 
 /// Opens the state of a gateway. One that is spoilt is set aside, with the reason in the log, and the process begins without.
@@ -197,7 +197,7 @@
                     gateway: settings.gateway.clone(),
                     voter: process,
                 };
-                let bytes = wire::write(&own).unwrap_or_default();
+                let bytes = protocol::encode_frame(&own).unwrap_or_default();
                 head.insert(0, &bytes[..]).map_err(torn)?;
             }
             new
@@ -213,7 +213,7 @@
         if u32::from(form) != FORM {
             return Err(Spoilt::Form(form.into()).into());
         }
-        wire::read::<Head>(bytes.value()).map_err(|e| Spoilt::Torn(e.to_string()))?
+        protocol::decode_frame::<Head>(bytes.value()).map_err(|e| Spoilt::Torn(e.to_string()))?
     };
     if head.fleet != settings.name || head.gateway != settings.gateway {
         return Err(Tried::Another { gateway: head.gateway, fleet: head.fleet });
@@ -284,7 +284,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use weldworks_fleet::council::{Config, Seat, Write};
+    use weldworks_fleet::consensus::{GroupConfig, Replica, StorageChange};
 
     fn settings(gateway: &str) -> FleetSettings {
         let text = format!(
@@ -304,17 +304,20 @@
         folder
     }
 
-    fn began(id: u32) -> Stored {
-        let seats = vec![Seat { name: "a".into(), process: Incarnation(7) }];
-        Stored::Began { config: Config { founding: 1, id, seats }, base: Box::default() }
+    fn began(id: u32) -> StoredRecord {
+        let seats = vec![Replica { name: "a".into(), process: Incarnation(7) }];
+        StoredRecord::ConfigStarted {
+            config: GroupConfig { group_id: 1, generation: id, replicas: seats },
+            base: Box::default(),
+        }
     }
 
-    fn wrote(n: usize) -> Stored {
-        Stored::Wrote(Write::Decided(n))
+    fn wrote(n: usize) -> StoredRecord {
+        StoredRecord::StorageChanged(StorageChange::Decided(n))
     }
 
     /// Writes batches and waits for each.
-    fn written(found: &mut Found, batches: &[Vec<Stored>]) {
+    fn written(found: &mut Found, batches: &[Vec<StoredRecord>]) {
         let store = found.store.as_mut().expect("a store");
         let mut done = store.written.take().expect("news of it");
         for batch in batches {
@@ -380,7 +383,7 @@
     fn a_torn_file_is_whole_or_set_aside() {
         let folder = folder("torn");
         let mut found = reopen(&folder, 1);
-        let batches: Vec<Vec<Stored>> =
+        let batches: Vec<Vec<StoredRecord>> =
             (0..20).map(|n| vec![if n == 0 { began(1) } else { wrote(n) }]).collect();
         written(&mut found, &batches);
         drop(found);
--- a/crates/gateway/src/fleet/stored_files_tests.rs
+++ b/crates/gateway/src/fleet/stored_files_tests.rs
@@ -7,11 +7,11 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
-use weldworks_fleet::audit::pages::{ToldPast, Wanted};
-use weldworks_fleet::audit::{Audit, Decision, Kind};
-use weldworks_fleet::council::{Config, Seat, Stored, Write};
-use weldworks_fleet::register::{Entry, Renewal};
+use weldworks_fleet::audit::{AuditLog, Decision, DecisionKind};
+use weldworks_fleet::audit::{AuditQuery, HistoryReport};
+use weldworks_fleet::consensus::{GroupConfig, Replica, StorageChange, StoredRecord};
 use weldworks_fleet::settings::FleetSettings;
+use weldworks_fleet::state_machine::{Command, Renewal};
 use weldworks_fleet::version::{Incarnation, Version};
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/stored-files");
@@ -59,22 +59,30 @@
     builder.enable_time().build().expect("a runtime").block_on(future)
 }
 
-fn log() -> Vec<Stored> {
-    let seats =
-        ["a", "b", "c"].map(|name| Seat { name: name.into(), process: Incarnation(7) }).into_iter().collect();
-    let open = |name: &str| Entry::Open {
+fn log() -> Vec<StoredRecord> {
+    let seats = ["a", "b", "c"]
+        .map(|name| Replica { name: name.into(), process: Incarnation(7) })
+        .into_iter()
+        .collect();
+    let open = |name: &str| Command::OpenSession {
         name: name.into(),
         process: Incarnation(7),
         version: Version::default(),
-        ask: 1,
+        request: 1,
     };
     let renewals = vec![Renewal { session: 1, count: 2, version: Some(Version::default()) }];
     vec![
-        Stored::Began { config: Config { founding: 1, id: 2, seats }, base: Box::default() },
-        Stored::Wrote(Write::Log(0, vec![open("a"), open("b")])),
-        Stored::Wrote(Write::Decided(1)),
-        Stored::Wrote(Write::Log(2, vec![Entry::Renew(renewals), Entry::Close { session: 2 }])),
-        Stored::Wrote(Write::Decided(4)),
+        StoredRecord::ConfigStarted {
+            config: GroupConfig { group_id: 1, generation: 2, replicas: seats },
+            base: Box::default(),
+        },
+        StoredRecord::StorageChanged(StorageChange::Log(0, vec![open("a"), open("b")])),
+        StoredRecord::StorageChanged(StorageChange::Decided(1)),
+        StoredRecord::StorageChanged(StorageChange::Log(
+            2,
+            vec![Command::RenewSessions(renewals), Command::CloseSession { session: 2 }],
+        )),
+        StoredRecord::StorageChanged(StorageChange::Decided(4)),
     ]
 }
 
@@ -85,7 +93,7 @@
     })
 }
 
-fn write_council(found: &mut store::Found, batch: &[Stored]) {
+fn write_council(found: &mut store::Found, batch: &[StoredRecord]) {
     let store = found.store.as_mut().expect("a store");
     let mut done = store.written.take().expect("what is written is told");
     let number = store.write(batch);
@@ -105,11 +113,13 @@
 /// A process that does something to each request, one segment a request.
 fn write_audit(folder: &Path, process: u64, requests: &[&str], ended: bool) {
     let books = open_audit(folder, process);
-    let audit = RefCell::new(Audit::new(Duration::ZERO, Version::default()));
+    let audit = RefCell::new(AuditLog::new(Duration::ZERO, Version::default()));
     for (n, request) in requests.iter().enumerate() {
         let now = Duration::from_millis(n as u64 * 20);
-        for kind in [Kind::Pick, Kind::Resend, Kind::Refuse] {
-            audit.borrow_mut().book(now, Decision { kind, class: 1, request, host: Some("n1") });
+        for kind in [DecisionKind::Pick, DecisionKind::Retry, DecisionKind::Reject] {
+            audit
+                .borrow_mut()
+                .record_decision(now, Decision { kind, class: 1, request_id: request, endpoint: Some("n1") });
         }
         let is_last = n + 1 == requests.len();
         let write = || block_on(books.write(&audit, || now, ended && is_last)).ok();
@@ -117,16 +127,16 @@
     }
 }
 
-fn told(folder: &Path, wanted: &Wanted) -> ToldPast {
+fn told(folder: &Path, wanted: &AuditQuery) -> HistoryReport {
     until(|| {
         let books = open_audit(folder, 90);
-        let own = Audit::new(Duration::ZERO, Version::default()).remembered(Incarnation(90));
+        let own = AuditLog::new(Duration::ZERO, Version::default()).memory_span(Incarnation(90));
         block_on(books.past(wanted.clone(), own)).ok()
     })
 }
 
 /// Steps and stretches of unknown time of a process.
-fn summary(past: &ToldPast, process: u64) -> (usize, usize) {
+fn summary(past: &HistoryReport, process: u64) -> (usize, usize) {
     let process = Incarnation(process).to_string();
     let told = past.processes.iter().find(|p| p.process == process);
     told.map_or((0, 0), |p| (p.steps.len(), p.unknown.len()))
@@ -162,7 +172,7 @@
     let mut found = open_council(&folder, 30);
     assert_eq!(found.voter, Incarnation(7), "it votes as the process before");
     assert_eq!(found.stored, log());
-    let next = Stored::Wrote(Write::Decided(5));
+    let next = StoredRecord::StorageChanged(StorageChange::Decided(5));
     write_council(&mut found, std::slice::from_ref(&next));
     drop(found);
     let mut all = log();
@@ -187,13 +197,13 @@
     for (request, process, expected) in
         [("r-1", 1, (3, 0)), ("r-3", 1, (3, 0)), ("r-4", 2, (3, 1)), ("r-5", 2, (3, 1)), ("r-9", 1, (0, 0))]
     {
-        let past = told(&folder, &Wanted::Request(request.to_owned()));
+        let past = told(&folder, &AuditQuery::Request(request.to_owned()));
         assert_eq!(summary(&past, process), expected, "{request} of process {process}: {past:?}");
     }
     write_audit(&folder, 40, &["r-6"], true);
-    let past = told(&folder, &Wanted::Request("r-6".to_owned()));
+    let past = told(&folder, &AuditQuery::Request("r-6".to_owned()));
     assert_eq!(summary(&past, 40), (3, 0));
-    let past = told(&folder, &Wanted::Request("r-2".to_owned()));
+    let past = told(&folder, &AuditQuery::Request("r-2".to_owned()));
     assert_eq!(summary(&past, 1), (3, 0), "what was there stays");
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -201,7 +211,7 @@
 #[test]
 fn a_torn_audit_store_of_version_0_2_0_is_set_aside() {
     let folder = copy_of(TORN, AUDIT);
-    let past = told(&folder, &Wanted::Request("r-1".to_owned()));
+    let past = told(&folder, &AuditQuery::Request("r-1".to_owned()));
     assert_eq!(summary(&past, 1), (0, 0));
     assert!(folder.join("audit-a.spoilt-0").exists());
     let _ = std::fs::remove_dir_all(&folder);
@@ -210,16 +220,22 @@
 /// Administrators' tools read the names in these answers.
 #[test]
 fn answers_to_administrators_have_the_names_of_version_0_2_0() {
-    use weldworks_fleet::agent::{Row, Status};
-    use weldworks_fleet::audit::pages::{Gap, Lost, ToldProcess};
     use weldworks_fleet::audit::Exception;
-    use weldworks_fleet::members::State;
-    use weldworks_fleet::version::Listed;
+    use weldworks_fleet::audit::{ProcessReport, UnknownKind, UnknownSpan};
+    use weldworks_fleet::membership::PeerState;
+    use weldworks_fleet::node::{SessionRow, Status};
+    use weldworks_fleet::version::ListVersion;
 
-    let list = Listed { lineage: "register-a".into(), index: 9 };
+    let list = ListVersion { lineage: "register-a".into(), index: 9 };
     let version = Version { list, config: 3, generation: 2, operator: 5, build: "0.2.0".into() };
-    let states =
-        [State::Here, State::CutFromMe, State::Gone, State::PausedOrSlow, State::Unreachable, State::Unknown];
+    let states = [
+        PeerState::Reachable,
+        PeerState::CutFromMe,
+        PeerState::ProcessEnded,
+        PeerState::PausedOrSlow,
+        PeerState::Unreachable,
+        PeerState::Unknown,
+    ];
     let status = Status {
         gateway: "a".into(),
         process: "p".into(),
@@ -232,7 +248,7 @@
         leader: Some("b".into()),
         council: Some((3, true)),
         members: states.iter().enumerate().map(|(n, state)| (n.to_string(), *state)).collect(),
-        sessions: vec![Row {
+        sessions: vec![SessionRow {
             gateway: "a".into(),
             process: "p".into(),
             session: 4,
@@ -242,38 +258,38 @@
         }],
         held_out: vec!["c".into()],
     };
-    let mut audit = Audit::new(Duration::ZERO, version);
+    let mut audit = AuditLog::new(Duration::ZERO, version);
     let exceptions = [
-        Exception::OlderThanTold { own: 1, told: 2 },
-        Exception::ToldGone { host: "n1".into() },
+        Exception::StaleList { own: 1, told: 2 },
+        Exception::RemovedEndpoint { host: "n1".into() },
         Exception::WithoutSession,
-        Exception::ShutOut,
+        Exception::Fenced,
     ];
     for (n, exception) in exceptions.into_iter().enumerate() {
         let now = Duration::from_secs(n as u64);
-        audit.except(now, exception, "r-1");
-        for kind in [Kind::Pick, Kind::Resend, Kind::Refuse, Kind::Drain] {
-            audit.book(now, Decision { kind, class: 1, request: "r-1", host: Some("n1") });
+        audit.record_exception(now, exception, "r-1");
+        for kind in [DecisionKind::Pick, DecisionKind::Retry, DecisionKind::Reject, DecisionKind::Drain] {
+            audit.record_decision(now, Decision { kind, class: 1, request_id: "r-1", endpoint: Some("n1") });
         }
     }
-    audit.register_at(13);
-    audit.turn_to(Duration::from_secs(5), Version::default());
-    let (since_ms, steps) = audit.request("r-1");
-    let gap = |what| Gap { from_ms: 20, to_ms: 900, what };
-    let process = ToldProcess {
+    audit.set_log_index(13);
+    audit.set_version(Duration::from_secs(5), Version::default());
+    let (since_ms, steps) = audit.report_request("r-1");
+    let gap = |what| UnknownSpan { from_ms: 20, to_ms: 900, what };
+    let process = ProcessReport {
         process: "p".into(),
         began_unix_ms: 1_790_000_001_000,
         since_ms: 10,
         until_ms: 950,
-        unknown: vec![gap(Lost::Requests), gap(Lost::All)],
+        unknown: vec![gap(UnknownKind::Requests), gap(UnknownKind::All)],
         intervals: Vec::new(),
         exceptions: Vec::new(),
         steps: steps.clone(),
     };
-    let past = ToldPast { processes: vec![process], more: 2 };
+    let past = HistoryReport { processes: vec![process], more: 2 };
     let answers = serde_json::json!({
         "status": status,
-        "audit": audit.told(Duration::from_secs(6), 0..=9),
+        "audit": audit.report_lists(Duration::from_secs(6), 0..=9),
         "request": { "since_ms": since_ms, "steps": steps },
         "earlier": past,
     });
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -2,7 +2,9 @@
 
 use serde::Deserialize;
 
-pub use weldworks_control::bodies::{HELD as MAX_BODY, MOST as MAX_LARGE};
+pub use weldworks_control::body_streaming::{
+    MAX_BODY_BYTES as MAX_LARGE, MAX_BUFFERED_BODY_BYTES as MAX_BODY,
+};
 /// The most that is read ahead of a head or body on one connection.
 pub const MAX_BUFFER: usize = 32 << 10;
 
--- a/crates/gateway/src/listeners/http/request.rs
+++ b/crates/gateway/src/listeners/http/request.rs
@@ -16,8 +16,8 @@
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 use weldworks_balancer::{stable_hash, RequestId, Settings};
-use weldworks_control::bodies::{Fault, Passage};
-use weldworks_control::classes::{Classes, Form, NoClass, Offer};
+use weldworks_control::body_streaming::{BodyError, TransferState};
+use weldworks_control::class_registry::{ClassError, ClassRegistry, ClassTable, RequestForm};
 
 /// A body that is not held may come for so long: the longest one at the slowest rate.
 const UPLOAD: Duration = Duration::from_secs(1100);
@@ -79,21 +79,21 @@
     NoBody,
 }
 
-impl From<Fault> for Malformed {
-    fn from(fault: Fault) -> Malformed {
+impl From<BodyError> for Malformed {
+    fn from(fault: BodyError) -> Malformed {
         match fault {
-            Fault::Off => Malformed::NoBody,
-            Fault::Long => Malformed::TooLong,
+            BodyError::Incomplete => Malformed::NoBody,
+            BodyError::TooLong => Malformed::TooLong,
         }
     }
 }
 
-impl From<NoClass> for Malformed {
-    fn from(why: NoClass) -> Malformed {
+impl From<ClassError> for Malformed {
+    fn from(why: ClassError) -> Malformed {
         match why {
-            NoClass::Unknown => Malformed::UnknownClass,
-            NoClass::Method => Malformed::WrongMethod,
-            NoClass::Key => Malformed::WrongKey,
+            ClassError::Unknown => Malformed::UnknownClass,
+            ClassError::MethodMismatch => Malformed::WrongMethod,
+            ClassError::KeyMismatch => Malformed::WrongKey,
         }
     }
 }
@@ -112,15 +112,15 @@
 
 /// What requests may name, and what they are told, by the settings in force.
 pub struct Terms {
-    classes: Offer,
+    classes: ClassTable,
     tenants: Vec<String>,
     keep_away: Duration,
 }
 
 impl Terms {
     /// The terms of these settings.
-    pub fn new(classes: &Classes, tenants: Vec<String>, settings: &Settings) -> Terms {
-        Terms { classes: classes.offer(), tenants, keep_away: ROOM_AGAIN.min(settings.max_retry_after) }
+    pub fn new(classes: &ClassRegistry, tenants: Vec<String>, settings: &Settings) -> Terms {
+        Terms { classes: classes.table(), tenants, keep_away: ROOM_AGAIN.min(settings.max_retry_after) }
     }
 
     /// The tenant's place in the settings; beyond the last one where it has none there.
@@ -236,8 +236,8 @@
         if *method != Method::GET && *method != Method::POST {
             return Err(Malformed::WrongMethod);
         }
-        let form = Form { writes: *method == Method::POST, keyed };
-        let kept = terms.classes.choose(self.gateway.time(Instant::now()), name, form)?.clone();
+        let form = RequestForm { is_write: *method == Method::POST, has_idempotency_key: keyed };
+        let kept = terms.classes.resolve(self.gateway.time(Instant::now()), name, form)?.clone();
         let class = &kept.class;
         let patience = text(headers, "x-timeout").and_then(patience).ok_or(Malformed::BadTimeout)?;
         let patience = patience.min(class.deadline).saturating_sub(AHEAD);
@@ -323,13 +323,13 @@
         };
         let passage = upload.passage();
         let taken = upload.taken().unwrap_or_else(|| Taken::new(self.service.figures.clone(), kept));
-        if passage == Passage::Complete {
+        if passage == TransferState::Complete {
             peer.await_next_head();
             return Ok(Answered::new(decided, taken));
         }
         // The client writes on, and reads that it is over once it has ended, or has no more to say.
         spawn_local(async move { upload.discard(DISCARD).await });
-        if let Passage::Failed(fault) = passage {
+        if let TransferState::Failed(fault) = passage {
             return Err(fault.into());
         }
         Ok(Answered { close: true, ..Answered::new(decided, taken) })
--- a/crates/gateway/src/listeners/http/tests.rs
+++ b/crates/gateway/src/listeners/http/tests.rs
@@ -7,17 +7,17 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::task::LocalSet;
 use weldworks_balancer::Settings;
-use weldworks_control::classes::Classes;
+use weldworks_control::class_registry::ClassRegistry;
 use weldworks_control::drain;
 
 /// Terms with one class, and these tenants.
 fn terms(tenants: &[&str]) -> Terms {
-    let mut classes = Classes::default();
+    let mut classes = ClassRegistry::default();
     let class = weldworks_balancer::RequestClass {
         idempotency: weldworks_balancer::Idempotency::NotIdempotent,
         ..weldworks_balancer::RequestClass::new(LONGEST, LONGEST)
     };
-    classes.take(Duration::ZERO, [("once".to_owned(), class)]);
+    classes.replace(Duration::ZERO, [("once".to_owned(), class)]);
     Terms::new(&classes, tenants.iter().map(|t| (*t).to_owned()).collect(), &Settings::default())
 }
 
@@ -26,7 +26,7 @@
 fn server() -> (Rc<Server>, UnboundedReceiver<Message>) {
     let (gateway, messages) = Handle::new();
     let terms = terms(&["north", "south"]);
-    let leaving = drain::Terms { longest: Duration::from_secs(1), shared: false };
+    let leaving = drain::DrainSettings { longest_deadline: Duration::from_secs(1), shared_listener: false };
     let service = Rc::new(Service::new(leaving, gateway.clone(), Rc::default(), None));
     (Rc::new(Server::new(gateway, terms, &Budget::new(&Default::default(), false), service)), messages)
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -38,7 +38,7 @@
     /// Ask or tell the fleet of the operator's file. Exit code 3: some gateways could not be asked, or nothing was decided.
     Fleet {
         #[command(subcommand)]
-        command: commands::Command,
+        command: commands::FleetCommand,
         /// Print JSON.
         #[arg(long, global = true)]
         json: bool,
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/sockets.rs
@@ -3,7 +3,7 @@
 use crate::limits::{Limits, MAX_BODY, MAX_BUFFER};
 use std::cell::Cell;
 use std::rc::Rc;
-use weldworks_control::handover::{left, Held};
+use weldworks_control::hot_restart::{remaining_descriptors, DescriptorUsage};
 
 /// The most memory that a client's connection and its request can hold: a body each way, what was read ahead of a head,
 /// and the tasks.
@@ -46,7 +46,7 @@
 
     /// How many there are for this process.
     pub fn most(&self) -> usize {
-        left(self.most, self.elsewhere.get())
+        remaining_descriptors(self.most, self.elsewhere.get())
     }
 
     /// Whether the descriptor is one of these.
@@ -82,17 +82,17 @@
 
 impl Budget {
     /// What this process has open.
-    pub fn held(&self) -> Held {
+    pub fn held(&self) -> DescriptorUsage {
         let [clients, overflow, hosts] =
             [&self.clients, &self.overflow, &self.hosts].map(|slots| slots.open.get());
-        Held { clients, overflow, hosts }
+        DescriptorUsage { clients, overflow, endpoints: hosts }
     }
 
     /// Leaves another process what it has open. What is open here stays open.
-    pub fn share(&self, other: Held) {
+    pub fn share(&self, other: DescriptorUsage) {
         self.clients.elsewhere.set(other.clients);
         self.overflow.elsewhere.set(other.overflow);
-        self.hosts.elsewhere.set(other.hosts);
+        self.hosts.elsewhere.set(other.endpoints);
     }
 
     /// Shares out what the limits allow: of the memory, clients together may fill three quarters.
@@ -127,14 +127,14 @@
         let whole = budget.clients.most();
         let mut held: Vec<_> = (0..whole).map(|_| budget.clients.take().expect("a place")).collect();
         assert!(budget.clients.take().is_none());
-        assert_eq!(budget.held(), Held { clients: whole, overflow: 0, hosts: 0 });
-        budget.share(Held { clients: 10, overflow: 1, hosts: 2 });
+        assert_eq!(budget.held(), DescriptorUsage { clients: whole, overflow: 0, endpoints: 0 });
+        budget.share(DescriptorUsage { clients: 10, overflow: 1, endpoints: 2 });
         assert_eq!((budget.clients.most(), budget.held().clients), (whole - 10, whole), "nothing is cut off");
         held.truncate(whole - 10);
         assert!(budget.clients.take().is_none(), "ten are another's");
         held.truncate(whole - 11);
         assert!(budget.clients.take().is_some());
-        budget.share(Held::default());
+        budget.share(DescriptorUsage::default());
         assert_eq!(budget.clients.most(), whole);
         // The second address is paid for by the others.
         let without = Budget::new(&Limits { memory_mb: 192, sockets: 1024 }, false);
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -22,8 +22,12 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::{sleep_until, timeout, Instant};
 use weldworks_balancer::{LoadReport, Outcome};
-use weldworks_control::bodies::{Intake, Passage, Verdict, STALL};
-use weldworks_control::execution::{outcome, said, Ended, Said, Written};
+use weldworks_control::body_streaming::{
+    BufferingDecision, ResponseBuffering, TransferState, PEER_STALL_TIMEOUT,
+};
+use weldworks_control::execution::{
+    classify_attempt, classify_response, AttemptEnd, ResponseVerdict, WriteProgress,
+};
 
 /// The header of an answer that carries the host's load report.
 const LOAD: &str = "x-server-load";
@@ -148,9 +152,9 @@
         let progress = Progress::default();
         let (ended, answer) = tokio::select! {
             biased;
-            () = attempt.cancel.notified() => (Ended::Cancelled, None),
+            () = attempt.cancel.notified() => (AttemptEnd::Cancelled, None),
             got = self.exchange(attempt, &progress, tell) => match got {
-                Ok(Got::Whole(answer)) => (Ended::Answered(Said::Served), Some(answer)),
+                Ok(Got::Whole(answer)) => (AttemptEnd::Answered(ResponseVerdict::Served), Some(answer)),
                 // From here on nothing but the two sides ends it.
                 Ok(Got::Large(large)) => {
                     let outcome = self.pass_on(*large, &attempt.host, progress.load.get(), tell).await;
@@ -158,9 +162,9 @@
                 }
                 Err(ended) => (ended, None),
             },
-            () = attempt.until.passed() => (Ended::TimedOut, None),
+            () = attempt.until.passed() => (AttemptEnd::TimedOut, None),
         };
-        let outcome = outcome(progress.written(), ended);
+        let outcome = classify_attempt(progress.written(), ended);
         progress.end(outcome, answer.filter(|_| outcome == Outcome::Served))
     }
 
@@ -169,7 +173,7 @@
         attempt: &Attempt,
         progress: &Progress,
         tell: &dyn Fn(Stage),
-    ) -> Result<Got, Ended> {
+    ) -> Result<Got, AttemptEnd> {
         let Attempt { host, forward, until, write_by, client, .. } = attempt;
         let is_late = || write_by.is_some_and(|by| Instant::now() >= by);
         let mut connection = match self.reuse(host).await {
@@ -178,7 +182,7 @@
             None => self
                 .dial(host, write_by.map_or(until.get(), |by| by.min(until.get())))
                 .await
-                .map_err(|ended| if is_late() { Ended::Withheld } else { ended })?,
+                .map_err(|ended| if is_late() { AttemptEnd::Withheld } else { ended })?,
         };
         // The request may have been answered, the host begun to drain, and the time for writing passed, while the connection came up.
         // What is unread behind a body that comes is its own.
@@ -188,7 +192,7 @@
         };
         if !has_client || !host.takes_work.get() || is_late() || Instant::now() >= until.get() {
             self.put_back(connection, host).await;
-            return Err(Ended::Withheld);
+            return Err(AttemptEnd::Withheld);
         }
         let mut request = request(forward, until.get());
         let informed = Arc::new(AtomicBool::new(false));
@@ -205,7 +209,7 @@
         };
         let late = sleep_until(until.get());
         tokio::pin!(answering, late);
-        let (mut over, mut whole, mut passage) = (false, false, Passage::Intact);
+        let (mut over, mut whole, mut passage) = (false, false, TransferState::Intact);
         let answered = poll_fn(|cx| {
             if let Poll::Ready(answered) = answering.as_mut().poll(cx) {
                 return Poll::Ready(Some(answered));
@@ -213,11 +217,11 @@
             over = over || connection.driver.as_mut().poll(cx).is_ready();
             if let Payload::Coming(upload) = &forward.body {
                 let before = std::mem::replace(&mut passage, upload.passage());
-                if before == Passage::Intact && passage != before {
+                if before == TransferState::Intact && passage != before {
                     tell(Stage::Spent);
                 }
             }
-            if !whole && marks.written.get() == Written::Whole {
+            if !whole && marks.written.get() == WriteProgress::Complete {
                 whole = true;
                 self.figures.sent();
                 if let Payload::Coming(upload) = &forward.body {
@@ -242,15 +246,16 @@
             }
             let Some(since) = marks.read_since.get() else { return Poll::Pending };
             let last = marks.last_read.get().unwrap_or(since);
-            let silent = begun + Intake::due(since - begun, last.saturating_duration_since(begun));
+            let silent = begun
+                + ResponseBuffering::next_byte_deadline(since - begun, last.saturating_duration_since(begun));
             if late.deadline() != silent {
                 late.as_mut().reset(silent);
             }
             late.as_mut().poll(cx).map(|()| None)
         })
         .await;
-        let late = || if marks.is_late() { Ended::Withheld } else { Ended::Broken };
-        let (head, body) = answered.ok_or(Ended::Broken)?.map_err(|_| late())?;
+        let late = || if marks.is_late() { AttemptEnd::Withheld } else { AttemptEnd::ConnectionFailed };
+        let (head, body) = answered.ok_or(AttemptEnd::ConnectionFailed)?.map_err(|_| late())?;
         // Said twice it is no report: nothing tells which of the two is the host's.
         let mut reports = head.headers.get_all(LOAD).iter();
         if let (Some(Ok(text)), None) = (reports.next().map(HeaderValue::to_str), reports.next()) {
@@ -259,7 +264,9 @@
         let body = match body {
             Taken::Whole(body) => body,
             // Of what it has not had whole this answers nothing.
-            Taken::Large { .. } if !whole && head.status == StatusCode::OK => return Err(Ended::Broken),
+            Taken::Large { .. } if !whole && head.status == StatusCode::OK => {
+                return Err(AttemptEnd::ConnectionFailed)
+            }
             Taken::Large { held, rest, said } if head.status == StatusCode::OK => {
                 let first = marks.read_since.get().unwrap_or_else(Instant::now);
                 let mut headers = head.headers;
@@ -274,21 +281,21 @@
                     said,
                 })));
             }
-            Taken::Broken => return Err(Ended::Broken),
-            Taken::Large { .. } | Taken::TooLong => return Err(Ended::Answered(Said::Error)),
+            Taken::Broken => return Err(AttemptEnd::ConnectionFailed),
+            Taken::Large { .. } | Taken::TooLong => return Err(AttemptEnd::Answered(ResponseVerdict::Error)),
         };
         // One that was answered before it had the whole must never get the rest.
         if !over && whole {
             self.put_back(connection, host).await;
         }
         let marks = head.headers.get_all("x-not-processed").iter().map(HeaderValue::as_bytes);
-        match said(head.status.as_u16(), marks) {
-            Said::Served => {
+        match classify_response(head.status.as_u16(), marks) {
+            ResponseVerdict::Served => {
                 let mut headers = head.headers;
                 strip_hop_by_hop(&mut headers);
                 Ok(Got::Whole(Answer { headers, body: Reply::Whole(body) }))
             }
-            said => Err(Ended::Answered(said)),
+            said => Err(AttemptEnd::Answered(said)),
         }
     }
 
@@ -317,12 +324,12 @@
             let frame = tokio::select! {
                 biased;
                 () = pieces.closed() => return Outcome::Cancelled,
-                frame = timeout(STALL, frame) => frame,
+                frame = timeout(PEER_STALL_TIMEOUT, frame) => frame,
             };
             let data = match frame {
                 Ok(Some(Ok(frame))) => frame.into_data(),
                 Ok(None) => {
-                    let _ = timeout(STALL, pieces.send(Piece::End)).await;
+                    let _ = timeout(PEER_STALL_TIMEOUT, pieces.send(Piece::End)).await;
                     if !over {
                         self.put_back(connection, host).await;
                     }
@@ -335,7 +342,7 @@
             if brought > MAX_LARGE {
                 return Outcome::Error;
             }
-            if !matches!(timeout(STALL, pieces.send(Piece::Data(data))).await, Ok(Ok(()))) {
+            if !matches!(timeout(PEER_STALL_TIMEOUT, pieces.send(Piece::Data(data))).await, Ok(Ok(()))) {
                 return Outcome::Cancelled;
             }
         }
@@ -351,8 +358,8 @@
 }
 
 impl Progress {
-    fn written(&self) -> Written {
-        self.marks.borrow().as_ref().map_or(Written::Nothing, |marks| marks.written.get())
+    fn written(&self) -> WriteProgress {
+        self.marks.borrow().as_ref().map_or(WriteProgress::Nothing, |marks| marks.written.get())
     }
 
     fn end(&self, outcome: Outcome, answer: Option<Answer>) -> End {
@@ -391,19 +398,21 @@
 /// Takes an answer's body in until it is whole, or known to be longer than what is held.
 async fn take_in(head: Parts, mut body: Incoming) -> Result<(Parts, Taken), hyper::Error> {
     let said = body.size_hint().exact();
-    let (start, mut intake, mut held) = (Instant::now(), Intake::new(said), BytesMut::new());
+    let (start, mut intake, mut held) = (Instant::now(), ResponseBuffering::new(said), BytesMut::new());
     loop {
-        match intake.verdict(start.elapsed()) {
-            Verdict::Hold => {}
-            Verdict::PassOn => return Ok((head, Taken::Large { held: held.freeze(), rest: body, said })),
-            Verdict::Spoilt => return Ok((head, Taken::TooLong)),
+        match intake.decide(start.elapsed()) {
+            BufferingDecision::KeepBuffering => {}
+            BufferingDecision::Stream => {
+                return Ok((head, Taken::Large { held: held.freeze(), rest: body, said }))
+            }
+            BufferingDecision::TooLong => return Ok((head, Taken::TooLong)),
         }
         match body.frame().await {
             None => return Ok((head, Taken::Whole(held.freeze()))),
             Some(Err(_)) => return Ok((head, Taken::Broken)),
             Some(Ok(frame)) => {
                 let Ok(data) = frame.into_data() else { continue };
-                intake.came(start.elapsed(), data.len() as u64);
+                intake.record_received(start.elapsed(), data.len() as u64);
                 // The usual answer is one piece, and is not copied.
                 if held.is_empty() && said == Some(data.len() as u64) && data.len() <= MAX_BODY {
                     return Ok((head, Taken::Whole(data)));
--- a/crates/gateway/src/upstream/dial.rs
+++ b/crates/gateway/src/upstream/dial.rs
@@ -5,7 +5,7 @@
 use std::io;
 use std::time::Duration;
 use tokio::time::{sleep, timeout_at, Instant};
-use weldworks_control::execution::Ended;
+use weldworks_control::execution::AttemptEnd;
 
 /// A call that failed for want of something here is made again after this.
 const AGAIN: Duration = Duration::from_millis(5);
@@ -15,7 +15,7 @@
 ///
 /// # Errors
 /// [`Ended::Withheld`] where this machine could not to the end, [`Ended::Broken`] where the host did not let it.
-pub async fn open<S, C>(mut connect: impl FnMut() -> C, until: Instant) -> Result<S, Ended>
+pub async fn open<S, C>(mut connect: impl FnMut() -> C, until: Instant) -> Result<S, AttemptEnd>
 where
     C: Future<Output = io::Result<S>>,
 {
@@ -25,7 +25,7 @@
             match connect().await {
                 Ok(stream) => return Ok(stream),
                 Err(error) if is_own_connect_failure(&error) => own = true,
-                Err(_) => return Err(Ended::Broken),
+                Err(_) => return Err(AttemptEnd::ConnectionFailed),
             }
             sleep(AGAIN).await;
             // From here on it may be the host that does not answer.
@@ -33,8 +33,8 @@
     };
     match timeout_at(until, opening).await {
         Ok(opened) => opened,
-        Err(_) if own => Err(Ended::Withheld),
-        Err(_) => Err(Ended::Broken),
+        Err(_) if own => Err(AttemptEnd::Withheld),
+        Err(_) => Err(AttemptEnd::ConnectionFailed),
     }
 }
 
@@ -44,7 +44,7 @@
     use rustix::io::Errno;
     use std::cell::Cell;
 
-    async fn opened(errnos: &[Errno], most: Duration) -> (Result<usize, Ended>, usize) {
+    async fn opened(errnos: &[Errno], most: Duration) -> (Result<usize, AttemptEnd>, usize) {
         let calls = Cell::new(0);
         let connect = || {
             let call = calls.replace(calls.get() + 1);
@@ -64,7 +64,7 @@
     #[tokio::test(start_paused = true)]
     async fn a_longer_one_is_held_against_no_host() {
         let (result, calls) = opened(&[Errno::NETUNREACH; 1000], Duration::from_millis(100)).await;
-        assert_eq!(result, Err(Ended::Withheld));
+        assert_eq!(result, Err(AttemptEnd::Withheld));
         assert!((15..=21).contains(&calls), "{calls} calls in 100 ms");
     }
 
@@ -72,7 +72,7 @@
     async fn a_host_that_refuses_is_asked_once() {
         for errno in [Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
             let (result, calls) = opened(&[errno], Duration::from_millis(100)).await;
-            assert_eq!((result, calls), (Err(Ended::Broken), 1), "{errno}");
+            assert_eq!((result, calls), (Err(AttemptEnd::ConnectionFailed), 1), "{errno}");
         }
     }
 }
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -25,7 +25,7 @@
 use tokio::time::{timeout, Instant};
 use weldworks_balancer::load_report::LoadReportFields;
 use weldworks_balancer::EndpointId;
-use weldworks_control::execution::Ended;
+use weldworks_control::execution::AttemptEnd;
 
 /// A connection rests for so long between two requests: what a host sends beyond an answer comes right behind it or some milliseconds
 /// later (3.7 at the most of those measured, `docs/measurements/brink.md`), and must not be read as the answer to the next.
@@ -198,14 +198,14 @@
     }
 
     /// Opens a connection, closing one that has been idle for long where there is no room.
-    async fn dial(&self, host: &Host, until: Instant) -> Result<Connection, Ended> {
-        let address = host.address.get().ok_or(Ended::Withheld)?;
+    async fn dial(&self, host: &Host, until: Instant) -> Result<Connection, AttemptEnd> {
+        let address = host.address.get().ok_or(AttemptEnd::Withheld)?;
         let slot = self.slots.take().or_else(|| {
             self.idle.borrow_mut().pop_front();
             self.slots.take()
         });
         // No room here says nothing of the host.
-        let slot = slot.ok_or(Ended::Withheld)?;
+        let slot = slot.ok_or(AttemptEnd::Withheld)?;
         tracing::debug!(host = %address, "dial");
         let until = until.min(Instant::now() + self.terms.borrow().dial_timeout);
         let stream = dial::open(|| TcpStream::connect(address), until).await?;
@@ -214,7 +214,8 @@
         let (wire, _) = wire.sends_requests().followed(Framing::of_answers());
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_BUFFER);
-        let (sender, driver) = builder.handshake(TokioIo::new(wire)).await.map_err(|_| Ended::Broken)?;
+        let (sender, driver) =
+            builder.handshake(TokioIo::new(wire)).await.map_err(|_| AttemptEnd::ConnectionFailed)?;
         let (driver, idle_since) = (Box::pin(driver), Instant::now());
         Ok(Connection { host: host.id, address, sender, driver, marks, idle_since, _slot: slot })
     }
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/wire.rs
@@ -15,7 +15,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant, Sleep};
-use weldworks_control::execution::Written;
+use weldworks_control::execution::WriteProgress;
 
 /// What the other side still writes when this one has said its last is read, and let go, for so long: a close with bytes unread is a
 /// reset, and that may take the last answer with it before it is read.
@@ -38,7 +38,7 @@
     /// What was last read has come after this moment: there was nothing to be read then.
     pub came_after: Cell<Option<Instant>>,
     /// How much of a request has gone to the kernel, where what is sent is followed.
-    pub written: Cell<Written>,
+    pub written: Cell<WriteProgress>,
     /// When its last byte went.
     pub written_at: Cell<Option<Instant>>,
     /// From this moment on no byte of it is written any more, where it is not whole by then.
@@ -50,7 +50,7 @@
 impl Marks {
     /// A request is about to be written, whole by then or not at all.
     pub fn begin(&self, write_by: Option<Instant>) {
-        self.written.set(Written::Nothing);
+        self.written.set(WriteProgress::Nothing);
         self.written_at.set(None);
         self.write_by.set(write_by);
         self.read_since.set(None);
@@ -58,7 +58,8 @@
 
     /// Whether it is too late to write any more of the request.
     pub fn is_late(&self) -> bool {
-        self.written.get() != Written::Whole && self.write_by.get().is_some_and(|by| Instant::now() >= by)
+        self.written.get() != WriteProgress::Complete
+            && self.write_by.get().is_some_and(|by| Instant::now() >= by)
     }
 }
 
@@ -184,10 +185,10 @@
         }
         // What can't be followed may be whole.
         if sent.messages().is_none() || sent.messages() > before {
-            self.marks.written.set(Written::Whole);
+            self.marks.written.set(WriteProgress::Complete);
             self.marks.written_at.set(Some(Instant::now()));
-        } else if self.marks.written.get() == Written::Nothing {
-            self.marks.written.set(Written::Part);
+        } else if self.marks.written.get() == WriteProgress::Nothing {
+            self.marks.written.set(WriteProgress::Partial);
         }
     }
 }
--- a/crates/gateway/src/wire/tests.rs
+++ b/crates/gateway/src/wire/tests.rs
@@ -5,7 +5,7 @@
 use std::future::poll_fn;
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpListener;
-use weldworks_control::execution::{outcome, Ended, Said};
+use weldworks_control::execution::{classify_attempt, AttemptEnd, ResponseVerdict};
 
 /// Heads and bodies as they go to a host: none, with a length, in chunks, with a length of nothing.
 const REQUESTS: [&str; 4] = [
@@ -56,24 +56,24 @@
                 let mut gone = 0;
                 while gone < text.len() {
                     let wanted = match gone {
-                        0 => Written::Nothing,
-                        _ => Written::Part,
+                        0 => WriteProgress::Nothing,
+                        _ => WriteProgress::Partial,
                     };
                     prop_assert_eq!(marks.written.get(), wanted, "{} of {:?}", gone, REQUESTS[kind]);
-                    for ended in [Ended::Withheld, Ended::Broken, Ended::TimedOut, Ended::Answered(Said::Served)] {
-                        prop_assert!(outcome(marks.written.get(), ended).proves_not_processed());
+                    for ended in [AttemptEnd::Withheld, AttemptEnd::ConnectionFailed, AttemptEnd::TimedOut, AttemptEnd::Answered(ResponseVerdict::Served)] {
+                        prop_assert!(classify_attempt(marks.written.get(), ended).proves_not_processed());
                     }
                     let (cut, buffers) = *cuts.next().expect("endless");
                     let piece = &text[gone..text.len().min(gone + cut)];
                     gone += put(&mut wire, piece, buffers).await.expect("written");
                 }
-                prop_assert_eq!(marks.written.get(), Written::Whole, "{:?}", REQUESTS[kind]);
+                prop_assert_eq!(marks.written.get(), WriteProgress::Complete, "{:?}", REQUESTS[kind]);
                 prop_assert!(marks.written_at.get().is_some());
                 for ended in [
-                    Ended::Withheld, Ended::Broken, Ended::TimedOut, Ended::Cancelled,
-                    Ended::Answered(Said::Served), Ended::Answered(Said::Error),
+                    AttemptEnd::Withheld, AttemptEnd::ConnectionFailed, AttemptEnd::TimedOut, AttemptEnd::Cancelled,
+                    AttemptEnd::Answered(ResponseVerdict::Served), AttemptEnd::Answered(ResponseVerdict::Error),
                 ] {
-                    prop_assert!(!outcome(marks.written.get(), ended).proves_not_processed(), "{:?}", ended);
+                    prop_assert!(!classify_attempt(marks.written.get(), ended).proves_not_processed(), "{:?}", ended);
                 }
             }
             Ok(())
@@ -96,7 +96,7 @@
         assert!(marks.is_late());
         let late = put(&mut wire, &text[already..], 1 + already % 2).await;
         assert_eq!(late.map_err(|error| error.kind()), Err(io::ErrorKind::TimedOut), "after {already}");
-        assert!(outcome(marks.written.get(), Ended::Withheld).proves_not_processed());
+        assert!(classify_attempt(marks.written.get(), AttemptEnd::Withheld).proves_not_processed());
         drop(wire);
         let mut came = Vec::new();
         far.read_to_end(&mut came).await.expect("its end");
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -24,7 +24,9 @@
     Action, Balancer, EndpointId, EndpointState, Event, Idempotency, LoadReport, Outcome, Request, RequestId,
     Settings,
 };
-use weldworks_control::storm::{Answered, Arriving, Storm, StormSettings, Terms};
+use weldworks_control::retry_storm::{
+    ArrivingRequest, PlatformTerms, RequestResult, RetryStormControl, StormSettings,
+};
 
 /// A gateway's clock starts so long before the day, so that what started before it has a time.
 const BEFORE: Duration = Duration::from_secs(86_400);
@@ -169,7 +171,7 @@
 
 struct Gateway {
     mind: Mind,
-    storm: Option<Storm>,
+    storm: Option<RetryStormControl>,
     zone: usize,
     hosts: Vec<weldworks_balancer::Endpoint>,
     idle: Vec<Vec<(u64, Duration)>>,
@@ -306,14 +308,14 @@
             let settings: Settings = parse_settings(&script.settings(g, of).to_string())?;
             gateways.push(Gateway {
                 storm: storm.map(|s| {
-                    let terms = Terms {
-                        cold_from: settings.slow_start_min_capacity,
-                        cold_for: settings.slow_start_duration,
-                        most: settings.max_retry_after,
-                        quotas: &settings.tenant_quotas,
-                        gateways: settings.gateway_count,
+                    let terms = PlatformTerms {
+                        slow_start_min_capacity: settings.slow_start_min_capacity,
+                        slow_start_duration: settings.slow_start_duration,
+                        max_retry_after: settings.max_retry_after,
+                        tenant_quotas: &settings.tenant_quotas,
+                        gateway_count: settings.gateway_count,
                     };
-                    Storm::new(s, terms, draws.number(For::Advice, g as u64))
+                    RetryStormControl::new(s, terms, draws.number(For::Advice, g as u64))
                 }),
                 mind: {
                     let seed = draws.number(For::Gateway, g as u64);
@@ -580,14 +582,14 @@
         let asked = &self.day[place];
         let give_up = until.saturating_sub(AHEAD);
         let (worth, mean) = (self.script.classes[asked.class].worth, self.mean_worth);
-        let arriving = Arriving {
-            repeat: tries > 0,
+        let arriving = ArrivingRequest {
+            is_client_retry: tries > 0,
             identity: identity(asked),
-            worth: worth / mean,
+            relative_weight: worth / mean,
             tenant: asked.tenant,
         };
         let allowance = match &mut self.gateways[gateway].storm {
-            Some(storm) => storm.arrive(BEFORE + self.now, arriving).part,
+            Some(storm) => storm.admit(BEFORE + self.now, arriving).admission_share,
             None => 1.0,
         };
         let asked = &self.day[place];
@@ -695,9 +697,10 @@
             let Try { gateway, place, .. } = self.tries[n];
             let now = BEFORE + self.now;
             if let Some(storm) = &mut self.gateways[gateway].storm {
-                storm.answered(now, answered(seen));
+                storm.record_result(now, answered(seen));
                 if let Seen::Refused { come_back } = &mut seen {
-                    let advice = storm.refuse(now, identity(&self.day[place]), come_back.unwrap_or_default());
+                    let advice =
+                        storm.retry_after(now, identity(&self.day[place]), come_back.unwrap_or_default());
                     *come_back = Some(advice).filter(|t| !t.is_zero());
                 }
             }
@@ -1029,11 +1032,11 @@
     worth / shares
 }
 
-fn answered(seen: Seen) -> Answered {
+fn answered(seen: Seen) -> RequestResult {
     match seen {
-        Seen::Served => Answered::Served,
-        Seen::Refused { .. } => Answered::Refused,
-        Seen::Failed | Seen::Unreachable => Answered::Failed,
+        Seen::Served => RequestResult::Served,
+        Seen::Refused { .. } => RequestResult::Rejected,
+        Seen::Failed | Seen::Unreachable => RequestResult::Failed,
     }
 }
 
--- a/crates/testbed/src/simulate/register.rs
+++ b/crates/testbed/src/simulate/register.rs
@@ -102,8 +102,10 @@
         }
         if let Some(storm) = &mut g.storm {
             let up = g.hosts.iter().filter(|h| h.state == EndpointState::Up);
-            let up: Vec<_> = up.map(|h| weldworks_control::storm::Host { started: h.started }).collect();
-            storm.hosts(BEFORE + self.now, &up);
+            let up: Vec<_> = up
+                .map(|h| weldworks_control::retry_storm::StartedEndpoint { started_at: h.started })
+                .collect();
+            storm.set_endpoints(BEFORE + self.now, &up);
         }
         self.decide(gateway, Event::EndpointList { is_snapshot: list.whole, endpoints: &hosts });
     }
--- a/crates/testbed/src/sweep/study.rs
+++ b/crates/testbed/src/sweep/study.rs
@@ -4,7 +4,7 @@
 use crate::script::Script;
 use std::path::{Path, PathBuf};
 use weldworks_config::{Document, Table};
-use weldworks_control::storm::StormSettings;
+use weldworks_control::retry_storm::StormSettings;
 
 /// The most runs of one study: more is a slip of the pen.
 const MOST_RUNS: usize = 100_000;
--- a/crates/testbed/src/whole/history.rs
+++ b/crates/testbed/src/whole/history.rs
@@ -4,14 +4,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 use std::time::Duration;
-use weldworks_fleet::agent::Acting;
-use weldworks_fleet::register::{Cause, SessionId};
+use weldworks_fleet::node::SessionState;
+use weldworks_fleet::state_machine::{FenceReason, SessionId};
 
 /// What was seen.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
     /// A gateway's process stands like this from now on.
-    Stands(Acting),
+    Stands(SessionState),
     /// A process has ended.
     Ended,
     /// A council member has applied an entry: its council, the entry's position, and a digest of the register after it.
@@ -109,7 +109,7 @@
                         ));
                     }
                 }
-                Seen::Stands(Acting::InSession(session)) => {
+                Seen::Stands(SessionState::InSession(session)) => {
                     if over.contains(session) {
                         breaches.push(format!(
                             "{at:?}: gateway {gateway} acts in session {session}, which is over"
@@ -137,7 +137,7 @@
 
     /// Which gateways were ever shut out for lagging.
     pub fn shut_out(&self) -> BTreeSet<usize> {
-        let out = |l: &&Line| matches!(l.seen, Seen::Stands(Acting::Out(Cause::Behind(_))));
+        let out = |l: &&Line| matches!(l.seen, Seen::Stands(SessionState::Fenced(FenceReason::Lagging(_))));
         self.lines.iter().filter(out).map(|l| l.gateway).collect()
     }
 
@@ -147,8 +147,8 @@
         let mut alone = BTreeSet::new();
         for line in &self.lines {
             match &line.seen {
-                Seen::Stands(Acting::InSession(_)) => drop(had.insert((line.gateway, line.process))),
-                Seen::Stands(Acting::Alone) if had.contains(&(line.gateway, line.process)) => {
+                Seen::Stands(SessionState::InSession(_)) => drop(had.insert((line.gateway, line.process))),
+                Seen::Stands(SessionState::WithoutSession) if had.contains(&(line.gateway, line.process)) => {
                     alone.insert(line.gateway);
                 }
                 _ => {}
--- a/crates/testbed/src/whole/judge.rs
+++ b/crates/testbed/src/whole/judge.rs
@@ -8,8 +8,8 @@
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::time::Duration;
-use weldworks_fleet::agent::Acting;
-use weldworks_fleet::wire::Question;
+use weldworks_fleet::node::SessionState;
+use weldworks_fleet::protocol::AdminQuery;
 
 /// A host that others were told leaves gets nothing new from a gateway whose own list does not say so, after this.
 const TOLD_GONE: Duration = Duration::from_secs(2);
@@ -22,7 +22,7 @@
     pub(super) async fn judge(&self) -> Vec<String> {
         let mut breaches = Vec::new();
         for n in 0..self.gateways.len() {
-            match self.ask(n, Question::Status).await {
+            match self.ask(n, AdminQuery::Status).await {
                 Some(status) if status["standing"].as_str().is_some_and(|s| s.starts_with("in session")) => {}
                 Some(status) => breaches.push(format!("gateway {n} is {} at the end", status["standing"])),
                 None => breaches.push(format!("gateway {n} does not answer at the end")),
@@ -66,7 +66,7 @@
         let configured = self.configured.borrow().clone();
         let mut in_force = Vec::new();
         for n in 0..self.gateways.len() {
-            let status = self.ask(n, Question::Status).await.unwrap_or_default();
+            let status = self.ask(n, AdminQuery::Status).await.unwrap_or_default();
             in_force.push(status["version"]["config"].as_u64());
         }
         let Some(common) = (0..in_force.len()).find(|n| !configured.contains_key(n)).map(|n| in_force[n])
@@ -89,11 +89,14 @@
         let mut holder: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
         for line in &history.lines {
             match &line.seen {
-                Seen::Stands(Acting::InSession(id)) => drop(holder.insert(*id, (line.gateway, line.process))),
+                Seen::Stands(SessionState::InSession(id)) => {
+                    holder.insert(*id, (line.gateway, line.process));
+                }
                 Seen::Lapsed(id) => {
                     let Some((gateway, process)) = holder.get(id).copied() else { continue };
                     let next = history.lines.iter().find(|l| {
-                        let anew = matches!(&l.seen, Seen::Stands(Acting::InSession(other)) if other != id);
+                        let anew =
+                            matches!(&l.seen, Seen::Stands(SessionState::InSession(other)) if other != id);
                         l.gateway == gateway && (anew || l.process > process) && l.at > line.at
                     });
                     let until = next.map_or(Duration::MAX, |l| l.at.saturating_sub(SLACK));
@@ -178,7 +181,8 @@
             let since = gateway.since.get() + SLACK;
             let own: Vec<_> =
                 served.iter().filter(|s| asked.get(&s.request) == Some(&n) && s.at > since).collect();
-            let Some(told) = self.ask(n, Question::Audit { from_index: 0, to_index: u64::MAX }).await else {
+            let Some(told) = self.ask(n, AdminQuery::Audit { from_index: 0, to_index: u64::MAX }).await
+            else {
                 breaches.push(format!("gateway {n} does not tell what it did"));
                 continue;
             };
@@ -198,7 +202,7 @@
             let every = (own.len() / 40).max(1);
             for seen in own.iter().step_by(every) {
                 self.figures.borrow_mut().audited += 1;
-                let question = Question::Request { number: seen.request.clone() };
+                let question = AdminQuery::Request { request_id: seen.request.clone() };
                 let answer = self.ask(n, question).await.unwrap_or_default();
                 let host = json!(format!("n{}", seen.node));
                 let steps = answer["steps"].as_array().cloned().unwrap_or_default();
@@ -280,8 +284,10 @@
                 let mut figures = self.figures.borrow_mut();
                 (figures.audited, figures.audited_ended) = (figures.audited + 1, figures.audited_ended + 1);
             }
-            let answer =
-                self.ask(n, Question::Request { number: seen.request.clone() }).await.unwrap_or_default();
+            let answer = self
+                .ask(n, AdminQuery::Request { request_id: seen.request.clone() })
+                .await
+                .unwrap_or_default();
             let earlier = answer["earlier"]["processes"].as_array().into_iter().flatten();
             let steps = earlier.flat_map(|p| p["steps"].as_array().into_iter().flatten());
             let host = json!(format!("n{}", seen.node));
--- a/crates/testbed/src/whole/live.rs
+++ b/crates/testbed/src/whole/live.rs
@@ -25,9 +25,9 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, timeout, Instant};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
-use weldworks_fleet::agent::Acting;
-use weldworks_fleet::register::{Behind, Cause};
-use weldworks_fleet::wire::{self, Caller, Frame, Hello, Question, LONGEST};
+use weldworks_fleet::node::SessionState;
+use weldworks_fleet::protocol::{self, AdminQuery, Caller, Frame, Hello, MAX_FRAME_BYTES};
+use weldworks_fleet::state_machine::{FenceReason, ReplicaLag};
 
 const FLEET: &str = "whole";
 pub(super) const NODES: usize = 4;
@@ -272,14 +272,14 @@
         } else if let Some((_, standing)) = line.split_once("fleet standing=") {
             let standing = standing.split(" takes_clients=").next().unwrap_or_default().trim();
             let acting = match standing.strip_prefix("in session ") {
-                Some(id) => Acting::InSession(id.parse().unwrap_or_default()),
-                None if standing == "alone" => Acting::Alone,
-                None => Acting::Out(Cause::Behind(Behind::Build {
+                Some(id) => SessionState::InSession(id.parse().unwrap_or_default()),
+                None if standing == "alone" => SessionState::WithoutSession,
+                None => SessionState::Fenced(FenceReason::Lagging(ReplicaLag::Build {
                     own: String::new(),
                     required: standing.to_owned(),
                 })),
             };
-            if matches!(acting, Acting::Out(_)) {
+            if matches!(acting, SessionState::Fenced(_)) {
                 if let Some(since) = self.stuck_since.borrow_mut().remove(&n) {
                     self.figures.borrow_mut().to_shut_out_s.push((at - since).as_secs_f64());
                 }
@@ -364,7 +364,7 @@
                 if self.gateways[n].paused.get() {
                     continue;
                 }
-                let Some(status) = self.ask(n, Question::Status).await else { continue };
+                let Some(status) = self.ask(n, AdminQuery::Status).await else { continue };
                 if status["leader"] == name(n) {
                     leader = Some(n);
                 }
@@ -384,7 +384,7 @@
 
     async fn all_in_session(&self) -> bool {
         for n in 0..self.gateways.len() {
-            let Some(status) = self.ask(n, Question::Status).await else { return false };
+            let Some(status) = self.ask(n, AdminQuery::Status).await else { return false };
             if !status["standing"].as_str().is_some_and(|s| s.starts_with("in session")) {
                 return false;
             }
@@ -393,18 +393,18 @@
     }
 
     /// Asks one gateway as staff do, at its own address and not through a relay.
-    pub(super) async fn ask(&self, n: usize, question: Question) -> Option<Value> {
+    pub(super) async fn ask(&self, n: usize, question: AdminQuery) -> Option<Value> {
         let address = self.gateways[n].link.get()?;
         let asking = async {
             let stream = TcpStream::connect(address).await.ok()?;
-            let codec = LengthDelimitedCodec::builder().max_frame_length(LONGEST).new_codec();
+            let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
             let mut framed = Framed::new(stream, codec);
-            let hello = Hello::new(FLEET, Caller::Staff, &name(n));
-            framed.send(Bytes::from(wire::write(&hello)?)).await.ok()?;
-            framed.send(Bytes::from(wire::write(&Frame::Ask(question))?)).await.ok()?;
+            let hello = Hello::new(FLEET, Caller::Administrator, &name(n));
+            framed.send(Bytes::from(protocol::encode_frame(&hello)?)).await.ok()?;
+            framed.send(Bytes::from(protocol::encode_frame(&Frame::AdminQuery(question))?)).await.ok()?;
             framed.next().await?.ok()?;
             let answer = framed.next().await?.ok()?;
-            let Ok(Frame::Answer(text)) = wire::read(&answer) else { return None };
+            let Ok(Frame::AdminAnswer(text)) = protocol::decode_frame(&answer) else { return None };
             let mut told: Value = serde_json::from_str(&text).ok()?;
             Some(told["answer"].take())
         };
--- a/crates/testbed/src/whole/virtual_time.rs
+++ b/crates/testbed/src/whole/virtual_time.rs
@@ -7,15 +7,15 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
-use weldworks_fleet::agent::{Acting, Agent, Output};
-use weldworks_fleet::audit::pages::Bounds;
-use weldworks_fleet::clock::Lease;
-use weldworks_fleet::council::{Stored, TICK};
-use weldworks_fleet::members::Down;
-use weldworks_fleet::register::SessionId;
-use weldworks_fleet::settings::{Alone, FleetSettings, Peer, Stragglers};
-use weldworks_fleet::version::{digest, Incarnation, Listed, Version};
-use weldworks_fleet::wire::Frame;
+use weldworks_fleet::audit::RetentionLimits;
+use weldworks_fleet::consensus::{StoredRecord, TICK_INTERVAL};
+use weldworks_fleet::lease::Lease;
+use weldworks_fleet::membership::LinkFailure;
+use weldworks_fleet::node::{Node, NodeAction, SessionState};
+use weldworks_fleet::protocol::Frame;
+use weldworks_fleet::settings::{FleetSettings, LagPolicy, Peer, WithoutSessionPolicy};
+use weldworks_fleet::state_machine::SessionId;
+use weldworks_fleet::version::{digest, Incarnation, ListVersion, Version};
 
 /// A dial that meets nothing ends after this.
 const DIAL: Duration = Duration::from_millis(1000);
@@ -63,23 +63,23 @@
     Begin(usize),
     End(usize),
     Start(usize),
-    Written { gateway: usize, process: usize, stored: Vec<Stored>, frames: Vec<(usize, Frame)> },
+    Written { gateway: usize, process: usize, stored: Vec<StoredRecord>, frames: Vec<(usize, Frame)> },
     Flap(usize),
     Replace(usize),
 }
 
 /// What is to be stored, and what is said behind it.
-type Batch = (Vec<Stored>, Vec<(usize, Frame)>);
+type Batch = (Vec<StoredRecord>, Vec<(usize, Frame)>);
 
 struct Process {
-    agent: Agent,
+    agent: Node,
     began: Duration,
     rate: f64,
     number: usize,
     paused: bool,
     waiting: Vec<Do>,
     voter: Incarnation,
-    stood: Option<Acting>,
+    stood: Option<SessionState>,
     first_session: Option<Duration>,
     index: u64,
 }
@@ -131,7 +131,7 @@
     no_leader: Option<Duration>,
     lapsed: BTreeSet<SessionId>,
     /// What is on each gateway's disk.
-    disks: Vec<Vec<Stored>>,
+    disks: Vec<Vec<StoredRecord>>,
     /// When the last of it is there.
     written: Vec<Duration>,
     stuck_since: BTreeMap<usize, Duration>,
@@ -210,7 +210,7 @@
 
     fn settings(&self, gateway: usize) -> FleetSettings {
         let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-        let peer = |n: usize| Peer { name: name(n), address: nowhere, council: n < self.script.council };
+        let peer = |n: usize| Peer { name: name(n), address: nowhere, is_voter: n < self.script.council };
         FleetSettings {
             name: "virtual".to_owned(),
             gateway: name(gateway),
@@ -218,13 +218,17 @@
             peers: (0..self.script.gateways).map(peer).collect(),
             lineage: None,
             lease: Lease { length: self.script.lease, margin: self.script.margin },
-            alone: if self.script.refuses_alone { Alone::Refuse } else { Alone::Serve },
-            state: None,
-            books: Bounds::default(),
-            stragglers: Stragglers {
-                versions: self.script.behind.0,
-                time: self.script.behind.1,
-                most: self.script.most_out,
+            without_session: if self.script.refuses_alone {
+                WithoutSessionPolicy::Reject
+            } else {
+                WithoutSessionPolicy::Serve
+            },
+            state_folder: None,
+            audit_retention: RetentionLimits::default(),
+            lag_policy: LagPolicy {
+                max_list_lag: self.script.behind.0,
+                max_lag_duration: self.script.behind.1,
+                max_fenced_fraction: self.script.most_out,
             },
         }
     }
@@ -250,7 +254,7 @@
         let stored = self.disks[gateway].clone();
         // Without a disk a process votes for itself; with one it goes on as the first that had it.
         let voter = if self.script.disks { Incarnation(gateway as u64 + 1) } else { process };
-        let agent = Agent::new(settings, process, version(index), seed, (voter, stored));
+        let agent = Node::new(settings, process, version(index), seed, (voter, stored));
         self.gateways[gateway] = Some(Process {
             agent,
             began: self.at,
@@ -301,7 +305,7 @@
             Do::Tick { gateway, process } if self.alive(gateway, process) => {
                 // Timers come late now and then.
                 let late = Duration::from_micros(self.draw.below(3000) as u64);
-                self.soon(TICK + late, Do::Tick { gateway, process });
+                self.soon(TICK_INTERVAL + late, Do::Tick { gateway, process });
                 self.with(gateway, |agent, now, out| agent.tick(now, out));
                 self.look_for_leader();
             }
@@ -314,7 +318,9 @@
                 if there && !paused && !self.cut(from, to) && !self.cut(to, from) {
                     self.link(from, to);
                 } else if self.alive(from, process) {
-                    self.with(from, |agent, now, out| agent.unlinked(now, &name(to), Down::Broken, out));
+                    self.with(from, |agent, now, out| {
+                        agent.link_down(now, &name(to), LinkFailure::Broken, out)
+                    });
                     self.dial_again(from, to, process);
                 }
             }
@@ -342,7 +348,7 @@
                 let Some(known) = &mut self.gateways[gateway] else { return };
                 if !self.stuck.contains(&gateway) && known.index < index {
                     known.index = index;
-                    self.with(gateway, |agent, now, out| agent.turn_to(now, version(index), out));
+                    self.with(gateway, |agent, now, out| agent.set_version(now, version(index), out));
                 }
             }
             Do::Hear { .. } => {}
@@ -350,7 +356,7 @@
             Do::End(n) => self.over(n),
             // A process that has ended meanwhile has written nothing, and said nothing.
             Do::Written { gateway, process, stored, frames } if self.alive(gateway, process) => {
-                if stored.iter().any(|s| matches!(s, Stored::Began { .. })) {
+                if stored.iter().any(|s| matches!(s, StoredRecord::ConfigStarted { .. })) {
                     self.disks[gateway].clear();
                 }
                 self.disks[gateway].extend(stored);
@@ -361,7 +367,7 @@
             Do::Written { .. } => {}
             Do::Flap(n) => self.flap(n),
             Do::Replace(gateway) => {
-                self.with(gateway, |agent, now, out| agent.close(now, out));
+                self.with(gateway, |agent, now, out| agent.shut_down(now, out));
                 self.kill(gateway);
                 self.soon(Duration::from_millis(20), Do::Start(gateway));
             }
@@ -371,7 +377,7 @@
     fn dial(&mut self, from: usize, to: usize, process: usize) {
         match &self.gateways[to] {
             None if !self.cut(from, to) && !self.cut(to, from) => {
-                self.with(from, |agent, now, out| agent.unlinked(now, &name(to), Down::Refused, out));
+                self.with(from, |agent, now, out| agent.link_down(now, &name(to), LinkFailure::Refused, out));
                 self.dial_again(from, to, process);
             }
             Some(other) if !other.paused && !self.cut(from, to) && !self.cut(to, from) => {
@@ -400,14 +406,16 @@
         }
         for (one, other) in [(from, to), (to, from)] {
             if before[usize::from(one > other)] {
-                self.with(one, |agent, now, out| agent.unlinked(now, &name(other), Down::Broken, out));
+                self.with(one, |agent, now, out| {
+                    agent.link_down(now, &name(other), LinkFailure::Broken, out)
+                });
             }
         }
         for (one, other) in [(from, to), (to, from)] {
             let Some(process) = self.gateways[other].as_ref().map(|p| (p.agent.process(), p.voter)) else {
                 continue;
             };
-            self.with(one, |agent, now, out| agent.linked(now, &name(other), process, out));
+            self.with(one, |agent, now, out| agent.link_up(now, &name(other), process, out));
         }
     }
 
@@ -423,7 +431,7 @@
             return;
         }
         if self.gateways[to].is_some() && link.up[usize::from(to > from)] {
-            self.with(to, |agent, now, out| agent.hear(now, &name(from), frame, out));
+            self.with(to, |agent, now, out| agent.receive(now, &name(from), frame, out));
         } else {
             // Nobody has this connection any more: the sender is told.
             self.way(to, from, Do::Down { at: from, other: to, generation });
@@ -449,28 +457,29 @@
     /// This end of the link between two is down: its gateway is told, and dials again where that is its part.
     fn end(&mut self, at: usize, other: usize) {
         let Some(process) = self.gateways[at].as_ref().map(|p| p.number) else { return };
-        self.with(at, |agent, now, out| agent.unlinked(now, &name(other), Down::Broken, out));
+        self.with(at, |agent, now, out| agent.link_down(now, &name(other), LinkFailure::Broken, out));
         if self.seats(other) && (!self.seats(at) || at < other) {
             self.dial_again(at, other, process);
         }
     }
 
     /// Has a gateway's decisions hear of something, and carries out what they say.
-    fn with(&mut self, gateway: usize, event: impl FnOnce(&mut Agent, Duration, &mut Vec<Output>)) {
+    fn with(&mut self, gateway: usize, event: impl FnOnce(&mut Node, Duration, &mut Vec<NodeAction>)) {
         let at = self.at;
         let Some(process) = &mut self.gateways[gateway] else { return };
         let now = process.clock(at);
-        let before = process.agent.register().map(weldworks_fleet::register::Register::position);
+        let before =
+            process.agent.state_machine().map(weldworks_fleet::state_machine::StateMachine::log_index);
         let mut out = Vec::new();
         event(&mut process.agent, now, &mut out);
         let number = process.number;
-        let acting = process.agent.acting(now);
+        let acting = process.agent.session_state(now);
         if process.stood.as_ref() != Some(&acting) {
-            if matches!(acting, Acting::InSession(_)) && process.first_session.is_none() {
+            if matches!(acting, SessionState::InSession(_)) && process.first_session.is_none() {
                 process.first_session = Some(at - process.began);
             }
             process.stood = Some(acting.clone());
-            if matches!(acting, Acting::Out(_)) {
+            if matches!(acting, SessionState::Fenced(_)) {
                 if let Some(since) = self.stuck_since.remove(&gateway) {
                     self.figures.to_shut_out_s.push((at - since).as_secs_f64());
                 }
@@ -484,20 +493,20 @@
         let mut behind: Option<Batch> = None;
         for output in out {
             match output {
-                Output::Send { to, frame } if self.mistake == Mistake::SaysBeforeStored => {
+                NodeAction::Send { to, frame } if self.mistake == Mistake::SaysBeforeStored => {
                     self.send(gateway, number_of(&to), frame);
                 }
-                Output::Store(stored) if self.script.disks => {
+                NodeAction::Store(stored) if self.script.disks => {
                     let (known, _) = behind.get_or_insert_default();
                     known.extend(stored);
                 }
-                Output::Store(_) => {}
-                Output::Send { to, frame } if behind.is_some() || self.writing(gateway) => {
+                NodeAction::Store(_) => {}
+                NodeAction::Send { to, frame } if behind.is_some() || self.writing(gateway) => {
                     let (_, frames) = behind.get_or_insert_default();
                     frames.push((number_of(&to), frame));
                 }
-                Output::Send { to, frame } => self.send(gateway, number_of(&to), frame),
-                Output::End(peer) => {
+                NodeAction::Send { to, frame } => self.send(gateway, number_of(&to), frame),
+                NodeAction::CloseLink(peer) => {
                     let other = number_of(&peer);
                     let link = self.links.entry((gateway.min(other), gateway.max(other))).or_default();
                     let generation = link.generation;
@@ -506,11 +515,14 @@
                         self.way(gateway, other, Do::Down { at: other, other: gateway, generation });
                     }
                 }
-                Output::AskDiscovery { .. } => {
+                NodeAction::PollDiscovery { .. } => {
                     let (index, process) = (self.index, number);
                     self.soon(Duration::from_millis(20), Do::Hear { gateway, process, index });
                 }
-                Output::Standing(_) | Output::Reread { .. } | Output::Gone(_) | Output::Note(_) => {}
+                NodeAction::SessionStateChanged(_)
+                | NodeAction::ReloadConfig { .. }
+                | NodeAction::EndpointsDeparted(_)
+                | NodeAction::Notice(_) => {}
             }
         }
         if let Some((stored, frames)) = behind {
@@ -536,37 +548,37 @@
         }
         let generation = link.generation;
         self.frames += 1;
-        self.bytes += weldworks_fleet::wire::write(&frame).map_or(0, |b| b.len() as u64 + 4);
+        self.bytes += weldworks_fleet::protocol::encode_frame(&frame).map_or(0, |b| b.len() as u64 + 4);
         self.way(from, to, Do::Deliver { from, to, generation, frame: Box::new(frame) });
     }
 
     /// Notes what a council member has applied, and holds what it counts as over against what its holder believes.
     fn look_at_register(&mut self, gateway: usize, number: usize, before: Option<u64>) {
         let Some(process) = &self.gateways[gateway] else { return };
-        let Some(register) = process.agent.register() else { return };
-        if before == Some(register.position()) {
+        let Some(register) = process.agent.state_machine() else { return };
+        if before == Some(register.log_index()) {
             return;
         }
-        let founding = process.agent.council().and_then(|c| c.config()).map_or(0, |c| c.founding);
-        let position = register.position();
+        let founding = process.agent.consensus_group().and_then(|c| c.config()).map_or(0, |c| c.group_id);
+        let position = register.log_index();
         let hash = digest(format!("{register:?}").as_bytes());
         let lapsed: Vec<SessionId> =
-            register.ended().iter().filter(|(_, e)| e.lapsed).map(|(id, _)| *id).collect();
+            register.ended_sessions().iter().filter(|(_, e)| e.expired).map(|(id, _)| *id).collect();
         self.history.note(self.at, gateway, number, Seen::Applied { founding, position, digest: hash });
         for session in lapsed {
             if self.lapsed.insert(session) {
                 // What a paused holder believed it will look at again when it wakes; what one that runs believes counts now.
                 for (n, holder) in self.gateways.iter_mut().enumerate() {
                     let Some(holder) = holder else { continue };
-                    let acting = holder.agent.acting(holder.clock(self.at));
-                    if acting == Acting::InSession(session) {
+                    let acting = holder.agent.session_state(holder.clock(self.at));
+                    if acting == SessionState::InSession(session) {
                         self.breaches.push(format!(
                             "{:?}: session {session} is over with gateway {gateway}, and gateway {n} acts in it still",
                             self.at
                         ));
                     }
-                    if holder.stood == Some(Acting::InSession(session))
-                        && acting != Acting::InSession(session)
+                    if holder.stood == Some(SessionState::InSession(session))
+                        && acting != SessionState::InSession(session)
                     {
                         holder.stood = Some(acting.clone());
                         self.history.note(self.at, n, holder.number, Seen::Stands(acting));
@@ -580,7 +592,7 @@
     fn look_for_leader(&mut self) {
         let leads = |(n, p): (usize, &Option<Process>)| {
             let process = p.as_ref().filter(|p| !p.paused)?;
-            process.agent.council().is_some_and(|c| c.leads()).then_some((n, process.number))
+            process.agent.consensus_group().is_some_and(|c| c.is_leader()).then_some((n, process.number))
         };
         let leader = self.gateways.iter().take(self.script.council).enumerate().find_map(leads);
         match leader {
@@ -699,7 +711,7 @@
                     self.stuck.remove(&gateway);
                     self.stuck_since.remove(&gateway);
                     let stood = self.gateways[gateway].as_ref().and_then(|p| p.stood.clone());
-                    if matches!(stood, Some(Acting::Out(_))) {
+                    if matches!(stood, Some(SessionState::Fenced(_))) {
                         self.freed.insert(gateway, self.at);
                     }
                 }
@@ -765,8 +777,8 @@
         if well_by <= self.script.lasts {
             for (n, process) in self.gateways.iter().enumerate() {
                 let Some(process) = process.as_ref().filter(|p| !p.paused) else { continue };
-                let acting = process.agent.acting(process.clock(self.script.lasts));
-                if !matches!(acting, Acting::InSession(_)) {
+                let acting = process.agent.session_state(process.clock(self.script.lasts));
+                if !matches!(acting, SessionState::InSession(_)) {
                     self.breaches
                         .push(format!("gateway {n} is {acting} at the end, long after the last fault"));
                 }
@@ -794,8 +806,8 @@
             .gateways
             .iter()
             .flatten()
-            .filter_map(|p| p.agent.register())
-            .map(weldworks_fleet::register::Register::position)
+            .filter_map(|p| p.agent.state_machine())
+            .map(weldworks_fleet::state_machine::StateMachine::log_index)
             .max()
             .unwrap_or_default();
         let lasts = self.script.lasts.as_secs_f64();
@@ -813,13 +825,13 @@
     /// The parts of all gateways' time, from 3 s on, in a session and shut out.
     fn shares(&self) -> (f64, f64) {
         let from = Duration::from_secs(3);
-        let mut stands: BTreeMap<usize, (Duration, Option<Acting>)> = BTreeMap::new();
+        let mut stands: BTreeMap<usize, (Duration, Option<SessionState>)> = BTreeMap::new();
         let (mut session, mut out) = (Duration::ZERO, Duration::ZERO);
-        let mut add = |since: Duration, until: Duration, acting: &Option<Acting>| {
+        let mut add = |since: Duration, until: Duration, acting: &Option<SessionState>| {
             let lasted = until.saturating_sub(since.max(from));
             match acting {
-                Some(Acting::InSession(_)) => session += lasted,
-                Some(Acting::Out(_)) => out += lasted,
+                Some(SessionState::InSession(_)) => session += lasted,
+                Some(SessionState::Fenced(_)) => out += lasted,
                 _ => {}
             }
         };
@@ -850,7 +862,7 @@
 
 fn version(index: u64) -> Version {
     Version {
-        list: Listed { lineage: "register".to_owned(), index },
+        list: ListVersion { lineage: "register".to_owned(), index },
         config: 1,
         generation: 1,
         operator: 1,
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use std::collections::HashSet;
 use std::fs;
-use weldworks_control::storm::StormSettings;
+use weldworks_control::retry_storm::StormSettings;
 use weldworks_testbed::draws::Draws;
 use weldworks_testbed::ledger::Rule;
 use weldworks_testbed::plan::{met, plan};
--- a/crates/testbed/tests/whole.rs
+++ b/crates/testbed/tests/whole.rs
@@ -2,7 +2,7 @@
 
 use std::panic::catch_unwind;
 use std::time::Duration;
-use weldworks_fleet::agent::Acting;
+use weldworks_fleet::node::SessionState;
 use weldworks_testbed::whole::history::Seen;
 use weldworks_testbed::whole::script::{Event, Script, What, Whom};
 use weldworks_testbed::whole::virtual_time::{play, shrunk, Mistake};
@@ -232,7 +232,7 @@
                 let lines = &played.history.lines;
                 let mut held =
                     lines.iter().filter(|l| l.gateway == lost && l.at < from).filter_map(|l| match &l.seen {
-                        Seen::Stands(Acting::InSession(id)) => Some(*id),
+                        Seen::Stands(SessionState::InSession(id)) => Some(*id),
                         _ => None,
                     });
                 let session = held.next_back().expect("a session");
@@ -248,18 +248,18 @@
 #[test]
 #[ignore = "a measurement"]
 fn figures_of_the_books() {
-    use weldworks_fleet::audit::pages::{head, Filling, Mark, Writer};
-    use weldworks_fleet::audit::{Audit, Decision, Kind};
-    use weldworks_fleet::version::{Incarnation, Listed, Version};
+    use weldworks_fleet::audit::{decode_header, SegmentBuilder, SegmentCursor, SegmentWriter};
+    use weldworks_fleet::audit::{AuditLog, Decision, DecisionKind};
+    use weldworks_fleet::version::{Incarnation, ListVersion, Version};
     let version = |index| Version {
-        list: Listed { lineage: "register".into(), index },
+        list: ListVersion { lineage: "register".into(), index },
         build: "0.2.0".into(),
         ..Version::default()
     };
     for per_second in [0u64, 8, 200, 2000] {
-        let mut audit = Audit::new(Duration::ZERO, version(1));
-        let writer = Writer { process: Incarnation(7), began_unix_ms: 0, opened_unix_ms: 0 };
-        let (mut filling, mut mark) = (Filling::new(writer, 1), Mark::none(Duration::ZERO));
+        let mut audit = AuditLog::new(Duration::ZERO, version(1));
+        let writer = SegmentWriter { process: Incarnation(7), began_unix_ms: 0, opened_unix_ms: 0 };
+        let (mut filling, mut mark) = (SegmentBuilder::new(writer, 1), SegmentCursor::start(Duration::ZERO));
         let (mut kept, mut open) = (0usize, (1, 0));
         let (mut taken, mut packed, mut longest, mut written, mut request) =
             (Duration::ZERO, Duration::ZERO, Duration::ZERO, 0usize, 0u64);
@@ -267,7 +267,7 @@
         for half in 0..halves {
             let now = Duration::from_millis(500 * (half + 1));
             if half % 60 == 0 {
-                audit.turn_to(now - Duration::from_millis(500), version(half / 60 + 2));
+                audit.set_version(now - Duration::from_millis(500), version(half / 60 + 2));
             }
             for n in 0..per_second / 2 {
                 request += 1;
@@ -275,18 +275,21 @@
                 let host = format!("n{}", number.len() as u64 + request % 12);
                 let class = (request % 5) as usize;
                 let at = now - Duration::from_millis(500 - n * 1000 / per_second);
-                audit.book(at, Decision { kind: Kind::Pick, class, request: &number, host: Some(&host) });
+                audit.record_decision(
+                    at,
+                    Decision { kind: DecisionKind::Pick, class, request_id: &number, endpoint: Some(&host) },
+                );
             }
             let begun = std::time::Instant::now();
-            let (page, steps, next) = audit.page(&mark, now, false);
+            let (page, steps, next) = audit.segment_since(&mark, now, false);
             taken += begun.elapsed();
             longest = longest.max(begun.elapsed());
             mark = next;
             let begun = std::time::Instant::now();
-            let record = filling.add(page, steps, 0);
+            let record = filling.append(page, steps, 0);
             packed += begun.elapsed();
-            assert!(head(&record.head).is_some());
-            let size = record.head.len() + record.page.len() + record.steps.len();
+            assert!(decode_header(&record.header).is_some());
+            let size = record.header.len() + record.segment.len() + record.steps.len();
             written += size;
             if record.number != open.0 {
                 kept += open.1;
