--- a/crates/control/src/retry_storm/settings.rs
+++ b/crates/control/src/retry_storm/settings.rs
@@ -64,6 +64,35 @@
 }
 
 impl StormSettings {
+    /// The text that the operator file's digest is taken of. Gateways of other builds compare that digest, so the text keeps the names
+    /// of version 0.2.0 whatever the fields are called here.
+    pub fn digest_text(&self) -> String {
+        let StormSettings {
+            damping,
+            advice,
+            window,
+            repeats,
+            unserved,
+            confirm,
+            calm_after,
+            recover,
+            budget,
+            budget_most,
+            unpaid,
+            beyond_share,
+            worth_power,
+            most_part,
+            remembers,
+            memory,
+        } = self;
+        format!(
+            "StormSettings {{ damping: {damping:?}, advice: {advice:?}, window: {window:?}, repeats: {repeats:?}, \
+             unserved: {unserved:?}, confirm: {confirm:?}, calm_after: {calm_after:?}, recover: {recover:?}, \
+             budget: {budget:?}, budget_most: {budget_most:?}, unpaid: {unpaid:?}, beyond_share: {beyond_share:?}, \
+             worth_power: {worth_power:?}, most_part: {most_part:?}, remembers: {remembers:?}, memory: {memory:?} }}"
+        )
+    }
+
     /// Reads the table; what is wrong is noted there.
     pub fn read(table: &Table<'_, '_>) -> StormSettings {
         let d = StormSettings::default();
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/body/mod.rs
@@ -3,9 +3,9 @@
 //! Bodies up to [`MAX_BODY`](crate::limits::MAX_BODY) are held whole. Larger ones pass through in pieces, one at a time, so that
 //! the slower side sets the pace. Neither the listeners nor what sends on need to know which it is: both have a body to poll.
 
-use crate::figures::{Ending, Taken};
-use crate::presence::Presence;
-use crate::wire::Marks;
+use crate::metrics::{CountedRequest, RequestEnding};
+use crate::transport::client_liveness::ClientLiveness;
+use crate::transport::instrumented_stream::IoTimestamps;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -32,7 +32,7 @@
 
 /// A client's request, as it goes on to a host.
 #[derive(Debug)]
-pub struct Forward {
+pub struct ForwardedRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -40,27 +40,27 @@
     /// Its end-to-end headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Payload,
+    pub body: RequestPayload,
 }
 
 /// A request's body.
 #[derive(Debug)]
-pub enum Payload {
+pub enum RequestPayload {
     /// Held whole.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Still coming, and not held.
-    Coming(Rc<Upload>),
+    Streaming(Rc<StreamingUpload>),
 }
 
-impl Default for Payload {
-    fn default() -> Payload {
-        Payload::Whole(Bytes::new())
+impl Default for RequestPayload {
+    fn default() -> RequestPayload {
+        RequestPayload::Buffered(Bytes::new())
     }
 }
 
 /// A request's body that passes through while it comes.
 #[derive(Debug)]
-pub struct Upload {
+pub struct StreamingUpload {
     /// What came of it before it was sent on.
     held: RefCell<Option<Bytes>>,
     rest: RefCell<Incoming>,
@@ -70,60 +70,72 @@
     start: Instant,
     transit: RefCell<BodyTransfer>,
     /// How long the client waits, from its last byte on.
-    pub patience: Duration,
+    pub client_timeout: Duration,
     /// Who sends it, and what has passed over its connection.
-    client: Rc<Presence>,
-    marks: Rc<Marks>,
+    client: Rc<ClientLiveness>,
+    marks: Rc<IoTimestamps>,
     /// Since when more of it is waited for, and when what came last did so after such a wait.
     awaited: Cell<Option<Instant>>,
     came_awaited: Cell<Option<Instant>>,
     /// Counts the request as taken, from its last byte on.
-    taken: RefCell<Option<Taken>>,
+    taken: RefCell<Option<CountedRequest>>,
 }
 
-impl Upload {
+impl StreamingUpload {
     /// A body of which `held` has come.
     pub fn new(
         held: Bytes,
         rest: Incoming,
         length: Option<u64>,
         patience: Duration,
-        taken: Taken,
-        client: Rc<Presence>,
-        marks: Rc<Marks>,
-    ) -> Upload {
+        taken: CountedRequest,
+        client: Rc<ClientLiveness>,
+        marks: Rc<IoTimestamps>,
+    ) -> StreamingUpload {
         let transit = RefCell::new(BodyTransfer::new(held.len() as u64));
         let (held, rest, taken) = (RefCell::new(Some(held)), RefCell::new(rest), RefCell::new(Some(taken)));
         let (awaited, came_awaited) = Default::default();
         let start = Instant::now();
-        Upload { held, rest, length, start, transit, patience, client, marks, awaited, came_awaited, taken }
+        StreamingUpload {
+            held,
+            rest,
+            length,
+            start,
+            transit,
+            client_timeout: patience,
+            client,
+            marks,
+            awaited,
+            came_awaited,
+            taken,
+        }
     }
 
     /// What has come of it last came after this moment, and with it perhaps its last byte: while nobody reads it, nobody knows.
-    pub fn came_after(&self) -> Instant {
+    pub fn last_byte_not_before(&self) -> Instant {
         let known = [self.marks.came_after.get(), self.came_awaited.get()];
         known.into_iter().flatten().fold(self.start, Instant::max)
     }
 
     /// How long its client still waits at least.
     pub fn time_left(&self) -> Duration {
-        self.patience.saturating_sub(self.came_after().elapsed())
+        self.client_timeout.saturating_sub(self.last_byte_not_before().elapsed())
     }
 
     /// Whether its last byte may have waited so long that its client has gone since.
     fn may_be_left(&self) -> bool {
-        self.came_after().elapsed() >= UNREAD
+        self.last_byte_not_before().elapsed() >= UNREAD
     }
 
     /// What counts the request, for whoever ends it.
-    pub fn taken(&self) -> Option<Taken> {
+    pub fn take_counted_request(&self) -> Option<CountedRequest> {
         self.taken.take()
     }
 
     /// Takes the rest and lets it go, for at most this long: a client that writes is not cut off before it has read
     /// that its request is over.
     pub async fn discard(&self, most: Duration) {
-        if self.passage() == TransferState::Complete {
+        if self.state() == TransferState::Complete {
             return;
         }
         let rest = poll_fn(|cx| loop {
@@ -137,12 +149,12 @@
     }
 
     /// How it stands.
-    pub fn passage(&self) -> TransferState {
+    pub fn state(&self) -> TransferState {
         self.transit.borrow().state()
     }
 
     /// By when its host must take more of it, where that is waited for.
-    pub fn host_due(&self) -> Option<Instant> {
+    pub fn endpoint_deadline(&self) -> Option<Instant> {
         Some(self.start + self.transit.borrow().endpoint_deadline()?)
     }
 
@@ -190,20 +202,20 @@
         if self.rest.borrow().is_end_stream() && transit.state() != TransferState::Complete {
             transit.record_end();
             if let Some(taken) = &mut *self.taken.borrow_mut() {
-                taken.open();
+                taken.mark_open();
             }
         }
     }
 }
 
 /// A request's body as it is written to a host.
-pub enum Sending {
+pub enum RequestBody {
     /// Held whole; empty once it is gone.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Passed on as it comes, within its time.
-    Coming {
+    Streaming {
         /// The body.
-        upload: Rc<Upload>,
+        upload: Rc<StreamingUpload>,
         /// When its next piece is due.
         due: Pin<Box<Sleep>>,
         /// Its end, while that is held back to see whether its client is there.
@@ -219,20 +231,20 @@
     Poll::Ready((!held.is_empty()).then(|| Ok(Frame::data(held))))
 }
 
-impl Sending {
+impl RequestBody {
     /// What goes to a host of this body.
-    pub fn new(payload: &Payload) -> Sending {
+    pub fn new(payload: &RequestPayload) -> RequestBody {
         match payload {
-            Payload::Whole(bytes) => Sending::Whole(bytes.clone()),
-            Payload::Coming(upload) => {
+            RequestPayload::Buffered(bytes) => RequestBody::Buffered(bytes.clone()),
+            RequestPayload::Streaming(upload) => {
                 let due = Box::pin(sleep(Duration::ZERO));
-                Sending::Coming { upload: upload.clone(), due, end: None, stayed: false }
+                RequestBody::Streaming { upload: upload.clone(), due, end: None, stayed: false }
             }
         }
     }
 }
 
-impl Body for Sending {
+impl Body for RequestBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -241,14 +253,14 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut *self {
-            Sending::Whole(bytes) => held_frame(bytes),
-            Sending::Coming { upload, due, end, stayed } => {
+            RequestBody::Buffered(bytes) => held_frame(bytes),
+            RequestBody::Streaming { upload, due, end, stayed } => {
                 if end.is_none() {
                     match upload.poll(cx) {
                         Poll::Ready(Some(Err(fault))) => return Poll::Ready(Some(Err(fault))),
                         Poll::Ready(piece) => {
                             let piece = piece.and_then(Result::ok);
-                            let ends = upload.passage() == TransferState::Complete;
+                            let ends = upload.state() == TransferState::Complete;
                             if *stayed || !ends || !upload.may_be_left() {
                                 return Poll::Ready(piece.map(|data| Ok(Frame::data(data))));
                             }
@@ -281,13 +293,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Sending::Whole(bytes) if bytes.is_empty())
+        matches!(self, RequestBody::Buffered(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Sending::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Sending::Coming { upload, .. } => {
+            RequestBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            RequestBody::Streaming { upload, .. } => {
                 upload.length.map_or_else(SizeHint::default, SizeHint::with_exact)
             }
         }
@@ -296,16 +308,16 @@
 
 /// A host's answer with status 200.
 #[derive(Debug)]
-pub struct Answer {
+pub struct UpstreamResponse {
     /// Its end-to-end headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Reply,
+    pub body: ResponseBody,
 }
 
 /// A piece of an answer that passes through. Without the end it has broken off.
 #[derive(Debug)]
-pub enum Piece {
+pub enum ResponseChunk {
     /// Some of it.
     Data(Bytes),
     /// It is whole.
@@ -314,25 +326,25 @@
 
 /// An answer's body.
 #[derive(Debug)]
-pub enum Reply {
+pub enum ResponseBody {
     /// Held whole; empty once it is gone.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Passed on as it comes.
-    Coming {
+    Streaming {
         /// What is left of its length, where that was said.
         left: Option<u64>,
         /// The pieces.
-        pieces: mpsc::Receiver<Piece>,
+        pieces: mpsc::Receiver<ResponseChunk>,
         /// Whether the end has come.
         over: bool,
         /// Counts the request until then.
-        taken: Option<Taken>,
+        taken: Option<CountedRequest>,
         /// Whatever has to last as long as the body does.
         guard: Option<Box<dyn Any>>,
     },
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -341,23 +353,23 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut *self {
-            Reply::Whole(bytes) => held_frame(bytes),
-            Reply::Coming { over: true, .. } => Poll::Ready(None),
-            Reply::Coming { left, pieces, over, taken, .. } => {
+            ResponseBody::Buffered(bytes) => held_frame(bytes),
+            ResponseBody::Streaming { over: true, .. } => Poll::Ready(None),
+            ResponseBody::Streaming { left, pieces, over, taken, .. } => {
                 let (frame, ending) = match ready!(pieces.poll_recv(cx)) {
-                    Some(Piece::Data(data)) => {
+                    Some(ResponseChunk::Data(data)) => {
                         *left = left.map(|left| left.saturating_sub(data.len() as u64));
                         // Where the length is known, nobody asks for the end.
-                        let ending = (*left == Some(0)).then_some(Ending::Answered);
+                        let ending = (*left == Some(0)).then_some(RequestEnding::Answered);
                         (Some(Ok(Frame::data(data))), ending)
                     }
-                    Some(Piece::End) => (None, Some(Ending::Answered)),
-                    None => (Some(Err(BodyError::Incomplete)), Some(Ending::Errored)),
+                    Some(ResponseChunk::End) => (None, Some(RequestEnding::Answered)),
+                    None => (Some(Err(BodyError::Incomplete)), Some(RequestEnding::Errored)),
                 };
                 if let Some(ending) = ending {
                     *over = true;
                     if let Some(taken) = taken.take() {
-                        taken.ended(ending);
+                        taken.finish(ending);
                     }
                 }
                 Poll::Ready(frame)
@@ -367,15 +379,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Reply::Whole(bytes) => bytes.is_empty(),
-            Reply::Coming { over, .. } => *over,
+            ResponseBody::Buffered(bytes) => bytes.is_empty(),
+            ResponseBody::Streaming { over, .. } => *over,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Reply::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Reply::Coming { left, .. } => left.map_or_else(SizeHint::default, SizeHint::with_exact),
+            ResponseBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            ResponseBody::Streaming { left, .. } => left.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
@@ -384,7 +396,7 @@
 ///
 /// # Errors
 /// Where it does not come in time.
-pub async fn gather(mut body: Incoming, most: usize) -> Result<(Bytes, Option<Incoming>), BodyError> {
+pub async fn buffer_body(mut body: Incoming, most: usize) -> Result<(Bytes, Option<Incoming>), BodyError> {
     let (start, mut transit) = (Instant::now(), BodyTransfer::default());
     let (mut held, mut grown) = (Bytes::new(), BytesMut::new());
     while held.len() + grown.len() <= most {
--- a/crates/gateway/src/fleet/commands.rs
+++ b/crates/gateway/src/cli/fleet.rs
@@ -1,7 +1,7 @@
 //! What staff ask all gateways of a fleet, and how the answers are shown. Who could not be asked is always named: that nobody did
 //! something is only said once all have answered.
 
-use crate::stream::Stream;
+use crate::transport::stream::Stream;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use serde_json::{json, Value};
--- /dev/null
+++ b/crates/gateway/src/cli/mod.rs
@@ -0,0 +1,3 @@
+//! The command line beyond `run`: questions to a running fleet.
+
+pub mod fleet;
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,5 +1,5 @@
 //! What the gateway is told: by the platform, and by its operators.
 
-mod change;
-pub mod operator;
-pub mod platform;
+pub mod operator_file;
+pub mod platform_file;
+mod reconciliation;
--- a/crates/gateway/src/config/platform.rs
+++ b/crates/gateway/src/config/platform_file.rs
@@ -1,10 +1,10 @@
 //! What the gateway is told at its start: the file that `ROUTER_CONFIG` names, and the variables beside it.
 
-use crate::config::change;
-use crate::discovery::list::List;
+use crate::config::reconciliation;
+use crate::discovery::endpoint_list::EndpointList;
 use crate::limits::Limits;
-use crate::names::Names;
-use crate::upstream::Terms;
+use crate::string_interner::StringInterner;
+use crate::upstream::ConnectionSettings;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use serde_json::Value;
@@ -77,7 +77,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: List,
+    known: EndpointList,
     settings: Box<RawValue>,
 }
 
@@ -134,17 +134,17 @@
     /// What the process may use.
     pub limits: Limits,
     /// The hosts as last known.
-    pub known: List,
+    pub known: EndpointList,
     /// The module's settings.
     pub settings: Settings,
     /// The names of the settings' classes, by number.
     pub classes: Vec<String>,
     /// The names behind the settings' other numbers.
-    pub names: Names,
+    pub names: StringInterner,
     /// The file as it stands, to compare the next one with.
     pub document: Value,
     /// What holds for connections to hosts.
-    pub connections: Terms,
+    pub connections: ConnectionSettings,
 }
 
 impl Config {
@@ -268,14 +268,14 @@
         };
         let malformed = |source| ConfigError::Malformed { path: path.to_owned(), source };
         let mut document: Value = serde_json::from_str(text).map_err(malformed)?;
-        let faults = change::faults(running, &document);
+        let faults = reconciliation::faults(running, &document);
         if !faults.is_empty() {
             return Err(ConfigError::Wrong { path: path.to_owned(), faults });
         }
         if let Some(document) = document.as_object_mut() {
             document.remove("known"); // as long as a list, and read once
         }
-        for name in running.map(|running| change::left(running, &document)).unwrap_or_default() {
+        for name in running.map(|running| reconciliation::left(running, &document)).unwrap_or_default() {
             tracing::warn!("{path}: {name} differs; it holds from the next start on");
         }
         let raw: RawConfig = serde_json::from_str(text).map_err(malformed)?;
@@ -299,14 +299,14 @@
             limits: raw.limits,
             known: raw.known,
             settings,
-            connections: Terms {
+            connections: ConnectionSettings {
                 dial_timeout: seconds("dial_timeout_s", names.policy_limits.dial_timeout_s)?,
-                keepalive: seconds("keepalive_s", names.policy_limits.keepalive_s)?,
-                reports,
+                keep_alive: seconds("keepalive_s", names.policy_limits.keepalive_s)?,
+                load_report_fields: reports,
             },
             classes: plain(names.classes),
             document,
-            names: Names { tenants: plain(names.accounts), zones: names.azs, kinds: names.flavors },
+            names: StringInterner { tenants: plain(names.accounts), zones: names.azs, kinds: names.flavors },
         })
     }
 }
--- a/crates/gateway/src/discovery/list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -7,21 +7,21 @@
 
 /// A list of hosts, or the changes since the one before.
 #[derive(Debug, Default, Deserialize)]
-pub struct List {
+pub struct EndpointList {
     /// Its version.
     #[serde(default)]
     pub index: u64,
     /// Whether it is whole: a host that it lacks is gone.
-    #[serde(default)]
-    pub snapshot: bool,
+    #[serde(default, rename = "snapshot")]
+    pub is_snapshot: bool,
     /// The hosts.
     #[serde(default)]
-    pub endpoints: Vec<Endpoint>,
+    pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// A host as discovery lists it.
 #[derive(Debug, Deserialize)]
-pub struct Endpoint {
+pub struct ListedEndpoint {
     /// Its lasting name.
     pub name: String,
     /// Where it listens, as seen from here; one that has left may have none.
@@ -38,13 +38,13 @@
     pub group: Option<u32>,
     /// Its state.
     #[serde(default)]
-    pub status: Status,
+    pub status: ListedStatus,
     /// Its weight.
     #[serde(default = "one")]
     pub weight: f64,
     /// When it last started, in Unix milliseconds; 0 for long ago.
-    #[serde(default)]
-    pub since_ms: u64,
+    #[serde(default, rename = "since_ms")]
+    pub started_unix_ms: u64,
 }
 
 fn one() -> f64 {
@@ -54,7 +54,7 @@
 /// The state of a host.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Status {
+pub enum ListedStatus {
     /// Takes work.
     #[default]
     Active,
@@ -69,9 +69,9 @@
 
 /// What is wrong with a list that could be read. All but an old one costs its entry only.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum ListFault {
     /// Changes older than the list held: a drain heard of since would be undone.
-    Old {
+    Outdated {
         /// Its version.
         index: u64,
         /// That of the list held.
@@ -85,25 +85,25 @@
         address: String,
     },
     /// A name that stands there twice; the last one counts.
-    Twice {
+    Duplicate {
         /// Which.
         name: String,
     },
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ListFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Old { index, held } => {
+            ListFault::Outdated { index, held } => {
                 write!(f, "changes of version {index} after version {held}: passed over, the list held stays; a register that has \
                  lost its versions must send a whole list, or this gateway be started anew")
             }
-            Fault::Address { name, address } => write!(
+            ListFault::Address { name, address } => write!(
                 f,
                 "entry {name:?}: {address:?} is no address and port: it is sent nothing unless another is known; \
                  mend the entry in the register"
             ),
-            Fault::Twice { name } => write!(f, "entry {name:?} stands there twice: the last one counts"),
+            ListFault::Duplicate { name } => write!(f, "entry {name:?} stands there twice: the last one counts"),
         }
     }
 }
@@ -115,19 +115,19 @@
     text.chars().take(TOLD).collect()
 }
 
-impl List {
+impl EndpointList {
     /// What is wrong with it where version `held` is in force, at most `most` faults.
-    pub fn faults(&self, held: u64, most: usize) -> Vec<Fault> {
-        if !self.snapshot && self.index < held {
-            return vec![Fault::Old { index: self.index, held }];
+    pub fn faults(&self, held: u64, most: usize) -> Vec<ListFault> {
+        if !self.is_snapshot && self.index < held {
+            return vec![ListFault::Outdated { index: self.index, held }];
         }
         let mut names = FxHashSet::default();
         let faults = self.endpoints.iter().filter_map(|e| {
             if !names.insert(&e.name) {
-                return Some(Fault::Twice { name: told(&e.name) });
+                return Some(ListFault::Duplicate { name: told(&e.name) });
             }
-            let wrong = e.status != Status::Left && e.address.parse::<SocketAddr>().is_err();
-            wrong.then(|| Fault::Address { name: told(&e.name), address: told(&e.address) })
+            let wrong = e.status != ListedStatus::Left && e.address.parse::<SocketAddr>().is_err();
+            wrong.then(|| ListFault::Address { name: told(&e.name), address: told(&e.address) })
         });
         faults.take(most).collect()
     }
@@ -138,7 +138,7 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn list(text: &str) -> List {
+    fn list(text: &str) -> EndpointList {
         serde_json::from_str(text).expect("a list")
     }
 
@@ -147,7 +147,7 @@
         let good =
             r#"{"index":4,"endpoints":[{"name":"a","address":"127.0.0.1:1"},{"name":"b","status":"left"}]}"#;
         assert_eq!(list(good).faults(4, 9), []);
-        assert_eq!(list(good).faults(5, 9), [Fault::Old { index: 4, held: 5 }]);
+        assert_eq!(list(good).faults(5, 9), [ListFault::Outdated { index: 4, held: 5 }]);
         let whole = good.replace("\"index\":4", "\"index\":4,\"snapshot\":true");
         assert_eq!(list(&whole).faults(5, 9), [], "a register that lost its versions tells all it has");
         let bad = r#"{"endpoints":[{"name":"a","address":"here"},{"name":"c","address":"127.0.0.1:1"},{"name":"c"}]}"#;
@@ -164,10 +164,10 @@
         ) {
             let entry = |(name, address): (String, String)| {
                 let known = serde_json::json!({ "name": name, "address": address });
-                serde_json::from_value::<Endpoint>(known).expect("an entry")
+                serde_json::from_value::<ListedEndpoint>(known).expect("an entry")
             };
             let endpoints = entries.into_iter().map(entry).collect();
-            let list = List { index, snapshot, endpoints };
+            let list = EndpointList { index, is_snapshot: snapshot, endpoints };
             let faults = list.faults(held, 3);
             prop_assert!(faults.len() <= 3 && faults.iter().all(|f| f.to_string().len() < 2000));
         }
--- a/crates/gateway/src/discovery/stream.rs
+++ b/crates/gateway/src/discovery/line_reader.rs
@@ -1,6 +1,6 @@
 //! Lists in a stream of bytes, however it is cut: one a line, indented over several, or several in a piece.
 
-use super::list::List;
+use super::endpoint_list::EndpointList;
 use serde::de::Error as _;
 
 /// A list that is longer than this is none.
@@ -8,7 +8,7 @@
 
 /// What stands there is no list.
 #[derive(Debug, thiserror::Error)]
-pub enum NoList {
+pub enum ListError {
     /// It is something else.
     #[error("what came is no list: {0}; the register, or what answers in its place, has to be mended")]
     Malformed(#[from] serde_json::Error),
@@ -19,16 +19,16 @@
 
 /// What discovery says.
 #[derive(Debug)]
-pub enum Word {
+pub enum WatchMessage {
     /// A list.
-    List(List),
+    List(EndpointList),
     /// An empty line: it lives, and nothing has changed.
-    Empty,
+    KeepAlive,
 }
 
 /// Takes bytes and gives what they say. Each byte is looked at once, so that a long list in many pieces costs no more than in one.
 #[derive(Debug, Default)]
-pub struct Lists {
+pub struct LineReader {
     bytes: Vec<u8>,
     /// Where the next word begins in them, and how far they have been looked at.
     start: usize,
@@ -39,9 +39,9 @@
     escaped: bool,
 }
 
-impl Lists {
+impl LineReader {
     /// So much more has come.
-    pub fn take(&mut self, bytes: &[u8]) {
+    pub fn push(&mut self, bytes: &[u8]) {
         self.bytes.drain(..self.start);
         self.seen -= std::mem::take(&mut self.start);
         self.bytes.extend_from_slice(bytes);
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     /// Where what has come is no list, or too long to be one. Nothing that follows can be told apart then.
-    pub fn word(&mut self) -> Result<Option<Word>, NoList> {
+    pub fn next_message(&mut self) -> Result<Option<WatchMessage>, ListError> {
         while let Some(&byte) = self.bytes.get(self.seen) {
             self.seen += 1;
             if self.depth == 0 {
@@ -60,7 +60,7 @@
                     b' ' | b'\t' | b'\r' => {}
                     b'\n' => {
                         self.start = self.seen;
-                        return Ok(Some(Word::Empty));
+                        return Ok(Some(WatchMessage::KeepAlive));
                     }
                     b'{' => self.depth = 1,
                     _ => return Err(serde_json::Error::custom(format!("byte {byte} in place of one")).into()),
@@ -83,11 +83,11 @@
                     self.seen += 1;
                 }
                 self.start = self.seen;
-                return Ok(Some(Word::List(list)));
+                return Ok(Some(WatchMessage::List(list)));
             }
         }
         if self.bytes.len() - self.start > LONGEST {
-            return Err(NoList::TooLong);
+            return Err(ListError::TooLong);
         }
         Ok(None)
     }
@@ -99,17 +99,17 @@
     use proptest::prelude::*;
 
     /// What a whole text says, cut into pieces of these lengths by turns: the versions of its lists, and how many empty lines.
-    fn said(text: &[u8], cuts: &[usize]) -> Result<(Vec<u64>, usize), NoList> {
-        let (mut lists, mut rest, mut cut) = (Lists::default(), text, cuts.iter().cycle());
+    fn said(text: &[u8], cuts: &[usize]) -> Result<(Vec<u64>, usize), ListError> {
+        let (mut lists, mut rest, mut cut) = (LineReader::default(), text, cuts.iter().cycle());
         let (mut versions, mut empty) = (Vec::new(), 0);
         while !rest.is_empty() {
             let (piece, behind) = rest.split_at((*cut.next().expect("endless")).min(rest.len()));
-            lists.take(piece);
+            lists.push(piece);
             rest = behind;
-            while let Some(word) = lists.word()? {
+            while let Some(word) = lists.next_message()? {
                 match word {
-                    Word::List(list) => versions.push(list.index),
-                    Word::Empty => empty += 1,
+                    WatchMessage::List(list) => versions.push(list.index),
+                    WatchMessage::KeepAlive => empty += 1,
                 }
             }
         }
@@ -138,7 +138,7 @@
             assert!(error.contains("no list") && error.len() < 300, "{error}");
         }
         let endless = "{\"name\":\"".to_owned() + &"x".repeat(LONGEST + 9);
-        assert!(matches!(said(endless.as_bytes(), &[4096]), Err(NoList::TooLong)));
+        assert!(matches!(said(endless.as_bytes(), &[4096]), Err(ListError::TooLong)));
     }
 
     proptest! {
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,9 +1,9 @@
 //! The watch on the changes of the list of hosts.
 
-use super::list::List;
-use super::stream::{Lists, Word};
-use crate::core::messages::{Handle, Message};
-use crate::stream::Stream;
+use super::endpoint_list::EndpointList;
+use super::line_reader::{LineReader, WatchMessage};
+use crate::engine::message::{EngineHandle, Message};
+use crate::transport::stream::Stream;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::client::conn::http1;
@@ -29,7 +29,7 @@
     #[error("silent for too long")]
     Silent(#[from] tokio::time::error::Elapsed),
     #[error("{0}")]
-    Malformed(#[from] super::stream::NoList),
+    Malformed(#[from] super::line_reader::ListError),
     #[error("ended")]
     Ended,
 }
@@ -37,7 +37,7 @@
 /// Tells the gateway that the watch is over, however it ends: also when its task panics, or the gateway would
 /// wait for news that never come.
 struct Ended {
-    gateway: Handle,
+    gateway: EngineHandle,
     watch: u64,
     why: String,
     /// When the last word came, or the call was made.
@@ -48,13 +48,13 @@
     fn drop(&mut self) {
         let why = std::mem::take(&mut self.why);
         let quiet = self.heard.get().elapsed();
-        self.gateway.tell(Message::DiscoveryFailed { watch: self.watch, why, quiet });
+        self.gateway.send(Message::DiscoveryFailed { watch: self.watch, why, silent_for: quiet });
     }
 }
 
 /// Watches the list from version `since` on until that fails; the gateway counts its watches, and this is number
 /// `watch`. Where lists are `pushed` the first word comes at once.
-pub async fn watch(address: SocketAddr, since: u64, watch: u64, pushed: bool, gateway: Handle) {
+pub async fn watch(address: SocketAddr, since: u64, watch: u64, pushed: bool, gateway: EngineHandle) {
     let heard = Cell::new(Instant::now());
     let mut ended = Ended { gateway, watch, why: "its task has panicked".to_owned(), heard };
     let first = if pushed { PUSH_FIRST_LIST_TIMEOUT } else { POLL_FIRST_LIST_TIMEOUT };
@@ -93,25 +93,27 @@
     }
     let reading = async {
         let mut body = response.into_body();
-        let (mut lists, mut first) = (Lists::default(), true);
+        let (mut lists, mut first) = (LineReader::default(), true);
         loop {
             // Keep-alive notices nothing where a machine has vanished: only whole lists and empty lines prove that discovery lives. A
             // list that does not come to its end is none, however it trickles.
             let frame = timeout_at(due, body.frame()).await?.ok_or(WatchError::Ended)??;
             let Ok(data) = frame.into_data() else { continue };
-            lists.take(&data);
-            while let Some(word) = lists.word()? {
+            lists.push(&data);
+            while let Some(word) = lists.next_message()? {
                 heard.set(Instant::now());
                 due = heard.get() + WATCH_SILENCE_TIMEOUT;
-                let heard_before = gateway.note_word();
+                let heard_before = gateway.record_discovery_message();
                 match word {
-                    Word::List(list) => gateway.tell(Message::Hosts { watch, list, heard_before }),
+                    WatchMessage::List(list) => {
+                        gateway.send(Message::EndpointListReceived { watch, list, heard_before })
+                    }
                     // Each call is owed an answer, also where nothing has changed.
-                    Word::Empty if first => {
-                        let list = List { index: since, ..List::default() };
-                        gateway.tell(Message::Hosts { watch, list, heard_before });
+                    WatchMessage::KeepAlive if first => {
+                        let list = EndpointList { index: since, ..EndpointList::default() };
+                        gateway.send(Message::EndpointListReceived { watch, list, heard_before });
                     }
-                    Word::Empty => {}
+                    WatchMessage::KeepAlive => {}
                 }
                 first = false;
             }
--- a/crates/gateway/src/core/endpoints.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -1,8 +1,8 @@
 //! The endpoints as discovery lists them: their numbers, addresses and starts, and what a list or a delta changes of them.
 
-use super::Gateway;
-use crate::discovery::list::{Endpoint, Fault, List, Status};
-use crate::upstream::Host;
+use super::Engine;
+use crate::discovery::endpoint_list::{EndpointList, ListFault, ListedEndpoint, ListedStatus};
+use crate::upstream::UpstreamEndpoint;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,19 +27,19 @@
     heard_before: Option<Duration>,
 }
 
-impl Gateway {
+impl Engine {
     /// Takes in a list that is no word of discovery's: the one that the configuration holds.
-    pub fn learn(&mut self, list: List) {
+    pub fn learn(&mut self, list: EndpointList) {
         self.learn_after(None, list);
     }
 
     /// Takes a list of hosts in, or what has changed of it, after discovery's word of `heard_before`. What is wrong with it costs
     /// nothing but itself, and is told once until it changes.
-    pub(super) fn learn_after(&mut self, heard_before: Option<Instant>, list: List) {
+    pub(super) fn learn_after(&mut self, heard_before: Option<Instant>, list: EndpointList) {
         let faults = list.faults(self.version, 1 + FAULTS_TOLD);
-        let old = matches!(faults.first(), Some(Fault::Old { .. }));
+        let old = matches!(faults.first(), Some(ListFault::Outdated { .. }));
         if !faults.is_empty() && faults != self.faults {
-            let told: Vec<_> = faults.iter().take(FAULTS_TOLD).map(Fault::to_string).collect();
+            let told: Vec<_> = faults.iter().take(FAULTS_TOLD).map(ListFault::to_string).collect();
             let more = if faults.len() > FAULTS_TOLD { ", and more" } else { "" };
             warn!(address = %self.discovery, version = list.index, "discovery: {}{more}", told.join("; "));
         }
@@ -51,9 +51,9 @@
         self.version = list.index;
         let before = self.departing(&list);
         self.free_the_gone();
-        if list.snapshot {
+        if list.is_snapshot {
             // What a whole list lacks is gone.
-            self.hosts.iter().for_each(|h| h.takes_work.set(false));
+            self.hosts.iter().for_each(|h| h.is_active.set(false));
             self.listed.iter_mut().for_each(|h| h.state = EndpointState::Removed);
         }
         let starts = self.starts(&list, heard_before);
@@ -70,26 +70,26 @@
             let up: Vec<_> = up
                 .map(|h| weldworks_control::retry_storm::StartedEndpoint { started_at: h.started })
                 .collect();
-            storm.set_endpoints(self.handle.time(Instant::now()), &up);
+            storm.set_endpoints(self.handle.balancer_time(Instant::now()), &up);
         }
         for e in &list.endpoints {
-            debug!(host = e.address, name = e.name, zone = e.zone, kind = e.kind, status = ?e.status, since = e.since_ms, "listed");
+            debug!(host = e.address, name = e.name, zone = e.zone, kind = e.kind, status = ?e.status, since = e.started_unix_ms, "listed");
         }
-        debug!(index = list.index, whole = list.snapshot, entries = list.endpoints.len(), "list");
-        self.pool.keep(|id| self.hosts.get(id.0 as usize).is_some_and(|h| h.takes_work.get()));
-        self.handle.set_hosts_up(self.hosts.iter().any(|h| h.takes_work.get()));
+        debug!(index = list.index, whole = list.is_snapshot, entries = list.endpoints.len(), "list");
+        self.pool.retain(|id| self.hosts.get(id.0 as usize).is_some_and(|h| h.is_active.get()));
+        self.handle.set_has_active_endpoint(self.hosts.iter().any(|h| h.is_active.get()));
         self.tell_departed(&before);
-        self.decide(Event::EndpointList { is_snapshot: list.snapshot, endpoints: &news });
+        self.decide(Event::EndpointList { is_snapshot: list.is_snapshot, endpoints: &news });
     }
 
     /// Where the fleet is to be told: the hosts that a list is about to change and that take work, by name.
-    fn departing(&self, list: &List) -> Vec<(String, EndpointId)> {
+    fn departing(&self, list: &EndpointList) -> Vec<(String, EndpointId)> {
         let Some(fleet) = &self.fleet else { return Vec::new() };
         fleet.lists(list.index);
         let up =
             |id: EndpointId| self.listed.get(id.0 as usize).is_some_and(|h| h.state == EndpointState::Up);
         let taking = |(name, id): (&String, &EndpointId)| up(*id).then(|| (name.clone(), *id));
-        if list.snapshot {
+        if list.is_snapshot {
             return self.host_ids.iter().filter_map(taking).collect();
         }
         let named = list.endpoints.iter().filter_map(|e| self.host_ids.get_key_value(&e.name));
@@ -131,7 +131,7 @@
                 listed.state = EndpointState::Draining;
                 news.push(listed.clone());
                 if let Some(host) = self.hosts.get(id.0 as usize) {
-                    host.takes_work.set(false);
+                    host.is_active.set(false);
                 }
             }
         }
@@ -143,8 +143,8 @@
             own = self.version,
             "other gateways were told that hosts leave or are gone; nothing new goes there"
         );
-        self.pool.keep(|id| self.hosts.get(id.0 as usize).is_some_and(|h| h.takes_work.get()));
-        self.handle.set_hosts_up(self.hosts.iter().any(|h| h.takes_work.get()));
+        self.pool.retain(|id| self.hosts.get(id.0 as usize).is_some_and(|h| h.is_active.get()));
+        self.handle.set_has_active_endpoint(self.hosts.iter().any(|h| h.is_active.get()));
         self.decide(Event::EndpointList { is_snapshot: false, endpoints: &news });
     }
 
@@ -164,13 +164,14 @@
     }
 
     /// What the starts in a list are dated by.
-    fn starts(&self, list: &List, heard_before: Option<Instant>) -> Starts {
-        let now = self.handle.time(Instant::now());
-        let listed = list.endpoints.iter().map(|e| e.since_ms);
-        let possible =
-            |unix_ms: &u64| self.handle.by_wall_clock(*unix_ms).is_some_and(|at| at <= now + WALL_CLOCK_OFF);
+    fn starts(&self, list: &EndpointList, heard_before: Option<Instant>) -> Starts {
+        let now = self.handle.balancer_time(Instant::now());
+        let listed = list.endpoints.iter().map(|e| e.started_unix_ms);
+        let possible = |unix_ms: &u64| {
+            self.handle.balancer_time_of_unix(*unix_ms).is_some_and(|at| at <= now + WALL_CLOCK_OFF)
+        };
         let newest_ms = listed.chain(self.since_ms.iter().copied()).filter(possible).max().unwrap_or(0);
-        Starts { now, newest_ms, heard_before: heard_before.map(|at| self.handle.time(at)) }
+        Starts { now, newest_ms, heard_before: heard_before.map(|at| self.handle.balancer_time(at)) }
     }
 
     /// When a host started that discovery says to be up since this Unix time. One that is known to have started then keeps its date.
@@ -186,7 +187,7 @@
         }
         Some(endpoint_start::estimate_start(StartEvidence {
             now: starts.now,
-            wall_clock_start: self.handle.by_wall_clock(since_ms),
+            wall_clock_start: self.handle.balancer_time_of_unix(since_ms),
             offset_before_newest: Duration::from_millis(starts.newest_ms.saturating_sub(since_ms)),
             last_discovery_message: starts.heard_before,
         }))
@@ -194,7 +195,7 @@
 
     /// An entry in the module's terms. A host keeps its number by its name for as long as it is known; the module tells
     /// by the name's hash that a number has passed to another.
-    fn host(&mut self, entry: &Endpoint, starts: &Starts) -> weldworks_balancer::Endpoint {
+    fn host(&mut self, entry: &ListedEndpoint, starts: &Starts) -> weldworks_balancer::Endpoint {
         let known = self.host_ids.get(&entry.name).copied();
         let id = known.or_else(|| self.free_ids.pop()).unwrap_or(EndpointId(self.hosts.len() as u32));
         if known.is_none() {
@@ -202,7 +203,8 @@
             if let Some(since_ms) = self.since_ms.get_mut(id.0 as usize) {
                 *since_ms = 0; // another host's
             }
-            let host = Rc::new(Host { id, address: Cell::new(None), takes_work: Cell::new(false) });
+            let host =
+                Rc::new(UpstreamEndpoint { id, address: Cell::new(None), is_active: Cell::new(false) });
             match self.hosts.get_mut(id.0 as usize) {
                 Some(gone) => *gone = host,
                 None => self.hosts.push(host),
@@ -218,17 +220,17 @@
         }
         let overruled = || self.fleet.as_ref().is_some_and(|fleet| fleet.overrules(&entry.name));
         let state = match entry.status {
-            Status::Active if host.address.get().is_some() && overruled() => EndpointState::Draining,
-            Status::Active if host.address.get().is_some() => EndpointState::Up,
-            Status::Active | Status::Left => EndpointState::Removed,
-            Status::Leaving | Status::Unknown => EndpointState::Draining,
+            ListedStatus::Active if host.address.get().is_some() && overruled() => EndpointState::Draining,
+            ListedStatus::Active if host.address.get().is_some() => EndpointState::Up,
+            ListedStatus::Active | ListedStatus::Left => EndpointState::Removed,
+            ListedStatus::Leaving | ListedStatus::Unknown => EndpointState::Draining,
         };
-        host.takes_work.set(state == EndpointState::Up);
+        host.is_active.set(state == EndpointState::Up);
         weldworks_balancer::Endpoint {
             state,
             zone: self.names.zone(&entry.zone, id.0),
             cell: entry.group.unwrap_or(u32::MAX - id.0),
-            started: self.started(id, entry.since_ms, starts),
+            started: self.started(id, entry.started_unix_ms, starts),
             kind: self.names.kind(&entry.kind, id.0),
             weight: entry.weight,
             ..weldworks_balancer::Endpoint::new(id, &entry.name)
--- a/crates/gateway/src/core/messages.rs
+++ b/crates/gateway/src/engine/message.rs
@@ -1,9 +1,9 @@
 //! What the gateway's owner is told, and what it answers: the one way in and the one way out of every front.
 
-use crate::discovery::list::List;
-use crate::exchange::{Answer, Forward};
-use crate::names::Names;
-use crate::presence::Presence;
+use crate::body::{ForwardedRequest, UpstreamResponse};
+use crate::discovery::endpoint_list::EndpointList;
+use crate::string_interner::StringInterner;
+use crate::transport::client_liveness::ClientLiveness;
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use std::cell::Cell;
@@ -21,25 +21,25 @@
 
 /// The final answer to a request.
 #[derive(Debug)]
-pub enum Final {
+pub enum FinalAnswer {
     /// Served by a host.
-    Served(Answer),
+    Served(UpstreamResponse),
     /// Not done; trying again is harmless.
-    Refused {
+    Rejected {
         /// How long to keep away; zero for no advice.
-        keep_away: Duration,
+        retry_after: Duration,
     },
     /// Not done, or not known to be.
     Failed(StatusCode),
 }
 
-impl Final {
+impl FinalAnswer {
     /// What it is, in a word.
     pub fn name(&self) -> &'static str {
         match self {
-            Final::Served(_) => "served",
-            Final::Refused { .. } => "refused",
-            Final::Failed(_) => "failed",
+            FinalAnswer::Served(_) => "served",
+            FinalAnswer::Rejected { .. } => "refused",
+            FinalAnswer::Failed(_) => "failed",
         }
     }
 }
@@ -49,27 +49,27 @@
     /// What the module is told.
     pub request: weldworks_balancer::Request,
     /// The client's number for it, `X-Request-ID`.
-    pub number: HeaderValue,
+    pub request_id: HeaderValue,
     /// What goes on to a host.
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
     /// The class it came under; held to its end.
     pub class: Rc<RegisteredClass>,
     /// Where the answer goes.
-    pub answer: oneshot::Sender<Final>,
+    pub answer: oneshot::Sender<FinalAnswer>,
     /// Its client; told as soon as no answer is wanted any more.
-    pub client: Rc<Presence>,
+    pub client: Rc<ClientLiveness>,
 }
 
 /// What changes with a new file.
-pub struct Retune {
+pub struct Reconfiguration {
     /// The settings, classes by the numbers that they are kept under.
     pub settings: Settings,
     /// The names behind the other numbers.
-    pub names: Names,
+    pub names: StringInterner,
     /// Where discovery answers.
     pub discovery: SocketAddr,
     /// What holds for connections to hosts.
-    pub connections: crate::upstream::Terms,
+    pub connections: crate::upstream::ConnectionSettings,
     /// A digest of what the file says of the whole site.
     pub digest: u64,
 }
@@ -77,13 +77,13 @@
 /// What the gateway hears.
 pub enum Message {
     /// A client's request.
-    Arrived(Box<Arrival>),
+    RequestArrived(Box<Arrival>),
     /// A connection has been accepted; told where somebody counts them.
-    Connected,
+    ConnectionAccepted,
     /// The client has gone.
-    Gone(RequestId),
+    ClientDisconnected(RequestId),
     /// An attempt has ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// Which attempt, from 0.
@@ -93,23 +93,23 @@
         /// How it ended.
         outcome: Outcome,
         /// The answer, where it was served.
-        answer: Option<Answer>,
+        answer: Option<UpstreamResponse>,
         /// What the host said of its load.
         load: Option<LoadReport>,
         /// From the decision to its last byte's going to the kernel, where that went.
         written: Option<Duration>,
     },
     /// The body of a request has begun to leave and is not held.
-    Spent(RequestId),
+    BodyForwardingStarted(RequestId),
     /// The last byte of such a body has gone.
-    Complete {
+    BodyForwarded {
         /// The request.
         request: RequestId,
         /// When its client gives up.
-        give_up: Instant,
+        client_deadline: Instant,
     },
     /// An answer is passed on while it comes.
-    Started {
+    ResponseStarted {
         /// The request.
         request: RequestId,
         /// Which attempt, from 0.
@@ -117,45 +117,45 @@
         /// From the send, or the last byte of the body, to the answer's first byte.
         latency: Duration,
         /// The answer.
-        answer: Answer,
+        answer: UpstreamResponse,
         /// What the host said of its load.
         load: Option<LoadReport>,
     },
     /// A host has ended an idle connection.
-    Closed {
+    IdleConnectionClosed {
         /// Which host.
-        host: EndpointId,
+        endpoint: EndpointId,
         /// Where the connection went.
         address: SocketAddr,
         /// How long the connection had been idle.
         idle: Duration,
         /// How many idle connections to it are left.
-        left: usize,
+        remaining: usize,
     },
     /// News of the hosts.
-    Hosts {
+    EndpointListReceived {
         /// From which watch, counted from 1.
         watch: u64,
         /// What it said.
-        list: List,
+        list: EndpointList,
         /// When discovery had last said anything before that, if it had.
         heard_before: Option<Instant>,
     },
     /// What another process knew is to be gone on from.
-    Recall(Snapshot),
+    RestoreSnapshot(Snapshot),
     /// What is known is to be told.
-    Remember(oneshot::Sender<Snapshot>),
+    TakeSnapshot(oneshot::Sender<Snapshot>),
     /// Other settings hold from now on.
-    Retune(Box<Retune>),
+    Reconfigure(Box<Reconfiguration>),
     /// Other gateways have a newer list: discovery is to be asked again.
-    Behind {
+    ListLagging {
         /// The index that most of them have.
         current: u64,
     },
     /// Newer lists than the one held say that hosts leave or are gone.
-    Told(Vec<DepartedEndpoint>),
+    RemoteDepartures(Vec<DepartedEndpoint>),
     /// The process is on its way out: what is open has no more time than that.
-    Stopping,
+    ShutdownStarted,
     /// A watch on the hosts has failed or ended.
     DiscoveryFailed {
         /// Which.
@@ -163,13 +163,13 @@
         /// Why.
         why: String,
         /// For how long it had said nothing, or since when it was called.
-        quiet: Duration,
+        silent_for: Duration,
     },
 }
 
 /// What all tasks share: the way to the gateway, the clock, and what is to be seen of its state.
 #[derive(Clone)]
-pub struct Handle {
+pub struct EngineHandle {
     messages: mpsc::UnboundedSender<Message>,
     requests: Rc<Cell<u64>>,
     hosts_up: Rc<Cell<bool>>,
@@ -180,13 +180,13 @@
     clock: Clock,
 }
 
-impl Handle {
+impl EngineHandle {
     /// A handle, and what is told through it and its clones.
-    pub fn new() -> (Handle, mpsc::UnboundedReceiver<Message>) {
+    pub fn new() -> (EngineHandle, mpsc::UnboundedReceiver<Message>) {
         let (sender, messages) = mpsc::unbounded_channel();
         let (requests, hosts_up, connections, heard, last_word, answers_by) = Default::default();
         (
-            Handle {
+            EngineHandle {
                 messages: sender,
                 requests,
                 hosts_up,
@@ -201,19 +201,19 @@
     }
 
     /// Tells the gateway something. Once it is gone the process ends, and nobody is left to be told.
-    pub fn tell(&self, message: Message) {
+    pub fn send(&self, message: Message) {
         let _ = self.messages.send(message);
     }
 
     /// From now on the gateway is told of every connection.
-    pub fn count_connections(&self) {
+    pub fn report_connections(&self) {
         self.connections.set(true);
     }
 
     /// A connection has been accepted.
-    pub fn connected(&self) {
+    pub fn record_connection(&self) {
         if self.connections.get() {
-            self.tell(Message::Connected);
+            self.send(Message::ConnectionAccepted);
         }
     }
 
@@ -224,42 +224,42 @@
     }
 
     /// Where it is to be seen whether any host takes work.
-    pub fn hosts_up(&self) -> Rc<Cell<bool>> {
+    pub fn has_active_endpoint(&self) -> Rc<Cell<bool>> {
         self.hosts_up.clone()
     }
 
     /// The latest moment for any answer, where the process is on its way out.
-    pub fn answers_by(&self) -> Option<Instant> {
+    pub fn shutdown_deadline(&self) -> Option<Instant> {
         self.answers_by.get()
     }
 
     /// Notes it.
-    pub fn set_answers_by(&self, by: Instant) {
+    pub fn set_shutdown_deadline(&self, by: Instant) {
         self.answers_by.set(Some(by));
     }
 
     /// Whether discovery has said something since the start.
-    pub fn heard(&self) -> bool {
+    pub fn discovery_answered(&self) -> bool {
         self.heard.get()
     }
 
     /// Discovery says something now; gives when it last did before.
-    pub fn note_word(&self) -> Option<Instant> {
+    pub fn record_discovery_message(&self) -> Option<Instant> {
         self.last_word.replace(Some(Instant::now()))
     }
 
     /// Notes that it has.
-    pub fn note_heard(&self) {
+    pub fn set_discovery_answered(&self) {
         self.heard.set(true);
     }
 
     /// Notes whether any host takes work.
-    pub fn set_hosts_up(&self, up: bool) {
+    pub fn set_has_active_endpoint(&self, up: bool) {
         self.hosts_up.set(up);
     }
 
     /// The time on the module's clock.
-    pub fn time(&self, at: Instant) -> Duration {
+    pub fn balancer_time(&self, at: Instant) -> Duration {
         self.clock.time(at)
     }
 
@@ -270,7 +270,7 @@
 
     /// The time on the module's clock of a Unix time in milliseconds, by the wall clock as it was at the start; none for longer ago
     /// than that has a time for.
-    pub fn by_wall_clock(&self, unix_ms: u64) -> Option<Duration> {
+    pub fn balancer_time_of_unix(&self, unix_ms: u64) -> Option<Duration> {
         self.clock.by_wall_clock(unix_ms)
     }
 }
--- a/crates/gateway/src/core/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -1,20 +1,20 @@
 //! The sole owner of the decisions, the request table and the timers: events in, actions carried out, outcomes
 //! told. What to do with a request is decided by [`Balancer`] alone.
 
-mod endpoints;
-pub mod messages;
+mod endpoint_updates;
+pub mod message;
 
-use crate::discovery::list::Fault;
+use crate::body::{ForwardedRequest, RequestPayload};
+use crate::discovery::endpoint_list::ListFault;
 use crate::discovery::watch::watch;
-use crate::exchange::{Forward, Payload};
-use crate::figures::Figures;
 use crate::fleet::Fleet;
-use crate::names::Names;
-use crate::presence::Presence;
-use crate::upstream::{Attempt, End, Host, Pool, Stage, Until};
+use crate::metrics::Metrics;
+use crate::string_interner::StringInterner;
+use crate::transport::client_liveness::ClientLiveness;
+use crate::upstream::{Attempt, AttemptProgress, AttemptResult, ConnectionPool, Deadline, UpstreamEndpoint};
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
-use messages::{Arrival, Final, Handle, Message, Retune};
+use message::{Arrival, EngineHandle, FinalAnswer, Message, Reconfiguration};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -45,12 +45,12 @@
 struct Entry {
     number: HeaderValue,
     identity: Option<u64>,
-    forward: Rc<Forward>,
-    answer: Option<oneshot::Sender<Final>>,
-    client: Rc<Presence>,
+    forward: Rc<ForwardedRequest>,
+    answer: Option<oneshot::Sender<FinalAnswer>>,
+    client: Rc<ClientLiveness>,
     arrived: Instant,
     give_up: Instant,
-    attempts: Vec<(Rc<Host>, Rc<Notify>, Rc<Until>)>,
+    attempts: Vec<(Rc<UpstreamEndpoint>, Rc<Notify>, Rc<Deadline>)>,
     out: u32,
     last: Outcome,
     class: usize,
@@ -59,7 +59,7 @@
 
 impl Entry {
     /// Gives the final answer, unless it was given. No attempt goes out from here on.
-    fn finish(&mut self, answer: Final) {
+    fn finish(&mut self, answer: FinalAnswer) {
         self.client.end();
         if let Some(sender) = self.answer.take() {
             let _ = sender.send(answer); // a client that has gone wants none
@@ -83,7 +83,7 @@
 
 /// Reports how an attempt ended, also where its task panics: the request may have run by then.
 struct Report {
-    gateway: Handle,
+    gateway: EngineHandle,
     request: RequestId,
     attempt: u32,
     /// When it was sent, or the last byte of a body that came in pieces.
@@ -91,22 +91,22 @@
     /// When it was decided.
     decided: Instant,
     patience: Duration,
-    end: End,
+    end: AttemptResult,
 }
 
 impl Report {
     /// Tells what becomes of the attempt on its way.
-    fn stage(&self, stage: Stage) {
+    fn stage(&self, stage: AttemptProgress) {
         let (request, attempt) = (self.request, self.attempt);
-        self.gateway.tell(match stage {
-            Stage::Spent => Message::Spent(request),
-            Stage::Complete { came } => {
+        self.gateway.send(match stage {
+            AttemptProgress::BodyForwardingStarted => Message::BodyForwardingStarted(request),
+            AttemptProgress::BodyForwarded { came } => {
                 self.sent.set(Instant::now());
-                Message::Complete { request, give_up: came + self.patience }
+                Message::BodyForwarded { request, client_deadline: came + self.patience }
             }
-            Stage::Started { answer, first, load } => {
+            AttemptProgress::ResponseStarted { answer, first, load } => {
                 let latency = first.saturating_duration_since(self.sent.get());
-                Message::Started { request, attempt, latency, answer: *answer, load }
+                Message::ResponseStarted { request, attempt, latency, answer: *answer, load }
             }
         });
     }
@@ -115,27 +115,27 @@
 impl Drop for Report {
     fn drop(&mut self) {
         let (request, attempt, sent) = (self.request, self.attempt, self.sent.get());
-        let (outcome, answer, load) = (self.end.outcome, self.end.answer.take(), self.end.load);
-        let written = self.end.written.map(|at| at.saturating_duration_since(self.decided));
-        self.gateway.tell(Message::Ended { request, attempt, sent, outcome, answer, load, written });
+        let (outcome, answer, load) = (self.end.outcome, self.end.response.take(), self.end.load_report);
+        let written = self.end.written_at.map(|at| at.saturating_duration_since(self.decided));
+        self.gateway.send(Message::AttemptEnded { request, attempt, sent, outcome, answer, load, written });
     }
 }
 
 /// A gateway.
-pub struct Gateway {
+pub struct Engine {
     balancer: Balancer,
     settings: Settings,
     seed: u64,
-    names: Names,
-    pool: Rc<Pool>,
+    names: StringInterner,
+    pool: Rc<ConnectionPool>,
     discovery: SocketAddr,
     version: u64,
     /// What was wrong with the list before.
-    faults: Vec<Fault>,
+    faults: Vec<ListFault>,
     watch: u64,
     watching: Option<JoinHandle<()>>,
     rewatch: WatchBackoff,
-    hosts: Vec<Rc<Host>>,
+    hosts: Vec<Rc<UpstreamEndpoint>>,
     listed: Vec<weldworks_balancer::Endpoint>,
     /// When each last started, as discovery dates it; 0 for long ago.
     since_ms: Vec<u64>,
@@ -145,24 +145,24 @@
     numbers: FxHashSet<HeaderValue>,
     timers: BinaryHeap<Reverse<(Instant, Timer)>>,
     messages: mpsc::UnboundedReceiver<Message>,
-    handle: Handle,
+    handle: EngineHandle,
     storm: Option<RetryStormControl>,
     storms: Option<StormSettings>,
-    figures: Option<Rc<Figures>>,
+    figures: Option<Rc<Metrics>>,
     fleet: Option<Rc<Fleet>>,
 }
 
-impl Gateway {
+impl Engine {
     /// A gateway that knows no host yet, and the way to tell it things.
     pub fn new(
         settings: Settings,
         seed: u64,
-        names: Names,
-        pool: Rc<Pool>,
+        names: StringInterner,
+        pool: Rc<ConnectionPool>,
         discovery: SocketAddr,
-    ) -> (Gateway, Handle) {
-        let (handle, messages) = Handle::new();
-        let gateway = Gateway {
+    ) -> (Engine, EngineHandle) {
+        let (handle, messages) = EngineHandle::new();
+        let gateway = Engine {
             balancer: Balancer::new(settings.clone(), seed),
             settings,
             seed,
@@ -193,7 +193,7 @@
     }
 
     /// Switches storm control on.
-    pub fn control_storms(&mut self, storms: StormSettings) {
+    pub fn enable_retry_storm_control(&mut self, storms: StormSettings) {
         let set = &self.settings;
         let terms = PlatformTerms {
             slow_start_min_capacity: set.slow_start_min_capacity,
@@ -204,11 +204,11 @@
         };
         let storm = RetryStormControl::new(storms, terms, self.seed);
         (self.storm, self.storms) = (Some(storm), Some(storms));
-        self.handle.count_connections();
+        self.handle.report_connections();
     }
 
     /// Makes it part of a fleet.
-    pub fn join(&mut self, fleet: Rc<Fleet>) {
+    pub fn join_fleet(&mut self, fleet: Rc<Fleet>) {
         self.fleet = Some(fleet);
     }
 
@@ -223,7 +223,7 @@
         self.fleet.as_ref().is_some_and(|fleet| {
             let away = !fleet.takes_clients();
             if away {
-                let number = arrival.number.to_str().unwrap_or_default();
+                let number = arrival.request_id.to_str().unwrap_or_default();
                 fleet.book(DecisionKind::Reject, arrival.request.class, number, None);
             }
             away
@@ -231,7 +231,7 @@
     }
 
     /// Has the figures of the hosts kept.
-    pub fn keep_figures(&mut self, figures: Rc<Figures>) {
+    pub fn attach_metrics(&mut self, figures: Rc<Metrics>) {
         self.figures = Some(figures);
         self.timers.push(Reverse((Instant::now(), Timer::Figures)));
     }
@@ -239,7 +239,7 @@
     fn note_hosts(&mut self) {
         let Some(figures) = &self.figures else { return };
         let listed = self.listed.iter().filter(|h| h.state != EndpointState::Removed).count();
-        let avoided = self.balancer.avoided(self.handle.time(Instant::now()));
+        let avoided = self.balancer.avoided(self.handle.balancer_time(Instant::now()));
         figures.cluster_size.set(listed as u64);
         figures.cluster_unhealthy.set(avoided as u64);
         self.timers.push(Reverse((Instant::now() + FIGURES, Timer::Figures)));
@@ -259,27 +259,27 @@
             relative_weight: worth,
             tenant,
         };
-        let part = storm.admit(self.handle.time(Instant::now()), arriving).admission_share;
+        let part = storm.admit(self.handle.balancer_time(Instant::now()), arriving).admission_share;
         self.tell_storm();
         part
     }
 
     /// Tells storm control how a request was answered; gives the answer with the advice that goes with it.
-    fn weather(&mut self, identity: Option<u64>, answer: Final) -> Final {
+    fn weather(&mut self, identity: Option<u64>, answer: FinalAnswer) -> FinalAnswer {
         let Some(storm) = &mut self.storm else { return answer };
-        let now = self.handle.time(Instant::now());
+        let now = self.handle.balancer_time(Instant::now());
         let answer = match answer {
-            Final::Served(_) => {
+            FinalAnswer::Served(_) => {
                 storm.record_result(now, RequestResult::Served);
                 answer
             }
-            Final::Failed(_) => {
+            FinalAnswer::Failed(_) => {
                 storm.record_result(now, RequestResult::Failed);
                 answer
             }
-            Final::Refused { keep_away } => {
+            FinalAnswer::Rejected { retry_after: keep_away } => {
                 storm.record_result(now, RequestResult::Rejected);
-                Final::Refused { keep_away: storm.retry_after(now, identity, keep_away) }
+                FinalAnswer::Rejected { retry_after: storm.retry_after(now, identity, keep_away) }
             }
         };
         self.tell_storm();
@@ -341,7 +341,7 @@
     /// Answers what the module has left unanswered until the last moment.
     fn backstop(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(|e| e.answer.is_some()) {
-            self.answer(id, Final::Failed(StatusCode::GATEWAY_TIMEOUT));
+            self.answer(id, FinalAnswer::Failed(StatusCode::GATEWAY_TIMEOUT));
             self.abandon(id);
         }
     }
@@ -354,23 +354,24 @@
 
     fn take(&mut self, message: Message) {
         match message {
-            Message::Connected => {
+            Message::ConnectionAccepted => {
                 if let Some(storm) = &mut self.storm {
-                    storm.record_connection(self.handle.time(Instant::now()));
+                    storm.record_connection(self.handle.balancer_time(Instant::now()));
                 }
             }
-            Message::Arrived(arrival) if self.turned_away(&arrival) => {
+            Message::RequestArrived(arrival) if self.turned_away(&arrival) => {
                 arrival.client.end();
                 let advised = self.fleet.as_ref().map_or(Duration::ZERO, |fleet| fleet.keep_away());
                 let keep_away = advised.min(self.settings.max_retry_after);
-                let _ = arrival.answer.send(Final::Refused { keep_away }); // a client that has gone wants none
+                let _ = arrival.answer.send(FinalAnswer::Rejected { retry_after: keep_away });
+                // a client that has gone wants none
             }
-            Message::Arrived(arrival) => {
-                let Arrival { mut request, number, forward, class, answer, client } = *arrival;
+            Message::RequestArrived(arrival) => {
+                let Arrival { mut request, request_id: number, forward, class, answer, client } = *arrival;
                 if !self.numbers.insert(number.clone()) {
                     // A host could not tell it from a second copy of the request that has this number.
                     client.end();
-                    let _ = answer.send(Final::Failed(StatusCode::CONFLICT)); // a client that has gone wants none
+                    let _ = answer.send(FinalAnswer::Failed(StatusCode::CONFLICT)); // a client that has gone wants none
                     return;
                 }
                 let give_up = self.handle.instant(request.client_deadline);
@@ -404,14 +405,14 @@
                 self.decide(Event::Request(request));
                 self.forget_if_done(id);
             }
-            Message::Gone(id) => {
+            Message::ClientDisconnected(id) => {
                 if let Some(entry) = self.requests.get_mut(&id) {
                     entry.client.end();
                     entry.answer = None;
                     self.abandon(id);
                 }
             }
-            Message::Ended { request, attempt, sent, outcome, answer, load, written } => {
+            Message::AttemptEnded { request, attempt, sent, outcome, answer, load, written } => {
                 let Some(entry) = self.requests.get_mut(&request) else { return };
                 entry.out -= 1;
                 entry.last = outcome;
@@ -419,7 +420,7 @@
                 let host = entry.attempts.get(attempt as usize).map(|(host, ..)| host.clone());
                 self.book_load(host, load);
                 if let Some(answer) = answer {
-                    self.answer(request, Final::Served(answer));
+                    self.answer(request, FinalAnswer::Served(answer));
                 }
                 let Some(entry) = self.requests.get(&request) else { return };
                 let (latency, over) = (sent.elapsed(), entry.answer.is_none());
@@ -431,73 +432,75 @@
                 self.decide(Event::AttemptEnded { request, attempt, latency, outcome, request_ended: over });
                 self.forget_if_done(request);
             }
-            Message::Spent(request) => self.decide(Event::BodyForwardingStarted { request }),
-            Message::Complete { request, give_up } => {
+            Message::BodyForwardingStarted(request) => self.decide(Event::BodyForwardingStarted { request }),
+            Message::BodyForwarded { request, client_deadline: give_up } => {
                 let Some(entry) = self.requests.get_mut(&request) else { return };
                 // A stop that has come meanwhile has its own end.
-                let give_up = self.handle.answers_by().map_or(give_up, |by| give_up.min(by));
+                let give_up = self.handle.shutdown_deadline().map_or(give_up, |by| give_up.min(by));
                 entry.give_up = give_up;
                 self.timers.push(Reverse((give_up, Timer::Backstop(request))));
-                let give_up_at = self.handle.time(give_up);
+                let give_up_at = self.handle.balancer_time(give_up);
                 self.decide(Event::BodyForwarded { request, client_deadline: give_up_at });
             }
-            Message::Started { request, attempt, latency, answer, load } => {
+            Message::ResponseStarted { request, attempt, latency, answer, load } => {
                 let Some(entry) = self.requests.get(&request) else { return };
                 let host = entry.attempts.get(attempt as usize).map(|(host, ..)| host.clone());
                 self.book_load(host, load);
-                self.answer(request, Final::Served(answer));
+                self.answer(request, FinalAnswer::Served(answer));
                 debug!(request = request.0, attempt, ms = latency.as_millis() as u64, "started");
                 self.decide(Event::ResponseStarted { request, attempt, latency });
             }
             // A number may have gone to another host meanwhile, which ended nothing.
-            Message::Closed { host, address, idle, left } => {
+            Message::IdleConnectionClosed { endpoint: host, address, idle, remaining: left } => {
                 if self.hosts.get(host.0 as usize).is_some_and(|h| h.address.get() == Some(address)) {
                     self.decide(Event::IdleConnectionClosed { endpoint: host, idle, remaining: left });
                 }
             }
             // What a watch said before it was ended may wait here still: it is no news of the present discovery.
-            Message::Hosts { watch, list, heard_before } if watch == self.watch => {
-                self.handle.note_heard();
-                if let Some(silent) = self.rewatch.record_message(self.handle.time(Instant::now())) {
+            Message::EndpointListReceived { watch, list, heard_before } if watch == self.watch => {
+                self.handle.set_discovery_answered();
+                if let Some(silent) = self.rewatch.record_message(self.handle.balancer_time(Instant::now())) {
                     info!(address = %self.discovery, after = ?silent, "discovery: news are pushed again");
                 }
                 self.learn_after(heard_before, list);
             }
-            Message::DiscoveryFailed { watch, why, quiet } if watch == self.watch => {
+            Message::DiscoveryFailed { watch, why, silent_for: quiet } if watch == self.watch => {
                 self.watch_failed(&why, quiet)
             }
-            Message::Hosts { .. } | Message::DiscoveryFailed { .. } => {}
-            Message::Recall(memory) => {
-                let taken = self.balancer.restore(self.handle.time(Instant::now()), &memory);
+            Message::EndpointListReceived { .. } | Message::DiscoveryFailed { .. } => {}
+            Message::RestoreSnapshot(memory) => {
+                let taken = self.balancer.restore(self.handle.balancer_time(Instant::now()), &memory);
                 info!(hosts = memory.endpoints.len(), taken, "going on from what the process before knew");
             }
             // Who asked may have been told to stop.
-            Message::Remember(answer) => drop(answer.send(self.balancer.snapshot())),
-            Message::Retune(retune) => self.retune(*retune),
-            Message::Stopping => self.hasten(),
-            Message::Behind { current } => self.catch_up(current),
-            Message::Told(gone) => self.turn_from(&gone),
+            Message::TakeSnapshot(answer) => drop(answer.send(self.balancer.snapshot())),
+            Message::Reconfigure(retune) => self.retune(*retune),
+            Message::ShutdownStarted => self.hasten(),
+            Message::ListLagging { current } => self.catch_up(current),
+            Message::RemoteDepartures(gone) => self.turn_from(&gone),
         }
     }
 
     /// Holds what is open to the latest moment for any answer. The longest deadline of the file in force sets that, and what came
     /// under an older file may have a longer one.
     fn hasten(&mut self) {
-        let Some(by) = self.handle.answers_by() else { return };
+        let Some(by) = self.handle.shutdown_deadline() else { return };
         for (id, entry) in self.requests.iter_mut().filter(|(_, entry)| entry.give_up > by) {
             // A body that still comes is not taken yet, and gets its time with its last byte.
-            if matches!(&entry.forward.body, Payload::Coming(upload) if upload.passage() != TransferState::Complete)
+            if matches!(&entry.forward.body, RequestPayload::Streaming(upload) if upload.state() != TransferState::Complete)
             {
                 continue;
             }
             entry.give_up = by;
-            entry.attempts.iter().for_each(|(.., until)| until.hasten(by));
+            entry.attempts.iter().for_each(|(.., until)| until.bring_forward(by));
             self.timers.push(Reverse((by, Timer::Backstop(*id))));
         }
     }
 
-    fn book_load(&mut self, host: Option<Rc<Host>>, load: Option<LoadReport>) {
-        let known = |h: &Rc<Host>| self.hosts.get(h.id.0 as usize).is_some_and(|known| Rc::ptr_eq(known, h));
+    fn book_load(&mut self, host: Option<Rc<UpstreamEndpoint>>, load: Option<LoadReport>) {
+        let known = |h: &Rc<UpstreamEndpoint>| {
+            self.hosts.get(h.id.0 as usize).is_some_and(|known| Rc::ptr_eq(known, h))
+        };
         if let Some((host, report)) = host.filter(known).zip(load) {
             self.decide(Event::LoadReport { endpoint: host.id, report });
         }
@@ -513,7 +516,7 @@
             return self.decide(Event::DiscoveryFailed { silent_for: quiet });
         }
         let now = Instant::now();
-        let lost = self.rewatch.record_loss(self.handle.time(now));
+        let lost = self.rewatch.record_loss(self.handle.balancer_time(now));
         if lost.should_report {
             warn!(
                 %address, version, why, failed = lost.consecutive_failures,
@@ -539,7 +542,7 @@
     fn subscribe(&mut self) {
         debug!(version = self.version, "watch");
         self.watch += 1;
-        self.rewatch.record_open(self.handle.time(Instant::now()));
+        self.rewatch.record_open(self.handle.balancer_time(Instant::now()));
         let (version, number, pushed) = (self.version, self.watch, self.pushed());
         let watching = spawn_local(watch(self.discovery, version, number, pushed, self.handle.clone()));
         if let Some(before) = self.watching.replace(watching) {
@@ -548,15 +551,15 @@
     }
 
     /// Goes on under other settings.
-    fn retune(&mut self, retune: Retune) {
-        let Retune { mut settings, names, discovery, connections, digest } = retune;
+    fn retune(&mut self, retune: Reconfiguration) {
+        let Reconfiguration { mut settings, names, discovery, connections, digest } = retune;
         if let Some(fleet) = &self.fleet {
             fleet.configured(digest, discovery);
         }
-        self.pool.retune(connections);
+        self.pool.reconfigure(connections);
         // The numbers of zones and kinds that hosts are known by stay.
         let zone = names.zones.get(settings.zone as usize).cloned();
-        self.names.go_on_as(names);
+        self.names.replace_keeping_numbers(names);
         if let Some(zone) = zone.and_then(|zone| self.names.zones.iter().position(|z| *z == zone)) {
             settings.zone = zone as u32;
         }
@@ -571,7 +574,7 @@
             )
         };
         if let Some(storms) = self.storms.filter(|_| weather(&before) != weather(&settings)) {
-            self.control_storms(storms); // what it had seen was by other shares
+            self.enable_retry_storm_control(storms); // what it had seen was by other shares
         }
         self.balancer.retune(settings);
         self.rediscover(discovery);
@@ -602,7 +605,7 @@
     /// Has the module decide, and does what it says.
     fn decide(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
-        let now = self.handle.time(Instant::now());
+        let now = self.handle.balancer_time(Instant::now());
         let deciding = AssertUnwindSafe(|| self.balancer.handle(now, event, &mut actions));
         if catch_unwind(deciding).is_err() {
             return self.start_over();
@@ -617,14 +620,14 @@
     fn start_over(&mut self) {
         error!("the decision module has panicked: what is held fails, and it starts anew");
         for entry in self.requests.values_mut() {
-            entry.finish(Final::Failed(StatusCode::BAD_GATEWAY));
+            entry.finish(FinalAnswer::Failed(StatusCode::BAD_GATEWAY));
             entry.attempts.iter().for_each(|(_, cancel, _)| cancel.notify_one());
         }
         self.requests.retain(|_, entry| entry.out > 0);
         self.numbers = self.requests.values().map(|entry| entry.number.clone()).collect();
         self.timers.retain(|Reverse((_, timer))| matches!(timer, Timer::Watch | Timer::Figures));
         self.balancer = Balancer::new(self.settings.clone(), self.seed);
-        let (mut actions, now) = (Vec::new(), self.handle.time(Instant::now()));
+        let (mut actions, now) = (Vec::new(), self.handle.balancer_time(Instant::now()));
         // Another panic is not caught: a module that cannot take the list in serves nobody, so the process ends.
         self.balancer.handle(
             now,
@@ -663,12 +666,12 @@
             }
             Action::Reject { request, retry_after: keep_away } => {
                 self.book(DecisionKind::Reject, request, None);
-                self.finish(request, Final::Refused { keep_away });
+                self.finish(request, FinalAnswer::Rejected { retry_after: keep_away });
             }
             Action::Fail { request } => {
                 let late = self.requests.get(&request).is_some_and(|e| e.last == Outcome::TimedOut);
                 let status = if late { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-                self.finish(request, Final::Failed(status));
+                self.finish(request, FinalAnswer::Failed(status));
             }
             Action::SetTimer { after, token } => {
                 self.timers.push(Reverse((Instant::now() + after, Timer::Module(token))));
@@ -678,18 +681,18 @@
                 let (outcome, latency) = (Outcome::NotSent, Duration::ZERO);
                 self.decide(Event::ProbeEnded { endpoint: host, outcome, latency });
             }
-            Action::CloseIdleConnections { endpoint: host } => self.pool.close(host),
+            Action::CloseIdleConnections { endpoint: host } => self.pool.close_idle(host),
             Action::PollDiscovery => self.subscribe(),
         }
     }
 
-    fn finish(&mut self, id: RequestId, answer: Final) {
+    fn finish(&mut self, id: RequestId, answer: FinalAnswer) {
         self.answer(id, answer);
         self.forget_if_done(id);
     }
 
     /// Gives the final answer, unless it was given.
-    fn answer(&mut self, id: RequestId, answer: Final) {
+    fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
         let Some(entry) = self.requests.get(&id).filter(|e| e.answer.is_some()) else { return };
         let (attempts, after) = (entry.attempts.len(), entry.arrived.elapsed());
         let answer = self.weather(entry.identity, answer);
@@ -704,17 +707,17 @@
         let Some(entry) = self.requests.get_mut(&id) else { return };
         let listed = self.listed.get(host.0 as usize).map(|h| (h.zone, h.cell));
         let Some(host) = self.hosts.get(host.0 as usize) else { return };
-        let (cancel, until) = (Rc::new(Notify::new()), Until::new(until.min(entry.give_up)));
+        let (cancel, until) = (Rc::new(Notify::new()), Deadline::new(until.min(entry.give_up)));
         let patience = match &entry.forward.body {
-            Payload::Whole(_) => Duration::ZERO,
-            Payload::Coming(upload) => upload.patience,
+            RequestPayload::Buffered(_) => Duration::ZERO,
+            RequestPayload::Streaming(upload) => upload.client_timeout,
         };
         let attempt = Attempt {
-            host: host.clone(),
-            forward: entry.forward.clone(),
-            until: until.clone(),
+            endpoint: host.clone(),
+            request: entry.forward.clone(),
+            deadline: until.clone(),
             write_by,
-            client: entry.client.clone(),
+            liveness: entry.client.clone(),
             cancel: cancel.clone(),
         };
         let (gateway, sent) = (self.handle.clone(), Instant::now());
@@ -723,7 +726,8 @@
         let left = write_by.map(|by| by.saturating_duration_since(sent).as_micros() as u64);
         let (zone, cell) = listed.unzip();
         debug!(request = id.0, attempt = number, host = to, zone, cell, left_us = left, "sent");
-        let end = End { outcome: Outcome::Reset, answer: None, load: None, written: None };
+        let end =
+            AttemptResult { outcome: Outcome::Reset, response: None, load_report: None, written_at: None };
         let (decided, sent) = (sent, Cell::new(sent));
         let report = Report { gateway, request: id, attempt: number, sent, decided, patience, end };
         entry.attempts.push((host.clone(), cancel, until));
--- a/crates/gateway/src/core/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -1,38 +1,42 @@
 //! The loop without sockets: lists, starts of endpoints, stops, and a panic of the decision module.
 
 use super::*;
-use crate::discovery::list::List;
-use crate::sockets::Budget;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::transport::descriptor_budget::DescriptorBudget;
 use tokio::task::LocalSet;
 
-fn arrival(handle: &Handle) -> (Box<Arrival>, oneshot::Receiver<Final>) {
+fn arrival(handle: &EngineHandle) -> (Box<Arrival>, oneshot::Receiver<FinalAnswer>) {
     let (answer, answered) = oneshot::channel();
-    let give_up = handle.time(Instant::now()) + Duration::from_secs(20);
+    let give_up = handle.balancer_time(Instant::now()) + Duration::from_secs(20);
     let request = weldworks_balancer::Request::new(handle.next_request(), 0, give_up);
     let (method, uri) = Default::default();
-    let forward = Forward { method, uri, headers: Default::default(), body: Default::default() };
+    let forward = ForwardedRequest { method, uri, headers: Default::default(), body: Default::default() };
     let number = HeaderValue::from(request.id.0);
     let class = weldworks_balancer::RequestClass::new(Duration::from_secs(10), Duration::from_secs(30));
     let class = Rc::new(RegisteredClass { name: "look".into(), number: 0, class });
-    let client = Rc::new(Presence::unseen());
-    (Box::new(Arrival { request, number, forward, class, answer, client }), answered)
+    let client = Rc::new(ClientLiveness::unobserved());
+    (Box::new(Arrival { request, request_id: number, forward, class, answer, client }), answered)
 }
 
-fn gateway() -> (Gateway, Handle) {
+fn gateway() -> (Engine, EngineHandle) {
     let mut settings = Settings::default();
     settings
         .classes
         .push(weldworks_balancer::RequestClass::new(Duration::from_secs(10), Duration::from_secs(30)));
-    let names = Names { tenants: vec![], zones: vec![], kinds: vec![] };
-    let budget = Budget::new(&Default::default(), false);
+    let names = StringInterner { tenants: vec![], zones: vec![], kinds: vec![] };
+    let budget = DescriptorBudget::new(&Default::default(), false);
     let (dial_timeout, keepalive) = (Duration::from_secs(5), Duration::from_secs(10));
-    let terms = crate::upstream::Terms { dial_timeout, keepalive, reports: Default::default() };
-    let pool = Rc::new(Pool::new(budget.hosts, terms, Rc::default()));
+    let terms = crate::upstream::ConnectionSettings {
+        dial_timeout,
+        keep_alive: keepalive,
+        load_report_fields: Default::default(),
+    };
+    let pool = Rc::new(ConnectionPool::new(budget.upstream, terms, Rc::default()));
     let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
-    Gateway::new(settings, 1, names, pool, nobody)
+    Engine::new(settings, 1, names, pool, nobody)
 }
 
-fn list(name: &str) -> List {
+fn list(name: &str) -> EndpointList {
     let text = r#"{"snapshot":true,"endpoints":[{"name":"NAME","address":"127.0.0.1:1"}]}"#;
     serde_json::from_str(&text.replace("NAME", name)).expect("a list")
 }
@@ -45,7 +49,7 @@
     let (mut gateway, handle) = gateway();
     gateway.learn(list("first"));
     let (held, _answered) = arrival(&handle);
-    gateway.take(Message::Arrived(held));
+    gateway.take(Message::RequestArrived(held));
     for n in 0..100 {
         gateway.learn(list(&format!("s-{n}")));
     }
@@ -66,18 +70,18 @@
     let whole: Vec<_> = (0..60).map(|n| entry(n, "active")).collect();
     let list = |index: usize, snapshot: bool, endpoints: Vec<serde_json::Value>| {
         let list = serde_json::json!({ "index": index, "snapshot": snapshot, "endpoints": endpoints });
-        serde_json::from_value::<List>(list).expect("a list")
+        serde_json::from_value::<EndpointList>(list).expect("a list")
     };
     gateway.learn(list(1, true, whole));
     for step in 0..120 {
         let (held, _answered) = arrival(&handle);
         let id = held.request.id;
-        gateway.take(Message::Arrived(held));
+        gateway.take(Message::RequestArrived(held));
         let (old, new) = (2 * step, 60 + 2 * step);
         let changes =
             vec![entry(old, "left"), entry(old + 1, "left"), entry(new, "active"), entry(new + 1, "active")];
         gateway.learn(list(2 + step, false, changes));
-        gateway.take(Message::Gone(id));
+        gateway.take(Message::ClientDisconnected(id));
         // The attempt is called off, and its task tells so.
         while gateway.requests.contains_key(&id) {
             local.run_until(tokio::task::yield_now()).await;
@@ -97,14 +101,14 @@
     let local = LocalSet::new();
     let _inside = local.enter();
     let (mut gateway, _handle) = gateway();
-    let news = |text: &str| serde_json::from_str::<List>(text).expect("a list");
+    let news = |text: &str| serde_json::from_str::<EndpointList>(text).expect("a list");
     gateway.learn(news(
         r#"{"index":7,"snapshot":true,"endpoints":[{"name":"a","address":"127.0.0.1:1"},{"name":"b","address":"127.0.0.1:2"}]}"#,
     ));
     gateway
         .learn(news(r#"{"index":9,"endpoints":[{"name":"a","address":"127.0.0.1:1","status":"leaving"}]}"#));
     gateway.learn(news(r#"{"index":8,"endpoints":[{"name":"a","address":"127.0.0.1:1"}]}"#));
-    let state = |gateway: &Gateway, name: &str| {
+    let state = |gateway: &Engine, name: &str| {
         gateway.host_ids.get(name).map(|id| gateway.listed[id.0 as usize].state)
     };
     assert_eq!(state(&gateway, "a"), Some(EndpointState::Draining), "the older word is passed over");
@@ -126,18 +130,18 @@
     let (mut gateway, handle) = gateway();
     let (held, _answered) = arrival(&handle);
     let id = held.request.id;
-    gateway.take(Message::Arrived(held));
+    gateway.take(Message::RequestArrived(held));
     let late = Instant::now() + Duration::from_secs(20);
-    gateway.take(Message::Complete { request: id, give_up: late });
+    gateway.take(Message::BodyForwarded { request: id, client_deadline: late });
     assert_eq!(gateway.requests.get(&id).map(|e| e.give_up), Some(late));
     let by = Instant::now() + Duration::from_secs(1);
-    handle.set_answers_by(by);
-    gateway.take(Message::Complete { request: id, give_up: late });
+    handle.set_shutdown_deadline(by);
+    gateway.take(Message::BodyForwarded { request: id, client_deadline: late });
     assert_eq!(gateway.requests.get(&id).map(|e| e.give_up), Some(by));
 }
 
 /// A list of one host by this name that started at this Unix time, in seconds from now by this machine's wall clock.
-fn started_at(name: &str, index: u64, whole: bool, from_now: i64) -> List {
+fn started_at(name: &str, index: u64, whole: bool, from_now: i64) -> EndpointList {
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
     let since = i64::try_from(unix.as_millis()).expect("this age") + 1000 * from_now;
     let list = serde_json::json!({ "index": index, "snapshot": whole, "endpoints": [
@@ -146,9 +150,9 @@
 }
 
 /// How long ago the module takes the host for started.
-fn age(gateway: &Gateway, name: &str) -> Option<Duration> {
+fn age(gateway: &Engine, name: &str) -> Option<Duration> {
     let started = gateway.listed[gateway.host_ids[name].0 as usize].started?;
-    gateway.handle.time(Instant::now()).checked_sub(started)
+    gateway.handle.balancer_time(Instant::now()).checked_sub(started)
 }
 
 /// What a new discovery has to tell counts 4 s after the signal, a call may wait 2.4 s for its turn there, and nothing new goes to a
@@ -214,12 +218,12 @@
     let (mut gateway, handle) = gateway();
     gateway.learn(list("s-1"));
     let (held, mut answered) = arrival(&handle);
-    gateway.take(Message::Arrived(held));
+    gateway.take(Message::RequestArrived(held));
     assert!(answered.try_recv().is_err(), "nothing has answered it so far");
     gateway.start_over();
-    assert!(matches!(answered.try_recv(), Ok(Final::Failed(StatusCode::BAD_GATEWAY))));
+    assert!(matches!(answered.try_recv(), Ok(FinalAnswer::Failed(StatusCode::BAD_GATEWAY))));
     let (next, _answered) = arrival(&handle);
     let id = next.request.id;
-    gateway.take(Message::Arrived(next));
+    gateway.take(Message::RequestArrived(next));
     assert_eq!(gateway.requests.get(&id).map(|e| e.out), Some(1), "the hosts are known still");
 }
--- a/crates/gateway/src/fleet/staff.rs
+++ b/crates/gateway/src/fleet/admin.rs
@@ -1,6 +1,6 @@
 //! What staff ask over the link, and what this gateway answers.
 
-use super::link::{Reader, Writer};
+use super::peer_link::{Reader, Writer};
 use super::Fleet;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -74,7 +74,7 @@
     async fn with_past(&self, mut told: Value, wanted: AuditQuery) -> Value {
         let Some(books) = &self.books else { return told };
         let own = self.audit.borrow().memory_span(self.agent.borrow().process());
-        match books.past(wanted, own).await {
+        match books.read_history(wanted, own).await {
             Ok(past) => told["earlier"] = serde_json::to_value(past).unwrap_or_default(),
             Err(why) => told["earlier_unread"] = why.into(),
         }
--- a/crates/gateway/src/fleet/books.rs
+++ b/crates/gateway/src/fleet/audit_store.rs
@@ -1,7 +1,7 @@
 //! The audit's books on disk: one file of `redb` beside the council's, written by a thread of its own, one transaction a page. What goes
 //! onto it, what is dropped and what is told of it is decided in [`pages`].
 
-use super::store::{create, set_aside, torn, Spoilt, StoreError, Tried};
+use super::consensus_store::{create, set_aside, torn, Spoilt, StoreError, Tried};
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::cell::{Cell, RefCell};
@@ -44,7 +44,7 @@
 
 /// A process and its clocks.
 #[derive(Clone, Copy, Debug)]
-pub struct Clock {
+pub struct ProcessClock {
     /// The process.
     pub process: Incarnation,
     /// When it began.
@@ -53,7 +53,7 @@
     pub began_unix_ms: u64,
 }
 
-impl Clock {
+impl ProcessClock {
     fn unix_ms(&self) -> u64 {
         self.began_unix_ms + self.start.elapsed().as_millis() as u64
     }
@@ -63,7 +63,7 @@
 type Shared = Arc<Mutex<Option<Arc<Database>>>>;
 
 /// The way to the thread that writes.
-pub struct Books {
+pub struct AuditStore {
     orders: threads::Sender<Order>,
     file: Shared,
     path: PathBuf,
@@ -75,12 +75,16 @@
     file.lock().unwrap_or_else(PoisonError::into_inner).clone()
 }
 
-impl Books {
+impl AuditStore {
     /// Opens a gateway's books, or waits for another process of it to let go of them.
     ///
     /// # Errors
     /// Where there is no using the folder, or the file is another gateway's.
-    pub fn open(folder: &Path, settings: &FleetSettings, clock: Clock) -> Result<Books, StoreError> {
+    pub fn open(
+        folder: &Path,
+        settings: &FleetSettings,
+        clock: ProcessClock,
+    ) -> Result<AuditStore, StoreError> {
         let path = folder.join(format!("audit-{}.redb", settings.gateway));
         let unusable = |why: String| StoreError::Unusable { path: path.clone(), why };
         std::fs::create_dir_all(folder).map_err(|e| unusable(e.to_string()))?;
@@ -115,7 +119,7 @@
         };
         let thread = std::thread::Builder::new().name("audit-books".to_owned()).spawn(writing);
         thread.map_err(|e| unusable(e.to_string()))?;
-        Ok(Books {
+        Ok(AuditStore {
             orders,
             file,
             path,
@@ -142,7 +146,7 @@
     }
 
     /// Writes on for as long as it is polled.
-    pub async fn keep(&self, audit: &RefCell<AuditLog>, now: impl Fn() -> Duration) {
+    pub async fn run(&self, audit: &RefCell<AuditLog>, now: impl Fn() -> Duration) {
         let mut failing: Option<String> = None;
         loop {
             sleep(EVERY).await;
@@ -169,7 +173,7 @@
     }
 
     /// What earlier processes did, and this one before its memory.
-    pub async fn past(&self, wanted: AuditQuery, own: MemorySpan) -> Result<HistoryReport, String> {
+    pub async fn read_history(&self, wanted: AuditQuery, own: MemorySpan) -> Result<HistoryReport, String> {
         let Some(file) = shared(&self.file) else {
             return Err(format!(
                 "{} is another process's, or its disk fails: this gateway's log says which",
@@ -211,7 +215,7 @@
     path: PathBuf,
     name: String,
     gateway: String,
-    clock: Clock,
+    clock: ProcessClock,
     bounds: RetentionLimits,
     file: Shared,
     open: Option<(SegmentBuilder, RetentionIndex)>,
@@ -355,11 +359,14 @@
         let peers = ["a", "b", "c"]
             .map(|n| format!("[[fleet.peer]]\nname = \"{n}\"\naddress = \"127.0.0.1:1\"\ncouncil = true\n"));
         let text = format!("[fleet]\nname = \"f\"\ngateway = \"{gateway}\"\n{}", peers.concat());
-        crate::config::operator::Operator::parse("f.toml", &text).expect("a table").fleet.expect("a fleet")
+        crate::config::operator_file::OperatorFile::parse("f.toml", &text)
+            .expect("a table")
+            .fleet
+            .expect("a fleet")
     }
 
-    fn clock(process: u64) -> Clock {
-        Clock { process: Incarnation(process), start: Instant::now(), began_unix_ms: process * 1000 }
+    fn clock(process: u64) -> ProcessClock {
+        ProcessClock { process: Incarnation(process), start: Instant::now(), began_unix_ms: process * 1000 }
     }
 
     fn folder(name: &str) -> PathBuf {
@@ -378,7 +385,7 @@
 
     /// Books of one request, written; the file is let go of once the thread has ended.
     fn write(folder: &Path, process: u64, request: &str, ended: bool) {
-        let books = Books::open(folder, &settings("a"), clock(process)).expect("it can be used");
+        let books = AuditStore::open(folder, &settings("a"), clock(process)).expect("it can be used");
         let mut audit = AuditLog::new(Duration::ZERO, Version::default());
         audit.record_decision(
             Duration::ZERO,
@@ -397,9 +404,10 @@
     fn past(folder: &Path, request: &str) -> HistoryReport {
         let own = AuditLog::new(Duration::ZERO, Version::default()).memory_span(Incarnation(9));
         loop {
-            let books = Books::open(folder, &settings("a"), clock(9)).expect("it can be used");
+            let books = AuditStore::open(folder, &settings("a"), clock(9)).expect("it can be used");
             if shared(&books.file).is_some() {
-                return runs(books.past(AuditQuery::Request(request.to_owned()), own)).expect("it is told");
+                return runs(books.read_history(AuditQuery::Request(request.to_owned()), own))
+                    .expect("it is told");
             }
             std::thread::sleep(Duration::from_millis(5));
         }
@@ -409,9 +417,9 @@
     fn processes_before_are_told_and_a_second_one_waits_for_the_file() {
         let folder = folder("before");
         write(&folder, 1, "x", true);
-        let held = Books::open(&folder, &settings("a"), clock(2));
-        let second = Books::open(&folder, &settings("a"), clock(3)).expect("it starts all the same");
-        let why = runs(second.past(
+        let held = AuditStore::open(&folder, &settings("a"), clock(2));
+        let second = AuditStore::open(&folder, &settings("a"), clock(3)).expect("it starts all the same");
+        let why = runs(second.read_history(
             AuditQuery::Request("x".into()),
             AuditLog::new(Duration::ZERO, Version::default()).memory_span(Incarnation(3)),
         ));
@@ -473,7 +481,8 @@
         write(&folder, 1, "x", true);
         drop(past(&folder, "x"));
         std::fs::copy(folder.join("audit-a.redb"), folder.join("audit-b.redb")).expect("a copy");
-        let error = Books::open(&folder, &settings("b"), clock(2)).err().expect("not its own").to_string();
+        let error =
+            AuditStore::open(&folder, &settings("b"), clock(2)).err().expect("not its own").to_string();
         assert!(error.contains("\"a\"") && error.contains("folder of its own"), "{error}");
         let _ = std::fs::remove_dir_all(&folder);
     }
@@ -509,7 +518,7 @@
         let mut small = settings("a");
         small.audit_retention.max_bytes = 1;
         loop {
-            let books = Books::open(&folder, &small, clock(2)).expect("it can be used");
+            let books = AuditStore::open(&folder, &small, clock(2)).expect("it can be used");
             let audit = RefCell::new(AuditLog::new(Duration::ZERO, Version::default()));
             if runs(books.write(&audit, || Duration::from_millis(5), true)).is_ok() {
                 break;
--- a/crates/gateway/src/fleet/store.rs
+++ b/crates/gateway/src/fleet/consensus_store.rs
@@ -63,24 +63,24 @@
 }
 
 /// What was found.
-pub struct Found {
+pub struct OpenedStore {
     /// Whose vote this process has.
     pub voter: Incarnation,
     /// What was stored, in order.
-    pub stored: Vec<StoredRecord>,
+    pub records: Vec<StoredRecord>,
     /// Where to write on; none where another process of this gateway has the file.
-    pub store: Option<Store>,
+    pub store: Option<ConsensusStore>,
 }
 
 /// The way to the thread that writes.
-pub struct Store {
+pub struct ConsensusStore {
     batches: threads::Sender<(u64, Vec<Vec<u8>>, bool)>,
     next: u64,
     /// The numbers of batches that are written, or why no more will be.
     pub written: Option<mpsc::UnboundedReceiver<Result<u64, String>>>,
 }
 
-impl Store {
+impl ConsensusStore {
     /// Gives something to be written; its number.
     pub fn write(&mut self, stored: &[StoredRecord]) -> u64 {
         self.next += 1;
@@ -107,7 +107,11 @@
 ///
 /// # Errors
 /// Where there is no using the folder, or the file is another gateway's.
-pub fn open(folder: &Path, settings: &FleetSettings, process: Incarnation) -> Result<Found, StoreError> {
+pub fn open(
+    folder: &Path,
+    settings: &FleetSettings,
+    process: Incarnation,
+) -> Result<OpenedStore, StoreError> {
     let path = folder.join(format!("council-{}.redb", settings.gateway));
     let unusable = |why: String| StoreError::Unusable { path: path.clone(), why };
     std::fs::create_dir_all(folder).map_err(|e| unusable(e.to_string()))?;
@@ -118,7 +122,7 @@
             Ok(Ok(found)) => return Ok(found),
             Ok(Err(Tried::Held)) => {
                 warn!(file = %path.display(), "fleet: another process has the council's state; this one has no vote until it is seated");
-                return Ok(Found { voter: process, stored: Vec::new(), store: None });
+                return Ok(OpenedStore { voter: process, records: Vec::new(), store: None });
             }
             Ok(Err(Tried::Another { gateway, fleet })) => {
                 return Err(StoreError::Another { path, gateway, fleet });
@@ -182,7 +186,7 @@
     }
 }
 
-fn try_open(path: &Path, settings: &FleetSettings, process: Incarnation) -> Result<Found, Tried> {
+fn try_open(path: &Path, settings: &FleetSettings, process: Incarnation) -> Result<OpenedStore, Tried> {
     let db = create(path)?;
     let new = {
         let writing = db.begin_write().map_err(torn)?;
@@ -237,8 +241,8 @@
         .name("council-state".to_owned())
         .spawn(move || write_all(&db, next, &to_write, &done))
         .map_err(|e| Tried::Unusable(e.to_string()))?;
-    let store = Store { batches, next: 0, written: Some(written) };
-    Ok(Found { voter: head.voter, stored, store: Some(store) })
+    let store = ConsensusStore { batches, next: 0, written: Some(written) };
+    Ok(OpenedStore { voter: head.voter, records: stored, store: Some(store) })
 }
 
 /// Writes what it is given until nobody gives any more, or it fails.
@@ -295,7 +299,10 @@
                 ))
                 .concat()
         );
-        crate::config::operator::Operator::parse("f.toml", &text).expect("a table").fleet.expect("a fleet")
+        crate::config::operator_file::OperatorFile::parse("f.toml", &text)
+            .expect("a table")
+            .fleet
+            .expect("a fleet")
     }
 
     fn folder(name: &str) -> PathBuf {
@@ -317,7 +324,7 @@
     }
 
     /// Writes batches and waits for each.
-    fn written(found: &mut Found, batches: &[Vec<StoredRecord>]) {
+    fn written(found: &mut OpenedStore, batches: &[Vec<StoredRecord>]) {
         let store = found.store.as_mut().expect("a store");
         let mut done = store.written.take().expect("news of it");
         for batch in batches {
@@ -328,7 +335,7 @@
     }
 
     /// The thread lets go of the file when nobody can give it anything any more.
-    fn reopen(folder: &Path, process: u64) -> Found {
+    fn reopen(folder: &Path, process: u64) -> OpenedStore {
         for _ in 0..500 {
             let found = open(folder, &settings("a"), Incarnation(process)).expect("it can be used");
             if found.store.is_some() {
@@ -343,17 +350,17 @@
     fn what_was_written_is_found_and_a_new_configuration_begins_anew() {
         let folder = folder("found");
         let mut found = reopen(&folder, 1);
-        assert_eq!((found.voter, found.stored.len()), (Incarnation(1), 0));
+        assert_eq!((found.voter, found.records.len()), (Incarnation(1), 0));
         written(&mut found, &[vec![began(1), wrote(1)], vec![wrote(2)]]);
         drop(found);
         let mut found = reopen(&folder, 2);
         assert_eq!(found.voter, Incarnation(1), "it votes as the one before");
-        assert_eq!(found.stored, [began(1), wrote(1), wrote(2)]);
+        assert_eq!(found.records, [began(1), wrote(1), wrote(2)]);
         written(&mut found, &[vec![wrote(3), began(2), wrote(4)]]);
         drop(found);
-        assert_eq!(reopen(&folder, 3).stored, [began(2), wrote(4)]);
+        assert_eq!(reopen(&folder, 3).records, [began(2), wrote(4)]);
         let another = open(&folder, &settings("b"), Incarnation(4)).expect("a file of its own");
-        assert_eq!(another.stored.len(), 0);
+        assert_eq!(another.records.len(), 0);
         let _ = std::fs::remove_dir_all(&folder);
     }
 
@@ -387,7 +394,7 @@
             (0..20).map(|n| vec![if n == 0 { began(1) } else { wrote(n) }]).collect();
         written(&mut found, &batches);
         drop(found);
-        let whole = reopen(&folder, 2).stored;
+        let whole = reopen(&folder, 2).records;
         assert_eq!(whole.len(), 20);
         let path = folder.join("council-a.redb");
         std::thread::sleep(std::time::Duration::from_millis(50));
@@ -407,10 +414,10 @@
                 std::fs::write(place.join("council-a.redb"), &spoilt).expect("a file");
                 let found = open(&place, &settings("a"), Incarnation(9)).expect("it starts all the same");
                 if found.voter == Incarnation(1) {
-                    assert_eq!(found.stored, whole, "{n} {cut}: another state than was written");
+                    assert_eq!(found.records, whole, "{n} {cut}: another state than was written");
                     same += 1;
                 } else {
-                    assert!(found.stored.is_empty() && found.voter == Incarnation(9));
+                    assert!(found.records.is_empty() && found.voter == Incarnation(9));
                     aside += 1;
                 }
             }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -3,15 +3,15 @@
 //! [`Agent`] decides; here is what carries it out: `link` the connections to the others, `store` a member's state on disk, `books` the audit's, `staff` the answers to questions,
 //! [`commands`] the questions. `core` asks how this process stands before it acts, and books what it does.
 
-mod books;
-pub mod commands;
-mod link;
-mod staff;
-mod store;
+mod admin;
+mod audit_store;
+mod consensus_store;
+mod peer_link;
 #[cfg(test)]
 mod stored_files_tests;
 
-use crate::core::messages::{Handle, Message};
+use crate::engine::message::{EngineHandle, Message};
+pub use consensus_store::StoreError;
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
 use std::collections::VecDeque;
@@ -19,7 +19,6 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-pub use store::StoreError;
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
@@ -89,12 +88,12 @@
     voter: Incarnation,
     /// When this process began, by its wall clock.
     began_unix_ms: u64,
-    books: Option<books::Books>,
-    store: RefCell<Option<store::Store>>,
+    books: Option<audit_store::AuditStore>,
+    store: RefCell<Option<consensus_store::ConsensusStore>>,
     /// Frames that wait until something is on the disk: behind which batch, and what.
     behind: RefCell<VecDeque<Behind>>,
-    links: RefCell<link::Links>,
-    gateway: Handle,
+    links: RefCell<peer_link::Links>,
+    gateway: EngineHandle,
     /// Wakes who waits for a change of standing.
     pub changed: Notify,
 }
@@ -104,7 +103,11 @@
     ///
     /// # Errors
     /// Where its state on disk can't be used.
-    pub fn new(settings: FleetSettings, basis: &Basis, gateway: Handle) -> Result<Rc<Fleet>, StoreError> {
+    pub fn new(
+        settings: FleetSettings,
+        basis: &Basis,
+        gateway: EngineHandle,
+    ) -> Result<Rc<Fleet>, StoreError> {
         let lineage = settings.lineage.clone().unwrap_or_else(|| basis.discovery.to_string());
         let version = Version {
             list: ListVersion { lineage, index: 0 },
@@ -116,20 +119,20 @@
         let process = incarnation();
         let seated = settings.voters().iter().any(|p| p.name == settings.gateway);
         let found = match settings.state_folder.as_deref().filter(|_| seated) {
-            Some(folder) => store::open(folder, &settings, process)?,
-            None => store::Found { voter: process, stored: Vec::new(), store: None },
+            Some(folder) => consensus_store::open(folder, &settings, process)?,
+            None => consensus_store::OpenedStore { voter: process, records: Vec::new(), store: None },
         };
         let start = Instant::now();
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let began_unix_ms = unix.as_millis() as u64;
-        let clock = books::Clock { process, start: start.into_std(), began_unix_ms };
+        let clock = audit_store::ProcessClock { process, start: start.into_std(), began_unix_ms };
         let books = settings
             .state_folder
             .as_deref()
-            .map(|folder| books::Books::open(folder, &settings, clock))
+            .map(|folder| audit_store::AuditStore::open(folder, &settings, clock))
             .transpose()?;
         let (voter, store) = (found.voter, found.store);
-        let memory = (voter, found.stored);
+        let memory = (voter, found.records);
         let agent = Node::new(settings.clone(), process, version.clone(), process.0, memory);
         info!(
             fleet = settings.name, gateway = settings.gateway, %process, peers = settings.peers.len(), build = version.build,
@@ -149,7 +152,7 @@
             departures: RefCell::default(),
             hosts: RefCell::default(),
             told: Cell::default(),
-            links: RefCell::new(link::Links::default()),
+            links: RefCell::new(peer_link::Links::default()),
             gateway,
             settings,
             changed: Notify::new(),
@@ -160,7 +163,7 @@
     pub fn descriptors(settings: &FleetSettings) -> usize {
         let seated = settings.peers.iter().any(|p| p.is_voter && p.name == settings.gateway);
         let linked = if seated { settings.peers.len() } else { settings.voters().len() };
-        linked + link::STAFF + 2
+        linked + peer_link::STAFF + 2
     }
 
     fn now(&self) -> Duration {
@@ -190,13 +193,13 @@
                     }
                     self.changed.notify_one();
                 }
-                NodeAction::PollDiscovery { current } => self.gateway.tell(Message::Behind { current }),
+                NodeAction::PollDiscovery { current } => self.gateway.send(Message::ListLagging { current }),
                 NodeAction::ReloadConfig { required } => warn!(
                     required = format!("{required:016x}"),
                     own = format!("{:016x}", self.version.borrow().config),
                     "fleet: staff require another configuration than this process has; put the file in place and send SIGHUP"
                 ),
-                NodeAction::EndpointsDeparted(gone) => self.gateway.tell(Message::Told(gone)),
+                NodeAction::EndpointsDeparted(gone) => self.gateway.send(Message::RemoteDepartures(gone)),
                 NodeAction::Notice(text) => info!("fleet: {text}"),
             }
         }
@@ -370,12 +373,12 @@
             let (own, seated) = (self.settings.gateway.clone(), self.seated());
             // Of two members, the first by name calls the other; whoever has no seat calls all that have.
             if peer.is_voter && peer.name != own && (!seated || own < peer.name) {
-                spawn_local(link::call(self.clone(), peer));
+                spawn_local(peer_link::call(self.clone(), peer));
             }
         }
         match listener {
-            Some(listener) => drop(spawn_local(link::answer(self.clone(), listener))),
-            None => drop(spawn_local(link::listen_later(self.clone()))),
+            Some(listener) => drop(spawn_local(peer_link::answer(self.clone(), listener))),
+            None => drop(spawn_local(peer_link::listen_later(self.clone()))),
         }
         spawn_local(self.clone().follow_disk());
         spawn_local(self.clone().keep_books());
@@ -393,7 +396,7 @@
 
     async fn keep_books(self: Rc<Self>) {
         if let Some(books) = &self.books {
-            books.keep(&self.audit, || self.now()).await;
+            books.run(&self.audit, || self.now()).await;
         }
     }
 
@@ -417,7 +420,7 @@
     /// # Errors
     /// Where it can't be bound for another reason.
     pub fn listen(settings: &FleetSettings, shared: bool) -> std::io::Result<Option<TcpListener>> {
-        match link::bind(settings.listen) {
+        match peer_link::bind(settings.listen) {
             Ok(listener) => Ok(Some(listener)),
             Err(error) if shared && error.kind() == std::io::ErrorKind::AddrInUse => Ok(None),
             Err(error) => Err(error),
--- a/crates/gateway/src/fleet/link.rs
+++ b/crates/gateway/src/fleet/peer_link.rs
@@ -5,7 +5,7 @@
 //! council's log or as a whole when it is back.
 
 use super::Fleet;
-use crate::stream::Stream;
+use crate::transport::stream::Stream;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use std::cell::{Cell, RefCell};
@@ -230,7 +230,7 @@
         Caller::Gateway { name, process, voter, .. } => {
             link(fleet, &name, (process, voter), reader, writer).await
         }
-        Caller::Administrator => super::staff::serve(fleet, reader, writer).await,
+        Caller::Administrator => super::admin::serve(fleet, reader, writer).await,
     }
 }
 
--- a/crates/gateway/src/fleet/stored_files_tests.rs
+++ b/crates/gateway/src/fleet/stored_files_tests.rs
@@ -1,8 +1,8 @@
 //! Files that version 0.2.0 wrote are opened, told and written on by this build: a gateway that is upgraded must not lose its vote or its
 //! audit. `cargo test -p <this package> --lib write_stored_files -- --ignored` writes the fixtures anew, with the code as it stands.
 
-use super::books::{Books, Clock};
-use super::store;
+use super::audit_store::{AuditStore, ProcessClock};
+use super::consensus_store;
 use std::cell::RefCell;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -24,7 +24,10 @@
     let peers = ["a", "b", "c"]
         .map(|n| format!("[[fleet.peer]]\nname = \"{n}\"\naddress = \"127.0.0.1:1\"\ncouncil = true\n"));
     let text = format!("[fleet]\nname = \"f\"\ngateway = \"a\"\n{}", peers.concat());
-    crate::config::operator::Operator::parse("f.toml", &text).expect("a table").fleet.expect("a fleet")
+    crate::config::operator_file::OperatorFile::parse("f.toml", &text)
+        .expect("a table")
+        .fleet
+        .expect("a fleet")
 }
 
 fn temporary_folder(name: &str) -> PathBuf {
@@ -86,14 +89,15 @@
     ]
 }
 
-fn open_council(folder: &Path, process: u64) -> store::Found {
+fn open_council(folder: &Path, process: u64) -> consensus_store::OpenedStore {
     until(|| {
-        let found = store::open(folder, &settings(), Incarnation(process)).expect("the folder can be used");
+        let found =
+            consensus_store::open(folder, &settings(), Incarnation(process)).expect("the folder can be used");
         found.store.is_some().then_some(found)
     })
 }
 
-fn write_council(found: &mut store::Found, batch: &[StoredRecord]) {
+fn write_council(found: &mut consensus_store::OpenedStore, batch: &[StoredRecord]) {
     let store = found.store.as_mut().expect("a store");
     let mut done = store.written.take().expect("what is written is told");
     let number = store.write(batch);
@@ -101,13 +105,13 @@
     store.written = Some(done);
 }
 
-fn open_audit(folder: &Path, process: u64) -> Books {
-    let clock = Clock {
+fn open_audit(folder: &Path, process: u64) -> AuditStore {
+    let clock = ProcessClock {
         process: Incarnation(process),
         start: Instant::now(),
         began_unix_ms: 1_790_000_000_000 + process * 1000,
     };
-    Books::open(folder, &settings(), clock).expect("the folder can be used")
+    AuditStore::open(folder, &settings(), clock).expect("the folder can be used")
 }
 
 /// A process that does something to each request, one segment a request.
@@ -131,7 +135,7 @@
     until(|| {
         let books = open_audit(folder, 90);
         let own = AuditLog::new(Duration::ZERO, Version::default()).memory_span(Incarnation(90));
-        block_on(books.past(wanted.clone(), own)).ok()
+        block_on(books.read_history(wanted.clone(), own)).ok()
     })
 }
 
@@ -171,13 +175,13 @@
     let folder = copy_of("complete", COUNCIL);
     let mut found = open_council(&folder, 30);
     assert_eq!(found.voter, Incarnation(7), "it votes as the process before");
-    assert_eq!(found.stored, log());
+    assert_eq!(found.records, log());
     let next = StoredRecord::StorageChanged(StorageChange::Decided(5));
     write_council(&mut found, std::slice::from_ref(&next));
     drop(found);
     let mut all = log();
     all.push(next);
-    assert_eq!(open_council(&folder, 31).stored, all);
+    assert_eq!(open_council(&folder, 31).records, all);
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -186,7 +190,7 @@
     let folder = copy_of(TORN, COUNCIL);
     let found = open_council(&folder, 30);
     assert_eq!(found.voter, Incarnation(30), "it has no vote until it is seated");
-    assert!(found.stored.is_empty());
+    assert!(found.records.is_empty());
     assert!(folder.join("council-a.spoilt-0").exists());
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,23 +1,19 @@
 //! The gateway on real sockets. The decisions are those of [`weldworks_balancer`]; here they are carried out.
 //!
-//! A folder for each side: [`core`] owns the module and the request table, [`listeners`] take requests in,
-//! [`upstream`] sends them on, [`discovery`] brings news of the hosts, [`daemon`] is the process, [`config`] what it
-//! is told, [`fleet`] its part among others. [`limits`], [`names`], [`exchange`] and [`sockets`] are leaves that several of them use.
+//! A request passes `server` (client side), `engine` (sole owner of the balancer, the request table and the timers) and `upstream`
+//! (endpoint side). `discovery` brings endpoint lists, `lifecycle` is the process from start to exit, `config` the files that it reads,
+//! `fleet` its part among other gateways, `transport` what lies below HTTP, `body` request and response bodies, `cli` the subcommands.
 
+pub mod body;
+pub mod cli;
 pub mod config;
-pub mod core;
-pub mod daemon;
 pub mod discovery;
-pub mod exchange;
-pub mod figures;
+pub mod engine;
 pub mod fleet;
-mod framing;
+pub mod lifecycle;
 pub mod limits;
-pub mod listeners;
-pub mod names;
-mod presence;
-pub mod sockets;
-mod stream;
-mod system_errors;
+pub mod metrics;
+pub mod server;
+pub mod string_interner;
+mod transport;
 pub mod upstream;
-mod wire;
--- a/crates/gateway/src/daemon/handover.rs
+++ b/crates/gateway/src/lifecycle/hot_restart.rs
@@ -1,9 +1,9 @@
 //! Two processes of one gateway, while one replaces the other: what each knows of the other through the folder they share, and the
 //! file in which the old one keeps what the new one should know. Nobody waits for anybody.
 
-use crate::core::messages::{Handle, Message};
-use crate::daemon::service::Service;
-use crate::sockets::Budget;
+use crate::engine::message::{EngineHandle, Message};
+use crate::lifecycle::service::ServiceState;
+use crate::transport::descriptor_budget::DescriptorBudget;
 use std::fs::{self, File, TryLockError};
 use std::io::{self, Read};
 use std::os::unix::fs::FileExt;
@@ -32,7 +32,7 @@
 }
 
 /// What a process before this one knew, where it has just written it.
-pub fn read(folder: &Path) -> Option<Snapshot> {
+pub fn read_snapshot(folder: &Path) -> Option<Snapshot> {
     let mut text = String::new();
     let file = match File::open(folder.join(MEMORY)) {
         Ok(file) => file,
@@ -85,11 +85,11 @@
 
 /// Looks for another process of this gateway, until this one is told to stop. While there is one, each says what it has open, and
 /// leaves the other that much of the descriptors. The one that serves writes down what it knows.
-pub async fn stand_by(folder: &Path, gateway: &Handle, budget: &Budget, service: &Service) {
+pub async fn run(folder: &Path, gateway: &EngineHandle, budget: &DescriptorBudget, service: &ServiceState) {
     let mut place = Place::Follows(None);
     let (mut written, mut shared, mut failing) = (None, None, false);
     loop {
-        let other = match look(folder, &mut place, budget.held()) {
+        let other = match look(folder, &mut place, budget.usage()) {
             Ok(other) => other,
             // What is known of the other holds until the folder can be used again: both together have one limit.
             Err(error) => {
@@ -106,7 +106,7 @@
             }
         };
         failing = false;
-        budget.share(other.unwrap_or_default());
+        budget.reserve_for_peer(other.unwrap_or_default());
         if shared.replace(other.is_some()) != Some(other.is_some()) {
             match other {
                 Some(_) => info!(
@@ -118,7 +118,7 @@
         let due = written.is_none_or(|at: tokio::time::Instant| at.elapsed() >= SNAPSHOT_INTERVAL);
         if due && matches!(place, Place::Serves(_)) {
             let (answer, told) = oneshot::channel();
-            gateway.tell(Message::Remember(answer));
+            gateway.send(Message::TakeSnapshot(answer));
             if let Ok(memory) = told.await {
                 if let Err(error) = write(folder, &memory) {
                     warn!(%error, "what this process knows can't be written; the next one starts from nothing");
--- a/crates/gateway/src/daemon/inherited.rs
+++ b/crates/gateway/src/lifecycle/listener_inheritance.rs
@@ -10,7 +10,7 @@
 
 /// Why the descriptor can't be used.
 #[derive(Debug, thiserror::Error)]
-pub enum InheritedError {
+pub enum InheritedListenerError {
     /// It is no number.
     #[error(
         "{VARIABLE}: {0:?} is no number of a descriptor; name the clients' listening socket, or unset it"
@@ -31,15 +31,15 @@
 ///
 /// # Errors
 /// Where something is named that is no listener.
-pub fn listener() -> Result<Option<TcpListener>, InheritedError> {
+pub fn listener() -> Result<Option<TcpListener>, InheritedListenerError> {
     let Some(text) = env::var_os(VARIABLE) else { return Ok(None) };
     let text = text.to_string_lossy().into_owned();
-    let fd: u32 = text.parse().map_err(|_| InheritedError::NoNumber(text))?;
+    let fd: u32 = text.parse().map_err(|_| InheritedListenerError::NoNumber(text))?;
     // The library reads the words of another protocol; it takes no descriptor without them.
     env::remove_var("LISTEN_PID");
     env::set_var("LISTEN_FDS", "1");
     env::set_var("LISTEN_FDS_FIRST_FD", fd.to_string());
-    let no_listener = |why: String| InheritedError::NoListener { fd, why };
+    let no_listener = |why: String| InheritedListenerError::NoListener { fd, why };
     let taken = ListenFd::from_env().take_tcp_listener(0).map_err(|error| no_listener(error.to_string()))?;
     env::remove_var("LISTEN_FDS_FIRST_FD");
     let listener = taken.ok_or_else(|| no_listener("it can't be taken".into()))?;
--- a/crates/gateway/src/daemon/log.rs
+++ b/crates/gateway/src/lifecycle/log.rs
@@ -6,7 +6,7 @@
 
 /// How a line is worded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Format {
+pub enum LogFormat {
     /// Time, level, message, and the event's figures as `name=value`.
     #[default]
     Text,
@@ -14,13 +14,14 @@
     Json,
 }
 
-impl Named for Format {
-    const WORDS: &'static [(&'static str, Format)] = &[("text", Format::Text), ("json", Format::Json)];
+impl Named for LogFormat {
+    const WORDS: &'static [(&'static str, LogFormat)] =
+        &[("text", LogFormat::Text), ("json", LogFormat::Json)];
 }
 
 /// How much is told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Level {
+pub enum LogLevel {
     /// What an operator should know of.
     #[default]
     Info,
@@ -28,33 +29,41 @@
     Debug,
 }
 
-impl Named for Level {
-    const WORDS: &'static [(&'static str, Level)] = &[("info", Level::Info), ("debug", Level::Debug)];
+impl Named for LogLevel {
+    const WORDS: &'static [(&'static str, LogLevel)] =
+        &[("info", LogLevel::Info), ("debug", LogLevel::Debug)];
 }
 
 /// The table `[log]` of the operator's file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Log {
+pub struct LogSettings {
     /// How a line is worded.
-    pub format: Format,
+    pub format: LogFormat,
     /// How much is told.
-    pub level: Level,
+    pub level: LogLevel,
 }
 
-impl Log {
+impl LogSettings {
+    /// The text that the operator file's digest is taken of, in the names of version 0.2.0.
+    pub fn digest_text(&self) -> String {
+        format!("Log {{ format: {:?}, level: {:?} }}", self.format, self.level)
+    }
+
     /// Reads the table.
-    pub fn read(table: &Table<'_, '_>) -> Log {
-        let log =
-            Log { format: table.or("format", Format::default()), level: table.or("level", Level::default()) };
+    pub fn read(table: &Table<'_, '_>) -> LogSettings {
+        let log = LogSettings {
+            format: table.or("format", LogFormat::default()),
+            level: table.or("level", LogLevel::default()),
+        };
         table.finish();
         log
     }
 
     /// Sends all events of this process to standard error from now on. A second call changes nothing.
-    pub fn begin(self) {
+    pub fn install(self) {
         let level = match self.level {
-            Level::Info => LevelFilter::INFO,
-            Level::Debug => LevelFilter::DEBUG,
+            LogLevel::Info => LevelFilter::INFO,
+            LogLevel::Debug => LevelFilter::DEBUG,
         };
         let lines = tracing_subscriber::fmt()
             .with_writer(io::stderr)
@@ -62,8 +71,8 @@
             .with_target(false)
             .with_max_level(level);
         let _ = match self.format {
-            Format::Text => lines.try_init(),
-            Format::Json => lines.json().try_init(),
+            LogFormat::Text => lines.try_init(),
+            LogFormat::Json => lines.json().try_init(),
         };
     }
 }
--- a/crates/gateway/src/daemon/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -1,22 +1,22 @@
 //! The process: start, wiring, reload, and the way out.
 
-pub mod handover;
-pub mod inherited;
+pub mod hot_restart;
+pub mod listener_inheritance;
 pub mod log;
 pub mod service;
 
-use crate::config::operator::Operator;
-use crate::config::platform::Config;
-use crate::core::messages::{Handle, Message, Retune};
-use crate::core::Gateway;
-use crate::figures::Figures;
+use crate::config::operator_file::OperatorFile;
+use crate::config::platform_file::Config;
+use crate::engine::message::{EngineHandle, Message, Reconfiguration};
+use crate::engine::Engine;
 use crate::fleet::{Basis, Fleet};
-use crate::listeners::http::{Server, Terms};
-use crate::listeners::management;
-use crate::sockets::Budget;
-use crate::upstream::{Closed, Pool};
+use crate::metrics::Metrics;
+use crate::server::admin;
+use crate::server::http::{RequestSettings, Server};
+use crate::transport::descriptor_budget::DescriptorBudget;
+use crate::upstream::{ClosedIdleConnection, ConnectionPool};
 use serde_json::Value;
-use service::Service;
+use service::ServiceState;
 use std::env;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -80,9 +80,9 @@
 struct Reload {
     running: Value,
     classes: ClassRegistry,
-    gateway: Handle,
+    gateway: EngineHandle,
     server: Rc<Server>,
-    service: Rc<Service>,
+    service: Rc<ServiceState>,
 }
 
 impl Reload {
@@ -90,7 +90,7 @@
     async fn run(mut self, mut hang_up: Signal) {
         while hang_up.recv().await.is_some() {
             let config = Config::again(&self.running);
-            self.service.figures.reloaded(config.is_ok());
+            self.service.figures.record_reload(config.is_ok());
             match config {
                 Ok(config) => self.apply(config),
                 Err(error) => {
@@ -103,23 +103,23 @@
 
     fn apply(&mut self, config: Config) {
         let digest = config.site_digest();
-        self.classes.replace(self.gateway.time(Instant::now()), config.named_classes());
+        self.classes.replace(self.gateway.balancer_time(Instant::now()), config.named_classes());
         let settings = Settings { classes: self.classes.by_number(), ..config.settings };
-        self.service.figures.know(&config.classes);
-        self.service.longest(longest(&settings));
-        let terms = Terms::new(&self.classes, config.names.tenants.clone(), &settings);
+        self.service.figures.register_classes(&config.classes);
+        self.service.set_longest_deadline(longest(&settings));
+        let terms = RequestSettings::new(&self.classes, config.names.tenants.clone(), &settings);
         info!(discovery = %config.discovery, classes = config.classes.join(","), attempts = settings.max_attempts, "SIGHUP: the \
             file is in force");
         // The owner of the decisions hears of them ahead of the first request that comes under them.
         let Config { names, discovery, connections, .. } = config;
-        self.gateway.tell(Message::Retune(Box::new(Retune {
+        self.gateway.send(Message::Reconfigure(Box::new(Reconfiguration {
             settings,
             names,
             discovery,
             connections,
             digest,
         })));
-        self.server.turn_to(terms);
+        self.server.reconfigure(terms);
         self.running = config.document;
     }
 }
@@ -136,9 +136,9 @@
 }
 
 /// Waits until no more connections are to be accepted.
-async fn until_closed(service: &Service) {
+async fn until_closed(service: &ServiceState) {
     loop {
-        match service.accepts_until() {
+        match service.accept_deadline() {
             Some(until) if until <= Instant::now() => return,
             Some(until) => sleep_until(until).await,
             None => service.changed.notified().await,
@@ -151,13 +151,13 @@
 /// # Errors
 /// Where it can't start, or has ended without being told to.
 pub async fn serve(
-    operator: Operator,
+    operator: OperatorFile,
     handed: Option<std::net::TcpListener>,
     fleet_left_off: bool,
 ) -> Result<(), Box<dyn Error>> {
     // Before anything else: by default either signal ends the process.
     let (mut terminate, hang_up) = (signal(SignalKind::terminate())?, signal(SignalKind::hangup())?);
-    operator.log.begin();
+    operator.log.install();
     if fleet_left_off {
         info!("[fleet] is in the operator's file and stays off: it takes effect with `run --fleet`");
     }
@@ -174,16 +174,16 @@
     });
     let mut classes = ClassRegistry::default();
     classes.replace(Duration::ZERO, config.named_classes());
-    let budget = Budget::new(&config.limits, config.management.is_some());
+    let budget = DescriptorBudget::new(&config.limits, config.management.is_some());
     let settings = Settings { classes: classes.by_number(), ..config.settings };
-    let terms = Terms::new(&classes, config.names.tenants.clone(), &settings);
-    let figures = Rc::new(Figures::default());
-    figures.know(&config.classes);
-    let pool = Rc::new(Pool::new(budget.hosts.clone(), config.connections, figures.clone()));
+    let terms = RequestSettings::new(&classes, config.names.tenants.clone(), &settings);
+    let figures = Rc::new(Metrics::default());
+    figures.register_classes(&config.classes);
+    let pool = Rc::new(ConnectionPool::new(budget.upstream.clone(), config.connections, figures.clone()));
     let (mut gateway, handle) =
-        Gateway::new(settings.clone(), config.seed, config.names, pool.clone(), config.discovery);
+        Engine::new(settings.clone(), config.seed, config.names, pool.clone(), config.discovery);
     if let Some(settings) = operator.storm {
-        gateway.control_storms(settings);
+        gateway.enable_retry_storm_control(settings);
     }
     let shared = handed.is_some();
     let fleet = match operator.fleet.clone().zip(basis) {
@@ -194,15 +194,15 @@
     if let (Some(fleet), Some(settings)) = (&fleet, &operator.fleet) {
         link = Fleet::listen(settings, shared)
             .map_err(|source| LinkError { address: settings.listen, source })?;
-        gateway.join(fleet.clone());
+        gateway.join_fleet(fleet.clone());
     }
     let leaving = drain::DrainSettings { longest_deadline: longest(&settings), shared_listener: shared };
-    let service = Rc::new(Service::new(leaving, handle.clone(), figures.clone(), fleet.clone()));
+    let service = Rc::new(ServiceState::new(leaving, handle.clone(), figures.clone(), fleet.clone()));
     if let Some(address) = config.management {
         let listener = listen("management", "ROUTER_MANAGEMENT", address)?;
         info!(address = %listener.local_addr()?, "calls are answered");
-        gateway.keep_figures(figures);
-        spawn_local(management::answer(listener, budget.management.clone(), service.clone()));
+        gateway.attach_metrics(figures);
+        spawn_local(admin::serve_admin(listener, budget.admin.clone(), service.clone()));
     }
     let listener = match handed {
         Some(listener) => TcpListener::from_std(listener)?,
@@ -210,8 +210,8 @@
     };
     gateway.learn(config.known);
     let told = handle.clone();
-    let closed = move |Closed { host, address, idle, left }| {
-        told.tell(Message::Closed { host, address, idle, left });
+    let closed = move |ClosedIdleConnection { endpoint: host, address, idle_for: idle, remaining: left }| {
+        told.send(Message::IdleConnectionClosed { endpoint: host, address, idle, remaining: left });
     };
     let server = Rc::new(Server::new(handle.clone(), terms, &budget, service.clone()));
     let (running, gateway_told) = (config.document, handle.clone());
@@ -221,10 +221,10 @@
     info!(address = %listener.local_addr()?, "listening");
     // These live and die with the process: a panic in one of them ends it, for it would be half alive.
     let folder = shared.then(|| env::var_os("TMPDIR")).flatten().map(PathBuf::from);
-    let mut known_before = folder.as_deref().and_then(handover::read);
+    let mut known_before = folder.as_deref().and_then(hot_restart::read_snapshot);
     let handing = async {
         if let Some(folder) = &folder {
-            handover::stand_by(folder, &handle, &budget, &service).await;
+            hot_restart::run(folder, &handle, &budget, &service).await;
         }
     };
     let belonging = async {
@@ -236,19 +236,19 @@
         tokio::join!(
             belonging,
             gateway.run(),
-            pool.sweep(closed),
-            server.feel_pulse(),
-            server.sweep(),
+            pool.close_expired(closed),
+            server.measure_accept_delay(),
+            server.close_expired(),
             reloading,
             handing
         )
     };
     tokio::pin!(running);
     let serving = async {
-        while service.awaits() == Some(StartupWait::Discovery) {
+        while service.waiting_for() == Some(StartupWait::Discovery) {
             sleep(LOOK_AGAIN).await;
         }
-        if shared && !handle.heard() {
+        if shared && !handle.discovery_answered() {
             warn!(
                 "discovery has said nothing yet; clients are taken on the list of the file. The address is `discovery` in the \
                  file that ROUTER_CONFIG names, or ROUTER_DISCOVERY"
@@ -256,12 +256,12 @@
         }
         // After the list: what is remembered is of hosts that it names.
         if let Some(memory) = known_before.take() {
-            handle.tell(Message::Recall(memory));
+            handle.send(Message::RestoreSnapshot(memory));
         }
-        while service.awaits().is_some() {
+        while service.waiting_for().is_some() {
             sleep(LOOK_AGAIN).await;
         }
-        if let Some(why) = service.unready() {
+        if let Some(why) = service.not_ready_reason() {
             warn!(why, "clients are taken and refused until this changes; the list is discovery's");
         }
         server.clone().accept(&listener).await;
@@ -272,7 +272,7 @@
         _ = terminate.recv() => {}
     }
     info!("SIGTERM: stopping");
-    service.stop();
+    service.begin_shutdown();
     let stopping = async {
         tokio::select! {
             biased; // one that may take nobody any more takes nobody
@@ -282,10 +282,10 @@
         if shared {
             drop(listener); // what waits in it is the other process's to take
         } else {
-            let by = handle.answers_by().unwrap_or_else(Instant::now);
-            server.accept_rest(listener, by).await;
+            let by = handle.shutdown_deadline().unwrap_or_else(Instant::now);
+            server.drain_backlog(listener, by).await;
         }
-        server.finish().await;
+        server.finish_connections().await;
         if let Some(fleet) = &fleet {
             fleet.leave().await;
         }
--- a/crates/gateway/src/daemon/service.rs
+++ b/crates/gateway/src/lifecycle/service.rs
@@ -1,9 +1,9 @@
 //! How this process stands in service: the drain machine with the clock it wants, what has been accepted, and the figures. The
 //! listeners read it and report to it.
 
-use crate::core::messages::{Handle, Message};
-use crate::figures::Figures;
+use crate::engine::message::{EngineHandle, Message};
 use crate::fleet::Fleet;
+use crate::metrics::Metrics;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use weldworks_control::hot_restart::{Startup, StartupWait};
 
 /// The state.
-pub struct Service {
+pub struct ServiceState {
     start: Instant,
     drain: RefCell<Drain>,
     accepted: Cell<Duration>,
-    gateway: Handle,
+    gateway: EngineHandle,
     hosts_up: Rc<Cell<bool>>,
     entry: Startup,
     /// Wakes who waits for the next change of the drain.
@@ -25,20 +25,20 @@
     /// Wakes who waits for the end of its service.
     pub stopped: Notify,
     /// The figures.
-    pub figures: Rc<Figures>,
+    pub figures: Rc<Metrics>,
     fleet: Option<Rc<Fleet>>,
 }
 
-impl Service {
+impl ServiceState {
     /// In service, once it awaits nothing more.
     pub fn new(
         terms: DrainSettings,
-        gateway: Handle,
-        figures: Rc<Figures>,
+        gateway: EngineHandle,
+        figures: Rc<Metrics>,
         fleet: Option<Rc<Fleet>>,
-    ) -> Service {
-        let hosts_up = gateway.hosts_up();
-        Service {
+    ) -> ServiceState {
+        let hosts_up = gateway.has_active_endpoint();
+        ServiceState {
             start: Instant::now(),
             drain: RefCell::new(Drain::new(terms)),
             accepted: Cell::default(),
@@ -57,14 +57,14 @@
     }
 
     /// What it waits for before it takes clients, if anything.
-    pub fn awaits(&self) -> Option<StartupWait> {
-        self.entry.waiting_for(self.now(), self.gateway.heard(), self.hosts_up.get())
+    pub fn waiting_for(&self) -> Option<StartupWait> {
+        self.entry.waiting_for(self.now(), self.gateway.discovery_answered(), self.hosts_up.get())
     }
 
     /// Why this process can't serve, be it drained or not; none where it can.
-    pub fn unready(&self) -> Option<&'static str> {
-        match self.awaits() {
-            _ if self.stopping() => Some("stopping"),
+    pub fn not_ready_reason(&self) -> Option<&'static str> {
+        match self.waiting_for() {
+            _ if self.is_shutting_down() => Some("stopping"),
             Some(StartupWait::Discovery) => Some("waiting for discovery's first word"),
             _ if !self.hosts_up.get() => Some("no host in discovery's list takes work"),
             _ => self.fleet.as_ref().and_then(|fleet| fleet.unready()),
@@ -72,60 +72,60 @@
     }
 
     /// Whether the front may send clients here.
-    pub fn ready(&self) -> bool {
-        self.unready().is_none() && self.drain.borrow().is_ready()
+    pub fn is_ready(&self) -> bool {
+        self.not_ready_reason().is_none() && self.drain.borrow().is_ready()
     }
 
     /// Drains it, or takes that back. Whether this changed anything.
-    pub fn drain(&self, on: bool) -> bool {
+    pub fn set_draining(&self, on: bool) -> bool {
         let changed = self.drain.borrow_mut().set_draining(self.now(), on);
         self.changed.notify_one();
         changed
     }
 
     /// Ends its service.
-    pub fn stop(&self) {
+    pub fn begin_shutdown(&self) {
         self.drain.borrow_mut().begin_shutdown(self.now());
         self.stopped.notify_one();
         if let Some(by) = self.drain.borrow().answer_deadline() {
-            self.gateway.set_answers_by(self.start + by);
-            self.gateway.tell(Message::Stopping);
+            self.gateway.set_shutdown_deadline(self.start + by);
+            self.gateway.send(Message::ShutdownStarted);
         }
         self.changed.notify_one();
     }
 
     /// Clients wait for so long at most from now on.
-    pub fn longest(&self, longest: Duration) {
+    pub fn set_longest_deadline(&self, longest: Duration) {
         self.drain.borrow_mut().set_longest_deadline(longest);
     }
 
     /// Whether it is on its way out.
-    pub fn stopping(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.drain.borrow().is_shutting_down()
     }
 
     /// Whether an answer ends its connection.
-    pub fn says_goodbye(&self) -> bool {
+    pub fn sends_connection_close(&self) -> bool {
         self.drain.borrow().sends_connection_close(self.now())
     }
 
     /// A connection has been accepted.
-    pub fn accepted(&self) {
+    pub fn record_accept(&self) {
         self.accepted.set(self.now());
     }
 
     /// Until when connections are accepted, where that has an end.
-    pub fn accepts_until(&self) -> Option<Instant> {
+    pub fn accept_deadline(&self) -> Option<Instant> {
         Some(self.start + self.drain.borrow().accept_deadline(self.accepted.get())?)
     }
 
     /// For how long a connection may rest, where that has a limit.
-    pub fn may_rest(&self) -> Option<Duration> {
+    pub fn idle_limit(&self) -> Option<Duration> {
         self.drain.borrow().idle_limit(self.now(), self.accepted.get())
     }
 
     /// Whether new connections keep their time to bring a first request.
-    pub fn awaits_first(&self) -> bool {
+    pub fn awaits_first_request(&self) -> bool {
         self.drain.borrow().awaits_first_request(self.now())
     }
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -7,10 +7,10 @@
 use std::process::ExitCode;
 use tokio::task::LocalSet;
 use weldworks_fleet::settings::FleetSettings;
-use weldworks_gateway::config::operator::Operator;
-use weldworks_gateway::config::platform::Config;
-use weldworks_gateway::daemon;
-use weldworks_gateway::fleet::commands::{self, Shown};
+use weldworks_gateway::cli::fleet::{self as fleet_commands, Shown};
+use weldworks_gateway::config::operator_file::OperatorFile;
+use weldworks_gateway::config::platform_file::Config;
+use weldworks_gateway::lifecycle;
 
 /// The gateway of the booking service.
 ///
@@ -38,7 +38,7 @@
     /// Ask or tell the fleet of the operator's file. Exit code 3: some gateways could not be asked, or nothing was decided.
     Fleet {
         #[command(subcommand)]
-        command: commands::FleetCommand,
+        command: fleet_commands::FleetCommand,
         /// Print JSON.
         #[arg(long, global = true)]
         json: bool,
@@ -46,7 +46,7 @@
     /// Ask all gateways of the fleet what they did under which version. Exit code 3: some could not be asked.
     Audit {
         #[command(flatten)]
-        arguments: commands::AuditArgs,
+        arguments: fleet_commands::AuditArgs,
         /// Print JSON.
         #[arg(long)]
         json: bool,
@@ -62,7 +62,7 @@
     if file.extension().is_some_and(|e| e == "json") {
         Config::check(file)?;
     } else {
-        Operator::read(file)?;
+        OperatorFile::read(file)?;
     }
     println!("{} is as it should be", file.display());
     Ok(())
@@ -71,20 +71,20 @@
 fn run(settings: Option<&Path>, fleet: bool) -> Result<(), Box<dyn Error>> {
     // A flag that finds no table is an error before anything is opened; the descriptor handed on is claimed ahead of what this
     // process opens, and the file has been closed again by then.
-    let mut operator = settings.map_or_else(|| Ok(Operator::default()), Operator::read)?;
+    let mut operator = settings.map_or_else(|| Ok(OperatorFile::default()), OperatorFile::read)?;
     if fleet && operator.fleet.is_none() {
         return Err("--fleet needs the table [fleet] in the operator's file; name the file with --settings, or leave the flag out".into());
     }
-    let handed = daemon::inherited::listener()?;
+    let handed = lifecycle::listener_inheritance::listener()?;
     let left_off = !fleet && operator.fleet.take().is_some();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, daemon::serve(operator, handed, left_off))
+    LocalSet::new().block_on(&runtime, lifecycle::serve(operator, handed, left_off))
 }
 
 /// The fleet of the operator's file, for a command.
 fn fleet_of(settings: Option<&Path>) -> Result<FleetSettings, Box<dyn Error>> {
     let file = settings.ok_or("name the operator's file with --settings FILE")?;
-    let fleet = Operator::read(file)?.fleet;
+    let fleet = OperatorFile::read(file)?.fleet;
     Ok(fleet.ok_or_else(|| format!("{} has no table [fleet]", file.display()))?)
 }
 
@@ -107,13 +107,16 @@
         None => (run(settings, false).map(well), ExitCode::FAILURE),
         Some(Sub::Run { fleet }) => (run(settings, *fleet).map(well), ExitCode::FAILURE),
         Some(Sub::Fleet { command, json }) => {
-            let asked = fleet_of(settings).and_then(|fleet| ask(commands::command(&fleet, command, *json)));
+            let asked =
+                fleet_of(settings).and_then(|fleet| ask(fleet_commands::command(&fleet, command, *json)));
             (asked, ExitCode::from(2))
         }
         Some(Sub::Audit { arguments, json }) => {
             let asked = fleet_of(settings).and_then(|fleet| {
                 ask(async {
-                    Ok::<_, commands::CommandError>(commands::audit(&fleet, arguments, *json).await)
+                    Ok::<_, fleet_commands::CommandError>(
+                        fleet_commands::audit(&fleet, arguments, *json).await,
+                    )
                 })
             });
             (asked, ExitCode::from(2))
--- a/crates/gateway/src/figures.rs
+++ b/crates/gateway/src/metrics.rs
@@ -8,9 +8,9 @@
 
 /// A request that is open: counted for as long as this lives.
 #[derive(Debug)]
-pub struct Open(Rc<Figures>);
+pub struct OpenRequest(Rc<Metrics>);
 
-impl Drop for Open {
+impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.0.current.set(self.0.current.get() - 1);
     }
@@ -18,42 +18,43 @@
 
 /// A request that is to be counted, once, when it ends. One that goes without has lost its client, and counts as nothing.
 #[derive(Debug)]
-pub struct Taken {
-    figures: Rc<Figures>,
+pub struct CountedRequest {
+    figures: Rc<Metrics>,
     class: Rc<RegisteredClass>,
-    open: Option<Open>,
+    open: Option<OpenRequest>,
 }
 
-impl Taken {
+impl CountedRequest {
     /// A request of the class; it is not open yet.
-    pub fn new(figures: Rc<Figures>, class: Rc<RegisteredClass>) -> Taken {
-        Taken { figures, class, open: None }
+    pub fn new(figures: Rc<Metrics>, class: Rc<RegisteredClass>) -> CountedRequest {
+        CountedRequest { figures, class, open: None }
     }
 
     /// Its last byte has come.
-    pub fn open(&mut self) {
+    pub fn mark_open(&mut self) {
         if self.open.is_none() {
-            self.open = Some(self.figures.open());
+            self.open = Some(self.figures.open_request());
         }
     }
 
     /// It has ended.
-    pub fn ended(self, how: Ending) {
-        self.figures.ended(&self.class.name, how);
+    pub fn finish(self, how: RequestEnding) {
+        self.figures.record_ending(&self.class.name, how);
     }
 }
 
-impl Drop for Taken {
+impl Drop for CountedRequest {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            self.figures.ended(&self.class.name, Ending::Errored); // what the client is told then
+            self.figures.record_ending(&self.class.name, RequestEnding::Errored);
+            // what the client is told then
         }
     }
 }
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestEnding {
     /// Served.
     Answered,
     /// Refused: trying again is harmless.
@@ -72,7 +73,7 @@
 
 /// The figures. One owner for all of them; a class that is no longer in the settings keeps its own.
 #[derive(Debug, Default)]
-pub struct Figures {
+pub struct Metrics {
     classes: RefCell<BTreeMap<String, Endings>>,
     current: Cell<u64>,
     /// Attempts written whole to hosts.
@@ -87,9 +88,9 @@
     pub conf_invalid: Cell<u64>,
 }
 
-impl Figures {
+impl Metrics {
     /// Has the classes stand there from 0.
-    pub fn know(&self, classes: &[String]) {
+    pub fn register_classes(&self, classes: &[String]) {
         let mut known = self.classes.borrow_mut();
         for class in classes {
             known.entry(class.clone()).or_default();
@@ -97,29 +98,29 @@
     }
 
     /// A request has been taken.
-    pub fn open(self: &Rc<Self>) -> Open {
+    pub fn open_request(self: &Rc<Self>) -> OpenRequest {
         self.current.set(self.current.get() + 1);
-        Open(self.clone())
+        OpenRequest(self.clone())
     }
 
     /// A request of a known class has ended.
-    pub fn ended(&self, class: &str, how: Ending) {
+    pub fn record_ending(&self, class: &str, how: RequestEnding) {
         if let Some(endings) = self.classes.borrow_mut().get_mut(class) {
             *match how {
-                Ending::Answered => &mut endings.answered,
-                Ending::Deferred => &mut endings.deferred,
-                Ending::Errored => &mut endings.errored,
+                RequestEnding::Answered => &mut endings.answered,
+                RequestEnding::Deferred => &mut endings.deferred,
+                RequestEnding::Errored => &mut endings.errored,
             } += 1;
         }
     }
 
     /// An attempt has been written whole.
-    pub fn sent(&self) {
+    pub fn record_send(&self) {
         self.sends.set(self.sends.get() + 1);
     }
 
     /// A file has come with SIGHUP.
-    pub fn reloaded(&self, taken: bool) {
+    pub fn record_reload(&self, taken: bool) {
         let count = if taken { &self.conf_loaded } else { &self.conf_invalid };
         count.set(count.get() + 1);
     }
@@ -161,12 +162,12 @@
 
     #[test]
     fn every_class_stands_there_from_nothing_and_a_dropped_one_keeps_its_counts() {
-        let figures = Rc::new(Figures::default());
-        figures.know(&["look".into(), "a \"b\"\n\\".into()]);
-        figures.ended("look", Ending::Answered);
-        figures.know(&["pay".into()]);
-        figures.ended("nobody's", Ending::Errored);
-        let held = figures.open();
+        let figures = Rc::new(Metrics::default());
+        figures.register_classes(&["look".into(), "a \"b\"\n\\".into()]);
+        figures.record_ending("look", RequestEnding::Answered);
+        figures.register_classes(&["pay".into()]);
+        figures.record_ending("nobody's", RequestEnding::Errored);
+        let held = figures.open_request();
         let text = figures.text();
         let lines: Vec<&str> = text.lines().collect();
         assert!(lines.contains(&"router_answered{group=\"look\"} 1"), "{text}");
@@ -181,17 +182,22 @@
     /// Scrapers of operators read these names and this order: the text is version 0.2.0's to the letter.
     #[test]
     fn the_text_is_that_of_version_0_2_0() {
-        let figures = Rc::new(Figures::default());
-        figures.know(&["look".into(), "pay".into()]);
-        for ending in [Ending::Answered, Ending::Answered, Ending::Deferred, Ending::Errored] {
-            figures.ended("pay", ending);
+        let figures = Rc::new(Metrics::default());
+        figures.register_classes(&["look".into(), "pay".into()]);
+        for ending in [
+            RequestEnding::Answered,
+            RequestEnding::Answered,
+            RequestEnding::Deferred,
+            RequestEnding::Errored,
+        ] {
+            figures.record_ending("pay", ending);
         }
-        let _open = figures.open();
-        figures.sent();
+        let _open = figures.open_request();
+        figures.record_send();
         figures.cluster_size.set(12);
         figures.cluster_unhealthy.set(3);
         for taken in [true, true, false] {
-            figures.reloaded(taken);
+            figures.record_reload(taken);
         }
         assert_eq!(figures.text(), include_str!("../tests/fixtures/figures.txt"));
     }
@@ -199,14 +205,14 @@
     /// What is being decided when something panics is answered 500, and counts as that.
     #[test]
     fn a_request_whose_deciding_panics_has_failed_and_one_whose_client_goes_counts_as_nothing() {
-        let figures = Rc::new(Figures::default());
-        figures.know(&["look".into()]);
+        let figures = Rc::new(Metrics::default());
+        figures.register_classes(&["look".into()]);
         let class =
             weldworks_balancer::RequestClass::new(std::time::Duration::ZERO, std::time::Duration::ZERO);
         let kept = Rc::new(RegisteredClass { name: "look".into(), number: 0, class });
         let taken = || {
-            let mut taken = Taken::new(figures.clone(), kept.clone());
-            taken.open();
+            let mut taken = CountedRequest::new(figures.clone(), kept.clone());
+            taken.mark_open();
             taken
         };
         let panics = std::panic::AssertUnwindSafe(|| {
--- a/crates/gateway/src/listeners/management.rs
+++ b/crates/gateway/src/server/admin.rs
@@ -4,9 +4,9 @@
 //! as the event loop comes round. Callers have a few descriptors of their own, and each a short time to say what they want:
 //! who says nothing, or half a call, makes room for the next once all are in use.
 
-use crate::daemon::service::Service;
-use crate::sockets::{Slot, Slots};
-use crate::stream::Stream;
+use crate::lifecycle::service::ServiceState;
+use crate::transport::descriptor_budget::{DescriptorPermit, DescriptorQuota};
+use crate::transport::stream::Stream;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -35,16 +35,16 @@
 
 /// The callers, in the order in which they came.
 struct Callers {
-    slots: Slots,
+    slots: DescriptorQuota,
     unanswered: RefCell<VecDeque<Rc<Notify>>>,
     left: Notify,
 }
 
 impl Callers {
     /// A place for a caller. Where all are taken, the one that has said least for longest makes room.
-    async fn place(&self) -> Slot {
+    async fn place(&self) -> DescriptorPermit {
         loop {
-            if let Some(slot) = self.slots.take() {
+            if let Some(slot) = self.slots.acquire() {
                 return slot;
             }
             if let Some(oldest) = self.unanswered.borrow_mut().pop_front() {
@@ -56,7 +56,7 @@
 }
 
 /// Answers calls for as long as it runs.
-pub async fn answer(listener: TcpListener, slots: Slots, service: Rc<Service>) {
+pub async fn serve_admin(listener: TcpListener, slots: DescriptorQuota, service: Rc<ServiceState>) {
     let callers = Rc::new(Callers { slots, unanswered: RefCell::default(), left: Notify::new() });
     let mut failing = false; // said once, until one succeeds
     loop {
@@ -82,10 +82,10 @@
 
 async fn serve(
     stream: TcpStream,
-    slot: Slot,
+    slot: DescriptorPermit,
     make_room: Rc<Notify>,
     callers: Rc<Callers>,
-    service: Rc<Service>,
+    service: Rc<ServiceState>,
 ) {
     let _ = stream.set_nodelay(true);
     let called = service_fn(|request: Request<Incoming>| {
@@ -105,7 +105,7 @@
     callers.left.notify_one();
 }
 
-fn respond(request: &Request<Incoming>, service: &Service) -> Response<Full<Bytes>> {
+fn respond(request: &Request<Incoming>, service: &ServiceState) -> Response<Full<Bytes>> {
     let (allowed, path) = match request.uri().path() {
         path @ ("/_ready" | "/_vars") => (Method::GET, path),
         path @ ("/_lameduck/on" | "/_lameduck/off") => (Method::PUT, path),
@@ -125,16 +125,16 @@
     }
     match path {
         "/_vars" => said(StatusCode::OK, service.figures.text()),
-        "/_ready" => match service.unready() {
+        "/_ready" => match service.not_ready_reason() {
             None => said(StatusCode::OK, "yes\n".into()),
             Some(why) => said(StatusCode::SERVICE_UNAVAILABLE, format!("no: {why}\n")),
         },
         path => {
             let on = path.ends_with("/on");
-            if service.drain(on) {
+            if service.set_draining(on) {
                 info!(on, "drain, by a call at the second address");
             }
-            let state = match (service.stopping(), on) {
+            let state = match (service.is_shutting_down(), on) {
                 (true, _) => "stopping\n",
                 (false, true) => "draining\n",
                 (false, false) => "in service\n",
--- a/crates/gateway/src/listeners/http/mod.rs
+++ b/crates/gateway/src/server/http/mod.rs
@@ -2,16 +2,16 @@
 
 mod request;
 
-pub use request::Terms;
+pub use request::RequestSettings;
 
-use crate::core::messages::Handle;
-use crate::daemon::service::Service;
-use crate::exchange::Reply;
-use crate::framing::Framing;
+use crate::body::ResponseBody;
+use crate::engine::message::EngineHandle;
+use crate::lifecycle::service::ServiceState;
 use crate::limits::MAX_BUFFER;
-use crate::sockets::{Budget, Slot, Slots};
-use crate::system_errors::{accept_failure, AcceptFailure};
-use crate::wire::{Line, Marks, Wire};
+use crate::transport::descriptor_budget::{DescriptorBudget, DescriptorPermit, DescriptorQuota};
+use crate::transport::instrumented_stream::{InstrumentedStream, IoTimestamps, SocketProbe};
+use crate::transport::message_framing::MessageFraming;
+use crate::transport::system_errors::{accept_failure, AcceptFailure};
 use hyper::header::{self, HeaderValue};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -66,11 +66,11 @@
 /// A connection from a client, as far as the others may know.
 #[derive(Debug)]
 struct Peer {
-    line: Line,
+    line: SocketProbe,
     accepted: Instant,
     /// It may have waited to be accepted since then, where it may have waited at all.
     queued_since: Option<Instant>,
-    slot: RefCell<Slot>,
+    slot: RefCell<DescriptorPermit>,
     idle_since: Cell<Option<Instant>>,
     /// How many requests it has brought.
     asked: Cell<u64>,
@@ -79,8 +79,8 @@
     closing: Cell<bool>,
     close: Notify,
     cut: Notify,
-    marks: Rc<Marks>,
-    framing: Rc<RefCell<Framing>>,
+    marks: Rc<IoTimestamps>,
+    framing: Rc<RefCell<MessageFraming>>,
 }
 
 impl Peer {
@@ -108,10 +108,10 @@
 
 /// The server.
 pub struct Server {
-    gateway: Handle,
-    terms: RefCell<Rc<Terms>>,
-    clients: Slots,
-    overflow: Slots,
+    gateway: EngineHandle,
+    terms: RefCell<Rc<RequestSettings>>,
+    clients: DescriptorQuota,
+    overflow: DescriptorQuota,
     peers: RefCell<Vec<Rc<Peer>>>,
     /// How many peers rest, and how many may before new ones are not kept.
     resting: Cell<usize>,
@@ -119,14 +119,19 @@
     left: Notify,
     /// Since when connections may wait to be accepted, where they may.
     queue_since: Cell<Option<Instant>>,
-    service: Rc<Service>,
+    service: Rc<ServiceState>,
     pulse: Cell<Instant>,
     stalled: Cell<Duration>,
 }
 
 impl Server {
     /// A server that takes requests in for the gateway.
-    pub fn new(gateway: Handle, terms: Terms, budget: &Budget, service: Rc<Service>) -> Server {
+    pub fn new(
+        gateway: EngineHandle,
+        terms: RequestSettings,
+        budget: &DescriptorBudget,
+        service: Rc<ServiceState>,
+    ) -> Server {
         Server {
             gateway,
             terms: RefCell::new(Rc::new(terms)),
@@ -134,7 +139,7 @@
             overflow: budget.overflow.clone(),
             peers: RefCell::default(),
             resting: Cell::new(0),
-            may_rest: budget.resting,
+            may_rest: budget.idle_clients,
             left: Notify::new(),
             queue_since: Cell::default(),
             service,
@@ -144,7 +149,7 @@
     }
 
     /// Turns to other terms; what has been taken in keeps the old ones.
-    pub fn turn_to(&self, terms: Terms) {
+    pub fn reconfigure(&self, terms: RequestSettings) {
         self.terms.replace(Rc::new(terms));
     }
 
@@ -154,7 +159,7 @@
     pub async fn accept(self: Rc<Self>, listener: &TcpListener) {
         let mut failing = false; // said once, until one succeeds
         loop {
-            let Some(slot) = self.clients.take().or_else(|| self.overflow.take()) else {
+            let Some(slot) = self.clients.acquire().or_else(|| self.overflow.acquire()) else {
                 self.note_queue(true);
                 self.close_idle();
                 // Nothing tells when a new connection has had its time.
@@ -199,9 +204,9 @@
 
     /// Accepts what still waits in the kernel until `by`, and closes the listener: what is left in it then was not taken. Where
     /// every place is in use one is waited for, as [`Self::accept`] does, and a connection that ended while it waited costs itself.
-    pub async fn accept_rest(self: &Rc<Self>, listener: TcpListener, by: Instant) {
+    pub async fn drain_backlog(self: &Rc<Self>, listener: TcpListener, by: Instant) {
         while Instant::now() < by {
-            let Some(slot) = self.clients.take().or_else(|| self.overflow.take()) else {
+            let Some(slot) = self.clients.acquire().or_else(|| self.overflow.acquire()) else {
                 self.note_queue(true);
                 self.close_idle();
                 let _ = timeout(CLOSE_AGAIN, self.left.notified()).await;
@@ -234,13 +239,13 @@
         self.queue_since.set(since.filter(|_| may_wait));
     }
 
-    fn welcome(self: &Rc<Self>, stream: TcpStream, slot: Slot) {
-        self.service.accepted();
-        self.gateway.connected();
+    fn welcome(self: &Rc<Self>, stream: TcpStream, slot: DescriptorPermit) {
+        self.service.record_accept();
+        self.gateway.record_connection();
         let _ = stream.set_nodelay(true);
-        let (wire, marks) = Wire::new(stream);
-        let (wire, framing) = wire.followed(Framing::default());
-        let line = wire.line();
+        let (wire, marks) = InstrumentedStream::new(stream);
+        let (wire, framing) = wire.with_framing(MessageFraming::default());
+        let line = wire.probe();
         let now = Some(Instant::now());
         marks.read_since.set(now); // the first head is awaited from now on
         let (slot, idle_since) = (RefCell::new(slot), Cell::new(now));
@@ -285,7 +290,7 @@
 
     /// Whether more clients are here than have a place of their own.
     fn crowded(&self) -> bool {
-        self.peers.borrow().len() > self.clients.most()
+        self.peers.borrow().len() > self.clients.capacity()
     }
 
     /// Whether a connection that has just been answered is better not kept. A client that asks once on a new
@@ -309,13 +314,13 @@
         if !self.overflow.include(&peer.slot.borrow()) {
             return true;
         }
-        let Some(slot) = self.clients.take() else { return false };
+        let Some(slot) = self.clients.acquire() else { return false };
         peer.slot.replace(slot);
         self.left.notify_one(); // its old place is free
         true
     }
 
-    async fn serve(self: Rc<Self>, wire: Wire, peer: Rc<Peer>) {
+    async fn serve(self: Rc<Self>, wire: InstrumentedStream, peer: Rc<Peer>) {
         let _leaving = Leaving { server: self.clone(), peer: peer.clone() };
         let service = service_fn(|request| {
             let (server, peer) = (self.clone(), peer.clone());
@@ -334,7 +339,7 @@
                 .await;
                 // A client that stays would have to be cut off at the end, or keep the next one out. Where
                 // more have come than have places, this frees one without a close that crosses a request.
-                let ends = server.service.says_goodbye()
+                let ends = server.service.sends_connection_close()
                     || peer.closing.get()
                     || !room
                     || server.crowded()
@@ -345,7 +350,7 @@
                 let rests = !response.headers().contains_key(header::CONNECTION);
                 // What passes through keeps its connection in use until it is over; anything else is on its way at once.
                 let resting = Resting { server: server.clone(), peer: peer.clone(), rests };
-                if let Reply::Coming { guard, .. } = response.body_mut() {
+                if let ResponseBody::Streaming { guard, .. } = response.body_mut() {
                     *guard = Some(Box::new(resting));
                 }
                 Ok::<_, Infallible>(response)
@@ -355,7 +360,7 @@
             http1::Builder::new().max_buf_size(MAX_BUFFER).serve_connection(TokioIo::new(wire), service);
         // The library does not look for the end of a connection while it has bytes of a next request, or a body that nobody asks
         // for: a client that has gone would be served all the same, and what it wrote behind begun.
-        let left = peer.line.left();
+        let left = peer.line.closed();
         let mut spared = None;
         tokio::pin!(connection, left);
         loop {
@@ -398,9 +403,9 @@
 
     /// Ends, for as long as it runs, the connections that have had their time: heads that do not come, and what is
     /// idle for long, or for a while where few places are left.
-    pub async fn sweep(&self) {
+    pub async fn close_expired(&self) {
         loop {
-            let rest = self.service.may_rest();
+            let rest = self.service.idle_limit();
             tokio::time::sleep(if rest.is_some() { SWEEP_OUT } else { SWEEP }).await;
             self.send_away();
             let peers = self.peers.borrow();
@@ -412,7 +417,7 @@
                 peer.cut.notify_one();
             }
             idle.sort_by_key(|p| p.idle_since.get());
-            let crowd = peers.len().saturating_sub(self.clients.most() / 4 * 3);
+            let crowd = peers.len().saturating_sub(self.clients.capacity() / 4 * 3);
             for (n, peer) in idle.iter().enumerate() {
                 if for_long(peer.idle_since.get(), if n < crowd { IDLE_IN_A_CROWD } else { IDLE }) {
                     peer.closing.set(true);
@@ -424,8 +429,8 @@
 
     /// Closes what rests for longer than a gateway that leaves service lets it.
     fn send_away(&self) {
-        let Some(rest) = self.service.may_rest() else { return };
-        let awaits_first = self.service.awaits_first();
+        let Some(rest) = self.service.idle_limit() else { return };
+        let awaits_first = self.service.awaits_first_request();
         let peers = self.peers.borrow();
         for peer in peers.iter().filter(|p| !p.closing.get()) {
             // A connection that has brought nothing yet awaits its first head from the start. Its client does not know that
@@ -442,7 +447,7 @@
     }
 
     /// Notes, for as long as it runs, when the event loop last came round and how late it was.
-    pub async fn feel_pulse(&self) {
+    pub async fn measure_accept_delay(&self) {
         loop {
             tokio::time::sleep(PULSE).await;
             self.stalled.set(self.pulse.get().elapsed().saturating_sub(2 * PULSE));
@@ -457,7 +462,7 @@
     }
 
     /// Waits for the end of the last connection. What rests is closed as the drain says.
-    pub async fn finish(&self) {
+    pub async fn finish_connections(&self) {
         while !self.peers.borrow().is_empty() {
             self.left.notified().await;
         }
--- a/crates/gateway/src/listeners/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -1,11 +1,13 @@
 //! A request: read off its head, checked, taken with its body, decided by the gateway, and answered.
 
 use super::{Peer, Server, ROOM_AGAIN};
-use crate::core::messages::{Arrival, Final, Handle, Message};
-use crate::exchange::{gather, Answer, Forward, Payload, Reply, Upload};
-use crate::figures::{Ending, Taken};
+use crate::body::{
+    buffer_body, ForwardedRequest, RequestPayload, ResponseBody, StreamingUpload, UpstreamResponse,
+};
+use crate::engine::message::{Arrival, EngineHandle, FinalAnswer, Message};
 use crate::limits::{MAX_BODY, MAX_LARGE};
-use crate::presence::Presence;
+use crate::metrics::{CountedRequest, RequestEnding};
+use crate::transport::client_liveness::ClientLiveness;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -111,16 +113,20 @@
 }
 
 /// What requests may name, and what they are told, by the settings in force.
-pub struct Terms {
+pub struct RequestSettings {
     classes: ClassTable,
     tenants: Vec<String>,
     keep_away: Duration,
 }
 
-impl Terms {
+impl RequestSettings {
     /// The terms of these settings.
-    pub fn new(classes: &ClassRegistry, tenants: Vec<String>, settings: &Settings) -> Terms {
-        Terms { classes: classes.table(), tenants, keep_away: ROOM_AGAIN.min(settings.max_retry_after) }
+    pub fn new(classes: &ClassRegistry, tenants: Vec<String>, settings: &Settings) -> RequestSettings {
+        RequestSettings {
+            classes: classes.table(),
+            tenants,
+            keep_away: ROOM_AGAIN.min(settings.max_retry_after),
+        }
     }
 
     /// The tenant's place in the settings; beyond the last one where it has none there.
@@ -131,16 +137,16 @@
 
 /// A request that has been told to the gateway: if the client goes, so does this, and the gateway hears of it.
 struct Owed {
-    gateway: Handle,
+    gateway: EngineHandle,
     id: RequestId,
-    client: Rc<Presence>,
+    client: Rc<ClientLiveness>,
 }
 
 impl Drop for Owed {
     fn drop(&mut self) {
         // An answered request is over already. The client is noted first: an attempt about to be written sees it.
         if self.client.end() {
-            self.gateway.tell(Message::Gone(self.id));
+            self.gateway.send(Message::ClientDisconnected(self.id));
         }
     }
 }
@@ -151,10 +157,10 @@
         request: Request<Incoming>,
         room: bool,
         peer: &Peer,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         if request.uri().path() == "/health/ready" {
             return plain(
-                if self.service.ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE },
+                if self.service.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE },
                 "",
             );
         }
@@ -162,9 +168,9 @@
             // Held requests have all other places. This one has gone nowhere, and waiting here would keep those
             // out that come after it and are taken already, so it is refused before its body is read.
             if let Some(class) = text(request.headers(), "x-priority-class") {
-                self.service.figures.ended(class, Ending::Deferred);
+                self.service.figures.record_ending(class, RequestEnding::Deferred);
             }
-            return self.respond(Final::Refused { keep_away: self.terms.borrow().keep_away });
+            return self.respond(FinalAnswer::Rejected { retry_after: self.terms.borrow().keep_away });
         }
         match self.take(request, peer).await {
             Ok(Answered { answer, close }) => {
@@ -183,14 +189,14 @@
         }
     }
 
-    fn respond(&self, answer: Final) -> Response<Reply> {
+    fn respond(&self, answer: FinalAnswer) -> Response<ResponseBody> {
         match answer {
-            Final::Served(answer) => {
+            FinalAnswer::Served(answer) => {
                 let mut response = Response::new(answer.body);
                 *response.headers_mut() = answer.headers;
                 response
             }
-            Final::Refused { keep_away } => {
+            FinalAnswer::Rejected { retry_after: keep_away } => {
                 let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "try again later\n");
                 // Where the settings let clients be given no advice the module's is zero: they may come at once.
                 if let Ok(after) = HeaderValue::from_str(&keep_away.as_secs_f64().to_string()) {
@@ -198,7 +204,7 @@
                 }
                 response
             }
-            Final::Failed(status) => plain(status, "failed\n"),
+            FinalAnswer::Failed(status) => plain(status, "failed\n"),
         }
     }
 
@@ -237,7 +243,7 @@
             return Err(Malformed::WrongMethod);
         }
         let form = RequestForm { is_write: *method == Method::POST, has_idempotency_key: keyed };
-        let kept = terms.classes.resolve(self.gateway.time(Instant::now()), name, form)?.clone();
+        let kept = terms.classes.resolve(self.gateway.balancer_time(Instant::now()), name, form)?.clone();
         let class = &kept.class;
         let patience = text(headers, "x-timeout").and_then(patience).ok_or(Malformed::BadTimeout)?;
         let patience = patience.min(class.deadline).saturating_sub(AHEAD);
@@ -248,28 +254,28 @@
             Some(cost) => Some(Duration::from_micros(cost.trim().parse().map_err(|_| Malformed::BadCost)?)),
             None => None,
         };
-        let (held, rest) = gather(body, MAX_BODY).await?;
+        let (held, rest) = buffer_body(body, MAX_BODY).await?;
         if *method == Method::GET && !held.is_empty() {
             return Err(Malformed::NeedlessBody);
         }
-        let mut taken = Taken::new(self.service.figures.clone(), kept.clone());
-        let client = Rc::new(Presence::new(peer.line.clone()));
+        let mut taken = CountedRequest::new(self.service.figures.clone(), kept.clone());
+        let client = Rc::new(ClientLiveness::new(peer.line.clone()));
         let (give_up, body, upload) = match rest {
             None => {
                 // What came behind another request has waited here for that to be answered, and its client with it.
                 let read = peer.marks.last_read.get().unwrap_or_else(Instant::now) - self.waited();
                 let came = peer.waited_since().map_or(read, |since| read.min(since));
                 peer.await_next_head();
-                taken.open();
+                taken.mark_open();
                 let give_up = came + patience;
                 if Instant::now() >= give_up {
-                    return Ok(Answered::new(Final::Failed(StatusCode::GATEWAY_TIMEOUT), taken));
+                    return Ok(Answered::new(FinalAnswer::Failed(StatusCode::GATEWAY_TIMEOUT), taken));
                     // too late to begin
                 }
-                (give_up, Payload::Whole(held), Err(taken))
+                (give_up, RequestPayload::Buffered(held), Err(taken))
             }
             Some(rest) => {
-                let upload = Rc::new(Upload::new(
+                let upload = Rc::new(StreamingUpload::new(
                     held,
                     rest,
                     length,
@@ -278,10 +284,10 @@
                     client.clone(),
                     peer.marks.clone(),
                 ));
-                (Instant::now() + UPLOAD, Payload::Coming(upload.clone()), Ok(upload))
+                (Instant::now() + UPLOAD, RequestPayload::Streaming(upload.clone()), Ok(upload))
             }
         };
-        let give_up = self.gateway.answers_by().map_or(give_up, |by| give_up.min(by));
+        let give_up = self.gateway.shutdown_deadline().map_or(give_up, |by| give_up.min(by));
         let id = self.gateway.next_request();
         // By the numbers in force now, which the gateway goes by: those of before may be another customer's. One that is not in the
         // settings has none, and nobody else's.
@@ -295,20 +301,20 @@
             cost_hint: cost,
             is_client_retry: text(headers, "x-retried") == Some("1"),
             admission_share: 1.0,
-            client_deadline: self.gateway.time(give_up),
+            client_deadline: self.gateway.balancer_time(give_up),
             body_streaming: upload.is_ok(),
         };
         let passed_on = |(name, value): (&HeaderName, &HeaderValue)| {
             PASSED_ON.contains(name).then(|| (name.clone(), value.clone()))
         };
         let headers = headers.iter().filter_map(passed_on).collect();
-        let forward = Forward { method: head.method, uri: origin_form(&head.uri), headers, body };
+        let forward = ForwardedRequest { method: head.method, uri: origin_form(&head.uri), headers, body };
         let (answer, decided) = oneshot::channel();
         let owed = Owed { gateway: self.gateway.clone(), id, client: client.clone() };
         let class = kept.clone();
-        self.gateway.tell(Message::Arrived(Box::new(Arrival {
+        self.gateway.send(Message::RequestArrived(Box::new(Arrival {
             request,
-            number,
+            request_id: number,
             forward,
             class,
             answer,
@@ -316,13 +322,15 @@
         })));
         let decided = decided.await;
         owed.client.end();
-        let decided = decided.unwrap_or(Final::Failed(StatusCode::BAD_GATEWAY));
+        let decided = decided.unwrap_or(FinalAnswer::Failed(StatusCode::BAD_GATEWAY));
         let upload = match upload {
             Err(taken) => return Ok(Answered::new(decided, taken)),
             Ok(upload) => upload,
         };
-        let passage = upload.passage();
-        let taken = upload.taken().unwrap_or_else(|| Taken::new(self.service.figures.clone(), kept));
+        let passage = upload.state();
+        let taken = upload
+            .take_counted_request()
+            .unwrap_or_else(|| CountedRequest::new(self.service.figures.clone(), kept));
         if passage == TransferState::Complete {
             peer.await_next_head();
             return Ok(Answered::new(decided, taken));
@@ -338,19 +346,21 @@
 
 /// How a request was decided.
 struct Answered {
-    answer: Final,
+    answer: FinalAnswer,
     /// Its body has not been read to the end.
     close: bool,
 }
 
 impl Answered {
     /// Counts it, or has its body do so once that has passed.
-    fn new(mut answer: Final, counted: Taken) -> Answered {
+    fn new(mut answer: FinalAnswer, counted: CountedRequest) -> Answered {
         match &mut answer {
-            Final::Served(Answer { body: Reply::Coming { taken, .. }, .. }) => *taken = Some(counted),
-            Final::Served(_) => counted.ended(Ending::Answered),
-            Final::Refused { .. } => counted.ended(Ending::Deferred),
-            Final::Failed(_) => counted.ended(Ending::Errored),
+            FinalAnswer::Served(UpstreamResponse { body: ResponseBody::Streaming { taken, .. }, .. }) => {
+                *taken = Some(counted)
+            }
+            FinalAnswer::Served(_) => counted.finish(RequestEnding::Answered),
+            FinalAnswer::Rejected { .. } => counted.finish(RequestEnding::Deferred),
+            FinalAnswer::Failed(_) => counted.finish(RequestEnding::Errored),
         }
         Answered { answer, close: false }
     }
@@ -362,8 +372,8 @@
     path.map_or_else(|| uri.clone(), Uri::from)
 }
 
-pub(super) fn plain(status: StatusCode, text: &str) -> Response<Reply> {
-    let mut response = Response::new(Reply::Whole(Bytes::copy_from_slice(text.as_bytes())));
+pub(super) fn plain(status: StatusCode, text: &str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Buffered(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
     response
 }
--- a/crates/gateway/src/listeners/http/tests.rs
+++ b/crates/gateway/src/server/http/tests.rs
@@ -1,7 +1,7 @@
 //! Closes that cross a request, and names that change while one comes.
 
 use super::*;
-use crate::core::messages::Message;
+use crate::engine::message::Message;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream as Plain};
 use tokio::sync::mpsc::UnboundedReceiver;
@@ -11,24 +11,27 @@
 use weldworks_control::drain;
 
 /// Terms with one class, and these tenants.
-fn terms(tenants: &[&str]) -> Terms {
+fn terms(tenants: &[&str]) -> RequestSettings {
     let mut classes = ClassRegistry::default();
     let class = weldworks_balancer::RequestClass {
         idempotency: weldworks_balancer::Idempotency::NotIdempotent,
         ..weldworks_balancer::RequestClass::new(LONGEST, LONGEST)
     };
     classes.replace(Duration::ZERO, [("once".to_owned(), class)]);
-    Terms::new(&classes, tenants.iter().map(|t| (*t).to_owned()).collect(), &Settings::default())
+    RequestSettings::new(&classes, tenants.iter().map(|t| (*t).to_owned()).collect(), &Settings::default())
 }
 
 const LONGEST: Duration = Duration::from_secs(30);
 
 fn server() -> (Rc<Server>, UnboundedReceiver<Message>) {
-    let (gateway, messages) = Handle::new();
+    let (gateway, messages) = EngineHandle::new();
     let terms = terms(&["north", "south"]);
     let leaving = drain::DrainSettings { longest_deadline: Duration::from_secs(1), shared_listener: false };
-    let service = Rc::new(Service::new(leaving, gateway.clone(), Rc::default(), None));
-    (Rc::new(Server::new(gateway, terms, &Budget::new(&Default::default(), false), service)), messages)
+    let service = Rc::new(ServiceState::new(leaving, gateway.clone(), Rc::default(), None));
+    (
+        Rc::new(Server::new(gateway, terms, &DescriptorBudget::new(&Default::default(), false), service)),
+        messages,
+    )
 }
 
 /// A client's end of a connection that the server keeps, and what the server knows of it.
@@ -40,7 +43,7 @@
         stream.set_nonblocking(true).expect("no waiting");
     }
     let stream = TcpStream::from_std(stream).expect("a stream");
-    server.welcome(stream, server.clients.take().expect("a place"));
+    server.welcome(stream, server.clients.acquire().expect("a place"));
     let peer = server.peers.borrow()[0].clone();
     (client, peer)
 }
@@ -99,7 +102,7 @@
         .run_until(async {
             let (server, mut messages) = server();
             for (name, place) in [("south", 2), ("north", 0), ("nobody", 3)] {
-                server.turn_to(terms(&["north", "south"]));
+                server.reconfigure(terms(&["north", "south"]));
                 let (mut client, peer) = connected(&server);
                 let head = format!(
                     "POST /once HTTP/1.1\r\nHost: a\r\nX-Request-ID: {name}\r\nX-Priority-Class: once\r\nX-Tenant-Id: {name}\r\n\
@@ -109,12 +112,12 @@
                 while peer.asked.get() == 0 {
                     tokio::time::sleep(Duration::from_millis(1)).await;
                 }
-                server.turn_to(terms(&["north", "east", "south"]));
+                server.reconfigure(terms(&["north", "east", "south"]));
                 client.write_all(b"y").expect("written");
-                let Some(Message::Arrived(arrival)) = messages.recv().await else { panic!("no request") };
+                let Some(Message::RequestArrived(arrival)) = messages.recv().await else { panic!("no request") };
                 assert_eq!(arrival.request.tenant, place, "{name}");
                 drop(client);
-                assert!(matches!(messages.recv().await, Some(Message::Gone(_))));
+                assert!(matches!(messages.recv().await, Some(Message::ClientDisconnected(_))));
                 while !server.peers.borrow().is_empty() {
                     server.left.notified().await;
                 }
--- a/crates/gateway/src/listeners/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! What takes requests in. Every front makes the same [`crate::core::messages::Arrival`] of what it reads.
+//! What takes requests in. Every front makes the same [`crate::engine::message::Arrival`] of what it reads.
 
+pub mod admin;
 pub mod http;
-pub mod management;
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/string_interner.rs
@@ -5,7 +5,7 @@
 
 /// The names in the settings, and behind them those that lists of hosts have brought; a place here is what the module knows.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct StringInterner {
     /// The tenants.
     pub tenants: Vec<String>,
     /// The zones.
@@ -14,9 +14,9 @@
     pub kinds: Vec<String>,
 }
 
-impl Names {
+impl StringInterner {
     /// Turns to other names. Zones and machine kinds keep their places, as hosts are known by them; new ones come behind.
-    pub fn go_on_as(&mut self, new: Names) {
+    pub fn replace_keeping_numbers(&mut self, new: StringInterner) {
         let add = |known: &mut Vec<String>, new: Vec<String>| {
             for name in new {
                 if !known.contains(&name) {
--- a/crates/gateway/src/sockets.rs
+++ b/crates/gateway/src/transport/descriptor_budget.rs
@@ -24,80 +24,80 @@
 
 /// A number of descriptors that may be open at once.
 #[derive(Clone, Debug)]
-pub struct Slots {
+pub struct DescriptorQuota {
     open: Rc<Cell<usize>>,
     most: usize,
     /// How many of them another process of this gateway has open.
     elsewhere: Rc<Cell<usize>>,
 }
 
-impl Slots {
-    fn new(most: usize) -> Slots {
-        Slots { open: Rc::default(), most, elsewhere: Rc::default() }
+impl DescriptorQuota {
+    fn new(most: usize) -> DescriptorQuota {
+        DescriptorQuota { open: Rc::default(), most, elsewhere: Rc::default() }
     }
 
     /// Takes a descriptor, if one is left.
-    pub fn take(&self) -> Option<Slot> {
-        (self.open.get() < self.most()).then(|| {
+    pub fn acquire(&self) -> Option<DescriptorPermit> {
+        (self.open.get() < self.capacity()).then(|| {
             self.open.set(self.open.get() + 1);
-            Slot(self.open.clone())
+            DescriptorPermit(self.open.clone())
         })
     }
 
     /// How many there are for this process.
-    pub fn most(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         remaining_descriptors(self.most, self.elsewhere.get())
     }
 
     /// Whether the descriptor is one of these.
-    pub fn include(&self, slot: &Slot) -> bool {
+    pub fn include(&self, slot: &DescriptorPermit) -> bool {
         Rc::ptr_eq(&self.open, &slot.0)
     }
 }
 
 /// A descriptor taken; given back when it is dropped.
 #[derive(Debug)]
-pub struct Slot(Rc<Cell<usize>>);
+pub struct DescriptorPermit(Rc<Cell<usize>>);
 
-impl Drop for Slot {
+impl Drop for DescriptorPermit {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 /// How the descriptors are shared out.
-pub struct Budget {
+pub struct DescriptorBudget {
     /// Connections of clients.
-    pub clients: Slots,
+    pub clients: DescriptorQuota,
     /// Connections that are taken in beyond those, only to be told that there is no room: what has come
     /// as far as the kernel is taken, so accepting may not stop.
-    pub overflow: Slots,
+    pub overflow: DescriptorQuota,
     /// How many connections of clients may rest before new ones are no longer kept.
-    pub resting: usize,
+    pub idle_clients: usize,
     /// Connections to hosts.
-    pub hosts: Slots,
+    pub upstream: DescriptorQuota,
     /// Calls at the second address.
-    pub management: Slots,
+    pub admin: DescriptorQuota,
 }
 
-impl Budget {
+impl DescriptorBudget {
     /// What this process has open.
-    pub fn held(&self) -> DescriptorUsage {
+    pub fn usage(&self) -> DescriptorUsage {
         let [clients, overflow, hosts] =
-            [&self.clients, &self.overflow, &self.hosts].map(|slots| slots.open.get());
+            [&self.clients, &self.overflow, &self.upstream].map(|slots| slots.open.get());
         DescriptorUsage { clients, overflow, endpoints: hosts }
     }
 
     /// Leaves another process what it has open. What is open here stays open.
-    pub fn share(&self, other: DescriptorUsage) {
+    pub fn reserve_for_peer(&self, other: DescriptorUsage) {
         self.clients.elsewhere.set(other.clients);
         self.overflow.elsewhere.set(other.overflow);
-        self.hosts.elsewhere.set(other.endpoints);
+        self.upstream.elsewhere.set(other.endpoints);
     }
 
     /// Shares out what the limits allow: of the memory, clients together may fill three quarters.
     /// With `managed` a few are kept for the second address.
-    pub fn new(limits: &Limits, managed: bool) -> Budget {
+    pub fn new(limits: &Limits, managed: bool) -> DescriptorBudget {
         let (part, least, most) = MANAGEMENT;
         let management = if managed { (limits.sockets / part).clamp(least, most) } else { 0 };
         // The second address listens, and the newest caller is a descriptor over for a moment.
@@ -107,12 +107,12 @@
         let clients = (rest / 2).min(fit.saturating_sub(overflow));
         let hosts = (rest - rest / 2).saturating_sub(overflow);
         let resting = (limits.sockets / RESTING).min(clients / 4 * 3);
-        Budget {
-            clients: Slots::new(clients),
-            overflow: Slots::new(overflow),
-            resting,
-            hosts: Slots::new(hosts),
-            management: Slots::new(management),
+        DescriptorBudget {
+            clients: DescriptorQuota::new(clients),
+            overflow: DescriptorQuota::new(overflow),
+            idle_clients: resting,
+            upstream: DescriptorQuota::new(hosts),
+            admin: DescriptorQuota::new(management),
         }
     }
 }
@@ -123,21 +123,25 @@
 
     #[test]
     fn what_another_process_has_open_is_left_to_it() {
-        let budget = Budget::new(&Limits { memory_mb: 192, sockets: 1024 }, true);
-        let whole = budget.clients.most();
-        let mut held: Vec<_> = (0..whole).map(|_| budget.clients.take().expect("a place")).collect();
-        assert!(budget.clients.take().is_none());
-        assert_eq!(budget.held(), DescriptorUsage { clients: whole, overflow: 0, endpoints: 0 });
-        budget.share(DescriptorUsage { clients: 10, overflow: 1, endpoints: 2 });
-        assert_eq!((budget.clients.most(), budget.held().clients), (whole - 10, whole), "nothing is cut off");
+        let budget = DescriptorBudget::new(&Limits { memory_mb: 192, sockets: 1024 }, true);
+        let whole = budget.clients.capacity();
+        let mut held: Vec<_> = (0..whole).map(|_| budget.clients.acquire().expect("a place")).collect();
+        assert!(budget.clients.acquire().is_none());
+        assert_eq!(budget.usage(), DescriptorUsage { clients: whole, overflow: 0, endpoints: 0 });
+        budget.reserve_for_peer(DescriptorUsage { clients: 10, overflow: 1, endpoints: 2 });
+        assert_eq!(
+            (budget.clients.capacity(), budget.usage().clients),
+            (whole - 10, whole),
+            "nothing is cut off"
+        );
         held.truncate(whole - 10);
-        assert!(budget.clients.take().is_none(), "ten are another's");
+        assert!(budget.clients.acquire().is_none(), "ten are another's");
         held.truncate(whole - 11);
-        assert!(budget.clients.take().is_some());
-        budget.share(DescriptorUsage::default());
-        assert_eq!(budget.clients.most(), whole);
+        assert!(budget.clients.acquire().is_some());
+        budget.reserve_for_peer(DescriptorUsage::default());
+        assert_eq!(budget.clients.capacity(), whole);
         // The second address is paid for by the others.
-        let without = Budget::new(&Limits { memory_mb: 192, sockets: 1024 }, false);
-        assert!(without.hosts.most() > budget.hosts.most() && without.management.most() == 0);
+        let without = DescriptorBudget::new(&Limits { memory_mb: 192, sockets: 1024 }, false);
+        assert!(without.upstream.capacity() > budget.upstream.capacity() && without.admin.capacity() == 0);
     }
 }
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/transport/instrumented_stream.rs
@@ -1,7 +1,7 @@
 //! A TCP stream that tells what has passed over it: HTTP is another's work, but which bytes came when is not told.
 
-use crate::framing::Framing;
-use crate::stream::{self, is_transient};
+use crate::transport::message_framing::MessageFraming;
+use crate::transport::stream::{self, is_transient};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -28,7 +28,7 @@
 
 /// What has passed since the marks were last cleared.
 #[derive(Debug, Default)]
-pub struct Marks {
+pub struct IoTimestamps {
     /// When the first byte was read.
     pub read_since: Cell<Option<Instant>>,
     /// When anything was last read or seen waiting, cleared or not.
@@ -47,7 +47,7 @@
     pub idle: Cell<bool>,
 }
 
-impl Marks {
+impl IoTimestamps {
     /// A request is about to be written, whole by then or not at all.
     pub fn begin(&self, write_by: Option<Instant>) {
         self.written.set(WriteProgress::Nothing);
@@ -65,12 +65,12 @@
 
 /// What is to be seen of a connection by others than who reads it.
 #[derive(Clone, Debug)]
-pub struct Line(Rc<TcpStream>);
+pub struct SocketProbe(Rc<TcpStream>);
 
-impl Line {
+impl SocketProbe {
     /// Waits until the other side has ended its sending, or the connection is broken, also where bytes before that have not been
     /// read: who reads it may have no use for them yet. Cancel safe.
-    pub async fn left(&self) {
+    pub async fn closed(&self) {
         // A stream is never ready in this way but for its end.
         while let Ok(ready) = self.0.ready(Interest::PRIORITY).await {
             if ready.is_read_closed() {
@@ -115,37 +115,40 @@
 
 /// A stream with its marks.
 #[derive(Debug)]
-pub struct Wire {
+pub struct InstrumentedStream {
     stream: Rc<TcpStream>,
-    marks: Rc<Marks>,
-    framing: Option<Rc<RefCell<Framing>>>,
+    marks: Rc<IoTimestamps>,
+    framing: Option<Rc<RefCell<MessageFraming>>>,
     /// Where the requests that are sent on it end.
-    sent: Option<RefCell<Framing>>,
+    sent: Option<RefCell<MessageFraming>>,
     lingering: Option<Pin<Box<Sleep>>>,
 }
 
-impl Wire {
+impl InstrumentedStream {
     /// The stream, and the marks that it leaves.
-    pub fn new(stream: TcpStream) -> (Wire, Rc<Marks>) {
-        let marks = Rc::<Marks>::default();
+    pub fn new(stream: TcpStream) -> (InstrumentedStream, Rc<IoTimestamps>) {
+        let marks = Rc::<IoTimestamps>::default();
         let (framing, sent, lingering) = Default::default();
-        (Wire { stream: Rc::new(stream), marks: marks.clone(), framing, sent, lingering }, marks)
+        (
+            InstrumentedStream { stream: Rc::new(stream), marks: marks.clone(), framing, sent, lingering },
+            marks,
+        )
     }
 
     /// What others may see of it.
-    pub fn line(&self) -> Line {
-        Line(self.stream.clone())
+    pub fn probe(&self) -> SocketProbe {
+        SocketProbe(self.stream.clone())
     }
 
     /// The same, and has the messages on it followed.
-    pub fn followed(self, framing: Framing) -> (Wire, Rc<RefCell<Framing>>) {
+    pub fn with_framing(self, framing: MessageFraming) -> (InstrumentedStream, Rc<RefCell<MessageFraming>>) {
         let framing = Rc::new(RefCell::new(framing));
-        (Wire { framing: Some(framing.clone()), ..self }, framing)
+        (InstrumentedStream { framing: Some(framing.clone()), ..self }, framing)
     }
 
     /// The same, and has the requests that are sent on it followed.
-    pub fn sends_requests(self) -> Wire {
-        Wire { sent: Some(RefCell::default()), ..self }
+    pub fn tracking_requests(self) -> InstrumentedStream {
+        InstrumentedStream { sent: Some(RefCell::default()), ..self }
     }
 
     /// Whether the kernel holds anything to read, be it the end. The runtime knows only what was there when it last
@@ -193,7 +196,7 @@
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for InstrumentedStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -230,7 +233,7 @@
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for InstrumentedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
         let put = ready!(self.poll_put(cx, |stream| stream.try_write(data)))?;
         self.note([data].into_iter(), put);
@@ -246,7 +249,7 @@
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.lingering.is_none() {
             SockRef::from(&*self.stream).shutdown(Shutdown::Write)?;
-            if !self.line().has_unread() {
+            if !self.probe().has_unread() {
                 return Poll::Ready(Ok(()));
             }
         }
--- a/crates/gateway/src/wire/tests.rs
+++ b/crates/gateway/src/transport/instrumented_stream/tests.rs
@@ -15,16 +15,16 @@
     "POST /once HTTP/1.1\r\ncontent-length: 0\r\nhost: a\r\n\r\n",
 ];
 
-async fn wire() -> (Wire, Rc<Marks>, TcpStream) {
+async fn wire() -> (InstrumentedStream, Rc<IoTimestamps>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let (near, far) = tokio::join!(TcpStream::connect(address), listener.accept());
-    let (wire, marks) = Wire::new(near.expect("a connection"));
-    (wire.sends_requests(), marks, far.expect("a connection").0)
+    let (wire, marks) = InstrumentedStream::new(near.expect("a connection"));
+    (wire.tracking_requests(), marks, far.expect("a connection").0)
 }
 
 /// Writes a piece, at once or as several buffers.
-async fn put(wire: &mut Wire, piece: &[u8], buffers: usize) -> io::Result<usize> {
+async fn put(wire: &mut InstrumentedStream, piece: &[u8], buffers: usize) -> io::Result<usize> {
     poll_fn(|cx| {
         if buffers < 2 {
             return Pin::new(&mut *wire).poll_write(cx, piece);
--- a/crates/gateway/src/framing.rs
+++ b/crates/gateway/src/transport/message_framing.rs
@@ -43,7 +43,7 @@
 
 /// The messages on one connection, in the order in which they come.
 #[derive(Debug)]
-pub struct Framing {
+pub struct MessageFraming {
     state: State,
     /// They are answers, which end by their status too, and by the connection's end.
     answers: bool,
@@ -60,18 +60,18 @@
     ambiguous: Option<u64>,
 }
 
-impl Default for Framing {
-    fn default() -> Framing {
+impl Default for MessageFraming {
+    fn default() -> MessageFraming {
         let (answers, first, status, length, encoded, heads, messages, ambiguous) = Default::default();
         let (state, name) = (State::First(false), [0; ENCODING.len()]);
-        Framing { state, answers, first, status, name, length, encoded, heads, messages, ambiguous }
+        MessageFraming { state, answers, first, status, name, length, encoded, heads, messages, ambiguous }
     }
 }
 
-impl Framing {
+impl MessageFraming {
     /// For the answers of a host; else it follows requests.
-    pub fn of_answers() -> Framing {
-        Framing { answers: true, ..Framing::default() }
+    pub fn for_responses() -> MessageFraming {
+        MessageFraming { answers: true, ..MessageFraming::default() }
     }
 
     /// Whether the head of the request with this number, counted from 1, was seen whole and says at most one of the two.
