--- a/crates/gateway/src/framing/tests.rs
+++ b/crates/gateway/src/transport/message_framing/tests.rs
@@ -13,7 +13,7 @@
 #[test]
 fn a_head_that_says_both_is_told_and_nothing_behind_it_is_believed() {
     for both in BOTH {
-        let mut framing = Framing::default();
+        let mut framing = MessageFraming::default();
         framing.take(&mut [PLAIN, CHUNKED, NONE, both, PLAIN].concat().into_bytes());
         let plain: Vec<bool> = (1..=6).map(|n| framing.is_plain(n)).collect();
         assert_eq!(plain, [true, true, true, false, false, false], "{both:?}");
@@ -22,7 +22,7 @@
 
 #[test]
 fn what_hides_in_a_body_is_no_head() {
-    let mut framing = Framing::default();
+    let mut framing = MessageFraming::default();
     framing.take(
         &mut b"POST /a HTTP/1.1\r\nContent-Length: 31\r\n\r\nGET /b HTTP/1.1\r\nHost: hidden\r\n\r\n"
             .to_vec(),
@@ -45,7 +45,7 @@
 ];
 
 /// What is left of a text that comes in pieces of these lengths, by turns.
-fn cut_up(framing: &mut Framing, whole: &str, cuts: &[usize]) -> String {
+fn cut_up(framing: &mut MessageFraming, whole: &str, cuts: &[usize]) -> String {
     let (mut rest, mut cut, mut passed) = (whole.as_bytes(), cuts.iter().cycle(), Vec::new());
     while !rest.is_empty() {
         let (piece, behind) = rest.split_at((*cut.next().expect("endless")).min(rest.len()));
@@ -62,7 +62,7 @@
     #[test]
     fn answers_lose_nothing_but_extensions(kinds in prop::collection::vec(0usize..6, 0..8), cuts in prop::collection::vec(1usize..30, 1..20)) {
         let whole: String = kinds.iter().map(|kind| ANSWERS[*kind]).collect();
-        let mut framing = Framing::of_answers();
+        let mut framing = MessageFraming::for_responses();
         let passed = cut_up(&mut framing, &whole, &cuts);
         let followed = kinds.iter().position(|kind| *kind > 3).unwrap_or(kinds.len());
         let (followed, lost) = kinds.split_at(followed);
@@ -76,7 +76,7 @@
     fn cuts_change_nothing(kinds in prop::collection::vec(0usize..5, 0..12), cuts in prop::collection::vec(1usize..40, 1..20)) {
         let messages: Vec<&str> = kinds.iter().map(|kind| [PLAIN, NONE, CHUNKED, BOTH[0], BOTH[1]][*kind]).collect();
         let whole = messages.concat();
-        let mut framing = Framing::default();
+        let mut framing = MessageFraming::default();
         let passed = cut_up(&mut framing, &whole, &cuts);
         let spoilt = kinds.iter().position(|kind| *kind > 2).map_or(kinds.len(), |at| at);
         for number in 1..=kinds.len() {
@@ -94,7 +94,7 @@
         let messages: Vec<&str> = kinds.iter().map(|kind| [PLAIN, NONE, CHUNKED][*kind]).collect();
         let ends: Vec<usize> = messages.iter().scan(0, |at, m| { *at += m.len(); Some(*at) }).collect();
         let whole = messages.concat();
-        let (mut framing, mut at) = (Framing::default(), 0);
+        let (mut framing, mut at) = (MessageFraming::default(), 0);
         for cut in cuts.iter().cycle() {
             let to = (at + cut).min(whole.len());
             framing.follow(&whole.as_bytes()[at..to]);
@@ -113,7 +113,7 @@
     #[test]
     fn noise_is_survived(mut bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let length = bytes.len();
-        prop_assert!(Framing::default().take(&mut bytes.clone()) <= length);
-        prop_assert!(Framing::of_answers().take(&mut bytes) <= length);
+        prop_assert!(MessageFraming::default().take(&mut bytes.clone()) <= length);
+        prop_assert!(MessageFraming::for_responses().take(&mut bytes) <= length);
     }
 }
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -1,10 +1,12 @@
 //! One attempt: a request written to a host, and what comes back, told apart by what it proves.
 
-use super::{Connection, Host, Pool};
-use crate::exchange::{Answer, Forward, Payload, Piece, Reply, Sending};
+use super::{Connection, ConnectionPool, UpstreamEndpoint};
+use crate::body::{
+    ForwardedRequest, RequestBody, RequestPayload, ResponseBody, ResponseChunk, UpstreamResponse,
+};
 use crate::limits::{MAX_BODY, MAX_LARGE};
-use crate::presence::Presence;
-use crate::wire::Marks;
+use crate::transport::client_liveness::ClientLiveness;
+use crate::transport::instrumented_stream::IoTimestamps;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -60,28 +62,28 @@
 }
 
 /// How an attempt ended.
-pub struct End {
+pub struct AttemptResult {
     /// The outcome.
     pub outcome: Outcome,
     /// The answer, where it was served.
-    pub answer: Option<Answer>,
+    pub response: Option<UpstreamResponse>,
     /// The load report that came with an answer of any kind.
-    pub load: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
     /// When the request's last byte had gone to the kernel, where it had.
-    pub written: Option<Instant>,
+    pub written_at: Option<Instant>,
 }
 
 /// When an attempt is given up; a body that is still coming moves it.
 #[derive(Debug)]
-pub struct Until {
+pub struct Deadline {
     at: Cell<Instant>,
     moved: Notify,
 }
 
-impl Until {
+impl Deadline {
     /// At this moment.
-    pub fn new(at: Instant) -> Rc<Until> {
-        Rc::new(Until { at: Cell::new(at), moved: Notify::new() })
+    pub fn new(at: Instant) -> Rc<Deadline> {
+        Rc::new(Deadline { at: Cell::new(at), moved: Notify::new() })
     }
 
     /// Moves it.
@@ -91,7 +93,7 @@
     }
 
     /// Moves it to this moment, where that comes first.
-    pub fn hasten(&self, at: Instant) {
+    pub fn bring_forward(&self, at: Instant) {
         self.set(self.get().min(at));
     }
 
@@ -111,18 +113,18 @@
 }
 
 /// What becomes of an attempt on its way.
-pub enum Stage {
+pub enum AttemptProgress {
     /// Some of a body that is not held has left.
-    Spent,
+    BodyForwardingStarted,
     /// All of it has gone to its host.
-    Complete {
+    BodyForwarded {
         /// Its last byte came here after this moment.
         came: Instant,
     },
     /// The answer is passed on while it comes.
-    Started {
+    ResponseStarted {
         /// The answer.
-        answer: Box<Answer>,
+        answer: Box<UpstreamResponse>,
         /// When its first byte came.
         first: Instant,
         /// The load report that came with it.
@@ -133,22 +135,22 @@
 /// One attempt to have a request served.
 pub struct Attempt {
     /// By whom.
-    pub host: Rc<Host>,
+    pub endpoint: Rc<UpstreamEndpoint>,
     /// What is sent.
-    pub forward: Rc<Forward>,
+    pub request: Rc<ForwardedRequest>,
     /// When it is given up.
-    pub until: Rc<Until>,
+    pub deadline: Rc<Deadline>,
     /// The latest moment for its last byte, where it has one: an attempt before it may have run, and only up to then do hosts know that.
     pub write_by: Option<Instant>,
     /// Who wants the answer.
-    pub client: Rc<Presence>,
+    pub liveness: Rc<ClientLiveness>,
     /// Calls the attempt off.
     pub cancel: Rc<Notify>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Makes the attempt and tells how it ended. Its connection is closed by then, or idle in the pool.
-    pub async fn attempt(&self, attempt: &Attempt, tell: &dyn Fn(Stage)) -> End {
+    pub async fn attempt(&self, attempt: &Attempt, tell: &dyn Fn(AttemptProgress)) -> AttemptResult {
         let progress = Progress::default();
         let (ended, answer) = tokio::select! {
             biased;
@@ -157,12 +159,12 @@
                 Ok(Got::Whole(answer)) => (AttemptEnd::Answered(ResponseVerdict::Served), Some(answer)),
                 // From here on nothing but the two sides ends it.
                 Ok(Got::Large(large)) => {
-                    let outcome = self.pass_on(*large, &attempt.host, progress.load.get(), tell).await;
+                    let outcome = self.pass_on(*large, &attempt.endpoint, progress.load.get(), tell).await;
                     return progress.end(outcome, None);
                 }
                 Err(ended) => (ended, None),
             },
-            () = attempt.until.passed() => (AttemptEnd::TimedOut, None),
+            () = attempt.deadline.passed() => (AttemptEnd::TimedOut, None),
         };
         let outcome = classify_attempt(progress.written(), ended);
         progress.end(outcome, answer.filter(|_| outcome == Outcome::Served))
@@ -172,9 +174,10 @@
         &self,
         attempt: &Attempt,
         progress: &Progress,
-        tell: &dyn Fn(Stage),
+        tell: &dyn Fn(AttemptProgress),
     ) -> Result<Got, AttemptEnd> {
-        let Attempt { host, forward, until, write_by, client, .. } = attempt;
+        let Attempt { endpoint: host, request: forward, deadline: until, write_by, liveness: client, .. } =
+            attempt;
         let is_late = || write_by.is_some_and(|by| Instant::now() >= by);
         let mut connection = match self.reuse(host).await {
             Some(connection) => connection,
@@ -187,10 +190,10 @@
         // The request may have been answered, the host begun to drain, and the time for writing passed, while the connection came up.
         // What is unread behind a body that comes is its own.
         let has_client = match &forward.body {
-            Payload::Whole(_) => client.may_begin(),
-            Payload::Coming(upload) => client.is_wanted() && !upload.time_left().is_zero(),
+            RequestPayload::Buffered(_) => client.may_begin(),
+            RequestPayload::Streaming(upload) => client.is_wanted() && !upload.time_left().is_zero(),
         };
-        if !has_client || !host.takes_work.get() || is_late() || Instant::now() >= until.get() {
+        if !has_client || !host.is_active.get() || is_late() || Instant::now() >= until.get() {
             self.put_back(connection, host).await;
             return Err(AttemptEnd::Withheld);
         }
@@ -215,27 +218,29 @@
                 return Poll::Ready(Some(answered));
             }
             over = over || connection.driver.as_mut().poll(cx).is_ready();
-            if let Payload::Coming(upload) = &forward.body {
-                let before = std::mem::replace(&mut passage, upload.passage());
+            if let RequestPayload::Streaming(upload) = &forward.body {
+                let before = std::mem::replace(&mut passage, upload.state());
                 if before == TransferState::Intact && passage != before {
-                    tell(Stage::Spent);
+                    tell(AttemptProgress::BodyForwardingStarted);
                 }
             }
             if !whole && marks.written.get() == WriteProgress::Complete {
                 whole = true;
-                self.figures.sent();
-                if let Payload::Coming(upload) = &forward.body {
-                    tell(Stage::Complete { came: upload.came_after() });
+                self.figures.record_send();
+                if let RequestPayload::Streaming(upload) = &forward.body {
+                    tell(AttemptProgress::BodyForwarded { came: upload.last_byte_not_before() });
                 }
             }
             if let Poll::Ready(answered) = answering.as_mut().poll(cx) {
                 return Poll::Ready(Some(answered));
             }
             // A host that takes no more of a body that is not held has never had it whole.
-            if let (Payload::Coming(upload), false, None) = (&forward.body, whole, marks.read_since.get()) {
-                let Some(due) = upload.host_due() else { return Poll::Pending };
+            if let (RequestPayload::Streaming(upload), false, None) =
+                (&forward.body, whole, marks.read_since.get())
+            {
+                let Some(due) = upload.endpoint_deadline() else { return Poll::Pending };
                 // Its client may have written the last byte long ago: it is owed its answer by then.
-                let due = due.min(upload.came_after() + upload.patience);
+                let due = due.min(upload.last_byte_not_before() + upload.client_timeout);
                 if late.deadline() != due {
                     late.as_mut().reset(due);
                 }
@@ -259,7 +264,7 @@
         // Said twice it is no report: nothing tells which of the two is the host's.
         let mut reports = head.headers.get_all(LOAD).iter();
         if let (Some(Ok(text)), None) = (reports.next().map(HeaderValue::to_str), reports.next()) {
-            progress.load.set(self.terms.borrow().reports.parse_header(text));
+            progress.load.set(self.terms.borrow().load_report_fields.parse_header(text));
         }
         let body = match body {
             Taken::Whole(body) => body,
@@ -293,7 +298,7 @@
             ResponseVerdict::Served => {
                 let mut headers = head.headers;
                 strip_hop_by_hop(&mut headers);
-                Ok(Got::Whole(Answer { headers, body: Reply::Whole(body) }))
+                Ok(Got::Whole(UpstreamResponse { headers, body: ResponseBody::Buffered(body) }))
             }
             said => Err(AttemptEnd::Answered(said)),
         }
@@ -303,16 +308,21 @@
     async fn pass_on(
         &self,
         large: Large,
-        host: &Host,
+        host: &UpstreamEndpoint,
         load: Option<LoadReport>,
-        tell: &dyn Fn(Stage),
+        tell: &dyn Fn(AttemptProgress),
     ) -> Outcome {
         let Large { mut connection, mut over, headers, first, held, mut rest, said } = large;
         let (pieces, receiver) = mpsc::channel(1);
         let mut brought = held.len() as u64;
-        let _ = pieces.try_send(Piece::Data(held)); // there is room for one
-        let body = Reply::Coming { left: said, pieces: receiver, over: false, taken: None, guard: None };
-        tell(Stage::Started { answer: Box::new(Answer { headers, body }), first, load });
+        let _ = pieces.try_send(ResponseChunk::Data(held)); // there is room for one
+        let body =
+            ResponseBody::Streaming { left: said, pieces: receiver, over: false, taken: None, guard: None };
+        tell(AttemptProgress::ResponseStarted {
+            answer: Box::new(UpstreamResponse { headers, body }),
+            first,
+            load,
+        });
         loop {
             let frame = poll_fn(|cx| {
                 if let Poll::Ready(frame) = Pin::new(&mut rest).poll_frame(cx) {
@@ -329,7 +339,7 @@
             let data = match frame {
                 Ok(Some(Ok(frame))) => frame.into_data(),
                 Ok(None) => {
-                    let _ = timeout(PEER_STALL_TIMEOUT, pieces.send(Piece::End)).await;
+                    let _ = timeout(PEER_STALL_TIMEOUT, pieces.send(ResponseChunk::End)).await;
                     if !over {
                         self.put_back(connection, host).await;
                     }
@@ -342,7 +352,10 @@
             if brought > MAX_LARGE {
                 return Outcome::Error;
             }
-            if !matches!(timeout(PEER_STALL_TIMEOUT, pieces.send(Piece::Data(data))).await, Ok(Ok(()))) {
+            if !matches!(
+                timeout(PEER_STALL_TIMEOUT, pieces.send(ResponseChunk::Data(data))).await,
+                Ok(Ok(()))
+            ) {
                 return Outcome::Cancelled;
             }
         }
@@ -353,7 +366,7 @@
 #[derive(Default)]
 struct Progress {
     /// The marks of the connection that it is written to.
-    marks: RefCell<Option<Rc<Marks>>>,
+    marks: RefCell<Option<Rc<IoTimestamps>>>,
     load: Cell<Option<LoadReport>>,
 }
 
@@ -362,16 +375,16 @@
         self.marks.borrow().as_ref().map_or(WriteProgress::Nothing, |marks| marks.written.get())
     }
 
-    fn end(&self, outcome: Outcome, answer: Option<Answer>) -> End {
+    fn end(&self, outcome: Outcome, answer: Option<UpstreamResponse>) -> AttemptResult {
         let written = self.marks.borrow().as_ref().and_then(|marks| marks.written_at.get());
-        End { outcome, answer, load: self.load.get(), written }
+        AttemptResult { outcome, response: answer, load_report: self.load.get(), written_at: written }
     }
 }
 
 /// What came of a request.
 enum Got {
     /// A whole answer.
-    Whole(Answer),
+    Whole(UpstreamResponse),
     /// One that is passed on while it comes.
     Large(Box<Large>),
 }
@@ -424,15 +437,15 @@
 }
 
 /// The request as it is written to a host that has until `until`.
-fn request(forward: &Forward, until: Instant) -> Request<Sending> {
-    let mut request = Request::new(Sending::new(&forward.body));
+fn request(forward: &ForwardedRequest, until: Instant) -> Request<RequestBody> {
+    let mut request = Request::new(RequestBody::new(&forward.body));
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.uri.clone();
     *request.headers_mut() = forward.headers.clone();
     let wait = match &forward.body {
-        Payload::Whole(_) => until.saturating_duration_since(Instant::now()),
+        RequestPayload::Buffered(_) => until.saturating_duration_since(Instant::now()),
         // From its last byte on, which may have come already and be unread.
-        Payload::Coming(upload) => upload.time_left(),
+        RequestPayload::Streaming(upload) => upload.time_left(),
     };
     let wait = wait.as_micros();
     if let Ok(wait) = HeaderValue::from_str(&format!("{wait}u")) {
--- a/crates/gateway/src/upstream/dial.rs
+++ b/crates/gateway/src/upstream/connect.rs
@@ -1,6 +1,6 @@
 //! Opens a connection to a host, through moments in which this machine can't.
 
-use crate::system_errors::is_own_connect_failure;
+use crate::transport::system_errors::is_own_connect_failure;
 use std::future::Future;
 use std::io;
 use std::time::Duration;
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -1,16 +1,16 @@
 //! Connections to hosts: one attempt at a time on each, every attempt counted, every end told apart.
 
 mod attempt;
-mod dial;
+mod connect;
 
-pub use attempt::{Attempt, End, Stage, Until};
+pub use attempt::{Attempt, AttemptProgress, AttemptResult, Deadline};
 
-use crate::exchange::Sending;
-use crate::figures::Figures;
-use crate::framing::Framing;
+use crate::body::RequestBody;
 use crate::limits::MAX_BUFFER;
-use crate::sockets::{Slot, Slots};
-use crate::wire::{Marks, Wire};
+use crate::metrics::Metrics;
+use crate::transport::descriptor_budget::{DescriptorPermit, DescriptorQuota};
+use crate::transport::instrumented_stream::{InstrumentedStream, IoTimestamps};
+use crate::transport::message_framing::MessageFraming;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use std::cell::{Cell, RefCell};
@@ -36,13 +36,13 @@
 
 /// A host, as far as sending to it goes.
 #[derive(Debug)]
-pub struct Host {
+pub struct UpstreamEndpoint {
     /// Its number.
     pub id: EndpointId,
     /// Where it listens.
     pub address: Cell<Option<SocketAddr>>,
     /// Whether anything new may be sent to it.
-    pub takes_work: Cell<bool>,
+    pub is_active: Cell<bool>,
 }
 
 /// A connection to a host. It is driven by whoever holds it and by no task of its own, so that dropping it
@@ -50,11 +50,11 @@
 struct Connection {
     host: EndpointId,
     address: SocketAddr,
-    sender: SendRequest<Sending>,
-    driver: Pin<Box<http1::Connection<TokioIo<Wire>, Sending>>>,
-    marks: Rc<Marks>,
+    sender: SendRequest<RequestBody>,
+    driver: Pin<Box<http1::Connection<TokioIo<InstrumentedStream>, RequestBody>>>,
+    marks: Rc<IoTimestamps>,
     idle_since: Instant,
-    _slot: Slot,
+    _slot: DescriptorPermit,
 }
 
 impl Connection {
@@ -74,65 +74,65 @@
 
 /// A host has ended a connection that had been idle for less than the pool keeps any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Closed {
+pub struct ClosedIdleConnection {
     /// Which host.
-    pub host: EndpointId,
+    pub endpoint: EndpointId,
     /// Where it stood then.
     pub address: SocketAddr,
     /// How long it had been idle.
-    pub idle: Duration,
+    pub idle_for: Duration,
     /// How many idle connections to it are left.
-    pub left: usize,
+    pub remaining: usize,
 }
 
 /// What the settings say of connections to hosts.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct ConnectionSettings {
     /// One that is not up by then will not come up.
     pub dial_timeout: Duration,
     /// Hosts close what has been idle for so long.
-    pub keepalive: Duration,
+    pub keep_alive: Duration,
     /// How hosts word their load reports.
-    pub reports: LoadReportFields,
+    pub load_report_fields: LoadReportFields,
 }
 
-impl Terms {
+impl ConnectionSettings {
     /// What is kept for so long is let go: a request that crosses the host's close is lost to a reset, so this never comes near that
     /// moment.
     fn idle_most(&self) -> Duration {
-        self.keepalive / 2
+        self.keep_alive / 2
     }
 }
 
 /// All connections to hosts that are idle, the one used last at the end.
-pub struct Pool {
+pub struct ConnectionPool {
     idle: RefCell<VecDeque<Connection>>,
     /// Connections that their hosts ended and that were found so on reuse: told with the others.
     found: RefCell<Vec<(EndpointId, SocketAddr, Duration)>>,
-    terms: RefCell<Terms>,
-    slots: Slots,
-    figures: Rc<Figures>,
+    terms: RefCell<ConnectionSettings>,
+    slots: DescriptorQuota,
+    figures: Rc<Metrics>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// An empty pool that opens at most `slots`.
-    pub fn new(slots: Slots, terms: Terms, figures: Rc<Figures>) -> Pool {
+    pub fn new(slots: DescriptorQuota, terms: ConnectionSettings, figures: Rc<Metrics>) -> ConnectionPool {
         let (idle, found) = Default::default();
-        Pool { idle, found, terms: RefCell::new(terms), slots, figures }
+        ConnectionPool { idle, found, terms: RefCell::new(terms), slots, figures }
     }
 
     /// Goes on under other terms; what is idle is held to them as well.
-    pub fn retune(&self, terms: Terms) {
+    pub fn reconfigure(&self, terms: ConnectionSettings) {
         self.terms.replace(terms);
     }
 
     /// Closes the idle connections to a host.
-    pub fn close(&self, host: EndpointId) {
-        self.keep(|other| other != host);
+    pub fn close_idle(&self, host: EndpointId) {
+        self.retain(|other| other != host);
     }
 
     /// Keeps the idle connections to these hosts and closes all others.
-    pub fn keep(&self, these: impl Fn(EndpointId) -> bool) {
+    pub fn retain(&self, these: impl Fn(EndpointId) -> bool) {
         self.idle.borrow_mut().retain(|c| these(c.host));
     }
 
@@ -141,7 +141,7 @@
     /// for 50 ms, else within that.
     ///
     /// Cancel safe: what is dropped with it is only the wish to be woken.
-    pub async fn sweep(&self, tell: impl Fn(Closed)) {
+    pub async fn close_expired(&self, tell: impl Fn(ClosedIdleConnection)) {
         loop {
             let mut looked = false;
             // The look leaves this task's waker with every idle connection; the wake by any of them ends the wait.
@@ -158,7 +158,7 @@
     }
 
     /// Lets go what is no longer of use, and tells of what its host ended.
-    fn let_go(&self, cx: &mut Context<'_>, tell: impl Fn(Closed)) {
+    fn let_go(&self, cx: &mut Context<'_>, tell: impl Fn(ClosedIdleConnection)) {
         let (mut ended, idle_most) = (self.found.take(), self.terms.borrow().idle_most());
         let mut idle = self.idle.borrow_mut();
         idle.retain_mut(|connection| {
@@ -171,12 +171,12 @@
         });
         for (host, address, age) in ended {
             let left = idle.iter().filter(|c| c.host == host && c.address == address).count();
-            tell(Closed { host, address, idle: age, left });
+            tell(ClosedIdleConnection { endpoint: host, address, idle_for: age, remaining: left });
         }
     }
 
     /// The idle connection to the host that was used last and is still open.
-    async fn reuse(&self, host: &Host) -> Option<Connection> {
+    async fn reuse(&self, host: &UpstreamEndpoint) -> Option<Connection> {
         loop {
             let mut connection = {
                 let mut idle = self.idle.borrow_mut();
@@ -198,20 +198,20 @@
     }
 
     /// Opens a connection, closing one that has been idle for long where there is no room.
-    async fn dial(&self, host: &Host, until: Instant) -> Result<Connection, AttemptEnd> {
+    async fn dial(&self, host: &UpstreamEndpoint, until: Instant) -> Result<Connection, AttemptEnd> {
         let address = host.address.get().ok_or(AttemptEnd::Withheld)?;
-        let slot = self.slots.take().or_else(|| {
+        let slot = self.slots.acquire().or_else(|| {
             self.idle.borrow_mut().pop_front();
-            self.slots.take()
+            self.slots.acquire()
         });
         // No room here says nothing of the host.
         let slot = slot.ok_or(AttemptEnd::Withheld)?;
         tracing::debug!(host = %address, "dial");
         let until = until.min(Instant::now() + self.terms.borrow().dial_timeout);
-        let stream = dial::open(|| TcpStream::connect(address), until).await?;
+        let stream = connect::open(|| TcpStream::connect(address), until).await?;
         let _ = stream.set_nodelay(true);
-        let (wire, marks) = Wire::new(stream);
-        let (wire, _) = wire.sends_requests().followed(Framing::of_answers());
+        let (wire, marks) = InstrumentedStream::new(stream);
+        let (wire, _) = wire.tracking_requests().with_framing(MessageFraming::for_responses());
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_BUFFER);
         let (sender, driver) =
@@ -220,8 +220,8 @@
         Ok(Connection { host: host.id, address, sender, driver, marks, idle_since, _slot: slot })
     }
 
-    async fn put_back(&self, mut connection: Connection, host: &Host) {
-        if host.takes_work.get() && connection.is_open().await {
+    async fn put_back(&self, mut connection: Connection, host: &UpstreamEndpoint) {
+        if host.is_active.get() && connection.is_open().await {
             connection.idle_since = Instant::now();
             self.idle.borrow_mut().push_back(connection);
         }
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -1,8 +1,8 @@
 //! Load reports, and ends of idle connections that are told.
 
 use super::*;
-use crate::exchange::Forward;
-use crate::sockets::Budget;
+use crate::body::ForwardedRequest;
+use crate::transport::descriptor_budget::DescriptorBudget;
 use hyper::HeaderMap;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -22,27 +22,27 @@
     let settings = r#"{"stats":{"how":"inline","fields":["throughput","outstanding"]}}"#;
     let fields = LoadReportFields::parse(settings).expect("settings");
     let (dial, keep) = (Duration::from_secs(5), Duration::from_secs(10));
-    let pool = Pool::new(
-        Budget::new(&Default::default(), false).hosts,
-        Terms { dial_timeout: dial, keepalive: keep, reports: fields },
+    let pool = ConnectionPool::new(
+        DescriptorBudget::new(&Default::default(), false).upstream,
+        ConnectionSettings { dial_timeout: dial, keep_alive: keep, load_report_fields: fields },
         Rc::default(),
     );
     let (method, uri) = (hyper::Method::GET, hyper::Uri::from_static("/look"));
-    let forward = Forward { method, uri, headers: HeaderMap::new(), body: Default::default() };
+    let forward = ForwardedRequest { method, uri, headers: HeaderMap::new(), body: Default::default() };
     let attempt = Attempt {
-        host: Rc::new(Host {
+        endpoint: Rc::new(UpstreamEndpoint {
             id: EndpointId(0),
             address: Cell::new(Some(address)),
-            takes_work: Cell::new(true),
+            is_active: Cell::new(true),
         }),
-        forward: Rc::new(forward),
-        until: Until::new(Instant::now() + Duration::from_secs(10)),
+        request: Rc::new(forward),
+        deadline: Deadline::new(Instant::now() + Duration::from_secs(10)),
         write_by: None,
-        client: Rc::new(crate::presence::Presence::unseen()),
+        liveness: Rc::new(crate::transport::client_liveness::ClientLiveness::unobserved()),
         cancel: Rc::default(),
     };
     let (end, _host) = tokio::join!(pool.attempt(&attempt, &|_| {}), host);
-    (end.outcome, end.load)
+    (end.outcome, end.load_report)
 }
 
 #[tokio::test]
@@ -60,23 +60,29 @@
 }
 
 /// Has a request served, does `then` with the host's end of the connection, and gives what the pool tells of it.
-async fn told_after(then: impl AsyncFnOnce(&Pool, &mut tokio::net::TcpStream)) -> Option<Closed> {
+async fn told_after(
+    then: impl AsyncFnOnce(&ConnectionPool, &mut tokio::net::TcpStream),
+) -> Option<ClosedIdleConnection> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = Cell::new(Some(listener.local_addr().expect("an address")));
     let (dial, keep) = (Duration::from_secs(5), Duration::from_secs(60));
-    let pool = Pool::new(
-        Budget::new(&Default::default(), false).hosts,
-        Terms { dial_timeout: dial, keepalive: keep, reports: LoadReportFields::default() },
+    let pool = ConnectionPool::new(
+        DescriptorBudget::new(&Default::default(), false).upstream,
+        ConnectionSettings {
+            dial_timeout: dial,
+            keep_alive: keep,
+            load_report_fields: LoadReportFields::default(),
+        },
         Rc::default(),
     );
     let (method, uri) = (hyper::Method::GET, hyper::Uri::from_static("/look"));
-    let forward = Forward { method, uri, headers: HeaderMap::new(), body: Default::default() };
+    let forward = ForwardedRequest { method, uri, headers: HeaderMap::new(), body: Default::default() };
     let attempt = Attempt {
-        host: Rc::new(Host { id: EndpointId(3), address, takes_work: Cell::new(true) }),
-        forward: Rc::new(forward),
-        until: Until::new(Instant::now() + Duration::from_secs(10)),
+        endpoint: Rc::new(UpstreamEndpoint { id: EndpointId(3), address, is_active: Cell::new(true) }),
+        request: Rc::new(forward),
+        deadline: Deadline::new(Instant::now() + Duration::from_secs(10)),
         write_by: None,
-        client: Rc::new(crate::presence::Presence::unseen()),
+        liveness: Rc::new(crate::transport::client_liveness::ClientLiveness::unobserved()),
         cancel: Rc::default(),
     };
     let host = async {
@@ -89,7 +95,7 @@
     assert_eq!(end.outcome, Outcome::Served);
     let told = Cell::new(None);
     tokio::select! {
-        () = pool.sweep(|closed| told.set(Some(closed))) => {}
+        () = pool.close_expired(|closed| told.set(Some(closed))) => {}
         () = async {
             tokio::time::sleep(4 * LOOK).await; // it is being watched by now
             then(&pool, &mut stream).await;
@@ -105,7 +111,7 @@
 #[tokio::test]
 async fn an_end_by_the_host_is_told_and_noise_is_not() {
     let ended = told_after(async |_, stream| stream.shutdown().await.expect("an end")).await;
-    let Closed { host, idle, left, .. } = ended.expect("told");
+    let ClosedIdleConnection { endpoint: host, idle_for: idle, remaining: left, .. } = ended.expect("told");
     assert_eq!((host, left), (EndpointId(3), 0));
     assert!(idle >= 4 * LOOK, "{idle:?}");
     assert_eq!(told_after(async |_, stream| stream.write_all(b"noise").await.expect("written")).await, None);
@@ -127,7 +133,7 @@
                 }
             };
             let address = Cell::new(stream.local_addr().ok());
-            let host = Host { id: host, address, takes_work: Cell::new(true) };
+            let host = UpstreamEndpoint { id: host, address, is_active: Cell::new(true) };
             age(Duration::from_millis(5));
             let rests = pool.reuse(&host).await.is_none();
             if stray {
@@ -148,8 +154,8 @@
 async fn what_is_idle_is_held_to_the_new_keep_alive() {
     let told = told_after(async |pool, stream| {
         let keepalive = Duration::from_millis(10);
-        let terms = Terms { keepalive, ..pool.terms.borrow().clone() };
-        pool.retune(terms);
+        let terms = ConnectionSettings { keep_alive: keepalive, ..pool.terms.borrow().clone() };
+        pool.reconfigure(terms);
         let read = timeout(Duration::from_secs(30), stream.read(&mut [0; 1])).await;
         assert!(matches!(read, Ok(Ok(0))), "its end: {read:?}");
     });
