--- /dev/null
+++ b/crates/balancer/src/attempt.rs
@@ -0,0 +1,274 @@
+//! The way of a request from one attempt to the next: it asks [`crate::retry`] whether and [`crate::selection`] where, and takes in
+//! outcomes.
+
+use crate::api::{Action, EndpointId, EndpointState, Idempotency, Outcome, RequestId};
+use crate::balancer::{set_timer, Balancer};
+use crate::failure_tracking::ClassFailures;
+use crate::request::{AttemptState, RequestState};
+use crate::retry::{
+    final_answer, hedge_delay_s, is_attempt_allowed, is_hedge_in_time, latest_write_s, AttemptKind,
+};
+use crate::traffic_stats::update_average;
+use std::time::Duration;
+
+/// A request for which no endpoint is eligible is looked at again after this time, in seconds.
+const ENDPOINT_WAIT_POLL_S: f64 = 0.015;
+/// Fraction of the keep-alive time for which a connection is expected to be open: gateways close it half way.
+const IDLE_CONNECTION_KEEP_ALIVE_FRACTION: f64 = 0.5;
+
+/// An attempt that has ended, with what its outcome is judged by. Times are in seconds.
+#[derive(Clone, Copy)]
+struct EndedAttempt {
+    endpoint: usize,
+    class: usize,
+    outcome: Outcome,
+    /// From the send to the outcome.
+    latency_s: f64,
+    /// The same, scaled to a request of mean work.
+    scaled_latency_s: f64,
+    cost_hint_s: f64,
+    deadline_s: f64,
+}
+
+impl Balancer {
+    /// Takes the next step of an open request: an attempt, or where none is in flight also a wait or the end.
+    pub(crate) fn advance(
+        &mut self,
+        now_s: f64,
+        id: RequestId,
+        request: &mut RequestState,
+        actions: &mut Vec<Action>,
+    ) {
+        let kind = AttemptKind::of_next(request);
+        let idempotency = self.settings.classes[request.class].idempotency;
+        let is_allowed = is_attempt_allowed(request, idempotency, now_s) && self.attempt_budget.covers(kind);
+        let is_expired = now_s >= request.wait_for_endpoint_until_s();
+        if kind != AttemptKind::Hedge && (is_expired || !is_allowed) {
+            return self.end_unserved(id, request, actions);
+        }
+        let is_due = is_allowed && now_s >= request.earliest_send_s;
+        let selected = if is_due { self.select_endpoint(now_s, request) } else { None };
+        let Some(endpoint) = selected else {
+            if kind != AttemptKind::Hedge {
+                wait_for_endpoint(now_s, id, request, actions);
+            }
+            return;
+        };
+        if kind == AttemptKind::Hedge {
+            let expected_s = self.endpoints[endpoint].latency_estimate_s * request.relative_work;
+            if !is_hedge_in_time(now_s, expected_s, request.deadline_s) {
+                return;
+            }
+        }
+        self.attempt_budget.spend(kind);
+        self.send_attempt(now_s, id, request, endpoint, actions);
+    }
+
+    fn send_attempt(
+        &mut self,
+        now_s: f64,
+        id: RequestId,
+        request: &mut RequestState,
+        index: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        let idempotency = self.settings.classes[request.class].idempotency;
+        let endpoint = &mut self.endpoints[index];
+        // A streamed body keeps no endpoint at work: the attempt counts once the body is complete.
+        let sent_at_s = if request.body_streaming { f64::INFINITY } else { now_s };
+        if !request.body_streaming {
+            endpoint.in_flight_since_s.push(sent_at_s);
+            if request.in_flight() == 0 {
+                self.traffic.requests_in_flight += 1.0;
+            }
+        }
+        endpoint.spend_attempt_token();
+        let expected_latency_s = if self.traffic.latency_s > 0.0 {
+            endpoint.latency_estimate_s * request.relative_work
+        } else {
+            // Nothing is known of latencies yet: no hedge.
+            request.deadline_s - now_s
+        };
+        let key_partition = match idempotency {
+            Idempotency::IdempotencyKey { scope, .. } => scope.partition_of(&endpoint.entry),
+            _ => 0,
+        };
+        let hedge_delay_s = hedge_delay_s(expected_latency_s, self.settings.timer_tick.as_secs_f64());
+        let write_by =
+            latest_write_s(request, idempotency).map(|latest_s| Duration::from_secs_f64(latest_s.max(0.0)));
+        request.attempts.push(AttemptState::started(index, key_partition, now_s, sent_at_s));
+        actions.push(Action::Send {
+            request: id,
+            endpoint: EndpointId(index as u32),
+            deadline: Duration::from_secs_f64(request.deadline_s),
+            write_by,
+        });
+        let is_hedge_possible = is_attempt_allowed(request, idempotency, now_s);
+        if is_hedge_possible && now_s + hedge_delay_s < request.deadline_s {
+            actions.push(set_timer(hedge_delay_s, id.0));
+        }
+    }
+
+    /// Takes note that the last byte of a streamed body was forwarded: the time of the request and of its attempt begins now.
+    pub(crate) fn on_body_forwarded(
+        &mut self,
+        now_s: f64,
+        id: RequestId,
+        request: &mut RequestState,
+        client_deadline_s: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        if !std::mem::take(&mut request.body_streaming) {
+            return;
+        }
+        request.deadline_s = client_deadline_s.min(now_s + request.objective_s);
+        // There is one at most: a body that is still arriving has no hedge.
+        for attempt in request.attempts.iter_mut().filter(|attempt| attempt.in_flight) {
+            self.endpoints[attempt.endpoint].in_flight_since_s.push(now_s);
+            self.traffic.requests_in_flight += 1.0;
+            attempt.sent_at_s = now_s;
+        }
+        let deadline = Duration::from_secs_f64(request.deadline_s);
+        actions.push(Action::SetAttemptDeadline { request: id, deadline });
+    }
+
+    /// Takes the outcome of an attempt: what it proves of the request, and what it tells of the endpoint. An attempt that is not in flight
+    /// is ignored.
+    pub(crate) fn on_attempt_ended(
+        &mut self,
+        now_s: f64,
+        request: &mut RequestState,
+        attempt: u32,
+        outcome: Outcome,
+        latency_s: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(attempt) = request.attempts.get_mut(attempt as usize).filter(|attempt| attempt.in_flight)
+        else {
+            return;
+        };
+        attempt.end(outcome);
+        let endpoint = attempt.endpoint;
+        let sent_at_s = attempt.sent_at_s;
+        if request.in_flight() == 0 && !request.body_streaming {
+            self.traffic.requests_in_flight -= 1.0;
+        }
+        self.release_endpoint(endpoint, sent_at_s, actions);
+        self.begin_quiet_period_if_running(now_s, request, outcome);
+        let ended = EndedAttempt {
+            endpoint,
+            class: request.class,
+            outcome,
+            latency_s,
+            scaled_latency_s: latency_s / request.relative_work,
+            cost_hint_s: request.cost_hint_s,
+            deadline_s: request.deadline_s,
+        };
+        let class_count = self.settings.classes.len();
+        self.endpoints[endpoint].class_failures.resize(class_count, ClassFailures::default());
+        match outcome {
+            Outcome::Served => self.record_served(now_s, ended),
+            Outcome::Cancelled => self.record_cancelled(now_s, ended),
+            Outcome::NotSent => {}
+            Outcome::Error
+            | Outcome::Rejected
+            | Outcome::TimedOut
+            | Outcome::NoConnection
+            | Outcome::Reset => self.record_failed(now_s, ended),
+        }
+    }
+
+    /// Takes an attempt off its endpoint. The connection that it used is idle now, and must not stay open to a draining endpoint.
+    fn release_endpoint(&mut self, index: usize, sent_at_s: f64, actions: &mut Vec<Action>) {
+        let endpoint = &mut self.endpoints[index];
+        if let Some(place) = endpoint.in_flight_since_s.iter().position(|&since_s| since_s == sent_at_s) {
+            endpoint.in_flight_since_s.remove(place);
+        }
+        let is_draining = endpoint.entry.state == EndpointState::Draining;
+        if is_draining && self.settings.drain_close_within.is_some() {
+            actions.push(Action::CloseIdleConnections { endpoint: endpoint.entry.id });
+        }
+    }
+
+    /// Keeps the key of a sequential request quiet after an attempt that may still be running.
+    fn begin_quiet_period_if_running(&mut self, now_s: f64, request: &RequestState, outcome: Outcome) {
+        let is_possibly_running = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
+        if !is_possibly_running || !self.settings.classes[request.class].sequential {
+            return;
+        }
+        let Some(key) = request.key else { return };
+        let quiet_until_s = now_s + request.limits.key_quiet_period_s;
+        self.key_queues.entry(key).or_default().begin_quiet_period(quiet_until_s);
+    }
+
+    fn record_served(&mut self, now_s: f64, ended: EndedAttempt) {
+        let prior_s = self.fleet_latency.prior_s(&self.endpoints[ended.endpoint]);
+        let endpoint = &mut self.endpoints[ended.endpoint];
+        endpoint.consecutive_failures = 0;
+        endpoint.last_served_s = now_s;
+        let keep_alive_s = self.settings.keep_alive.as_secs_f64();
+        endpoint.idle_connection_until_s = now_s + IDLE_CONNECTION_KEEP_ALIVE_FRACTION * keep_alive_s;
+        endpoint.class_failures[ended.class] = ClassFailures::served(now_s);
+        if now_s <= ended.deadline_s {
+            self.traffic.served_in_time.record();
+        }
+        if endpoint.is_warm() {
+            self.traffic.served_per_warm_endpoint.record();
+        }
+        endpoint.refund_token_if_unqueued(ended.scaled_latency_s, prior_s, self.fleet_terms.dilution);
+        endpoint.clear_suspicion_if_quick(ended.scaled_latency_s, prior_s, &self.settings);
+        self.observe_latency(now_s, ended.endpoint, ended.scaled_latency_s);
+        update_average(&mut self.traffic.class_latency_s[ended.class], ended.latency_s);
+        update_average(&mut self.traffic.latency_s, ended.latency_s);
+        if ended.cost_hint_s > 0.0 {
+            self.traffic.track_latency_per_hint(ended.latency_s, ended.cost_hint_s);
+        }
+    }
+
+    /// A cancelled attempt is a sample only if it took longer than expected: its latency would have been at least this.
+    fn record_cancelled(&mut self, now_s: f64, ended: EndedAttempt) {
+        if ended.scaled_latency_s > self.endpoints[ended.endpoint].latency_estimate_s {
+            self.observe_latency(now_s, ended.endpoint, ended.scaled_latency_s);
+        }
+    }
+
+    /// A failure counts as a sample of at least the latency objective, or fast failures would attract work. An endpoint that has served
+    /// other classes since this class began to fail is not to blame as a whole: then it counts against the class alone.
+    fn record_failed(&mut self, now_s: f64, ended: EndedAttempt) {
+        let endpoint = &mut self.endpoints[ended.endpoint];
+        let class_failures = &mut endpoint.class_failures[ended.class];
+        let served_other_classes = endpoint.last_served_s > class_failures.last_served_s;
+        if served_other_classes && !ended.outcome.proves_not_processed() {
+            class_failures.record_failure(now_s);
+            return;
+        }
+        endpoint.consecutive_failures += 1;
+        let objective_s = self.settings.classes[ended.class].latency_objective.as_secs_f64();
+        self.observe_latency(now_s, ended.endpoint, objective_s.max(ended.latency_s));
+    }
+
+    /// Takes a latency sample of an endpoint, in seconds. Until a request was served, it also sets the latency expected of all.
+    fn observe_latency(&mut self, now_s: f64, index: usize, latency_s: f64) {
+        let endpoint = &mut self.endpoints[index];
+        if self.traffic.latency_s <= 0.0 {
+            self.fleet_latency.mean_s = latency_s * endpoint.relative_size;
+        }
+        let prior_s = self.fleet_latency.prior_s(endpoint);
+        endpoint.observe_latency(now_s, latency_s, prior_s);
+    }
+
+    /// Ends a request that was not served.
+    fn end_unserved(&mut self, id: RequestId, request: &mut RequestState, actions: &mut Vec<Action>) {
+        request.open = false;
+        self.traffic.unserved.record();
+        let idempotency = self.settings.classes[request.class].idempotency;
+        actions.push(final_answer(id, request, idempotency));
+    }
+}
+
+/// Looks at the request again once its key's turn has come, or after a moment.
+fn wait_for_endpoint(now_s: f64, id: RequestId, request: &RequestState, actions: &mut Vec<Action>) {
+    let wait_s =
+        if now_s < request.earliest_send_s { request.earliest_send_s - now_s } else { ENDPOINT_WAIT_POLL_S };
+    actions.push(set_timer(wait_s.min(request.deadline_s - now_s), id.0));
+}
--- /dev/null
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -0,0 +1,134 @@
+//! Bounds on this gateway's concurrency from what endpoints tell of their load: live weights in the endpoint list and load reports.
+
+use crate::api::{EndpointId, LoadReport};
+use crate::balancer::Balancer;
+use crate::endpoint_state::{EndpointRecord, ReceivedReport};
+use rustc_hash::FxHashMap;
+
+/// Most requests in flight on a core that a live weight counts for.
+const MAX_LISTED_IN_FLIGHT_PER_CORE: f64 = 20.0;
+/// Latency by load reports, as a fraction of the shortest objective, from which on admission is not eased.
+const REPORTED_LATENCY_WITHOUT_HEADROOM: f64 = 0.45;
+/// Latency by load reports, as a fraction of the shortest objective, up to which admission is eased in full.
+const REPORTED_LATENCY_FOR_FULL_HEADROOM: f64 = 0.3;
+/// Time constant of the average of reported requests in flight, in seconds.
+const REPORTED_IN_FLIGHT_TIME_CONSTANT_S: f64 = 0.7;
+/// Time constant of the average of reported request rates, in seconds.
+const REPORTED_RATE_TIME_CONSTANT_S: f64 = 5.0;
+/// Requests in flight on a core that the bound from live weights aims for: more earns nothing, and endpoints slow down under it.
+pub(crate) const TARGET_IN_FLIGHT_PER_CORE: f64 = 1.6;
+/// Lowest listed load that the bound is computed with, in requests in flight on a core; below, lists say too little.
+const MIN_LISTED_IN_FLIGHT_PER_CORE: f64 = 0.2;
+/// Room to grow above the bound, as a fraction of this gateway's share of the endpoints.
+const GROWTH_ALLOWANCE: f64 = 0.25;
+/// Age from which on a list's live weights no longer count, in seconds.
+const MAX_LISTED_LOAD_AGE_S: f64 = 3.0;
+
+/// The load that the last endpoint list with live weights tells.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ListedLoad {
+    /// Requests in flight on a core, over all ready endpoints.
+    pub(crate) in_flight_per_core: f64,
+    /// When the list came, in seconds.
+    pub(crate) received_at_s: f64,
+}
+
+impl ListedLoad {
+    /// The state before any such list.
+    pub(crate) fn none() -> Self {
+        ListedLoad { in_flight_per_core: 0.0, received_at_s: f64::NEG_INFINITY }
+    }
+
+    /// Whether it is recent enough to bound admission.
+    pub(crate) fn is_recent(&self, now_s: f64) -> bool {
+        now_s - self.received_at_s < MAX_LISTED_LOAD_AGE_S
+    }
+}
+
+/// This gateway's requests in flight at which endpoints reach the target load, on average: what was in flight over the last seconds for
+/// each request listed on a core in that time, times the target, with room to grow from.
+pub(crate) fn mean_concurrency_at_target(
+    average_requests_in_flight: f64,
+    listed_in_flight_per_core: f64,
+    endpoints_per_gateway: f64,
+) -> f64 {
+    let listed = listed_in_flight_per_core.max(MIN_LISTED_IN_FLIGHT_PER_CORE);
+    TARGET_IN_FLIGHT_PER_CORE * average_requests_in_flight / listed + GROWTH_ALLOWANCE * endpoints_per_gateway
+}
+
+/// Requests in flight on a core over the ready endpoints, by their live weights: a weight is the size divided by 1 + requests in flight
+/// on a core. Endpoints of one kind have one size, so one that was never seen idle is judged by its kind.
+pub(crate) fn listed_in_flight_per_core(endpoints: &mut [EndpointRecord], ready: &[usize]) -> f64 {
+    let mut size_by_kind: FxHashMap<u32, f64> = FxHashMap::default();
+    for endpoint in endpoints.iter_mut() {
+        endpoint.idle_weight = endpoint.idle_weight.max(endpoint.entry.weight);
+        let size = size_by_kind.entry(endpoint.entry.kind).or_default();
+        *size = size.max(endpoint.idle_weight);
+    }
+    let mut total_in_flight = 0.0;
+    let mut total_size = 0.0;
+    for &index in ready {
+        let entry = &endpoints[index].entry;
+        let size = size_by_kind[&entry.kind];
+        if entry.weight > 0.0 && size.is_finite() {
+            total_in_flight += size * (size / entry.weight - 1.0).min(MAX_LISTED_IN_FLIGHT_PER_CORE);
+            total_size += size;
+        }
+    }
+    if total_size > 0.0 {
+        total_in_flight / total_size
+    } else {
+        0.0
+    }
+}
+
+/// Sums of the load that ready endpoints report.
+#[derive(Default)]
+pub(crate) struct ReportedLoad {
+    in_flight: f64,
+    requests_per_s: f64,
+}
+
+impl ReportedLoad {
+    /// Adds the averages of an endpoint.
+    pub(crate) fn add(&mut self, endpoint: &EndpointRecord) {
+        self.in_flight += endpoint.reported_in_flight;
+        self.requests_per_s += endpoint.reported_requests_per_s;
+    }
+
+    /// How far admission may be eased, from 0 to 1: in full where this gateway is one of many (`dilution` near 1) and endpoints report to
+    /// be quick. By Little's law their latency is what they have in flight over what they serve a second.
+    pub(crate) fn admission_headroom(&self, shortest_objective_s: f64, dilution: f64) -> f64 {
+        let latency_fraction = if self.requests_per_s > 0.0 {
+            self.in_flight / self.requests_per_s / shortest_objective_s
+        } else {
+            f64::INFINITY
+        };
+        let range = REPORTED_LATENCY_WITHOUT_HEADROOM - REPORTED_LATENCY_FOR_FULL_HEADROOM;
+        dilution * ((REPORTED_LATENCY_WITHOUT_HEADROOM - latency_fraction) / range).clamp(0.0, 1.0)
+    }
+}
+
+impl Balancer {
+    /// Takes a load report. It covers the requests of all gateways but is seconds old when it comes, so it tells how loaded the fleet is
+    /// and not where the next request should go: docs/design/fleet-size.md.
+    pub(crate) fn on_load_report(&mut self, now_s: f64, endpoint: EndpointId, report: LoadReport) {
+        let Some(report) = report.checked() else { return };
+        let Some(endpoint) = self.endpoints.get_mut(endpoint.0 as usize) else { return };
+        let gap_s = match endpoint.last_report {
+            // The same report again, beside another response.
+            Some(last) if last.report == report => return,
+            Some(last) => now_s - last.received_at_s,
+            None => f64::INFINITY,
+        };
+        if endpoint.report_shows_restart(&report, gap_s, self.fleet_terms.longest_objective_s) {
+            endpoint.restart_slow_start(now_s, 0.0);
+        }
+        endpoint.last_report = Some(ReceivedReport { report, received_at_s: now_s });
+        let gain = |time_constant_s: f64| 1.0 - (-gap_s / time_constant_s).exp();
+        endpoint.reported_in_flight +=
+            gain(REPORTED_IN_FLIGHT_TIME_CONSTANT_S) * (report.in_flight - endpoint.reported_in_flight);
+        endpoint.reported_requests_per_s += gain(REPORTED_RATE_TIME_CONSTANT_S)
+            * (report.requests_per_second - endpoint.reported_requests_per_s);
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/discovery_polling.rs
@@ -0,0 +1,142 @@
+//! When discovery is polled: backoff after failures, within a limit, with jitter so that many gateways do not poll together.
+
+use crate::api::{Action, Settings};
+use crate::balancer::{set_timer, DISCOVERY_POLL_TIMER_TOKEN};
+use std::time::Duration;
+
+/// A change counts as notified this long after discovery had it and could be reached, in seconds.
+const NOTIFICATION_DEADLINE_S: f64 = 6.0;
+/// A poll is answered within this, its wait for a connection included, in seconds.
+const MAX_POLL_DURATION_S: f64 = 2.4;
+/// Shortest jitter window before a poll, in seconds.
+const MIN_JITTER_WINDOW_S: f64 = 0.3;
+/// Jitter window after a change to another discovery service, in seconds: its first answer is due 4 s after the change, and drains have
+/// 2 s of grace.
+const NEW_SERVICE_JITTER_WINDOW_S: f64 = 3.0;
+/// Backoff window before any doubling, as a fraction of the poll interval; it is doubled at least twice.
+const BACKOFF_WINDOW_FRACTION: f64 = 0.1;
+/// Failures in a row, each of which doubles the backoff window, up to this many.
+const MAX_BACKOFF_DOUBLINGS: i32 = 3;
+/// Largest backoff window, as a fraction of the poll interval.
+const MAX_BACKOFF_WINDOW_FRACTION: f64 = 0.8;
+/// How much too early a timer may come by rounding, in seconds.
+const TIMER_TOLERANCE_S: f64 = 1e-3;
+
+/// The state of polling. Moments are in seconds.
+#[derive(Clone, Debug)]
+pub(crate) struct DiscoveryPolling {
+    awaiting_answer: bool,
+    /// Polls that failed in a row; none before the first endpoint list or failure.
+    consecutive_failures: Option<i32>,
+    last_poll_s: f64,
+    /// When the next poll is due; infinite where none is planned.
+    next_poll_s: f64,
+}
+
+impl DiscoveryPolling {
+    /// The state at the start: nothing is planned before the first list.
+    pub(crate) fn new() -> Self {
+        DiscoveryPolling {
+            awaiting_answer: false,
+            consecutive_failures: None,
+            last_poll_s: 0.0,
+            next_poll_s: f64::INFINITY,
+        }
+    }
+
+    /// Takes note of an endpoint list. The first one plans the first poll, which spreads the polls of the gateways.
+    pub(crate) fn on_endpoint_list(
+        &mut self,
+        now_s: f64,
+        settings: &Settings,
+        rng: &mut fastrand::Rng,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.consecutive_failures.is_none() {
+            self.poll_with_backoff(now_s, 0.0, settings, rng, actions);
+        } else if std::mem::take(&mut self.awaiting_answer) {
+            self.consecutive_failures = Some(0);
+        }
+    }
+
+    /// Plans another poll after one that failed, or after a subscription that broke and had been silent for this long.
+    pub(crate) fn on_failure(
+        &mut self,
+        now_s: f64,
+        silent_for: Duration,
+        settings: &Settings,
+        rng: &mut fastrand::Rng,
+        actions: &mut Vec<Action>,
+    ) {
+        let silent_s = if self.awaiting_answer { now_s - self.last_poll_s } else { silent_for.as_secs_f64() };
+        self.poll_with_backoff(now_s, silent_s, settings, rng, actions);
+    }
+
+    /// Plans a poll of another discovery service than before.
+    pub(crate) fn on_service_changed(
+        &mut self,
+        now_s: f64,
+        settings: &Settings,
+        rng: &mut fastrand::Rng,
+        actions: &mut Vec<Action>,
+    ) {
+        self.poll_within(now_s, NEW_SERVICE_JITTER_WINDOW_S, settings, rng, actions);
+    }
+
+    /// Polls, unless an earlier poll has replaced the one that the timer was set for.
+    pub(crate) fn on_timer(&mut self, now_s: f64, actions: &mut Vec<Action>) {
+        if now_s + TIMER_TOLERANCE_S < self.next_poll_s {
+            return;
+        }
+        self.awaiting_answer = true;
+        self.last_poll_s = now_s;
+        self.next_poll_s = f64::INFINITY;
+        actions.push(Action::PollDiscovery);
+    }
+
+    /// Plans a poll after a backoff that grows with each failure in a row.
+    fn poll_with_backoff(
+        &mut self,
+        now_s: f64,
+        silent_s: f64,
+        settings: &Settings,
+        rng: &mut fastrand::Rng,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(interval) = settings.discovery_poll_interval else { return };
+        let window_s = backoff_window_s(interval.as_secs_f64(), self.consecutive_failures, silent_s);
+        self.consecutive_failures = Some(self.consecutive_failures.map_or(0, |failures| failures + 1));
+        self.next_poll_s = f64::INFINITY;
+        self.poll_within(now_s, window_s, settings, rng, actions);
+    }
+
+    /// Plans a poll at a random moment of the next `window_s` seconds, unless one is due before.
+    fn poll_within(
+        &mut self,
+        now_s: f64,
+        window_s: f64,
+        settings: &Settings,
+        rng: &mut fastrand::Rng,
+        actions: &mut Vec<Action>,
+    ) {
+        self.awaiting_answer = false;
+        let poll_at_s = now_s + window_s * rng.f64();
+        if settings.discovery_poll_interval.is_some() && poll_at_s < self.next_poll_s {
+            self.next_poll_s = poll_at_s;
+            actions.push(set_timer(poll_at_s - now_s, DISCOVERY_POLL_TIMER_TOKEN));
+        }
+    }
+}
+
+/// The time in seconds within which the next poll falls. It grows with each failure in a row, but after a failure it leaves time to learn
+/// before the notification deadline of what changed since discovery fell silent, `silent_s` seconds ago.
+fn backoff_window_s(interval_s: f64, consecutive_failures: Option<i32>, silent_s: f64) -> f64 {
+    let doublings = consecutive_failures.unwrap_or(0).clamp(1, MAX_BACKOFF_DOUBLINGS) + 1;
+    let fraction = (BACKOFF_WINDOW_FRACTION * 2f64.powi(doublings)).min(MAX_BACKOFF_WINDOW_FRACTION);
+    let window_s = interval_s * fraction;
+    if consecutive_failures.is_none() {
+        return window_s;
+    }
+    let remaining_s = NOTIFICATION_DEADLINE_S - MAX_POLL_DURATION_S - silent_s;
+    window_s.min(remaining_s.max(MIN_JITTER_WINDOW_S))
+}
--- /dev/null
+++ b/crates/balancer/src/draining.rs
@@ -0,0 +1,30 @@
+//! Connections to draining endpoints: idle ones are closed at once, and again while the drain lasts.
+
+use crate::api::{Action, EndpointState};
+use crate::balancer::{set_timer, Balancer, DRAIN_TIMER_TOKEN};
+
+/// Rounds of closing within the time that the settings allow.
+const CLOSE_ROUNDS: f64 = 3.0;
+
+impl Balancer {
+    /// Closes the idle connections to draining endpoints and sets a timer for the next round. One round is not enough: a connection that a
+    /// cancelled attempt still uses becomes idle unnoticed.
+    pub(crate) fn close_draining(&mut self, actions: &mut Vec<Action>) {
+        let Some(close_within) = self.settings.drain_close_within else { return };
+        let actions_before = actions.len();
+        let draining =
+            self.endpoints.iter().filter(|endpoint| endpoint.entry.state == EndpointState::Draining);
+        actions.extend(draining.map(|endpoint| Action::CloseIdleConnections { endpoint: endpoint.entry.id }));
+        let any_draining = actions.len() > actions_before;
+        if any_draining && !self.drain_timer_set {
+            self.drain_timer_set = true;
+            actions.push(set_timer(close_within.as_secs_f64() / CLOSE_ROUNDS, DRAIN_TIMER_TOKEN));
+        }
+    }
+
+    /// Starts the next round.
+    pub(crate) fn on_drain_timer(&mut self, actions: &mut Vec<Action>) {
+        self.drain_timer_set = false;
+        self.close_draining(actions);
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/endpoint_state.rs
@@ -0,0 +1,181 @@
+//! What this gateway knows of one endpoint, and the latency expected of endpoints that it has no sample of.
+
+use crate::api::{Endpoint, EndpointState, LoadReport};
+use crate::failure_tracking::{retained_fraction, ClassFailures};
+use crate::latency_detector::Cusum;
+use rustc_hash::FxHashMap;
+
+/// Latency expected of an endpoint before any sample, as a fraction of the shortest latency objective.
+const INITIAL_LATENCY_FRACTION: f64 = 0.25;
+
+/// An endpoint as this gateway sees it. Moments are in seconds on the gateway's clock.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct EndpointRecord {
+    /// Its latest entry in the endpoint list.
+    pub(crate) entry: Endpoint,
+    /// When it last started; minus infinity for long ago.
+    pub(crate) started_s: f64,
+    /// Its size against the mean of the ready endpoints, where weights are sizes; 1 otherwise.
+    pub(crate) relative_size: f64,
+    /// Detects shifts in its latency, scaled to a request of mean work.
+    pub(crate) detector: Cusum,
+    /// Latency that selection expects of it for a request of mean work, in seconds.
+    pub(crate) latency_estimate_s: f64,
+    /// When its attempts in flight were sent, oldest first.
+    pub(crate) in_flight_since_s: Vec<f64>,
+    /// When it last gave a latency sample.
+    pub(crate) last_sample_s: f64,
+    /// Until when a connection to it, idle since its last answer, is expected to be open.
+    pub(crate) idle_connection_until_s: f64,
+    /// Failures in a row that counted against the endpoint as a whole.
+    pub(crate) consecutive_failures: i32,
+    /// When it last served a request of any class.
+    pub(crate) last_served_s: f64,
+    /// Its failures by class; classes beyond the end have none.
+    pub(crate) class_failures: Vec<ClassFailures>,
+    /// Attempts that slow start allows it now; infinite once it is warm.
+    pub(crate) tokens: f64,
+    /// Whether it is treated as restarted although discovery has not said so.
+    pub(crate) restart_suspected: bool,
+    /// Its start as known before a restart was suspected.
+    pub(crate) started_before_suspicion_s: f64,
+    /// Its last load report.
+    pub(crate) last_report: Option<ReceivedReport>,
+    /// Average of the requests that it reports in flight, from all gateways.
+    pub(crate) reported_in_flight: f64,
+    /// Average of the requests a second that it reports to serve, from all gateways.
+    pub(crate) reported_requests_per_s: f64,
+    /// Largest live weight that it was listed with, which is that of an idle endpoint.
+    pub(crate) idle_weight: f64,
+}
+
+/// A load report and when it came, in seconds.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ReceivedReport {
+    pub(crate) report: LoadReport,
+    pub(crate) received_at_s: f64,
+}
+
+impl EndpointRecord {
+    /// An endpoint that nothing is known of: up for long, and of mean size.
+    pub(crate) fn unknown() -> Self {
+        EndpointRecord { started_s: f64::NEG_INFINITY, relative_size: 1.0, ..EndpointRecord::default() }
+    }
+
+    /// Forgets what was learned from an earlier process or another endpoint of this number; attempts in flight stay.
+    pub(crate) fn reset_for_new_process(&mut self, started_s: f64, tokens: f64) {
+        let in_flight_since_s = std::mem::take(&mut self.in_flight_since_s);
+        *self =
+            EndpointRecord { started_s, in_flight_since_s, tokens, relative_size: 1.0, ..Self::default() };
+    }
+
+    /// Whether it takes new work.
+    pub(crate) fn is_ready(&self) -> bool {
+        self.entry.state == EndpointState::Up
+    }
+
+    /// Whether it is past slow start.
+    pub(crate) fn is_warm(&self) -> bool {
+        self.tokens.is_infinite()
+    }
+
+    /// The latency expected of it in seconds, where an overdue attempt counts as a sample of at least its age: silence must not look
+    /// like speed.
+    pub(crate) fn latency_with_overdue_s(&self, now_s: f64) -> f64 {
+        match self.in_flight_since_s.first() {
+            Some(oldest_sent_s) => self.latency_estimate_s.max(now_s - oldest_sent_s),
+            None => self.latency_estimate_s,
+        }
+    }
+
+    /// Takes a latency sample in seconds, scaled to a request of mean work. The first one starts the detector at `prior_s`.
+    pub(crate) fn observe_latency(&mut self, now_s: f64, latency_s: f64, prior_s: f64) {
+        if !self.detector.has_samples() {
+            self.detector = Cusum::new(prior_s);
+        }
+        self.detector.add(latency_s);
+        self.latency_estimate_s = self.detector.estimate();
+        self.last_sample_s = now_s;
+    }
+
+    /// Recomputes the expected latency: `prior_s` without samples; otherwise the detector's, of which the part above `prior_s` decays
+    /// while no samples come. Without the decay an avoided endpoint would never get the sample that clears it.
+    pub(crate) fn refresh_latency_estimate(&mut self, now_s: f64, prior_s: f64, longest_objective_s: f64) {
+        self.latency_estimate_s = prior_s;
+        if !self.detector.has_samples() {
+            return;
+        }
+        let detected_s = self.detector.estimate();
+        let excess_s = (detected_s - prior_s).max(0.0);
+        let silent_s = now_s - self.last_sample_s;
+        let retained = retained_fraction(silent_s, longest_objective_s, self.consecutive_failures);
+        self.latency_estimate_s = detected_s - excess_s * (1.0 - retained);
+    }
+}
+
+/// The latency expected of endpoints without samples, in seconds at mean size: that of their machine kind, or of all.
+#[derive(Clone, Debug)]
+pub(crate) struct FleetLatency {
+    /// Average over the ready endpoints that have samples.
+    pub(crate) mean_s: f64,
+    by_kind_s: FxHashMap<u32, f64>,
+}
+
+impl FleetLatency {
+    /// The expectation before any sample.
+    pub(crate) fn initial(shortest_objective_s: f64) -> Self {
+        FleetLatency {
+            mean_s: INITIAL_LATENCY_FRACTION * shortest_objective_s,
+            by_kind_s: FxHashMap::default(),
+        }
+    }
+
+    /// The latency expected of an endpoint without samples, in seconds.
+    pub(crate) fn prior_s(&self, endpoint: &EndpointRecord) -> f64 {
+        self.by_kind_s.get(&endpoint.entry.kind).unwrap_or(&self.mean_s) / endpoint.relative_size
+    }
+
+    /// Takes over the averages of the endpoints with samples; kinds that have none now keep their last average.
+    pub(crate) fn update(&mut self, sums: FleetLatencySums) {
+        if sums.all.count > 0.0 {
+            self.mean_s = sums.all.mean();
+        }
+        self.by_kind_s.extend(sums.by_kind.into_iter().map(|(kind, sum)| (kind, sum.mean())));
+    }
+}
+
+/// Sums of the latency estimates of endpoints, scaled to mean size.
+#[derive(Default)]
+pub(crate) struct FleetLatencySums {
+    all: LatencySum,
+    by_kind: FxHashMap<u32, LatencySum>,
+}
+
+impl FleetLatencySums {
+    /// Adds an endpoint, if it has samples.
+    pub(crate) fn add(&mut self, endpoint: &EndpointRecord) {
+        if !endpoint.detector.has_samples() {
+            return;
+        }
+        let scaled_s = endpoint.latency_estimate_s * endpoint.relative_size;
+        self.all.add(scaled_s);
+        self.by_kind.entry(endpoint.entry.kind).or_default().add(scaled_s);
+    }
+}
+
+#[derive(Default)]
+struct LatencySum {
+    sum_s: f64,
+    count: f64,
+}
+
+impl LatencySum {
+    fn add(&mut self, latency_s: f64) {
+        self.sum_s += latency_s;
+        self.count += 1.0;
+    }
+
+    fn mean(&self) -> f64 {
+        self.sum_s / self.count
+    }
+}
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -20,11 +20,31 @@
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
 //! ```
 
-pub mod api;
-pub mod balancer;
+mod admission;
+mod api;
+mod attempt;
+mod balancer;
+mod concurrency_limit;
+mod discovery_polling;
+mod draining;
+mod endpoint_list;
+mod endpoint_state;
+mod failure_tracking;
+mod fleet_terms;
+mod key_sequencing;
+mod latency_detector;
 pub mod load_report;
+mod maintenance;
+mod request;
+mod retry;
+mod selection;
 mod settings_document;
+mod slow_start;
+mod snapshot;
+mod traffic_stats;
 
 pub use api::*;
-pub use balancer::{Balancer, EndpointSnapshot, Snapshot};
+pub use balancer::Balancer;
+pub use latency_detector::Cusum;
 pub use settings_document::parse_settings;
+pub use snapshot::{EndpointSnapshot, Snapshot};
--- /dev/null
+++ b/crates/balancer/src/retry.rs
@@ -0,0 +1,134 @@
+//! Retries, hedged requests and giving up: whether a request may have another attempt, when a hedge is due, and how a request ends
+//! without an answer.
+
+use crate::api::{Action, Idempotency, KeyScope, RequestId};
+use crate::request::RequestState;
+
+/// Budget of attempts beyond the first, in hedges, that can be saved up.
+const MAX_BUDGET: f64 = 1.0;
+/// Budget that each admitted request adds: one hedge for 33 requests.
+const BUDGET_PER_REQUEST: f64 = 0.03;
+/// Budget that a hedge takes.
+const HEDGE_BUDGET_COST: f64 = 1.0;
+/// Budget that a retry takes; less, since it follows an attempt that did no work or lost it.
+const RETRY_BUDGET_COST: f64 = 0.15;
+/// A hedge is due when an attempt takes this many times its expected latency.
+const HEDGE_LATENCY_RATIO: f64 = 3.0;
+/// Longest time that the process may stand still between its last look at the clock and its write, in seconds: an idempotency window
+/// ends that much sooner.
+const MAX_WRITE_DELAY_S: f64 = 0.15;
+
+/// What an attempt is to its request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum AttemptKind {
+    /// Nothing was sent before.
+    First,
+    /// All earlier attempts have ended.
+    Retry,
+    /// Another attempt is in flight.
+    Hedge,
+}
+
+impl AttemptKind {
+    /// What the next attempt of the request would be.
+    pub(crate) fn of_next(request: &RequestState) -> Self {
+        if request.attempts.is_empty() {
+            AttemptKind::First
+        } else if request.in_flight() == 0 {
+            AttemptKind::Retry
+        } else {
+            AttemptKind::Hedge
+        }
+    }
+
+    /// The budget that an attempt of this kind takes.
+    fn budget_cost(self) -> f64 {
+        match self {
+            AttemptKind::First => 0.0,
+            AttemptKind::Retry => RETRY_BUDGET_COST,
+            AttemptKind::Hedge => HEDGE_BUDGET_COST,
+        }
+    }
+}
+
+/// Budget for retries and hedges, filled by admitted requests: without it they would multiply an overload.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct AttemptBudget {
+    available: f64,
+}
+
+impl AttemptBudget {
+    /// A full budget.
+    pub(crate) fn new() -> Self {
+        AttemptBudget { available: MAX_BUDGET }
+    }
+
+    /// Adds what an admitted request earns.
+    pub(crate) fn earn(&mut self) {
+        self.available = (self.available + BUDGET_PER_REQUEST).min(MAX_BUDGET);
+    }
+
+    /// Whether it covers an attempt of this kind.
+    pub(crate) fn covers(&self, kind: AttemptKind) -> bool {
+        self.available >= kind.budget_cost()
+    }
+
+    /// Takes the cost of an attempt of this kind.
+    pub(crate) fn spend(&mut self, kind: AttemptKind) {
+        self.available -= kind.budget_cost();
+    }
+}
+
+/// Whether the request may have another attempt at all, by its body, its limits and the idempotency window. The budget and the choice of
+/// endpoint ([`crate::selection`]) come on top.
+pub(crate) fn is_attempt_allowed(request: &RequestState, idempotency: Idempotency, now_s: f64) -> bool {
+    if request.body_forwarding_started {
+        return false;
+    }
+    let in_flight = request.in_flight();
+    if request.body_streaming && in_flight > 0 {
+        return false;
+    }
+    if request.attempts.len() as u32 >= request.limits.max_attempts {
+        return false;
+    }
+    if in_flight > request.limits.max_in_flight_before_attempt {
+        return false;
+    }
+    latest_write_s(request, idempotency).is_none_or(|latest_s| now_s < latest_s)
+}
+
+/// Until when the next attempt must be written, in seconds; `None` for any time. Where an attempt before may have been processed, that is
+/// as long as its endpoints know the key, less the time that a write may come late. A window no longer than that allows no attempt.
+pub(crate) fn latest_write_s(request: &RequestState, idempotency: Idempotency) -> Option<f64> {
+    let window_s = match idempotency {
+        Idempotency::Idempotent => return None,
+        Idempotency::IdempotencyKey { window, .. } => window.as_secs_f64() - MAX_WRITE_DELAY_S,
+        Idempotency::NotIdempotent => f64::NEG_INFINITY,
+    };
+    let possibly_processed = request.attempts.iter().filter(|attempt| !attempt.not_processed);
+    possibly_processed.map(|attempt| attempt.decided_at_s + window_s).min_by(f64::total_cmp)
+}
+
+/// Time after a send at which a hedge is due if there is no answer, in seconds.
+pub(crate) fn hedge_delay_s(expected_latency_s: f64, timer_tick_s: f64) -> f64 {
+    (HEDGE_LATENCY_RATIO * expected_latency_s).max(timer_tick_s)
+}
+
+/// Whether a hedge sent now is likely to be answered in time.
+pub(crate) fn is_hedge_in_time(now_s: f64, expected_latency_s: f64, deadline_s: f64) -> bool {
+    now_s + expected_latency_s < deadline_s
+}
+
+/// The final answer to a request that was not served: a rejection where the client may safely try again, a failure otherwise.
+pub(crate) fn final_answer(id: RequestId, request: &RequestState, idempotency: Idempotency) -> Action {
+    let is_retry_safe = match idempotency {
+        Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => true,
+        _ => request.attempts.iter().all(|attempt| attempt.not_processed),
+    };
+    if is_retry_safe {
+        Action::Reject { request: id, retry_after: request.limits.retry_after }
+    } else {
+        Action::Fail { request: id }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/selection.rs
@@ -0,0 +1,214 @@
+//! Which endpoint an attempt goes to: of the eligible ones, the one with the lowest score. A score is the product of the terms of
+//! [`ScoreTerms`], in the main attempts in flight times expected latency.
+
+use crate::api::{self, EndpointState, Idempotency};
+use crate::balancer::Balancer;
+use crate::endpoint_state::EndpointRecord;
+use crate::request::{AttemptState, RequestState};
+
+/// What another zone adds to the zone term, times the cost of crossing zones, while requests are served.
+const ZONE_COST_FACTOR: f64 = 30.0;
+/// What a new connection adds to the handshake term, times the cost of handshakes, while requests are served. Among many gateways an
+/// idle connection mostly expires before its next use; with this each gateway keeps to some endpoints as long as they do well.
+const HANDSHAKE_COST_FACTOR: f64 = 20.0;
+/// Fraction of both costs that is waived as requests end unserved, so that a zone in trouble spills over.
+const COST_WAIVED_UNDER_PRESSURE: f64 = 0.85;
+/// A key leaves its preferred endpoints when their score is this many times the best one.
+const MAX_AFFINITY_SCORE_RATIO: f64 = 3.0;
+/// Attempts in flight above the mean up to which an endpoint is not counted as avoided.
+const AVOIDED_ABOVE_MEAN_IN_FLIGHT: f64 = 2.0;
+
+/// The factors of an endpoint's score for a request; lower is better.
+struct ScoreTerms {
+    /// Attempts in flight from this gateway, the new one included.
+    in_flight: f64,
+    /// Expected latency in seconds, with overdue attempts and failures of the class.
+    latency_s: f64,
+    /// 1 in the own zone, more in another one.
+    zone: f64,
+    /// 1 with an idle connection, more without.
+    handshake: f64,
+}
+
+impl ScoreTerms {
+    fn score(&self) -> f64 {
+        self.in_flight * self.latency_s * self.zone * self.handshake
+    }
+}
+
+/// What the scores of all endpoints for one request have in common.
+struct ScoreContext {
+    now_s: f64,
+    class: usize,
+    class_objective_s: f64,
+    longest_objective_s: f64,
+    zone: u32,
+    /// What another zone adds to the zone term.
+    cross_zone_penalty: f64,
+    /// What a new connection adds to the handshake term.
+    handshake_penalty: f64,
+}
+
+impl ScoreContext {
+    fn terms(&self, endpoint: &EndpointRecord) -> ScoreTerms {
+        ScoreTerms {
+            in_flight: endpoint.in_flight_since_s.len() as f64 + 1.0,
+            latency_s: self.latency_term_s(endpoint),
+            zone: self.zone_term(endpoint),
+            handshake: self.handshake_term(endpoint),
+        }
+    }
+
+    fn latency_term_s(&self, endpoint: &EndpointRecord) -> f64 {
+        let failures = endpoint.class_failures.get(self.class).copied().unwrap_or_default();
+        endpoint.latency_with_overdue_s(self.now_s)
+            + failures.latency_penalty_s(self.now_s, self.class_objective_s, self.longest_objective_s)
+    }
+
+    fn zone_term(&self, endpoint: &EndpointRecord) -> f64 {
+        if endpoint.entry.zone == self.zone {
+            1.0
+        } else {
+            1.0 + self.cross_zone_penalty
+        }
+    }
+
+    /// A cold endpoint has few connections because it gets few attempts; only its tokens bound what it gets.
+    fn handshake_term(&self, endpoint: &EndpointRecord) -> f64 {
+        let has_idle_connection =
+            self.now_s < endpoint.idle_connection_until_s && endpoint.in_flight_since_s.is_empty();
+        if endpoint.is_warm() && !has_idle_connection {
+            1.0 + self.handshake_penalty
+        } else {
+            1.0
+        }
+    }
+}
+
+/// An endpoint and its score.
+#[derive(Clone, Copy)]
+struct Candidate {
+    score: f64,
+    endpoint: usize,
+}
+
+/// The two endpoints that a key prefers: those of the highest rank by rendezvous hashing, which is the same at every gateway.
+struct PreferredEndpoints {
+    by_rank: [(u64, Candidate); 2],
+}
+
+impl PreferredEndpoints {
+    fn none() -> Self {
+        PreferredEndpoints { by_rank: [(0, Candidate { score: f64::INFINITY, endpoint: 0 }); 2] }
+    }
+
+    fn offer(&mut self, rank: u64, candidate: Candidate) {
+        if rank > self.by_rank[0].0 {
+            self.by_rank = [(rank, candidate), self.by_rank[0]];
+        } else if rank > self.by_rank[1].0 {
+            self.by_rank[1] = (rank, candidate);
+        }
+    }
+
+    /// The better one of the two.
+    fn best(&self) -> Candidate {
+        let [first, second] = [self.by_rank[0].1, self.by_rank[1].1];
+        if second.score.total_cmp(&first.score).is_lt() {
+            second
+        } else {
+            first
+        }
+    }
+}
+
+/// Whether an attempt of the request may go to the endpoint now: its key's turn has come, slow start allows it, no attempt was there
+/// before, and the endpoint would recognize a repeat of each attempt that may have been processed.
+fn is_eligible(
+    request: &RequestState,
+    idempotency: Idempotency,
+    endpoint: &EndpointRecord,
+    index: usize,
+    now_s: f64,
+) -> bool {
+    let recognizes_repeat = |attempt: &AttemptState| match idempotency {
+        Idempotency::IdempotencyKey { scope, .. } => {
+            scope.partition_of(&endpoint.entry) == attempt.key_partition
+        }
+        _ => true,
+    };
+    now_s >= request.earliest_send_s
+        && endpoint.has_attempt_token()
+        && request
+            .attempts
+            .iter()
+            .all(|attempt| attempt.endpoint != index && (attempt.not_processed || recognizes_repeat(attempt)))
+}
+
+impl Balancer {
+    /// The number of listed endpoints that get next to nothing now: those that drain, and those that would be selected only once every
+    /// other one had two attempts in flight above the mean.
+    pub fn avoided(&self, now: std::time::Duration) -> usize {
+        let now_s = now.as_secs_f64();
+        let scaled_latency_s =
+            |endpoint: &EndpointRecord| endpoint.latency_with_overdue_s(now_s) * endpoint.relative_size;
+        let ready = self.ready.len() as f64;
+        let total_s: f64 = self.ready.iter().map(|&index| scaled_latency_s(&self.endpoints[index])).sum();
+        let busy = AVOIDED_ABOVE_MEAN_IN_FLIGHT + self.traffic.requests_in_flight / ready.max(1.0);
+        let is_avoided = |endpoint: &&EndpointRecord| match endpoint.entry.state {
+            EndpointState::Removed => false,
+            EndpointState::Draining => true,
+            EndpointState::Up => {
+                let latency_s = scaled_latency_s(endpoint);
+                ready > 1.0 && latency_s > busy * (total_s - latency_s) / (ready - 1.0)
+            }
+        };
+        self.endpoints.iter().filter(is_avoided).count()
+    }
+
+    /// The ready endpoint that the request's next attempt should go to, if any is eligible. A key's preferred endpoints come first, unless
+    /// their scores are much worse than the best one.
+    pub(crate) fn select_endpoint(&mut self, now_s: f64, request: &RequestState) -> Option<usize> {
+        let idempotency = self.settings.classes[request.class].idempotency;
+        let context = self.score_context(now_s, request.class);
+        let affinity_key = request.key.filter(|_| self.settings.key_cache_affinity);
+        let mut preferred = PreferredEndpoints::none();
+        let mut best_score = f64::INFINITY;
+        let mut best = None;
+        // The first one of equal scores is taken, so the search starts at a random place.
+        let start = self.rng.usize(0..=self.ready.len());
+        for &index in self.ready[start..].iter().chain(&self.ready[..start]) {
+            let endpoint = &self.endpoints[index];
+            let score = if is_eligible(request, idempotency, endpoint, index, now_s) {
+                context.terms(endpoint).score()
+            } else {
+                f64::INFINITY
+            };
+            if let Some(key) = affinity_key {
+                let rank = api::mix(key ^ endpoint.entry.hash);
+                preferred.offer(rank, Candidate { score, endpoint: index });
+            }
+            if score < best_score {
+                best_score = score;
+                best = Some(index);
+            }
+        }
+        let preferred = preferred.best();
+        if preferred.score < MAX_AFFINITY_SCORE_RATIO * best_score {
+            return Some(preferred.endpoint);
+        }
+        best
+    }
+
+    fn score_context(&self, now_s: f64, class: usize) -> ScoreContext {
+        let cost_fraction = 1.0 - COST_WAIVED_UNDER_PRESSURE * self.traffic.unserved_pressure;
+        ScoreContext {
+            now_s,
+            class,
+            class_objective_s: self.settings.classes[class].latency_objective.as_secs_f64(),
+            longest_objective_s: self.fleet_terms.longest_objective_s,
+            zone: self.settings.zone,
+            cross_zone_penalty: ZONE_COST_FACTOR * self.settings.cross_zone_cost * cost_fraction,
+            handshake_penalty: HANDSHAKE_COST_FACTOR * self.settings.handshake_cost * cost_fraction,
+        }
+    }
+}
--- a/crates/balancer/tests/detector.rs
+++ b/crates/balancer/tests/detector.rs
@@ -1,6 +1,6 @@
 //! The detector against sequences and figures worked out independently of the module.
 
-use weldworks_balancer::balancer::Cusum;
+use weldworks_balancer::Cusum;
 
 /// A plain reading of the design page with a fixed threshold per step, to follow both edges by hand.
 #[test]
