--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,8 +1,18 @@
-//! The decisions of an HTTP load balancer run as a bank of gateways, without any I/O.
+//! The decisions of an HTTP load balancer that runs as a fleet of gateways, without any I/O.
 //!
-//! A gateway owns the sockets and the clock. It tells its [`Balancer`] what happens as [`Event`]s and carries
-//! out the [`Action`]s that come back: where each request goes, when it is tried again, refused or failed.
-//! Nothing is shared between instances; every gateway keeps the rules on its own.
+//! A gateway owns the sockets and the clock. It hands what happens to its [`Balancer`] as [`Event`]s and carries out the [`Action`]s that
+//! come back: where each request goes, and when it is retried, rejected or failed. Instances share nothing; each gateway decides alone.
+//!
+//! The modules in the order of a request's way:
+//!
+//! - `admission`: whether a request is admitted or shed; `concurrency_limit`: bounds from the load that endpoints tell
+//! - `selection`: which endpoint an attempt goes to; `slow_start`: what cold endpoints get
+//! - `attempt`: the way from one attempt to the next; `retry`: whether another one is allowed, hedges, giving up
+//! - `latency_detector`, `failure_tracking`, `endpoint_state`: what outcomes tell of an endpoint
+//! - `traffic_stats`, `maintenance`: rates and averages, and what changes with time
+//! - `endpoint_list`, `discovery_polling`, `draining`: what discovery tells, and when it is polled
+//! - `key_sequencing`: one request of a key at a time
+//! - `snapshot`: learned state for a successor process
 //!
 //! ```
 //! use weldworks_balancer::{Action, Balancer, Endpoint, EndpointId, Event, Request, RequestClass, RequestId, Settings};
@@ -17,7 +27,7 @@
 //! balancer.handle(Duration::ZERO, Event::EndpointList { is_snapshot: true, endpoints: &endpoints }, &mut actions);
 //! let request = Request::new(RequestId(1), 0, Duration::from_secs(1));
 //! balancer.handle(Duration::from_millis(5), Event::Request(request), &mut actions);
-//! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
+//! assert!(actions.iter().any(|action| matches!(action, Action::Send { request: RequestId(1), .. })));
 //! ```
 
 mod admission;
@@ -46,5 +56,5 @@
 pub use api::*;
 pub use balancer::Balancer;
 pub use latency_detector::Cusum;
-pub use settings_document::parse_settings;
+pub use settings_document::{duration_from_seconds, parse_settings};
 pub use snapshot::{EndpointSnapshot, Snapshot};
--- a/crates/balancer/src/load_report.rs
+++ b/crates/balancer/src/load_report.rs
@@ -1,18 +1,37 @@
-//! Load reports, as hosts word them beside their answers: which figures the settings name, and what counts as one.
+//! Load reports that endpoints send beside their responses: which figures the settings name, and which of them are valid.
 
 use crate::api::LoadReport;
 use serde::Deserialize;
 
-/// The longest text that is looked at; what is beyond it was written by nobody who reports load.
-const LONGEST: usize = 512;
-/// A figure above this is no load of any host: a second holds no so many requests.
-const MOST: f64 = 1e6;
+/// Longest header value that is read, in bytes.
+const MAX_HEADER_BYTES: usize = 512;
+/// Highest figure that counts as a load, in requests or requests a second.
+const MAX_FIGURE: f64 = 1e6;
+/// Start of a header value with a report.
+const HEADER_PREFIX: &str = "TEXT ";
 
-/// The figures of a report, by the names and in the order that the settings give (`stats.fields`).
+/// Names and positions of the figures of a report, from the settings (`stats.fields`).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportFields {
-    qps: Option<(usize, String)>,
-    inflight: Option<(usize, String)>,
+    requests_per_second: Option<ReportField>,
+    in_flight: Option<ReportField>,
+}
+
+/// One figure of a report.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct ReportField {
+    /// Its place in a row of figures.
+    index: usize,
+    /// Its name in a header.
+    name: String,
+}
+
+impl ReportField {
+    /// The first of `fields` that has one of these names.
+    fn find(fields: &[String], names: [&str; 2]) -> Option<ReportField> {
+        let index = fields.iter().position(|field| names.contains(&field.as_str()))?;
+        Some(ReportField { index, name: fields[index].clone() })
+    }
 }
 
 #[derive(Deserialize, Default)]
@@ -25,48 +44,52 @@
 #[serde(default)]
 struct RawStats {
     fields: Vec<String>,
-    how: String,
+    #[serde(rename = "how")]
+    transport: String,
 }
 
 impl LoadReportFields {
-    /// Reads the names from the settings object, as JSON text. Settings whose answers carry no report, or one that
-    /// lacks either figure, give fields that read nothing.
+    /// Reads the names from the settings object, as JSON text. Settings whose responses carry no report, or one that lacks either
+    /// figure, give fields that read nothing.
     ///
     /// # Errors
-    /// Where the text is no settings object.
+    /// If the text is not a settings object.
     pub fn parse(settings: &str) -> Result<LoadReportFields, serde_json::Error> {
         let RawSettings { stats } = serde_json::from_str(settings)?;
-        if !matches!(stats.how.as_str(), "inline" | "answers") {
+        if !matches!(stats.transport.as_str(), "inline" | "answers") {
             return Ok(LoadReportFields::default());
         }
-        let place = |names: [&str; 2]| {
-            let mut fields = stats.fields.iter().enumerate();
-            fields.find(|(_, f)| names.contains(&f.as_str())).map(|(at, f)| (at, f.clone()))
-        };
         Ok(LoadReportFields {
-            qps: place(["qps", "throughput"]),
-            inflight: place(["inflight", "outstanding"]),
+            requests_per_second: ReportField::find(&stats.fields, ["qps", "throughput"]),
+            in_flight: ReportField::find(&stats.fields, ["inflight", "outstanding"]),
         })
     }
 
-    /// The report in a row of figures.
+    /// The report in a row of figures; `None` if a figure is missing or no load.
     pub fn parse_row(&self, row: &[f64]) -> Option<LoadReport> {
-        let figure = |field: &Option<(usize, String)>| row.get(field.as_ref()?.0).copied();
-        LoadReport { requests_per_second: figure(&self.qps)?, in_flight: figure(&self.inflight)? }.checked()
+        let figure = |field: &Option<ReportField>| row.get(field.as_ref()?.index).copied();
+        let requests_per_second = figure(&self.requests_per_second)?;
+        let in_flight = figure(&self.in_flight)?;
+        LoadReport { requests_per_second, in_flight }.checked()
     }
 
-    /// The report in the text of a header: `TEXT qps=27.1, inflight=7`. None where it is not worded so, where a figure
-    /// is missing or said twice, or where it is no load.
+    /// The report in the text of a header: `TEXT qps=27.1, inflight=7`. `None` for another form, and if a figure is missing, repeated or no
+    /// load.
     pub fn parse_header(&self, text: &str) -> Option<LoadReport> {
-        let list = text.trim().strip_prefix("TEXT ").filter(|_| text.len() <= LONGEST)?;
-        let (mut qps, mut inflight) = (None, None);
-        for pair in list.split(',') {
+        if text.len() > MAX_HEADER_BYTES {
+            return None;
+        }
+        let pairs = text.trim().strip_prefix(HEADER_PREFIX)?;
+        let mut requests_per_second = None;
+        let mut in_flight = None;
+        for pair in pairs.split(',') {
             let (name, value) = pair.split_once('=')?;
-            let named = |field: &Option<(usize, String)>| field.as_ref().is_some_and(|f| f.1 == name.trim());
-            let figure = if named(&self.qps) {
-                &mut qps
-            } else if named(&self.inflight) {
-                &mut inflight
+            let has_name =
+                |field: &Option<ReportField>| field.as_ref().is_some_and(|field| field.name == name.trim());
+            let figure = if has_name(&self.requests_per_second) {
+                &mut requests_per_second
+            } else if has_name(&self.in_flight) {
+                &mut in_flight
             } else {
                 continue;
             };
@@ -74,61 +97,17 @@
                 return None;
             }
         }
-        LoadReport { requests_per_second: qps?, in_flight: inflight? }.checked()
+        LoadReport { requests_per_second: requests_per_second?, in_flight: in_flight? }.checked()
     }
 }
 
 impl LoadReport {
-    /// The report, where both figures can be the load of a host.
+    /// The report, if both figures can be the load of an endpoint.
     pub fn checked(self) -> Option<LoadReport> {
-        let real = |x: f64| (0.0..=MOST).contains(&x);
-        (real(self.requests_per_second) && real(self.in_flight)).then_some(self)
+        let is_load = |figure: f64| (0.0..=MAX_FIGURE).contains(&figure);
+        (is_load(self.requests_per_second) && is_load(self.in_flight)).then_some(self)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn fields(how: &str, names: &str) -> LoadReportFields {
-        LoadReportFields::parse(&format!(r#"{{"stats":{{"how":"{how}","fields":[{names}]}}}}"#))
-            .expect("settings")
-    }
-
-    #[test]
-    fn a_report_is_read_by_the_names_of_the_settings() {
-        let f = fields("inline", r#""throughput","outstanding""#);
-        let report = LoadReport { requests_per_second: 27.5, in_flight: 7.0 };
-        assert_eq!(f.parse_header("TEXT outstanding=7, util=0.6, throughput=27.5"), Some(report));
-        assert_eq!(f.parse_row(&[27.5, 7.0]), Some(report));
-        assert_eq!(f.parse_header("TEXT qps=27.5, inflight=7"), None);
-        assert_eq!(fields("none", r#""qps","inflight""#).parse_row(&[1.0, 1.0]), None);
-        assert_eq!(fields("inline", r#""util""#).parse_row(&[1.0]), None);
-    }
-
-    #[test]
-    fn what_is_no_load_is_no_report() {
-        let f = fields("answers", r#""qps","inflight""#);
-        let bad = [
-            "",
-            "TEXT",
-            "JSON {}",
-            "TEXT qps=1",
-            "TEXT qps=-1, inflight=2",
-            "TEXT qps=NaN, inflight=2",
-            "TEXT qps=1e300, inflight=2",
-            "TEXT qps=inf, inflight=2",
-            "TEXT qps=1, inflight=",
-            "TEXT qps=1, qps=2, inflight=1",
-            "TEXT ,",
-            "qps=1, inflight=2",
-        ];
-        for text in bad {
-            assert_eq!(f.parse_header(text), None, "{text:?}");
-        }
-        let long = format!("TEXT {}qps=1, inflight=2", "x=1, ".repeat(LONGEST));
-        assert_eq!(f.parse_header(&long), None);
-        assert_eq!(f.parse_row(&[1.0]), None);
-        assert_eq!(f.parse_row(&[f64::NAN, 1.0]), None);
-    }
-}
+mod tests;
--- a/crates/balancer/src/settings_document.rs
+++ b/crates/balancer/src/settings_document.rs
@@ -1,141 +1,212 @@
-//! The settings object of the platform, as the simulator's wire and the gateway's configuration file carry it. The protocol's field
-//! names are mapped to [`Settings`] here and nowhere else.
+//! The platform's settings object, as the simulator's wire and the gateway's configuration file carry it. The protocol's field names are
+//! mapped to [`Settings`] here and nowhere else.
 
 use crate::api::{EndpointWeights, Idempotency, KeyScope, RequestClass, Settings};
 use rustc_hash::FxHashMap;
 use serde::Deserialize;
 use std::time::Duration;
 
+/// Microseconds in a second.
+const MICROS_PER_S: f64 = 1e6;
+/// Longest time that is read, in microseconds.
+const MAX_MICROS: f64 = 1e15;
+
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct RawSettings {
-    accounts: Vec<RawTenant>,
-    classes: Vec<RawClass>,
+struct SettingsDocument {
+    #[serde(rename = "accounts")]
+    tenants: Vec<TenantDocument>,
+    classes: Vec<ClassDocument>,
     costs: FxHashMap<String, f64>,
-    discovery: String,
-    family_info: RawFamily,
-    fleet_size: u32,
-    locality: u32,
-    over_share_worth: f64,
-    policy_limits: RawLimits,
-    quantum_s: f64,
-    safety: RawRules,
-    weight_source: String,
+    #[serde(rename = "discovery")]
+    discovery_mode: String,
+    #[serde(rename = "family_info")]
+    workload: WorkloadDocument,
+    #[serde(rename = "fleet_size")]
+    gateway_count: u32,
+    #[serde(rename = "locality")]
+    zone: u32,
+    #[serde(rename = "over_share_worth")]
+    over_quota_weight: f64,
+    #[serde(rename = "policy_limits")]
+    limits: LimitsDocument,
+    #[serde(rename = "quantum_s")]
+    timer_tick_s: f64,
+    safety: SafetyDocument,
+    #[serde(rename = "weight_source")]
+    endpoint_weights: String,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct RawTenant {
+struct TenantDocument {
     quota_per_s: f64,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct RawFamily {
-    warm_keys: bool,
+struct WorkloadDocument {
+    #[serde(rename = "warm_keys")]
+    key_cache_affinity: bool,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct RawClass {
-    promise_s: f64,
-    aim_stretch: f64,
+struct ClassDocument {
+    #[serde(rename = "promise_s")]
+    latency_objective_s: f64,
+    #[serde(rename = "aim_stretch")]
+    objective_stretch: f64,
     deadline_s: f64,
-    effect: String,
-    group: String,
-    dedup_window_s: f64,
-    importance: f64,
-    late_worth: f64,
+    #[serde(rename = "effect")]
+    idempotency: String,
+    #[serde(rename = "group")]
+    key_scope: String,
+    #[serde(rename = "dedup_window_s")]
+    key_window_s: f64,
+    #[serde(rename = "importance")]
+    priority_weight: f64,
+    #[serde(rename = "late_worth")]
+    late_value_fraction: f64,
     sequential: bool,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct RawLimits {
-    try_limit: u32,
-    may_cancel: bool,
-    second_copies: bool,
-    probes: bool,
-    retry_after: bool,
+struct LimitsDocument {
+    #[serde(rename = "try_limit")]
+    max_attempts: u32,
+    #[serde(rename = "may_cancel")]
+    cancellation_allowed: bool,
+    #[serde(rename = "second_copies")]
+    hedging_allowed: bool,
+    #[serde(rename = "probes")]
+    probes_allowed: bool,
+    #[serde(rename = "retry_after")]
+    retry_after_obeyed: bool,
     max_retry_after_s: f64,
-    keepalive_s: Option<f64>,
+    #[serde(rename = "keepalive_s")]
+    keep_alive_s: Option<f64>,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
-struct RawRules {
-    ask_within_s: f64,
-    cold_from: f64,
-    cold_s: f64,
+struct SafetyDocument {
+    #[serde(rename = "ask_within_s")]
+    discovery_poll_interval_s: f64,
+    #[serde(rename = "cold_from")]
+    slow_start_min_capacity: f64,
+    #[serde(rename = "cold_s")]
+    slow_start_duration_s: f64,
     overload_factor: f64,
-    fall_s: f64,
-    key_rest_s: f64,
-    release_within_s: Option<f64>,
+    #[serde(rename = "fall_s")]
+    overload_duration_s: f64,
+    #[serde(rename = "key_rest_s")]
+    key_quiet_period_s: f64,
+    #[serde(rename = "release_within_s")]
+    drain_close_within_s: Option<f64>,
 }
 
-/// Seconds on the wire as a [`Duration`], to the microsecond; anything that is no such time is 0.
-fn time(s: f64) -> Duration {
-    Duration::from_micros((s * 1e6).round().clamp(0.0, 1e15) as u64)
+/// Seconds of the platform's documents as a [`Duration`], to the microsecond; 0 for what is negative or not a number.
+pub fn duration_from_seconds(seconds: f64) -> Duration {
+    Duration::from_micros((seconds * MICROS_PER_S).round().clamp(0.0, MAX_MICROS) as u64)
 }
 
-/// Reads the settings object that an instance is told at its start, from its JSON text. Unknown names are
-/// passed over.
+/// Reads the settings object that an instance is given at its start, from its JSON text. Unknown names are ignored, absent ones are 0,
+/// false or empty.
+///
+/// # Errors
+/// If the text is not a settings object.
 pub fn parse_settings(json: &str) -> Result<Settings, serde_json::Error> {
-    serde_json::from_str(json).map(settings)
+    serde_json::from_str::<SettingsDocument>(json).map(Settings::from)
+}
+
+impl From<SettingsDocument> for Settings {
+    fn from(document: SettingsDocument) -> Self {
+        let cost = |name| document.costs.get(name).copied().unwrap_or(0.0);
+        let limits = &document.limits;
+        let safety = &document.safety;
+        Settings {
+            gateway_count: document.gateway_count.max(1),
+            zone: document.zone,
+            tenant_quotas: document.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
+            over_quota_weight: document.over_quota_weight,
+            discovery_poll_interval: (document.discovery_mode == "ask")
+                .then(|| duration_from_seconds(safety.discovery_poll_interval_s)),
+            timer_tick: duration_from_seconds(document.timer_tick_s),
+            max_attempts: limits.max_attempts,
+            cancellation_allowed: limits.cancellation_allowed,
+            hedging_allowed: limits.hedging_allowed,
+            probes_allowed: limits.probes_allowed,
+            max_retry_after: limits.max_retry_after(),
+            slow_start_min_capacity: safety.slow_start_min_capacity,
+            slow_start_duration: duration_from_seconds(safety.slow_start_duration_s),
+            overload_factor: safety.overload_factor,
+            overload_duration: duration_from_seconds(safety.overload_duration_s),
+            key_quiet_period: duration_from_seconds(safety.key_quiet_period_s),
+            drain_close_within: safety.drain_close_within_s.map(duration_from_seconds),
+            cross_zone_cost: cost("cross_zone"),
+            handshake_cost: cost("handshake"),
+            keep_alive: limits.keep_alive_s.map_or(Settings::default().keep_alive, duration_from_seconds),
+            key_cache_affinity: document.workload.key_cache_affinity,
+            endpoint_weights: endpoint_weights(&document.endpoint_weights),
+            classes: document.classes.into_iter().map(RequestClass::from).collect(),
+        }
+    }
 }
 
-fn settings(raw: RawSettings) -> Settings {
-    let class = |c: RawClass| RequestClass {
-        latency_objective: time(c.promise_s),
-        objective_stretch: c.aim_stretch,
-        deadline: time(c.deadline_s),
-        priority_weight: c.importance,
-        late_value_fraction: c.late_worth,
-        sequential: c.sequential,
-        retired: false,
-        idempotency: match (c.effect.as_str(), c.group.as_str()) {
-            ("free", _) => Idempotency::Idempotent,
-            ("guarded", "all") => {
-                Idempotency::IdempotencyKey { scope: KeyScope::All, window: time(c.dedup_window_s) }
-            }
-            ("guarded", "zone") => {
-                Idempotency::IdempotencyKey { scope: KeyScope::Zone, window: time(c.dedup_window_s) }
-            }
-            ("guarded", "cell") => {
-                Idempotency::IdempotencyKey { scope: KeyScope::Cell, window: time(c.dedup_window_s) }
-            }
+impl LimitsDocument {
+    /// The longest `Retry-After`; zero where clients do not obey any.
+    fn max_retry_after(&self) -> Duration {
+        if self.retry_after_obeyed {
+            duration_from_seconds(self.max_retry_after_s)
+        } else {
+            Duration::ZERO
+        }
+    }
+}
+
+impl From<ClassDocument> for RequestClass {
+    fn from(document: ClassDocument) -> Self {
+        RequestClass {
+            latency_objective: duration_from_seconds(document.latency_objective_s),
+            objective_stretch: document.objective_stretch,
+            deadline: duration_from_seconds(document.deadline_s),
+            priority_weight: document.priority_weight,
+            late_value_fraction: document.late_value_fraction,
+            idempotency: document.idempotency(),
+            sequential: document.sequential,
+            retired: false,
+        }
+    }
+}
+
+impl ClassDocument {
+    /// Whether it may be sent again; unknown words mean that it may not.
+    fn idempotency(&self) -> Idempotency {
+        match self.idempotency.as_str() {
+            "free" => Idempotency::Idempotent,
+            "guarded" => self.key_scope().map_or(Idempotency::NotIdempotent, |scope| {
+                Idempotency::IdempotencyKey { scope, window: duration_from_seconds(self.key_window_s) }
+            }),
             _ => Idempotency::NotIdempotent,
-        },
-    };
-    let price = |name| raw.costs.get(name).copied().unwrap_or(0.0);
-    Settings {
-        gateway_count: raw.fleet_size.max(1),
-        zone: raw.locality,
-        classes: raw.classes.into_iter().map(class).collect(),
-        tenant_quotas: raw.accounts.iter().map(|t| t.quota_per_s).collect(),
-        over_quota_weight: raw.over_share_worth,
-        discovery_poll_interval: (raw.discovery == "ask").then(|| time(raw.safety.ask_within_s)),
-        timer_tick: time(raw.quantum_s),
-        max_attempts: raw.policy_limits.try_limit,
-        cancellation_allowed: raw.policy_limits.may_cancel,
-        hedging_allowed: raw.policy_limits.second_copies,
-        probes_allowed: raw.policy_limits.probes,
-        max_retry_after: time(raw.policy_limits.max_retry_after_s)
-            .mul_f64(f64::from(raw.policy_limits.retry_after)),
-        slow_start_min_capacity: raw.safety.cold_from,
-        slow_start_duration: time(raw.safety.cold_s),
-        overload_factor: raw.safety.overload_factor,
-        overload_duration: time(raw.safety.fall_s),
-        key_quiet_period: time(raw.safety.key_rest_s),
-        drain_close_within: raw.safety.release_within_s.map(time),
-        cross_zone_cost: price("cross_zone"),
-        handshake_cost: price("handshake"),
-        keep_alive: raw.policy_limits.keepalive_s.map_or(Settings::default().keep_alive, time),
-        key_cache_affinity: raw.family_info.warm_keys,
-        endpoint_weights: match raw.weight_source.as_str() {
-            "nominal" | "rough" => EndpointWeights::Size,
-            "live" => EndpointWeights::Live,
-            _ => EndpointWeights::Off,
-        },
+        }
+    }
+
+    fn key_scope(&self) -> Option<KeyScope> {
+        match self.key_scope.as_str() {
+            "all" => Some(KeyScope::All),
+            "zone" => Some(KeyScope::Zone),
+            "cell" => Some(KeyScope::Cell),
+            _ => None,
+        }
+    }
+}
+
+fn endpoint_weights(source: &str) -> EndpointWeights {
+    match source {
+        "nominal" | "rough" => EndpointWeights::Size,
+        "live" => EndpointWeights::Live,
+        _ => EndpointWeights::Off,
     }
 }
