--- /dev/null
+++ b/crates/simhost/src/error.rs
@@ -0,0 +1,70 @@
+//! What can be wrong with the simulator's input.
+
+/// What is wrong with a line of input, and where.
+#[derive(Debug, thiserror::Error)]
+pub enum InputError {
+    /// The line is not a batch.
+    #[error("input line {line}: not a batch: {source}")]
+    Malformed {
+        /// The line, counted from 1.
+        line: u64,
+        /// What the parser says.
+        #[source]
+        source: serde_json::Error,
+    },
+    /// A batch holds an event that cannot be handled.
+    #[error("batch {batch}: {source}")]
+    InvalidEvent {
+        /// The number of the batch.
+        batch: u64,
+        /// What is wrong with the event.
+        #[source]
+        source: EventError,
+    },
+}
+
+/// What is wrong with an event. Events and fields have their names on the wire.
+#[derive(Debug, thiserror::Error)]
+pub enum EventError {
+    /// A field that this kind of event must have is absent.
+    #[error("{event} without {field}")]
+    MissingField {
+        /// The kind of event.
+        event: String,
+        /// The field.
+        field: &'static str,
+    },
+    /// The settings of a starting instance are not valid.
+    #[error("settings: {0}")]
+    Settings(#[from] serde_json::Error),
+    /// The instance has not started or has ended.
+    #[error("{event} for unknown instance {instance}")]
+    UnknownInstance {
+        /// The kind of event.
+        event: String,
+        /// The number of the instance.
+        instance: u64,
+    },
+    /// No endpoint list has this number.
+    #[error("unknown list {0}")]
+    UnknownList(u64),
+    /// An endpoint list comes in an unknown mode, or in none.
+    #[error("{event} with unknown mode {mode:?}")]
+    UnknownListMode {
+        /// The kind of event.
+        event: String,
+        /// The mode.
+        mode: Option<String>,
+    },
+    /// An attempt or a health check ended in an unknown way.
+    #[error("{event} with unknown outcome {outcome:?}")]
+    UnknownOutcome {
+        /// The kind of event.
+        event: String,
+        /// The outcome.
+        outcome: String,
+    },
+    /// The kind of event is unknown.
+    #[error("unknown event {0:?}")]
+    UnknownEvent(String),
+}
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,12 +1,23 @@
-//! Hosts many instances of the decision module on the simulator's wire: batches on standard input, replies on
-//! standard output.
+//! The simulator's program: batches on standard input, replies on standard output.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
-use weldworks_simhost::Adapter;
+use weldworks_simhost::{Adapter, InputError};
 
-fn run() -> Result<(), Box<dyn std::error::Error>> {
-    let mut input = io::BufReader::with_capacity(1 << 20, io::stdin().lock());
+/// Capacity of the input buffer: batches of a large simulation are long lines.
+const INPUT_BUFFER_BYTES: usize = 1 << 20;
+
+/// Why the program ends before its input does.
+#[derive(Debug, thiserror::Error)]
+enum ProgramError {
+    #[error(transparent)]
+    Input(#[from] InputError),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+fn answer_all() -> Result<(), ProgramError> {
+    let mut input = io::BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut adapter = Adapter::default();
     let mut line = String::new();
@@ -23,7 +34,7 @@
 }
 
 fn main() -> ExitCode {
-    match run() {
+    match answer_all() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("weldworks-simhost: {error}");
--- a/crates/simhost/tests/recorded_exchange.rs
+++ b/crates/simhost/tests/recorded_exchange.rs
@@ -8,9 +8,9 @@
 fn assert_same_replies(input: &str, output: &str) {
     let mut adapter = Adapter::default();
     let mut expected = output.lines();
-    for (n, line) in input.lines().enumerate() {
-        let reply = adapter.answer(line).expect("the simulator's own words");
-        assert_eq!(Some(reply.as_str()), expected.next(), "reply to line {}", n + 1);
+    for (index, line) in input.lines().enumerate() {
+        let reply = adapter.answer(line).expect("a valid batch");
+        assert_eq!(Some(reply.as_str()), expected.next(), "reply to line {}", index + 1);
     }
     assert_eq!(expected.next(), None, "one reply a line");
 }
