--- a/crates/testbed/src/ledger/mod.rs
+++ b/crates/testbed/src/ledger/mod.rs
@@ -58,7 +58,7 @@
 /// What the ledger has to know of a class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassTerms {
-    /// See [`weldworks_balancer::Class::aim`].
+    /// See [`weldworks_balancer::RequestClass::latency_objective`].
     pub aim: Duration,
     /// What repeating it does.
     pub effect: Idempotency,
