--- a/crates/gateway/tests/whole.rs
+++ b/crates/gateway/tests/whole.rs
@@ -7,7 +7,7 @@
 
 /// Plays a script that ships; the gateways' logs are to say all of this.
 fn play(name: &str, said: &[&str]) {
-    let path = format!("{}/../rig/fleet/{name}.toml", env!("CARGO_MANIFEST_DIR"));
+    let path = format!("{}/../testbed/fleet/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&path).expect("the script");
     let script = Script::parse(&path, &text).expect("as it should be");
     let folder = live::folder_of(&script, 1, Path::new(env!("CARGO_TARGET_TMPDIR"))).expect("a folder");
