--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -1,154 +1,170 @@
-//! How a gateway leaves service: for a while, at its operators' call, or for good. One machine for both, so that a drain during
-//! a stop, or a stop during a drain, needs no rule of its own.
+//! Draining and graceful shutdown of one gateway.
 //!
-//! The front asks whether the gateway is ready, and stops sending new connections shortly after a no; clients go on using
-//! those that they have. So three things follow one another: it is not ready; answers say goodbye; what rests is closed. The
-//! longest rest that is allowed shrinks steadily to nothing, so that connections end one after another, the longest idle
-//! first: those are the least likely to be used in the moment of their close.
+//! A drain is requested by an operator and can be cancelled; a shutdown follows SIGTERM and is final. One state machine
+//! covers both, so that a shutdown during a drain, or the reverse, needs no rule of its own.
+//!
+//! A front balancer polls readiness and stops sending new connections shortly after the first "not ready", while
+//! clients go on using the connections that they have. A drain therefore goes through three phases: not ready;
+//! responses carry `Connection: close`; idle connections are closed. The idle limit shrinks steadily to zero, so that
+//! connections close one after another and those idle the longest, which are the least likely to be reused at that
+//! moment, close first.
+//!
+//! All times are on one monotonic clock of the caller.
 
 use std::time::Duration;
 
-/// New connections still come for so long after the first no, with the front's asking and its notice (0.1 and 0.2 s) within it.
+/// Time after the start of a drain during which the front balancer may still send new connections. It covers the
+/// front's polling interval (0.1 s) and its propagation delay (0.2 s).
 pub const NOT_READY_NOTICE: Duration = Duration::from_millis(350);
-/// From here on resting connections are closed, the longest idle first ...
+/// Time after the start of a drain at which idle connections begin to be closed, those idle the longest first.
 pub const IDLE_CLOSE_START: Duration = Duration::from_millis(500);
-/// ... and by then all are. A request that has come just before then has two seconds left to be answered, before nothing may
-/// be held any more, 4 s after the call.
+/// Time after the start of a drain by which every idle connection is closed. A request that arrives just before has
+/// 2 s left to be answered: 4 s after the start no request may be in flight.
 pub const IDLE_CLOSE_END: Duration = Duration::from_millis(1800);
-/// What comes later may rest for so long: somebody who does not ask the front.
+/// Idle limit of connections that arrive after [`IDLE_CLOSE_END`], from clients that bypass the front balancer.
 pub const LATE_CONNECTION_IDLE_LIMIT: Duration = Duration::from_millis(150);
 
-/// After SIGTERM new connections come for 0.4 s at most, and what comes later than 0.7 s need not be answered: the listener
-/// closes between these two times, as soon as no connection has come for [`QUIET`].
-pub const LISTENER_CLOSE_WINDOW: (Duration, Duration) =
-    (Duration::from_millis(450), Duration::from_millis(650));
-/// See [`LISTEN_ON`].
+/// Earliest time after SIGTERM at which the listener closes. The front balancer sends new connections for up to 0.4 s.
+pub const LISTENER_CLOSE_EARLIEST: Duration = Duration::from_millis(450);
+/// Latest time after SIGTERM at which the listener closes. Requests that arrive after 0.7 s need not be answered.
+pub const LISTENER_CLOSE_LATEST: Duration = Duration::from_millis(650);
+/// Time without a new connection after which the listener closes, between [`LISTENER_CLOSE_EARLIEST`] and
+/// [`LISTENER_CLOSE_LATEST`].
 pub const ACCEPT_QUIET_PERIOD: Duration = Duration::from_millis(200);
-/// A request that comes later than this after SIGTERM need not be answered, with the protocol's slack; until then a new connection
-/// may still bring its first one.
+/// Time after SIGTERM until which a new connection may still bring its first request: the 0.7 s of the protocol and
+/// 50 ms of slack.
 pub const FIRST_REQUEST_LIMIT: Duration = Duration::from_millis(750);
-/// The process is killed so long after the longest deadline; [`AHEAD`] of that every answer has left.
+/// Time between the longest client deadline after SIGTERM and the kill of the process.
 pub const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// See [`KILLED`]: a process may be held up for 0.15 s between its last look at the clock and its write, and a busy machine is late.
+/// Time before the kill by which every response has been written. A process may be paused for 0.15 s between its last
+/// look at the clock and its write.
 pub const ANSWER_MARGIN_BEFORE_KILL: Duration = Duration::from_millis(250);
-/// Whose listener another process holds too need not close it in haste: resting connections have until the longest deadline,
-/// held to this.
-pub const SHARED_LISTENER_CLOSE_WINDOW: (Duration, Duration) =
-    (Duration::from_millis(700), Duration::from_millis(2000));
+/// Shortest time after SIGTERM that idle connections stay open when another process shares the listener.
+pub const SHARED_LISTENER_IDLE_CLOSE_EARLIEST: Duration = Duration::from_millis(700);
+/// Longest time after SIGTERM that idle connections stay open when another process shares the listener.
+pub const SHARED_LISTENER_IDLE_CLOSE_LATEST: Duration = Duration::from_millis(2000);
 
-/// What a stop has to know of the process.
+/// What a drain depends on besides time.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainSettings {
-    /// The longest time that a client waits for an answer.
+    /// Longest time that a client waits for a response.
     pub longest_deadline: Duration,
-    /// Another process listens on the clients' socket too: what waits there is its to take.
+    /// Whether another process listens on the same client socket and accepts the connections that queue there.
     pub shared_listener: bool,
 }
 
-/// The machine.
+/// State machine of draining and graceful shutdown.
 #[derive(Clone, Debug)]
 pub struct Drain {
-    terms: DrainSettings,
-    drained: Option<Duration>,
-    stopping: Option<Duration>,
+    settings: DrainSettings,
+    draining_since: Option<Duration>,
+    shutdown_since: Option<Duration>,
 }
 
 impl Drain {
-    /// In service.
-    pub fn new(terms: DrainSettings) -> Drain {
-        Drain { terms, drained: None, stopping: None }
+    /// Creates the state of a gateway that is in service.
+    pub fn new(settings: DrainSettings) -> Drain {
+        Drain { settings, draining_since: None, shutdown_since: None }
     }
 
-    /// The operators' call. Whether it changed anything: a second call neither begins the drain anew nor ends it twice.
-    pub fn set_draining(&mut self, now: Duration, on: bool) -> bool {
-        let changes = on != self.drained.is_some();
-        if changes {
-            self.drained = on.then_some(now);
-        }
-        changes
+    /// Starts a drain and returns whether this changed anything: a repeated call does not restart the drain.
+    pub fn start_draining(&mut self, now: Duration) -> bool {
+        let starts = self.draining_since.is_none();
+        self.draining_since.get_or_insert(now);
+        starts
+    }
+
+    /// Cancels a drain and returns whether there was one.
+    pub fn cancel_draining(&mut self) -> bool {
+        self.draining_since.take().is_some()
     }
 
-    /// The process is told to end; there is no way back. Whether this was news.
+    /// Starts the shutdown, which is final, and returns whether it had not started before.
     pub fn begin_shutdown(&mut self, now: Duration) -> bool {
-        let news = self.stopping.is_none();
-        self.stopping.get_or_insert(now);
-        news
+        let starts = self.shutdown_since.is_none();
+        self.shutdown_since.get_or_insert(now);
+        starts
     }
 
-    /// The longest time that a client waits is another now.
+    /// Replaces the longest time that a client waits for a response.
     pub fn set_longest_deadline(&mut self, longest: Duration) {
-        self.terms.longest_deadline = longest;
+        self.settings.longest_deadline = longest;
     }
 
-    /// Whether it has been called off duty and not back.
+    /// Whether an operator has started a drain and not cancelled it.
     pub fn is_draining(&self) -> bool {
-        self.drained.is_some()
+        self.draining_since.is_some()
     }
 
-    /// Whether the process is on its way out.
+    /// Whether the process is shutting down.
     pub fn is_shutting_down(&self) -> bool {
-        self.stopping.is_some()
+        self.shutdown_since.is_some()
     }
 
-    /// Whether the front may be told yes.
+    /// Whether the readiness check of the front balancer succeeds.
     pub fn is_ready(&self) -> bool {
-        self.drained.is_none() && self.stopping.is_none()
+        !self.is_draining() && !self.is_shutting_down()
     }
 
-    /// Whether answers end their connections.
+    /// Whether responses close their connection.
     pub fn sends_connection_close(&self, now: Duration) -> bool {
-        self.stopping.is_some()
-            || self.drained.is_some_and(|since| now.saturating_sub(since) >= NOT_READY_NOTICE)
+        let Some(since) = self.draining_since else { return self.is_shutting_down() };
+        self.is_shutting_down() || now.saturating_sub(since) >= NOT_READY_NOTICE
     }
 
-    /// Until when connections are accepted, where that has an end. `accepted` is when the last one was.
-    pub fn accept_deadline(&self, accepted: Duration) -> Option<Duration> {
-        let since = self.stopping?;
-        if self.terms.shared_listener {
+    /// Until when connections are accepted; `None` while there is no end. `last_accepted` is the time of the last
+    /// accepted connection.
+    pub fn accept_deadline(&self, last_accepted: Duration) -> Option<Duration> {
+        let since = self.shutdown_since?;
+        if self.settings.shared_listener {
             return Some(since);
         }
-        Some(
-            (accepted + ACCEPT_QUIET_PERIOD)
-                .clamp(since + LISTENER_CLOSE_WINDOW.0, since + LISTENER_CLOSE_WINDOW.1),
-        )
+        let quiet_at = last_accepted + ACCEPT_QUIET_PERIOD;
+        Some(quiet_at.clamp(since + LISTENER_CLOSE_EARLIEST, since + LISTENER_CLOSE_LATEST))
+    }
+
+    /// How long a connection may be idle; `None` while there is no limit. `last_accepted` is the time of the last
+    /// accepted connection.
+    pub fn idle_limit(&self, now: Duration, last_accepted: Duration) -> Option<Duration> {
+        let limits = [self.draining_idle_limit(now), self.shutdown_idle_limit(now, last_accepted)];
+        limits.into_iter().flatten().min()
+    }
+
+    /// The idle limit that a drain sets: it shrinks to zero at [`IDLE_CLOSE_END`].
+    fn draining_idle_limit(&self, now: Duration) -> Option<Duration> {
+        let since = self.draining_since?;
+        if now < since + IDLE_CLOSE_START {
+            return None;
+        }
+        let remaining = (since + IDLE_CLOSE_END).saturating_sub(now);
+        Some(if remaining.is_zero() { LATE_CONNECTION_IDLE_LIMIT } else { remaining })
     }
 
-    /// For how long a connection may rest, where that has a limit now. `accepted` as in [`Self::accepts_until`].
-    pub fn idle_limit(&self, now: Duration, accepted: Duration) -> Option<Duration> {
-        let drained = self.drained.and_then(|since| {
-            let end = (since + IDLE_CLOSE_END).saturating_sub(now);
-            (now >= since + IDLE_CLOSE_START).then_some(if end.is_zero() {
-                LATE_CONNECTION_IDLE_LIMIT
-            } else {
-                end
-            })
-        });
-        let stopped = self.stopping.and_then(|since| {
-            if self.terms.shared_listener {
-                let end = self
-                    .terms
-                    .longest_deadline
-                    .clamp(SHARED_LISTENER_CLOSE_WINDOW.0, SHARED_LISTENER_CLOSE_WINDOW.1);
-                return Some((since + end).saturating_sub(now));
-            }
-            (Some(now) >= self.accept_deadline(accepted)).then_some(Duration::ZERO)
-        });
-        match (drained, stopped) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
+    /// The idle limit that a shutdown sets: zero once the listener is closed. With a shared listener, clients that
+    /// reconnect reach the other process, and idle connections have until the longest deadline.
+    fn shutdown_idle_limit(&self, now: Duration, last_accepted: Duration) -> Option<Duration> {
+        let since = self.shutdown_since?;
+        if self.settings.shared_listener {
+            let open_for = self
+                .settings
+                .longest_deadline
+                .clamp(SHARED_LISTENER_IDLE_CLOSE_EARLIEST, SHARED_LISTENER_IDLE_CLOSE_LATEST);
+            return Some((since + open_for).saturating_sub(now));
         }
+        let listener_closed = self.accept_deadline(last_accepted).is_some_and(|deadline| now >= deadline);
+        listener_closed.then_some(Duration::ZERO)
     }
 
-    /// Whether a connection that has brought nothing yet keeps its time to do so, however little others may rest.
+    /// Whether a connection that has not brought a request yet stays open regardless of [`Self::idle_limit`].
     pub fn awaits_first_request(&self, now: Duration) -> bool {
-        self.stopping.is_some_and(|since| now < since + FIRST_REQUEST_LIMIT)
+        self.shutdown_since.is_some_and(|since| now < since + FIRST_REQUEST_LIMIT)
     }
 
-    /// The latest moment for any answer, where there is one: what the kill finds unanswered is lost.
+    /// Latest time at which a response may be written; `None` while no shutdown has started. The kill drops every
+    /// response that comes later.
     pub fn answer_deadline(&self) -> Option<Duration> {
-        self.stopping.map(|since| {
-            (since + self.terms.longest_deadline + KILL_AFTER_DEADLINE)
-                .saturating_sub(ANSWER_MARGIN_BEFORE_KILL)
-        })
+        let since = self.shutdown_since?;
+        let kill_at = since + self.settings.longest_deadline + KILL_AFTER_DEADLINE;
+        Some(kill_at.saturating_sub(ANSWER_MARGIN_BEFORE_KILL))
     }
 }
--- a/crates/control/tests/drain.rs
+++ b/crates/control/tests/drain.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 use weldworks_control::drain::{
-    Drain, DrainSettings, IDLE_CLOSE_END, LISTENER_CLOSE_WINDOW, NOT_READY_NOTICE,
-    SHARED_LISTENER_CLOSE_WINDOW,
+    Drain, DrainSettings, IDLE_CLOSE_END, LISTENER_CLOSE_EARLIEST, LISTENER_CLOSE_LATEST, NOT_READY_NOTICE,
+    SHARED_LISTENER_IDLE_CLOSE_LATEST,
 };
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
@@ -38,9 +38,9 @@
         assert!(drain.sends_connection_close(now));
         assert_eq!(
             drain.accept_deadline(since),
-            Some(if shared { since } else { since + LISTENER_CLOSE_WINDOW.0 })
+            Some(if shared { since } else { since + LISTENER_CLOSE_EARLIEST })
         );
-        let end = if shared { SHARED_LISTENER_CLOSE_WINDOW.1 } else { LISTENER_CLOSE_WINDOW.1 };
+        let end = if shared { SHARED_LISTENER_IDLE_CLOSE_LATEST } else { LISTENER_CLOSE_LATEST };
         assert!(now < since + end || rest == Some(Duration::ZERO), "{rest:?} at {now:?}");
         assert!(drain.answer_deadline() > Some(since + MS(1200)));
     }
@@ -62,11 +62,11 @@
             for _ in 0..DEPTH {
                 match STEPS[rest % STEPS.len()] {
                     Step::On => {
-                        assert_eq!(drain.set_draining(now, true), on.is_none(), "a second call is no news");
+                        assert_eq!(drain.start_draining(now), on.is_none(), "a second call is no news");
                         on = on.or(Some(now));
                     }
                     Step::Off => {
-                        assert_eq!(drain.set_draining(now, false), on.is_some());
+                        assert_eq!(drain.cancel_draining(), on.is_some());
                         on = None;
                     }
                     Step::Stop => {
@@ -86,7 +86,7 @@
 #[test]
 fn closes_are_spread_and_the_longest_idle_goes_first() {
     let mut drain = Drain::new(DrainSettings { longest_deadline: MS(1200), shared_listener: false });
-    drain.set_draining(MS(10_000), true);
+    drain.start_draining(MS(10_000));
     // A hundred connections, idle for 0 to 1.3 s when the closing begins.
     let idle: Vec<Duration> = (0..100).map(|n| MS(10_500 - n * 13)).collect();
     let mut closed = vec![None; idle.len()];
@@ -146,11 +146,11 @@
                 let mut pass = MS(0);
                 match ACTS[rest % ACTS.len()] {
                     Act::Step(Step::On) => {
-                        drain.set_draining(now, true);
+                        drain.start_draining(now);
                         on = on.or(Some(now));
                     }
                     Act::Step(Step::Off) => {
-                        drain.set_draining(now, false);
+                        drain.cancel_draining();
                         on = None;
                     }
                     Act::Step(Step::Stop) => {
@@ -200,7 +200,7 @@
     let at = Duration::from_millis;
     let mut drain = Drain::new(DrainSettings { longest_deadline: at(1200), shared_listener: false });
     assert!(!drain.awaits_first_request(at(100)));
-    drain.set_draining(at(200), true);
+    drain.start_draining(at(200));
     assert!(!drain.awaits_first_request(at(300)), "a drain leaves it to the rest that it allows");
     drain.begin_shutdown(at(1000));
     assert_eq!(drain.idle_limit(at(1650), at(0)), Some(Duration::ZERO), "others may not rest");
--- a/crates/gateway/src/lifecycle/service.rs
+++ b/crates/gateway/src/lifecycle/service.rs
@@ -78,7 +78,8 @@
 
     /// Drains it, or takes that back. Whether this changed anything.
     pub fn set_draining(&self, on: bool) -> bool {
-        let changed = self.drain.borrow_mut().set_draining(self.now(), on);
+        let mut drain = self.drain.borrow_mut();
+        let changed = if on { drain.start_draining(self.now()) } else { drain.cancel_draining() };
         self.changed.notify_one();
         changed
     }
