--- a/crates/control/tests/hot_restart.rs
+++ b/crates/control/tests/hot_restart.rs
@@ -5,7 +5,7 @@
 use weldworks_balancer::{EndpointSnapshot, Snapshot};
 use weldworks_control::hot_restart::{
     decode_snapshot, encode_snapshot, remaining_descriptors, DescriptorUsage, SnapshotError, Startup,
-    StartupWait, MAX_SNAPSHOT_AGE, MAX_SNAPSHOT_BYTES,
+    StartupProgress, StartupWait, MAX_SNAPSHOT_AGE, MAX_SNAPSHOT_BYTES,
 };
 
 const NOW: Duration = Duration::from_secs(1_800_000_000);
@@ -85,7 +85,7 @@
 #[test]
 fn a_process_takes_clients_once_it_can_serve_them_or_there_is_nobody_better() {
     let ms = Duration::from_millis;
-    let entry = Startup { shared_listener: true, started_at: NOW };
+    let startup = Startup { shared_listener: true, started_at: NOW };
     let cases = [
         (0, false, true, Some(StartupWait::Discovery)),
         (2499, false, true, Some(StartupWait::Discovery)),
@@ -96,16 +96,11 @@
         (5999, true, false, Some(StartupWait::Endpoints)),
         (6000, false, false, None),
     ];
-    for (after, heard, hosts, awaited) in cases {
-        assert_eq!(
-            entry.waiting_for(NOW + ms(after), heard, hosts),
-            awaited,
-            "{after} ms, heard {heard}, hosts {hosts}"
-        );
-        assert_eq!(
-            Startup { shared_listener: false, ..entry }.waiting_for(NOW + ms(after), heard, hosts),
-            None
-        );
+    for (after, discovery_answered, has_active_endpoint, expected) in cases {
+        let progress = StartupProgress { discovery_answered, has_active_endpoint };
+        assert_eq!(startup.waiting_for(NOW + ms(after), progress), expected, "{after} ms, {progress:?}");
+        let alone = Startup { shared_listener: false, ..startup };
+        assert_eq!(alone.waiting_for(NOW + ms(after), progress), None);
     }
 }
 
--- a/crates/gateway/src/lifecycle/hot_restart.rs
+++ b/crates/gateway/src/lifecycle/hot_restart.rs
@@ -127,7 +127,7 @@
             written = Some(tokio::time::Instant::now());
         }
         tokio::select! {
-            () = tokio::time::sleep(peer_check_interval(other.is_some())) => {}
+            () = tokio::time::sleep(peer_check_interval(other)) => {}
             // It takes nobody in any more: what its clients leave is the other's to give them.
             () = service.stopped.notified() => return drop(place),
         }
--- a/crates/gateway/src/lifecycle/service.rs
+++ b/crates/gateway/src/lifecycle/service.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use weldworks_control::drain::{Drain, DrainSettings};
-use weldworks_control::hot_restart::{Startup, StartupWait};
+use weldworks_control::hot_restart::{Startup, StartupProgress, StartupWait};
 
 /// The state.
 pub struct ServiceState {
@@ -58,7 +58,11 @@
 
     /// What it waits for before it takes clients, if anything.
     pub fn waiting_for(&self) -> Option<StartupWait> {
-        self.entry.waiting_for(self.now(), self.gateway.discovery_answered(), self.hosts_up.get())
+        let progress = StartupProgress {
+            discovery_answered: self.gateway.discovery_answered(),
+            has_active_endpoint: self.hosts_up.get(),
+        };
+        self.entry.waiting_for(self.now(), progress)
     }
 
     /// Why this process can't serve, be it drained or not; none where it can.
