--- a/crates/control/src/endpoint_start.rs
+++ b/crates/control/src/endpoint_start.rs
@@ -1,43 +1,48 @@
-//! When a host last started, as far as this process can tell without trusting its machine's wall clock.
+//! Estimates when an endpoint last started, without trusting this machine's wall clock.
 //!
-//! Discovery dates a start by the clock that all machines are meant to share. A wall clock may be stepped by an hour, so what it says
-//! is held between two bounds that hang on no wall clock: starts that discovery dates differ by what their dates differ, and none
-//! lies ahead; and a start that this process saw appear came after discovery's word before, give or take how late that tells.
-//! Where neither helps, a host is taken for started later: a host that is warm is spared for a while, a cold one is never flooded.
+//! Discovery dates a start by a clock that all machines are meant to share, but a wall clock may be stepped by an hour.
+//! Its date is therefore kept between two bounds that use no wall clock:
+//!
+//! - starts in one list are as far apart as their dates, and none lies in the future;
+//! - a start that appeared while this process watched came after the discovery message before it, give or take
+//!   [`MAX_START_REPORT_DELAY`].
+//!
+//! Where neither bound helps, the later start is assumed: then a warm endpoint is spared for a while, and a cold one is
+//! never flooded.
 
 use std::time::Duration;
 
-/// Discovery tells of a start so late, as a rule: what came with its next word may have started so long before the word ahead of it.
+/// Longest usual delay between a start and the discovery message that reports it.
 pub const MAX_START_REPORT_DELAY: Duration = Duration::from_secs(2);
 
-/// What is known of a start when it is first listed. All times are on the process's own monotonic clock.
+/// What is known of a start when it is first listed. All times are on this process's monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct StartEvidence {
-    /// Now.
+    /// Current time.
     pub now: Duration,
-    /// When it was by the wall clock, perhaps ahead of now; none for longer ago than that clock's tie reaches.
+    /// Start by the wall clock, possibly in the future; `None` where it is too long ago to be converted to the
+    /// monotonic clock.
     pub wall_clock_start: Option<Duration>,
-    /// How long before the newest start of all that are listed.
+    /// Time between this start and the newest start in the list.
     pub offset_before_newest: Duration,
-    /// When discovery had last spoken before it told of this start, where it had since the process began.
+    /// Time of the last discovery message before the one that reported the start; `None` where the start was in the
+    /// first message since this process began.
     pub last_discovery_message: Option<Duration>,
 }
 
-/// When the host started.
+/// The estimated time of the start.
 pub fn estimate_start(evidence: StartEvidence) -> Duration {
-    let StartEvidence {
-        now,
-        wall_clock_start: by_wall_clock,
-        offset_before_newest: before_newest,
-        last_discovery_message: heard_before,
-    } = evidence;
-    // The newest start is not ahead of now, and this one came so long before.
-    let latest = now.saturating_sub(before_newest);
-    let earliest = heard_before.map_or(latest, |heard| heard.saturating_sub(MAX_START_REPORT_DELAY).min(now));
-    match by_wall_clock {
-        // A clock that is behind says nothing.
-        Some(by) if by > now => earliest.max(latest),
-        Some(by) => earliest.max(by),
+    let now = evidence.now;
+    // The newest start is not in the future, and this one lies `offset_before_newest` before it.
+    let latest = now.saturating_sub(evidence.offset_before_newest);
+    let earliest = match evidence.last_discovery_message {
+        Some(message_at) => message_at.saturating_sub(MAX_START_REPORT_DELAY).min(now),
+        None => latest,
+    };
+    match evidence.wall_clock_start {
+        // A start in the future shows that the wall clock is behind, so its date says nothing.
+        Some(start) if start > now => earliest.max(latest),
+        Some(start) => earliest.max(start),
         None => earliest,
     }
 }
--- a/crates/control/src/execution.rs
+++ b/crates/control/src/execution.rs
@@ -1,76 +1,89 @@
-//! What the end of an attempt proves of its request: that it never ran, that it was served, or nothing.
+//! What the end of an attempt proves about its request: that it was not processed, that it was served, or nothing.
 //!
-//! A host begins with a request's last byte. So what decides is whether that byte has gone to the kernel, told by who writes it and
-//! not by who frames it; in doubt it has. The one table: [`outcome`].
+//! An endpoint begins to process a request once it has received the last byte. So the proof rests on whether that byte
+//! was handed to the kernel, as recorded where bytes are written and not where they are framed. In doubt the request
+//! was possibly processed. [`classify_attempt`] is the only table of outcomes.
 
 use weldworks_balancer::Outcome;
 
-/// How much of a request has gone to the kernel.
+/// How much of a request has been handed to the kernel.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteProgress {
-    /// Not a byte.
+    /// Not one byte of the request.
     #[default]
     Nothing,
-    /// Some of it, and surely not its last byte.
+    /// Some bytes, and certainly not the last one.
     Partial,
-    /// All of it, or so much that its last byte may be among it.
+    /// All of it, or so much that the last byte may be included.
     Complete,
 }
 
-/// What a host's answer says, once all of it has come.
+/// What a complete response of an endpoint says about the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseVerdict {
-    /// Status 200.
+    /// The request was served: status 200.
     Served,
-    /// A refusal that says, just once, that the request was not processed.
+    /// The endpoint rejected the request and marked it, exactly once, as not processed.
     NotProcessed,
-    /// Anything else.
+    /// Any other response.
     Error,
 }
 
 /// What ended an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The gateway had reasons of its own not to write it, or not all of it.
+    /// The gateway decided not to write the request, or not all of it.
     Withheld,
-    /// No connection came up; the connection broke or ended; what came of an answer is not whole.
+    /// No connection was established, the connection broke, or the response is incomplete.
     ConnectionFailed,
-    /// It was given up when its time was over.
+    /// The attempt's time limit passed.
     TimedOut,
-    /// It was called off.
+    /// The gateway cancelled the attempt.
     Cancelled,
-    /// A whole answer came, or one that is longer than any may be.
+    /// A complete response came, or one that exceeds the size limit.
     Answered(ResponseVerdict),
 }
 
-/// The outcome of an attempt whose connection is closed by now, or was answered.
+/// The outcome of an attempt that was answered or whose connection is closed.
 pub fn classify_attempt(written: WriteProgress, ended: AttemptEnd) -> Outcome {
-    let ran_perhaps = written == WriteProgress::Complete;
+    let possibly_processed = written == WriteProgress::Complete;
     match ended {
         AttemptEnd::Cancelled => Outcome::Cancelled,
-        AttemptEnd::Withheld if ran_perhaps => Outcome::Reset,
+        AttemptEnd::Withheld if possibly_processed => Outcome::Reset,
         AttemptEnd::Withheld => Outcome::NotSent,
-        AttemptEnd::ConnectionFailed if ran_perhaps => Outcome::Reset,
-        AttemptEnd::TimedOut if ran_perhaps => Outcome::TimedOut,
+        AttemptEnd::ConnectionFailed if possibly_processed => Outcome::Reset,
+        AttemptEnd::TimedOut if possibly_processed => Outcome::TimedOut,
         AttemptEnd::ConnectionFailed | AttemptEnd::TimedOut => Outcome::NoConnection,
         AttemptEnd::Answered(ResponseVerdict::Error) => Outcome::Error,
         AttemptEnd::Answered(ResponseVerdict::NotProcessed) => Outcome::Rejected,
-        AttemptEnd::Answered(ResponseVerdict::Served) if ran_perhaps => Outcome::Served,
-        // What has not had the whole request has not served it: this answers something else.
+        AttemptEnd::Answered(ResponseVerdict::Served) if possibly_processed => Outcome::Served,
+        // The endpoint has not received the whole request, so this response belongs to something else.
         AttemptEnd::Answered(ResponseVerdict::Served) => Outcome::NoConnection,
     }
 }
 
-/// What an answer says of the request, by its status and by the marks of not having processed it, one for each time that its head says
-/// so.
+/// Status of a response that serves the request.
+const STATUS_OK: u16 = 200;
+/// Statuses with which an endpoint may reject a request without processing it.
+const REJECTION_STATUSES: [u16; 2] = [503, 504];
+/// Value of the header that marks a request as not processed.
+const NOT_PROCESSED_VALUE: &[u8] = b"1";
+
+/// What a response says about the request, by its status and the values of its not-processed header, one for each
+/// occurrence of the header.
+///
+/// A repeated header or another value has no defined meaning, so it proves nothing.
 pub fn classify_response<'a>(
     status: u16,
     mut not_processed: impl Iterator<Item = &'a [u8]>,
 ) -> ResponseVerdict {
-    match (status, not_processed.next(), not_processed.next()) {
-        (200, ..) => ResponseVerdict::Served,
-        // Twice, or in other words: who knows what it means.
-        (503 | 504, Some(b"1"), None) => ResponseVerdict::NotProcessed,
-        _ => ResponseVerdict::Error,
+    if status == STATUS_OK {
+        return ResponseVerdict::Served;
+    }
+    let is_marked = not_processed.next() == Some(NOT_PROCESSED_VALUE);
+    let is_repeated = not_processed.next().is_some();
+    if REJECTION_STATUSES.contains(&status) && is_marked && !is_repeated {
+        return ResponseVerdict::NotProcessed;
     }
+    ResponseVerdict::Error
 }
--- a/crates/control/src/watch_backoff.rs
+++ b/crates/control/src/watch_backoff.rs
@@ -1,157 +1,96 @@
-//! When a watch on pushed news of the hosts is opened again, and how much is said of its loss.
+//! When a discovery watch is opened again after it ended, and how often its loss is reported.
 //!
-//! Where lists are pushed, an agent on the gateway's own machine answers at once and at no cost, and what it has been sent
-//! counts as told at once. So the wait is short and bounded; but an agent that takes connections and ends them must
-//! cost neither the core nor the log.
+//! Where endpoint lists are pushed, an agent on the gateway's own machine answers at once and at no cost, and the
+//! gateway is responsible for a change as soon as the agent has been sent it. So the retry delay is short and bounded.
+//! An agent that accepts connections and ends them at once must neither keep a core busy nor flood the log.
 
 use std::time::Duration;
 
-/// Where discovery is asked, a call is given up when its first list has not come by then. Those that live wait their turn for 2 s, or 3;
-/// one that is held for ever was heard by a discovery that has gone, and the one that came back knows nothing of it.
+/// Time after which a poll of discovery without a first list is given up. A live discovery answers within 2 or 3 s; a
+/// poll that stays open longer was accepted by a process that is no longer there.
 pub const POLL_FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(3200);
-/// The same where lists are pushed: an agent on this machine answers at once. One that does not is silent, and may come back as an
-/// agent that knows nothing of the call. What it says then counts at once, so that the next call has to be there within the
-/// strictest time in which a drain must be heeded (300 ms), the wait before it ([`LONGEST`]) included.
+/// Time after which a watch on pushed lists without a first list is given up. A restarted agent does not know of the
+/// watch, so the next one must be open within the strictest limit for observing a drain (300 ms), [`MAX_RETRY_DELAY`]
+/// included.
 pub const PUSH_FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(200);
-/// An empty line comes every 2 s on a live watch; without any for so long it is dead.
+/// Time without any data after which a watch is dead. A live watch sends an empty line every 2 s.
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2700);
 
-/// The first wait after a watch that held.
+/// Retry delay after a watch that was stable; it doubles with each consecutive failure.
 pub const FIRST_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// The longest; a third of the strictest time in which a drain must be heeded (300 ms), with the way and the reading.
+/// Longest retry delay: under a third of the strictest limit for observing a drain (300 ms), which also covers the
+/// connection and the reading of the list.
 pub const MAX_RETRY_DELAY: Duration = Duration::from_millis(80);
-/// A watch that lived so long held. One that ended sooner is a failed try, whatever it said.
+/// Age from which a watch counts as stable. One that ended earlier is a failure, whatever it sent.
 pub const STABLE_WATCH_AGE: Duration = Duration::from_secs(1);
-/// At most one loss, and one return, is reported in this time.
+/// Time within which at most one loss and one recovery are reported.
 pub const REPORT_INTERVAL: Duration = Duration::from_secs(10);
+/// Largest number of doublings of [`FIRST_RETRY_DELAY`]; keeps the product from overflowing.
+const MAX_DOUBLINGS: u32 = 16;
 
 /// What follows from the loss of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchLoss {
-    /// The next watch is opened after this time.
+    /// Delay before the next watch is opened.
     pub retry_delay: Duration,
-    /// Whether an operator is to be told.
+    /// Whether the loss is to be reported to an operator.
     pub should_report: bool,
-    /// How many watches in a row did not hold, this one included where it did not.
+    /// Number of consecutive watches that were not stable, this one included.
     pub consecutive_failures: u32,
 }
 
-/// The watches of one gateway, one after another.
+/// Backoff and reports of the consecutive watches of one gateway.
 #[derive(Clone, Debug, Default)]
 pub struct WatchBackoff {
-    opened: Duration,
-    failed: u32,
-    reported: Option<Duration>,
-    /// Since when news have been missing, once that was reported and until their return is.
-    missing: Option<Duration>,
+    opened_at: Duration,
+    consecutive_failures: u32,
+    last_reported_at: Option<Duration>,
+    /// Start of an outage that was reported and whose recovery was not.
+    outage_since: Option<Duration>,
 }
 
 impl WatchBackoff {
-    /// A watch is opened.
+    /// Records that a watch is opened.
     pub fn record_open(&mut self, now: Duration) {
-        self.opened = now;
+        self.opened_at = now;
     }
 
-    /// A word has come. For how long there had been none, where the loss was reported and the return was not.
+    /// Records a message from discovery. Returns the length of the outage where its loss was reported and its recovery
+    /// was not.
     pub fn record_message(&mut self, now: Duration) -> Option<Duration> {
-        self.missing.take().map(|since| now.saturating_sub(since))
+        let since = self.outage_since.take()?;
+        Some(now.saturating_sub(since))
     }
 
-    /// The watch has ended.
+    /// Records that the watch ended.
     pub fn record_loss(&mut self, now: Duration) -> WatchLoss {
-        self.failed = if now.saturating_sub(self.opened) >= STABLE_WATCH_AGE {
-            0
-        } else {
-            self.failed.saturating_add(1)
-        };
-        let report = self.reported.is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL);
-        if report {
-            self.reported = Some(now);
-            self.missing.get_or_insert(now);
+        let was_stable = now.saturating_sub(self.opened_at) >= STABLE_WATCH_AGE;
+        self.consecutive_failures = if was_stable { 0 } else { self.consecutive_failures.saturating_add(1) };
+        let should_report = self
+            .last_reported_at
+            .is_none_or(|reported_at| now.saturating_sub(reported_at) >= REPORT_INTERVAL);
+        if should_report {
+            self.last_reported_at = Some(now);
+            self.outage_since.get_or_insert(now);
         }
-        let doubled = FIRST_RETRY_DELAY * 2u32.saturating_pow(self.failed.min(16));
         WatchLoss {
-            retry_delay: doubled.min(MAX_RETRY_DELAY),
-            should_report: report,
-            consecutive_failures: self.failed,
+            retry_delay: retry_delay(self.consecutive_failures),
+            should_report,
+            consecutive_failures: self.consecutive_failures,
         }
     }
 
-    /// Another agent is asked from now on: what was learned of the one before says nothing of it.
+    /// Forgets the failures of the previous agent when the gateway turns to another one.
     pub fn reset(&mut self) {
-        self.failed = 0;
+        self.consecutive_failures = 0;
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-
-    fn ms(ms: u64) -> Duration {
-        Duration::from_millis(ms)
-    }
-
-    #[test]
-    fn a_watch_that_held_is_opened_again_at_once_and_one_that_did_not_ever_later() {
-        let mut watches = WatchBackoff::default();
-        watches.record_open(ms(0));
-        assert_eq!(
-            watches.record_loss(ms(60_000)),
-            WatchLoss { retry_delay: FIRST_RETRY_DELAY, should_report: true, consecutive_failures: 0 }
-        );
-        let mut now = ms(60_005);
-        let waits: Vec<Duration> = (0..6)
-            .map(|_| {
-                watches.record_open(now);
-                let lost = watches.record_loss(now + ms(1));
-                now += ms(1) + lost.retry_delay;
-                lost.retry_delay
-            })
-            .collect();
-        assert_eq!(waits, [ms(10), ms(20), ms(40), MAX_RETRY_DELAY, MAX_RETRY_DELAY, MAX_RETRY_DELAY]);
-        watches.reset();
-        watches.record_open(now);
-        assert_eq!(watches.record_loss(now).retry_delay, ms(10), "another agent has not failed yet");
-    }
-
-    #[test]
-    fn a_return_is_reported_once_and_only_after_a_loss_that_was() {
-        let mut watches = WatchBackoff::default();
-        watches.record_open(ms(0));
-        assert_eq!(watches.record_message(ms(1)), None);
-        assert!(watches.record_loss(ms(5000)).should_report);
-        watches.record_open(ms(5005));
-        assert!(!watches.record_loss(ms(5006)).should_report, "the same outage");
-        assert_eq!(watches.record_message(ms(9000)), Some(ms(4000)));
-        assert_eq!(watches.record_message(ms(9001)), None);
-        assert!(!watches.record_loss(ms(9002)).should_report);
-        assert_eq!(watches.record_message(ms(9010)), None, "its loss was not told of");
-    }
-
-    proptest! {
-        /// An agent that takes every connection, says something and ends it, however it times that.
-        #[test]
-        fn no_agent_floods_the_log_or_keeps_the_core_busy(
-            lives in prop::collection::vec((0u64..3000, any::<bool>()), 1..400),
-        ) {
-            let mut watches = WatchBackoff::default();
-            let (mut now, mut lines, mut short) = (ms(0), 0u32, 0u32);
-            for (life, speaks) in lives {
-                watches.record_open(now);
-                if speaks {
-                    lines += u32::from(watches.record_message(now).is_some());
-                }
-                now += ms(life);
-                let lost = watches.record_loss(now);
-                lines += u32::from(lost.should_report);
-                prop_assert!(lost.retry_delay >= FIRST_RETRY_DELAY && lost.retry_delay <= MAX_RETRY_DELAY, "{:?}", lost.retry_delay);
-                short = if ms(life) < STABLE_WATCH_AGE { short + 1 } else { 0 };
-                prop_assert!(short < 4 || lost.retry_delay == MAX_RETRY_DELAY, "{short} short ones, {:?}", lost.retry_delay);
-                now += lost.retry_delay;
-            }
-            let most = 2 * (1 + (now.as_millis() / REPORT_INTERVAL.as_millis()) as u32);
-            prop_assert!(lines <= most, "{lines} lines in {now:?}");
-        }
-    }
+/// The delay before the next watch: [`FIRST_RETRY_DELAY`] doubled for each failure, up to [`MAX_RETRY_DELAY`].
+fn retry_delay(consecutive_failures: u32) -> Duration {
+    let doublings = consecutive_failures.min(MAX_DOUBLINGS);
+    (FIRST_RETRY_DELAY * 2u32.saturating_pow(doublings)).min(MAX_RETRY_DELAY)
 }
+
+#[cfg(test)]
+mod tests;
