--- a/crates/control/src/body_streaming.rs
+++ b/crates/control/src/body_streaming.rs
@@ -1,180 +1,206 @@
-//! Bodies that may be too long to be held: what is held and what passes through, and when one that passes through is given up.
+//! Which bodies are buffered and which are streamed, and when a streamed body is given up.
 //!
-//! Limits are on progress, never on the whole: a long body takes as long as its slower side needs. Times are on any clock of the
-//! caller's that does not run back.
+//! Limits apply to progress and never to the whole: a long body may take as long as its slower side needs. Times are on
+//! any clock of the caller that does not run backwards.
 
 use std::time::Duration;
 
-/// The longest body that is held whole: it can be sent again, and a spoilt one is found out before any of it is passed on.
+/// Longest body that is buffered as a whole, in bytes. A buffered request can be retried, and a broken response is
+/// noticed before any of it is forwarded.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-/// The longest body that either side may send.
+/// Longest body that either side may send, in bytes.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
 
-/// A body comes from its client at this rate at least, in bytes a second, once [`SPARE`] has passed: half of what slow
-/// clients are owed.
-const RATE: f64 = 32e3;
-/// See [`RATE`].
-const SPARE: Duration = Duration::from_millis(1500);
-/// A client that has brought nothing for so long while it is waited for has stopped, however much it brought before: it is owed its
-/// error within 3 s.
+/// Rate that a client's body has to reach, in bytes per second, once [`CLIENT_BODY_GRACE`] has passed: half of what
+/// slow clients are promised.
+const MIN_CLIENT_BODY_BYTES_PER_S: f64 = 32e3;
+/// Time that a client may pause in all without any credit earned by [`MIN_CLIENT_BODY_BYTES_PER_S`].
+const CLIENT_BODY_GRACE: Duration = Duration::from_millis(1500);
+/// Time without data after which a client counts as stopped, however much it sent before. Its error response is due
+/// within 3 s.
 pub const CLIENT_BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Neither side of what passes through may rest for so long while the other one waits for it.
+/// Time for which one side of a streamed body may make no progress while the other side waits for it.
 pub const PEER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// An answer that is held until it is whole may be silent for so long. What keeps the connection open after noise, or
-/// after less than it promised, would hold its request until that times out, too late for another try.
-const SILENT: Duration = Duration::from_millis(100);
-/// One that says it is longer than what is held is passed on so long after its body began to come, if it comes still ...
-const FLOWS: Duration = Duration::from_millis(40);
-/// ... and one that does not say how long it is, after this time and so many bytes: of a short one all would be there.
-const TRICKLES: Duration = Duration::from_millis(60);
-/// See [`TRICKLES`].
-const MUCH: u64 = 4 << 10;
-
-/// Why a body has no end.
+/// Time without data after which a buffered response is given up. An endpoint that keeps the connection open after too
+/// few bytes would otherwise hold its request until the attempt times out, too late for a retry.
+const BUFFERED_RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time after the first byte from which a response is streamed if its announced length exceeds
+/// [`MAX_BUFFERED_BODY_BYTES`].
+const STREAM_ANNOUNCED_AFTER: Duration = Duration::from_millis(40);
+/// Time after the first byte from which a response without an announced length is streamed if
+/// [`STREAM_UNANNOUNCED_MIN_BYTES`] have come. A short one would be complete by then.
+const STREAM_UNANNOUNCED_AFTER: Duration = Duration::from_millis(60);
+/// Least number of bytes received before a response without an announced length is streamed.
+const STREAM_UNANNOUNCED_MIN_BYTES: u64 = 4 << 10;
+
+/// Reason why a body has no end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// It came too slowly, its sender has gone, or its connection broke off.
-    #[error("the body has not come whole")]
+    /// The body came too slowly, its sender disconnected, or its connection broke.
+    #[error("the body is incomplete")]
     Incomplete,
-    /// It is longer than any may be.
-    #[error("the body is too long")]
+    /// The body is longer than [`MAX_BODY_BYTES`].
+    #[error("the body is longer than {MAX_BODY_BYTES} bytes")]
     TooLong,
 }
 
-/// How a body that passes through stands.
+/// How far a streamed body has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransferState {
-    /// Nothing of it has been given to who writes it to a host.
+    /// Nothing has been handed to the writer of an endpoint's connection.
     #[default]
     Intact,
-    /// Some of it has.
+    /// Part of the body has been handed to the writer.
     PartlyForwarded,
-    /// All of it has come, and has been given to who writes it to a host.
+    /// The whole body has come and has been handed to the writer.
     Complete,
-    /// It has no end.
+    /// The body has no end.
     Failed(BodyError),
 }
 
-/// A body on its way from a client, through here, to a host.
+/// A body that is streamed from a client to an endpoint.
 #[derive(Clone, Debug, Default)]
 pub struct BodyTransfer {
-    passage: TransferState,
-    brought: u64,
-    /// How long its client has been waited for in all, and since when it is now.
-    waited: Duration,
-    awaited: Option<Duration>,
-    /// When the host last took some of it.
-    taken: Duration,
+    state: TransferState,
+    received_bytes: u64,
+    /// Total time spent waiting for the client, without the current wait.
+    client_waited: Duration,
+    /// Start of the current wait for the client.
+    waiting_for_client_since: Option<Duration>,
+    /// Time at which the endpoint last accepted part of the body.
+    endpoint_progress_at: Duration,
 }
 
 impl BodyTransfer {
-    /// One of which so much has come.
-    pub fn new(brought: u64) -> BodyTransfer {
-        BodyTransfer { brought, ..BodyTransfer::default() }
+    /// Creates a transfer of which `received_bytes` have come already.
+    pub fn new(received_bytes: u64) -> BodyTransfer {
+        BodyTransfer { received_bytes, ..BodyTransfer::default() }
     }
 
-    /// How it stands.
+    /// How far the body has come.
     pub fn state(&self) -> TransferState {
-        self.passage
+        self.state
     }
 
-    /// The host wants more: what it had been given, it has taken.
+    /// Records that the endpoint has accepted all that it was given and asks for more.
     pub fn record_demand(&mut self, now: Duration) {
-        if self.passage == TransferState::Intact {
-            self.passage = TransferState::PartlyForwarded;
+        if self.state == TransferState::Intact {
+            self.state = TransferState::PartlyForwarded;
         }
-        self.taken = now;
+        self.endpoint_progress_at = now;
     }
 
-    /// So much has come from the client.
+    /// Records that `bytes` have come from the client, which ends the wait for it.
     ///
     /// # Errors
-    /// Where that is more than any body may have.
+    /// [`BodyError::TooLong`] where the body exceeds [`MAX_BODY_BYTES`]; the transfer has failed then.
     pub fn record_received(&mut self, now: Duration, bytes: u64) -> Result<(), BodyError> {
-        self.waited += self.awaited.take().map_or(Duration::ZERO, |since| now.saturating_sub(since));
-        self.brought = self.brought.saturating_add(bytes);
-        if self.brought > MAX_BODY_BYTES {
+        if let Some(since) = self.waiting_for_client_since.take() {
+            self.client_waited += now.saturating_sub(since);
+        }
+        self.received_bytes = self.received_bytes.saturating_add(bytes);
+        if self.received_bytes > MAX_BODY_BYTES {
             return Err(self.fail(BodyError::TooLong));
         }
         Ok(())
     }
 
-    /// There is nothing to pass on: the client is waited for. Until when; what its host takes slowly does not count.
+    /// Starts the wait for the client, unless it runs already, and returns when it ends. Time in which the endpoint is
+    /// slow does not count against the client.
     pub fn client_deadline(&mut self, now: Duration) -> Duration {
-        let since = *self.awaited.get_or_insert(now);
-        let earned = SPARE + Duration::from_secs_f64(self.brought as f64 / RATE);
-        since + earned.saturating_sub(self.waited).min(CLIENT_BODY_IDLE_TIMEOUT)
+        let since = *self.waiting_for_client_since.get_or_insert(now);
+        let earned = Duration::from_secs_f64(self.received_bytes as f64 / MIN_CLIENT_BODY_BYTES_PER_S);
+        let remaining = (CLIENT_BODY_GRACE + earned).saturating_sub(self.client_waited);
+        since + remaining.min(CLIENT_BODY_IDLE_TIMEOUT)
     }
 
-    /// Its end has come.
+    /// Records that the body has come to its end.
     pub fn record_end(&mut self) {
-        self.awaited = None;
-        self.passage = TransferState::Complete;
+        self.waiting_for_client_since = None;
+        self.state = TransferState::Complete;
     }
 
-    /// It has no end.
-    pub fn fail(&mut self, why: BodyError) -> BodyError {
-        self.passage = TransferState::Failed(why);
-        why
+    /// Ends the transfer with an error and returns the error.
+    pub fn fail(&mut self, error: BodyError) -> BodyError {
+        self.state = TransferState::Failed(error);
+        error
     }
 
-    /// By when the host must take more, where it is the one that is waited for and has not been sent the whole.
+    /// Time by which the endpoint must accept more of the body; `None` while it has nothing to accept.
     pub fn endpoint_deadline(&self) -> Option<Duration> {
-        let due = matches!(self.passage, TransferState::PartlyForwarded | TransferState::Complete)
-            && self.awaited.is_none();
-        due.then_some(self.taken + PEER_STALL_TIMEOUT)
+        let has_data = matches!(self.state, TransferState::PartlyForwarded | TransferState::Complete);
+        if !has_data || self.waiting_for_client_since.is_some() {
+            return None;
+        }
+        Some(self.endpoint_progress_at + PEER_STALL_TIMEOUT)
     }
 }
 
-/// What is to be done with an answer that comes.
+/// What to do with a response while it is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BufferingDecision {
-    /// Hold it: it may be whole soon.
+    /// Buffer it further: it may be complete soon.
     KeepBuffering,
-    /// Pass it on from now on. The choice is final.
+    /// Stream it from now on. This decision is final.
     Stream,
-    /// Give it up: it is longer than any may be.
+    /// Give it up: it is longer than [`MAX_BODY_BYTES`].
     TooLong,
 }
 
-/// An answer's body while it is taken in.
+/// Decides whether a response body is buffered or streamed.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseBuffering {
-    said: Option<u64>,
-    brought: u64,
-    begun: Option<Duration>,
+    announced_bytes: Option<u64>,
+    received_bytes: u64,
+    first_byte_at: Option<Duration>,
 }
 
 impl ResponseBuffering {
-    /// One that says it is so long, if it says.
-    pub fn new(said: Option<u64>) -> ResponseBuffering {
-        ResponseBuffering { said, brought: 0, begun: None }
+    /// Creates the state of a response with this `Content-Length`, or without one.
+    pub fn new(announced_bytes: Option<u64>) -> ResponseBuffering {
+        ResponseBuffering { announced_bytes, received_bytes: 0, first_byte_at: None }
     }
 
-    /// So much more of it has come.
+    /// Records that `bytes` more have come.
     pub fn record_received(&mut self, now: Duration, bytes: u64) {
-        self.begun.get_or_insert(now);
-        self.brought = self.brought.saturating_add(bytes);
+        self.first_byte_at.get_or_insert(now);
+        self.received_bytes = self.received_bytes.saturating_add(bytes);
     }
 
-    /// What is to be done with it now. One that is never known to be long is held until it is whole.
+    /// What to do with the response now. One that never proves to be long stays buffered until it is complete.
     pub fn decide(&self, now: Duration) -> BufferingDecision {
-        if self.said.is_some_and(|said| said > MAX_BODY_BYTES) || self.brought > MAX_BODY_BYTES {
+        if self.exceeds(MAX_BODY_BYTES) {
             return BufferingDecision::TooLong;
         }
-        let for_long = |time| self.begun.is_some_and(|begun| now.saturating_sub(begun) >= time);
-        let long = match self.said {
-            Some(said) => said > MAX_BUFFERED_BODY_BYTES as u64 && for_long(FLOWS),
-            None => self.brought >= MUCH && for_long(TRICKLES),
-        };
-        if long || self.brought > MAX_BUFFERED_BODY_BYTES as u64 {
+        let buffer_is_full = self.received_bytes > MAX_BUFFERED_BODY_BYTES as u64;
+        if buffer_is_full || self.is_expected_long(now) {
             return BufferingDecision::Stream;
         }
         BufferingDecision::KeepBuffering
     }
 
-    /// By when something more must come of one that is held; its first byte came at `first`, the last one at `last`.
-    pub fn next_byte_deadline(first: Duration, last: Duration) -> Duration {
-        first.max(last) + SILENT
+    /// Whether the announced or the received length exceeds a limit, in bytes.
+    fn exceeds(&self, limit: u64) -> bool {
+        self.received_bytes > limit || self.announced_bytes.is_some_and(|announced| announced > limit)
+    }
+
+    /// Whether the response will be too long to be buffered, by its announced length or by how it has come so far.
+    fn is_expected_long(&self, now: Duration) -> bool {
+        let Some(first_byte_at) = self.first_byte_at else { return false };
+        let elapsed = now.saturating_sub(first_byte_at);
+        match self.announced_bytes {
+            Some(announced) => {
+                announced > MAX_BUFFERED_BODY_BYTES as u64 && elapsed >= STREAM_ANNOUNCED_AFTER
+            }
+            None => {
+                self.received_bytes >= STREAM_UNANNOUNCED_MIN_BYTES && elapsed >= STREAM_UNANNOUNCED_AFTER
+            }
+        }
+    }
+
+    /// Time by which the next byte of a buffered response must come. `response_start` is when its first byte came;
+    /// `last_read` is when the connection was last read, possibly for an earlier response.
+    pub fn next_byte_deadline(response_start: Duration, last_read: Duration) -> Duration {
+        response_start.max(last_read) + BUFFERED_RESPONSE_IDLE_TIMEOUT
     }
 }
--- a/crates/control/src/class_registry.rs
+++ b/crates/control/src/class_registry.rs
@@ -1,38 +1,38 @@
-//! The request classes of a gateway whose settings change while it runs.
+//! The request classes of a gateway whose configuration changes while it runs.
 //!
-//! The decision module knows a class by its number. A number may pass to another class only once nobody holds the old one any
-//! more: a request keeps the rules that it came under to its end, and an attempt's end is booked under its class.
+//! The balancer knows a class by its number. A number passes to another class only once nothing refers to the old one:
+//! a request keeps the rules under which it arrived, and the end of an attempt is counted for its class.
 
 use std::rc::Rc;
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, RequestClass};
 
-/// Clients go on using a class for so long after the settings have dropped it, or given its name other rules: they turn to the new one
-/// 1.2 s after the file, and what they sent just before then is still on its way.
+/// Time for which clients may still use a class that the configuration has dropped or changed. Clients follow a new
+/// configuration after 1.2 s, and requests sent just before are still on their way.
 pub const RETIRED_CLASS_GRACE: Duration = Duration::from_millis(2000);
 
-/// A class as it was when the request came; held for as long as anything about the request may still happen.
+/// A class as it was when a request arrived; kept as long as anything about the request may still happen.
 #[derive(Clone, Debug)]
 pub struct RegisteredClass {
-    /// Its name.
+    /// Name of the class in the configuration.
     pub name: String,
-    /// Its number for the decision module.
+    /// Number of the class in the balancer.
     pub number: usize,
-    /// Its rules.
+    /// Rules of the class.
     pub class: RequestClass,
 }
 
-/// What a request looks like, as far as its class shows in it.
+/// The properties of a request that its class determines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestForm {
-    /// It may change something: HTTP's POST, else GET.
+    /// Whether the request may change something: POST rather than GET.
     pub is_write: bool,
-    /// It carries a key by which a repeat is known.
+    /// Whether the request carries an idempotency key.
     pub has_idempotency_key: bool,
 }
 
 impl RequestForm {
-    /// That of the requests of a class.
+    /// The form of the requests of a class.
     pub fn for_class(class: &RequestClass) -> RequestForm {
         match class.idempotency {
             Idempotency::Idempotent => RequestForm { is_write: false, has_idempotency_key: false },
@@ -42,105 +42,142 @@
     }
 }
 
-/// Why a request comes under no class.
+/// Reason why a request matches no class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClassError {
-    /// None has this name.
+    /// No class has the name.
     Unknown,
-    /// The one that has it reads where the request writes, or the other way round.
+    /// The class of that name reads and the request writes, or the reverse.
     MethodMismatch,
-    /// The one that has it wants a key, or none.
+    /// The class of that name requires an idempotency key, or forbids one.
     KeyMismatch,
 }
 
-/// The classes that requests may name under one file of settings, and those that clients may still be using.
+/// A class that the configuration no longer has and that clients may still use.
+#[derive(Clone, Debug)]
+struct RetiredClass {
+    class: Rc<RegisteredClass>,
+    retired_at: Duration,
+}
+
+impl RetiredClass {
+    fn is_usable(&self, now: Duration) -> bool {
+        now < self.retired_at + RETIRED_CLASS_GRACE
+    }
+}
+
+/// The classes that requests may name under one configuration.
 #[derive(Clone, Debug)]
 pub struct ClassTable {
-    live: Vec<Rc<RegisteredClass>>,
-    leaving: Vec<(Rc<RegisteredClass>, Duration)>,
+    active: Vec<Rc<RegisteredClass>>,
+    /// In the order in which they were retired.
+    retired: Vec<RetiredClass>,
 }
 
 impl ClassTable {
-    /// The class that a request comes under: that of the settings, or one that clients may still be using, where the request is of its
-    /// form and not of the other's.
+    /// Finds the class of a request: an active one, or one that clients may still use, of this name and form.
     ///
     /// # Errors
-    /// Why there is none.
+    /// No class has the name, or the active class of that name has another form.
     pub fn resolve(
         &self,
         now: Duration,
         name: &str,
         form: RequestForm,
     ) -> Result<&Rc<RegisteredClass>, ClassError> {
-        let fits =
-            |kept: &&Rc<RegisteredClass>| kept.name == name && RequestForm::for_class(&kept.class) == form;
-        // Of two that have left under one name, the later one is what clients use.
-        let leaving = self.leaving.iter().rev().filter(|(_, until)| now < *until).map(|(kept, _)| kept);
-        if let Some(kept) = self.live.iter().chain(leaving).find(fits) {
-            return Ok(kept);
-        }
-        let named = self.live.iter().find(|kept| kept.name == name).ok_or(ClassError::Unknown)?;
-        Err(if RequestForm::for_class(&named.class).is_write == form.is_write {
+        // Of two retired classes of one name, clients use the one that was retired later.
+        let usable = self.retired.iter().rev().filter(|retired| retired.is_usable(now));
+        let candidates = self.active.iter().chain(usable.map(|retired| &retired.class));
+        let mut matching = candidates
+            .filter(|candidate| candidate.name == name && RequestForm::for_class(&candidate.class) == form);
+        matching.next().ok_or_else(|| self.mismatch(name, form))
+    }
+
+    /// Why no class matches a request of this name and form.
+    fn mismatch(&self, name: &str, form: RequestForm) -> ClassError {
+        let Some(named) = self.active.iter().find(|candidate| candidate.name == name) else {
+            return ClassError::Unknown;
+        };
+        if RequestForm::for_class(&named.class).is_write == form.is_write {
             ClassError::KeyMismatch
         } else {
             ClassError::MethodMismatch
-        })
+        }
     }
 }
 
-/// All classes that are in the settings, or held by somebody still.
+/// A numbered place of the registry; its index is the number of its class.
+#[derive(Debug)]
+struct Slot {
+    class: Rc<RegisteredClass>,
+    /// Whether the class is in the current configuration.
+    is_active: bool,
+}
+
+impl Slot {
+    /// Whether another class may take the number: this one is not active and nothing else refers to it.
+    fn is_free(&self) -> bool {
+        !self.is_active && Rc::strong_count(&self.class) == 1
+    }
+}
+
+/// All classes that are in the configuration or still referred to.
 #[derive(Debug, Default)]
 pub struct ClassRegistry {
-    slots: Vec<(Rc<RegisteredClass>, bool)>,
-    /// Those that the settings have dropped a short while ago, and when.
-    leaving: Vec<(Rc<RegisteredClass>, Duration)>,
+    slots: Vec<Slot>,
+    /// In the order in which they were retired.
+    retired: Vec<RetiredClass>,
 }
 
 impl ClassRegistry {
-    /// Takes the classes of new settings at this moment. One that is as before stays what it is; any other gets a number that nobody holds.
-    pub fn replace(&mut self, now: Duration, named: impl IntoIterator<Item = (String, RequestClass)>) {
-        let mut new: Vec<(String, RequestClass)> = named.into_iter().collect();
-        self.leaving.retain(|(_, since)| now < *since + RETIRED_CLASS_GRACE);
-        for (kept, live) in &mut self.slots {
-            let same = new.iter().position(|(name, class)| *name == kept.name && *class == kept.class);
-            // A class that comes back as it was while somebody holds it is the same one.
-            if *live && same.is_none() {
-                self.leaving.push((kept.clone(), now));
+    /// Applies the classes of a new configuration. An unchanged class keeps its number; any other gets a free one.
+    pub fn replace(&mut self, now: Duration, classes: impl IntoIterator<Item = (String, RequestClass)>) {
+        let mut added: Vec<(String, RequestClass)> = classes.into_iter().collect();
+        self.retired.retain(|retired| retired.is_usable(now));
+        for slot in &mut self.slots {
+            // An inactive class that returns unchanged while something refers to it is the same class.
+            let unchanged =
+                added.iter().position(|(name, class)| *name == slot.class.name && *class == slot.class.class);
+            if slot.is_active && unchanged.is_none() {
+                self.retired.push(RetiredClass { class: slot.class.clone(), retired_at: now });
             }
-            *live = same.is_some();
-            if let Some(at) = same {
-                new.remove(at);
+            slot.is_active = unchanged.is_some();
+            if let Some(index) = unchanged {
+                added.remove(index);
             }
         }
-        for (name, class) in new {
-            let free = self.slots.iter().position(|(kept, live)| !live && Rc::strong_count(kept) == 1);
-            let number = free.unwrap_or(self.slots.len());
-            let slot = (Rc::new(RegisteredClass { name, number, class }), true);
-            match free {
-                Some(at) => self.slots[at] = slot,
-                None => self.slots.push(slot),
-            }
+        for (name, class) in added {
+            self.add(name, class);
         }
     }
 
-    /// Those that are in the settings.
+    /// Adds an active class under the lowest free number.
+    fn add(&mut self, name: String, class: RequestClass) {
+        let free = self.slots.iter().position(Slot::is_free);
+        let number = free.unwrap_or(self.slots.len());
+        let slot = Slot { class: Rc::new(RegisteredClass { name, number, class }), is_active: true };
+        match free {
+            Some(index) => self.slots[index] = slot,
+            None => self.slots.push(slot),
+        }
+    }
+
+    /// The classes of the current configuration.
     pub fn active(&self) -> impl Iterator<Item = &Rc<RegisteredClass>> {
-        self.slots.iter().filter(|(_, live)| *live).map(|(kept, _)| kept)
+        self.slots.iter().filter(|slot| slot.is_active).map(|slot| &slot.class)
     }
 
-    /// What requests may name from now on.
+    /// The classes that requests may name from now on.
     pub fn table(&self) -> ClassTable {
-        let leaving =
-            self.leaving.iter().map(|(kept, since)| (kept.clone(), *since + RETIRED_CLASS_GRACE)).collect();
-        ClassTable { live: self.active().cloned().collect(), leaving }
+        ClassTable { active: self.active().cloned().collect(), retired: self.retired.clone() }
     }
 
-    /// The rules by number, as the decision module wants them: those that have left the settings are marked.
+    /// The rules of all classes by number, as the balancer reads them; those not in the configuration are marked as
+    /// retired.
     pub fn by_number(&self) -> Vec<RequestClass> {
-        let rules = |(kept, live): &(Rc<RegisteredClass>, bool)| RequestClass {
-            retired: !live,
-            ..kept.class.clone()
-        };
-        self.slots.iter().map(rules).collect()
+        self.slots
+            .iter()
+            .map(|slot| RequestClass { retired: !slot.is_active, ..slot.class.class.clone() })
+            .collect()
     }
 }
