--- a/crates/fleet/src/version.rs
+++ b/crates/fleet/src/version.rs
@@ -1,12 +1,14 @@
-//! What a gateway acts on.
+//! Identities of processes and versions of the state that a gateway acts on.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The name of a gateway, as the operator's file has it.
+/// Name of a gateway, as given in the operator's file.
 pub type GatewayName = String;
 
-/// Tells a process from all that ever had its name. Not ordered: wall clocks may be set back.
+/// Number that identifies one process among all that have ever had its gateway's name.
+///
+/// It expresses no order of start times, because wall clocks may be set back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -16,27 +18,27 @@
     }
 }
 
-/// A list of hosts: whose, and which of it.
+/// Version of an endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ListVersion {
-    /// Whose numbers these are: indices of two registers can't be compared.
+    /// Origin of the index. Indices of different lineages cannot be compared.
     pub lineage: String,
-    /// The list's index.
+    /// Discovery index of the list.
     pub index: u64,
 }
 
-/// All that a decision rests on.
+/// Versions of everything that a decision of a gateway depends on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The list of hosts.
+    /// Endpoint list.
     pub list: ListVersion,
-    /// What the platform's configuration says of the whole site, as a digest: what differs from gateway to gateway is left out.
+    /// Digest of the platform's configuration of the site, without the parts that differ from gateway to gateway.
     pub config: u64,
-    /// How often this process has taken a configuration, from 1.
+    /// Number of configurations that this process has applied, starting at 1.
     pub generation: u64,
-    /// The operator's file, as a digest.
+    /// Digest of the operator's file.
     pub operator: u64,
-    /// The program's build.
+    /// Build identifier of the program.
     pub build: String,
 }
 
@@ -50,7 +52,12 @@
     }
 }
 
-/// A digest that is the same in every process and build (FNV-1a): it tells two texts apart, and proves nothing about who wrote them.
+/// Starting value of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Multiplier of the 64-bit FNV-1a hash.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// FNV-1a digest, the same in every process and build. It detects differences and accidental damage; it is not cryptographic.
 pub fn digest(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
+    bytes.iter().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
 }
