--- a/crates/fleet/src/node/session_manager.rs
+++ b/crates/fleet/src/node/session_manager.rs
@@ -245,8 +245,10 @@
                 *seen = Seen { renewals: session.renewals, since: now, proposed: None };
             }
         }
-        let lagging: BTreeMap<SessionId, _> =
-            register.lagging_sessions().map(|(id, session, _)| (id, session.version.clone())).collect();
+        let lagging: BTreeMap<SessionId, _> = register
+            .lagging_sessions()
+            .map(|lagging| (lagging.id, lagging.session.version.clone()))
+            .collect();
         self.behind.retain(|id, _| lagging.contains_key(id));
         for id in lagging.keys() {
             self.behind.entry(*id).or_insert((now, None));
--- a/crates/fleet/src/protocol.rs
+++ b/crates/fleet/src/protocol.rs
@@ -4,9 +4,12 @@
 use crate::consensus::ConsensusMessage;
 use crate::membership::PeerView;
 use crate::state_machine::{Command, FenceReason, SessionId, StateMachine};
+
 use crate::version::{GatewayName, Incarnation, Version};
 use serde::{Deserialize, Serialize};
 
+pub use crate::state_machine::DepartedEndpoint;
+
 /// The link's version: raised when a frame changes its meaning or its form.
 pub const PROTOCOL_VERSION: u32 = 1;
 /// A longer frame ends the connection. A register of 1,000 sessions takes about 400 KB.
@@ -145,19 +148,6 @@
     Ok(head)
 }
 
-/// A host that leaves or is gone, as one gateway tells another.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DepartedEndpoint {
-    /// Its name: never its address, which may differ from one gateway to the next.
-    pub endpoint: String,
-    /// Gone; otherwise it leaves.
-    pub removed: bool,
-    /// The index of the list that says so.
-    pub list_index: u64,
-    /// The gateway that was told.
-    pub reported_by: GatewayName,
-}
-
 /// What the register says to one gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateUpdate {
--- /dev/null
+++ b/crates/fleet/src/state_machine/departures.rs
@@ -0,0 +1,91 @@
+//! Endpoints that drain or were removed, as reported by the gateway that received the newest endpoint list.
+
+use super::{CommandOutcome, StateMachine};
+use crate::version::{GatewayName, ListVersion};
+use serde::{Deserialize, Serialize};
+
+/// Maximum number of departures that are retained; those recorded earliest are dropped first.
+const MAX_DEPARTURES: usize = 1024;
+
+/// Lineage of the list and name of the endpoint.
+pub(super) type DepartureKey = (String, String);
+
+/// An endpoint that drains or was removed, as replicated.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Departure {
+    /// Index of the list that reports it.
+    pub list_index: u64,
+    /// Whether it was removed; otherwise it drains.
+    pub removed: bool,
+    /// Gateway that received the list.
+    pub reported_by: GatewayName,
+    /// Log index at which it was recorded.
+    pub log_index: u64,
+}
+
+/// An endpoint that drains or was removed, as sent to a gateway.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct DepartedEndpoint {
+    /// Name of the endpoint. Its address is not sent, because it may differ from gateway to gateway.
+    pub endpoint: String,
+    /// Whether it was removed; otherwise it drains.
+    pub removed: bool,
+    /// Index of the list that reports it.
+    pub list_index: u64,
+    /// Gateway that received the list.
+    pub reported_by: GatewayName,
+}
+
+impl StateMachine {
+    /// Departures that lists of the same lineage newer than `list` report, by endpoint name.
+    pub fn departures_since<'a>(
+        &'a self,
+        list: &'a ListVersion,
+    ) -> impl Iterator<Item = (&'a str, &'a Departure)> + 'a {
+        let first_of_lineage: DepartureKey = (list.lineage.clone(), String::new());
+        self.departures
+            .range(first_of_lineage..)
+            .take_while(|((lineage, _), _)| *lineage == list.lineage)
+            .filter(|(_, departure)| departure.list_index > list.index)
+            .map(|((_, endpoint), departure)| (endpoint.as_str(), departure))
+    }
+
+    /// Whether this departure is recorded already, by the same or a newer list. A removal says more than a drain.
+    pub fn has_departure(&self, list: &ListVersion, endpoint: &str, removed: bool) -> bool {
+        let key = (list.lineage.clone(), endpoint.to_owned());
+        let Some(known) = self.departures.get(&key) else { return false };
+        known.list_index > list.index || (known.list_index == list.index && (known.removed || !removed))
+    }
+
+    pub(super) fn record_departures(
+        &mut self,
+        list: &ListVersion,
+        endpoints: &[(String, bool)],
+        reported_by: &GatewayName,
+    ) -> CommandOutcome {
+        let mut outcome = CommandOutcome::Obsolete;
+        for (endpoint, removed) in endpoints {
+            if self.has_departure(list, endpoint, *removed) {
+                continue;
+            }
+            let departure = Departure {
+                list_index: list.index,
+                removed: *removed,
+                reported_by: reported_by.clone(),
+                log_index: self.log_index,
+            };
+            self.departures.insert((list.lineage.clone(), endpoint.clone()), departure);
+            outcome = CommandOutcome::Applied;
+        }
+        self.drop_oldest_departures();
+        outcome
+    }
+
+    fn drop_oldest_departures(&mut self) {
+        while self.departures.len() > MAX_DEPARTURES {
+            let oldest = self.departures.iter().min_by_key(|(_, departure)| departure.log_index);
+            let Some(key) = oldest.map(|(key, _)| key.clone()) else { return };
+            self.departures.remove(&key);
+        }
+    }
+}
--- a/crates/fleet/src/state_machine/replica_lag.rs
+++ b/crates/fleet/src/state_machine/replica_lag.rs
@@ -1,41 +1,44 @@
-//! Who is current, who is behind, and who may be shut out.
+//! Replica lag: which list index is current, which sessions lag behind it, and how many of them may be fenced.
 
 use super::{CommandOutcome, Session, SessionId, StateMachine};
 use crate::version::{ListVersion, Version};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Why a gateway is shut out.
+/// Sessions that a fleet must have for one of them to be fenced, where the allowed fraction of them is less than one session.
+const MIN_SESSIONS_TO_FENCE_ONE: u64 = 3;
+
+/// Why a session is fenced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum FenceReason {
-    /// Staff have said so.
+    /// An administrator fenced the gateway.
     Administrator,
-    /// It stayed behind.
+    /// The gateway lagged for too long.
     Lagging(ReplicaLag),
 }
 
-/// What a gateway is behind with.
+/// What a gateway lags with.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ReplicaLag {
-    /// Its list of hosts is too old.
+    /// Its endpoint list is too old.
     List {
-        /// What it has.
+        /// Index of its list.
         own: u64,
-        /// What is current.
+        /// Current index.
         current: u64,
     },
-    /// Its configuration is not the one that staff require.
+    /// Its configuration is not the required one.
     Config {
-        /// What it has.
+        /// Digest of its configuration.
         own: u64,
-        /// What is required.
+        /// Required digest.
         required: u64,
     },
-    /// Its build is not the one that staff require.
+    /// Its build is not the required one.
     Build {
-        /// What it is.
+        /// Its build.
         own: String,
-        /// What is required.
+        /// Required build.
         required: String,
     },
 }
@@ -56,89 +59,115 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FenceReason::Administrator => write!(f, "shut out by staff"),
-            FenceReason::Lagging(behind) => behind.fmt(f),
+            FenceReason::Lagging(lag) => lag.fmt(f),
         }
     }
 }
 
+/// A session that lags and is not fenced.
+pub struct LaggingSession<'a> {
+    /// Its identifier.
+    pub id: SessionId,
+    /// The session.
+    pub session: &'a Session,
+    /// What it lags with.
+    pub lag: ReplicaLag,
+}
+
 impl StateMachine {
-    /// The index that is current in a lineage: the highest that more than half of the sessions on it have reached, or what staff
-    /// require where that is higher. One process alone never sets it, unless it is alone on the lineage.
+    /// Current index of a lineage: the highest that more than half of its sessions have reached, or the required one if that is higher.
+    ///
+    /// A single process with a wrong list cannot raise it, unless it is alone on the lineage.
     pub fn current_list_index(&self, lineage: &str) -> Option<u64> {
-        let mut reached: Vec<u64> = self
+        let mut indices: Vec<u64> = self
             .sessions
             .values()
-            .filter(|s| s.version.list.lineage == lineage)
-            .map(|s| s.version.list.index)
+            .filter(|session| session.version.list.lineage == lineage)
+            .map(|session| session.version.list.index)
             .collect();
-        reached.sort_unstable();
-        // Of n, the one at (n - 1) / 2 from below is reached by more than half.
-        let common = (!reached.is_empty()).then(|| reached[(reached.len() - 1) / 2]);
-        let required = self.required.list.as_ref().filter(|l| l.lineage == lineage).map(|l| l.index);
-        common.max(required)
+        indices.sort_unstable();
+        // Of n sorted indices, more than half are at least the one at position (n - 1) / 2.
+        let reached_by_majority = indices.len().checked_sub(1).map(|last| indices[last / 2]);
+        reached_by_majority.max(self.required_list_index(lineage))
     }
 
-    /// What a gateway that acts on this is behind with, if anything.
+    fn required_list_index(&self, lineage: &str) -> Option<u64> {
+        let required = self.requirements.list.as_ref()?;
+        (required.lineage == lineage).then_some(required.index)
+    }
+
+    /// What a gateway that acts on `version` lags with, if anything.
     pub fn lag_of(&self, version: &Version) -> Option<ReplicaLag> {
-        let ListVersion { lineage, index } = &version.list;
-        let required = self.required.list.as_ref().filter(|l| l.lineage == *lineage).map(|l| l.index);
-        if let Some(current) = self.current_list_index(lineage) {
-            // What staff require holds to the number; what the others have reached, with the allowed distance.
-            if required.is_some_and(|r| *index < r) || index.saturating_add(self.behind) <= current {
-                return Some(ReplicaLag::List { own: *index, current });
-            }
-        }
-        if let Some(required) = self.required.config.filter(|r| *r != version.config) {
-            return Some(ReplicaLag::Config { own: version.config, required });
-        }
-        let required = self.required.build.as_ref().filter(|r| **r != version.build)?;
+        self.list_lag(&version.list).or_else(|| self.config_lag(version)).or_else(|| self.build_lag(version))
+    }
+
+    fn list_lag(&self, list: &ListVersion) -> Option<ReplicaLag> {
+        let current = self.current_list_index(&list.lineage)?;
+        // A required index has to be reached exactly; behind the majority, the allowed distance applies.
+        let below_required =
+            self.required_list_index(&list.lineage).is_some_and(|required| list.index < required);
+        let too_far_behind = list.index.saturating_add(self.max_list_lag) <= current;
+        (below_required || too_far_behind).then_some(ReplicaLag::List { own: list.index, current })
+    }
+
+    fn config_lag(&self, version: &Version) -> Option<ReplicaLag> {
+        let required = self.requirements.config.filter(|required| *required != version.config)?;
+        Some(ReplicaLag::Config { own: version.config, required })
+    }
+
+    fn build_lag(&self, version: &Version) -> Option<ReplicaLag> {
+        let required = self.requirements.build.as_ref().filter(|required| **required != version.build)?;
         Some(ReplicaLag::Build { own: version.build.clone(), required: required.clone() })
     }
 
-    /// How many more may be shut out for lagging. Those whom staff hold out count as out: the fleet lacks them as well.
+    /// How many more sessions may be fenced for lagging.
+    ///
+    /// Sessions fenced by administrators count as well: without the limit, a bad requirement could fence the whole fleet.
     pub fn fence_capacity(&self) -> usize {
-        let all = self.sessions.len() as u64;
-        let out = self.sessions.values().filter(|s| s.fence_reason.is_some()).count() as u64;
-        // Of a small fleet one may be, as long as more than half of it is left.
-        let most = (all * self.most_out / 1000).max(u64::from(self.most_out > 0 && all >= 3));
-        most.saturating_sub(out) as usize
+        let session_count = self.sessions.len() as u64;
+        let fenced_count =
+            self.sessions.values().filter(|session| session.fence_reason.is_some()).count() as u64;
+        let may_fence_one = self.max_fenced_permille > 0 && session_count >= MIN_SESSIONS_TO_FENCE_ONE;
+        let minimum = if may_fence_one { 1 } else { 0 };
+        let max_fenced = (session_count * self.max_fenced_permille / 1000).max(minimum);
+        max_fenced.saturating_sub(fenced_count) as usize
     }
 
-    /// Those that are behind and not shut out yet.
-    pub fn lagging_sessions(&self) -> impl Iterator<Item = (SessionId, &Session, ReplicaLag)> {
-        let lagging = |(id, s): (&SessionId, _)| -> Option<(SessionId, &Session, ReplicaLag)> {
-            let s: &Session = s;
-            Some((*id, s, self.lag_of(&s.version)?))
-        };
-        self.sessions.iter().filter(|(_, s)| s.fence_reason.is_none()).filter_map(lagging)
+    /// Sessions that lag and are not fenced yet, by identifier.
+    pub fn lagging_sessions(&self) -> impl Iterator<Item = LaggingSession<'_>> {
+        self.sessions.iter().filter(|(_, session)| session.fence_reason.is_none()).filter_map(
+            |(id, session)| {
+                let lag = self.lag_of(&session.version)?;
+                Some(LaggingSession { id: *id, session, lag })
+            },
+        )
     }
 
-    pub(super) fn shut_out(&mut self, id: SessionId, version: &Version) -> CommandOutcome {
+    pub(super) fn fence_lagging(&mut self, id: SessionId, version: &Version) -> CommandOutcome {
         let Some(session) = self.sessions.get(&id) else { return CommandOutcome::Obsolete };
         if session.version != *version || session.fence_reason.is_some() {
             return CommandOutcome::Obsolete;
         }
-        let Some(behind) = self.lag_of(version) else { return CommandOutcome::Obsolete };
+        let Some(lag) = self.lag_of(version) else { return CommandOutcome::Obsolete };
         if self.fence_capacity() == 0 {
             return CommandOutcome::FenceLimitReached;
         }
         if let Some(session) = self.sessions.get_mut(&id) {
-            session.fence_reason = Some(FenceReason::Lagging(behind));
+            session.fence_reason = Some(FenceReason::Lagging(lag));
         }
         CommandOutcome::Applied
     }
 
-    /// Lets in again who is no longer behind.
-    pub(super) fn let_in(&mut self) {
-        let current: Vec<SessionId> = self
+    /// Ends the fences of sessions that no longer lag.
+    pub(super) fn unfence_caught_up(&mut self) {
+        let caught_up: Vec<SessionId> = self
             .sessions
             .iter()
-            .filter(|(_, s)| {
-                matches!(s.fence_reason, Some(FenceReason::Lagging(_))) && self.lag_of(&s.version).is_none()
-            })
+            .filter(|(_, session)| matches!(session.fence_reason, Some(FenceReason::Lagging(_))))
+            .filter(|(_, session)| self.lag_of(&session.version).is_none())
             .map(|(id, _)| *id)
             .collect();
-        for id in current {
+        for id in caught_up {
             if let Some(session) = self.sessions.get_mut(&id) {
                 session.fence_reason = None;
             }
--- /dev/null
+++ b/crates/fleet/src/state_machine/sessions.rs
@@ -0,0 +1,160 @@
+//! Sessions: opening, renewing and ending them, and fences set by administrators.
+
+use super::{CommandOutcome, FenceReason, Renewal, Requirements, StateMachine};
+use crate::version::{GatewayName, Incarnation, Version};
+use serde::{Deserialize, Serialize};
+
+/// Identifier of a session: the log index at which it was opened.
+///
+/// It is never used again and grows with each session, so a recipient can use it as a fencing token.
+pub type SessionId = u64;
+
+/// Maximum number of ended sessions that are retained for queries.
+const MAX_ENDED_SESSIONS: usize = 1024;
+
+/// An open session.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Session {
+    /// Gateway that holds it.
+    pub name: GatewayName,
+    /// Process that holds it.
+    pub process: Incarnation,
+    /// Version that the gateway acts on.
+    pub version: Version,
+    /// Number of the last request that renewed it.
+    pub renewals: u64,
+    /// Why it is fenced, if it is.
+    pub fence_reason: Option<FenceReason>,
+}
+
+/// A session that has ended.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct EndedSession {
+    /// Gateway that held it.
+    pub name: GatewayName,
+    /// Process that held it.
+    pub process: Incarnation,
+    /// Log index at which it ended.
+    pub log_index: u64,
+    /// Whether it expired; otherwise its own process closed it.
+    pub expired: bool,
+}
+
+impl StateMachine {
+    pub(super) fn open_session(
+        &mut self,
+        name: &GatewayName,
+        process: Incarnation,
+        version: &Version,
+        request: u64,
+    ) -> CommandOutcome {
+        if let Some((id, session)) = self.session_of(name) {
+            if session.process != process {
+                return CommandOutcome::NameTaken { holder: session.process };
+            }
+            // The answer to the earlier request was lost. Without counting this one as a renewal, the session could expire while its
+            // holder, which counts its lease from this request, still relies on it.
+            if let Some(session) = self.sessions.get_mut(&id) {
+                session.renewals = session.renewals.max(request);
+            }
+            return CommandOutcome::Opened(id);
+        }
+        let id = self.log_index;
+        let is_fenced = self.fenced_gateways.contains_key(name);
+        let session = Session {
+            name: name.clone(),
+            process,
+            version: version.clone(),
+            renewals: request,
+            fence_reason: is_fenced.then_some(FenceReason::Administrator),
+        };
+        self.sessions.insert(id, session);
+        CommandOutcome::Opened(id)
+    }
+
+    pub(super) fn renew_sessions(&mut self, renewals: &[Renewal]) -> CommandOutcome {
+        let mut outcome = CommandOutcome::Obsolete;
+        let mut version_changed = false;
+        for renewal in renewals {
+            let Some(session) = self.sessions.get_mut(&renewal.session) else { continue };
+            if renewal.count <= session.renewals {
+                continue;
+            }
+            session.renewals = renewal.count;
+            if let Some(version) = &renewal.version {
+                session.version.clone_from(version);
+                version_changed = true;
+            }
+            outcome = CommandOutcome::Applied;
+        }
+        if version_changed {
+            self.unfence_caught_up();
+        }
+        outcome
+    }
+
+    pub(super) fn expire_session(&mut self, id: SessionId, renewals: u64) -> CommandOutcome {
+        match self.sessions.get(&id) {
+            Some(session) if session.renewals == renewals => self.end_session(id, SessionEnd::Expired),
+            _ => CommandOutcome::Obsolete,
+        }
+    }
+
+    pub(super) fn close_session(&mut self, id: SessionId) -> CommandOutcome {
+        self.end_session(id, SessionEnd::Closed)
+    }
+
+    fn end_session(&mut self, id: SessionId, end: SessionEnd) -> CommandOutcome {
+        let Some(session) = self.sessions.remove(&id) else { return CommandOutcome::Obsolete };
+        let ended = EndedSession {
+            name: session.name,
+            process: session.process,
+            log_index: self.log_index,
+            expired: end == SessionEnd::Expired,
+        };
+        self.ended_sessions.insert(id, ended);
+        while self.ended_sessions.len() > MAX_ENDED_SESSIONS {
+            self.ended_sessions.pop_first();
+        }
+        // With one session fewer, the list index that most sessions have reached may be lower.
+        self.unfence_caught_up();
+        CommandOutcome::Applied
+    }
+
+    pub(super) fn fence_gateway(&mut self, name: &GatewayName) -> CommandOutcome {
+        let was_fenced = self.fenced_gateways.insert(name.clone(), self.log_index).is_some();
+        self.set_fence_reason(name, Some(FenceReason::Administrator));
+        if was_fenced {
+            return CommandOutcome::Obsolete;
+        }
+        CommandOutcome::Applied
+    }
+
+    pub(super) fn unfence_gateway(&mut self, name: &GatewayName) -> CommandOutcome {
+        let was_fenced = self.fenced_gateways.remove(name).is_some();
+        self.set_fence_reason(name, None);
+        if was_fenced {
+            return CommandOutcome::Applied;
+        }
+        CommandOutcome::Obsolete
+    }
+
+    fn set_fence_reason(&mut self, name: &str, reason: Option<FenceReason>) {
+        for session in self.sessions.values_mut().filter(|session| session.name == name) {
+            session.fence_reason.clone_from(&reason);
+        }
+    }
+
+    pub(super) fn set_requirements(&mut self, requirements: &Requirements) -> CommandOutcome {
+        self.requirements = requirements.clone();
+        self.unfence_caught_up();
+        CommandOutcome::Applied
+    }
+}
+
+/// How a session ended.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum SessionEnd {
+    Expired,
+    Closed,
+}
