--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -18,6 +18,15 @@
     POLL_FIRST_LIST_TIMEOUT, PUSH_FIRST_LIST_TIMEOUT, WATCH_SILENCE_TIMEOUT,
 };
 
+/// How lists come from discovery.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListDelivery {
+    /// Discovery pushes them to an open watch at no cost, the first at once.
+    Push,
+    /// Discovery answers a poll once something has changed, and each poll has a price.
+    Poll,
+}
+
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("{0}")]
@@ -48,16 +57,25 @@
     fn drop(&mut self) {
         let why = std::mem::take(&mut self.why);
         let quiet = self.heard.get().elapsed();
-        self.gateway.send(Message::DiscoveryFailed { watch: self.watch, why, silent_for: quiet });
+        self.gateway.send(Message::DiscoveryFailed { watch: self.watch, reason: why, silent_for: quiet });
     }
 }
 
 /// Watches the list from version `since` on until that fails; the gateway counts its watches, and this is number
 /// `watch`. Where lists are `pushed` the first word comes at once.
-pub async fn watch(address: SocketAddr, since: u64, watch: u64, pushed: bool, gateway: EngineHandle) {
+pub async fn watch(
+    address: SocketAddr,
+    since: u64,
+    watch: u64,
+    delivery: ListDelivery,
+    gateway: EngineHandle,
+) {
     let heard = Cell::new(Instant::now());
     let mut ended = Ended { gateway, watch, why: "its task has panicked".to_owned(), heard };
-    let first = if pushed { PUSH_FIRST_LIST_TIMEOUT } else { POLL_FIRST_LIST_TIMEOUT };
+    let first = match delivery {
+        ListDelivery::Push => PUSH_FIRST_LIST_TIMEOUT,
+        ListDelivery::Poll => POLL_FIRST_LIST_TIMEOUT,
+    };
     if let Err(error) = follow(address, since, watch, first, &ended).await {
         ended.why = error.to_string();
     }
@@ -105,13 +123,19 @@
                 due = heard.get() + WATCH_SILENCE_TIMEOUT;
                 let heard_before = gateway.record_discovery_message();
                 match word {
-                    WatchMessage::List(list) => {
-                        gateway.send(Message::EndpointListReceived { watch, list, heard_before })
-                    }
+                    WatchMessage::List(list) => gateway.send(Message::EndpointListReceived {
+                        watch,
+                        list,
+                        previous_message_at: heard_before,
+                    }),
                     // Each call is owed an answer, also where nothing has changed.
                     WatchMessage::KeepAlive if first => {
                         let list = EndpointList { index: since, ..EndpointList::default() };
-                        gateway.send(Message::EndpointListReceived { watch, list, heard_before });
+                        gateway.send(Message::EndpointListReceived {
+                            watch,
+                            list,
+                            previous_message_at: heard_before,
+                        });
                     }
                     WatchMessage::KeepAlive => {}
                 }
--- /dev/null
+++ b/crates/gateway/src/engine/actions.rs
@@ -0,0 +1,167 @@
+//! Carries out what the balancer has decided.
+
+use super::attempt_reporter::AttemptReporter;
+use super::message::FinalAnswer;
+use super::request_table::{AttemptEntry, RequestEntry};
+use super::timers::Timer;
+use super::Engine;
+use crate::body::RequestPayload;
+use crate::upstream::{Attempt, AttemptResult, Deadline};
+use hyper::StatusCode;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+use tracing::debug;
+use weldworks_balancer::{Action, EndpointId, Event, Outcome, RequestId};
+use weldworks_fleet::audit::DecisionKind;
+
+/// The latest moments of an attempt.
+#[derive(Clone, Copy)]
+struct AttemptDeadlines {
+    /// When the attempt is given up.
+    answer_by: Instant,
+    /// The latest moment for the request's last byte, where the attempt has one.
+    write_by: Option<Instant>,
+}
+
+impl Engine {
+    /// Hands each action to the function that carries it out.
+    pub(super) fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send { request, endpoint, deadline, write_by } => {
+                let deadlines = AttemptDeadlines {
+                    answer_by: self.handle.instant(deadline),
+                    write_by: write_by.map(|by| self.handle.instant(by)),
+                };
+                self.record_selection(request, endpoint);
+                self.start_attempt(request, endpoint, deadlines);
+            }
+            Action::SetAttemptDeadline { request, deadline } => self.set_attempt_deadline(request, deadline),
+            Action::Cancel { request, attempt } => self.cancel_attempt(request, attempt),
+            Action::Reject { request, retry_after } => {
+                self.record_decision(DecisionKind::Reject, request, None);
+                self.finish(request, FinalAnswer::Rejected { retry_after });
+            }
+            Action::Fail { request } => self.fail(request),
+            Action::SetTimer { after, token } => {
+                self.timers.push(Instant::now() + after, Timer::Balancer(token));
+            }
+            // The balancer asks for none: it judges endpoints by the requests that they serve.
+            Action::Probe { endpoint } => {
+                self.decide(Event::ProbeEnded {
+                    endpoint,
+                    outcome: Outcome::NotSent,
+                    latency: Duration::ZERO,
+                });
+            }
+            Action::CloseIdleConnections { endpoint } => self.pool.close_idle(endpoint),
+            Action::PollDiscovery => self.open_watch(),
+        }
+    }
+
+    /// Writes the choice of an endpoint to the fleet's audit log, where this gateway is in a fleet.
+    fn record_selection(&self, request: RequestId, endpoint: EndpointId) {
+        if self.fleet.is_none() {
+            return;
+        }
+        let is_retry = self.requests.get(request).is_some_and(|entry| !entry.attempts.is_empty());
+        let kind = if is_retry { DecisionKind::Retry } else { DecisionKind::Pick };
+        self.record_decision(kind, request, Some(endpoint));
+    }
+
+    fn set_attempt_deadline(&self, request: RequestId, deadline: Duration) {
+        let deadline = self.handle.instant(deadline);
+        if let Some(entry) = self.requests.get(request) {
+            let deadline = deadline.min(entry.client_deadline);
+            entry.attempts.iter().for_each(|attempt| attempt.deadline.set(deadline));
+        }
+    }
+
+    fn cancel_attempt(&self, request: RequestId, attempt: u32) {
+        let Some(entry) = self.requests.get(request) else { return };
+        if let Some(attempt) = entry.attempts.get(attempt as usize) {
+            attempt.cancel.notify_one();
+        }
+    }
+
+    fn fail(&mut self, request: RequestId) {
+        let last_outcome = self.requests.get(request).map(|entry| entry.last_outcome);
+        let status = match last_outcome {
+            Some(Outcome::TimedOut) => StatusCode::GATEWAY_TIMEOUT,
+            _ => StatusCode::BAD_GATEWAY,
+        };
+        self.finish(request, FinalAnswer::Failed(status));
+    }
+
+    /// Starts the task of an attempt, which reports to the engine how it ends.
+    fn start_attempt(&mut self, id: RequestId, endpoint: EndpointId, deadlines: AttemptDeadlines) {
+        let index = endpoint.0 as usize;
+        let Some(entry) = self.requests.get_mut(id) else { return };
+        let Some(endpoint) = self.endpoints.get(index) else { return };
+        let cancel = Rc::new(Notify::new());
+        let deadline = Deadline::new(deadlines.answer_by.min(entry.client_deadline));
+        let attempt = Attempt {
+            endpoint: endpoint.clone(),
+            request: entry.forward.clone(),
+            deadline: deadline.clone(),
+            write_by: deadlines.write_by,
+            liveness: entry.client.clone(),
+            cancel: cancel.clone(),
+        };
+        let decided_at = Instant::now();
+        let number = entry.attempts.len() as u32;
+        log_attempt(id, number, &attempt, self.listed_endpoints.get(index), decided_at);
+        let reporter = AttemptReporter {
+            engine: self.handle.clone(),
+            request: id,
+            attempt: number,
+            sent_at: Cell::new(decided_at),
+            decided_at,
+            client_timeout: client_timeout(entry),
+            result: AttemptResult {
+                outcome: Outcome::Reset,
+                response: None,
+                load_report: None,
+                written_at: None,
+            },
+        };
+        entry.attempts.push(AttemptEntry { endpoint: endpoint.clone(), cancel, deadline });
+        entry.attempts_in_flight += 1;
+        let pool = self.pool.clone();
+        spawn_local(async move {
+            let mut reporter = reporter; // moves the whole into this task, because its drop reports the end
+            let result = pool.attempt(&attempt, &|progress| reporter.report_progress(progress)).await;
+            reporter.result = result;
+        });
+    }
+}
+
+/// How long the client waits after the last byte of a streamed body; zero for a buffered one.
+fn client_timeout(entry: &RequestEntry) -> Duration {
+    match &entry.forward.body {
+        RequestPayload::Buffered(_) => Duration::ZERO,
+        RequestPayload::Streaming(upload) => upload.client_timeout,
+    }
+}
+
+fn log_attempt(
+    id: RequestId,
+    number: u32,
+    attempt: &Attempt,
+    listed: Option<&weldworks_balancer::Endpoint>,
+    decided_at: Instant,
+) {
+    let write_window = attempt.write_by.map(|by| by.saturating_duration_since(decided_at));
+    debug!(
+        request = id.0,
+        attempt = number,
+        endpoint = attempt.endpoint.address.get().map(tracing::field::display),
+        zone = listed.map(|endpoint| endpoint.zone),
+        cell = listed.map(|endpoint| endpoint.cell),
+        write_window_us = write_window.map(|window| window.as_micros() as u64),
+        "attempt sent"
+    );
+}
--- /dev/null
+++ b/crates/gateway/src/engine/discovery_watch.rs
@@ -0,0 +1,143 @@
+//! When the engine opens, replaces and ends its watch on discovery.
+//!
+//! Where discovery pushes lists, the engine reopens a lost watch by [`WatchBackoff`]. Where it is polled, a call has a price and the
+//! balancer decides when to make the next.
+//!
+//! [`WatchBackoff`]: weldworks_control::watch_backoff::WatchBackoff
+
+use super::timers::Timer;
+use super::Engine;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::watch::{watch, ListDelivery};
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+use tracing::{debug, info, warn};
+use weldworks_balancer::Event;
+use weldworks_control::watch_backoff::{WatchLoss, MAX_RETRY_DELAY, STABLE_WATCH_AGE};
+
+impl Engine {
+    /// Whether discovery pushes lists to a watch or is polled.
+    pub(super) fn list_delivery(&self) -> ListDelivery {
+        match self.settings.discovery_poll_interval {
+            None => ListDelivery::Push,
+            Some(_) => ListDelivery::Poll,
+        }
+    }
+
+    /// Opens a watch from the list in force on, in place of the one before.
+    pub(super) fn open_watch(&mut self) {
+        debug!(version = self.list_index, "watch opened");
+        self.watch_id += 1;
+        self.watch_backoff.record_open(self.handle.balancer_time(Instant::now()));
+        let watching = watch(
+            self.discovery_address,
+            self.list_index,
+            self.watch_id,
+            self.list_delivery(),
+            self.handle.clone(),
+        );
+        if let Some(previous) = self.watch_task.replace(spawn_local(watching)) {
+            previous.abort();
+        }
+    }
+
+    /// Ends the watch; false where there is none.
+    pub(super) fn end_watch(&mut self) -> bool {
+        let Some(task) = self.watch_task.take() else { return false };
+        task.abort();
+        // No watch has this number, so that messages of the ended one are ignored.
+        self.watch_id += 1;
+        true
+    }
+
+    /// Applies a list that a watch has received.
+    ///
+    /// Messages of an ended watch may still be queued. They come from an earlier connection, perhaps to another discovery whose
+    /// indexes mean nothing here, so they are ignored.
+    pub(super) fn receive_endpoint_list(
+        &mut self,
+        watch_id: u64,
+        list: EndpointList,
+        previous_message_at: Option<Instant>,
+    ) {
+        if watch_id != self.watch_id {
+            return;
+        }
+        self.handle.set_discovery_answered();
+        let now = self.handle.balancer_time(Instant::now());
+        if let Some(silent_for) = self.watch_backoff.record_message(now) {
+            info!(address = %self.discovery_address, ?silent_for, "endpoint list watch restored");
+        }
+        self.apply_received_list(previous_message_at, list);
+    }
+
+    /// Handles the end of the current watch; see [`Engine::receive_endpoint_list`] for that of an earlier one.
+    pub(super) fn handle_watch_failure(&mut self, watch_id: u64, reason: &str, silent_for: Duration) {
+        if watch_id != self.watch_id {
+            return;
+        }
+        self.end_watch();
+        if self.list_delivery() == ListDelivery::Poll {
+            warn!(
+                address = %self.discovery_address, version = self.list_index, reason,
+                "discovery poll failed, polling again within seconds"
+            );
+            return self.decide(Event::DiscoveryFailed { silent_for });
+        }
+        let now = Instant::now();
+        let loss = self.watch_backoff.record_loss(self.handle.balancer_time(now));
+        if loss.should_report {
+            self.log_watch_loss(reason, loss);
+        }
+        self.timers.push(now + loss.retry_delay, Timer::OpenWatch);
+    }
+
+    fn log_watch_loss(&self, reason: &str, loss: WatchLoss) {
+        warn!(
+            address = %self.discovery_address,
+            version = self.list_index,
+            reason,
+            consecutive_failures = loss.consecutive_failures,
+            stable_watch_age = ?STABLE_WATCH_AGE,
+            max_retry_delay = ?MAX_RETRY_DELAY,
+            hint = "check `discovery` in the file that ROUTER_CONFIG names, and send SIGHUP after a change there",
+            "endpoint list watch lost, retrying with the current list"
+        );
+    }
+
+    /// Reopens the watch where other gateways have a newer endpoint list: an agent that is behind would otherwise keep this gateway
+    /// sending to drained endpoints for as long as the connection lives.
+    pub(super) fn refresh_lagging_list(&mut self, current_index: u64) {
+        if current_index <= self.list_index {
+            return;
+        }
+        info!(
+            own = self.list_index,
+            current = current_index,
+            "other gateways have a newer endpoint list, polling discovery again"
+        );
+        let was_watching = self.end_watch();
+        if self.list_delivery() == ListDelivery::Push {
+            self.open_watch();
+        } else if was_watching {
+            self.decide(Event::DiscoveryFailed { silent_for: Duration::ZERO });
+        }
+    }
+
+    /// Switches to another discovery address, from its first list on: indexes of two discoveries can't be compared.
+    pub(super) fn switch_discovery(&mut self, address: SocketAddr) {
+        if address == self.discovery_address {
+            return;
+        }
+        self.discovery_address = address;
+        self.list_index = 0;
+        self.watch_backoff.reset();
+        self.end_watch();
+        match self.list_delivery() {
+            ListDelivery::Push => self.open_watch(),
+            ListDelivery::Poll => self.decide(Event::DiscoveryChanged),
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/engine/driver.rs
@@ -0,0 +1,140 @@
+//! The engine's loop: messages and timers in, balancer events out, and the restart of a balancer that has panicked.
+
+use super::message::Message;
+use super::timers::Timer;
+use super::Engine;
+use crate::discovery::watch::ListDelivery;
+use hyper::StatusCode;
+use std::panic::{catch_unwind, AssertUnwindSafe};
+use tokio::sync::oneshot;
+use tokio::time::{sleep_until, Instant};
+use tracing::{error, info};
+use weldworks_balancer::{Balancer, EndpointId, Event, Snapshot};
+
+impl Engine {
+    /// Runs until every handle has been dropped, which is for as long as the process lives.
+    pub async fn run(mut self) {
+        if self.list_delivery() == ListDelivery::Push {
+            self.open_watch();
+        }
+        loop {
+            let next_due = self.timers.next_due();
+            let timer = async {
+                match next_due {
+                    Some(at) => sleep_until(at).await,
+                    None => std::future::pending().await,
+                }
+            };
+            tokio::select! {
+                biased;
+                message = self.messages.recv() => match message {
+                    Some(message) => self.apply_message(message),
+                    None => return,
+                },
+                () = timer => {}
+            }
+            self.fire_due_timers();
+        }
+    }
+
+    fn fire_due_timers(&mut self) {
+        let now = Instant::now();
+        while let Some(timer) = self.timers.pop_due(now) {
+            match timer {
+                Timer::Balancer(token) => self.decide(Event::Timer { token }),
+                Timer::RequestDeadline(id) => self.enforce_request_deadline(id),
+                Timer::OpenWatch => self.open_missing_watch(),
+                Timer::EndpointMetrics => self.update_endpoint_metrics(),
+            }
+        }
+    }
+
+    /// Opens a watch, unless a switch to another discovery has opened one meanwhile.
+    fn open_missing_watch(&mut self) {
+        if self.watch_task.is_none() {
+            self.open_watch();
+        }
+    }
+
+    /// Hands each message to the function that handles it.
+    pub(super) fn apply_message(&mut self, message: Message) {
+        match message {
+            Message::ConnectionAccepted => self.record_connection(),
+            Message::RequestArrived(arrival) => self.handle_arrival(*arrival),
+            Message::ClientDisconnected(id) => self.handle_client_disconnect(id),
+            Message::AttemptEnded(report) => self.handle_attempt_end(report),
+            Message::BodyForwardingStarted(request) => self.decide(Event::BodyForwardingStarted { request }),
+            Message::BodyForwarded { request, client_deadline } => {
+                self.handle_body_forwarded(request, client_deadline);
+            }
+            Message::ResponseStarted(start) => self.handle_response_start(start),
+            Message::IdleConnectionClosed { endpoint, address, idle, remaining } => {
+                // The id may belong to another endpoint by now, which has closed nothing.
+                if self.has_address(endpoint, address) {
+                    self.decide(Event::IdleConnectionClosed { endpoint, idle, remaining });
+                }
+            }
+            Message::EndpointListReceived { watch, list, previous_message_at } => {
+                self.receive_endpoint_list(watch, list, previous_message_at);
+            }
+            Message::DiscoveryFailed { watch, reason, silent_for } => {
+                self.handle_watch_failure(watch, &reason, silent_for);
+            }
+            Message::RestoreSnapshot(snapshot) => self.restore_snapshot(&snapshot),
+            Message::TakeSnapshot(receiver) => self.send_snapshot(receiver),
+            Message::Reconfigure(reconfiguration) => self.reconfigure(*reconfiguration),
+            Message::ShutdownStarted => self.apply_shutdown_deadline(),
+            Message::ListLagging { current } => self.refresh_lagging_list(current),
+            Message::RemoteDepartures(departed) => self.drain_remote_departures(&departed),
+        }
+    }
+
+    fn has_address(&self, endpoint: EndpointId, address: std::net::SocketAddr) -> bool {
+        self.endpoints.get(endpoint.0 as usize).is_some_and(|known| known.address.get() == Some(address))
+    }
+
+    fn restore_snapshot(&mut self, snapshot: &Snapshot) {
+        let restored = self.balancer.restore(self.handle.balancer_time(Instant::now()), snapshot);
+        info!(endpoints = snapshot.endpoints.len(), restored, "snapshot of the previous process restored");
+    }
+
+    fn send_snapshot(&self, receiver: oneshot::Sender<Snapshot>) {
+        // The hot restart that asked for it may have been called off.
+        let _ = receiver.send(self.balancer.snapshot());
+    }
+
+    /// Has the balancer handle an event, and carries out its actions.
+    pub(super) fn decide(&mut self, event: Event<'_>) {
+        let mut actions = Vec::new();
+        let now = self.handle.balancer_time(Instant::now());
+        let deciding = AssertUnwindSafe(|| self.balancer.handle(now, event, &mut actions));
+        if catch_unwind(deciding).is_err() {
+            return self.restart_balancer();
+        }
+        for action in actions {
+            self.carry_out(action);
+        }
+    }
+
+    /// Replaces a balancer that has panicked by a new one that knows the endpoint list only.
+    ///
+    /// The state that the panic left behind may be inconsistent, and would leave open requests without an answer until their
+    /// deadline. So all of them fail now.
+    pub(super) fn restart_balancer(&mut self) {
+        error!("balancer panicked, failing all open requests and restarting it");
+        self.requests.fail_all(StatusCode::BAD_GATEWAY);
+        self.timers.clear_decision_timers();
+        self.balancer = Balancer::new(self.settings.clone(), self.seed);
+        let mut actions = Vec::new();
+        let now = self.handle.balancer_time(Instant::now());
+        // A second panic is not caught: a balancer that can't take the endpoint list serves nobody, so the process ends.
+        self.balancer.handle(
+            now,
+            Event::EndpointList { is_snapshot: true, endpoints: &self.listed_endpoints },
+            &mut actions,
+        );
+        for action in actions {
+            self.carry_out(action);
+        }
+    }
+}
--- a/crates/gateway/src/engine/endpoint_updates.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! The endpoints as discovery lists them: their numbers, addresses and starts, and what a list or a delta changes of them.
+//! The endpoints as discovery lists them: their ids, addresses and start times, and what a list or a delta changes of them.
 
 use super::Engine;
 use crate::discovery::endpoint_list::{EndpointList, ListFault, ListedEndpoint, ListedStatus};
@@ -8,232 +8,313 @@
 use std::time::Duration;
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
-use weldworks_balancer::{EndpointId, EndpointState, Event};
+use weldworks_balancer::{Endpoint, EndpointId, EndpointState, Event};
 use weldworks_control::endpoint_start::{self, StartEvidence};
+use weldworks_control::retry_storm::StartedEndpoint;
 use weldworks_fleet::protocol::DepartedEndpoint;
 
-/// So many faults of one list are told, each with its entry.
-const FAULTS_TOLD: usize = 3;
+/// How many faults of one list are logged, each with its entry.
+const MAX_LOGGED_LIST_FAULTS: usize = 3;
 
-/// A wall clock may be off by an hour. What starts later than that by it is no start.
-const WALL_CLOCK_OFF: Duration = Duration::from_secs(2 * 3600);
+/// How far in the future a start time may lie and still count as one. A wall clock may be off by an hour.
+const MAX_WALL_CLOCK_ERROR: Duration = Duration::from_secs(2 * 3600);
 
-/// What the starts of hosts in one list are dated by.
-struct Starts {
+/// What the start times in one list are judged by.
+struct StartReference {
     now: Duration,
-    /// The newest start of all, in Unix milliseconds.
-    newest_ms: u64,
-    /// When discovery had last spoken before this list.
-    heard_before: Option<Duration>,
+    /// The newest start of any endpoint, in Unix milliseconds.
+    newest_start_unix_ms: u64,
+    /// When discovery sent the message before this list.
+    previous_message_at: Option<Duration>,
 }
 
 impl Engine {
-    /// Takes in a list that is no word of discovery's: the one that the configuration holds.
-    pub fn learn(&mut self, list: EndpointList) {
-        self.learn_after(None, list);
-    }
-
-    /// Takes a list of hosts in, or what has changed of it, after discovery's word of `heard_before`. What is wrong with it costs
-    /// nothing but itself, and is told once until it changes.
-    pub(super) fn learn_after(&mut self, heard_before: Option<Instant>, list: EndpointList) {
-        let faults = list.faults(self.version, 1 + FAULTS_TOLD);
-        let old = matches!(faults.first(), Some(ListFault::Outdated { .. }));
-        if !faults.is_empty() && faults != self.faults {
-            let told: Vec<_> = faults.iter().take(FAULTS_TOLD).map(ListFault::to_string).collect();
-            let more = if faults.len() > FAULTS_TOLD { ", and more" } else { "" };
-            warn!(address = %self.discovery, version = list.index, "discovery: {}{more}", told.join("; "));
-        }
-        self.faults = faults;
-        if old {
-            // The call that brought it is answered, with no news: the module would wait for its answer for ever.
+    /// Applies a list that did not come from discovery: the one in the configuration.
+    pub fn apply_endpoint_list(&mut self, list: EndpointList) {
+        self.apply_received_list(None, list);
+    }
+
+    /// Applies a list or delta; `previous_message_at` is when discovery sent the message before it.
+    ///
+    /// A faulty entry costs nothing but itself. Faults are logged once, until they change.
+    pub(super) fn apply_received_list(&mut self, previous_message_at: Option<Instant>, list: EndpointList) {
+        let faults = list.faults(self.list_index, 1 + MAX_LOGGED_LIST_FAULTS);
+        let is_outdated = matches!(faults.first(), Some(ListFault::Outdated { .. }));
+        if !faults.is_empty() && faults != self.list_faults {
+            self.log_list_faults(list.index, &faults);
+        }
+        self.list_faults = faults;
+        if is_outdated {
+            // The poll that brought it is answered, with nothing new. Without this event the balancer would wait for ever.
             return self.decide(Event::EndpointList { is_snapshot: false, endpoints: &[] });
         }
-        self.version = list.index;
-        let before = self.departing(&list);
-        self.free_the_gone();
+        self.list_index = list.index;
+        let active_before = self.active_endpoints_named_in(&list);
+        self.free_removed_ids();
         if list.is_snapshot {
-            // What a whole list lacks is gone.
-            self.hosts.iter().for_each(|h| h.is_active.set(false));
-            self.listed.iter_mut().for_each(|h| h.state = EndpointState::Removed);
-        }
-        let starts = self.starts(&list, heard_before);
-        let news: Vec<weldworks_balancer::Endpoint> =
-            list.endpoints.iter().map(|e| self.host(e, &starts)).collect();
-        for host in &news {
-            match self.listed.get_mut(host.id.0 as usize) {
-                Some(listed) => *listed = host.clone(),
-                None => self.listed.push(host.clone()),
-            }
+            self.mark_all_removed();
         }
-        if let Some(storm) = &mut self.storm {
-            let up = self.listed.iter().filter(|h| h.state == EndpointState::Up);
-            let up: Vec<_> = up
-                .map(|h| weldworks_control::retry_storm::StartedEndpoint { started_at: h.started })
-                .collect();
-            storm.set_endpoints(self.handle.balancer_time(Instant::now()), &up);
-        }
-        for e in &list.endpoints {
-            debug!(host = e.address, name = e.name, zone = e.zone, kind = e.kind, status = ?e.status, since = e.started_unix_ms, "listed");
+        let reference = self.start_reference(&list, previous_message_at);
+        let changed: Vec<Endpoint> =
+            list.endpoints.iter().map(|entry| self.update_endpoint(entry, &reference)).collect();
+        self.store_listed(&changed);
+        self.report_starts_to_storm_control();
+        log_list(&list);
+        self.apply_active_endpoints();
+        self.report_departures(&active_before);
+        self.decide(Event::EndpointList { is_snapshot: list.is_snapshot, endpoints: &changed });
+    }
+
+    fn log_list_faults(&self, version: u64, faults: &[ListFault]) {
+        let logged: Vec<_> = faults.iter().take(MAX_LOGGED_LIST_FAULTS).map(ListFault::to_string).collect();
+        let more = faults.len() > MAX_LOGGED_LIST_FAULTS;
+        warn!(
+            address = %self.discovery_address,
+            version,
+            faults = logged.join("; "),
+            more,
+            "endpoint list has faults"
+        );
+    }
+
+    /// Marks all endpoints removed: those that a snapshot lacks are.
+    fn mark_all_removed(&mut self) {
+        self.endpoints.iter().for_each(|endpoint| endpoint.is_active.set(false));
+        self.listed_endpoints.iter_mut().for_each(|listed| listed.state = EndpointState::Removed);
+    }
+
+    fn store_listed(&mut self, changed: &[Endpoint]) {
+        for endpoint in changed {
+            match self.listed_endpoints.get_mut(endpoint.id.0 as usize) {
+                Some(listed) => *listed = endpoint.clone(),
+                None => self.listed_endpoints.push(endpoint.clone()),
+            }
         }
-        debug!(index = list.index, whole = list.is_snapshot, entries = list.endpoints.len(), "list");
-        self.pool.retain(|id| self.hosts.get(id.0 as usize).is_some_and(|h| h.is_active.get()));
-        self.handle.set_has_active_endpoint(self.hosts.iter().any(|h| h.is_active.get()));
-        self.tell_departed(&before);
-        self.decide(Event::EndpointList { is_snapshot: list.is_snapshot, endpoints: &news });
     }
 
-    /// Where the fleet is to be told: the hosts that a list is about to change and that take work, by name.
-    fn departing(&self, list: &EndpointList) -> Vec<(String, EndpointId)> {
+    fn report_starts_to_storm_control(&mut self) {
+        let Some(storm) = &mut self.retry_storm else { return };
+        let active = self.listed_endpoints.iter().filter(|listed| listed.state == EndpointState::Up);
+        let started: Vec<_> = active.map(|listed| StartedEndpoint { started_at: listed.started }).collect();
+        storm.set_endpoints(self.handle.balancer_time(Instant::now()), &started);
+    }
+
+    /// Closes idle connections to endpoints that take nothing new, and publishes whether any does.
+    fn apply_active_endpoints(&self) {
+        let is_active = |id: EndpointId| {
+            self.endpoints.get(id.0 as usize).is_some_and(|endpoint| endpoint.is_active.get())
+        };
+        self.pool.retain(is_active);
+        let has_active = self.endpoints.iter().any(|endpoint| endpoint.is_active.get());
+        self.handle.set_has_active_endpoint(has_active);
+    }
+
+    /// In a fleet, the endpoints that are up and that the list may change, by name.
+    fn active_endpoints_named_in(&self, list: &EndpointList) -> Vec<(String, EndpointId)> {
         let Some(fleet) = &self.fleet else { return Vec::new() };
         fleet.lists(list.index);
-        let up =
-            |id: EndpointId| self.listed.get(id.0 as usize).is_some_and(|h| h.state == EndpointState::Up);
-        let taking = |(name, id): (&String, &EndpointId)| up(*id).then(|| (name.clone(), *id));
+        let if_up = |(name, id): (&String, &EndpointId)| {
+            let is_up = self.listed_state(*id) == Some(EndpointState::Up);
+            is_up.then(|| (name.clone(), *id))
+        };
         if list.is_snapshot {
-            return self.host_ids.iter().filter_map(taking).collect();
+            return self.endpoint_ids.iter().filter_map(if_up).collect();
         }
-        let named = list.endpoints.iter().filter_map(|e| self.host_ids.get_key_value(&e.name));
-        named.filter_map(taking).collect()
+        let named = list.endpoints.iter().filter_map(|entry| self.endpoint_ids.get_key_value(&entry.name));
+        named.filter_map(if_up).collect()
     }
 
-    /// Tells the fleet which of these leave or are gone now.
-    fn tell_departed(&self, before: &[(String, EndpointId)]) {
-        let Some(fleet) = &self.fleet else { return };
-        let state =
-            |id: &EndpointId| self.listed.get(id.0 as usize).map_or(EndpointState::Removed, |h| h.state);
-        let departed = before.iter().filter(|(_, id)| state(id) != EndpointState::Up);
-        let departed = departed.map(|(name, id)| (name.clone(), state(id) == EndpointState::Removed));
-        fleet.listed(self.version, departed.collect());
+    fn listed_state(&self, id: EndpointId) -> Option<EndpointState> {
+        self.listed_endpoints.get(id.0 as usize).map(|listed| listed.state)
     }
 
-    /// Others have a newer list: discovery is asked again, on a connection of its own.
-    pub(super) fn catch_up(&mut self, current: u64) {
-        if current <= self.version {
-            return;
-        }
-        info!(own = self.version, current, "discovery: other gateways have a newer list; it is asked again");
-        let watched = self.end_watch();
-        if self.pushed() {
-            self.subscribe();
-        } else if watched {
-            self.decide(Event::DiscoveryFailed { silent_for: Duration::ZERO });
-        }
+    /// Reports to the fleet which of these endpoints drain or are removed now.
+    fn report_departures(&self, active_before: &[(String, EndpointId)]) {
+        let Some(fleet) = &self.fleet else { return };
+        let departed = active_before.iter().filter_map(|(name, id)| {
+            let state = self.listed_state(*id).unwrap_or(EndpointState::Removed);
+            let has_departed = state != EndpointState::Up;
+            has_departed.then(|| (name.clone(), state == EndpointState::Removed))
+        });
+        fleet.listed(self.list_index, departed.collect());
     }
 
-    /// Newer lists than the one held say that hosts leave or are gone: nothing new goes there.
-    pub(super) fn turn_from(&mut self, gone: &[DepartedEndpoint]) {
+    /// Drains endpoints that newer lists of other gateways say to drain or to be removed.
+    pub(super) fn drain_remote_departures(&mut self, departed: &[DepartedEndpoint]) {
         let Some(fleet) = self.fleet.clone() else { return };
-        let mut news = Vec::new();
-        for name in fleet.told_gone(gone) {
-            let Some(id) = self.host_ids.get(&name) else { continue };
-            let Some(listed) = self.listed.get_mut(id.0 as usize) else { continue };
-            if listed.state == EndpointState::Up {
-                listed.state = EndpointState::Draining;
-                news.push(listed.clone());
-                if let Some(host) = self.hosts.get(id.0 as usize) {
-                    host.is_active.set(false);
-                }
-            }
+        let mut drained = Vec::new();
+        for name in fleet.told_gone(departed) {
+            drained.extend(self.drain_endpoint(&name));
         }
-        if news.is_empty() {
+        if drained.is_empty() {
             return;
         }
         info!(
-            hosts = news.len(),
-            own = self.version,
-            "other gateways were told that hosts leave or are gone; nothing new goes there"
+            endpoints = drained.len(),
+            own = self.list_index,
+            "draining endpoints that departed by other gateways' newer lists"
         );
-        self.pool.retain(|id| self.hosts.get(id.0 as usize).is_some_and(|h| h.is_active.get()));
-        self.handle.set_has_active_endpoint(self.hosts.iter().any(|h| h.is_active.get()));
-        self.decide(Event::EndpointList { is_snapshot: false, endpoints: &news });
-    }
-
-    /// Frees the numbers of the hosts that are gone and that no open request has been sent to. Hosts come and go for
-    /// ever: with a number for each that ever was, every table and every walk over one would grow for ever.
-    fn free_the_gone(&mut self) {
-        let (hosts, listed, free) = (&self.hosts, &self.listed, &mut self.free_ids);
-        self.host_ids.retain(|_, id| {
-            let at = id.0 as usize;
-            let gone = listed.get(at).is_some_and(|h| h.state == EndpointState::Removed)
-                && hosts.get(at).is_some_and(|h| Rc::strong_count(h) == 1);
-            if gone {
-                free.push(*id);
+        self.apply_active_endpoints();
+        self.decide(Event::EndpointList { is_snapshot: false, endpoints: &drained });
+    }
+
+    /// Sets an endpoint that is up to draining; returns it where it was up.
+    fn drain_endpoint(&mut self, name: &str) -> Option<Endpoint> {
+        let id = self.endpoint_ids.get(name)?;
+        let listed = self.listed_endpoints.get_mut(id.0 as usize)?;
+        if listed.state != EndpointState::Up {
+            return None;
+        }
+        listed.state = EndpointState::Draining;
+        if let Some(endpoint) = self.endpoints.get(id.0 as usize) {
+            endpoint.is_active.set(false);
+        }
+        Some(listed.clone())
+    }
+
+    /// Frees the ids of removed endpoints to which no open request has been sent.
+    ///
+    /// Endpoints come and go for as long as the process runs. With an id for each that ever was, every table and every walk over one
+    /// would grow without bound.
+    fn free_removed_ids(&mut self) {
+        let endpoints = &self.endpoints;
+        let listed_endpoints = &self.listed_endpoints;
+        let free_ids = &mut self.free_ids;
+        self.endpoint_ids.retain(|_, id| {
+            let index = id.0 as usize;
+            let is_removed =
+                listed_endpoints.get(index).is_some_and(|listed| listed.state == EndpointState::Removed);
+            let is_unused = endpoints.get(index).is_some_and(|endpoint| Rc::strong_count(endpoint) == 1);
+            let is_free = is_removed && is_unused;
+            if is_free {
+                free_ids.push(*id);
             }
-            !gone
+            !is_free
         });
     }
 
-    /// What the starts in a list are dated by.
-    fn starts(&self, list: &EndpointList, heard_before: Option<Instant>) -> Starts {
+    fn start_reference(&self, list: &EndpointList, previous_message_at: Option<Instant>) -> StartReference {
         let now = self.handle.balancer_time(Instant::now());
-        let listed = list.endpoints.iter().map(|e| e.started_unix_ms);
-        let possible = |unix_ms: &u64| {
-            self.handle.balancer_time_of_unix(*unix_ms).is_some_and(|at| at <= now + WALL_CLOCK_OFF)
+        let in_list = list.endpoints.iter().map(|entry| entry.started_unix_ms);
+        let is_possible = |unix_ms: &u64| {
+            let start = self.handle.balancer_time_of_unix(*unix_ms);
+            start.is_some_and(|at| at <= now + MAX_WALL_CLOCK_ERROR)
         };
-        let newest_ms = listed.chain(self.since_ms.iter().copied()).filter(possible).max().unwrap_or(0);
-        Starts { now, newest_ms, heard_before: heard_before.map(|at| self.handle.balancer_time(at)) }
+        let known = self.started_unix_ms.iter().copied();
+        let newest = in_list.chain(known).filter(is_possible).max();
+        StartReference {
+            now,
+            newest_start_unix_ms: newest.unwrap_or(0),
+            previous_message_at: previous_message_at.map(|at| self.handle.balancer_time(at)),
+        }
     }
 
-    /// When a host started that discovery says to be up since this Unix time. One that is known to have started then keeps its date.
-    fn started(&mut self, id: EndpointId, since_ms: u64, starts: &Starts) -> Option<Duration> {
-        let at = id.0 as usize;
-        self.since_ms.resize(self.since_ms.len().max(at + 1), 0);
-        let before = std::mem::replace(&mut self.since_ms[at], since_ms);
-        if since_ms == 0 {
+    /// Estimates when an endpoint started that discovery says to be up since this Unix time. An estimate stays while discovery says
+    /// the same.
+    fn estimate_start(
+        &mut self,
+        id: EndpointId,
+        started_unix_ms: u64,
+        reference: &StartReference,
+    ) -> Option<Duration> {
+        let index = id.0 as usize;
+        let known = self.started_unix_ms.len().max(index + 1);
+        self.started_unix_ms.resize(known, 0);
+        let before = std::mem::replace(&mut self.started_unix_ms[index], started_unix_ms);
+        if started_unix_ms == 0 {
             return None; // long ago
         }
-        if let Some(listed) = self.listed.get(at).filter(|_| before == since_ms) {
-            return listed.started;
+        if before == started_unix_ms {
+            if let Some(listed) = self.listed_endpoints.get(index) {
+                return listed.started;
+            }
         }
+        let before_newest_ms = reference.newest_start_unix_ms.saturating_sub(started_unix_ms);
         Some(endpoint_start::estimate_start(StartEvidence {
-            now: starts.now,
-            wall_clock_start: self.handle.balancer_time_of_unix(since_ms),
-            offset_before_newest: Duration::from_millis(starts.newest_ms.saturating_sub(since_ms)),
-            last_discovery_message: starts.heard_before,
+            now: reference.now,
+            wall_clock_start: self.handle.balancer_time_of_unix(started_unix_ms),
+            offset_before_newest: Duration::from_millis(before_newest_ms),
+            last_discovery_message: reference.previous_message_at,
         }))
     }
 
-    /// An entry in the module's terms. A host keeps its number by its name for as long as it is known; the module tells
-    /// by the name's hash that a number has passed to another.
-    fn host(&mut self, entry: &ListedEndpoint, starts: &Starts) -> weldworks_balancer::Endpoint {
-        let known = self.host_ids.get(&entry.name).copied();
-        let id = known.or_else(|| self.free_ids.pop()).unwrap_or(EndpointId(self.hosts.len() as u32));
-        if known.is_none() {
-            self.host_ids.insert(entry.name.clone(), id);
-            if let Some(since_ms) = self.since_ms.get_mut(id.0 as usize) {
-                *since_ms = 0; // another host's
-            }
-            let host =
-                Rc::new(UpstreamEndpoint { id, address: Cell::new(None), is_active: Cell::new(false) });
-            match self.hosts.get_mut(id.0 as usize) {
-                Some(gone) => *gone = host,
-                None => self.hosts.push(host),
-            }
-        }
-        let host = &self.hosts[id.0 as usize];
+    /// Updates an endpoint's connection side from its entry, and returns it as the balancer sees it.
+    fn update_endpoint(&mut self, entry: &ListedEndpoint, reference: &StartReference) -> Endpoint {
+        let id = self.endpoint_id(&entry.name);
+        let endpoint = &self.endpoints[id.0 as usize];
         let address = entry.address.parse().ok();
         if address.is_some() {
-            host.address.set(address);
+            endpoint.address.set(address);
         }
         if let Some(fleet) = &self.fleet {
             fleet.know_host(id, &entry.name);
         }
-        let overruled = || self.fleet.as_ref().is_some_and(|fleet| fleet.overrules(&entry.name));
-        let state = match entry.status {
-            ListedStatus::Active if host.address.get().is_some() && overruled() => EndpointState::Draining,
-            ListedStatus::Active if host.address.get().is_some() => EndpointState::Up,
-            ListedStatus::Active | ListedStatus::Left => EndpointState::Removed,
-            ListedStatus::Leaving | ListedStatus::Unknown => EndpointState::Draining,
-        };
-        host.is_active.set(state == EndpointState::Up);
-        weldworks_balancer::Endpoint {
+        let state = self.endpoint_state(entry, endpoint);
+        endpoint.is_active.set(state == EndpointState::Up);
+        Endpoint {
             state,
             zone: self.names.zone(&entry.zone, id.0),
             cell: entry.group.unwrap_or(u32::MAX - id.0),
-            started: self.started(id, entry.started_unix_ms, starts),
+            started: self.estimate_start(id, entry.started_unix_ms, reference),
             kind: self.names.kind(&entry.kind, id.0),
             weight: entry.weight,
-            ..weldworks_balancer::Endpoint::new(id, &entry.name)
+            ..Endpoint::new(id, &entry.name)
         }
     }
+
+    /// The id of an endpoint, allocated where its name is new. The balancer recognizes by the name's hash that an id has passed to
+    /// another endpoint.
+    fn endpoint_id(&mut self, name: &str) -> EndpointId {
+        if let Some(id) = self.endpoint_ids.get(name) {
+            return *id;
+        }
+        let id = self.free_ids.pop().unwrap_or(EndpointId(self.endpoints.len() as u32));
+        self.endpoint_ids.insert(name.to_owned(), id);
+        if let Some(started_unix_ms) = self.started_unix_ms.get_mut(id.0 as usize) {
+            *started_unix_ms = 0; // that of the id's previous endpoint
+        }
+        let endpoint =
+            Rc::new(UpstreamEndpoint { id, address: Cell::new(None), is_active: Cell::new(false) });
+        match self.endpoints.get_mut(id.0 as usize) {
+            Some(previous) => *previous = endpoint,
+            None => self.endpoints.push(endpoint),
+        }
+        id
+    }
+
+    /// The state of an endpoint by its entry. One without an address can't be sent anything. One that drains by other gateways'
+    /// newer lists stays draining.
+    fn endpoint_state(&self, entry: &ListedEndpoint, endpoint: &UpstreamEndpoint) -> EndpointState {
+        match entry.status {
+            ListedStatus::Active if endpoint.address.get().is_none() => EndpointState::Removed,
+            ListedStatus::Active if self.has_departed_remotely(&entry.name) => EndpointState::Draining,
+            ListedStatus::Active => EndpointState::Up,
+            ListedStatus::Left => EndpointState::Removed,
+            ListedStatus::Leaving | ListedStatus::Unknown => EndpointState::Draining,
+        }
+    }
+
+    fn has_departed_remotely(&self, name: &str) -> bool {
+        self.fleet.as_ref().is_some_and(|fleet| fleet.overrules(name))
+    }
+}
+
+fn log_list(list: &EndpointList) {
+    for entry in &list.endpoints {
+        debug!(
+            endpoint = entry.address,
+            name = entry.name,
+            zone = entry.zone,
+            kind = entry.kind,
+            status = ?entry.status,
+            started_unix_ms = entry.started_unix_ms,
+            "endpoint listed"
+        );
+    }
+    debug!(
+        index = list.index,
+        snapshot = list.is_snapshot,
+        entries = list.endpoints.len(),
+        "endpoint list received"
+    );
 }
--- a/crates/gateway/src/engine/message.rs
+++ b/crates/gateway/src/engine/message.rs
@@ -1,5 +1,6 @@
-//! What the gateway's owner is told, and what it answers: the one way in and the one way out of every front.
+//! The messages that the engine receives, the answers that it gives, and the handle through which other tasks reach it.
 
+use super::clock::Clock;
 use crate::body::{ForwardedRequest, UpstreamResponse};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::string_interner::StringInterner;
@@ -9,300 +10,269 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 use weldworks_balancer::{EndpointId, LoadReport, Outcome, RequestId, Settings, Snapshot};
 use weldworks_control::class_registry::RegisteredClass;
 use weldworks_fleet::protocol::DepartedEndpoint;
 
-/// The gateway's clock starts here, so that hosts started before this process have a time on it.
-const BEFORE_START: Duration = Duration::from_secs(86_400);
-
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    /// Served by a host.
+    /// An endpoint served it.
     Served(UpstreamResponse),
-    /// Not done; trying again is harmless.
+    /// Surely not processed, or safe to repeat: the client may retry.
     Rejected {
-        /// How long to keep away; zero for no advice.
+        /// `Retry-After` for the client; zero for none.
         retry_after: Duration,
     },
-    /// Not done, or not known to be.
+    /// Failed, perhaps after it was processed, with this status.
     Failed(StatusCode),
 }
 
 impl FinalAnswer {
-    /// What it is, in a word.
+    /// The kind of the answer, as logs name it.
     pub fn name(&self) -> &'static str {
         match self {
             FinalAnswer::Served(_) => "served",
-            FinalAnswer::Rejected { .. } => "refused",
+            FinalAnswer::Rejected { .. } => "rejected",
             FinalAnswer::Failed(_) => "failed",
         }
     }
 }
 
-/// A request that a client is owed an answer to.
+/// A client's request that waits for its final answer.
 pub struct Arrival {
-    /// What the module is told.
+    /// The request as the balancer sees it.
     pub request: weldworks_balancer::Request,
-    /// The client's number for it, `X-Request-ID`.
+    /// The client's `X-Request-ID`.
     pub request_id: HeaderValue,
-    /// What goes on to a host.
+    /// What is forwarded to an endpoint.
     pub forward: ForwardedRequest,
-    /// The class it came under; held to its end.
+    /// The class that it arrived under, which stays registered until the request ends.
     pub class: Rc<RegisteredClass>,
-    /// Where the answer goes.
+    /// Receives the final answer.
     pub answer: oneshot::Sender<FinalAnswer>,
-    /// Its client; told as soon as no answer is wanted any more.
+    /// Whether its client still waits; the engine ends it with the final answer.
     pub client: Rc<ClientLiveness>,
 }
 
-/// What changes with a new file.
+/// What a new platform file changes.
 pub struct Reconfiguration {
-    /// The settings, classes by the numbers that they are kept under.
+    /// The settings, with classes by the numbers under which they are registered.
     pub settings: Settings,
-    /// The names behind the other numbers.
+    /// The names behind the settings' numbers of tenants, zones and machine kinds.
     pub names: StringInterner,
-    /// Where discovery answers.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// What holds for connections to hosts.
+    /// Settings of connections to endpoints.
     pub connections: crate::upstream::ConnectionSettings,
-    /// A digest of what the file says of the whole site.
+    /// Digest of what the file says of the whole site.
     pub digest: u64,
 }
 
-/// What the gateway hears.
+/// The end of an attempt.
+pub struct AttemptReport {
+    /// The request.
+    pub request: RequestId,
+    /// Number of the attempt, from 0.
+    pub attempt: u32,
+    /// When the attempt was sent, or the last byte of a streamed body.
+    pub sent_at: Instant,
+    /// How the attempt ended.
+    pub outcome: Outcome,
+    /// The response, where the attempt was served and its response not yet started.
+    pub response: Option<UpstreamResponse>,
+    /// The load report that came with a response of any kind.
+    pub load_report: Option<LoadReport>,
+    /// Time from the decision to the write of the request's last byte, where that was written.
+    pub written_after: Option<Duration>,
+}
+
+/// The start of a response that is streamed to the client.
+pub struct ResponseStart {
+    /// The request.
+    pub request: RequestId,
+    /// Number of the attempt, from 0.
+    pub attempt: u32,
+    /// Time from the send, or the last byte of a streamed body, to the response's first byte.
+    pub latency: Duration,
+    /// The response.
+    pub response: UpstreamResponse,
+    /// The load report that came with it.
+    pub load_report: Option<LoadReport>,
+}
+
+/// A message to the engine.
 pub enum Message {
-    /// A client's request.
+    /// A client's request has arrived.
     RequestArrived(Box<Arrival>),
-    /// A connection has been accepted; told where somebody counts them.
+    /// A client's connection was accepted; sent where retry-storm control counts them.
     ConnectionAccepted,
-    /// The client has gone.
+    /// The client of this request has disconnected.
     ClientDisconnected(RequestId),
     /// An attempt has ended.
-    AttemptEnded {
-        /// The request.
-        request: RequestId,
-        /// Which attempt, from 0.
-        attempt: u32,
-        /// When it was sent.
-        sent: Instant,
-        /// How it ended.
-        outcome: Outcome,
-        /// The answer, where it was served.
-        answer: Option<UpstreamResponse>,
-        /// What the host said of its load.
-        load: Option<LoadReport>,
-        /// From the decision to its last byte's going to the kernel, where that went.
-        written: Option<Duration>,
-    },
-    /// The body of a request has begun to leave and is not held.
+    AttemptEnded(AttemptReport),
+    /// The first bytes of a streamed request body have been written to an endpoint.
     BodyForwardingStarted(RequestId),
-    /// The last byte of such a body has gone.
+    /// The last byte of a streamed request body has been written to an endpoint.
     BodyForwarded {
         /// The request.
         request: RequestId,
         /// When its client gives up.
         client_deadline: Instant,
     },
-    /// An answer is passed on while it comes.
-    ResponseStarted {
-        /// The request.
-        request: RequestId,
-        /// Which attempt, from 0.
-        attempt: u32,
-        /// From the send, or the last byte of the body, to the answer's first byte.
-        latency: Duration,
-        /// The answer.
-        answer: UpstreamResponse,
-        /// What the host said of its load.
-        load: Option<LoadReport>,
-    },
-    /// A host has ended an idle connection.
+    /// A response has begun that is streamed to the client.
+    ResponseStarted(ResponseStart),
+    /// An endpoint has closed an idle connection.
     IdleConnectionClosed {
-        /// Which host.
+        /// The endpoint.
         endpoint: EndpointId,
-        /// Where the connection went.
+        /// The address that the connection went to.
         address: SocketAddr,
         /// How long the connection had been idle.
         idle: Duration,
-        /// How many idle connections to it are left.
+        /// How many idle connections to that address are left.
         remaining: usize,
     },
-    /// News of the hosts.
+    /// A watch has received an endpoint list or delta.
     EndpointListReceived {
-        /// From which watch, counted from 1.
+        /// Number of the watch, from 1.
         watch: u64,
-        /// What it said.
+        /// The list.
         list: EndpointList,
-        /// When discovery had last said anything before that, if it had.
-        heard_before: Option<Instant>,
+        /// When discovery sent the message before this one, if it had sent any.
+        previous_message_at: Option<Instant>,
     },
-    /// What another process knew is to be gone on from.
+    /// The learned state of the previous process is to be restored.
     RestoreSnapshot(Snapshot),
-    /// What is known is to be told.
+    /// The learned state is to be sent to this receiver.
     TakeSnapshot(oneshot::Sender<Snapshot>),
-    /// Other settings hold from now on.
+    /// New settings are to be applied.
     Reconfigure(Box<Reconfiguration>),
-    /// Other gateways have a newer list: discovery is to be asked again.
+    /// Other gateways have a newer endpoint list: discovery is to be polled again.
     ListLagging {
         /// The index that most of them have.
         current: u64,
     },
-    /// Newer lists than the one held say that hosts leave or are gone.
+    /// Endpoints that drain or are removed by newer lists than the one in force here.
     RemoteDepartures(Vec<DepartedEndpoint>),
-    /// The process is on its way out: what is open has no more time than that.
+    /// The process is shutting down: open requests have until [`EngineHandle::shutdown_deadline`].
     ShutdownStarted,
-    /// A watch on the hosts has failed or ended.
+    /// A watch has failed or ended.
     DiscoveryFailed {
-        /// Which.
+        /// Number of the watch, from 1.
         watch: u64,
-        /// Why.
-        why: String,
-        /// For how long it had said nothing, or since when it was called.
+        /// Why it ended.
+        reason: String,
+        /// Time since its last message, or since it was opened.
         silent_for: Duration,
     },
 }
 
-/// What all tasks share: the way to the gateway, the clock, and what is to be seen of its state.
+/// The way to the engine, its clock, and the part of its state that other tasks may see. Clones share all of it.
 #[derive(Clone)]
 pub struct EngineHandle {
     messages: mpsc::UnboundedSender<Message>,
-    requests: Rc<Cell<u64>>,
-    hosts_up: Rc<Cell<bool>>,
-    connections: Rc<Cell<bool>>,
-    heard: Rc<Cell<bool>>,
-    last_word: Rc<Cell<Option<Instant>>>,
-    answers_by: Rc<Cell<Option<Instant>>>,
+    /// Number of the newest request.
+    last_request: Rc<Cell<u64>>,
+    has_active_endpoint: Rc<Cell<bool>>,
+    reports_connections: Rc<Cell<bool>>,
+    discovery_answered: Rc<Cell<bool>>,
+    last_discovery_message: Rc<Cell<Option<Instant>>>,
+    shutdown_deadline: Rc<Cell<Option<Instant>>>,
     clock: Clock,
 }
 
 impl EngineHandle {
-    /// A handle, and what is told through it and its clones.
+    /// Creates a handle, and the receiver of what is sent through it and its clones.
     pub fn new() -> (EngineHandle, mpsc::UnboundedReceiver<Message>) {
-        let (sender, messages) = mpsc::unbounded_channel();
-        let (requests, hosts_up, connections, heard, last_word, answers_by) = Default::default();
-        (
-            EngineHandle {
-                messages: sender,
-                requests,
-                hosts_up,
-                connections,
-                heard,
-                last_word,
-                answers_by,
-                clock: Clock::new(),
-            },
-            messages,
-        )
+        let (sender, receiver) = mpsc::unbounded_channel();
+        let handle = EngineHandle {
+            messages: sender,
+            last_request: Rc::default(),
+            has_active_endpoint: Rc::default(),
+            reports_connections: Rc::default(),
+            discovery_answered: Rc::default(),
+            last_discovery_message: Rc::default(),
+            shutdown_deadline: Rc::default(),
+            clock: Clock::new(),
+        };
+        (handle, receiver)
     }
 
-    /// Tells the gateway something. Once it is gone the process ends, and nobody is left to be told.
+    /// Sends the engine a message. Once the engine has ended the process ends too, and the message is dropped.
     pub fn send(&self, message: Message) {
         let _ = self.messages.send(message);
     }
 
-    /// From now on the gateway is told of every connection.
+    /// Has [`EngineHandle::record_connection`] report every connection from now on.
     pub fn report_connections(&self) {
-        self.connections.set(true);
+        self.reports_connections.set(true);
     }
 
-    /// A connection has been accepted.
+    /// Reports an accepted client connection, where the engine wants to know of them.
     pub fn record_connection(&self) {
-        if self.connections.get() {
+        if self.reports_connections.get() {
             self.send(Message::ConnectionAccepted);
         }
     }
 
-    /// A number for a new request.
+    /// Allocates the number of a new request.
     pub fn next_request(&self) -> RequestId {
-        self.requests.set(self.requests.get() + 1);
-        RequestId(self.requests.get())
+        self.last_request.set(self.last_request.get() + 1);
+        RequestId(self.last_request.get())
     }
 
-    /// Where it is to be seen whether any host takes work.
+    /// A shared flag: whether any endpoint takes new requests.
     pub fn has_active_endpoint(&self) -> Rc<Cell<bool>> {
-        self.hosts_up.clone()
+        self.has_active_endpoint.clone()
     }
 
-    /// The latest moment for any answer, where the process is on its way out.
-    pub fn shutdown_deadline(&self) -> Option<Instant> {
-        self.answers_by.get()
+    /// Sets whether any endpoint takes new requests.
+    pub fn set_has_active_endpoint(&self, has_active_endpoint: bool) {
+        self.has_active_endpoint.set(has_active_endpoint);
     }
 
-    /// Notes it.
-    pub fn set_shutdown_deadline(&self, by: Instant) {
-        self.answers_by.set(Some(by));
+    /// The latest moment for any answer, where the process is shutting down.
+    pub fn shutdown_deadline(&self) -> Option<Instant> {
+        self.shutdown_deadline.get()
     }
 
-    /// Whether discovery has said something since the start.
-    pub fn discovery_answered(&self) -> bool {
-        self.heard.get()
+    /// Sets the latest moment for any answer.
+    pub fn set_shutdown_deadline(&self, at: Instant) {
+        self.shutdown_deadline.set(Some(at));
     }
 
-    /// Discovery says something now; gives when it last did before.
-    pub fn record_discovery_message(&self) -> Option<Instant> {
-        self.last_word.replace(Some(Instant::now()))
+    /// Whether discovery has sent a list since the start of the process.
+    pub fn discovery_answered(&self) -> bool {
+        self.discovery_answered.get()
     }
 
-    /// Notes that it has.
+    /// Notes that discovery has sent a list.
     pub fn set_discovery_answered(&self) {
-        self.heard.set(true);
+        self.discovery_answered.set(true);
     }
 
-    /// Notes whether any host takes work.
-    pub fn set_has_active_endpoint(&self, up: bool) {
-        self.hosts_up.set(up);
+    /// Notes that discovery sends a message now; returns when it sent the one before.
+    pub fn record_discovery_message(&self) -> Option<Instant> {
+        self.last_discovery_message.replace(Some(Instant::now()))
     }
 
-    /// The time on the module's clock.
+    /// The time on the balancer's clock.
     pub fn balancer_time(&self, at: Instant) -> Duration {
-        self.clock.time(at)
+        self.clock.balancer_time(at)
     }
 
-    /// The moment of a time on the module's clock.
-    pub fn instant(&self, time: Duration) -> Instant {
-        self.clock.instant(time)
+    /// The instant of a time on the balancer's clock.
+    pub fn instant(&self, balancer_time: Duration) -> Instant {
+        self.clock.instant(balancer_time)
     }
 
-    /// The time on the module's clock of a Unix time in milliseconds, by the wall clock as it was at the start; none for longer ago
-    /// than that has a time for.
+    /// The time on the balancer's clock of a Unix time in milliseconds, by the wall clock as it was at the start of the process;
+    /// none for a moment before the clock's zero.
     pub fn balancer_time_of_unix(&self, unix_ms: u64) -> Option<Duration> {
-        self.clock.by_wall_clock(unix_ms)
-    }
-}
-
-/// The module's clock: monotonic, tied once to this machine's wall clock, which may be wrong.
-#[derive(Clone, Copy, Debug)]
-struct Clock {
-    start: Instant,
-    unix: Duration,
-}
-
-impl Clock {
-    fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { start: Instant::now(), unix }
-    }
-
-    fn time(&self, at: Instant) -> Duration {
-        (BEFORE_START + at.saturating_duration_since(self.start))
-            .saturating_sub(self.start.saturating_duration_since(at))
-    }
-
-    fn instant(&self, time: Duration) -> Instant {
-        if time < BEFORE_START {
-            self.start.checked_sub(BEFORE_START - time).unwrap_or(self.start)
-        } else {
-            self.start + (time - BEFORE_START)
-        }
-    }
-
-    fn by_wall_clock(&self, unix_ms: u64) -> Option<Duration> {
-        let time = (BEFORE_START + Duration::from_millis(unix_ms)).checked_sub(self.unix)?;
-        (!time.is_zero()).then_some(time)
+        self.clock.balancer_time_of_unix(unix_ms)
     }
 }
--- /dev/null
+++ b/crates/gateway/src/engine/request_events.rs
@@ -0,0 +1,196 @@
+//! What the engine does when a request arrives, progresses or ends.
+
+use super::message::{Arrival, AttemptReport, FinalAnswer, ResponseStart};
+use super::request_table::RequestEntry;
+use super::retry_storm::retry_identity;
+use super::timers::Timer;
+use super::Engine;
+use crate::upstream::UpstreamEndpoint;
+use hyper::StatusCode;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+use tracing::debug;
+use weldworks_balancer::{EndpointId, Event, LoadReport, Outcome, RequestId};
+use weldworks_fleet::audit::DecisionKind;
+
+impl Engine {
+    /// Has the balancer decide on a new request, unless this gateway may not serve it.
+    pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
+        if self.must_reject_clients() {
+            return self.reject_arrival(arrival);
+        }
+        if !self.requests.reserve_request_id(&arrival.request_id) {
+            // An endpoint could not tell it from another attempt of the open request that has this id.
+            arrival.client.end();
+            let _ = arrival.answer.send(FinalAnswer::Failed(StatusCode::CONFLICT)); // may have disconnected
+            return;
+        }
+        self.admit_arrival(arrival);
+    }
+
+    fn admit_arrival(&mut self, arrival: Arrival) {
+        let Arrival { mut request, request_id, forward, class, answer, client } = arrival;
+        let client_deadline = self.handle.instant(request.client_deadline);
+        request.admission_share = self.admission_share(&request);
+        debug!(
+            request = request.id.0,
+            request_id = request_id.to_str().unwrap_or_default(),
+            class = class.name,
+            idempotency = ?class.class.idempotency,
+            client_retry = request.is_client_retry,
+            "request arrived"
+        );
+        let entry = RequestEntry {
+            request_id,
+            retry_identity: retry_identity(&request),
+            forward: Rc::new(forward),
+            answer: Some(answer),
+            client,
+            arrived_at: Instant::now(),
+            client_deadline,
+            attempts: Vec::new(),
+            attempts_in_flight: 0,
+            last_outcome: Outcome::NotSent,
+            class_index: request.class,
+            _class: class,
+        };
+        let id = request.id;
+        self.timers.push(client_deadline, Timer::RequestDeadline(id));
+        self.requests.insert(id, entry);
+        self.decide(Event::Request(request));
+        self.requests.remove_if_done(id);
+    }
+
+    /// Whether the fleet has fenced this gateway.
+    fn must_reject_clients(&self) -> bool {
+        self.fleet.as_ref().is_some_and(|fleet| !fleet.takes_clients())
+    }
+
+    /// Rejects a request that arrived while this gateway is fenced.
+    fn reject_arrival(&self, arrival: Arrival) {
+        let mut advised = Duration::ZERO;
+        if let Some(fleet) = &self.fleet {
+            let request_id = arrival.request_id.to_str().unwrap_or_default();
+            fleet.book(DecisionKind::Reject, arrival.request.class, request_id, None);
+            advised = fleet.keep_away();
+        }
+        arrival.client.end();
+        let retry_after = advised.min(self.settings.max_retry_after);
+        let _ = arrival.answer.send(FinalAnswer::Rejected { retry_after }); // may have disconnected
+    }
+
+    pub(super) fn handle_client_disconnect(&mut self, id: RequestId) {
+        if let Some(entry) = self.requests.get_mut(id) {
+            entry.client.end();
+            entry.answer = None;
+            self.abandon(id);
+        }
+    }
+
+    /// Answers a request that the balancer has left open until the client's deadline.
+    pub(super) fn enforce_request_deadline(&mut self, id: RequestId) {
+        if self.requests.get(id).is_some_and(|entry| entry.answer.is_some()) {
+            self.answer(id, FinalAnswer::Failed(StatusCode::GATEWAY_TIMEOUT));
+            self.abandon(id);
+        }
+    }
+
+    /// Tells the balancer that a request is over without its doing.
+    fn abandon(&mut self, id: RequestId) {
+        self.decide(Event::ClientDisconnected { request: id });
+        self.requests.remove_if_done(id);
+    }
+
+    /// Records how an attempt ended, gives its answer to the client, and has the balancer decide what follows.
+    pub(super) fn handle_attempt_end(&mut self, report: AttemptReport) {
+        let AttemptReport { request, attempt, sent_at, outcome, response, load_report, written_after } =
+            report;
+        let Some(entry) = self.requests.get_mut(request) else { return };
+        entry.attempts_in_flight -= 1;
+        entry.last_outcome = outcome;
+        let endpoint = entry.attempt_endpoint(attempt).cloned();
+        self.forward_load_report(endpoint, load_report);
+        if let Some(response) = response {
+            self.answer(request, FinalAnswer::Served(response));
+        }
+        let Some(entry) = self.requests.get(request) else { return };
+        let latency = sent_at.elapsed();
+        let request_ended = entry.answer.is_none();
+        let address = entry.attempt_endpoint(attempt).and_then(|endpoint| endpoint.address.get());
+        debug!(
+            request = request.0,
+            attempt,
+            endpoint = address.map(tracing::field::display),
+            latency_ms = latency.as_millis() as u64,
+            written_us = written_after.map(|after| after.as_micros() as u64),
+            outcome = ?outcome,
+            "attempt ended"
+        );
+        self.decide(Event::AttemptEnded { request, attempt, latency, outcome, request_ended });
+        self.requests.remove_if_done(request);
+    }
+
+    /// Moves a request's deadline once the last byte of its streamed body is on its way.
+    pub(super) fn handle_body_forwarded(&mut self, request: RequestId, client_deadline: Instant) {
+        let Some(entry) = self.requests.get_mut(request) else { return };
+        // A shutdown that has started meanwhile sets its own end.
+        let shutdown_deadline = self.handle.shutdown_deadline();
+        let client_deadline = shutdown_deadline.map_or(client_deadline, |at| client_deadline.min(at));
+        entry.client_deadline = client_deadline;
+        self.timers.push(client_deadline, Timer::RequestDeadline(request));
+        let client_deadline = self.handle.balancer_time(client_deadline);
+        self.decide(Event::BodyForwarded { request, client_deadline });
+    }
+
+    /// Gives the client an answer whose body still arrives.
+    pub(super) fn handle_response_start(&mut self, start: ResponseStart) {
+        let ResponseStart { request, attempt, latency, response, load_report } = start;
+        let Some(entry) = self.requests.get(request) else { return };
+        let endpoint = entry.attempt_endpoint(attempt).cloned();
+        self.forward_load_report(endpoint, load_report);
+        self.answer(request, FinalAnswer::Served(response));
+        debug!(request = request.0, attempt, latency_ms = latency.as_millis() as u64, "response started");
+        self.decide(Event::ResponseStarted { request, attempt, latency });
+    }
+
+    /// Hands a load report to the balancer, unless the endpoint's id belongs to another endpoint by now.
+    fn forward_load_report(&mut self, endpoint: Option<Rc<UpstreamEndpoint>>, report: Option<LoadReport>) {
+        let Some((endpoint, report)) = endpoint.zip(report) else { return };
+        let known = self.endpoints.get(endpoint.id.0 as usize);
+        if known.is_some_and(|known| Rc::ptr_eq(known, &endpoint)) {
+            self.decide(Event::LoadReport { endpoint: endpoint.id, report });
+        }
+    }
+
+    /// Gives the final answer, and removes the request where no attempt is in flight.
+    pub(super) fn finish(&mut self, id: RequestId, answer: FinalAnswer) {
+        self.answer(id, answer);
+        self.requests.remove_if_done(id);
+    }
+
+    /// Gives the final answer, unless it was given.
+    fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
+        let Some(entry) = self.requests.get(id).filter(|entry| entry.answer.is_some()) else { return };
+        let attempts = entry.attempts.len();
+        let duration = entry.arrived_at.elapsed();
+        let answer = self.record_final_answer(entry.retry_identity, answer);
+        debug!(
+            request = id.0,
+            attempts,
+            duration_ms = duration.as_millis() as u64,
+            result = answer.name(),
+            "request finished"
+        );
+        if let Some(entry) = self.requests.get_mut(id) {
+            entry.finish(answer);
+        }
+    }
+
+    /// Writes a decision about a request to the fleet's audit log, where this gateway is in a fleet.
+    pub(super) fn record_decision(&self, kind: DecisionKind, id: RequestId, endpoint: Option<EndpointId>) {
+        let Some((fleet, entry)) = self.fleet.as_ref().zip(self.requests.get(id)) else { return };
+        let request_id = entry.request_id.to_str().unwrap_or_default();
+        fleet.book(kind, entry.class_index, request_id, endpoint);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/engine/request_table.rs
@@ -0,0 +1,116 @@
+//! The requests that are open or have an attempt in flight, and the `X-Request-ID`s that they hold.
+
+use super::message::FinalAnswer;
+use crate::body::ForwardedRequest;
+use crate::transport::client_liveness::ClientLiveness;
+use crate::upstream::{Deadline, UpstreamEndpoint};
+use hyper::header::HeaderValue;
+use rustc_hash::{FxHashMap, FxHashSet};
+use std::rc::Rc;
+use tokio::sync::{oneshot, Notify};
+use tokio::time::Instant;
+use weldworks_balancer::{Outcome, RequestId};
+use weldworks_control::class_registry::RegisteredClass;
+
+/// One attempt of a request, in flight or ended.
+pub(super) struct AttemptEntry {
+    pub(super) endpoint: Rc<UpstreamEndpoint>,
+    pub(super) cancel: Rc<Notify>,
+    pub(super) deadline: Rc<Deadline>,
+}
+
+/// A request that is open or has an attempt in flight.
+pub(super) struct RequestEntry {
+    pub(super) request_id: HeaderValue,
+    /// Recognizes a client's retry of the same request, where it carries an idempotency key.
+    pub(super) retry_identity: Option<u64>,
+    pub(super) forward: Rc<ForwardedRequest>,
+    /// Where the final answer goes; none once it has been given.
+    pub(super) answer: Option<oneshot::Sender<FinalAnswer>>,
+    pub(super) client: Rc<ClientLiveness>,
+    pub(super) arrived_at: Instant,
+    /// The latest moment for any answer.
+    pub(super) client_deadline: Instant,
+    /// All attempts, by their number.
+    pub(super) attempts: Vec<AttemptEntry>,
+    pub(super) attempts_in_flight: u32,
+    pub(super) last_outcome: Outcome,
+    pub(super) class_index: usize,
+    /// Keeps the class registered while the request lasts.
+    pub(super) _class: Rc<RegisteredClass>,
+}
+
+impl RequestEntry {
+    /// Sends the final answer, unless one was sent. No attempt starts from here on.
+    pub(super) fn finish(&mut self, answer: FinalAnswer) {
+        self.client.end();
+        if let Some(sender) = self.answer.take() {
+            let _ = sender.send(answer); // a disconnected client wants none
+        }
+    }
+
+    /// The endpoint of an attempt, by the attempt's number.
+    pub(super) fn attempt_endpoint(&self, attempt: u32) -> Option<&Rc<UpstreamEndpoint>> {
+        self.attempts.get(attempt as usize).map(|attempt| &attempt.endpoint)
+    }
+
+    fn is_done(&self) -> bool {
+        self.answer.is_none() && self.attempts_in_flight == 0
+    }
+}
+
+/// All requests that are open or have an attempt in flight.
+#[derive(Default)]
+pub(super) struct RequestTable {
+    entries: FxHashMap<RequestId, RequestEntry>,
+    request_ids: FxHashSet<HeaderValue>,
+}
+
+impl RequestTable {
+    /// Reserves an `X-Request-ID`; false where an open request holds it already.
+    pub(super) fn reserve_request_id(&mut self, request_id: &HeaderValue) -> bool {
+        self.request_ids.insert(request_id.clone())
+    }
+
+    /// Adds a request whose `X-Request-ID` is reserved.
+    pub(super) fn insert(&mut self, id: RequestId, entry: RequestEntry) {
+        self.entries.insert(id, entry);
+    }
+
+    pub(super) fn get(&self, id: RequestId) -> Option<&RequestEntry> {
+        self.entries.get(&id)
+    }
+
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestEntry> {
+        self.entries.get_mut(&id)
+    }
+
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (&RequestId, &mut RequestEntry)> {
+        self.entries.iter_mut()
+    }
+
+    /// Removes the request and frees its `X-Request-ID` where it is answered and has no attempt in flight.
+    pub(super) fn remove_if_done(&mut self, id: RequestId) {
+        if !self.entries.get(&id).is_some_and(RequestEntry::is_done) {
+            return;
+        }
+        if let Some(entry) = self.entries.remove(&id) {
+            self.request_ids.remove(&entry.request_id);
+        }
+    }
+
+    /// Answers every open request with this status, cancels all attempts, and keeps only the requests whose attempts have not ended.
+    pub(super) fn fail_all(&mut self, status: hyper::StatusCode) {
+        for entry in self.entries.values_mut() {
+            entry.finish(FinalAnswer::Failed(status));
+            entry.attempts.iter().for_each(|attempt| attempt.cancel.notify_one());
+        }
+        self.entries.retain(|_, entry| entry.attempts_in_flight > 0);
+        self.request_ids = self.entries.values().map(|entry| entry.request_id.clone()).collect();
+    }
+
+    #[cfg(test)]
+    pub(super) fn len(&self) -> usize {
+        self.entries.len()
+    }
+}
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -1,24 +1,32 @@
-//! The loop without sockets: lists, starts of endpoints, stops, and a panic of the decision module.
+//! Tests of the engine without sockets: endpoint lists, start times, shutdown, and a panic of the balancer.
 
+use super::message::{Arrival, FinalAnswer};
 use super::*;
+use crate::body::ForwardedRequest;
 use crate::discovery::endpoint_list::EndpointList;
+use crate::transport::client_liveness::ClientLiveness;
 use crate::transport::descriptor_budget::DescriptorBudget;
+use hyper::header::HeaderValue;
+use hyper::StatusCode;
+use tokio::sync::oneshot;
 use tokio::task::LocalSet;
+use weldworks_balancer::Event;
+use weldworks_control::class_registry::RegisteredClass;
 
 fn arrival(handle: &EngineHandle) -> (Box<Arrival>, oneshot::Receiver<FinalAnswer>) {
-    let (answer, answered) = oneshot::channel();
-    let give_up = handle.balancer_time(Instant::now()) + Duration::from_secs(20);
-    let request = weldworks_balancer::Request::new(handle.next_request(), 0, give_up);
+    let (answer, receiver) = oneshot::channel();
+    let client_deadline = handle.balancer_time(Instant::now()) + Duration::from_secs(20);
+    let request = weldworks_balancer::Request::new(handle.next_request(), 0, client_deadline);
     let (method, uri) = Default::default();
     let forward = ForwardedRequest { method, uri, headers: Default::default(), body: Default::default() };
     let number = HeaderValue::from(request.id.0);
     let class = weldworks_balancer::RequestClass::new(Duration::from_secs(10), Duration::from_secs(30));
     let class = Rc::new(RegisteredClass { name: "look".into(), number: 0, class });
     let client = Rc::new(ClientLiveness::unobserved());
-    (Box::new(Arrival { request, request_id: number, forward, class, answer, client }), answered)
+    (Box::new(Arrival { request, request_id: number, forward, class, answer, client }), receiver)
 }
 
-fn gateway() -> (Engine, EngineHandle) {
+fn engine() -> (Engine, EngineHandle) {
     let mut settings = Settings::default();
     settings
         .classes
@@ -41,189 +49,195 @@
     serde_json::from_str(&text.replace("NAME", name)).expect("a list")
 }
 
-/// What grows with all hosts that ever were would fill the memory in the end.
+/// Endpoints come and go for as long as the process runs. Tables that grew with each that ever was would fill the memory.
 #[tokio::test]
-async fn numbers_of_hosts_that_are_gone_are_used_again() {
+async fn ids_of_removed_endpoints_are_reused() {
     let local = LocalSet::new();
     let _inside = local.enter();
-    let (mut gateway, handle) = gateway();
-    gateway.learn(list("first"));
-    let (held, _answered) = arrival(&handle);
-    gateway.take(Message::RequestArrived(held));
+    let (mut engine, handle) = engine();
+    engine.apply_endpoint_list(list("first"));
+    let (arrived, _answer) = arrival(&handle);
+    engine.apply_message(Message::RequestArrived(arrived));
     for n in 0..100 {
-        gateway.learn(list(&format!("s-{n}")));
+        engine.apply_endpoint_list(list(&format!("s-{n}")));
     }
-    assert!(gateway.hosts.len() <= 4, "{} numbers for one host at a time", gateway.hosts.len());
-    assert!(gateway.host_ids.len() <= 4 && gateway.listed.len() == gateway.hosts.len());
-    // But not while an open request has been sent to the one that is gone.
-    let host = gateway.host_ids.get("first").copied();
-    assert_eq!(host, Some(EndpointId(0)), "its request is open still");
+    assert!(engine.endpoints.len() <= 4, "{} ids for one endpoint at a time", engine.endpoints.len());
+    assert!(engine.endpoint_ids.len() <= 4 && engine.listed_endpoints.len() == engine.endpoints.len());
+    // An id is not reused while an open request has been sent to its endpoint.
+    let host = engine.endpoint_ids.get("first").copied();
+    assert_eq!(host, Some(EndpointId(0)), "its request is still open");
 }
 
-/// Two of sixty hosts are replaced by new ones every half second for a minute, some while a request is out there.
+/// Two of sixty endpoints are replaced by new ones every half second for a minute, each time with a request in flight.
 #[tokio::test]
-async fn a_minute_of_replaced_hosts_leaves_no_more_numbers_than_hosts() {
+async fn replacing_endpoints_for_a_minute_keeps_the_number_of_ids_bounded() {
     let local = LocalSet::new();
     let _inside = local.enter();
-    let (mut gateway, handle) = gateway();
+    let (mut engine, handle) = engine();
     let entry = |n: usize, status: &str| serde_json::json!({ "name": format!("s-{n}"), "address": format!("127.0.0.1:{}", 1 + n % 60), "status": status });
-    let whole: Vec<_> = (0..60).map(|n| entry(n, "active")).collect();
+    let snapshot: Vec<_> = (0..60).map(|n| entry(n, "active")).collect();
     let list = |index: usize, snapshot: bool, endpoints: Vec<serde_json::Value>| {
         let list = serde_json::json!({ "index": index, "snapshot": snapshot, "endpoints": endpoints });
         serde_json::from_value::<EndpointList>(list).expect("a list")
     };
-    gateway.learn(list(1, true, whole));
+    engine.apply_endpoint_list(list(1, true, snapshot));
     for step in 0..120 {
-        let (held, _answered) = arrival(&handle);
-        let id = held.request.id;
-        gateway.take(Message::RequestArrived(held));
+        let (arrived, _answer) = arrival(&handle);
+        let id = arrived.request.id;
+        engine.apply_message(Message::RequestArrived(arrived));
         let (old, new) = (2 * step, 60 + 2 * step);
         let changes =
             vec![entry(old, "left"), entry(old + 1, "left"), entry(new, "active"), entry(new + 1, "active")];
-        gateway.learn(list(2 + step, false, changes));
-        gateway.take(Message::ClientDisconnected(id));
-        // The attempt is called off, and its task tells so.
-        while gateway.requests.contains_key(&id) {
+        engine.apply_endpoint_list(list(2 + step, false, changes));
+        engine.apply_message(Message::ClientDisconnected(id));
+        // The attempt is cancelled, and its task reports so.
+        while engine.requests.get(id).is_some() {
             local.run_until(tokio::task::yield_now()).await;
-            while let Ok(message) = gateway.messages.try_recv() {
-                gateway.take(message);
+            while let Ok(message) = engine.messages.try_recv() {
+                engine.apply_message(message);
             }
         }
     }
-    let up = gateway.listed.iter().filter(|h| h.state == EndpointState::Up).count();
-    assert_eq!((up, gateway.requests.len()), (60, 0));
-    assert!(gateway.hosts.len() <= 70, "{} numbers for 60 hosts at a time", gateway.hosts.len());
+    let up = engine.listed_endpoints.iter().filter(|h| h.state == EndpointState::Up).count();
+    assert_eq!((up, engine.requests.len()), (60, 0));
+    assert!(engine.endpoints.len() <= 70, "{} ids for 60 endpoints at a time", engine.endpoints.len());
 }
 
-/// An old replica, or an answer overtaken on its way, must not undo a drain.
+/// An old replica of the registry, or an answer overtaken on its way, must not undo a drain.
 #[tokio::test]
-async fn a_bad_list_costs_only_itself_and_an_old_one_nothing() {
+async fn faulty_entries_cost_only_themselves_and_an_outdated_delta_is_ignored() {
     let local = LocalSet::new();
     let _inside = local.enter();
-    let (mut gateway, _handle) = gateway();
-    let news = |text: &str| serde_json::from_str::<EndpointList>(text).expect("a list");
-    gateway.learn(news(
+    let (mut engine, _handle) = engine();
+    let delta = |text: &str| serde_json::from_str::<EndpointList>(text).expect("a list");
+    engine.apply_endpoint_list(delta(
         r#"{"index":7,"snapshot":true,"endpoints":[{"name":"a","address":"127.0.0.1:1"},{"name":"b","address":"127.0.0.1:2"}]}"#,
     ));
-    gateway
-        .learn(news(r#"{"index":9,"endpoints":[{"name":"a","address":"127.0.0.1:1","status":"leaving"}]}"#));
-    gateway.learn(news(r#"{"index":8,"endpoints":[{"name":"a","address":"127.0.0.1:1"}]}"#));
-    let state = |gateway: &Engine, name: &str| {
-        gateway.host_ids.get(name).map(|id| gateway.listed[id.0 as usize].state)
+    engine.apply_endpoint_list(delta(
+        r#"{"index":9,"endpoints":[{"name":"a","address":"127.0.0.1:1","status":"leaving"}]}"#,
+    ));
+    engine.apply_endpoint_list(delta(r#"{"index":8,"endpoints":[{"name":"a","address":"127.0.0.1:1"}]}"#));
+    let state = |engine: &Engine, name: &str| {
+        engine.endpoint_ids.get(name).map(|id| engine.listed_endpoints[id.0 as usize].state)
     };
-    assert_eq!(state(&gateway, "a"), Some(EndpointState::Draining), "the older word is passed over");
-    assert_eq!(gateway.version, 9);
-    gateway.learn(news(
+    assert_eq!(state(&engine, "a"), Some(EndpointState::Draining), "the outdated delta is ignored");
+    assert_eq!(engine.list_index, 9);
+    engine.apply_endpoint_list(delta(
         r#"{"index":10,"endpoints":[{"name":"b","address":"nowhere"},{"name":"c","address":"127.0.0.1:3","status":"leaving"},{"name":"c","address":"127.0.0.1:3"},{"name":"d","address":"?"}]}"#,
     ));
-    assert_eq!(state(&gateway, "b"), Some(EndpointState::Up), "it keeps the address it is known by");
-    assert_eq!(state(&gateway, "c"), Some(EndpointState::Up), "the last one counts");
-    assert_eq!(state(&gateway, "d"), Some(EndpointState::Removed), "nowhere to send to");
-    assert_eq!(gateway.faults.len(), 3);
+    assert_eq!(state(&engine, "b"), Some(EndpointState::Up), "it keeps the address it is known by");
+    assert_eq!(state(&engine, "c"), Some(EndpointState::Up), "the last one counts");
+    assert_eq!(state(&engine, "d"), Some(EndpointState::Removed), "nowhere to send to");
+    assert_eq!(engine.list_faults.len(), 3);
 }
 
-/// The time of a body that came in pieces begins with its end, which may come when the process is already on its way out.
+/// The deadline of a streamed body counts from its last byte, which may arrive when the process is already shutting down.
 #[tokio::test]
-async fn a_body_that_ends_during_a_stop_has_no_more_time_than_that() {
+async fn a_body_that_completes_during_shutdown_gets_the_shutdown_deadline() {
     let local = LocalSet::new();
     let _inside = local.enter();
-    let (mut gateway, handle) = gateway();
-    let (held, _answered) = arrival(&handle);
-    let id = held.request.id;
-    gateway.take(Message::RequestArrived(held));
+    let (mut engine, handle) = engine();
+    let (arrived, _answer) = arrival(&handle);
+    let id = arrived.request.id;
+    engine.apply_message(Message::RequestArrived(arrived));
     let late = Instant::now() + Duration::from_secs(20);
-    gateway.take(Message::BodyForwarded { request: id, client_deadline: late });
-    assert_eq!(gateway.requests.get(&id).map(|e| e.give_up), Some(late));
+    engine.apply_message(Message::BodyForwarded { request: id, client_deadline: late });
+    assert_eq!(engine.requests.get(id).map(|e| e.client_deadline), Some(late));
     let by = Instant::now() + Duration::from_secs(1);
     handle.set_shutdown_deadline(by);
-    gateway.take(Message::BodyForwarded { request: id, client_deadline: late });
-    assert_eq!(gateway.requests.get(&id).map(|e| e.give_up), Some(by));
+    engine.apply_message(Message::BodyForwarded { request: id, client_deadline: late });
+    assert_eq!(engine.requests.get(id).map(|e| e.client_deadline), Some(by));
 }
 
-/// A list of one host by this name that started at this Unix time, in seconds from now by this machine's wall clock.
-fn started_at(name: &str, index: u64, whole: bool, from_now: i64) -> EndpointList {
+/// A list of one endpoint of this name, with a start time in seconds from now by this machine's wall clock.
+fn started_at(name: &str, index: u64, snapshot: bool, from_now: i64) -> EndpointList {
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
     let since = i64::try_from(unix.as_millis()).expect("this age") + 1000 * from_now;
-    let list = serde_json::json!({ "index": index, "snapshot": whole, "endpoints": [
+    let list = serde_json::json!({ "index": index, "snapshot": snapshot, "endpoints": [
         { "name": name, "address": "127.0.0.1:1", "since_ms": since }] });
     serde_json::from_value(list).expect("a list")
 }
 
-/// How long ago the module takes the host for started.
-fn age(gateway: &Engine, name: &str) -> Option<Duration> {
-    let started = gateway.listed[gateway.host_ids[name].0 as usize].started?;
-    gateway.handle.balancer_time(Instant::now()).checked_sub(started)
+/// How long ago the balancer takes the endpoint to have started.
+fn age(engine: &Engine, name: &str) -> Option<Duration> {
+    let started = engine.listed_endpoints[engine.endpoint_ids[name].0 as usize].started?;
+    engine.handle.balancer_time(Instant::now()).checked_sub(started)
 }
 
-/// What a new discovery has to tell counts 4 s after the signal, a call may wait 2.4 s for its turn there, and nothing new goes to a
-/// host 2 s after it is told to drain: the call is due before the sum of these, whether a watch was on or a call was waited for.
+/// Lists of a new discovery count from 4 s after the signal, a poll may wait 2.4 s for its turn there, and nothing new may go to an
+/// endpoint 2 s after it is notified to drain. The poll is due before these add up, whether a watch was open or a poll was pending.
 #[tokio::test]
-async fn a_new_discovery_is_asked_in_time_also_while_the_old_one_was_waited_for() {
+async fn a_new_discovery_is_polled_in_time_while_a_poll_of_the_old_one_is_pending() {
     let local = LocalSet::new();
     let _inside = local.enter();
     for seed in 0..200 {
-        let (mut gateway, _handle) = gateway();
+        let (mut engine, _handle) = engine();
         let settings =
-            Settings { discovery_poll_interval: Some(Duration::from_secs(10)), ..gateway.settings.clone() };
-        gateway.balancer = Balancer::new(settings.clone(), seed);
-        gateway.settings = settings;
-        gateway.learn(list("s-1"));
+            Settings { discovery_poll_interval: Some(Duration::from_secs(10)), ..engine.settings.clone() };
+        engine.balancer = Balancer::new(settings.clone(), seed);
+        engine.settings = settings;
+        engine.apply_endpoint_list(list("s-1"));
         if seed % 2 == 0 {
-            gateway.subscribe();
+            engine.open_watch();
         }
-        gateway.timers.clear();
-        gateway.decide(Event::DiscoveryFailed { silent_for: Duration::ZERO }); // the next call is seconds away
+        engine.timers.clear();
+        engine.decide(Event::DiscoveryFailed { silent_for: Duration::ZERO }); // the next poll is seconds away
         let moved = Instant::now();
-        gateway.rediscover(SocketAddr::from(([127, 0, 0, 1], 2)));
-        let asks = gateway.timers.iter().filter(|Reverse((_, timer))| *timer == Timer::Module(0));
-        let next = asks.map(|Reverse((at, _))| *at).min().expect("a call to come");
+        engine.switch_discovery(SocketAddr::from(([127, 0, 0, 1], 2)));
+        let polls = engine.timers.iter().filter(|(_, timer)| *timer == Timer::Balancer(0));
+        let next = polls.map(|(at, _)| *at).min().expect("a poll to come");
         let wait = next.saturating_duration_since(moved);
-        assert!(wait <= Duration::from_millis(3050), "seed {seed}: asked after {wait:?}");
+        assert!(wait <= Duration::from_millis(3050), "seed {seed}: polled after {wait:?}");
     }
 }
 
-/// The wall clock is an hour ahead: a host that was seen to restart a moment ago looks an hour old by it.
+/// The wall clock is an hour ahead: an endpoint that was seen to restart a moment ago looks an hour old by it.
 #[tokio::test]
-async fn a_restart_that_was_seen_is_not_hidden_by_a_clock_that_is_ahead() {
+async fn an_observed_restart_is_not_hidden_by_a_wall_clock_that_is_ahead() {
     let local = LocalSet::new();
     let _inside = local.enter();
-    let (mut gateway, _handle) = gateway();
-    gateway.learn(started_at("a", 1, true, -9000));
+    let (mut engine, _handle) = engine();
+    engine.apply_endpoint_list(started_at("a", 1, true, -9000));
     let heard = Some(Instant::now());
     for (index, name, from_now) in [(2, "a", -3600), (3, "a", -3599), (4, "b", -3602)] {
-        gateway.learn_after(heard, started_at(name, index, false, from_now));
-        let age = age(&gateway, name).expect("a start in the past");
+        engine.apply_received_list(heard, started_at(name, index, false, from_now));
+        let age = age(&engine, name).expect("a start in the past");
         assert!(age < Duration::from_secs(10), "version {index}: taken for {age:?} old");
     }
 }
 
-/// The wall clock is an hour behind: every host that has a start comes from the future, and would be cold until then.
+/// The wall clock is an hour behind: every start time lies in the future by it, and the endpoint would warm up until then.
 #[tokio::test]
-async fn a_start_does_not_lie_in_the_future_of_a_clock_that_is_behind() {
+async fn a_start_never_lies_in_the_future_where_the_wall_clock_is_behind() {
     let local = LocalSet::new();
     let _inside = local.enter();
-    let (mut gateway, _handle) = gateway();
-    gateway.learn(started_at("a", 1, true, 3000));
-    gateway.learn(started_at("b", 2, false, 3600));
+    let (mut engine, _handle) = engine();
+    engine.apply_endpoint_list(started_at("a", 1, true, 3000));
+    engine.apply_endpoint_list(started_at("b", 2, false, 3600));
     for name in ["a", "b"] {
-        assert!(age(&gateway, name).is_some(), "{name} starts in the future");
+        assert!(age(&engine, name).is_some(), "{name} starts in the future");
     }
 }
 
-/// A panic of the module can't be had from outside; what follows one can.
+/// A panic of the balancer can't be provoked from outside. What follows one can be tested: without the restart, open requests would
+/// wait for an answer until their deadline.
 #[tokio::test]
-async fn starting_over_fails_what_is_held_and_serves_on() {
+async fn a_balancer_restart_fails_open_requests_and_serves_new_ones() {
     let local = LocalSet::new();
     let _inside = local.enter();
-    let (mut gateway, handle) = gateway();
-    gateway.learn(list("s-1"));
-    let (held, mut answered) = arrival(&handle);
-    gateway.take(Message::RequestArrived(held));
-    assert!(answered.try_recv().is_err(), "nothing has answered it so far");
-    gateway.start_over();
-    assert!(matches!(answered.try_recv(), Ok(FinalAnswer::Failed(StatusCode::BAD_GATEWAY))));
-    let (next, _answered) = arrival(&handle);
+    let (mut engine, handle) = engine();
+    engine.apply_endpoint_list(list("s-1"));
+    let (arrived, mut answer) = arrival(&handle);
+    engine.apply_message(Message::RequestArrived(arrived));
+    assert!(answer.try_recv().is_err(), "not answered yet");
+    engine.restart_balancer();
+    assert!(matches!(answer.try_recv(), Ok(FinalAnswer::Failed(StatusCode::BAD_GATEWAY))));
+    let (next, _answer) = arrival(&handle);
     let id = next.request.id;
-    gateway.take(Message::RequestArrived(next));
-    assert_eq!(gateway.requests.get(&id).map(|e| e.out), Some(1), "the hosts are known still");
+    engine.apply_message(Message::RequestArrived(next));
+    assert_eq!(
+        engine.requests.get(id).map(|e| e.attempts_in_flight),
+        Some(1),
+        "the endpoints are still known"
+    );
 }
--- /dev/null
+++ b/crates/gateway/src/engine/timers.rs
@@ -0,0 +1,60 @@
+//! The engine's timers, earliest first.
+
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use tokio::time::Instant;
+use weldworks_balancer::RequestId;
+
+/// What a timer is for. Timers of one instant fire in the order of these variants.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Timer {
+    /// A timer that the balancer set, with its token.
+    Balancer(u64),
+    /// The client's deadline of a request has come.
+    RequestDeadline(RequestId),
+    /// The next watch on discovery is to be opened.
+    OpenWatch,
+    /// The endpoint gauges are to be updated.
+    EndpointMetrics,
+}
+
+/// A queue of timers. Those of finished requests stay until they are due.
+#[derive(Default)]
+pub(super) struct TimerQueue {
+    heap: BinaryHeap<Reverse<(Instant, Timer)>>,
+}
+
+impl TimerQueue {
+    pub(super) fn push(&mut self, at: Instant, timer: Timer) {
+        self.heap.push(Reverse((at, timer)));
+    }
+
+    /// When the earliest timer is due.
+    pub(super) fn next_due(&self) -> Option<Instant> {
+        self.heap.peek().map(|Reverse((at, _))| *at)
+    }
+
+    /// Removes the earliest timer where it is due at `now`.
+    pub(super) fn pop_due(&mut self, now: Instant) -> Option<Timer> {
+        let due = self.next_due().is_some_and(|at| at <= now);
+        if !due {
+            return None;
+        }
+        self.heap.pop().map(|Reverse((_, timer))| timer)
+    }
+
+    /// Removes the timers that belong to requests or to the balancer.
+    pub(super) fn clear_decision_timers(&mut self) {
+        self.heap.retain(|Reverse((_, timer))| matches!(timer, Timer::OpenWatch | Timer::EndpointMetrics));
+    }
+
+    #[cfg(test)]
+    pub(super) fn clear(&mut self) {
+        self.heap.clear();
+    }
+
+    #[cfg(test)]
+    pub(super) fn iter(&self) -> impl Iterator<Item = &(Instant, Timer)> {
+        self.heap.iter().map(|Reverse(entry)| entry)
+    }
+}
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -208,7 +208,7 @@
         Some(listener) => TcpListener::from_std(listener)?,
         None => listen("listen", "ROUTER_LISTEN", config.listen)?,
     };
-    gateway.learn(config.known);
+    gateway.apply_endpoint_list(config.known);
     let told = handle.clone();
     let closed = move |ClosedIdleConnection { endpoint: host, address, idle_for: idle, remaining: left }| {
         told.send(Message::IdleConnectionClosed { endpoint: host, address, idle, remaining: left });
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -119,16 +119,16 @@
     /// All of it has gone to its host.
     BodyForwarded {
         /// Its last byte came here after this moment.
-        came: Instant,
+        received_after: Instant,
     },
     /// The answer is passed on while it comes.
     ResponseStarted {
         /// The answer.
-        answer: Box<UpstreamResponse>,
+        response: Box<UpstreamResponse>,
         /// When its first byte came.
-        first: Instant,
+        first_byte_at: Instant,
         /// The load report that came with it.
-        load: Option<LoadReport>,
+        load_report: Option<LoadReport>,
     },
 }
 
@@ -228,7 +228,7 @@
                 whole = true;
                 self.figures.record_send();
                 if let RequestPayload::Streaming(upload) = &forward.body {
-                    tell(AttemptProgress::BodyForwarded { came: upload.last_byte_not_before() });
+                    tell(AttemptProgress::BodyForwarded { received_after: upload.last_byte_not_before() });
                 }
             }
             if let Poll::Ready(answered) = answering.as_mut().poll(cx) {
@@ -319,9 +319,9 @@
         let body =
             ResponseBody::Streaming { left: said, pieces: receiver, over: false, taken: None, guard: None };
         tell(AttemptProgress::ResponseStarted {
-            answer: Box::new(UpstreamResponse { headers, body }),
-            first,
-            load,
+            response: Box::new(UpstreamResponse { headers, body }),
+            first_byte_at: first,
+            load_report: load,
         });
         loop {
             let frame = poll_fn(|cx| {
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -206,7 +206,7 @@
         });
         // No room here says nothing of the host.
         let slot = slot.ok_or(AttemptEnd::Withheld)?;
-        tracing::debug!(host = %address, "dial");
+        tracing::debug!(endpoint = %address, "connecting to endpoint");
         let until = until.min(Instant::now() + self.terms.borrow().dial_timeout);
         let stream = connect::open(|| TcpStream::connect(address), until).await?;
         let _ = stream.set_nodelay(true);
--- a/crates/testbed/src/count.rs
+++ b/crates/testbed/src/count.rs
@@ -13,13 +13,15 @@
 #[serde(default)]
 struct Fields {
     message: String,
-    host: Option<String>,
-    how: Option<String>,
-    ms: Option<u64>,
+    endpoint: Option<String>,
+    outcome: Option<String>,
+    result: Option<String>,
+    latency_ms: Option<u64>,
+    duration_ms: Option<u64>,
     attempts: Option<u64>,
     status: Option<String>,
     kind: Option<String>,
-    since: Option<u64>,
+    started_unix_ms: Option<u64>,
 }
 
 /// What happened in one stretch, over all gateways.
@@ -84,37 +86,38 @@
     fn take(&mut self, at: f64, within: (f64, f64), fields: Fields) {
         let stretch = self.stretches.entry((at / self.every) as u64).or_default();
         let counted = (within.0..within.1).contains(&at);
-        let how = fields.how.unwrap_or_default();
-        match fields.message.as_str() {
-            "arrived" => stretch.arrived += 1,
-            "sent" => stretch.sent += 1,
-            "dial" => stretch.dialled += 1,
-            "served" => stretch.served.extend(fields.ms),
-            "refused" if fields.attempts == Some(0) && fields.ms == Some(0) => stretch.refused_at_once += 1,
-            "refused" => stretch.refused_later += 1,
-            "failed" => stretch.failed += 1,
-            "ended" => *stretch.ended.entry(how.clone()).or_default() += 1,
-            "watch" => stretch.watches += 1,
-            "list" => stretch.lists += 1,
+        let outcome = fields.outcome.unwrap_or_default();
+        let sent_nothing = fields.attempts == Some(0) && fields.duration_ms == Some(0);
+        match (fields.message.as_str(), fields.result.as_deref()) {
+            ("request arrived", _) => stretch.arrived += 1,
+            ("attempt sent", _) => stretch.sent += 1,
+            ("connecting to endpoint", _) => stretch.dialled += 1,
+            ("request finished", Some("served")) => stretch.served.extend(fields.duration_ms),
+            ("request finished", Some("rejected")) if sent_nothing => stretch.refused_at_once += 1,
+            ("request finished", Some("rejected")) => stretch.refused_later += 1,
+            ("request finished", Some("failed")) => stretch.failed += 1,
+            ("attempt ended", _) => *stretch.ended.entry(outcome.clone()).or_default() += 1,
+            ("watch opened", _) => stretch.watches += 1,
+            ("endpoint list received", _) => stretch.lists += 1,
             _ => {}
         }
-        let Some(host) = fields.host else { return };
-        let listed = fields.message == "listed" && at < within.1;
+        let Some(endpoint) = fields.endpoint else { return };
+        let listed = fields.message == "endpoint listed" && at < within.1;
         if !counted && !listed {
             return;
         }
-        let node = self.nodes.entry(host).or_default();
+        let node = self.nodes.entry(endpoint).or_default();
         match fields.message.as_str() {
-            "listed" => {
+            "endpoint listed" => {
                 node.kind = fields.kind.unwrap_or_default();
                 node.status = fields.status.unwrap_or_default();
-                node.since = fields.since.unwrap_or_default();
+                node.since = fields.started_unix_ms.unwrap_or_default();
             }
-            "sent" => node.sent += 1,
-            "dial" => node.dialled += 1,
-            "ended" => {
-                node.took.extend(fields.ms.filter(|_| how == "Served"));
-                *node.ended.entry(how).or_default() += 1;
+            "attempt sent" => node.sent += 1,
+            "connecting to endpoint" => node.dialled += 1,
+            "attempt ended" => {
+                node.took.extend(fields.latency_ms.filter(|_| outcome == "Served"));
+                *node.ended.entry(outcome).or_default() += 1;
             }
             _ => {}
         }
--- a/crates/testbed/src/resends.rs
+++ b/crates/testbed/src/resends.rs
@@ -14,15 +14,16 @@
 struct Fields {
     message: String,
     request: Option<u64>,
-    number: String,
+    request_id: String,
     class: serde_json::Value,
-    effect: String,
+    idempotency: String,
     attempt: Option<usize>,
     zone: Option<u32>,
     cell: Option<u32>,
-    left_us: Option<u64>,
+    write_window_us: Option<u64>,
     written_us: Option<u64>,
-    how: Option<String>,
+    outcome: Option<String>,
+    result: Option<String>,
 }
 
 /// What repeating a request may do, as its gateway's log words it.
@@ -38,12 +39,12 @@
 impl Effect {
     fn read(text: &str) -> Option<Effect> {
         Some(match text {
-            "Safe" => Effect::Safe,
-            "Unsafe" => Effect::Unsafe,
-            keyed if !keyed.starts_with("Keyed") => return None,
-            keyed if keyed.contains("group: All") => Effect::KeyedByAll,
-            keyed if keyed.contains("group: Zone") => Effect::KeyedByZone,
-            keyed if keyed.contains("group: Cell") => Effect::KeyedByCell,
+            "Idempotent" => Effect::Safe,
+            "NotIdempotent" => Effect::Unsafe,
+            keyed if !keyed.starts_with("IdempotencyKey") => return None,
+            keyed if keyed.contains("scope: All") => Effect::KeyedByAll,
+            keyed if keyed.contains("scope: Zone") => Effect::KeyedByZone,
+            keyed if keyed.contains("scope: Cell") => Effect::KeyedByCell,
             _ => return None,
         })
     }
@@ -125,26 +126,26 @@
         let mut ran: BTreeMap<String, usize> = BTreeMap::new();
         logs::read(folder, |file, at, fields: Fields| {
             let Some(id) = fields.request else { return };
-            if fields.message == "arrived" {
-                let Some(effect) = Effect::read(&fields.effect) else { return };
+            if fields.message == "request arrived" {
+                let Some(effect) = Effect::read(&fields.idempotency) else { return };
                 audit.requests += 1;
                 let class = fields.class.as_str().map_or_else(|| fields.class.to_string(), str::to_owned);
                 open.insert(
                     (file, id),
-                    Request { number: fields.number, class, effect, attempts: Vec::new() },
+                    Request { number: fields.request_id, class, effect, attempts: Vec::new() },
                 );
                 return;
             }
             let Some(request) = open.get_mut(&(file, id)) else { return };
             match (fields.message.as_str(), fields.attempt) {
-                ("sent", _) => {
-                    let (zone, cell, left_us) = (fields.zone, fields.cell, fields.left_us);
+                ("attempt sent", _) => {
+                    let (zone, cell, left_us) = (fields.zone, fields.cell, fields.write_window_us);
                     let attempt = Attempt { at, zone, cell, left_us, ended: None };
                     audit.sent(request, &attempt);
                     request.attempts.push(attempt);
                 }
-                ("ended", Some(n)) => {
-                    let how = fields.how.unwrap_or_default();
+                ("attempt ended", Some(n)) => {
+                    let how = fields.outcome.unwrap_or_default();
                     let Some(attempt) = request.attempts.get_mut(n) else { return };
                     attempt.ended = Some((fields.written_us, how, at));
                     audit.ended(request, n);
@@ -156,7 +157,7 @@
                         }
                     }
                 }
-                ("refused", _) => {
+                ("request finished", _) if fields.result.as_deref() == Some("rejected") => {
                     let harmless = matches!(request.effect, Effect::Safe | Effect::KeyedByAll);
                     if !harmless && request.attempts.iter().any(Attempt::may_have_run) {
                         audit.breach("refused after an attempt that may have run", request);
--- a/crates/testbed/tests/count.rs
+++ b/crates/testbed/tests/count.rs
@@ -33,27 +33,39 @@
 
 #[test]
 fn two_gateways_are_counted_together_by_stretch_and_node() {
-    let sent = r#""message":"sent","request":1,"attempt":0,"host":"127.0.0.1:1""#;
-    let served = r#""message":"ended","request":1,"attempt":0,"host":"127.0.0.1:1","ms":40,"how":"Served""#;
-    let late = r#""message":"ended","request":1,"attempt":0,"host":"127.0.0.1:1","ms":300,"how":"TimedOut""#;
-    let listed = r#""message":"listed","host":"127.0.0.1:1","kind":"std-2c","status":"Leaving","since":7"#;
+    let sent = r#""message":"attempt sent","request":1,"attempt":0,"endpoint":"127.0.0.1:1""#;
+    let served = r#""message":"attempt ended","request":1,"attempt":0,"endpoint":"127.0.0.1:1","latency_ms":40,"outcome":"Served""#;
+    let late = r#""message":"attempt ended","request":1,"attempt":0,"endpoint":"127.0.0.1:1","latency_ms":300,"outcome":"TimedOut""#;
+    let listed = r#""message":"endpoint listed","endpoint":"127.0.0.1:1","kind":"std-2c","status":"Leaving","started_unix_ms":7"#;
     let a = [
         line(
             "0.100 ",
             30.1,
-            r#""message":"listed","host":"127.0.0.1:1","kind":"std-2c","status":"Active","since":7"#,
+            r#""message":"endpoint listed","endpoint":"127.0.0.1:1","kind":"std-2c","status":"Active","started_unix_ms":7"#,
         ),
         line("0.200 ", 30.2, sent),
-        line("0.200 ", 30.2, r#""message":"dial","host":"127.0.0.1:1""#),
+        line("0.200 ", 30.2, r#""message":"connecting to endpoint","endpoint":"127.0.0.1:1""#),
         line("0.240 ", 30.24, served),
-        line("0.240 ", 30.24, r#""message":"served","request":1,"attempts":1,"ms":41"#),
-        line("1.500 ", 31.5, r#""message":"refused","request":2,"attempts":0,"ms":0"#),
+        line(
+            "0.240 ",
+            30.24,
+            r#""message":"request finished","result":"served","request":1,"attempts":1,"duration_ms":41"#,
+        ),
+        line(
+            "1.500 ",
+            31.5,
+            r#""message":"request finished","result":"rejected","request":2,"attempts":0,"duration_ms":0"#,
+        ),
         "a line of something else\n".to_owned(),
     ];
     let b = [
         line("1.200 ", 31.2, sent),
         line("1.510 ", 31.51, late),
-        line("1.510 ", 31.51, r#""message":"refused","request":1,"attempts":1,"ms":300"#),
+        line(
+            "1.510 ",
+            31.51,
+            r#""message":"request finished","result":"rejected","request":1,"attempts":1,"duration_ms":300"#,
+        ),
         line("1.600 ", 31.6, listed),
     ];
     let folder = Folder::with("two", &[("n0.log", &a.concat()), ("n1.log", &b.concat())]);
@@ -73,7 +85,7 @@
 
 #[test]
 fn logs_by_the_wall_clock_begin_at_their_earliest_line() {
-    let arrived = r#""message":"arrived","request":1,"class":0,"repeat":false"#;
+    let arrived = r#""message":"request arrived","request":1,"class":0,"client_retry":false"#;
     let files = [("b.log", line("", 33.0, arrived)), ("a.log", line("", 31.5, arrived))];
     let folder = Folder::with("wall", &files.each_ref().map(|(name, text)| (*name, text.as_str())));
     let counts = Counts::of(&folder.0, 1.0, (0.0, f64::INFINITY)).expect("counts");
--- a/crates/testbed/tests/resends.rs
+++ b/crates/testbed/tests/resends.rs
@@ -36,24 +36,29 @@
 fn arrived(effect: Idempotency) -> String {
     line(
         0,
-        &format!(r#""message":"arrived","request":1,"number":"ab01","class":"book","effect":"{effect:?}""#),
+        &format!(
+            r#""message":"request arrived","request":1,"request_id":"ab01","class":"book","idempotency":"{effect:?}""#
+        ),
     )
 }
 
 /// An attempt: when it was sent, to which zone and cell, what was left of the window.
 fn sent(ms: u64, n: u32, place: (u32, u32), left_us: Option<u64>) -> String {
-    let left = left_us.map(|us| format!(r#","left_us":{us}"#)).unwrap_or_default();
+    let left = left_us.map(|us| format!(r#","write_window_us":{us}"#)).unwrap_or_default();
     let (zone, cell) = place;
-    line(ms, &format!(r#""message":"sent","request":1,"attempt":{n},"zone":{zone},"cell":{cell}{left}"#))
+    line(
+        ms,
+        &format!(r#""message":"attempt sent","request":1,"attempt":{n},"zone":{zone},"cell":{cell}{left}"#),
+    )
 }
 
 fn ended(ms: u64, n: u32, how: &str, written_us: Option<u64>) -> String {
     let written = written_us.map(|us| format!(r#","written_us":{us}"#)).unwrap_or_default();
-    line(ms, &format!(r#""message":"ended","request":1,"attempt":{n},"how":"{how}"{written}"#))
+    line(ms, &format!(r#""message":"attempt ended","request":1,"attempt":{n},"outcome":"{how}"{written}"#))
 }
 
 fn refused(ms: u64) -> String {
-    line(ms, r#""message":"refused","request":1,"attempts":1,"ms":9"#)
+    line(ms, r#""message":"request finished","result":"rejected","request":1,"attempts":1,"duration_ms":9"#)
 }
 
 fn keyed(group: KeyScope) -> Idempotency {
