--- a/crates/gateway/src/server/admin.rs
+++ b/crates/gateway/src/server/admin.rs
@@ -1,8 +1,8 @@
-//! The second address: staff and their programs ask how this process stands, read its figures, and have it leave service.
+//! The admin API on the second address: administrators and their tools ask whether this process is ready, read its metrics, and
+//! have it drain.
 //!
-//! HTTP/1.1, one call to a connection. An answer reads what stands in shared cells and waits for nobody, so it is due as soon
-//! as the event loop comes round. Callers have a few descriptors of their own, and each a short time to say what they want:
-//! who says nothing, or half a call, makes room for the next once all are in use.
+//! HTTP/1.1, one call to a connection. An answer reads shared cells and waits for nothing, so it is sent as soon as the event loop
+//! comes round. Callers share a few descriptors of their own: once all are in use, the oldest caller without an answer is closed.
 
 use crate::lifecycle::service::ServiceState;
 use crate::transport::descriptor_budget::{DescriptorPermit, DescriptorQuota};
@@ -26,128 +26,175 @@
 use tokio::time::timeout;
 use tracing::{error, info};
 
-/// Who has not been answered by then is cut off; a whole call is answered at once.
-const CALL: Duration = Duration::from_secs(3);
-/// The most that is read of a call's head, the least that the library takes.
-const HEAD: usize = 8 << 10;
-/// Wait after a failed accept.
-const AGAIN: Duration = Duration::from_millis(20);
+/// Time for a complete call, after which its connection is closed.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+/// Buffer for a call's head, in bytes: the least that the HTTP library takes.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The callers, in the order in which they came.
+/// The open connections of callers, oldest first.
 struct Callers {
-    slots: DescriptorQuota,
+    quota: DescriptorQuota,
+    /// Asks the callers without an answer to close.
     unanswered: RefCell<VecDeque<Rc<Notify>>>,
-    left: Notify,
+    slot_released: Notify,
 }
 
 impl Callers {
-    /// A place for a caller. Where all are taken, the one that has said least for longest makes room.
-    async fn place(&self) -> DescriptorPermit {
+    /// Acquires a slot for a new caller. While all are in use, the oldest caller without an answer is closed.
+    async fn acquire_slot(&self) -> DescriptorPermit {
         loop {
-            if let Some(slot) = self.slots.acquire() {
-                return slot;
+            if let Some(permit) = self.quota.acquire() {
+                return permit;
             }
             if let Some(oldest) = self.unanswered.borrow_mut().pop_front() {
                 oldest.notify_one();
             }
-            self.left.notified().await;
+            self.slot_released.notified().await;
         }
     }
+
+    /// Adds a caller without an answer; the result is notified when it is to close.
+    fn register(&self) -> Rc<Notify> {
+        let close_requested = Rc::new(Notify::new());
+        self.unanswered.borrow_mut().push_back(close_requested.clone());
+        close_requested
+    }
+
+    /// Removes a caller and gives its slot back.
+    fn release(&self, close_requested: &Rc<Notify>, permit: DescriptorPermit) {
+        self.unanswered.borrow_mut().retain(|other| !Rc::ptr_eq(other, close_requested));
+        drop(permit);
+        self.slot_released.notify_one();
+    }
 }
 
-/// Answers calls for as long as it runs.
-pub async fn serve_admin(listener: TcpListener, slots: DescriptorQuota, service: Rc<ServiceState>) {
-    let callers = Rc::new(Callers { slots, unanswered: RefCell::default(), left: Notify::new() });
-    let mut failing = false; // said once, until one succeeds
+/// Answers admin calls until it is dropped.
+pub async fn serve_admin(listener: TcpListener, quota: DescriptorQuota, service: Rc<ServiceState>) {
+    let callers = Rc::new(Callers { quota, unanswered: RefCell::default(), slot_released: Notify::new() });
+    let mut failure_is_logged = false; // reset by the next success
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                if !std::mem::replace(&mut failing, true) {
-                    error!(%error, "no call can be accepted at the second address; trying again every {AGAIN:?}");
+                if !failure_is_logged {
+                    error!(%error, retry_delay = ?ACCEPT_RETRY_DELAY, "admin API: accept failed, retrying");
+                    failure_is_logged = true;
                 }
-                tokio::time::sleep(AGAIN).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        failing = false;
-        // The newest caller is a descriptor over the reserve for as long as an older one makes room: one turn of the loop.
-        let slot = callers.place().await;
-        // In the queue before the next one is accepted, which may have to look for the oldest at once.
-        let make_room = Rc::new(Notify::new());
-        callers.unanswered.borrow_mut().push_back(make_room.clone());
-        spawn_local(serve(stream, slot, make_room, callers.clone(), service.clone()));
+        failure_is_logged = false;
+        // While an older caller is closed, which takes one turn of the event loop, this one exceeds the quota by a descriptor.
+        let permit = callers.acquire_slot().await;
+        // Registered before the next accept, which may need to close the oldest caller at once.
+        let close_requested = callers.register();
+        spawn_local(serve_call(stream, permit, close_requested, callers.clone(), service.clone()));
     }
 }
 
-async fn serve(
+/// Serves one caller's connection until its call is answered, its time is over, or it has to make room.
+async fn serve_call(
     stream: TcpStream,
-    slot: DescriptorPermit,
-    make_room: Rc<Notify>,
+    permit: DescriptorPermit,
+    close_requested: Rc<Notify>,
     callers: Rc<Callers>,
     service: Rc<ServiceState>,
 ) {
     let _ = stream.set_nodelay(true);
-    let called = service_fn(|request: Request<Incoming>| {
+    let respond_to = service_fn(|request: Request<Incoming>| {
         let response = respond(&request, &service);
         async move { Ok::<_, Infallible>(response) }
     });
     let mut builder = http1::Builder::new();
-    builder.keep_alive(false).max_buf_size(HEAD);
-    let connection = builder.serve_connection(TokioIo::new(Stream::new(stream)), called);
+    builder.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
+    let connection = builder.serve_connection(TokioIo::new(Stream::new(stream)), respond_to);
     tokio::select! {
-        // What can't be read is answered by the library with 400, or 431 where it is too long.
-        _ = timeout(CALL, connection) => {}
-        () = make_room.notified() => {}
+        // The library answers what it can't parse with 400, or with 431 if it is too long.
+        _ = timeout(CALL_TIMEOUT, connection) => {}
+        () = close_requested.notified() => {}
     }
-    callers.unanswered.borrow_mut().retain(|other| !Rc::ptr_eq(other, &make_room));
-    drop(slot);
-    callers.left.notify_one();
+    callers.release(&close_requested, permit);
 }
 
-fn respond(request: &Request<Incoming>, service: &ServiceState) -> Response<Full<Bytes>> {
-    let (allowed, path) = match request.uri().path() {
-        path @ ("/_ready" | "/_vars") => (Method::GET, path),
-        path @ ("/_lameduck/on" | "/_lameduck/off") => (Method::PUT, path),
-        _ => {
-            return said(
-                StatusCode::NOT_FOUND,
-                "no such call: /_ready, /_vars, /_lameduck/on, /_lameduck/off\n".into(),
-            )
+/// The calls of the admin API.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum AdminCall {
+    Readiness,
+    Metrics,
+    StartDrain,
+    EndDrain,
+}
+
+impl AdminCall {
+    fn from_path(path: &str) -> Option<AdminCall> {
+        match path {
+            "/_ready" => Some(AdminCall::Readiness),
+            "/_vars" => Some(AdminCall::Metrics),
+            "/_lameduck/on" => Some(AdminCall::StartDrain),
+            "/_lameduck/off" => Some(AdminCall::EndDrain),
+            _ => None,
         }
-    };
-    if request.method() != allowed {
-        let mut response = said(StatusCode::METHOD_NOT_ALLOWED, format!("this call is a {allowed}\n"));
-        if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
-            response.headers_mut().insert(header::ALLOW, allowed);
+    }
+
+    fn method(self) -> Method {
+        match self {
+            AdminCall::Readiness | AdminCall::Metrics => Method::GET,
+            AdminCall::StartDrain | AdminCall::EndDrain => Method::PUT,
         }
-        return response;
     }
-    match path {
-        "/_vars" => said(StatusCode::OK, service.figures.text()),
-        "/_ready" => match service.not_ready_reason() {
-            None => said(StatusCode::OK, "yes\n".into()),
-            Some(why) => said(StatusCode::SERVICE_UNAVAILABLE, format!("no: {why}\n")),
+}
+
+fn respond(request: &Request<Incoming>, service: &ServiceState) -> Response<Full<Bytes>> {
+    let Some(call) = AdminCall::from_path(request.uri().path()) else {
+        let calls = "no such call: /_ready, /_vars, /_lameduck/on, /_lameduck/off\n";
+        return text_response(StatusCode::NOT_FOUND, calls.into());
+    };
+    let method = call.method();
+    if request.method() != method {
+        return method_not_allowed(&method);
+    }
+    match call {
+        AdminCall::Metrics => text_response(StatusCode::OK, service.figures.text()),
+        AdminCall::Readiness => match service.not_ready_reason() {
+            None => text_response(StatusCode::OK, "yes\n".into()),
+            Some(reason) => text_response(StatusCode::SERVICE_UNAVAILABLE, format!("no: {reason}\n")),
         },
-        path => {
-            let on = path.ends_with("/on");
-            if service.set_draining(on) {
-                info!(on, "drain, by a call at the second address");
-            }
-            let state = match (service.is_shutting_down(), on) {
-                (true, _) => "stopping\n",
-                (false, true) => "draining\n",
-                (false, false) => "in service\n",
-            };
-            said(StatusCode::OK, state.into())
-        }
+        AdminCall::StartDrain => set_draining(service, true),
+        AdminCall::EndDrain => set_draining(service, false),
+    }
+}
+
+fn set_draining(service: &ServiceState, on: bool) -> Response<Full<Bytes>> {
+    if service.set_draining(on) {
+        info!(on, "drain, by a call at the second address");
+    }
+    let state = if service.is_shutting_down() {
+        "stopping\n"
+    } else if on {
+        "draining\n"
+    } else {
+        "in service\n"
+    };
+    text_response(StatusCode::OK, state.into())
+}
+
+fn method_not_allowed(allowed: &Method) -> Response<Full<Bytes>> {
+    let text = format!("this call is a {allowed}\n");
+    let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, text);
+    if let Ok(allowed) = HeaderValue::from_str(allowed.as_str()) {
+        response.headers_mut().insert(header::ALLOW, allowed);
     }
+    response
 }
 
-fn said(status: StatusCode, text: String) -> Response<Full<Bytes>> {
+/// A response of this status and text, with the content type of the metrics' text format.
+fn text_response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
-    let plain = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
-    response.headers_mut().insert(header::CONTENT_TYPE, plain);
+    let content_type = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
+    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
     response
 }
--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -1,35 +1,39 @@
-//! A request: read off its head, checked, taken with its body, decided by the gateway, and answered.
+//! One request: its head is checked, its body received, the engine decides it, and its response is built.
 
-use super::{Peer, Server, ROOM_AGAIN};
-use crate::body::{
-    buffer_body, ForwardedRequest, RequestPayload, ResponseBody, StreamingUpload, UpstreamResponse,
+use super::client_connection::ClientConnection;
+use super::client_table::ConnectionSlot;
+use super::request_head::{header_text, MalformedRequest, RequestHead};
+use super::request_settings::RequestSettings;
+use super::response::{
+    answer_response, plain_response, with_connection_close, AnsweredRequest, ConnectionUse,
 };
+use super::Server;
+use crate::body::{buffer_body, ForwardedRequest, RequestPayload, ResponseBody, StreamingUpload};
 use crate::engine::message::{Arrival, EngineHandle, FinalAnswer, Message};
-use crate::limits::{MAX_BODY, MAX_LARGE};
+use crate::limits::MAX_BODY;
 use crate::metrics::{CountedRequest, RequestEnding};
 use crate::transport::client_liveness::ClientLiveness;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::Instant;
-use weldworks_balancer::{stable_hash, RequestId, Settings};
-use weldworks_control::body_streaming::{BodyError, TransferState};
-use weldworks_control::class_registry::{ClassError, ClassRegistry, ClassTable, RequestForm};
+use weldworks_balancer::{stable_hash, RequestId};
+use weldworks_control::body_streaming::TransferState;
+use weldworks_control::class_registry::RegisteredClass;
 
-/// A body that is not held may come for so long: the longest one at the slowest rate.
-const UPLOAD: Duration = Duration::from_secs(1100);
-/// What a client still writes of a request that is over is read for so long, so that it comes to read the answer.
-const DISCARD: Duration = Duration::from_secs(2);
-/// The answer leaves so long before the client gives up: the way here and back, and a busy machine.
-const AHEAD: Duration = Duration::from_millis(15);
+/// Time for a streamed upload: the longest body at the slowest rate.
+const UPLOAD_TIMEOUT: Duration = Duration::from_secs(1100);
+/// Time for which the rest of a body is read and dropped once its request is over, so that the client comes to read its response.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What goes on to hosts: the headers that the protocol names. Nothing else that a client says is theirs to read.
-const PASSED_ON: [HeaderName; 9] = [
+/// The headers of the protocol, which are forwarded to endpoints; no other is.
+const FORWARDED_HEADERS: [HeaderName; 9] = [
     header::HOST,
     header::COOKIE,
     HeaderName::from_static("x-request-id"),
@@ -40,364 +44,266 @@
     HeaderName::from_static("x-attrs"),
     HeaderName::from_static("idempotency-key"),
 ];
-/// Headers that must not come twice: whoever reads the other one reads another request.
-const ONCE: [&str; 6] = [
-    "x-request-id",
-    "x-priority-class",
-    "idempotency-key",
-    "x-timeout",
-    "content-length",
-    "transfer-encoding",
-];
-
-/// What is wrong with a request, so that it goes no further.
-#[derive(Debug, thiserror::Error)]
-enum Malformed {
-    #[error("X-Request-ID is missing")]
-    NoId,
-    #[error("{0} comes more than once")]
-    Repeated(&'static str),
-    #[error("a body needs a Content-Length, or Transfer-Encoding: chunked")]
-    NoLength,
-    #[error("Content-Length beside Transfer-Encoding: where the request ends is in doubt")]
-    Ambiguous,
-    #[error("a request of this class has no body")]
-    NeedlessBody,
-    #[error("X-Priority-Class names no class")]
-    UnknownClass,
-    #[error("the path is not that of the class")]
-    WrongPath,
-    #[error("the method is not that of the class")]
-    WrongMethod,
-    #[error("Idempotency-Key does not go with the class")]
-    WrongKey,
-    #[error("X-Timeout is no time to wait")]
-    BadTimeout,
-    #[error("X-Cost is no amount of work")]
-    BadCost,
-    #[error("the body is too long")]
-    TooLong,
-    #[error("the body has not come whole")]
-    NoBody,
-}
-
-impl From<BodyError> for Malformed {
-    fn from(fault: BodyError) -> Malformed {
-        match fault {
-            BodyError::Incomplete => Malformed::NoBody,
-            BodyError::TooLong => Malformed::TooLong,
-        }
-    }
-}
-
-impl From<ClassError> for Malformed {
-    fn from(why: ClassError) -> Malformed {
-        match why {
-            ClassError::Unknown => Malformed::UnknownClass,
-            ClassError::MethodMismatch => Malformed::WrongMethod,
-            ClassError::KeyMismatch => Malformed::WrongKey,
-        }
-    }
-}
 
-impl Malformed {
-    fn status(&self) -> StatusCode {
-        match self {
-            Malformed::WrongMethod => StatusCode::METHOD_NOT_ALLOWED,
-            Malformed::NoLength => StatusCode::LENGTH_REQUIRED,
-            Malformed::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Malformed::NoBody => StatusCode::REQUEST_TIMEOUT,
-            _ => StatusCode::BAD_REQUEST,
-        }
-    }
+/// How far the body of a request has been received when the engine gets the request.
+enum Receipt {
+    /// Completely; the request is counted with its answer.
+    Complete(CountedRequest),
+    /// In part; the rest is streamed.
+    Streaming(Rc<StreamingUpload>),
 }
 
-/// What requests may name, and what they are told, by the settings in force.
-pub struct RequestSettings {
-    classes: ClassTable,
-    tenants: Vec<String>,
-    keep_away: Duration,
+/// A request that can be handed to the engine.
+struct ReceivedRequest {
+    payload: RequestPayload,
+    receipt: Receipt,
+    client_deadline: Instant,
 }
 
-impl RequestSettings {
-    /// The terms of these settings.
-    pub fn new(classes: &ClassRegistry, tenants: Vec<String>, settings: &Settings) -> RequestSettings {
-        RequestSettings {
-            classes: classes.table(),
-            tenants,
-            keep_away: ROOM_AGAIN.min(settings.max_retry_after),
-        }
-    }
-
-    /// The tenant's place in the settings; beyond the last one where it has none there.
-    fn tenant(&self, name: Option<&str>) -> usize {
-        self.tenants.iter().position(|t| Some(t.as_str()) == name).unwrap_or(self.tenants.len())
-    }
-}
-
-/// A request that has been told to the gateway: if the client goes, so does this, and the gateway hears of it.
-struct Owed {
-    gateway: EngineHandle,
+/// A request that the engine has not answered yet. Dropped before that, because its client has disconnected, it says so to the engine.
+struct PendingRequest {
+    engine: EngineHandle,
     id: RequestId,
     client: Rc<ClientLiveness>,
 }
 
-impl Drop for Owed {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        // An answered request is over already. The client is noted first: an attempt about to be written sees it.
+        // The client's end is recorded before the message: an attempt about to be written looks there.
         if self.client.end() {
-            self.gateway.send(Message::ClientDisconnected(self.id));
+            self.engine.send(Message::ClientDisconnected(self.id));
         }
     }
 }
 
 impl Server {
+    /// The response to a request.
     pub(super) async fn answer(
         &self,
         request: Request<Incoming>,
-        room: bool,
-        peer: &Peer,
+        slot: ConnectionSlot,
+        connection: &ClientConnection,
     ) -> Response<ResponseBody> {
         if request.uri().path() == "/health/ready" {
-            return plain(
-                if self.service.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE },
-                "",
-            );
+            return self.health_response();
         }
-        if !room {
-            // Held requests have all other places. This one has gone nowhere, and waiting here would keep those
-            // out that come after it and are taken already, so it is refused before its body is read.
-            if let Some(class) = text(request.headers(), "x-priority-class") {
-                self.service.figures.record_ending(class, RequestEnding::Deferred);
-            }
-            return self.respond(FinalAnswer::Rejected { retry_after: self.terms.borrow().keep_away });
+        if slot == ConnectionSlot::Overflow {
+            return self.reject_overflow(request.headers());
         }
-        match self.take(request, peer).await {
-            Ok(Answered { answer, close }) => {
-                let mut response = self.respond(answer);
-                if close {
-                    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
-                }
-                response
-            }
+        match self.process(request, connection).await {
+            Ok(answered) => answered.into_response(),
             Err(malformed) => {
-                let mut response = plain(malformed.status(), &format!("{malformed}\n"));
-                // Where its end is in doubt, nothing that follows is read: it may be a request that hides in a body.
-                response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
-                response
+                let response = plain_response(malformed.status(), &format!("{malformed}\n"));
+                // Where the request's end is in doubt nothing behind it is read: it may be a request smuggled in a body.
+                with_connection_close(response)
             }
         }
     }
 
-    fn respond(&self, answer: FinalAnswer) -> Response<ResponseBody> {
-        match answer {
-            FinalAnswer::Served(answer) => {
-                let mut response = Response::new(answer.body);
-                *response.headers_mut() = answer.headers;
-                response
-            }
-            FinalAnswer::Rejected { retry_after: keep_away } => {
-                let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "try again later\n");
-                // Where the settings let clients be given no advice the module's is zero: they may come at once.
-                if let Ok(after) = HeaderValue::from_str(&keep_away.as_secs_f64().to_string()) {
-                    response.headers_mut().insert(header::RETRY_AFTER, after);
-                }
-                response
-            }
-            FinalAnswer::Failed(status) => plain(status, "failed\n"),
-        }
+    /// The response to the platform's health check.
+    fn health_response(&self) -> Response<ResponseBody> {
+        let status = if self.service.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+        plain_response(status, "")
     }
 
-    /// Has a request decided. The answer comes from the gateway, whatever becomes of the hosts.
-    async fn take(&self, request: Request<Incoming>, peer: &Peer) -> Result<Answered, Malformed> {
-        let (head, body) = request.into_parts();
-        let headers = &head.headers;
-        // The library frames what is chunked, but drops a length that comes behind: what the connection has seen of the head
-        // is asked. Any other encoding would have to be understood, and nobody's hosts do.
-        if let Some(encoding) = headers.get(header::TRANSFER_ENCODING) {
-            if !encoding.as_bytes().eq_ignore_ascii_case(b"chunked") {
-                return Err(Malformed::NoLength);
-            }
-            if headers.contains_key(header::CONTENT_LENGTH)
-                || !peer.framing.borrow().is_plain(peer.asked.get())
-            {
-                return Err(Malformed::Ambiguous);
-            }
-        }
-        if let Some(name) = ONCE.into_iter().find(|&name| headers.get_all(name).iter().nth(1).is_some()) {
-            return Err(Malformed::Repeated(name));
-        }
-        let number = headers.get("x-request-id").filter(|id| !id.is_empty()).ok_or(Malformed::NoId)?.clone();
-        let length = body.size_hint().exact();
-        if length.is_some_and(|length| length > MAX_LARGE) {
-            return Err(Malformed::TooLong); // before any of it is read
-        }
-        let name = text(headers, "x-priority-class").ok_or(Malformed::UnknownClass)?;
-        let terms = self.terms.borrow().clone();
-        if head.uri.path().split('/').nth(1) != Some(name) {
-            return Err(Malformed::WrongPath);
+    /// Rejects a request on a connection without a slot of its own, before its body is read. Requests in flight have all slots, and
+    /// waiting here would keep out those that come next.
+    fn reject_overflow(&self, headers: &HeaderMap) -> Response<ResponseBody> {
+        if let Some(class) = header_text(headers, "x-priority-class") {
+            self.service.figures.record_ending(class, RequestEnding::Deferred);
         }
-        let keyed = text(headers, "idempotency-key").is_some_and(|k| !k.is_empty());
-        let method = &head.method;
-        if *method != Method::GET && *method != Method::POST {
-            return Err(Malformed::WrongMethod);
-        }
-        let form = RequestForm { is_write: *method == Method::POST, has_idempotency_key: keyed };
-        let kept = terms.classes.resolve(self.gateway.balancer_time(Instant::now()), name, form)?.clone();
-        let class = &kept.class;
-        let patience = text(headers, "x-timeout").and_then(patience).ok_or(Malformed::BadTimeout)?;
-        let patience = patience.min(class.deadline).saturating_sub(AHEAD);
-        if *method == Method::GET && length.is_some_and(|length| length > 0) {
-            return Err(Malformed::NeedlessBody);
-        }
-        let cost = match text(headers, "x-cost") {
-            Some(cost) => Some(Duration::from_micros(cost.trim().parse().map_err(|_| Malformed::BadCost)?)),
-            None => None,
-        };
-        let (held, rest) = buffer_body(body, MAX_BODY).await?;
-        if *method == Method::GET && !held.is_empty() {
-            return Err(Malformed::NeedlessBody);
+        let retry_after = self.settings.borrow().overflow_retry_after;
+        answer_response(FinalAnswer::Rejected { retry_after })
+    }
+
+    /// Receives a request and has the engine answer it.
+    async fn process(
+        &self,
+        request: Request<Incoming>,
+        connection: &ClientConnection,
+    ) -> Result<AnsweredRequest, MalformedRequest> {
+        let (parts, body) = request.into_parts();
+        // Held to the end of the request: the table of classes keeps their numbers from being given to other classes.
+        let settings = self.settings.borrow().clone();
+        let head = self.check_head(&parts, &body, connection, &settings)?;
+        let (buffered, rest) = buffer_body(body, MAX_BODY).await?;
+        if parts.method == Method::GET && !buffered.is_empty() {
+            return Err(MalformedRequest::UnexpectedBody);
         }
-        let mut taken = CountedRequest::new(self.service.figures.clone(), kept.clone());
-        let client = Rc::new(ClientLiveness::new(peer.line.clone()));
-        let (give_up, body, upload) = match rest {
+        let mut counted = CountedRequest::new(self.service.figures.clone(), head.class.clone());
+        let client = Rc::new(ClientLiveness::new(connection.probe.clone()));
+        let received = match rest {
             None => {
-                // What came behind another request has waited here for that to be answered, and its client with it.
-                let read = peer.marks.last_read.get().unwrap_or_else(Instant::now) - self.waited();
-                let came = peer.waited_since().map_or(read, |since| read.min(since));
-                peer.await_next_head();
-                taken.mark_open();
-                let give_up = came + patience;
-                if Instant::now() >= give_up {
-                    return Ok(Answered::new(FinalAnswer::Failed(StatusCode::GATEWAY_TIMEOUT), taken));
-                    // too late to begin
+                let client_deadline = self.received_at(connection) + head.client_timeout;
+                connection.await_next_head();
+                counted.mark_open();
+                if Instant::now() >= client_deadline {
+                    let timeout = FinalAnswer::Failed(StatusCode::GATEWAY_TIMEOUT);
+                    return Ok(AnsweredRequest::new(timeout, counted, ConnectionUse::KeepAlive));
                 }
-                (give_up, RequestPayload::Buffered(held), Err(taken))
-            }
-            Some(rest) => {
-                let upload = Rc::new(StreamingUpload::new(
-                    held,
-                    rest,
-                    length,
-                    patience,
-                    taken,
-                    client.clone(),
-                    peer.marks.clone(),
-                ));
-                (Instant::now() + UPLOAD, RequestPayload::Streaming(upload.clone()), Ok(upload))
+                let payload = RequestPayload::Buffered(buffered);
+                ReceivedRequest { payload, receipt: Receipt::Complete(counted), client_deadline }
             }
+            Some(rest) => start_upload(buffered, rest, &head, counted, &client, connection),
         };
-        let give_up = self.gateway.shutdown_deadline().map_or(give_up, |by| give_up.min(by));
-        let id = self.gateway.next_request();
-        // By the numbers in force now, which the gateway goes by: those of before may be another customer's. One that is not in the
-        // settings has none, and nobody else's.
-        let tenant = text(headers, "x-tenant-id");
-        let tenant = self.terms.borrow().tenant(tenant);
-        let request = weldworks_balancer::Request {
+        let ReceivedRequest { payload, receipt, client_deadline } = received;
+        let request = self.balancer_request(&parts.headers, &head, &receipt, client_deadline);
+        let forward = forwarded_request(parts, payload);
+        let RequestHead { request_id, class, .. } = head;
+        let answer = self.request_answer(request, request_id, class.clone(), forward, client).await;
+        self.finish(answer, receipt, class, connection)
+    }
+
+    /// Checks the head of a request that is read now.
+    fn check_head(
+        &self,
+        parts: &Parts,
+        body: &Incoming,
+        connection: &ClientConnection,
+        settings: &RequestSettings,
+    ) -> Result<RequestHead, MalformedRequest> {
+        let body_length = body.size_hint().exact();
+        let now = self.engine.balancer_time(Instant::now());
+        RequestHead::parse(parts, body_length, connection, settings, now)
+    }
+
+    /// The earliest moment at which a request that has just been read completely may have arrived. One behind another request has
+    /// waited for that one's response, and its client with it.
+    fn received_at(&self, connection: &ClientConnection) -> Instant {
+        let last_read = connection.timestamps.last_read.get().unwrap_or_else(Instant::now);
+        let read_at = last_read - self.event_loop_delay.current();
+        connection.data_queued_since().map_or(read_at, |since| read_at.min(since))
+    }
+
+    /// The request as the balancer sees it.
+    fn balancer_request(
+        &self,
+        headers: &HeaderMap,
+        head: &RequestHead,
+        receipt: &Receipt,
+        client_deadline: Instant,
+    ) -> weldworks_balancer::Request {
+        let shutdown_deadline = self.engine.shutdown_deadline();
+        let client_deadline =
+            shutdown_deadline.map_or(client_deadline, |deadline| client_deadline.min(deadline));
+        let id = self.engine.next_request();
+        // By the settings in force now, which the engine goes by: the index that a tenant had before may be another's. A tenant that
+        // is not in the settings has an index that is nobody's.
+        let tenant = self.settings.borrow().tenant_index(header_text(headers, "x-tenant-id"));
+        weldworks_balancer::Request {
             id,
-            class: kept.number,
+            class: head.class.number,
             tenant,
-            key: subject(headers).map(stable_hash),
-            cost_hint: cost,
-            is_client_retry: text(headers, "x-retried") == Some("1"),
+            key: affinity_key(headers).map(stable_hash),
+            cost_hint: head.cost_hint,
+            is_client_retry: header_text(headers, "x-retried") == Some("1"),
             admission_share: 1.0,
-            client_deadline: self.gateway.balancer_time(give_up),
-            body_streaming: upload.is_ok(),
-        };
-        let passed_on = |(name, value): (&HeaderName, &HeaderValue)| {
-            PASSED_ON.contains(name).then(|| (name.clone(), value.clone()))
-        };
-        let headers = headers.iter().filter_map(passed_on).collect();
-        let forward = ForwardedRequest { method: head.method, uri: origin_form(&head.uri), headers, body };
+            client_deadline: self.engine.balancer_time(client_deadline),
+            body_streaming: matches!(receipt, Receipt::Streaming(_)),
+        }
+    }
+
+    /// Hands a request to the engine and waits for its answer. If dropped before that, the engine learns that the client has
+    /// disconnected.
+    async fn request_answer(
+        &self,
+        request: weldworks_balancer::Request,
+        request_id: HeaderValue,
+        class: Rc<RegisteredClass>,
+        forward: ForwardedRequest,
+        client: Rc<ClientLiveness>,
+    ) -> FinalAnswer {
         let (answer, decided) = oneshot::channel();
-        let owed = Owed { gateway: self.gateway.clone(), id, client: client.clone() };
-        let class = kept.clone();
-        self.gateway.send(Message::RequestArrived(Box::new(Arrival {
+        let pending = PendingRequest { engine: self.engine.clone(), id: request.id, client: client.clone() };
+        self.engine.send(Message::RequestArrived(Box::new(Arrival {
             request,
-            request_id: number,
+            request_id,
             forward,
             class,
             answer,
             client,
         })));
         let decided = decided.await;
-        owed.client.end();
-        let decided = decided.unwrap_or(FinalAnswer::Failed(StatusCode::BAD_GATEWAY));
-        let upload = match upload {
-            Err(taken) => return Ok(Answered::new(decided, taken)),
-            Ok(upload) => upload,
+        pending.client.end();
+        decided.unwrap_or(FinalAnswer::Failed(StatusCode::BAD_GATEWAY))
+    }
+
+    /// Counts an answered request and lets go of what is left of its body.
+    ///
+    /// # Errors
+    /// Where the body of a streamed upload was not valid.
+    fn finish(
+        &self,
+        answer: FinalAnswer,
+        receipt: Receipt,
+        class: Rc<RegisteredClass>,
+        connection: &ClientConnection,
+    ) -> Result<AnsweredRequest, MalformedRequest> {
+        let upload = match receipt {
+            Receipt::Complete(counted) => {
+                return Ok(AnsweredRequest::new(answer, counted, ConnectionUse::KeepAlive));
+            }
+            Receipt::Streaming(upload) => upload,
         };
-        let passage = upload.state();
-        let taken = upload
+        let state = upload.state();
+        let counted = upload
             .take_counted_request()
-            .unwrap_or_else(|| CountedRequest::new(self.service.figures.clone(), kept));
-        if passage == TransferState::Complete {
-            peer.await_next_head();
-            return Ok(Answered::new(decided, taken));
+            .unwrap_or_else(|| CountedRequest::new(self.service.figures.clone(), class));
+        if state == TransferState::Complete {
+            connection.await_next_head();
+            return Ok(AnsweredRequest::new(answer, counted, ConnectionUse::KeepAlive));
         }
-        // The client writes on, and reads that it is over once it has ended, or has no more to say.
-        spawn_local(async move { upload.discard(DISCARD).await });
-        if let TransferState::Failed(fault) = passage {
-            return Err(fault.into());
+        // A client that is still writing reads its response only once it has finished or can write no more.
+        spawn_local(async move { upload.discard(DISCARD_TIMEOUT).await });
+        if let TransferState::Failed(error) = state {
+            return Err(error.into());
         }
-        Ok(Answered { close: true, ..Answered::new(decided, taken) })
+        Ok(AnsweredRequest::new(answer, counted, ConnectionUse::Close))
     }
 }
 
-/// How a request was decided.
-struct Answered {
-    answer: FinalAnswer,
-    /// Its body has not been read to the end.
-    close: bool,
-}
-
-impl Answered {
-    /// Counts it, or has its body do so once that has passed.
-    fn new(mut answer: FinalAnswer, counted: CountedRequest) -> Answered {
-        match &mut answer {
-            FinalAnswer::Served(UpstreamResponse { body: ResponseBody::Streaming { taken, .. }, .. }) => {
-                *taken = Some(counted)
-            }
-            FinalAnswer::Served(_) => counted.finish(RequestEnding::Answered),
-            FinalAnswer::Rejected { .. } => counted.finish(RequestEnding::Deferred),
-            FinalAnswer::Failed(_) => counted.finish(RequestEnding::Errored),
-        }
-        Answered { answer, close: false }
+/// A request whose body is forwarded while it arrives.
+fn start_upload(
+    buffered: Bytes,
+    rest: Incoming,
+    head: &RequestHead,
+    counted: CountedRequest,
+    client: &Rc<ClientLiveness>,
+    connection: &ClientConnection,
+) -> ReceivedRequest {
+    let upload = Rc::new(StreamingUpload::new(
+        buffered,
+        rest,
+        head.body_length,
+        head.client_timeout,
+        counted,
+        client.clone(),
+        connection.timestamps.clone(),
+    ));
+    ReceivedRequest {
+        payload: RequestPayload::Streaming(upload.clone()),
+        receipt: Receipt::Streaming(upload),
+        client_deadline: Instant::now() + UPLOAD_TIMEOUT,
     }
 }
 
-/// What a host is asked for: a target that names a host as well goes on without it.
-fn origin_form(uri: &Uri) -> Uri {
-    let path = uri.path_and_query().cloned();
-    path.map_or_else(|| uri.clone(), Uri::from)
-}
-
-pub(super) fn plain(status: StatusCode, text: &str) -> Response<ResponseBody> {
-    let mut response = Response::new(ResponseBody::Buffered(Bytes::copy_from_slice(text.as_bytes())));
-    *response.status_mut() = status;
-    response
-}
-
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
-    headers.get(name)?.to_str().ok()
+/// The request as it is forwarded to an endpoint.
+fn forwarded_request(parts: Parts, body: RequestPayload) -> ForwardedRequest {
+    let is_forwarded = |(name, value): (&HeaderName, &HeaderValue)| {
+        FORWARDED_HEADERS.contains(name).then(|| (name.clone(), value.clone()))
+    };
+    let headers = parts.headers.iter().filter_map(is_forwarded).collect();
+    ForwardedRequest { method: parts.method, uri: origin_form(&parts.uri), headers, body }
 }
 
-/// What the request is about: the cookie `k`.
-fn subject(headers: &HeaderMap) -> Option<&str> {
-    let cookies = headers.get_all(header::COOKIE).iter().filter_map(|v| v.to_str().ok());
-    cookies.flat_map(|v| v.split(';')).find_map(|pair| pair.trim().strip_prefix("k="))
+/// The target's path and query, without the host that a target in absolute form names.
+fn origin_form(uri: &Uri) -> Uri {
+    let path_and_query = uri.path_and_query().cloned();
+    path_and_query.map_or_else(|| uri.clone(), Uri::from)
 }
 
-/// How long a client waits: a number and a unit, `m` for milliseconds or `u` for microseconds.
-fn patience(text: &str) -> Option<Duration> {
-    let text = text.trim();
-    let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
-    let unit = match unit {
-        "m" => 1e-3,
-        "u" => 1e-6,
-        _ => return None,
-    };
-    let plain = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let seconds = number.parse::<f64>().ok().filter(|_| plain)? * unit;
-    Duration::try_from_secs_f64(seconds).ok().filter(|t| !t.is_zero())
+/// The key of requests that belong on one endpoint: the cookie `k`.
+fn affinity_key(headers: &HeaderMap) -> Option<&str> {
+    let cookies = headers.get_all(header::COOKIE).iter().filter_map(|value| value.to_str().ok());
+    cookies.flat_map(|cookie| cookie.split(';')).find_map(|pair| pair.trim().strip_prefix("k="))
 }
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -1,4 +1,6 @@
-//! What takes requests in. Every front makes the same [`crate::engine::message::Arrival`] of what it reads.
+//! The servers: `http` for clients, `admin` for administrators.
+//!
+//! Every server for clients turns a request into an [`Arrival`](crate::engine::message::Arrival) for the engine.
 
 pub mod admin;
 pub mod http;
