--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -12,18 +12,18 @@
 /// Mean latency, as a fraction of the shortest objective, from which on served requests count as slow.
 const SLOW_LATENCY_FRACTION: f64 = 0.4;
 /// Standard deviations of chance added to the capacity while endpoints report load, or report nothing.
-const CHANCE_DEVIATIONS: f64 = 0.5;
+const CHANCE_DEVIATION_FACTOR: f64 = 0.5;
 /// The same while endpoints report little load: what one gateway has in flight says little then.
-const CHANCE_DEVIATIONS_WITH_HEADROOM: f64 = 2.0;
+const EASED_CHANCE_DEVIATION_FACTOR: f64 = 2.0;
 /// Exponent of a class's weight against the mean weight; a small one, since each class counts for the fleet's score.
 const PRIORITY_EXPONENT: f64 = 0.25;
 /// Load, as a fraction of the one at which admission is tightest, from which on hopeless requests are shed.
-const LOAD_TO_SHED_HOPELESS: f64 = 0.3;
+const HOPELESS_SHEDDING_LOAD_THRESHOLD: f64 = 0.3;
 /// Bounds of a request's expected work against the mean.
-const MIN_RELATIVE_WORK: f64 = 0.25;
-const MAX_RELATIVE_WORK: f64 = 4.0;
+const MIN_WORK_RATIO: f64 = 0.25;
+const MAX_WORK_RATIO: f64 = 4.0;
 /// Fraction of the expected work that does not depend on the cost hint.
-const WORK_REGARDLESS_OF_HINT: f64 = 0.5;
+const FIXED_WORK_FRACTION: f64 = 0.5;
 
 /// What the estimate of this gateway's capacity is made from.
 #[derive(Clone, Copy, Debug)]
@@ -49,8 +49,8 @@
     let slowness = (inputs.latency_s / slow_latency_s).powi(2).min(1.0);
     let reduction = (1.0 - TIGHTEST_CAPACITY_FRACTION) * inputs.unserved_pressure * slowness;
     let served_in_objective = inputs.served_per_s * inputs.shortest_objective_s * (1.0 - reduction);
-    let chance_range = CHANCE_DEVIATIONS_WITH_HEADROOM - CHANCE_DEVIATIONS;
-    let chance = CHANCE_DEVIATIONS + chance_range * inputs.admission_headroom;
+    let chance_range = EASED_CHANCE_DEVIATION_FACTOR - CHANCE_DEVIATION_FACTOR;
+    let chance = CHANCE_DEVIATION_FACTOR + chance_range * inputs.admission_headroom;
     served_in_objective + chance * served_in_objective.sqrt() + inputs.endpoints_per_gateway
 }
 
@@ -62,13 +62,13 @@
         traffic.listed_in_flight_per_core,
         endpoints_per_gateway,
     );
-    (mean + dilution.powi(2) * CHANCE_DEVIATIONS * mean.sqrt()).max(endpoints_per_gateway)
+    (mean + dilution.powi(2) * CHANCE_DEVIATION_FACTOR * mean.sqrt()).max(endpoints_per_gateway)
 }
 
 /// Whether a request would, by its cost hint, take longer than there is time, while endpoints are loaded: it would only keep others from
 /// being served. `load` is a fraction of the load at which admission is tightest.
 fn is_hopeless(cost_hint_s: f64, latency_per_hint: f64, remaining_s: f64, load: f64) -> bool {
-    cost_hint_s * latency_per_hint > remaining_s && load > LOAD_TO_SHED_HOPELESS
+    cost_hint_s * latency_per_hint > remaining_s && load > HOPELESS_SHEDDING_LOAD_THRESHOLD
 }
 
 /// The factor on the capacity for a class of this weight: classes of little weight are shed first, but not by far.
@@ -79,7 +79,7 @@
 /// Expected work of a request against the mean, by its cost hint (0 for none) or else by its class's latency.
 fn expected_relative_work(traffic: &TrafficStats, class: usize, cost_hint_s: f64) -> f64 {
     let work = if cost_hint_s > 0.0 {
-        WORK_REGARDLESS_OF_HINT + (1.0 - WORK_REGARDLESS_OF_HINT) * cost_hint_s / traffic.cost_hint_s
+        FIXED_WORK_FRACTION + (1.0 - FIXED_WORK_FRACTION) * cost_hint_s / traffic.cost_hint_s
     } else {
         // Not a number before anything was served.
         let by_class = traffic.class_latency_s[class] / traffic.latency_s;
@@ -89,7 +89,7 @@
             1.0
         }
     };
-    work.clamp(MIN_RELATIVE_WORK, MAX_RELATIVE_WORK)
+    work.clamp(MIN_WORK_RATIO, MAX_WORK_RATIO)
 }
 
 /// The time that a request has. All in seconds.
--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -111,6 +111,18 @@
 
     /// Takes note that the last byte of a streamed body was forwarded: the time of the request and of its attempt begins now.
     pub(crate) fn on_body_forwarded(
+        &mut self,
+        now_s: f64,
+        id: RequestId,
+        client_deadline: Duration,
+        actions: &mut Vec<Action>,
+    ) {
+        self.update_request_and_key(now_s, id, actions, |balancer, request, actions| {
+            balancer.begin_request_time(now_s, id, request, client_deadline.as_secs_f64(), actions);
+        });
+    }
+
+    fn begin_request_time(
         &mut self,
         now_s: f64,
         id: RequestId,
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -75,7 +75,7 @@
 
     /// Continues under other settings. What is known of endpoints stays; open requests keep their class and limits; a class that is not
     /// the one of this number before starts without statistics.
-    pub fn retune(&mut self, settings: Settings) {
+    pub fn apply_settings(&mut self, settings: Settings) {
         self.fleet_terms = FleetTerms::new(&settings);
         self.traffic.class_latency_s.resize(settings.classes.len(), 0.0);
         for (index, (old, new)) in self.settings.classes.iter().zip(&settings.classes).enumerate() {
@@ -119,10 +119,7 @@
                 });
             }
             Event::BodyForwarded { request, client_deadline } => {
-                self.update_request_and_key(now_s, request, actions, |balancer, state, actions| {
-                    let client_deadline_s = client_deadline.as_secs_f64();
-                    balancer.on_body_forwarded(now_s, request, state, client_deadline_s, actions);
-                });
+                self.on_body_forwarded(now_s, request, client_deadline, actions);
             }
             Event::AttemptEnded { request, attempt, latency, outcome, request_ended } => {
                 self.update_request_and_key(now_s, request, actions, |balancer, state, actions| {
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -8,9 +8,9 @@
 /// Most requests in flight on a core that a live weight counts for.
 const MAX_LISTED_IN_FLIGHT_PER_CORE: f64 = 20.0;
 /// Latency by load reports, as a fraction of the shortest objective, from which on admission is not eased.
-const REPORTED_LATENCY_WITHOUT_HEADROOM: f64 = 0.45;
+const NO_HEADROOM_LATENCY_FRACTION: f64 = 0.45;
 /// Latency by load reports, as a fraction of the shortest objective, up to which admission is eased in full.
-const REPORTED_LATENCY_FOR_FULL_HEADROOM: f64 = 0.3;
+const FULL_HEADROOM_LATENCY_FRACTION: f64 = 0.3;
 /// Time constant of the average of reported requests in flight, in seconds.
 const REPORTED_IN_FLIGHT_TIME_CONSTANT_S: f64 = 0.7;
 /// Time constant of the average of reported request rates, in seconds.
@@ -20,7 +20,7 @@
 /// Lowest listed load that the bound is computed with, in requests in flight on a core; below, lists say too little.
 const MIN_LISTED_IN_FLIGHT_PER_CORE: f64 = 0.2;
 /// Room to grow above the bound, as a fraction of this gateway's share of the endpoints.
-const GROWTH_ALLOWANCE: f64 = 0.25;
+const GROWTH_ALLOWANCE_FRACTION: f64 = 0.25;
 /// Age from which on a list's live weights no longer count, in seconds.
 const MAX_LISTED_LOAD_AGE_S: f64 = 3.0;
 
@@ -53,7 +53,8 @@
     endpoints_per_gateway: f64,
 ) -> f64 {
     let listed = listed_in_flight_per_core.max(MIN_LISTED_IN_FLIGHT_PER_CORE);
-    TARGET_IN_FLIGHT_PER_CORE * average_requests_in_flight / listed + GROWTH_ALLOWANCE * endpoints_per_gateway
+    TARGET_IN_FLIGHT_PER_CORE * average_requests_in_flight / listed
+        + GROWTH_ALLOWANCE_FRACTION * endpoints_per_gateway
 }
 
 /// Requests in flight on a core over the ready endpoints, by their live weights: a weight is the size divided by 1 + requests in flight
@@ -104,8 +105,8 @@
         } else {
             f64::INFINITY
         };
-        let range = REPORTED_LATENCY_WITHOUT_HEADROOM - REPORTED_LATENCY_FOR_FULL_HEADROOM;
-        dilution * ((REPORTED_LATENCY_WITHOUT_HEADROOM - latency_fraction) / range).clamp(0.0, 1.0)
+        let range = NO_HEADROOM_LATENCY_FRACTION - FULL_HEADROOM_LATENCY_FRACTION;
+        dilution * ((NO_HEADROOM_LATENCY_FRACTION - latency_fraction) / range).clamp(0.0, 1.0)
     }
 }
 
--- a/crates/balancer/src/draining.rs
+++ b/crates/balancer/src/draining.rs
@@ -4,7 +4,7 @@
 use crate::balancer::{set_timer, Balancer, DRAIN_TIMER_TOKEN};
 
 /// Rounds of closing within the time that the settings allow.
-const CLOSE_ROUNDS: f64 = 3.0;
+const CLOSE_ROUND_COUNT: f64 = 3.0;
 
 impl Balancer {
     /// Closes the idle connections to draining endpoints and sets a timer for the next round. One round is not enough: a connection that a
@@ -18,7 +18,7 @@
         let any_draining = actions.len() > actions_before;
         if any_draining && !self.drain_timer_set {
             self.drain_timer_set = true;
-            actions.push(set_timer(close_within.as_secs_f64() / CLOSE_ROUNDS, DRAIN_TIMER_TOKEN));
+            actions.push(set_timer(close_within.as_secs_f64() / CLOSE_ROUND_COUNT, DRAIN_TIMER_TOKEN));
         }
     }
 
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -6,8 +6,8 @@
 use crate::endpoint_state::EndpointRecord;
 
 /// Bounds of an endpoint's size against the mean.
-const MIN_RELATIVE_SIZE: f64 = 0.1;
-const MAX_RELATIVE_SIZE: f64 = 10.0;
+const MIN_SIZE_RATIO: f64 = 0.1;
+const MAX_SIZE_RATIO: f64 = 10.0;
 
 /// Whether a list names all endpoints or only those that changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -76,7 +76,7 @@
         for &index in &self.ready {
             let endpoint = &mut self.endpoints[index];
             let size = endpoint.entry.weight * count / total;
-            endpoint.relative_size = size.clamp(MIN_RELATIVE_SIZE, MAX_RELATIVE_SIZE);
+            endpoint.relative_size = size.clamp(MIN_SIZE_RATIO, MAX_SIZE_RATIO);
         }
     }
 }
--- a/crates/balancer/src/failure_tracking.rs
+++ b/crates/balancer/src/failure_tracking.rs
@@ -1,7 +1,7 @@
 //! Failures of endpoints by request class, and how long a failure or a raised latency estimate counts.
 
 /// Time without a sample in which half of the excess of a raised estimate remains, in units of the longest latency objective.
-const HALF_DECAY_OBJECTIVES: f64 = 6.0;
+const HALF_DECAY_OBJECTIVE_FACTOR: f64 = 6.0;
 /// Failures in a row, each of which doubles the decay time, up to this many.
 const MAX_DECAY_DOUBLINGS: i32 = 4;
 
@@ -43,13 +43,13 @@
 
 /// Time that counts as recent when an endpoint is judged, in seconds.
 pub(crate) fn recent_activity_window_s(longest_objective_s: f64) -> f64 {
-    longest_objective_s * HALF_DECAY_OBJECTIVES
+    longest_objective_s * HALF_DECAY_OBJECTIVE_FACTOR
 }
 
 /// The fraction of a raised estimate's excess that still counts after `silent_s` seconds without a sample. An avoided endpoint gets no
 /// sample that could clear it, so it is tried again after a while, later with each failure in a row.
 pub(crate) fn retained_fraction(silent_s: f64, longest_objective_s: f64, consecutive_failures: i32) -> f64 {
     let doublings = consecutive_failures.min(MAX_DECAY_DOUBLINGS);
-    let half_decays = silent_s / (HALF_DECAY_OBJECTIVES * longest_objective_s * 2f64.powi(doublings));
+    let half_decays = silent_s / (HALF_DECAY_OBJECTIVE_FACTOR * longest_objective_s * 2f64.powi(doublings));
     1.0 / (1.0 + half_decays * half_decays)
 }
--- a/crates/balancer/src/latency_detector.rs
+++ b/crates/balancer/src/latency_detector.rs
@@ -7,9 +7,9 @@
 /// Smallest shift worth detecting (K of the method), as a fraction of the mean of the first epoch.
 const MIN_SHIFT_FRACTION: f64 = 0.25;
 /// Mean number of samples between false alarms that the threshold H is chosen for.
-const SAMPLES_BETWEEN_FALSE_ALARMS: f64 = 40.0;
+const FALSE_ALARM_RUN_LENGTH_COUNT: f64 = 40.0;
 /// Smallest fraction of the mean to which one detected fall lowers the epoch estimate.
-const MIN_EPOCH_FRACTION_AFTER_FALL: f64 = 0.2;
+const MIN_EPOCH_AFTER_FALL_FRACTION: f64 = 0.2;
 /// Change of K/σ, as a fraction, from which on the threshold is computed anew: the bisection costs 40 steps.
 const THRESHOLD_REFRESH_FRACTION: f64 = 0.1;
 /// Smallest deviation that K is divided by, in seconds.
@@ -90,7 +90,7 @@
         if self.fall_sum > limit {
             let run = f64::from(std::mem::take(&mut self.samples_since_fall));
             let estimate = previous_mean - self.shift - self.fall_sum / run;
-            self.start_epoch(estimate.max(MIN_EPOCH_FRACTION_AFTER_FALL * previous_mean));
+            self.start_epoch(estimate.max(MIN_EPOCH_AFTER_FALL_FRACTION * previous_mean));
             return true;
         }
         false
@@ -109,7 +109,7 @@
         let ratio = self.shift / self.deviation.max(MIN_DEVIATION_S);
         let cached = self.threshold.ratio;
         if (ratio / cached - 1.0).abs() > THRESHOLD_REFRESH_FRACTION || cached == 0.0 {
-            let threshold = Cusum::threshold(ratio, SAMPLES_BETWEEN_FALSE_ALARMS);
+            let threshold = Cusum::threshold(ratio, FALSE_ALARM_RUN_LENGTH_COUNT);
             self.threshold = CachedThreshold { ratio, threshold };
         }
         self.threshold.threshold
--- a/crates/balancer/src/load_report.rs
+++ b/crates/balancer/src/load_report.rs
@@ -6,7 +6,7 @@
 /// Longest header value that is read, in bytes.
 const MAX_HEADER_BYTES: usize = 512;
 /// Highest figure that counts as a load, in requests or requests a second.
-const MAX_FIGURE: f64 = 1e6;
+const MAX_LOAD_FIGURE: f64 = 1e6;
 /// Start of a header value with a report.
 const HEADER_PREFIX: &str = "TEXT ";
 
@@ -104,7 +104,7 @@
 impl LoadReport {
     /// The report, if both figures can be the load of an endpoint.
     pub fn checked(self) -> Option<LoadReport> {
-        let is_load = |figure: f64| (0.0..=MAX_FIGURE).contains(&figure);
+        let is_load = |figure: f64| (0.0..=MAX_LOAD_FIGURE).contains(&figure);
         (is_load(self.requests_per_second) && is_load(self.in_flight)).then_some(self)
     }
 }
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -5,7 +5,7 @@
 use crate::request::RequestState;
 
 /// Budget of attempts beyond the first, in hedges, that can be saved up.
-const MAX_BUDGET: f64 = 1.0;
+const MAX_BUDGET_HEDGE_COUNT: f64 = 1.0;
 /// Budget that each admitted request adds: one hedge for 33 requests.
 const BUDGET_PER_REQUEST: f64 = 0.03;
 /// Budget that a hedge takes.
@@ -60,12 +60,12 @@
 impl AttemptBudget {
     /// A full budget.
     pub(crate) fn new() -> Self {
-        AttemptBudget { available: MAX_BUDGET }
+        AttemptBudget { available: MAX_BUDGET_HEDGE_COUNT }
     }
 
     /// Adds what an admitted request earns.
     pub(crate) fn earn(&mut self) {
-        self.available = (self.available + BUDGET_PER_REQUEST).min(MAX_BUDGET);
+        self.available = (self.available + BUDGET_PER_REQUEST).min(MAX_BUDGET_HEDGE_COUNT);
     }
 
     /// Whether it covers an attempt of this kind.
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -12,11 +12,11 @@
 /// idle connection mostly expires before its next use; with this each gateway keeps to some endpoints as long as they do well.
 const HANDSHAKE_COST_FACTOR: f64 = 20.0;
 /// Fraction of both costs that is waived as requests end unserved, so that a zone in trouble spills over.
-const COST_WAIVED_UNDER_PRESSURE: f64 = 0.85;
+const WAIVED_COST_FRACTION: f64 = 0.85;
 /// A key leaves its preferred endpoints when their score is this many times the best one.
 const MAX_AFFINITY_SCORE_RATIO: f64 = 3.0;
 /// Attempts in flight above the mean up to which an endpoint is not counted as avoided.
-const AVOIDED_ABOVE_MEAN_IN_FLIGHT: f64 = 2.0;
+const AVOIDED_EXCESS_IN_FLIGHT_COUNT: f64 = 2.0;
 
 /// The factors of an endpoint's score for a request; lower is better.
 struct ScoreTerms {
@@ -147,13 +147,13 @@
 impl Balancer {
     /// The number of listed endpoints that get next to nothing now: those that drain, and those that would be selected only once every
     /// other one had two attempts in flight above the mean.
-    pub fn avoided(&self, now: std::time::Duration) -> usize {
+    pub fn avoided_endpoint_count(&self, now: std::time::Duration) -> usize {
         let now_s = now.as_secs_f64();
         let scaled_latency_s =
             |endpoint: &EndpointRecord| endpoint.latency_with_overdue_s(now_s) * endpoint.relative_size;
         let ready = self.ready.len() as f64;
         let total_s: f64 = self.ready.iter().map(|&index| scaled_latency_s(&self.endpoints[index])).sum();
-        let busy = AVOIDED_ABOVE_MEAN_IN_FLIGHT + self.traffic.requests_in_flight / ready.max(1.0);
+        let busy = AVOIDED_EXCESS_IN_FLIGHT_COUNT + self.traffic.requests_in_flight / ready.max(1.0);
         let is_avoided = |endpoint: &&EndpointRecord| match endpoint.entry.state {
             EndpointState::Removed => false,
             EndpointState::Draining => true,
@@ -200,7 +200,7 @@
     }
 
     fn score_context(&self, now_s: f64, class: usize) -> ScoreContext {
-        let cost_fraction = 1.0 - COST_WAIVED_UNDER_PRESSURE * self.traffic.unserved_pressure;
+        let cost_fraction = 1.0 - WAIVED_COST_FRACTION * self.traffic.unserved_pressure;
         ScoreContext {
             now_s,
             class,
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -17,14 +17,14 @@
 /// Shortest slow start that the age of an endpoint is divided by, in seconds.
 const MIN_SLOW_START_S: f64 = 1e-3;
 /// Bounds of an endpoint's speed against the average that its budget is scaled by.
-const MIN_RELATIVE_SPEED: f64 = 0.5;
-const MAX_RELATIVE_SPEED: f64 = 2.0;
+const MIN_SPEED_RATIO: f64 = 0.5;
+const MAX_SPEED_RATIO: f64 = 2.0;
 /// An answer within this many times the latency expected of the endpoint's kind shows that it has no queue.
 const UNQUEUED_LATENCY_RATIO: f64 = 3.0;
 /// Fraction of a cold endpoint's budget that a suspected one gets: gateways without a connection to it do not notice the restart.
 const SUSPECTED_BUDGET_FRACTION: f64 = 0.5;
 /// Largest starting capacity at which a single quick answer clears a suspected endpoint; above it a cold one is quick as well.
-const MAX_START_CAPACITY_FOR_QUICK_CLEARANCE: f64 = 0.5;
+const MAX_CLEARANCE_START_CAPACITY_FRACTION: f64 = 0.5;
 /// An endpoint whose reported rate falls below this fraction of its average may have restarted.
 const RESTART_RATE_FRACTION: f64 = 0.2;
 /// Lowest average rate at which that is judged, in requests a second.
@@ -106,7 +106,7 @@
             endpoint.restart_suspected = false;
             return true;
         }
-        let speed = (self.mean_latency_s / prior_s).clamp(MIN_RELATIVE_SPEED, MAX_RELATIVE_SPEED);
+        let speed = (self.mean_latency_s / prior_s).clamp(MIN_SPEED_RATIO, MAX_SPEED_RATIO);
         let suspicion = if endpoint.restart_suspected { SUSPECTED_BUDGET_FRACTION } else { 1.0 };
         let share = settings.overload_factor * suspicion;
         let growth = self.elapsed_s * share * speed * warm_up * self.warm_endpoint_requests_per_s;
@@ -139,7 +139,7 @@
     /// several times as long. Its own estimate alone may still be raised from before it ended.
     pub(crate) fn clear_suspicion_if_quick(&mut self, latency_s: f64, prior_s: f64, settings: &Settings) {
         let usual_s = self.detector.estimate().min(prior_s);
-        let is_telling = settings.slow_start_min_capacity <= MAX_START_CAPACITY_FOR_QUICK_CLEARANCE;
+        let is_telling = settings.slow_start_min_capacity <= MAX_CLEARANCE_START_CAPACITY_FRACTION;
         if self.restart_suspected && latency_s <= usual_s && is_telling {
             self.started_s = self.started_before_suspicion_s;
             self.tokens = f64::INFINITY;
--- a/crates/balancer/src/traffic_stats.rs
+++ b/crates/balancer/src/traffic_stats.rs
@@ -7,7 +7,7 @@
 /// Time constant of the averages of listed load and of requests in flight, in seconds.
 const CONCURRENCY_TIME_CONSTANT_S: f64 = 2.5;
 /// Fewest requests that the rates of served and unserved requests average over.
-const MIN_REQUESTS_PER_RATE_AVERAGE: f64 = 20.0;
+const MIN_AVERAGED_REQUEST_COUNT: f64 = 20.0;
 /// Lowest request rate assumed when the time constant of those rates is chosen, in requests a second.
 const MIN_RATE_FOR_TIME_CONSTANT_PER_S: f64 = 0.1;
 /// Fraction of requests ending unserved at which admission is tightest.
@@ -123,7 +123,7 @@
     /// Time constant of the rates of served and unserved requests, in seconds: long enough to average over enough requests.
     fn outcome_time_constant_s(&self) -> f64 {
         let ended_per_s = self.served_in_time.per_s + self.unserved.per_s;
-        let enough_s = MIN_REQUESTS_PER_RATE_AVERAGE / ended_per_s.max(MIN_RATE_FOR_TIME_CONSTANT_PER_S);
+        let enough_s = MIN_AVERAGED_REQUEST_COUNT / ended_per_s.max(MIN_RATE_FOR_TIME_CONSTANT_PER_S);
         (RATE_TIME_CONSTANT_S / 2.0).max(enough_s)
     }
 
--- a/crates/balancer/tests/coming.rs
+++ b/crates/balancer/tests/coming.rs
@@ -126,18 +126,22 @@
         met
     };
     round(&mut bench, 60, &|_| 20);
-    assert_eq!(bench.b.avoided(bench.now), 0);
+    assert_eq!(bench.b.avoided_endpoint_count(bench.now), 0);
     round(&mut bench, 60, &slow);
-    let avoided = bench.b.avoided(bench.now);
+    let avoided = bench.b.avoided_endpoint_count(bench.now);
     let met = round(&mut bench, 100, &slow);
     // The figure says one, and where the requests went says which.
     assert_eq!(avoided, 1);
     assert!(met[3] * 10 < met[0].max(met[1]), "{met:?}");
-    bench.b.retune(settings());
-    assert_eq!(bench.b.avoided(bench.now), 1, "new settings leave hosts what is known of them");
+    bench.b.apply_settings(settings());
+    assert_eq!(
+        bench.b.avoided_endpoint_count(bench.now),
+        1,
+        "new settings leave hosts what is known of them"
+    );
     let leaving = Endpoint { state: EndpointState::Draining, ..host(0, None) };
     bench.give(Event::EndpointList { is_snapshot: false, endpoints: &[leaving] });
-    assert!(bench.b.avoided(bench.now) >= 1, "one that leaves gets nothing");
+    assert!(bench.b.avoided_endpoint_count(bench.now) >= 1, "one that leaves gets nothing");
 }
 
 #[test]
@@ -150,7 +154,7 @@
     new.classes[1].retired = true;
     new.classes.push(RequestClass { idempotency: Idempotency::NotIdempotent, ..new.classes[1].clone() });
     new.max_attempts = 1;
-    bench.b.retune(new);
+    bench.b.apply_settings(new);
     // The open one may be tried again, as a keyed request with attempts left.
     bench.outcome(100, 0, MS(20), Outcome::Reset);
     assert!(bench.sent_to().is_some(), "{:?}", bench.last);
@@ -186,7 +190,7 @@
     bench.sent_to().expect("a host");
     keyed(&mut bench, 101);
     bench.ask(102, 0, false).expect("a host");
-    bench.b.retune(new);
+    bench.b.apply_settings(new);
     bench.give(Event::ClientDisconnected { request: RequestId(102) });
     let off = |a: &Action| matches!(a, Action::Cancel { request: RequestId(102), .. });
     assert!(bench.last.iter().any(off), "{:?}", bench.last);
@@ -258,7 +262,7 @@
                     let mut new = Settings { hedging_allowed: false, ..settings() };
                     new.classes[(ms % 6) as usize].retired = true;
                     new.max_attempts = 1 + (ms % 4) as u32;
-                    bench.b.retune(new);
+                    bench.b.apply_settings(new);
                     bench.last.clear();
                 }
                 _ => bench.last.clear(),
--- a/crates/gateway/src/engine/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -126,7 +126,7 @@
     fn update_endpoint_metrics(&mut self) {
         let Some(metrics) = &self.metrics else { return };
         let present = self.listed_endpoints.iter().filter(|e| e.state != EndpointState::Removed).count();
-        let avoided = self.balancer.avoided(self.handle.balancer_time(Instant::now()));
+        let avoided = self.balancer.avoided_endpoint_count(self.handle.balancer_time(Instant::now()));
         metrics.cluster_size.set(present as u64);
         metrics.cluster_unhealthy.set(avoided as u64);
         self.timers.push(Instant::now() + ENDPOINT_METRICS_INTERVAL, Timer::EndpointMetrics);
--- a/crates/gateway/src/engine/reconfiguration.rs
+++ b/crates/gateway/src/engine/reconfiguration.rs
@@ -32,7 +32,7 @@
             // What the control has observed was under other quotas.
             self.enable_retry_storm_control(storm_settings);
         }
-        self.balancer.retune(settings);
+        self.balancer.apply_settings(settings);
         self.switch_discovery(discovery);
     }
 
