--- a/crates/balancer/examples/by_hand.rs
+++ b/crates/balancer/examples/by_hand.rs
@@ -1,44 +1,48 @@
-//! Drives the module by hand: two hosts, a slow answer, a second copy.
+//! Drives the decisions by hand: two endpoints, a slow response, a hedged request.
 
 use std::time::Duration;
 use weldworks_balancer::{
     Action, Balancer, Endpoint, EndpointId, Event, Outcome, Request, RequestClass, RequestId, Settings,
 };
 
-/// Prints each event and what the module does about it.
+/// Prints each event and the actions that follow.
 pub fn main() {
     let ms = Duration::from_millis;
     let settings = Settings { classes: vec![RequestClass::new(ms(200), ms(1000))], ..Settings::default() };
     let mut balancer = Balancer::new(settings, 42);
-    let mut actions = Vec::new();
-    let mut step = |now: Duration, event: Event<'_>| {
-        actions.clear();
+    let mut handle = |now: Duration, event: Event<'_>| {
+        let mut actions = Vec::new();
         println!("{now:>6.1?}  {event:?}");
         balancer.handle(now, event, &mut actions);
-        actions.iter().for_each(|action| println!("          -> {action:?}"));
-        actions.clone()
+        for action in &actions {
+            println!("          -> {action:?}");
+        }
+        actions
     };
 
-    let hosts = [Endpoint::new(EndpointId(0), "10.0.0.1:80"), Endpoint::new(EndpointId(1), "10.0.0.2:80")];
-    step(ms(0), Event::EndpointList { is_snapshot: true, endpoints: &hosts });
+    let endpoints =
+        [Endpoint::new(EndpointId(0), "10.0.0.1:80"), Endpoint::new(EndpointId(1), "10.0.0.2:80")];
+    handle(ms(0), Event::EndpointList { is_snapshot: true, endpoints: &endpoints });
     let served = |request, attempt, latency| {
         let outcome = Outcome::Served;
         Event::AttemptEnded { request, attempt, latency, outcome, request_ended: true }
     };
 
-    // A first request teaches the module what an answer takes.
-    step(ms(10), Event::Request(Request::new(RequestId(1), 0, ms(1010))));
-    step(ms(30), served(RequestId(1), 0, ms(20)));
+    // The first request gives a latency sample.
+    handle(ms(10), Event::Request(Request::new(RequestId(1), 0, ms(1010))));
+    handle(ms(30), served(RequestId(1), 0, ms(20)));
 
-    // The next one is not answered: at the planned look a second copy goes to the other host.
-    let sent = step(ms(140), Event::Request(Request::new(RequestId(2), 0, ms(1140))));
-    let look =
-        sent.iter().find_map(|a| if let Action::SetTimer { after, .. } = a { Some(*after) } else { None });
-    let then = ms(140) + look.expect("a look is planned for a class that is safe to repeat");
-    let copy = step(then, Event::Timer { token: 2 });
-    assert!(copy.iter().any(|a| matches!(a, Action::Send { .. })), "a second copy");
+    // The next one is not answered: at the timer a hedge goes to the other endpoint.
+    let actions = handle(ms(140), Event::Request(Request::new(RequestId(2), 0, ms(1140))));
+    let hedge_delay = actions.iter().find_map(|action| match action {
+        Action::SetTimer { after, .. } => Some(*after),
+        _ => None,
+    });
+    let hedged_at = ms(140) + hedge_delay.expect("a timer for an idempotent class");
+    let actions = handle(hedged_at, Event::Timer { token: 2 });
+    assert!(actions.iter().any(|action| matches!(action, Action::Send { .. })), "a hedge");
 
-    // Its answer ends the request, and the first attempt is called off.
-    let last = step(then + ms(20), served(RequestId(2), 1, ms(20)));
-    assert_eq!(last, [Action::Cancel { request: RequestId(2), attempt: 0 }]);
+    // Its answer ends the request, and the first attempt is cancelled.
+    let actions = handle(hedged_at + ms(20), served(RequestId(2), 1, ms(20)));
+    assert_eq!(actions, [Action::Cancel { request: RequestId(2), attempt: 0 }]);
 }
--- /dev/null
+++ b/crates/balancer/tests/behaviour/main.rs
@@ -0,0 +1,20 @@
+//! What the decisions do, one situation each.
+
+#[path = "../common/mod.rs"]
+mod common;
+
+mod admission;
+mod discovery_polling;
+mod invalid_input;
+mod retry;
+mod selection;
+mod slow_start;
+
+#[path = "../../examples/by_hand.rs"]
+#[allow(dead_code)]
+mod by_hand;
+
+#[test]
+fn example_runs() {
+    by_hand::main();
+}
