--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -19,8 +19,9 @@
 const PRIORITY_EXPONENT: f64 = 0.25;
 /// Load, as a fraction of the one at which admission is tightest, from which on hopeless requests are shed.
 const HOPELESS_SHEDDING_LOAD_THRESHOLD: f64 = 0.3;
-/// Bounds of a request's expected work against the mean.
+/// Smallest expected work of a request, against the mean.
 const MIN_WORK_RATIO: f64 = 0.25;
+/// Largest expected work of a request, against the mean.
 const MAX_WORK_RATIO: f64 = 4.0;
 /// Fraction of the expected work that does not depend on the cost hint.
 const FIXED_WORK_FRACTION: f64 = 0.5;
@@ -116,7 +117,7 @@
 }
 
 impl Balancer {
-    /// Admits an arriving request and takes its first step, or sheds it. A number that is in use is ignored.
+    /// Admits an arriving request and performs its first step, or sheds it. A number that is in use is ignored.
     pub(crate) fn on_request(&mut self, now_s: f64, request: &Request, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&request.id.0) {
             return;
@@ -175,7 +176,7 @@
             return false;
         }
         let weight = priority_weight(class.priority_weight, traffic.priority_weight);
-        // Negated, so that a capacity that is not a number admits.
+        // Not `<=`: a capacity that is not a number, as without any class weight, admits.
         let exceeds_capacity = traffic.requests_in_flight > capacity * weight * request.admission_share;
         !exceeds_capacity
     }
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -6,7 +6,7 @@
 /// What happens at the gateway.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// An endpoint list has come from discovery.
+    /// Discovery has sent an endpoint list.
     EndpointList {
         /// Whether the list is complete, so that an endpoint missing from it is removed; otherwise it holds changes.
         is_snapshot: bool,
@@ -20,7 +20,7 @@
     },
     /// Another discovery service is used from now on and has not answered yet: it is polled soon, whatever was planned.
     DiscoveryChanged,
-    /// A request has come from a client; one final answer is owed from here on.
+    /// A client has sent a request; one final answer is owed from here on.
     Request(Request),
     /// The first byte of a [streamed body](Request::body_streaming) was forwarded: no other attempt can follow.
     BodyForwardingStarted {
@@ -34,8 +34,8 @@
         /// When the client gives up.
         client_deadline: Duration,
     },
-    /// A response is forwarded while it comes. The choice of endpoint is final, its deadlines no longer hold, and how long the rest takes
-    /// tells nothing of the endpoint. No outcome of the attempt follows.
+    /// A response is being forwarded while it is received. The choice of endpoint is final, its deadlines no longer hold, and how long the rest takes
+    /// says nothing about the endpoint. No outcome of the attempt follows.
     ResponseStarted {
         /// The request.
         request: RequestId,
--- a/crates/balancer/src/api/request.rs
+++ b/crates/balancer/src/api/request.rs
@@ -57,7 +57,7 @@
     Error,
     /// The endpoint rejected it without processing it.
     Rejected,
-    /// No answer came by the attempt's deadline; the request was possibly processed or still is.
+    /// There was no answer by the attempt's deadline; the request was possibly processed or still is.
     TimedOut,
     /// No connection could be opened; the request was not processed.
     NoConnection,
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -107,7 +107,7 @@
     pub tenant_quotas: Vec<f64>,
     /// The value of a request beyond its tenant's quota, as a fraction of its class's. Default 1.
     pub over_quota_weight: f64,
-    /// How often discovery must be polled, where changes come only to those who poll. Default none: changes come by themselves.
+    /// How often discovery must be polled, where changes are sent only to those who poll. Default none: changes are pushed.
     pub discovery_poll_interval: Option<Duration>,
     /// The shortest time between two moments at which the gateway acts. Default 1 ms.
     pub timer_tick: Duration,
--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -31,7 +31,7 @@
 }
 
 impl Balancer {
-    /// Takes the next step of an open request: an attempt, or where none is in flight also a wait or the end.
+    /// Performs the next step of an open request: an attempt, or where none is in flight also a wait or the end.
     pub(crate) fn advance(
         &mut self,
         now_s: f64,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Takes note that the last byte of a streamed body was forwarded: the time of the request and of its attempt begins now.
+    /// Handles the last byte of a streamed body: the time of the request and of its attempt begins now.
     pub(crate) fn on_body_forwarded(
         &mut self,
         now_s: f64,
@@ -144,7 +144,7 @@
         actions.push(Action::SetAttemptDeadline { request: id, deadline });
     }
 
-    /// Takes the outcome of an attempt: what it proves of the request, and what it tells of the endpoint. An attempt that is not in flight
+    /// Records the outcome of an attempt: what it proves about the request, and what it shows about the endpoint. An attempt that is not in flight
     /// is ignored.
     pub(crate) fn on_attempt_ended(
         &mut self,
@@ -259,7 +259,7 @@
         self.observe_latency(now_s, ended.endpoint, objective_s.max(ended.latency_s));
     }
 
-    /// Takes a latency sample of an endpoint, in seconds. Until a request was served, it also sets the latency expected of all.
+    /// Adds a latency sample of an endpoint, in seconds. Until a request was served, it also sets the latency expected of all.
     fn observe_latency(&mut self, now_s: f64, index: usize, latency_s: f64) {
         let endpoint = &mut self.endpoints[index];
         if self.traffic.latency_s <= 0.0 {
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -92,7 +92,7 @@
         self.settings = settings;
     }
 
-    /// Takes an event at `now` and appends what is to be done to `actions`.
+    /// Handles an event at `now` and appends what is to be done to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         let now_s = now.as_secs_f64();
         if self.maintenance.is_due(now_s) {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Ends a request whose response is forwarded while it comes: the rest is between the endpoint and the client.
+    /// Ends a request whose response is being forwarded while it is received: the rest is between the endpoint and the client.
     fn on_response_started(
         &mut self,
         now_s: f64,
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/concurrency_limit.rs
@@ -1,4 +1,4 @@
-//! Bounds on this gateway's concurrency from what endpoints tell of their load: live weights in the endpoint list and load reports.
+//! Bounds on this gateway's concurrency from the load of endpoints: live weights in the endpoint list and load reports.
 
 use crate::api::{EndpointId, LoadReport};
 use crate::balancer::Balancer;
@@ -15,7 +15,7 @@
 const REPORTED_IN_FLIGHT_TIME_CONSTANT_S: f64 = 0.7;
 /// Time constant of the average of reported request rates, in seconds.
 const REPORTED_RATE_TIME_CONSTANT_S: f64 = 5.0;
-/// Requests in flight on a core that the bound from live weights aims for: more earns nothing, and endpoints slow down under it.
+/// Requests in flight on a core that the bound from live weights is set to: more does not raise throughput, and endpoints slow down under it.
 pub(crate) const TARGET_IN_FLIGHT_PER_CORE: f64 = 1.6;
 /// Lowest listed load that the bound is computed with, in requests in flight on a core; below, lists say too little.
 const MIN_LISTED_IN_FLIGHT_PER_CORE: f64 = 0.2;
@@ -24,12 +24,12 @@
 /// Age from which on a list's live weights no longer count, in seconds.
 const MAX_LISTED_LOAD_AGE_S: f64 = 3.0;
 
-/// The load that the last endpoint list with live weights tells.
+/// The load according to the last endpoint list with live weights.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ListedLoad {
     /// Requests in flight on a core, over all ready endpoints.
     pub(crate) in_flight_per_core: f64,
-    /// When the list came, in seconds.
+    /// When the list was received, in seconds.
     pub(crate) received_at_s: f64,
 }
 
@@ -111,7 +111,7 @@
 }
 
 impl Balancer {
-    /// Takes a load report. It covers the requests of all gateways but is seconds old when it comes, so it tells how loaded the fleet is
+    /// Handles a load report. It covers the requests of all gateways but is seconds old when received, so it shows how loaded the fleet is
     /// and not where the next request should go: docs/design/fleet-size.md.
     pub(crate) fn on_load_report(&mut self, now_s: f64, endpoint: EndpointId, report: LoadReport) {
         let Some(report) = report.checked() else { return };
--- a/crates/balancer/src/discovery_polling.rs
+++ b/crates/balancer/src/discovery_polling.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes note of an endpoint list. The first one plans the first poll, which spreads the polls of the gateways.
+    /// Handles an endpoint list. The first one plans the first poll, which spreads the polls of the gateways.
     pub(crate) fn on_endpoint_list(
         &mut self,
         now_s: f64,
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -5,8 +5,9 @@
 use crate::concurrency_limit::{listed_in_flight_per_core, ListedLoad};
 use crate::endpoint_state::EndpointRecord;
 
-/// Bounds of an endpoint's size against the mean.
+/// Smallest size of an endpoint, against the mean.
 const MIN_SIZE_RATIO: f64 = 0.1;
+/// Largest size of an endpoint, against the mean.
 const MAX_SIZE_RATIO: f64 = 10.0;
 
 /// Whether a list names all endpoints or only those that changed.
@@ -19,7 +20,7 @@
 }
 
 impl Balancer {
-    /// Takes an endpoint list.
+    /// Handles an endpoint list.
     pub(crate) fn on_endpoint_list(
         &mut self,
         now_s: f64,
@@ -50,7 +51,7 @@
         self.run_maintenance(now_s);
     }
 
-    /// Takes an entry. A later start or another name under the number is a new process, of which nothing learned before is true. Its first
+    /// Applies an entry. A later start or another name under the number is a new process, of which nothing learned before is true. Its first
     /// attempt under slow start comes at a random time, or those of all gateways would arrive together.
     fn update_entry(&mut self, entry: &Endpoint) {
         let index = entry.id.0 as usize;
@@ -66,7 +67,7 @@
         endpoint.entry = entry.clone();
     }
 
-    /// Takes sizes from weights that tell them.
+    /// Sets sizes from weights that stand for sizes.
     fn update_relative_sizes(&mut self) {
         let total: f64 = self.ready.iter().map(|&index| self.endpoints[index].entry.weight).sum();
         if total <= 0.0 || total.is_nan() {
--- a/crates/balancer/src/endpoint_state.rs
+++ b/crates/balancer/src/endpoint_state.rs
@@ -49,7 +49,7 @@
     pub(crate) idle_weight: f64,
 }
 
-/// A load report and when it came, in seconds.
+/// A load report and when it was received, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReceivedReport {
     pub(crate) report: LoadReport,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Takes a latency sample in seconds, scaled to a request of mean work. The first one starts the detector at `prior_s`.
+    /// Adds a latency sample in seconds, scaled to a request of mean work. The first one starts the detector at `prior_s`.
     pub(crate) fn observe_latency(&mut self, now_s: f64, latency_s: f64, prior_s: f64) {
         if !self.detector.has_samples() {
             self.detector = Cusum::new(prior_s);
@@ -135,7 +135,7 @@
         self.by_kind_s.get(&endpoint.entry.kind).unwrap_or(&self.mean_s) / endpoint.relative_size
     }
 
-    /// Takes over the averages of the endpoints with samples; kinds that have none now keep their last average.
+    /// Adopts the averages of the endpoints with samples; kinds that have none now keep their last average.
     pub(crate) fn update(&mut self, sums: FleetLatencySums) {
         if sums.all.count > 0.0 {
             self.mean_s = sums.all.mean();
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -5,12 +5,12 @@
 //!
 //! The modules in the order of a request's way:
 //!
-//! - `admission`: whether a request is admitted or shed; `concurrency_limit`: bounds from the load that endpoints tell
+//! - `admission`: whether a request is admitted or shed; `concurrency_limit`: bounds from the load of endpoints
 //! - `selection`: which endpoint an attempt goes to; `slow_start`: what cold endpoints get
 //! - `attempt`: the way from one attempt to the next; `retry`: whether another one is allowed, hedges, giving up
-//! - `latency_detector`, `failure_tracking`, `endpoint_state`: what outcomes tell of an endpoint
+//! - `latency_detector`, `failure_tracking`, `endpoint_state`: what is known of an endpoint from outcomes
 //! - `traffic_stats`, `maintenance`: rates and averages, and what changes with time
-//! - `endpoint_list`, `discovery_polling`, `draining`: what discovery tells, and when it is polled
+//! - `endpoint_list`, `discovery_polling`, `draining`: endpoints according to discovery, and when it is polled
 //! - `key_sequencing`: one request of a key at a time
 //! - `snapshot`: learned state for a successor process
 //!
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Refreshes the budget and the expected latency of each ready endpoint, and sums up what they tell.
+    /// Refreshes the budget and the expected latency of each ready endpoint, and sums up their figures.
     fn refresh_ready_endpoints(&mut self, now_s: f64, elapsed_s: f64) -> ReadyEndpointSums {
         let growth = BudgetGrowth {
             elapsed_s,
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Takes its outcome.
+    /// Records its outcome.
     pub(crate) fn end(&mut self, outcome: Outcome) {
         self.in_flight = false;
         self.not_processed = outcome.proves_not_processed();
@@ -94,7 +94,7 @@
     pub(crate) cancellation_allowed: bool,
     /// Time for which its key rests after an attempt that may still be running, in seconds.
     pub(crate) key_quiet_period_s: f64,
-    /// Time that the client is told to stay away on a rejection.
+    /// `Retry-After` of a rejection.
     pub(crate) retry_after: Duration,
 }
 
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -11,7 +11,7 @@
 /// What a new connection adds to the handshake term, times the cost of handshakes, while requests are served. Among many gateways an
 /// idle connection mostly expires before its next use; with this each gateway keeps to some endpoints as long as they do well.
 const HANDSHAKE_COST_FACTOR: f64 = 20.0;
-/// Fraction of both costs that is waived as requests end unserved, so that a zone in trouble spills over.
+/// Fraction of both costs that is waived as requests end unserved, so that requests leave a zone that fails them.
 const WAIVED_COST_FRACTION: f64 = 0.85;
 /// A key leaves its preferred endpoints when their score is this many times the best one.
 const MAX_AFFINITY_SCORE_RATIO: f64 = 3.0;
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -16,8 +16,9 @@
 const MIN_WARM_UP_FRACTION: f64 = 0.01;
 /// Shortest slow start that the age of an endpoint is divided by, in seconds.
 const MIN_SLOW_START_S: f64 = 1e-3;
-/// Bounds of an endpoint's speed against the average that its budget is scaled by.
+/// Smallest speed of an endpoint against the average that its budget is scaled by.
 const MIN_SPEED_RATIO: f64 = 0.5;
+/// Largest speed of an endpoint against the average that its budget is scaled by.
 const MAX_SPEED_RATIO: f64 = 2.0;
 /// An answer within this many times the latency expected of the endpoint's kind shows that it has no queue.
 const UNQUEUED_LATENCY_RATIO: f64 = 3.0;
@@ -29,9 +30,9 @@
 const RESTART_RATE_FRACTION: f64 = 0.2;
 /// Lowest average rate at which that is judged, in requests a second.
 const MIN_RATE_TO_JUDGE_RESTART_PER_S: f64 = 1.0;
-/// An idle time is usual if it differs from the one before by at most this fraction of it ...
+/// Difference from the idle time before up to which an idle time is usual, as a fraction of it.
 const USUAL_IDLE_TOLERANCE_FRACTION: f64 = 0.1;
-/// ... and this many seconds; some endpoints close connections right after each answer.
+/// Difference from the idle time before that is allowed on top, in seconds; some endpoints close connections right after each answer.
 const USUAL_IDLE_TOLERANCE_S: f64 = 0.005;
 /// Idle connections of one endpoint that close within this time belong to one event, in seconds.
 const CLOSE_BURST_S: f64 = 0.1;
@@ -169,8 +170,8 @@
 }
 
 impl Balancer {
-    /// Takes note that an endpoint has closed an idle connection. A process that ends closes its connections to all gateways at once,
-    /// long before discovery tells; a close after the usual idle time says nothing.
+    /// Handles an idle connection that an endpoint has closed. A process that ends closes its connections to all gateways at once,
+    /// long before discovery reports it; a close after the usual idle time is no sign of a restart.
     pub(crate) fn on_idle_connection_closed(
         &mut self,
         now_s: f64,
--- a/crates/balancer/src/traffic_stats.rs
+++ b/crates/balancer/src/traffic_stats.rs
@@ -34,7 +34,7 @@
         self.count += 1.0;
     }
 
-    /// Takes the events counted over the last `elapsed_s` seconds into the average.
+    /// Adds the events counted over the last `elapsed_s` seconds to the average.
     fn fold(&mut self, elapsed_s: f64, gain: f64) {
         let count = std::mem::take(&mut self.count);
         self.per_s += gain * (count / elapsed_s - self.per_s);
@@ -96,7 +96,7 @@
         TrafficStats { class_latency_s: vec![0.0; class_count], ..TrafficStats::default() }
     }
 
-    /// Takes the last interval into all rates and averages.
+    /// Adds the last interval to all rates and averages.
     pub(crate) fn fold(
         &mut self,
         interval: AveragingInterval,
--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -48,7 +48,7 @@
     /// No endpoint list has this number.
     #[error("unknown list {0}")]
     UnknownList(u64),
-    /// An endpoint list comes in an unknown mode, or in none.
+    /// An endpoint list has an unknown mode, or none.
     #[error("{event} with unknown mode {mode:?}")]
     UnknownListMode {
         /// The kind of event.
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes an endpoint list, or the news that discovery failed.
+    /// Handles an endpoint list, or a failure of discovery.
     pub(crate) fn on_endpoints_changed(
         &mut self,
         fields: &EventFields<'_>,
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// Takes a request.
+    /// Handles a request.
     pub(crate) fn on_request(
         &mut self,
         fields: &EventFields<'_>,
@@ -108,14 +108,14 @@
         Ok(())
     }
 
-    /// Takes note that a response is forwarded while it comes.
+    /// Handles a response that is being forwarded while it is received.
     pub(crate) fn on_response_started(&mut self, fields: &EventFields<'_>, context: &mut EventContext<'_>) {
         let Some(request) = self.request_id(fields) else { return };
         let attempt = fields.attempt.unwrap_or(0);
         self.handle(Event::ResponseStarted { request, attempt, latency: fields.latency() }, context);
     }
 
-    /// Takes the outcome of an attempt, and the load report beside it.
+    /// Handles the outcome of an attempt, and the load report beside it.
     pub(crate) fn on_attempt_ended(
         &mut self,
         fields: &EventFields<'_>,
@@ -148,7 +148,7 @@
         self.forget_if_complete(request.0);
     }
 
-    /// Takes a timer that is due.
+    /// Handles a timer that is due.
     pub(crate) fn on_timer(
         &mut self,
         fields: &EventFields<'_>,
@@ -159,7 +159,7 @@
         Ok(())
     }
 
-    /// Takes the outcome of a health check.
+    /// Handles the outcome of a health check.
     pub(crate) fn on_probe_ended(
         &mut self,
         fields: &EventFields<'_>,
--- a/crates/simhost/src/protocol.rs
+++ b/crates/simhost/src/protocol.rs
@@ -109,9 +109,9 @@
     InstanceEnded,
     /// An instance gets an endpoint list, or its discovery failed.
     EndpointsChanged,
-    /// A request has come.
+    /// A client has sent a request.
     RequestReceived,
-    /// A response is forwarded while it comes.
+    /// A response is being forwarded while it is received.
     ResponseStarted,
     /// An attempt has ended.
     AttemptEnded,
@@ -293,7 +293,7 @@
         self.end();
     }
 
-    /// Rejects a request, with advice when to come back unless that is zero.
+    /// Rejects a request, with `Retry-After` unless that is zero.
     pub(crate) fn reject(&mut self, gateway: u64, request: Option<&str>, retry_after: Duration) {
         self.begin("Busy", gateway);
         self.json_field("ref", request);
