--- /dev/null
+++ b/crates/config/src/table.rs
@@ -0,0 +1,146 @@
+//! A table of a document, read key by key.
+
+use crate::document::Document;
+use crate::value::FromValue;
+use std::fmt;
+use std::ops::{Range, RangeInclusive};
+use toml::de::{DeTable, DeValue};
+use toml::Spanned;
+
+/// A table of a document.
+#[derive(Clone, Debug)]
+pub struct Table<'d, 't> {
+    document: &'d Document<'t>,
+    table: &'d DeTable<'t>,
+    /// Path of the table; empty for the top level.
+    path: String,
+    span: Range<usize>,
+}
+
+impl<'d, 't> Table<'d, 't> {
+    pub(crate) fn root(document: &'d Document<'t>, table: &'d DeTable<'t>) -> Table<'d, 't> {
+        Table { document, table, path: String::new(), span: 0..0 }
+    }
+
+    /// Whether the document has the key.
+    pub fn has(&self, key: &str) -> bool {
+        self.table.contains_key(key)
+    }
+
+    /// The value of an optional key; `None` also where it is wrong, which is reported.
+    pub fn get<T: FromValue>(&self, key: &str) -> Option<T> {
+        let value = self.value(key)?;
+        match T::from_value(value.get_ref()) {
+            Ok(value) => Some(value),
+            Err(error) => {
+                self.wrong(key, error.to_string());
+                None
+            }
+        }
+    }
+
+    /// The value of a required key; `None` where it is missing or wrong, which is reported.
+    pub fn need<T: FromValue>(&self, key: &str) -> Option<T> {
+        if !self.has(key) {
+            let path = self.path_of(key);
+            self.document.record_read(path.clone());
+            self.document.add_problem(&self.span, path, format!("is missing: {}", T::EXPECTED));
+        }
+        self.get(key)
+    }
+
+    /// The value of an optional key, or a default.
+    pub fn or<T: FromValue>(&self, key: &str, default: T) -> T {
+        self.get(key).unwrap_or(default)
+    }
+
+    /// The value of an optional key, or a default. A value out of range is reported and replaced by the default.
+    pub fn within<T>(&self, key: &str, range: RangeInclusive<T>, default: T) -> T
+    where
+        T: FromValue + PartialOrd + fmt::Debug + Copy,
+    {
+        let Some(value) = self.get::<T>(key) else { return default };
+        if !range.contains(&value) {
+            let problem = format!("{value:?} is not within {:?} to {:?}", range.start(), range.end());
+            self.wrong(key, problem);
+            return default;
+        }
+        value
+    }
+
+    /// An optional table.
+    pub fn table(&self, key: &str) -> Option<Table<'d, 't>> {
+        let value = self.value(key)?;
+        let path = self.path_of(key);
+        let DeValue::Table(table) = value.get_ref() else {
+            self.wrong(key, format!("is to be a table: [{path}]"));
+            return None;
+        };
+        Some(Table { document: self.document, table, path, span: value.span() })
+    }
+
+    /// An array of tables; empty where the key is missing.
+    pub fn tables(&self, key: &str) -> Vec<Table<'d, 't>> {
+        let Some(value) = self.value(key) else { return Vec::new() };
+        let array_path = self.path_of(key);
+        let DeValue::Array(array) = value.get_ref() else {
+            self.wrong(key, format!("is to be an array of tables: [[{array_path}]]"));
+            return Vec::new();
+        };
+        let mut tables = Vec::new();
+        for (index, entry) in array.iter().enumerate() {
+            let path = format!("{array_path}[{index}]");
+            let span = entry.span();
+            match entry.get_ref() {
+                DeValue::Table(table) => tables.push(Table { document: self.document, table, path, span }),
+                _ => self.document.add_problem(&span, path, "is to be a table".to_owned()),
+            }
+        }
+        tables
+    }
+
+    /// Reports that the value of a key is wrong.
+    pub fn wrong(&self, key: &str, text: impl Into<String>) {
+        let span = match self.table.get_key_value(key) {
+            Some((key, _)) => key.span(),
+            None => self.span.clone(),
+        };
+        self.document.add_problem(&span, self.path_of(key), text.into());
+    }
+
+    /// Reports every key of the table that was not read. To be called once all known keys have been read.
+    pub fn finish(&self) {
+        for key in self.table.keys() {
+            let path = self.path_of(key.get_ref());
+            if !self.document.was_read(&path) {
+                let text = format!("no such key here; known are {}", self.known_keys());
+                self.document.add_problem(&key.span(), path, text);
+            }
+        }
+    }
+
+    /// The keys of the table that have been read, for messages.
+    fn known_keys(&self) -> String {
+        let prefix = if self.path.is_empty() { String::new() } else { format!("{}.", self.path) };
+        let known = self.document.keys_read_below(&prefix);
+        if known.is_empty() {
+            return "none".to_owned();
+        }
+        known.join(", ")
+    }
+
+    /// The path of one of the table's keys.
+    fn path_of(&self, key: &str) -> String {
+        if self.path.is_empty() {
+            key.to_owned()
+        } else {
+            format!("{}.{key}", self.path)
+        }
+    }
+
+    /// The raw value of a key, which counts as read from now on.
+    fn value(&self, key: &str) -> Option<&'d Spanned<DeValue<'t>>> {
+        self.document.record_read(self.path_of(key));
+        self.table.get(key)
+    }
+}
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -1,48 +1,58 @@
-//! What a value of a file may be read as.
+//! The types as which a value of a document can be read.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use toml::de::DeValue;
 
-/// What a value can be read as.
-pub trait FromValue: Sized {
-    /// What is expected, with an example.
-    const EXPECTED: &'static str;
-
-    /// Reads the value.
-    ///
-    /// # Errors
-    /// What is wrong with it, and what would be right.
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String>;
+/// Reason why a value can't be read.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ValueError {
+    /// The value has another type or format.
+    #[error("{found} is not {expected}")]
+    Unexpected {
+        /// The value as it stands in the document.
+        found: String,
+        /// What is expected, with an example.
+        expected: &'static str,
+    },
+    /// The value is none of the names that the key accepts.
+    #[error("{found} is to be one of {}", quoted_list(.choices))]
+    UnknownChoice {
+        /// The value as it stands in the document.
+        found: String,
+        /// The names that the key accepts.
+        choices: Vec<&'static str>,
+    },
+    /// The value is not a range, or its greater end comes first.
+    #[error("{found} is not {expected}, the lesser one first")]
+    InvalidRange {
+        /// The value as it stands in the document.
+        found: String,
+        /// What is expected, with an example.
+        expected: &'static str,
+    },
 }
 
-/// A choice among words; for enumerations.
-pub trait Named: Copy + 'static {
-    /// Every word with what it stands for.
-    const WORDS: &'static [(&'static str, Self)];
+impl ValueError {
+    fn unexpected<T: FromValue>(value: &DeValue<'_>) -> ValueError {
+        ValueError::Unexpected { found: display_value(value), expected: T::EXPECTED }
+    }
 }
 
-impl<T: Named> FromValue for T {
-    const EXPECTED: &'static str = "one of the words on the page";
-
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        let word = value.as_str().unwrap_or_default();
-        T::WORDS.iter().find(|(w, _)| *w == word).map(|(_, choice)| *choice).ok_or_else(|| {
-            let words: Vec<_> = T::WORDS.iter().map(|(w, _)| format!("{w:?}")).collect();
-            format!("{} is to be one of {}", shown(value), words.join(", "))
-        })
-    }
+fn quoted_list(names: &[&str]) -> String {
+    let quoted: Vec<String> = names.iter().map(|name| format!("{name:?}")).collect();
+    quoted.join(", ")
 }
 
-/// A number of bytes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Bytes(pub u64);
+/// Number of characters of a text after which messages cut it off.
+const MAX_DISPLAYED_CHARS: usize = 40;
 
-/// The value as it stands in the file, cut short where it is long.
-fn shown(value: &DeValue<'_>) -> String {
+/// The value as it stands in the document; a long text is cut off.
+fn display_value(value: &DeValue<'_>) -> String {
     match value {
-        DeValue::String(text) if text.chars().count() > 40 => {
-            format!("{:?}...", text.chars().take(40).collect::<String>())
+        DeValue::String(text) if text.chars().count() > MAX_DISPLAYED_CHARS => {
+            let start: String = text.chars().take(MAX_DISPLAYED_CHARS).collect();
+            format!("{start:?}...")
         }
         DeValue::String(text) => format!("{text:?}"),
         DeValue::Integer(number) => number.to_string(),
@@ -52,138 +62,201 @@
     }
 }
 
-fn expected<T: FromValue>(value: &DeValue<'_>) -> String {
-    format!("{} is not {}", shown(value), T::EXPECTED)
+/// A type as which a value can be read.
+pub trait FromValue: Sized {
+    /// What is expected, with an example.
+    const EXPECTED: &'static str;
+
+    /// Reads a value.
+    ///
+    /// # Errors
+    /// The value has another type, another format or is out of range.
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError>;
+}
+
+/// An enumeration whose values have names in documents.
+pub trait Named: Copy + 'static {
+    /// Each name with its value.
+    const WORDS: &'static [(&'static str, Self)];
+}
+
+impl<T: Named> FromValue for T {
+    const EXPECTED: &'static str = "one of the documented names";
+
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
+        let name = value.as_str().unwrap_or_default();
+        match T::WORDS.iter().find(|(choice, _)| *choice == name) {
+            Some((_, value)) => Ok(*value),
+            None => Err(ValueError::UnknownChoice {
+                found: display_value(value),
+                choices: T::WORDS.iter().map(|(choice, _)| *choice).collect(),
+            }),
+        }
+    }
 }
 
 impl FromValue for bool {
     const EXPECTED: &'static str = "true or false";
 
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        value.as_bool().ok_or_else(|| expected::<Self>(value))
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
+        value.as_bool().ok_or_else(|| ValueError::unexpected::<Self>(value))
     }
 }
 
 impl FromValue for String {
     const EXPECTED: &'static str = "text in quotes";
 
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        value.as_str().map(str::to_owned).ok_or_else(|| expected::<Self>(value))
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
+        value.as_str().map(str::to_owned).ok_or_else(|| ValueError::unexpected::<Self>(value))
     }
 }
 
 impl FromValue for u64 {
     const EXPECTED: &'static str = "a whole number from 0 on";
 
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        let number = value.as_integer().and_then(|n| u64::from_str_radix(n.as_str(), n.radix()).ok());
-        number.ok_or_else(|| expected::<Self>(value))
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
+        let integer = value.as_integer();
+        let number = integer.and_then(|integer| u64::from_str_radix(integer.as_str(), integer.radix()).ok());
+        number.ok_or_else(|| ValueError::unexpected::<Self>(value))
     }
 }
 
 impl FromValue for f64 {
     const EXPECTED: &'static str = "a number";
 
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        let number = match value {
-            DeValue::Integer(n) => i64::from_str_radix(n.as_str(), n.radix()).ok().map(|n| n as f64),
-            DeValue::Float(n) => n.as_str().parse().ok(),
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
+        let number: Option<f64> = match value {
+            DeValue::Integer(integer) => {
+                i64::from_str_radix(integer.as_str(), integer.radix()).ok().map(|number| number as f64)
+            }
+            DeValue::Float(float) => float.as_str().parse().ok(),
             _ => None,
         };
-        number.filter(|n: &f64| n.is_finite()).ok_or_else(|| expected::<Self>(value))
+        number.filter(|number| number.is_finite()).ok_or_else(|| ValueError::unexpected::<Self>(value))
+    }
+}
+
+/// A number with its unit, as in `"1.5min"`.
+struct Measure<'a> {
+    number: f64,
+    unit: &'a str,
+}
+
+impl<'a> Measure<'a> {
+    fn parse(text: &'a str) -> Option<Measure<'a>> {
+        let unit_start = text.find(|character: char| !character.is_ascii_digit() && character != '.')?;
+        let number: f64 = text[..unit_start].parse().ok()?;
+        number.is_finite().then(|| Measure { number, unit: text[unit_start..].trim() })
     }
 }
 
-/// Splits a number from its unit.
-fn measure(text: &str) -> Option<(f64, &str)> {
-    let end = text.find(|c: char| !c.is_ascii_digit() && c != '.')?;
-    let number: f64 = text[..end].parse().ok()?;
-    number.is_finite().then(|| (number, text[end..].trim()))
+/// Length of a unit of time, in seconds.
+fn time_unit_s(unit: &str) -> Option<f64> {
+    match unit {
+        "us" => Some(1e-6),
+        "ms" => Some(1e-3),
+        "s" => Some(1.0),
+        "min" => Some(60.0),
+        "h" => Some(3600.0),
+        "d" => Some(86_400.0),
+        _ => None,
+    }
 }
 
 impl FromValue for Duration {
     const EXPECTED: &'static str = "a time such as \"250ms\", \"2s\" or \"1.5min\"";
 
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        let wrong = || expected::<Self>(value);
-        let (number, unit) = value.as_str().and_then(measure).ok_or_else(wrong)?;
-        let unit = match unit {
-            "us" => 1e-6,
-            "ms" => 1e-3,
-            "s" => 1.0,
-            "min" => 60.0,
-            "h" => 3600.0,
-            "d" => 86_400.0,
-            _ => return Err(wrong()),
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
+        let parse = || {
+            let measure = Measure::parse(value.as_str()?)?;
+            Duration::try_from_secs_f64(measure.number * time_unit_s(measure.unit)?).ok()
         };
-        Duration::try_from_secs_f64(number * unit).map_err(|_| wrong())
+        parse().ok_or_else(|| ValueError::unexpected::<Self>(value))
+    }
+}
+
+/// A number of bytes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Bytes(pub u64);
+
+/// Largest size that can be read, in bytes: half of what a `u64` holds, so that the rounded product always fits.
+const MAX_BYTES: f64 = u64::MAX as f64 / 2.0;
+
+/// Size of a unit, in bytes.
+fn size_unit_bytes(unit: &str) -> Option<u64> {
+    match unit {
+        "B" => Some(1),
+        "KiB" => Some(1 << 10),
+        "MiB" => Some(1 << 20),
+        "GiB" => Some(1 << 30),
+        _ => None,
     }
 }
 
 impl FromValue for Bytes {
     const EXPECTED: &'static str = "a size such as \"512B\", \"64KiB\" or \"2MiB\"";
 
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        let wrong = || expected::<Self>(value);
-        let (number, unit) = value.as_str().and_then(measure).ok_or_else(wrong)?;
-        let unit: u64 = match unit {
-            "B" => 1,
-            "KiB" => 1 << 10,
-            "MiB" => 1 << 20,
-            "GiB" => 1 << 30,
-            _ => return Err(wrong()),
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
+        let parse = || {
+            let measure = Measure::parse(value.as_str()?)?;
+            let bytes = measure.number * size_unit_bytes(measure.unit)? as f64;
+            (bytes <= MAX_BYTES).then_some(Bytes(bytes.round() as u64))
         };
-        let bytes = number * unit as f64;
-        if bytes > u64::MAX as f64 / 2.0 {
-            return Err(wrong());
-        }
-        Ok(Bytes(bytes.round() as u64))
+        parse().ok_or_else(|| ValueError::unexpected::<Self>(value))
     }
 }
 
 impl FromValue for SocketAddr {
     const EXPECTED: &'static str = "an address and a port such as \"127.0.0.1:7070\"";
 
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        value.as_str().and_then(|text| text.parse().ok()).ok_or_else(|| expected::<Self>(value))
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
+        let address = value.as_str().and_then(|text| text.parse().ok());
+        address.ok_or_else(|| ValueError::unexpected::<Self>(value))
     }
 }
 
 impl<T: FromValue> FromValue for Vec<T> {
     const EXPECTED: &'static str = "a list in brackets";
 
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        let array = value.as_array().ok_or_else(|| expected::<Self>(value))?;
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
+        let array = value.as_array().ok_or_else(|| ValueError::unexpected::<Self>(value))?;
         array.iter().map(|entry| T::from_value(entry.get_ref())).collect()
     }
 }
 
-/// A range that is written as one number or as `[least, most]`.
+/// Reads a range that is written as one value or as `[least, greatest]`.
+fn range_from_value<T>(value: &DeValue<'_>) -> Result<(T, T), ValueError>
+where
+    T: FromValue + PartialOrd + Copy,
+    (T, T): FromValue,
+{
+    if value.as_array().is_none() {
+        let single = T::from_value(value).map_err(|_| ValueError::unexpected::<(T, T)>(value))?;
+        return Ok((single, single));
+    }
+    match Vec::<T>::from_value(value)?[..] {
+        [least, greatest] if least <= greatest => Ok((least, greatest)),
+        _ => Err(ValueError::InvalidRange {
+            found: display_value(value),
+            expected: <(T, T) as FromValue>::EXPECTED,
+        }),
+    }
+}
+
+/// A range of numbers: least and greatest.
 impl FromValue for (f64, f64) {
     const EXPECTED: &'static str = "a number, or two as in [0.8, 1.2]";
 
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        if value.as_array().is_none() {
-            return f64::from_value(value).map(|n| (n, n)).map_err(|_| expected::<Self>(value));
-        }
-        match Vec::<f64>::from_value(value)?[..] {
-            [least, most] if least <= most => Ok((least, most)),
-            _ => Err(format!("{} is not {}, the lesser one first", shown(value), Self::EXPECTED)),
-        }
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
+        range_from_value(value)
     }
 }
 
-/// A range of times, likewise.
+/// A range of times: least and greatest.
 impl FromValue for (Duration, Duration) {
     const EXPECTED: &'static str = "a time, or two as in [\"10ms\", \"80ms\"]";
 
-    fn from_value(value: &DeValue<'_>) -> Result<Self, String> {
-        if value.as_array().is_none() {
-            return Duration::from_value(value).map(|t| (t, t)).map_err(|_| expected::<Self>(value));
-        }
-        match Vec::<Duration>::from_value(value)?[..] {
-            [least, most] if least <= most => Ok((least, most)),
-            _ => Err(format!("{} is not {}, the lesser one first", shown(value), Self::EXPECTED)),
-        }
+    fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
+        range_from_value(value)
     }
 }
