--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -26,4 +26,4 @@
 pub use document::Document;
 pub use problem::{Problem, Problems};
 pub use table::Table;
-pub use value::{Bytes, FromValue, Named, ValueError};
+pub use value::{Bytes, Choice, FromValue, ValueError};
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -23,7 +23,7 @@
     }
 
     /// Whether the document has the key.
-    pub fn has(&self, key: &str) -> bool {
+    pub fn contains(&self, key: &str) -> bool {
         self.table.contains_key(key)
     }
 
@@ -33,15 +33,15 @@
         match T::from_value(value.get_ref()) {
             Ok(value) => Some(value),
             Err(error) => {
-                self.wrong(key, error.to_string());
+                self.report(key, error.to_string());
                 None
             }
         }
     }
 
     /// The value of a required key; `None` where it is missing or wrong, which is reported.
-    pub fn need<T: FromValue>(&self, key: &str) -> Option<T> {
-        if !self.has(key) {
+    pub fn require<T: FromValue>(&self, key: &str) -> Option<T> {
+        if !self.contains(key) {
             let path = self.path_of(key);
             self.document.record_read(path.clone());
             self.document.add_problem(&self.span, path, format!("is missing: {}", T::EXPECTED));
@@ -50,19 +50,19 @@
     }
 
     /// The value of an optional key, or a default.
-    pub fn or<T: FromValue>(&self, key: &str, default: T) -> T {
+    pub fn get_or<T: FromValue>(&self, key: &str, default: T) -> T {
         self.get(key).unwrap_or(default)
     }
 
     /// The value of an optional key, or a default. A value out of range is reported and replaced by the default.
-    pub fn within<T>(&self, key: &str, range: RangeInclusive<T>, default: T) -> T
+    pub fn get_in_range<T>(&self, key: &str, range: RangeInclusive<T>, default: T) -> T
     where
         T: FromValue + PartialOrd + fmt::Debug + Copy,
     {
         let Some(value) = self.get::<T>(key) else { return default };
         if !range.contains(&value) {
             let problem = format!("{value:?} is not within {:?} to {:?}", range.start(), range.end());
-            self.wrong(key, problem);
+            self.report(key, problem);
             return default;
         }
         value
@@ -73,7 +73,7 @@
         let value = self.value(key)?;
         let path = self.path_of(key);
         let DeValue::Table(table) = value.get_ref() else {
-            self.wrong(key, format!("is to be a table: [{path}]"));
+            self.report(key, format!("is to be a table: [{path}]"));
             return None;
         };
         Some(Table { document: self.document, table, path, span: value.span() })
@@ -84,7 +84,7 @@
         let Some(value) = self.value(key) else { return Vec::new() };
         let array_path = self.path_of(key);
         let DeValue::Array(array) = value.get_ref() else {
-            self.wrong(key, format!("is to be an array of tables: [[{array_path}]]"));
+            self.report(key, format!("is to be an array of tables: [[{array_path}]]"));
             return Vec::new();
         };
         let mut tables = Vec::new();
@@ -100,7 +100,7 @@
     }
 
     /// Reports that the value of a key is wrong.
-    pub fn wrong(&self, key: &str, text: impl Into<String>) {
+    pub fn report(&self, key: &str, text: impl Into<String>) {
         let span = match self.table.get_key_value(key) {
             Some((key, _)) => key.span(),
             None => self.span.clone(),
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -75,21 +75,21 @@
 }
 
 /// An enumeration whose values have names in documents.
-pub trait Named: Copy + 'static {
+pub trait Choice: Copy + 'static {
     /// Each name with its value.
-    const WORDS: &'static [(&'static str, Self)];
+    const CHOICES: &'static [(&'static str, Self)];
 }
 
-impl<T: Named> FromValue for T {
+impl<T: Choice> FromValue for T {
     const EXPECTED: &'static str = "one of the documented names";
 
     fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
         let name = value.as_str().unwrap_or_default();
-        match T::WORDS.iter().find(|(choice, _)| *choice == name) {
+        match T::CHOICES.iter().find(|(choice, _)| *choice == name) {
             Some((_, value)) => Ok(*value),
             None => Err(ValueError::UnknownChoice {
                 found: display_value(value),
-                choices: T::WORDS.iter().map(|(choice, _)| *choice).collect(),
+                choices: T::CHOICES.iter().map(|(choice, _)| *choice).collect(),
             }),
         }
     }
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
-use weldworks_config::{Bytes, Document, Named};
+use weldworks_config::{Bytes, Choice, Document};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Shape {
@@ -11,8 +11,8 @@
     Wave,
 }
 
-impl Named for Shape {
-    const WORDS: &'static [(&'static str, Shape)] = &[("steady", Shape::Steady), ("wave", Shape::Wave)];
+impl Choice for Shape {
+    const CHOICES: &'static [(&'static str, Shape)] = &[("steady", Shape::Steady), ("wave", Shape::Wave)];
 }
 
 #[test]
@@ -37,7 +37,7 @@
     assert_eq!(root.get("speed"), Some((0.8, 1.0)));
     assert_eq!(root.get("one"), Some((2.0, 2.0)));
     assert_eq!(root.get("list"), Some(vec!["a".to_owned(), "b".to_owned()]));
-    assert_eq!(root.or("absent", 7u64), 7);
+    assert_eq!(root.get_or("absent", 7u64), 7);
     root.finish();
     assert!(document.check(()).is_ok());
 }
@@ -49,10 +49,10 @@
     let root = document.root();
     let _ = root.get::<Duration>("wait");
     let load = root.table("load").expect("a table");
-    let _ = load.within("rate", 0.0..=1e6, 1.0);
+    let _ = load.get_in_range("rate", 0.0..=1e6, 1.0);
     load.finish();
     for event in root.tables("event") {
-        let _ = (event.need::<Duration>("at"), event.get::<Duration>("lasts"));
+        let _ = (event.require::<Duration>("at"), event.get::<Duration>("lasts"));
         event.finish();
     }
     root.finish();
--- a/crates/control/src/retry_storm/settings.rs
+++ b/crates/control/src/retry_storm/settings.rs
@@ -113,25 +113,41 @@
     pub fn read(table: &Table<'_, '_>) -> StormSettings {
         let default = StormSettings::default();
         let settings = StormSettings {
-            damping_enabled: table.or("damping", default.damping_enabled),
-            retry_after_enabled: table.or("advice", default.retry_after_enabled),
-            signal_window: table.within("window", MIN_TIME..=MAX_TIME, default.signal_window),
-            client_retry_ratio_limit: table.within("repeats", 0.01..=1.0, default.client_retry_ratio_limit),
-            unserved_ratio_limit: table.within("unserved", 0.01..=1.0, default.unserved_ratio_limit),
-            confirmation_time: table.within("confirm", Duration::ZERO..=MAX_TIME, default.confirmation_time),
-            min_storm_time: table.within("calm_after", MIN_TIME..=MAX_TIME, default.min_storm_time),
-            recovery_time: table.within("recover", MIN_TIME..=MAX_TIME, default.recovery_time),
-            retries_per_first_attempt: table.within("budget", 0.0..=10.0, default.retries_per_first_attempt),
-            max_saved_retries: table.within("budget_most", 0.0..=1e6, default.max_saved_retries),
-            unbudgeted_admission_share: table.within("unpaid", 0.0..=1.0, default.unbudgeted_admission_share),
-            over_share_factor: table.within("beyond_share", 0.0..=1.0, default.over_share_factor),
-            weight_exponent: table.within("worth_power", 0.0..=4.0, default.weight_exponent),
-            max_admission_share: table.within("most_part", 1.0..=4.0, default.max_admission_share),
-            repeat_window: table.within("remembers", MIN_TIME..=MAX_TIME, default.repeat_window),
-            cache_slots: table.within("memory", 64..=1 << 20, default.cache_slots as u64) as usize,
+            damping_enabled: table.get_or("damping", default.damping_enabled),
+            retry_after_enabled: table.get_or("advice", default.retry_after_enabled),
+            signal_window: table.get_in_range("window", MIN_TIME..=MAX_TIME, default.signal_window),
+            client_retry_ratio_limit: table.get_in_range(
+                "repeats",
+                0.01..=1.0,
+                default.client_retry_ratio_limit,
+            ),
+            unserved_ratio_limit: table.get_in_range("unserved", 0.01..=1.0, default.unserved_ratio_limit),
+            confirmation_time: table.get_in_range(
+                "confirm",
+                Duration::ZERO..=MAX_TIME,
+                default.confirmation_time,
+            ),
+            min_storm_time: table.get_in_range("calm_after", MIN_TIME..=MAX_TIME, default.min_storm_time),
+            recovery_time: table.get_in_range("recover", MIN_TIME..=MAX_TIME, default.recovery_time),
+            retries_per_first_attempt: table.get_in_range(
+                "budget",
+                0.0..=10.0,
+                default.retries_per_first_attempt,
+            ),
+            max_saved_retries: table.get_in_range("budget_most", 0.0..=1e6, default.max_saved_retries),
+            unbudgeted_admission_share: table.get_in_range(
+                "unpaid",
+                0.0..=1.0,
+                default.unbudgeted_admission_share,
+            ),
+            over_share_factor: table.get_in_range("beyond_share", 0.0..=1.0, default.over_share_factor),
+            weight_exponent: table.get_in_range("worth_power", 0.0..=4.0, default.weight_exponent),
+            max_admission_share: table.get_in_range("most_part", 1.0..=4.0, default.max_admission_share),
+            repeat_window: table.get_in_range("remembers", MIN_TIME..=MAX_TIME, default.repeat_window),
+            cache_slots: table.get_in_range("memory", 64..=1 << 20, default.cache_slots as u64) as usize,
         };
         if !settings.damping_enabled && !settings.retry_after_enabled {
-            table.wrong(
+            table.report(
                 "damping",
                 "and advice are both off, so that nothing would come of a storm: leave the table out",
             );
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
-use weldworks_config::{Bytes, Named, Table};
+use weldworks_config::{Bytes, Choice, Table};
 
 /// The most gateways of one fleet.
 pub const MAX_PEERS: usize = 1000;
@@ -21,8 +21,8 @@
     Reject,
 }
 
-impl Named for WithoutSessionPolicy {
-    const WORDS: &'static [(&'static str, WithoutSessionPolicy)] =
+impl Choice for WithoutSessionPolicy {
+    const CHOICES: &'static [(&'static str, WithoutSessionPolicy)] =
         &[("serve", WithoutSessionPolicy::Serve), ("refuse", WithoutSessionPolicy::Reject)];
 }
 
@@ -89,63 +89,67 @@
     /// Reads the table; what is wrong is noted there.
     pub fn read(table: &Table<'_, '_>) -> FleetSettings {
         let long = Duration::from_secs(600);
-        let name: String = table.need("name").unwrap_or_default();
-        let gateway: String = table.need("gateway").unwrap_or_default();
+        let name: String = table.require("name").unwrap_or_default();
+        let gateway: String = table.require("gateway").unwrap_or_default();
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
         let mut peers = Vec::new();
         for entry in table.tables("peer") {
             let peer = Peer {
-                name: entry.need("name").unwrap_or_default(),
-                address: entry.need("address").unwrap_or(nowhere),
-                is_voter: entry.or("council", false),
+                name: entry.require("name").unwrap_or_default(),
+                address: entry.require("address").unwrap_or(nowhere),
+                is_voter: entry.get_or("council", false),
             };
             if peers.iter().any(|p: &Peer| p.name == peer.name && !p.name.is_empty()) {
-                entry.wrong("name", "is there twice: each gateway has one entry");
+                entry.report("name", "is there twice: each gateway has one entry");
             }
             entry.finish();
             peers.push(peer);
         }
         let own = peers.iter().find(|p| p.name == gateway);
         if own.is_none() && !gateway.is_empty() {
-            table.wrong("gateway", "is not among the peers: add a [[fleet.peer]] with this name");
+            table.report("gateway", "is not among the peers: add a [[fleet.peer]] with this name");
         }
         let listen = table.get("listen").or(own.map(|p| p.address)).unwrap_or(nowhere);
         let council = peers.iter().filter(|p| p.is_voter).count();
         if !matches!(council, 3 | 5) {
-            table.wrong(
+            table.report(
                 "peer",
                 format!("{council} of them have council = true: a council has 3 or 5, so that a majority is left when 1 or 2 are lost"),
             );
         }
         if peers.len() > MAX_PEERS {
-            table.wrong("peer", format!("{} gateways: a fleet has {MAX_PEERS} at most", peers.len()));
+            table.report("peer", format!("{} gateways: a fleet has {MAX_PEERS} at most", peers.len()));
         }
         if name.is_empty() || name.len() > 64 {
-            table.wrong("name", "has 1 to 64 letters");
+            table.report("name", "has 1 to 64 letters");
         }
         let books = RetentionLimits::default();
         let settings = FleetSettings {
             listen,
             lineage: table.get("lineage"),
             lease: Lease {
-                length: table.within("lease", Duration::from_millis(500)..=long, Duration::from_secs(3)),
-                margin: table.within("margin", 0.001..=0.2, 0.02),
+                length: table.get_in_range(
+                    "lease",
+                    Duration::from_millis(500)..=long,
+                    Duration::from_secs(3),
+                ),
+                margin: table.get_in_range("margin", 0.001..=0.2, 0.02),
             },
-            without_session: table.or("alone", WithoutSessionPolicy::default()),
+            without_session: table.get_or("alone", WithoutSessionPolicy::default()),
             lag_policy: LagPolicy {
-                max_list_lag: table.within("behind", 1..=1_000_000, 3),
-                max_lag_duration: table.within(
+                max_list_lag: table.get_in_range("behind", 1..=1_000_000, 3),
+                max_lag_duration: table.get_in_range(
                     "behind_for",
                     Duration::from_millis(500)..=long,
                     Duration::from_secs(5),
                 ),
-                max_fenced_fraction: table.within("shut_out_most", 0.0..=0.5, 0.2),
+                max_fenced_fraction: table.get_in_range("shut_out_most", 0.0..=0.5, 0.2),
             },
             audit_retention: RetentionLimits {
                 max_bytes: table
-                    .within("audit_size", Bytes(1 << 20)..=Bytes(64 << 30), Bytes(books.max_bytes))
+                    .get_in_range("audit_size", Bytes(1 << 20)..=Bytes(64 << 30), Bytes(books.max_bytes))
                     .0,
-                max_age: table.within(
+                max_age: table.get_in_range(
                     "audit_age",
                     Duration::from_secs(60)..=Duration::from_secs(366 * 86_400),
                     books.max_age,
--- a/crates/gateway/src/lifecycle/log.rs
+++ b/crates/gateway/src/lifecycle/log.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 use tracing::level_filters::LevelFilter;
-use weldworks_config::{Named, Table};
+use weldworks_config::{Choice, Table};
 
 /// How a line is worded.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -14,8 +14,8 @@
     Json,
 }
 
-impl Named for LogFormat {
-    const WORDS: &'static [(&'static str, LogFormat)] =
+impl Choice for LogFormat {
+    const CHOICES: &'static [(&'static str, LogFormat)] =
         &[("text", LogFormat::Text), ("json", LogFormat::Json)];
 }
 
@@ -29,8 +29,8 @@
     Debug,
 }
 
-impl Named for LogLevel {
-    const WORDS: &'static [(&'static str, LogLevel)] =
+impl Choice for LogLevel {
+    const CHOICES: &'static [(&'static str, LogLevel)] =
         &[("info", LogLevel::Info), ("debug", LogLevel::Debug)];
 }
 
@@ -52,8 +52,8 @@
     /// Reads the table.
     pub fn read(table: &Table<'_, '_>) -> LogSettings {
         let log = LogSettings {
-            format: table.or("format", LogFormat::default()),
-            level: table.or("level", LogLevel::default()),
+            format: table.get_or("format", LogFormat::default()),
+            level: table.get_or("level", LogLevel::default()),
         };
         table.finish();
         log
--- a/crates/testbed/src/script/read.rs
+++ b/crates/testbed/src/script/read.rs
@@ -7,23 +7,23 @@
 use crate::model::{ChokeSpec, Distribution, PauseSpec, WarmBy};
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, KeyScope};
-use weldworks_config::{Document, Named, Problems, Table};
+use weldworks_config::{Choice, Document, Problems, Table};
 
-impl Named for Shape {
-    const WORDS: &'static [(&'static str, Shape)] =
+impl Choice for Shape {
+    const CHOICES: &'static [(&'static str, Shape)] =
         &[("steady", Shape::Steady), ("wave", Shape::Wave), ("ramp", Shape::Ramp)];
 }
 
-impl Named for Distribution {
-    const WORDS: &'static [(&'static str, Distribution)] = &[
+impl Choice for Distribution {
+    const CHOICES: &'static [(&'static str, Distribution)] = &[
         ("fixed", Distribution::Fixed),
         ("exponential", Distribution::Exponential),
         ("log-normal", Distribution::LogNormal),
     ];
 }
 
-impl Named for WarmBy {
-    const WORDS: &'static [(&'static str, WarmBy)] = &[("time", WarmBy::Time), ("work", WarmBy::Work)];
+impl Choice for WarmBy {
+    const CHOICES: &'static [(&'static str, WarmBy)] = &[("time", WarmBy::Time), ("work", WarmBy::Work)];
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -33,16 +33,16 @@
     Unsafe,
 }
 
-impl Named for EffectWord {
-    const WORDS: &'static [(&'static str, EffectWord)] =
+impl Choice for EffectWord {
+    const CHOICES: &'static [(&'static str, EffectWord)] =
         &[("safe", EffectWord::Safe), ("keyed", EffectWord::Keyed), ("unsafe", EffectWord::Unsafe)];
 }
 
 #[derive(Clone, Copy, Debug)]
 struct GroupWord(KeyScope);
 
-impl Named for GroupWord {
-    const WORDS: &'static [(&'static str, GroupWord)] = &[
+impl Choice for GroupWord {
+    const CHOICES: &'static [(&'static str, GroupWord)] = &[
         ("all", GroupWord(KeyScope::All)),
         ("zone", GroupWord(KeyScope::Zone)),
         ("rack", GroupWord(KeyScope::Cell)),
@@ -61,9 +61,9 @@
 pub(super) fn script(file: &str, text: &str) -> Result<Script, Problems> {
     let document = Document::parse(file, text)?;
     let root = document.root();
-    let name = root.need::<String>("name").unwrap_or_default();
-    let about = root.or("about", String::new());
-    let lasts = root.within("lasts", ms(100)..=LONGEST, ms(20_000));
+    let name = root.require::<String>("name").unwrap_or_default();
+    let about = root.get_or("about", String::new());
+    let lasts = root.get_in_range("lasts", ms(100)..=LONGEST, ms(20_000));
     let (fleet, load, clients) = (fleet(&root), load(&root), clients(&root));
     let classes = classes(&root);
     let tenants = tenants(&root);
@@ -106,24 +106,24 @@
 
 fn fleet(root: &Table<'_, '_>) -> Fleet {
     section(root, "fleet", |t| {
-        let zones = t.or("zones", vec!["via-dante".to_owned(), "zona-nord".to_owned()]);
+        let zones = t.get_or("zones", vec!["via-dante".to_owned(), "zona-nord".to_owned()]);
         if zones.is_empty() {
-            t.wrong("zones", "names no zone");
+            t.report("zones", "names no zone");
         }
         let zones = if zones.is_empty() { vec!["a".to_owned()] } else { zones };
-        let gateways = t.within("gateways", 1..=1000, 45u64) as usize;
+        let gateways = t.get_in_range("gateways", 1..=1000, 45u64) as usize;
         // What was asked for, as far as one machine carries it; two suffice where nobody asked.
-        let carried = if t.has("gateways") { gateways.min(CARRIED) } else { 2 };
-        let on_sockets = t.within("on_sockets", 1..=1000, carried as u64) as usize;
-        let told = t.within("told", 0.01..=100.0, 1.0);
+        let carried = if t.contains("gateways") { gateways.min(CARRIED) } else { 2 };
+        let on_sockets = t.get_in_range("on_sockets", 1..=1000, carried as u64) as usize;
+        let told = t.get_in_range("told", 0.01..=100.0, 1.0);
         let joining = fewer_than(t, "joining", gateways);
-        let joins_at = t.within("joins_at", Duration::ZERO..=LONGEST, ms(10_000));
+        let joins_at = t.get_in_range("joins_at", Duration::ZERO..=LONGEST, ms(10_000));
         let killed = fewer_than(t, "killed", gateways);
-        let killed_at = t.within("killed_at", Duration::ZERO..=LONGEST, ms(10_000));
-        let back_after = t.within("back_after", ms(1)..=LONGEST, ms(3000));
-        let noticed = t.within("noticed", Duration::ZERO..=LONGEST, ms(2000));
-        let nodes = t.within("nodes", 1..=1000, 12u64) as usize;
-        let rack = t.within("rack", 1..=1000, 3u64) as usize;
+        let killed_at = t.get_in_range("killed_at", Duration::ZERO..=LONGEST, ms(10_000));
+        let back_after = t.get_in_range("back_after", ms(1)..=LONGEST, ms(3000));
+        let noticed = t.get_in_range("noticed", Duration::ZERO..=LONGEST, ms(2000));
+        let nodes = t.get_in_range("nodes", 1..=1000, 12u64) as usize;
+        let rack = t.get_in_range("rack", 1..=1000, 3u64) as usize;
         let tables = t.tables("kind");
         let mut kinds: Vec<Kind> = tables.iter().map(kind).collect();
         if kinds.is_empty() {
@@ -132,7 +132,7 @@
             kinds.iter_mut().for_each(|k| node(t, k));
         }
         if kinds.iter().map(|k| k.share).sum::<f64>() <= 0.0 {
-            t.wrong("kind", "the shares of all kinds together are 0");
+            t.report("kind", "the shares of all kinds together are 0");
         }
         Fleet {
             zones,
@@ -154,16 +154,16 @@
 
 /// How many of the gateways something happens to: never to all.
 fn fewer_than(t: &Table<'_, '_>, key: &str, gateways: usize) -> usize {
-    let count = t.within(key, 0..=999, 0u64) as usize;
+    let count = t.get_in_range(key, 0..=999, 0u64) as usize;
     if count >= gateways {
-        t.wrong(key, format!("must be less than gateways, which is {gateways}: somebody has to serve"));
+        t.report(key, format!("must be less than gateways, which is {gateways}: somebody has to serve"));
     }
     count
 }
 
 fn kind(t: &Table<'_, '_>) -> Kind {
-    let name = t.need::<String>("name").unwrap_or_default();
-    let share = t.within("share", SHARE, 1.0);
+    let name = t.require::<String>("name").unwrap_or_default();
+    let share = t.get_in_range("share", SHARE, 1.0);
     let mut kind = defaults::kind(&name, share, (1.0, 1.0));
     node(t, &mut kind);
     t.finish();
@@ -173,95 +173,95 @@
 /// What may be said of a kind of nodes, or of all of them.
 fn node(t: &Table<'_, '_>, kind: &mut Kind) {
     kind.speed = positive(t, "speed", kind.speed);
-    kind.report_every = t.or("report_every", kind.report_every);
+    kind.report_every = t.get_or("report_every", kind.report_every);
     if kind.report_every.0 < ms(1) {
-        t.wrong("report_every", "is under 1ms");
+        t.report("report_every", "is under 1ms");
         kind.report_every = (ms(1), ms(1));
     }
-    kind.report_late = t.or("report_late", kind.report_late);
+    kind.report_late = t.get_or("report_late", kind.report_late);
     let s = &mut kind.spec;
-    s.report.noise = t.within("report_noise", SHARE, s.report.noise);
-    s.cores = t.within("cores", 1..=256, u64::from(s.cores)) as u32;
-    s.slots = t.within("slots", 1..=100_000, u64::from(s.slots)) as u32;
-    s.queue = t.within("queue", 0..=1_000_000, u64::from(s.queue)) as u32;
-    s.crowding = t.within("crowding", 0.0..=0.95, s.crowding);
-    s.crowded_at = t.within("crowded_at", 0.0..=1e6, s.crowded_at);
-    s.cold_from = t.within("cold_from", 0.01..=1.0, s.cold_from);
-    s.cold_for = t.within("cold_for", ms(1)..=LONGEST, s.cold_for);
-    s.warm_by = t.or("warm_by", s.warm_by);
-    s.fall_at = t.within("fall_at", 0.1..=1e6, s.fall_at);
-    s.fall_over = t.within("fall_over", ms(10)..=LONGEST, s.fall_over);
-    s.grants_chance = t.or("grants_chance", s.grants_chance);
-    s.error_rate = t.within("error_rate", SHARE, s.error_rate);
-    s.connections = t.within("connections", 1..=1_000_000, u64::from(s.connections)) as u32;
+    s.report.noise = t.get_in_range("report_noise", SHARE, s.report.noise);
+    s.cores = t.get_in_range("cores", 1..=256, u64::from(s.cores)) as u32;
+    s.slots = t.get_in_range("slots", 1..=100_000, u64::from(s.slots)) as u32;
+    s.queue = t.get_in_range("queue", 0..=1_000_000, u64::from(s.queue)) as u32;
+    s.crowding = t.get_in_range("crowding", 0.0..=0.95, s.crowding);
+    s.crowded_at = t.get_in_range("crowded_at", 0.0..=1e6, s.crowded_at);
+    s.cold_from = t.get_in_range("cold_from", 0.01..=1.0, s.cold_from);
+    s.cold_for = t.get_in_range("cold_for", ms(1)..=LONGEST, s.cold_for);
+    s.warm_by = t.get_or("warm_by", s.warm_by);
+    s.fall_at = t.get_in_range("fall_at", 0.1..=1e6, s.fall_at);
+    s.fall_over = t.get_in_range("fall_over", ms(10)..=LONGEST, s.fall_over);
+    s.grants_chance = t.get_or("grants_chance", s.grants_chance);
+    s.error_rate = t.get_in_range("error_rate", SHARE, s.error_rate);
+    s.connections = t.get_in_range("connections", 1..=1_000_000, u64::from(s.connections)) as u32;
     s.handshake = t
-        .within("handshake", Duration::ZERO..=ms(10_000), Duration::from_secs_f64(s.handshake))
+        .get_in_range("handshake", Duration::ZERO..=ms(10_000), Duration::from_secs_f64(s.handshake))
         .as_secs_f64();
-    s.connection_tax = t.within("connection_tax", 0.0..=0.95, s.connection_tax);
-    s.keep_alive = t.within("keep_alive", ms(10)..=LONGEST, s.keep_alive);
-    s.drops_expired = t.or("drops_expired", s.drops_expired);
-    s.cancels = t.or("cancels", s.cancels);
-    s.key_gain = t.within("key_gain", 0.0..=0.99, s.key_gain);
-    s.key_for = t.within("key_for", Duration::ZERO..=LONGEST, s.key_for);
-    s.key_places = t.within("key_places", 0..=100_000, s.key_places as u64) as usize;
+    s.connection_tax = t.get_in_range("connection_tax", 0.0..=0.95, s.connection_tax);
+    s.keep_alive = t.get_in_range("keep_alive", ms(10)..=LONGEST, s.keep_alive);
+    s.drops_expired = t.get_or("drops_expired", s.drops_expired);
+    s.cancels = t.get_or("cancels", s.cancels);
+    s.key_gain = t.get_in_range("key_gain", 0.0..=0.99, s.key_gain);
+    s.key_for = t.get_in_range("key_for", Duration::ZERO..=LONGEST, s.key_for);
+    s.key_places = t.get_in_range("key_places", 0..=100_000, s.key_places as u64) as usize;
     if let Some(t) = t.table("choke") {
         let d = s.choke.unwrap_or_else(defaults::choke);
         s.choke = Some(ChokeSpec {
-            at: t.within("at", 0.0..=1e6, d.at),
-            over: t.within("over", ms(10)..=LONGEST, d.over),
-            slower: t.within("slower", 1.0..=1000.0, d.slower),
-            below: t.within("below", SHARE, d.below),
-            rest: t.within("rest", ms(10)..=LONGEST, d.rest),
-            most: t.within("most", ms(10)..=LONGEST, d.most),
+            at: t.get_in_range("at", 0.0..=1e6, d.at),
+            over: t.get_in_range("over", ms(10)..=LONGEST, d.over),
+            slower: t.get_in_range("slower", 1.0..=1000.0, d.slower),
+            below: t.get_in_range("below", SHARE, d.below),
+            rest: t.get_in_range("rest", ms(10)..=LONGEST, d.rest),
+            most: t.get_in_range("most", ms(10)..=LONGEST, d.most),
         });
         t.finish();
     }
     if let Some(t) = t.table("pause") {
         let d = s.pause.unwrap_or(PauseSpec { every: ms(7000), lasts: ms(20), grows: 0.0 });
-        let every = t.within("every", ms(10)..=LONGEST, d.every);
-        let lasts = t.within("lasts", Duration::ZERO..=LONGEST, d.lasts);
-        s.pause = Some(PauseSpec { every, lasts, grows: t.within("grows", 0.0..=100.0, d.grows) });
+        let every = t.get_in_range("every", ms(10)..=LONGEST, d.every);
+        let lasts = t.get_in_range("lasts", Duration::ZERO..=LONGEST, d.lasts);
+        s.pause = Some(PauseSpec { every, lasts, grows: t.get_in_range("grows", 0.0..=100.0, d.grows) });
         t.finish();
     }
 }
 
 /// A range of numbers above 0.
 fn positive(t: &Table<'_, '_>, key: &str, otherwise: (f64, f64)) -> (f64, f64) {
-    let range: (f64, f64) = t.or(key, otherwise);
+    let range: (f64, f64) = t.get_or(key, otherwise);
     if range.0 > 0.0 {
         return range;
     }
-    t.wrong(key, "is to be above 0");
+    t.report(key, "is to be above 0");
     otherwise
 }
 
 fn load(root: &Table<'_, '_>) -> Load {
     section(root, "load", |t| Load {
-        rate: t.within("rate", 0.1..=1e6, 300.0),
-        shape: t.or("shape", Shape::Steady),
-        swing: t.within("swing", SHARE, 0.12),
-        period: t.within("period", ms(100)..=LONGEST, ms(10_000)),
-        keys: t.within("keys", 0..=10_000_000, 2400) as usize,
-        skew: t.within("skew", 0.0..=5.0, 0.75),
-        worth_by_work: t.or("worth_by_work", false),
-        zone_skew: t.within("zone_skew", 0.0..=10.0, 0.25),
-        uneven: t.within("uneven", 1..=1000, 1u64) as usize,
+        rate: t.get_in_range("rate", 0.1..=1e6, 300.0),
+        shape: t.get_or("shape", Shape::Steady),
+        swing: t.get_in_range("swing", SHARE, 0.12),
+        period: t.get_in_range("period", ms(100)..=LONGEST, ms(10_000)),
+        keys: t.get_in_range("keys", 0..=10_000_000, 2400) as usize,
+        skew: t.get_in_range("skew", 0.0..=5.0, 0.75),
+        worth_by_work: t.get_or("worth_by_work", false),
+        zone_skew: t.get_in_range("zone_skew", 0.0..=10.0, 0.25),
+        uneven: t.get_in_range("uneven", 1..=1000, 1u64) as usize,
     })
 }
 
 fn clients(root: &Table<'_, '_>) -> Clients {
     section(root, "clients", |t| {
-        let try_share: (f64, f64) = t.or("try_share", (0.5, 0.6));
+        let try_share: (f64, f64) = t.get_or("try_share", (0.5, 0.6));
         if try_share.0 <= 0.0 || try_share.1 > 1.0 {
-            t.wrong("try_share", "is to lie above 0 and not above 1");
+            t.report("try_share", "is to lie above 0 and not above 1");
         }
         Clients {
-            retries: t.within("retries", 0..=100, 2) as u32,
+            retries: t.get_in_range("retries", 0..=100, 2) as u32,
             try_share,
-            wait: t.within("wait", Duration::ZERO..=LONGEST, ms(40)),
-            heed: t.within("heed", SHARE, 0.2),
-            hints: t.or("hints", false),
-            fresh_connections: t.within("fresh_connections", SHARE, 0.0),
+            wait: t.get_in_range("wait", Duration::ZERO..=LONGEST, ms(40)),
+            heed: t.get_in_range("heed", SHARE, 0.2),
+            hints: t.get_or("hints", false),
+            fresh_connections: t.get_in_range("fresh_connections", SHARE, 0.0),
         }
     })
 }
@@ -273,39 +273,39 @@
     }
     let mut classes = Vec::new();
     for t in &tables {
-        let group = t.or("group", GroupWord(KeyScope::All)).0;
-        let window = t.within("window", Duration::ZERO..=LONGEST, ms(1200));
-        let effect = match t.or("effect", EffectWord::Safe) {
+        let group = t.get_or("group", GroupWord(KeyScope::All)).0;
+        let window = t.get_in_range("window", Duration::ZERO..=LONGEST, ms(1200));
+        let effect = match t.get_or("effect", EffectWord::Safe) {
             EffectWord::Safe => Idempotency::Idempotent,
             EffectWord::Unsafe => Idempotency::NotIdempotent,
             EffectWord::Keyed => Idempotency::IdempotencyKey { scope: group, window },
         };
         if !matches!(effect, Idempotency::IdempotencyKey { .. }) {
-            for key in ["group", "window"].into_iter().filter(|key| t.has(key)) {
-                t.wrong(key, "goes with effect = \"keyed\" only");
+            for key in ["group", "window"].into_iter().filter(|key| t.contains(key)) {
+                t.report(key, "goes with effect = \"keyed\" only");
             }
         }
-        let aim = t.within("aim", ms(1)..=LONGEST, ms(300));
-        let deadline = t.within("deadline", ms(1)..=LONGEST, ms(1200));
+        let aim = t.get_in_range("aim", ms(1)..=LONGEST, ms(300));
+        let deadline = t.get_in_range("deadline", ms(1)..=LONGEST, ms(1200));
         if aim > deadline {
-            t.wrong("aim", "is longer than the deadline");
+            t.report("aim", "is longer than the deadline");
         }
         classes.push(Class {
-            name: t.need::<String>("name").unwrap_or_default(),
-            share: t.within("share", SHARE, 1.0),
-            work: t.within("work", Duration::from_micros(1)..=LONGEST, ms(50)),
-            distribution: t.or("distribution", Distribution::LogNormal),
-            spread: t.within("spread", 0.0..=20.0, 0.5),
-            attempt_spread: t.within("attempt_spread", 0.0..=20.0, 0.2),
+            name: t.require::<String>("name").unwrap_or_default(),
+            share: t.get_in_range("share", SHARE, 1.0),
+            work: t.get_in_range("work", Duration::from_micros(1)..=LONGEST, ms(50)),
+            distribution: t.get_or("distribution", Distribution::LogNormal),
+            spread: t.get_in_range("spread", 0.0..=20.0, 0.5),
+            attempt_spread: t.get_in_range("attempt_spread", 0.0..=20.0, 0.2),
             aim,
             deadline,
-            worth: t.within("worth", 0.0..=1e6, 1.0),
+            worth: t.get_in_range("worth", 0.0..=1e6, 1.0),
             effect,
         });
         t.finish();
     }
     if classes.iter().map(|c| c.share).sum::<f64>() <= 0.0 {
-        root.wrong("class", "the shares of all classes together are 0");
+        root.report("class", "the shares of all classes together are 0");
     }
     classes
 }
@@ -317,59 +317,59 @@
     }
     let tenant = |t: &Table<'_, '_>| {
         let tenant = Tenant {
-            name: t.need::<String>("name").unwrap_or_default(),
-            share: t.within("share", SHARE, 1.0),
-            usage: t.within("usage", 0.0..=1000.0, 1.0),
+            name: t.require::<String>("name").unwrap_or_default(),
+            share: t.get_in_range("share", SHARE, 1.0),
+            usage: t.get_in_range("usage", 0.0..=1000.0, 1.0),
         };
         t.finish();
         tenant
     };
     let tenants: Vec<Tenant> = tables.iter().map(tenant).collect();
     if tenants.iter().map(|t| t.share * t.usage).sum::<f64>() <= 0.0 {
-        root.wrong("tenant", "all tenants together ask nothing");
+        root.report("tenant", "all tenants together ask nothing");
     }
     tenants
 }
 
 fn register(root: &Table<'_, '_>) -> Register {
     section(root, "register", |t| Register {
-        notice: t.or("notice", (ms(1000), ms(3000))),
-        silent_notice: t.or("silent_notice", (ms(4000), ms(8000))),
-        call: t.within("call", Duration::ZERO..=ms(60_000), ms(5)),
-        timeout: t.within("timeout", ms(1)..=ms(600_000), ms(2000)),
-        pushed: t.or("pushed", false),
+        notice: t.get_or("notice", (ms(1000), ms(3000))),
+        silent_notice: t.get_or("silent_notice", (ms(4000), ms(8000))),
+        call: t.get_in_range("call", Duration::ZERO..=ms(60_000), ms(5)),
+        timeout: t.get_in_range("timeout", ms(1)..=ms(600_000), ms(2000)),
+        pushed: t.get_or("pushed", false),
         weights: weights(t),
     })
 }
 
 fn weights(t: &Table<'_, '_>) -> Option<LiveWeights> {
-    if !t.has("weights_every") {
-        if t.has("weights_late") {
-            t.wrong("weights_late", "goes with weights_every only");
+    if !t.contains("weights_every") {
+        if t.contains("weights_late") {
+            t.report("weights_late", "goes with weights_every only");
         }
         return None;
     }
-    let every = t.within("weights_every", ms(10)..=LONGEST, ms(750));
-    Some(LiveWeights { every, late: t.within("weights_late", Duration::ZERO..=LONGEST, ms(250)) })
+    let every = t.get_in_range("weights_every", ms(10)..=LONGEST, ms(750));
+    Some(LiveWeights { every, late: t.get_in_range("weights_late", Duration::ZERO..=LONGEST, ms(250)) })
 }
 
 fn network(root: &Table<'_, '_>) -> Network {
     section(root, "network", |t| Network {
-        client: t.within("client", Duration::ZERO..=ms(10_000), Duration::from_micros(900)),
-        same: t.within("same", Duration::ZERO..=ms(10_000), Duration::from_micros(180)),
-        cross: t.within("cross", Duration::ZERO..=ms(10_000), ms(1)),
-        jitter: t.within("jitter", SHARE, 0.15),
+        client: t.get_in_range("client", Duration::ZERO..=ms(10_000), Duration::from_micros(900)),
+        same: t.get_in_range("same", Duration::ZERO..=ms(10_000), Duration::from_micros(180)),
+        cross: t.get_in_range("cross", Duration::ZERO..=ms(10_000), ms(1)),
+        jitter: t.get_in_range("jitter", SHARE, 0.15),
     })
 }
 
 fn limits(root: &Table<'_, '_>) -> Limits {
     section(root, "limits", |t| Limits {
-        memory_mb: t.within("memory_mb", 16..=1_000_000, 192),
-        sockets: t.within("sockets", 48..=1_000_000, 1024),
-        attempts: t.within("attempts", 1..=100, 6),
+        memory_mb: t.get_in_range("memory_mb", 16..=1_000_000, 192),
+        sockets: t.get_in_range("sockets", 48..=1_000_000, 1024),
+        attempts: t.get_in_range("attempts", 1..=100, 6),
         retry_after: t.get("retry_after"),
-        dial: t.within("dial", ms(1)..=ms(60_000), ms(100)),
-        drain_grace: t.within("drain_grace", ms(1)..=ms(60_000), ms(2000)),
+        dial: t.get_in_range("dial", ms(1)..=ms(60_000), ms(100)),
+        drain_grace: t.get_in_range("drain_grace", ms(1)..=ms(60_000), ms(2000)),
     })
 }
 
@@ -390,8 +390,8 @@
     Report,
 }
 
-impl Named for Kinds {
-    const WORDS: &'static [(&'static str, Kinds)] = &[
+impl Choice for Kinds {
+    const CHOICES: &'static [(&'static str, Kinds)] = &[
         ("fail", Kinds::Fail),
         ("neighbour", Kinds::Neighbour),
         ("heavy", Kinds::Heavy),
@@ -413,74 +413,74 @@
 }
 
 fn event(t: &Table<'_, '_>, fleet: &Fleet, classes: &[Class], day: Duration) -> Option<Event> {
-    let at = t.need::<Duration>("at");
+    let at = t.require::<Duration>("at");
     if at.is_some_and(|at| at >= day) {
-        t.wrong("at", format!("lies behind the end of the day, which lasts {day:?}"));
+        t.report("at", format!("lies behind the end of the day, which lasts {day:?}"));
     }
     let lasts: Option<Duration> = t.get("lasts");
-    let kind = t.need::<Kinds>("what");
+    let kind = t.require::<Kinds>("what");
     let whom = whom(t, fleet);
-    let names_nodes = ["nodes", "zone", "share"].iter().any(|key| t.has(key));
+    let names_nodes = ["nodes", "zone", "share"].iter().any(|key| t.contains(key));
     let what = match kind? {
-        Kinds::Fail => What::Fail { share: t.within("part", SHARE, 0.7) },
+        Kinds::Fail => What::Fail { share: t.get_in_range("part", SHARE, 0.7) },
         Kinds::Neighbour => {
-            let takes = t.within("takes", 0.0..=0.99, 0.5);
-            let turns: (Duration, Duration) = t.or("turns", (ms(1200), ms(4300)));
+            let takes = t.get_in_range("takes", 0.0..=0.99, 0.5);
+            let turns: (Duration, Duration) = t.get_or("turns", (ms(1200), ms(4300)));
             if turns.0 < ms(10) {
-                t.wrong("turns", "is under 10ms");
+                t.report("turns", "is under 10ms");
             }
             What::Neighbour { takes, turns: (turns.0.max(ms(10)), turns.1.max(ms(10))) }
         }
         Kinds::Heavy => {
-            let class = t.need::<String>("class").unwrap_or_default();
+            let class = t.require::<String>("class").unwrap_or_default();
             let place = classes.iter().position(|c| c.name == class);
-            if place.is_none() && t.has("class") {
+            if place.is_none() && t.contains("class") {
                 let names: Vec<_> = classes.iter().map(|c| c.name.as_str()).collect();
-                t.wrong("class", format!("{class:?} is no class; there are {}", names.join(", ")));
+                t.report("class", format!("{class:?} is no class; there are {}", names.join(", ")));
             }
-            let part = t.within("part", SHARE, 0.02);
+            let part = t.get_in_range("part", SHARE, 0.02);
             What::Heavy { class: place.unwrap_or(0), part, times: positive(t, "times", (8.0, 27.0)) }
         }
-        Kinds::Slow => What::Slow { times: t.within("times", 1.0..=1000.0, 3.0) },
+        Kinds::Slow => What::Slow { times: t.get_in_range("times", 1.0..=1000.0, 3.0) },
         Kinds::Pause => What::Pause,
         Kinds::Kill => What::Kill,
         Kinds::CutOff => What::CutOff,
         Kinds::Restart => {
-            let gone = t.within("gone", Duration::ZERO..=LONGEST, ms(500));
-            What::Restart { gone, apart: t.within("apart", Duration::ZERO..=LONGEST, Duration::ZERO) }
+            let gone = t.get_in_range("gone", Duration::ZERO..=LONGEST, ms(500));
+            What::Restart { gone, apart: t.get_in_range("apart", Duration::ZERO..=LONGEST, Duration::ZERO) }
         }
         Kinds::Drain => What::Drain,
         Kinds::LetGo => {
-            let after = t.within("after", ms(10)..=LONGEST, ms(1000));
-            What::LetGo { after, silently: t.or("silently", false) }
+            let after = t.get_in_range("after", ms(10)..=LONGEST, ms(1000));
+            What::LetGo { after, silently: t.get_or("silently", false) }
         }
         Kinds::RegisterDown => {
-            let names: Vec<String> = t.or("without", Vec::new());
+            let names: Vec<String> = t.get_or("without", Vec::new());
             What::RegisterDown { without: numbers(t, "without", &names, fleet) }
         }
         Kinds::Report => What::Report {
-            qps: t.within("qps", 0.0..=1e9, 1e6),
-            inflight: t.within("inflight", 0.0..=1e9, 0.0),
+            qps: t.get_in_range("qps", 0.0..=1e9, 1e6),
+            inflight: t.get_in_range("inflight", 0.0..=1e9, 0.0),
         },
-        Kinds::Surge => What::Surge { times: t.within("times", 0.0..=1000.0, 2.0) },
+        Kinds::Surge => What::Surge { times: t.get_in_range("times", 0.0..=1000.0, 2.0) },
     };
     if names_nodes && matches!(what, What::Heavy { .. } | What::RegisterDown { .. } | What::Surge { .. }) {
-        t.wrong("what", "meets no nodes: leave nodes, zone and share out");
+        t.report("what", "meets no nodes: leave nodes, zone and share out");
     }
     if lasts.is_none() && matches!(what, What::Pause) {
-        t.wrong("what", "needs lasts, or the nodes do nothing for ever");
+        t.report("what", "needs lasts, or the nodes do nothing for ever");
     }
     if lasts.is_some() && matches!(what, What::Restart { .. }) {
-        t.wrong("lasts", "goes with other events; say how long each node is gone with gone");
+        t.report("lasts", "goes with other events; say how long each node is gone with gone");
     }
     t.finish();
     Some(Event { at: at?, lasts, whom, what })
 }
 
 fn whom(t: &Table<'_, '_>, fleet: &Fleet) -> Whom {
-    let given: Vec<&str> = ["nodes", "zone", "share"].into_iter().filter(|key| t.has(key)).collect();
+    let given: Vec<&str> = ["nodes", "zone", "share"].into_iter().filter(|key| t.contains(key)).collect();
     if let [_, second, ..] = given[..] {
-        t.wrong(second, format!("say who is met once: {} stand here", given.join(" and ")));
+        t.report(second, format!("say who is met once: {} stand here", given.join(" and ")));
     }
     if let Some(names) = t.get::<Vec<String>>("nodes") {
         return Whom::Nodes(numbers(t, "nodes", &names, fleet));
@@ -488,11 +488,11 @@
     if let Some(zone) = t.get::<String>("zone") {
         match fleet.zones.iter().position(|z| *z == zone) {
             Some(place) => return Whom::Zone(place),
-            None => t.wrong("zone", format!("{zone:?} is no zone; there are {}", fleet.zones.join(", "))),
+            None => t.report("zone", format!("{zone:?} is no zone; there are {}", fleet.zones.join(", "))),
         }
     }
-    if t.has("share") {
-        return Whom::Share(t.within("share", SHARE, 0.0));
+    if t.contains("share") {
+        return Whom::Share(t.get_in_range("share", SHARE, 0.0));
     }
     Whom::All
 }
@@ -503,7 +503,7 @@
         |name: &String| name.strip_prefix('n').and_then(|n| n.parse().ok()).filter(|&n| n < fleet.nodes);
     let wrong = names.iter().find(|name| number(name).is_none());
     if let Some(name) = wrong {
-        t.wrong(key, format!("{name:?} is no node; they are n00 to n{:02}", fleet.nodes - 1));
+        t.report(key, format!("{name:?} is no node; they are n00 to n{:02}", fleet.nodes - 1));
     }
     names.iter().filter_map(number).collect()
 }
--- a/crates/testbed/src/sweep/study.rs
+++ b/crates/testbed/src/sweep/study.rs
@@ -147,28 +147,28 @@
         let default: Vec<usize> = gateways(&root).unwrap_or_else(|| vec![45]);
         let mut named = Vec::new();
         for table in root.tables("script") {
-            let file = table.need::<String>("file").unwrap_or_default();
+            let file = table.require::<String>("file").unwrap_or_default();
             named.push((beside(file), gateways(&table).unwrap_or_else(|| default.clone())));
             table.finish();
         }
         if named.is_empty() {
-            root.wrong("script", "is missing: name at least one [[script]] with its file");
+            root.report("script", "is missing: name at least one [[script]] with its file");
         }
         let mut variants = Vec::new();
         for table in root.tables("variant") {
-            let name = table.need::<String>("name").unwrap_or_default();
+            let name = table.require::<String>("name").unwrap_or_default();
             let program = table.get::<String>("program").map(beside);
             let settings = table.get::<String>("settings").map(beside);
-            let set = table.or("set", Vec::new());
-            let plain = table.or("plain", false);
+            let set = table.get_or("set", Vec::new());
+            let plain = table.get_or("plain", false);
             if plain && (program.is_some() || settings.is_some()) {
-                table.wrong("plain", "goes with neither program nor settings: a plain gateway has none");
+                table.report("plain", "goes with neither program nor settings: a plain gateway has none");
             }
             if name == ORACLE || variants.iter().any(|v: &Variant| v.name == name) {
-                table.wrong("name", format!("{name:?} is taken: rows are told apart by it"));
+                table.report("name", format!("{name:?} is taken: rows are told apart by it"));
             }
             if program.is_some() && !set.is_empty() {
-                table.wrong("set", "goes with this build: another one reads the script's file itself");
+                table.report("set", "goes with this build: another one reads the script's file itself");
             }
             variants.push(Variant { name, set, plain, storm: None, program, settings });
             table.finish();
@@ -176,14 +176,14 @@
         if variants.is_empty() {
             variants.push(Variant::plain("this"));
         }
-        let seeds = root.within("seeds", 1..=1000, 10u64);
+        let seeds = root.get_in_range("seeds", 1..=1000, 10u64);
         let runs: usize = named.iter().map(|(_, g)| g.len()).sum::<usize>() * variants.len() * seeds as usize;
         if runs > MOST_RUNS {
-            root.wrong("seeds", format!("makes {runs} runs, {MOST_RUNS} at most"));
+            root.report("seeds", format!("makes {runs} runs, {MOST_RUNS} at most"));
         }
         let (name, about) =
-            (root.need::<String>("name").unwrap_or_default(), root.or("about", String::new()));
-        let oracle = root.or("oracle", false);
+            (root.require::<String>("name").unwrap_or_default(), root.get_or("about", String::new()));
+        let oracle = root.get_or("oracle", false);
         root.finish();
         let mut study = document.check(Study { name, about, played: Vec::new(), seeds, oracle, variants })?;
         for variant in &mut study.variants {
@@ -213,7 +213,7 @@
 fn gateways(table: &Table<'_, '_>) -> Option<Vec<usize>> {
     let list = table.get::<Vec<u64>>("gateways")?;
     if list.is_empty() || list.iter().any(|g| !(1..=10_000).contains(g)) {
-        table.wrong("gateways", "must be a list of numbers from 1 to 10000");
+        table.report("gateways", "must be a list of numbers from 1 to 10000");
         return None;
     }
     Some(list.into_iter().map(|g| g as usize).collect())
--- a/crates/testbed/src/whole/script.rs
+++ b/crates/testbed/src/whole/script.rs
@@ -2,7 +2,7 @@
 
 use crate::draws::Draws;
 use std::time::Duration;
-use weldworks_config::{Document, Named, Problems, Table};
+use weldworks_config::{Choice, Document, Problems, Table};
 
 /// What happens.
 #[derive(Clone, Debug, PartialEq)]
@@ -149,8 +149,8 @@
     Replace,
 }
 
-impl Named for Word {
-    const WORDS: &'static [(&'static str, Word)] = &[
+impl Choice for Word {
+    const CHOICES: &'static [(&'static str, Word)] = &[
         ("kill", Word::Kill),
         ("pause", Word::Pause),
         ("cut", Word::Cut),
@@ -169,7 +169,7 @@
 fn gateways(table: &Table<'_, '_>, key: &str, most: usize) -> Option<Vec<usize>> {
     let numbers: Vec<u64> = table.get(key)?;
     if numbers.iter().any(|n| *n as usize >= most) {
-        table.wrong(
+        table.report(
             key,
             format!("names a gateway that is not there: they are 0 to {}", most.saturating_sub(1)),
         );
@@ -178,8 +178,8 @@
 }
 
 fn event(table: &Table<'_, '_>, most: usize) -> Option<Event> {
-    let what = table.need::<Word>("what");
-    let leader = table.or("leader", false);
+    let what = table.require::<Word>("what");
+    let leader = table.get_or("leader", false);
     let whom = match gateways(table, "gateways", most) {
         Some(all) => Whom::Gateways(all),
         None if leader => Whom::Leader,
@@ -190,17 +190,17 @@
         Word::Pause => What::Pause,
         Word::Cut => What::Cut { one_way: false },
         Word::CutOneWay => What::Cut { one_way: true },
-        Word::Slow => What::Slow { by: table.need("by")? },
-        Word::Flap => What::Flap { every: table.need("every")? },
+        Word::Slow => What::Slow { by: table.require("by")? },
+        Word::Flap => What::Flap { every: table.require("every")? },
         Word::Stick => What::Stick,
-        Word::Thin => What::Thin { rate: table.within("rate", 100..=1_000_000_000, 1000) },
+        Word::Thin => What::Thin { rate: table.get_in_range("rate", 100..=1_000_000_000, 1000) },
         Word::Move => What::Move,
-        Word::Configure => What::Configure { broken: table.or("broken", false) },
+        Word::Configure => What::Configure { broken: table.get_or("broken", false) },
         Word::FillDisk => What::FillDisk,
-        Word::Replace => What::Replace { apart: table.or("apart", Duration::ZERO) },
+        Word::Replace => What::Replace { apart: table.get_or("apart", Duration::ZERO) },
     };
     let others = gateways(table, "others", most);
-    let event = Event { at: table.need("at")?, lasts: table.get("lasts"), whom, others, what };
+    let event = Event { at: table.require("at")?, lasts: table.get("lasts"), whom, others, what };
     table.finish();
     Some(event)
 }
@@ -213,10 +213,10 @@
     pub fn parse(file: &str, text: &str) -> Result<Script, Problems> {
         let document = Document::parse(file, text)?;
         let root = document.root();
-        let gateways_in_all = root.within("gateways", 3..=1000, 5) as usize;
-        let council = root.within("council", 3..=5, 3) as usize;
+        let gateways_in_all = root.get_in_range("gateways", 3..=1000, 5) as usize;
+        let council = root.get_in_range("council", 3..=5, 3) as usize;
         if council.is_multiple_of(2) || council > gateways_in_all {
-            root.wrong("council", "is 3 or 5, and not more than there are gateways");
+            root.report("council", "is 3 or 5, and not more than there are gateways");
         }
         let expected = root.table("expected").map(|table| {
             let expected = Expected {
@@ -227,20 +227,23 @@
             expected
         });
         let script = Script {
-            name: root.need("name").unwrap_or_default(),
-            about: root.need("about").unwrap_or_default(),
-            lasts: root.need("lasts").unwrap_or_default(),
+            name: root.require("name").unwrap_or_default(),
+            about: root.require("about").unwrap_or_default(),
+            lasts: root.require("lasts").unwrap_or_default(),
             gateways: gateways_in_all,
             council,
-            lease: root.or("lease", Duration::from_secs(2)),
-            margin: root.within("margin", 0.001..=0.2, 0.02),
-            behind: (root.within("behind", 1..=1000, 3), root.or("behind_for", Duration::from_secs(2))),
-            most_out: root.within("shut_out_most", 0.0..=0.5, 0.2),
-            lists: root.or("lists", Duration::from_millis(500)),
-            asks: root.or("asks", ASKS),
+            lease: root.get_or("lease", Duration::from_secs(2)),
+            margin: root.get_in_range("margin", 0.001..=0.2, 0.02),
+            behind: (
+                root.get_in_range("behind", 1..=1000, 3),
+                root.get_or("behind_for", Duration::from_secs(2)),
+            ),
+            most_out: root.get_in_range("shut_out_most", 0.0..=0.5, 0.2),
+            lists: root.get_or("lists", Duration::from_millis(500)),
+            asks: root.get_or("asks", ASKS),
             leaves: root.get("leaves"),
-            disks: root.or("disks", false),
-            refuses_alone: root.or("refuses_alone", false),
+            disks: root.get_or("disks", false),
+            refuses_alone: root.get_or("refuses_alone", false),
             events: root.tables("event").iter().filter_map(|t| event(t, gateways_in_all)).collect(),
             expected: expected.unwrap_or_default(),
         };
