--- a/crates/fleet/src/consensus/storage.rs
+++ b/crates/fleet/src/consensus/storage.rs
@@ -1,5 +1,7 @@
-//! What the library keeps of one configuration, in memory, with a journal of what it changes. Where the journal goes to a disk, a
-//! process that comes back reads it and votes on; where it does not, the process has forgotten, and has no vote when it comes back.
+//! The library's log and promises of one configuration: in memory, with a journal of the changes for stable storage.
+//!
+//! A process that finds the journal of its predecessor restores it and goes on voting. A process without it has lost its promises, so it
+//! has no vote when it starts again.
 
 use crate::state_machine::Command;
 use omnipaxos::ballot_leader_election::Ballot;
@@ -8,64 +10,72 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A change, as it goes to the disk.
+/// A change of the storage, as written to disk.
+///
+/// It is stored with `postcard`: the order of the variants stays as it is.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StorageChange {
-    /// The log is this from an index on.
+    /// The log from this index on was replaced by these commands.
     Log(usize, Vec<Command>),
-    /// Nothing older is promised any more.
+    /// The replica promised not to accept any older ballot.
     Promise(Ballot),
-    /// The round of what the log holds.
+    /// Ballot in which the log was accepted.
     Accepted(Ballot),
-    /// So much of the log is decided.
+    /// Number of log entries that are decided.
     Decided(usize),
-    /// The configuration's end.
+    /// The entry that ends the configuration.
     StopSign(Option<StopSign>),
 }
 
-/// What has been written and has not been passed on yet.
+/// Changes that have been made and not yet been handed to stable storage.
 pub type ChangeJournal = Rc<RefCell<Vec<StorageChange>>>;
 
-/// Log and promises.
+/// Log and promises of one replica.
 #[derive(Debug, Default)]
 pub struct LogStorage {
     journal: ChangeJournal,
     log: Vec<Command>,
     promise: Option<Ballot>,
-    accepted: Option<Ballot>,
-    decided: usize,
-    trimmed: usize,
-    compacted: usize,
-    stop: Option<StopSign>,
+    accepted_round: Option<Ballot>,
+    decided_index: usize,
+    /// Number of entries that were removed from the front of the log.
+    trimmed_entries: usize,
+    compacted_index: usize,
+    stop_sign: Option<StopSign>,
 }
 
 impl LogStorage {
-    /// Empty, with this journal.
+    /// Creates an empty storage that writes its changes to this journal.
     pub fn new(journal: ChangeJournal) -> LogStorage {
         LogStorage { journal, ..LogStorage::default() }
     }
 
-    /// Takes in what was written before, which is on the disk already.
-    pub fn restore(&mut self, write: StorageChange) {
-        match write {
-            StorageChange::Log(from, entries) => {
-                let from = self.at(from);
-                self.log.truncate(from);
-                self.log.extend(entries);
+    /// Restores a change that is on stable storage already, without writing it to the journal again.
+    pub fn restore(&mut self, change: StorageChange) {
+        match change {
+            StorageChange::Log(from, commands) => {
+                self.truncate(from);
+                self.log.extend(commands);
             }
             StorageChange::Promise(ballot) => self.promise = Some(ballot),
-            StorageChange::Accepted(ballot) => self.accepted = Some(ballot),
-            StorageChange::Decided(index) => self.decided = index,
-            StorageChange::StopSign(stop) => self.stop = stop,
+            StorageChange::Accepted(ballot) => self.accepted_round = Some(ballot),
+            StorageChange::Decided(index) => self.decided_index = index,
+            StorageChange::StopSign(stop_sign) => self.stop_sign = stop_sign,
         }
     }
 
-    fn note(&self, write: StorageChange) {
-        self.journal.borrow_mut().push(write);
+    fn record(&self, change: StorageChange) {
+        self.journal.borrow_mut().push(change);
     }
 
-    fn at(&self, index: usize) -> usize {
-        index.saturating_sub(self.trimmed).min(self.log.len())
+    /// Position in the retained log of a log index, at most its length.
+    fn position(&self, index: usize) -> usize {
+        index.saturating_sub(self.trimmed_entries).min(self.log.len())
+    }
+
+    fn truncate(&mut self, from: usize) {
+        let position = self.position(from);
+        self.log.truncate(position);
     }
 }
 
@@ -81,7 +91,7 @@
                 StorageOp::SetAcceptedRound(ballot) => self.set_accepted_round(ballot)?,
                 StorageOp::SetCompactedIdx(index) => self.set_compacted_idx(index)?,
                 StorageOp::Trim(index) => self.trim(index)?,
-                StorageOp::SetStopsign(stop) => self.set_stopsign(stop)?,
+                StorageOp::SetStopsign(stop_sign) => self.set_stopsign(stop_sign)?,
                 StorageOp::SetSnapshot(snapshot) => self.set_snapshot(snapshot)?,
             }
         }
@@ -92,46 +102,45 @@
         self.append_entries(vec![entry])
     }
 
-    fn append_entries(&mut self, entries: Vec<Command>) -> StorageResult<()> {
-        self.note(StorageChange::Log(self.trimmed + self.log.len(), entries.clone()));
-        self.log.extend(entries);
+    fn append_entries(&mut self, commands: Vec<Command>) -> StorageResult<()> {
+        self.record(StorageChange::Log(self.trimmed_entries + self.log.len(), commands.clone()));
+        self.log.extend(commands);
         Ok(())
     }
 
-    fn append_on_prefix(&mut self, from: usize, entries: Vec<Command>) -> StorageResult<()> {
-        let from = self.at(from);
-        self.log.truncate(from);
-        self.append_entries(entries)
+    fn append_on_prefix(&mut self, from: usize, commands: Vec<Command>) -> StorageResult<()> {
+        self.truncate(from);
+        self.append_entries(commands)
     }
 
     fn set_promise(&mut self, promise: Ballot) -> StorageResult<()> {
-        self.note(StorageChange::Promise(promise));
+        self.record(StorageChange::Promise(promise));
         self.promise = Some(promise);
         Ok(())
     }
 
     fn set_decided_idx(&mut self, decided: usize) -> StorageResult<()> {
-        self.note(StorageChange::Decided(decided));
-        self.decided = decided;
+        self.record(StorageChange::Decided(decided));
+        self.decided_index = decided;
         Ok(())
     }
 
     fn get_decided_idx(&self) -> StorageResult<usize> {
-        Ok(self.decided)
+        Ok(self.decided_index)
     }
 
     fn set_accepted_round(&mut self, accepted: Ballot) -> StorageResult<()> {
-        self.note(StorageChange::Accepted(accepted));
-        self.accepted = Some(accepted);
+        self.record(StorageChange::Accepted(accepted));
+        self.accepted_round = Some(accepted);
         Ok(())
     }
 
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
-        Ok(self.accepted)
+        Ok(self.accepted_round)
     }
 
     fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Command>> {
-        Ok(self.log.get(self.at(from)..self.at(to)).map(<[Command]>::to_vec).unwrap_or_default())
+        Ok(self.log.get(self.position(from)..self.position(to)).map(<[Command]>::to_vec).unwrap_or_default())
     }
 
     fn get_log_len(&self) -> StorageResult<usize> {
@@ -139,37 +148,37 @@
     }
 
     fn get_suffix(&self, from: usize) -> StorageResult<Vec<Command>> {
-        Ok(self.log[self.at(from)..].to_vec())
+        Ok(self.log[self.position(from)..].to_vec())
     }
 
     fn get_promise(&self) -> StorageResult<Option<Ballot>> {
         Ok(self.promise)
     }
 
-    fn set_stopsign(&mut self, stop: Option<StopSign>) -> StorageResult<()> {
-        self.note(StorageChange::StopSign(stop.clone()));
-        self.stop = stop;
+    fn set_stopsign(&mut self, stop_sign: Option<StopSign>) -> StorageResult<()> {
+        self.record(StorageChange::StopSign(stop_sign.clone()));
+        self.stop_sign = stop_sign;
         Ok(())
     }
 
     fn get_stopsign(&self) -> StorageResult<Option<StopSign>> {
-        Ok(self.stop.clone())
+        Ok(self.stop_sign.clone())
     }
 
     fn trim(&mut self, index: usize) -> StorageResult<()> {
-        let at = self.at(index);
-        self.log.drain(..at);
-        self.trimmed = index;
+        let position = self.position(index);
+        self.log.drain(..position);
+        self.trimmed_entries = index;
         Ok(())
     }
 
     fn set_compacted_idx(&mut self, index: usize) -> StorageResult<()> {
-        self.compacted = index;
+        self.compacted_index = index;
         Ok(())
     }
 
     fn get_compacted_idx(&self) -> StorageResult<usize> {
-        Ok(self.compacted)
+        Ok(self.compacted_index)
     }
 
     fn set_snapshot(&mut self, _: Option<NoSnapshot>) -> StorageResult<()> {
--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -343,7 +343,7 @@
                 .into_iter()
                 .map(|s| NodeAction::Send { to: s.to, frame: Frame::Consensus(s.message) }),
         );
-        out.extend(doings.notices.into_iter().map(NodeAction::Notice));
+        out.extend(doings.notices.iter().map(|notice| NodeAction::Notice(notice.to_string())));
         if doings.state_replaced {
             self.keeper.start_over(now);
         }
