--- a/crates/fleet/src/audit/pages.rs
+++ b/crates/fleet/src/audit/pages.rs
@@ -5,7 +5,7 @@
 //! dropped, and [`Past`] puts together what was written by which process, with each time of which nothing is known.
 
 use super::{DecisionKind, ExceptionReport, IntervalReport, StepReport};
-use crate::protocol;
+use crate::encoding;
 use crate::version::{digest, Incarnation};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
 /// The most requests told of earlier processes under one number.
 const MOST_STEPS: usize = 256;
 /// No page is longer than this when it is taken apart: what says so was not written here.
-const LONGEST_PAGE: usize = protocol::MAX_FRAME_BYTES;
+const LONGEST_PAGE: usize = encoding::MAX_ENCODED_BYTES;
 
 /// How far the books are on the disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -160,7 +160,7 @@
     if seal != digest(packed).to_le_bytes() || length > LONGEST_PAGE {
         return None;
     }
-    protocol::decode_frame(&lz4_flex::decompress_size_prepended(packed).ok()?).ok()
+    encoding::decode(&lz4_flex::decompress_size_prepended(packed).ok()?).ok()
 }
 
 /// The page that is being filled.
--- a/crates/fleet/src/departures.rs
+++ b/crates/fleet/src/departures.rs
@@ -1,6 +1,6 @@
 //! What other gateways' lists say of hosts that this gateway's own list still names.
 
-use crate::protocol::DepartedEndpoint;
+use crate::state_machine::DepartedEndpoint;
 use std::collections::BTreeMap;
 
 /// The most hosts that others' word is kept of.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod audit;
 pub mod consensus;
 pub mod departures;
+pub mod encoding;
 pub mod lease;
 pub mod membership;
 pub mod node;
