--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -1,131 +1,60 @@
-//! One attempt: a request written to a host, and what comes back, told apart by what it proves.
+//! One attempt: a request written to an endpoint, and what its end proves of whether the endpoint has processed it.
 
-use super::{Connection, ConnectionPool, UpstreamEndpoint};
-use crate::body::{
-    ForwardedRequest, RequestBody, RequestPayload, ResponseBody, ResponseChunk, UpstreamResponse,
-};
-use crate::limits::{MAX_BODY, MAX_LARGE};
+use super::connection::Connection;
+use super::deadline::Deadline;
+use super::headers::{build_request, load_report, strip_hop_by_hop, NOT_PROCESSED_HEADER};
+use super::pool::ConnectionPool;
+use super::response_reader::{read_response, ReadBody, ReadResponse};
+use super::response_stream::StreamingResponse;
+use super::response_wait::ResponseWait;
+use super::UpstreamEndpoint;
+use crate::body::{ForwardedRequest, RequestPayload, ResponseBody, UpstreamResponse};
 use crate::transport::client_liveness::ClientLiveness;
 use crate::transport::instrumented_stream::IoTimestamps;
-use bytes::{Bytes, BytesMut};
-use http_body_util::BodyExt;
-use hyper::body::{Body, Incoming};
+use bytes::Bytes;
 use hyper::ext::on_informational;
-use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::header::HeaderValue;
 use hyper::http::response::Parts;
-use hyper::{Request, StatusCode};
+use hyper::StatusCode;
 use std::cell::{Cell, RefCell};
-use std::future::{poll_fn, Future};
-use std::pin::Pin;
+use std::future::poll_fn;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
-use std::task::Poll;
-use tokio::sync::{mpsc, Notify};
-use tokio::time::{sleep_until, timeout, Instant};
+use tokio::sync::Notify;
+use tokio::time::{sleep_until, Instant};
 use weldworks_balancer::{LoadReport, Outcome};
-use weldworks_control::body_streaming::{
-    BufferingDecision, ResponseBuffering, TransferState, PEER_STALL_TIMEOUT,
-};
+use weldworks_control::body_streaming::TransferState;
 use weldworks_control::execution::{
     classify_attempt, classify_response, AttemptEnd, ResponseVerdict, WriteProgress,
 };
 
-/// The header of an answer that carries the host's load report.
-const LOAD: &str = "x-server-load";
-
-/// Headers that belong to one connection, or that each side words anew.
-const HOP_BY_HOP: [HeaderName; 8] = [
-    header::CONNECTION,
-    header::TRANSFER_ENCODING,
-    header::CONTENT_LENGTH,
-    header::UPGRADE,
-    header::TE,
-    header::TRAILER,
-    header::EXPECT,
-    header::PROXY_AUTHORIZATION,
-];
-
-/// Removes what is meant for one connection only, the headers that `Connection` names included.
-fn strip_hop_by_hop(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|v| v.to_str().ok())
-        .flat_map(|v| v.split(','))
-        .filter_map(|name| name.trim().parse().ok())
-        .collect();
-    for name in HOP_BY_HOP.iter().chain(&named) {
-        headers.remove(name);
-    }
-    headers.remove("keep-alive");
-}
-
 /// How an attempt ended.
 pub struct AttemptResult {
-    /// The outcome.
+    /// The outcome, as the balancer is told of it.
     pub outcome: Outcome,
-    /// The answer, where it was served.
+    /// The response, where the attempt was served and the response not streamed.
     pub response: Option<UpstreamResponse>,
-    /// The load report that came with an answer of any kind.
+    /// The load report that came with a response of any kind.
     pub load_report: Option<LoadReport>,
-    /// When the request's last byte had gone to the kernel, where it had.
+    /// When the request's last byte was written to the kernel, where it was.
     pub written_at: Option<Instant>,
 }
 
-/// When an attempt is given up; a body that is still coming moves it.
-#[derive(Debug)]
-pub struct Deadline {
-    at: Cell<Instant>,
-    moved: Notify,
-}
-
-impl Deadline {
-    /// At this moment.
-    pub fn new(at: Instant) -> Rc<Deadline> {
-        Rc::new(Deadline { at: Cell::new(at), moved: Notify::new() })
-    }
-
-    /// Moves it.
-    pub fn set(&self, at: Instant) {
-        self.at.set(at);
-        self.moved.notify_one();
-    }
-
-    /// Moves it to this moment, where that comes first.
-    pub fn bring_forward(&self, at: Instant) {
-        self.set(self.get().min(at));
-    }
-
-    fn get(&self) -> Instant {
-        self.at.get()
-    }
-
-    /// Waits for it. Cancel safe; for one waiter.
-    async fn passed(&self) {
-        while Instant::now() < self.get() {
-            tokio::select! {
-                () = sleep_until(self.get()) => {}
-                () = self.moved.notified() => {}
-            }
-        }
-    }
-}
-
-/// What becomes of an attempt on its way.
+/// A step of an attempt that the engine is told of while the attempt goes on.
 pub enum AttemptProgress {
-    /// Some of a body that is not held has left.
+    /// The first bytes of a streamed request body have been written.
     BodyForwardingStarted,
-    /// All of it has gone to its host.
+    /// The last byte of a streamed request body has been written.
     BodyForwarded {
-        /// Its last byte came here after this moment.
+        /// The body's last byte arrived from the client after this moment.
         received_after: Instant,
     },
-    /// The answer is passed on while it comes.
+    /// A response has begun that is streamed to the client.
     ResponseStarted {
-        /// The answer.
+        /// The response.
         response: Box<UpstreamResponse>,
-        /// When its first byte came.
+        /// When its first byte was read.
         first_byte_at: Instant,
         /// The load report that came with it.
         load_report: Option<LoadReport>,
@@ -134,322 +63,224 @@
 
 /// One attempt to have a request served.
 pub struct Attempt {
-    /// By whom.
+    /// The endpoint that it goes to.
     pub endpoint: Rc<UpstreamEndpoint>,
     /// What is sent.
     pub request: Rc<ForwardedRequest>,
     /// When it is given up.
     pub deadline: Rc<Deadline>,
-    /// The latest moment for its last byte, where it has one: an attempt before it may have run, and only up to then do hosts know that.
+    /// The latest moment for the request's last byte, where an earlier attempt may have been processed: endpoints recognize the
+    /// idempotency key only up to then.
     pub write_by: Option<Instant>,
-    /// Who wants the answer.
+    /// Whether the client still waits for an answer.
     pub liveness: Rc<ClientLiveness>,
-    /// Calls the attempt off.
+    /// Cancels the attempt.
     pub cancel: Rc<Notify>,
 }
 
+impl Attempt {
+    fn is_past_write_deadline(&self) -> bool {
+        self.write_by.is_some_and(|by| Instant::now() >= by)
+    }
+
+    /// Whether the request may be written, asked once the connection is there: while it was opened, the client may have left, the
+    /// endpoint begun to drain, or the time for writing passed.
+    fn may_be_written(&self) -> bool {
+        let has_client = match &self.request.body {
+            RequestPayload::Buffered(_) => self.liveness.may_begin(),
+            // Unread bytes behind the head are the body's own, and say nothing of the client.
+            RequestPayload::Streaming(upload) => self.liveness.is_wanted() && !upload.time_left().is_zero(),
+        };
+        has_client
+            && self.endpoint.is_active.get()
+            && !self.is_past_write_deadline()
+            && Instant::now() < self.deadline.get()
+    }
+}
+
 impl ConnectionPool {
-    /// Makes the attempt and tells how it ended. Its connection is closed by then, or idle in the pool.
-    pub async fn attempt(&self, attempt: &Attempt, tell: &dyn Fn(AttemptProgress)) -> AttemptResult {
-        let progress = Progress::default();
-        let (ended, answer) = tokio::select! {
+    /// Makes the attempt. Its connection is closed by the end, or idle in the pool.
+    pub async fn attempt(&self, attempt: &Attempt, report: &dyn Fn(AttemptProgress)) -> AttemptResult {
+        let progress = ExchangeProgress::default();
+        let exchanged = tokio::select! {
             biased;
-            () = attempt.cancel.notified() => (AttemptEnd::Cancelled, None),
-            got = self.exchange(attempt, &progress, tell) => match got {
-                Ok(Got::Whole(answer)) => (AttemptEnd::Answered(ResponseVerdict::Served), Some(answer)),
-                // From here on nothing but the two sides ends it.
-                Ok(Got::Large(large)) => {
-                    let outcome = self.pass_on(*large, &attempt.endpoint, progress.load.get(), tell).await;
-                    return progress.end(outcome, None);
+            () = attempt.cancel.notified() => Err(AttemptEnd::Cancelled),
+            exchanged = self.exchange(attempt, &progress, report) => match exchanged {
+                Ok(Exchanged::Buffered(response)) => Ok(response),
+                Ok(Exchanged::Streaming(response)) => {
+                    // From here on only the client and the endpoint end it.
+                    let load_report = progress.load_report.get();
+                    let outcome =
+                        self.stream_response(*response, &attempt.endpoint, load_report, report).await;
+                    return progress.into_result(outcome, None);
                 }
-                Err(ended) => (ended, None),
+                Err(end) => Err(end),
             },
-            () = attempt.deadline.passed() => (AttemptEnd::TimedOut, None),
+            () = attempt.deadline.passed() => Err(AttemptEnd::TimedOut),
         };
-        let outcome = classify_attempt(progress.written(), ended);
-        progress.end(outcome, answer.filter(|_| outcome == Outcome::Served))
+        let end = match &exchanged {
+            Ok(_) => AttemptEnd::Answered(ResponseVerdict::Served),
+            Err(end) => *end,
+        };
+        let outcome = classify_attempt(progress.write_progress(), end);
+        let response = exchanged.ok().filter(|_| outcome == Outcome::Served);
+        progress.into_result(outcome, response)
     }
 
+    /// Writes the request and reads the response, as far as that is buffered.
     async fn exchange(
         &self,
         attempt: &Attempt,
-        progress: &Progress,
-        tell: &dyn Fn(AttemptProgress),
-    ) -> Result<Got, AttemptEnd> {
-        let Attempt { endpoint: host, request: forward, deadline: until, write_by, liveness: client, .. } =
-            attempt;
-        let is_late = || write_by.is_some_and(|by| Instant::now() >= by);
-        let mut connection = match self.reuse(host).await {
-            Some(connection) => connection,
-            // A dial that ends with the time for writing says nothing of the host.
-            None => self
-                .dial(host, write_by.map_or(until.get(), |by| by.min(until.get())))
-                .await
-                .map_err(|ended| if is_late() { AttemptEnd::Withheld } else { ended })?,
-        };
-        // The request may have been answered, the host begun to drain, and the time for writing passed, while the connection came up.
-        // What is unread behind a body that comes is its own.
-        let has_client = match &forward.body {
-            RequestPayload::Buffered(_) => client.may_begin(),
-            RequestPayload::Streaming(upload) => client.is_wanted() && !upload.time_left().is_zero(),
-        };
-        if !has_client || !host.is_active.get() || is_late() || Instant::now() >= until.get() {
-            self.put_back(connection, host).await;
+        progress: &ExchangeProgress,
+        report: &dyn Fn(AttemptProgress),
+    ) -> Result<Exchanged, AttemptEnd> {
+        let mut connection = self.connection_for(attempt).await?;
+        if !attempt.may_be_written() {
+            self.put_back(connection, &attempt.endpoint).await;
             return Err(AttemptEnd::Withheld);
         }
-        let mut request = request(forward, until.get());
-        let informed = Arc::new(AtomicBool::new(false));
-        let inform = informed.clone();
-        on_informational(&mut request, move |_| inform.store(true, Ordering::Relaxed));
-        let marks = connection.marks.clone();
-        marks.begin(*write_by);
-        progress.marks.replace(Some(marks.clone()));
-        let begun = Instant::now();
-        let sending = connection.sender.send_request(request);
-        let answering = async {
-            let (head, body) = sending.await?.into_parts();
-            take_in(head, body).await
-        };
-        let late = sleep_until(until.get());
-        tokio::pin!(answering, late);
-        let (mut over, mut whole, mut passage) = (false, false, TransferState::Intact);
-        let answered = poll_fn(|cx| {
-            if let Poll::Ready(answered) = answering.as_mut().poll(cx) {
-                return Poll::Ready(Some(answered));
-            }
-            over = over || connection.driver.as_mut().poll(cx).is_ready();
-            if let RequestPayload::Streaming(upload) = &forward.body {
-                let before = std::mem::replace(&mut passage, upload.state());
-                if before == TransferState::Intact && passage != before {
-                    tell(AttemptProgress::BodyForwardingStarted);
-                }
-            }
-            if !whole && marks.written.get() == WriteProgress::Complete {
-                whole = true;
-                self.figures.record_send();
-                if let RequestPayload::Streaming(upload) = &forward.body {
-                    tell(AttemptProgress::BodyForwarded { received_after: upload.last_byte_not_before() });
-                }
-            }
-            if let Poll::Ready(answered) = answering.as_mut().poll(cx) {
-                return Poll::Ready(Some(answered));
-            }
-            // A host that takes no more of a body that is not held has never had it whole.
-            if let (RequestPayload::Streaming(upload), false, None) =
-                (&forward.body, whole, marks.read_since.get())
-            {
-                let Some(due) = upload.endpoint_deadline() else { return Poll::Pending };
-                // Its client may have written the last byte long ago: it is owed its answer by then.
-                let due = due.min(upload.last_byte_not_before() + upload.client_timeout);
-                if late.deadline() != due {
-                    late.as_mut().reset(due);
-                }
-                return late.as_mut().poll(cx).map(|()| None);
-            }
-            if informed.swap(false, Ordering::Relaxed) {
-                marks.read_since.set(None); // a 1xx: the answer itself has not begun
-            }
-            let Some(since) = marks.read_since.get() else { return Poll::Pending };
-            let last = marks.last_read.get().unwrap_or(since);
-            let silent = begun
-                + ResponseBuffering::next_byte_deadline(since - begun, last.saturating_duration_since(begun));
-            if late.deadline() != silent {
-                late.as_mut().reset(silent);
-            }
-            late.as_mut().poll(cx).map(|()| None)
-        })
-        .await;
-        let late = || if marks.is_late() { AttemptEnd::Withheld } else { AttemptEnd::ConnectionFailed };
-        let (head, body) = answered.ok_or(AttemptEnd::ConnectionFailed)?.map_err(|_| late())?;
-        // Said twice it is no report: nothing tells which of the two is the host's.
-        let mut reports = head.headers.get_all(LOAD).iter();
-        if let (Some(Ok(text)), None) = (reports.next().map(HeaderValue::to_str), reports.next()) {
-            progress.load.set(self.terms.borrow().load_report_fields.parse_header(text));
-        }
+        let received = self.write_and_read(attempt, &mut connection, progress, report).await?;
+        let Received { response: ReadResponse { head, body }, connection_closed, request_written } = received;
+        progress.load_report.set(load_report(&head.headers, &self.settings.borrow().load_report_fields));
         let body = match body {
-            Taken::Whole(body) => body,
-            // Of what it has not had whole this answers nothing.
-            Taken::Large { .. } if !whole && head.status == StatusCode::OK => {
-                return Err(AttemptEnd::ConnectionFailed)
-            }
-            Taken::Large { held, rest, said } if head.status == StatusCode::OK => {
-                let first = marks.read_since.get().unwrap_or_else(Instant::now);
+            ReadBody::Complete(body) => body,
+            ReadBody::Partial(body) if head.status == StatusCode::OK => {
+                // A 200 to a request that the endpoint does not have in full answers nothing.
+                if !request_written {
+                    return Err(AttemptEnd::ConnectionFailed);
+                }
+                let first_byte_at = connection.marks.read_since.get().unwrap_or_else(Instant::now);
                 let mut headers = head.headers;
                 strip_hop_by_hop(&mut headers);
-                return Ok(Got::Large(Box::new(Large {
+                return Ok(Exchanged::Streaming(Box::new(StreamingResponse {
                     connection,
-                    over,
+                    connection_closed,
                     headers,
-                    first,
-                    held,
-                    rest,
-                    said,
+                    first_byte_at,
+                    body,
                 })));
             }
-            Taken::Broken => return Err(AttemptEnd::ConnectionFailed),
-            Taken::Large { .. } | Taken::TooLong => return Err(AttemptEnd::Answered(ResponseVerdict::Error)),
+            ReadBody::Broken => return Err(AttemptEnd::ConnectionFailed),
+            ReadBody::Partial(_) | ReadBody::TooLong => {
+                return Err(AttemptEnd::Answered(ResponseVerdict::Error));
+            }
         };
-        // One that was answered before it had the whole must never get the rest.
-        if !over && whole {
-            self.put_back(connection, host).await;
+        // A connection on which the endpoint answered early must never get the rest of the request.
+        if !connection_closed && request_written {
+            self.put_back(connection, &attempt.endpoint).await;
         }
-        let marks = head.headers.get_all("x-not-processed").iter().map(HeaderValue::as_bytes);
-        match classify_response(head.status.as_u16(), marks) {
-            ResponseVerdict::Served => {
-                let mut headers = head.headers;
-                strip_hop_by_hop(&mut headers);
-                Ok(Got::Whole(UpstreamResponse { headers, body: ResponseBody::Buffered(body) }))
-            }
-            said => Err(AttemptEnd::Answered(said)),
+        classify_buffered(head, body)
+    }
+
+    /// An idle connection to the attempt's endpoint, or a new one.
+    async fn connection_for(&self, attempt: &Attempt) -> Result<Connection, AttemptEnd> {
+        if let Some(connection) = self.reuse(&attempt.endpoint).await {
+            return Ok(connection);
         }
+        let deadline = attempt.deadline.get();
+        let dial_deadline = attempt.write_by.map_or(deadline, |by| by.min(deadline));
+        self.dial(&attempt.endpoint, dial_deadline).await.map_err(|end| {
+            // A dial that ends because the time for writing has passed says nothing of the endpoint.
+            if attempt.is_past_write_deadline() {
+                AttemptEnd::Withheld
+            } else {
+                end
+            }
+        })
     }
 
-    /// Passes a large answer on as it comes, at the pace of the slower side, until it is whole or either side is gone.
-    async fn pass_on(
+    /// Writes the request on the connection and waits for the response.
+    async fn write_and_read(
         &self,
-        large: Large,
-        host: &UpstreamEndpoint,
-        load: Option<LoadReport>,
-        tell: &dyn Fn(AttemptProgress),
-    ) -> Outcome {
-        let Large { mut connection, mut over, headers, first, held, mut rest, said } = large;
-        let (pieces, receiver) = mpsc::channel(1);
-        let mut brought = held.len() as u64;
-        let _ = pieces.try_send(ResponseChunk::Data(held)); // there is room for one
-        let body =
-            ResponseBody::Streaming { left: said, pieces: receiver, over: false, taken: None, guard: None };
-        tell(AttemptProgress::ResponseStarted {
-            response: Box::new(UpstreamResponse { headers, body }),
-            first_byte_at: first,
-            load_report: load,
-        });
-        loop {
-            let frame = poll_fn(|cx| {
-                if let Poll::Ready(frame) = Pin::new(&mut rest).poll_frame(cx) {
-                    return Poll::Ready(frame);
-                }
-                over = over || connection.driver.as_mut().poll(cx).is_ready();
-                Pin::new(&mut rest).poll_frame(cx)
-            });
-            let frame = tokio::select! {
-                biased;
-                () = pieces.closed() => return Outcome::Cancelled,
-                frame = timeout(PEER_STALL_TIMEOUT, frame) => frame,
-            };
-            let data = match frame {
-                Ok(Some(Ok(frame))) => frame.into_data(),
-                Ok(None) => {
-                    let _ = timeout(PEER_STALL_TIMEOUT, pieces.send(ResponseChunk::End)).await;
-                    if !over {
-                        self.put_back(connection, host).await;
-                    }
-                    return Outcome::Served;
-                }
-                Ok(Some(Err(_))) | Err(_) => return Outcome::Reset,
-            };
-            let Ok(data) = data else { continue }; // trailers are this connection's own
-            brought += data.len() as u64;
-            if brought > MAX_LARGE {
-                return Outcome::Error;
-            }
-            if !matches!(
-                timeout(PEER_STALL_TIMEOUT, pieces.send(ResponseChunk::Data(data))).await,
-                Ok(Ok(()))
-            ) {
-                return Outcome::Cancelled;
+        attempt: &Attempt,
+        connection: &mut Connection,
+        progress: &ExchangeProgress,
+        report: &dyn Fn(AttemptProgress),
+    ) -> Result<Received, AttemptEnd> {
+        let mut request = build_request(&attempt.request, attempt.deadline.get());
+        let informational = Arc::new(AtomicBool::new(false));
+        let informational_flag = informational.clone();
+        on_informational(&mut request, move |_| informational_flag.store(true, Ordering::Relaxed));
+        let timestamps = connection.marks.clone();
+        timestamps.begin(attempt.write_by);
+        progress.timestamps.replace(Some(timestamps.clone()));
+        let started_at = Instant::now();
+        let sending = connection.sender.send_request(request);
+        let receiving = async {
+            let (head, body) = sending.await?.into_parts();
+            Ok::<_, hyper::Error>(read_response(head, body).await)
+        };
+        let stall_timer = sleep_until(attempt.deadline.get());
+        tokio::pin!(receiving, stall_timer);
+        let mut wait = ResponseWait {
+            connection,
+            timestamps: &timestamps,
+            body: &attempt.request.body,
+            metrics: &self.metrics,
+            report,
+            informational: &informational,
+            stall_timer,
+            started_at,
+            transfer_state: TransferState::Intact,
+            connection_closed: false,
+            request_written: false,
+        };
+        let response = poll_fn(|cx| wait.poll(cx, receiving.as_mut())).await;
+        let connection_closed = wait.connection_closed;
+        let request_written = wait.request_written;
+        let response = response.ok_or(AttemptEnd::ConnectionFailed)?.map_err(|_| {
+            if timestamps.is_late() {
+                AttemptEnd::Withheld
+            } else {
+                AttemptEnd::ConnectionFailed
             }
+        })?;
+        Ok(Received { response, connection_closed, request_written })
+    }
+}
+
+/// What a buffered response proves.
+fn classify_buffered(head: Parts, body: Bytes) -> Result<Exchanged, AttemptEnd> {
+    let not_processed = head.headers.get_all(NOT_PROCESSED_HEADER).iter().map(HeaderValue::as_bytes);
+    match classify_response(head.status.as_u16(), not_processed) {
+        ResponseVerdict::Served => {
+            let mut headers = head.headers;
+            strip_hop_by_hop(&mut headers);
+            Ok(Exchanged::Buffered(UpstreamResponse { headers, body: ResponseBody::Buffered(body) }))
         }
+        verdict => Err(AttemptEnd::Answered(verdict)),
     }
 }
 
-/// How far an attempt has come.
+/// What is known of an exchange while it goes on, and stays known where it is cancelled.
 #[derive(Default)]
-struct Progress {
-    /// The marks of the connection that it is written to.
-    marks: RefCell<Option<Rc<IoTimestamps>>>,
-    load: Cell<Option<LoadReport>>,
+struct ExchangeProgress {
+    /// The I/O timestamps of the connection that the request is written to.
+    timestamps: RefCell<Option<Rc<IoTimestamps>>>,
+    load_report: Cell<Option<LoadReport>>,
 }
 
-impl Progress {
-    fn written(&self) -> WriteProgress {
-        self.marks.borrow().as_ref().map_or(WriteProgress::Nothing, |marks| marks.written.get())
+impl ExchangeProgress {
+    fn write_progress(&self) -> WriteProgress {
+        let timestamps = self.timestamps.borrow();
+        timestamps.as_ref().map_or(WriteProgress::Nothing, |timestamps| timestamps.written.get())
     }
 
-    fn end(&self, outcome: Outcome, answer: Option<UpstreamResponse>) -> AttemptResult {
-        let written = self.marks.borrow().as_ref().and_then(|marks| marks.written_at.get());
-        AttemptResult { outcome, response: answer, load_report: self.load.get(), written_at: written }
+    fn into_result(self, outcome: Outcome, response: Option<UpstreamResponse>) -> AttemptResult {
+        let written_at = self.timestamps.borrow().as_ref().and_then(|timestamps| timestamps.written_at.get());
+        AttemptResult { outcome, response, load_report: self.load_report.get(), written_at }
     }
 }
 
-/// What came of a request.
-enum Got {
-    /// A whole answer.
-    Whole(UpstreamResponse),
-    /// One that is passed on while it comes.
-    Large(Box<Large>),
-}
-
-/// An answer that is too long to be held, and has begun to come.
-struct Large {
-    connection: Connection,
-    over: bool,
-    headers: HeaderMap,
-    first: Instant,
-    held: Bytes,
-    rest: Incoming,
-    said: Option<u64>,
-}
-
-/// What came of an answer's body.
-enum Taken {
-    Whole(Bytes),
-    Large { held: Bytes, rest: Incoming, said: Option<u64> },
-    TooLong,
-    Broken,
-}
-
-/// Takes an answer's body in until it is whole, or known to be longer than what is held.
-async fn take_in(head: Parts, mut body: Incoming) -> Result<(Parts, Taken), hyper::Error> {
-    let said = body.size_hint().exact();
-    let (start, mut intake, mut held) = (Instant::now(), ResponseBuffering::new(said), BytesMut::new());
-    loop {
-        match intake.decide(start.elapsed()) {
-            BufferingDecision::KeepBuffering => {}
-            BufferingDecision::Stream => {
-                return Ok((head, Taken::Large { held: held.freeze(), rest: body, said }))
-            }
-            BufferingDecision::TooLong => return Ok((head, Taken::TooLong)),
-        }
-        match body.frame().await {
-            None => return Ok((head, Taken::Whole(held.freeze()))),
-            Some(Err(_)) => return Ok((head, Taken::Broken)),
-            Some(Ok(frame)) => {
-                let Ok(data) = frame.into_data() else { continue };
-                intake.record_received(start.elapsed(), data.len() as u64);
-                // The usual answer is one piece, and is not copied.
-                if held.is_empty() && said == Some(data.len() as u64) && data.len() <= MAX_BODY {
-                    return Ok((head, Taken::Whole(data)));
-                }
-                held.extend_from_slice(&data);
-            }
-        }
-    }
+/// The response that an exchange has brought.
+enum Exchanged {
+    Buffered(UpstreamResponse),
+    Streaming(Box<StreamingResponse>),
 }
 
-/// The request as it is written to a host that has until `until`.
-fn request(forward: &ForwardedRequest, until: Instant) -> Request<RequestBody> {
-    let mut request = Request::new(RequestBody::new(&forward.body));
-    *request.method_mut() = forward.method.clone();
-    *request.uri_mut() = forward.uri.clone();
-    *request.headers_mut() = forward.headers.clone();
-    let wait = match &forward.body {
-        RequestPayload::Buffered(_) => until.saturating_duration_since(Instant::now()),
-        // From its last byte on, which may have come already and be unread.
-        RequestPayload::Streaming(upload) => upload.time_left(),
-    };
-    let wait = wait.as_micros();
-    if let Ok(wait) = HeaderValue::from_str(&format!("{wait}u")) {
-        request.headers_mut().insert("x-timeout", wait);
-    }
-    request
+/// A response of any status, and how the connection stands behind it.
+struct Received {
+    response: ReadResponse,
+    connection_closed: bool,
+    request_written: bool,
 }
--- a/crates/gateway/src/upstream/connect.rs
+++ b/crates/gateway/src/upstream/connect.rs
@@ -1,78 +1,86 @@
-//! Opens a connection to a host, through moments in which this machine can't.
+//! Opens connections to endpoints, through moments in which this machine can't.
 
+use super::connection::Connection;
+use super::pool::ConnectionPool;
+use super::UpstreamEndpoint;
+use crate::limits::MAX_BUFFER;
+use crate::transport::instrumented_stream::InstrumentedStream;
+use crate::transport::message_framing::MessageFraming;
 use crate::transport::system_errors::is_own_connect_failure;
+use hyper::client::conn::http1;
+use hyper_util::rt::TokioIo;
 use std::future::Future;
 use std::io;
 use std::time::Duration;
+use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout_at, Instant};
 use weldworks_control::execution::AttemptEnd;
 
-/// A call that failed for want of something here is made again after this.
-const AGAIN: Duration = Duration::from_millis(5);
+/// Pause before the next connect after one that failed for want of a resource of this machine.
+const LOCAL_FAILURE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// What `connect` opens by then. Where it fails for reasons of this machine's it is called again: nothing has been sent, and to take
-/// such a moment for an answer would spend all attempts of a request in it.
+/// Connects by `deadline`, and connects again where that fails for a reason on this machine: nothing has been sent, and counting such
+/// a failure against the endpoint would use up all attempts of a request within a moment.
 ///
 /// # Errors
-/// [`Ended::Withheld`] where this machine could not to the end, [`Ended::Broken`] where the host did not let it.
-pub async fn open<S, C>(mut connect: impl FnMut() -> C, until: Instant) -> Result<S, AttemptEnd>
+/// [`AttemptEnd::Withheld`] where this machine could not connect to the last, [`AttemptEnd::ConnectionFailed`] where the endpoint
+/// refused or did not answer.
+async fn connect_with_retry<S, C>(mut connect: impl FnMut() -> C, deadline: Instant) -> Result<S, AttemptEnd>
 where
     C: Future<Output = io::Result<S>>,
 {
-    let mut own = false;
-    let opening = async {
+    let mut failed_locally = false;
+    let connecting = async {
         loop {
             match connect().await {
                 Ok(stream) => return Ok(stream),
-                Err(error) if is_own_connect_failure(&error) => own = true,
+                Err(error) if is_own_connect_failure(&error) => failed_locally = true,
                 Err(_) => return Err(AttemptEnd::ConnectionFailed),
             }
-            sleep(AGAIN).await;
-            // From here on it may be the host that does not answer.
+            sleep(LOCAL_FAILURE_RETRY_DELAY).await;
         }
     };
-    match timeout_at(until, opening).await {
-        Ok(opened) => opened,
-        Err(_) if own => Err(AttemptEnd::Withheld),
+    match timeout_at(deadline, connecting).await {
+        Ok(connected) => connected,
+        Err(_) if failed_locally => Err(AttemptEnd::Withheld),
         Err(_) => Err(AttemptEnd::ConnectionFailed),
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rustix::io::Errno;
-    use std::cell::Cell;
-
-    async fn opened(errnos: &[Errno], most: Duration) -> (Result<usize, AttemptEnd>, usize) {
-        let calls = Cell::new(0);
-        let connect = || {
-            let call = calls.replace(calls.get() + 1);
-            let errno = errnos.get(call).copied();
-            async move { errno.map_or(Ok(call), |e| Err(io::Error::from_raw_os_error(e.raw_os_error()))) }
-        };
-        let result = open(connect, Instant::now() + most).await;
-        (result, calls.get())
-    }
-
-    #[tokio::test(start_paused = true)]
-    async fn a_moment_without_means_is_waited_out() {
-        let moment = [Errno::NETUNREACH, Errno::NFILE, Errno::ADDRNOTAVAIL, Errno::NOBUFS, Errno::INTR];
-        assert_eq!(opened(&moment, Duration::from_millis(100)).await, (Ok(5), 6));
-    }
-
-    #[tokio::test(start_paused = true)]
-    async fn a_longer_one_is_held_against_no_host() {
-        let (result, calls) = opened(&[Errno::NETUNREACH; 1000], Duration::from_millis(100)).await;
-        assert_eq!(result, Err(AttemptEnd::Withheld));
-        assert!((15..=21).contains(&calls), "{calls} calls in 100 ms");
-    }
-
-    #[tokio::test(start_paused = true)]
-    async fn a_host_that_refuses_is_asked_once() {
-        for errno in [Errno::CONNREFUSED, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
-            let (result, calls) = opened(&[errno], Duration::from_millis(100)).await;
-            assert_eq!((result, calls), (Err(AttemptEnd::ConnectionFailed), 1), "{errno}");
-        }
+impl ConnectionPool {
+    /// Opens a connection to the endpoint by `deadline`.
+    ///
+    /// # Errors
+    /// [`AttemptEnd::Withheld`] where the cause is on this side: the endpoint has no address, no descriptor is left, or this machine
+    /// can't connect. [`AttemptEnd::ConnectionFailed`] where it is the endpoint's.
+    pub(super) async fn dial(
+        &self,
+        endpoint: &UpstreamEndpoint,
+        deadline: Instant,
+    ) -> Result<Connection, AttemptEnd> {
+        let address = endpoint.address.get().ok_or(AttemptEnd::Withheld)?;
+        let permit = self.acquire_descriptor().ok_or(AttemptEnd::Withheld)?;
+        tracing::debug!(endpoint = %address, "connecting to endpoint");
+        let deadline = deadline.min(Instant::now() + self.settings.borrow().dial_timeout);
+        let stream = connect_with_retry(|| TcpStream::connect(address), deadline).await?;
+        let _ = stream.set_nodelay(true);
+        let (stream, marks) = InstrumentedStream::new(stream);
+        let (stream, _) = stream.tracking_requests().with_framing(MessageFraming::for_responses());
+        let mut builder = http1::Builder::new();
+        builder.max_buf_size(MAX_BUFFER);
+        let handshake = builder.handshake(TokioIo::new(stream)).await;
+        let (sender, driver) = handshake.map_err(|_| AttemptEnd::ConnectionFailed)?;
+        Ok(Connection {
+            endpoint: endpoint.id,
+            address,
+            sender,
+            driver: Box::pin(driver),
+            marks,
+            idle_since: Instant::now(),
+            _permit: permit,
+        })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/gateway/src/upstream/connection.rs
@@ -0,0 +1,51 @@
+//! One HTTP/1.1 connection to an endpoint.
+
+use super::UpstreamEndpoint;
+use crate::body::RequestBody;
+use crate::transport::descriptor_budget::DescriptorPermit;
+use crate::transport::instrumented_stream::{InstrumentedStream, IoTimestamps};
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper_util::rt::TokioIo;
+use std::future::{poll_fn, Future};
+use std::net::SocketAddr;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::Poll;
+use tokio::time::Instant;
+use weldworks_balancer::EndpointId;
+
+/// A connection to an endpoint.
+///
+/// It is driven by whoever holds it and by no task of its own, so that dropping it closes the socket at once. With a task of its own
+/// the endpoint could still be processing an attempt that counts as ended here.
+pub(super) struct Connection {
+    pub(super) endpoint: EndpointId,
+    pub(super) address: SocketAddr,
+    pub(super) sender: SendRequest<RequestBody>,
+    pub(super) driver: Pin<Box<http1::Connection<TokioIo<InstrumentedStream>, RequestBody>>>,
+    pub(super) marks: Rc<IoTimestamps>,
+    /// When the connection was put into the pool, or opened.
+    pub(super) idle_since: Instant,
+    pub(super) _permit: DescriptorPermit,
+}
+
+impl Connection {
+    /// Whether it goes to the address that the endpoint has now.
+    pub(super) fn leads_to(&self, endpoint: &UpstreamEndpoint) -> bool {
+        Some(self.address) == endpoint.address.get()
+    }
+
+    /// Whether the endpoint has left it open and sent nothing beyond its responses, as far as the kernel knows now.
+    pub(super) async fn is_open(&mut self) -> bool {
+        self.marks.idle.set(true);
+        let is_closed = poll_fn(|cx| Poll::Ready(self.driver.as_mut().poll(cx).is_ready())).await;
+        self.marks.idle.set(false);
+        !is_closed && self.sender.is_ready()
+    }
+
+    /// Whether nothing has been read since it was put into the pool. Then it ended by the endpoint's close, and not by stray bytes
+    /// behind a response.
+    pub(super) fn was_silent(&self) -> bool {
+        self.marks.last_read.get().is_none_or(|at| at <= self.idle_since)
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/upstream/response_reader.rs
@@ -0,0 +1,68 @@
+//! Reads a response's body until it is complete, or known to be too long to be buffered.
+
+use crate::limits::MAX_BODY;
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Body, Incoming};
+use hyper::http::response::Parts;
+use tokio::time::Instant;
+use weldworks_control::body_streaming::{BufferingDecision, ResponseBuffering};
+
+/// A response body as far as it has been read.
+pub(super) enum ReadBody {
+    /// All of it.
+    Complete(Bytes),
+    /// The start of a body that is to be streamed.
+    Partial(PartialBody),
+    /// It is longer than any response may be.
+    TooLong,
+    /// The connection broke, or the body was malformed.
+    Broken,
+}
+
+/// The start of a body that is too long to be buffered, and what is left of it.
+pub(super) struct PartialBody {
+    pub(super) buffered: Bytes,
+    pub(super) rest: Incoming,
+    /// The length of the whole in bytes, where the response states it.
+    pub(super) length: Option<u64>,
+}
+
+/// A response whose body has been read as far as it is buffered.
+pub(super) struct ReadResponse {
+    pub(super) head: Parts,
+    pub(super) body: ReadBody,
+}
+
+/// Reads the body of a response until it is complete, or is to be streamed.
+pub(super) async fn read_response(head: Parts, body: Incoming) -> ReadResponse {
+    ReadResponse { head, body: read_body(body).await }
+}
+
+async fn read_body(mut body: Incoming) -> ReadBody {
+    let length = body.size_hint().exact();
+    let start = Instant::now();
+    let mut buffering = ResponseBuffering::new(length);
+    let mut buffered = BytesMut::new();
+    loop {
+        match buffering.decide(start.elapsed()) {
+            BufferingDecision::KeepBuffering => {}
+            BufferingDecision::Stream => {
+                return ReadBody::Partial(PartialBody { buffered: buffered.freeze(), rest: body, length });
+            }
+            BufferingDecision::TooLong => return ReadBody::TooLong,
+        }
+        let frame = match body.frame().await {
+            None => return ReadBody::Complete(buffered.freeze()),
+            Some(Err(_)) => return ReadBody::Broken,
+            Some(Ok(frame)) => frame,
+        };
+        let Ok(data) = frame.into_data() else { continue };
+        buffering.record_received(start.elapsed(), data.len() as u64);
+        // The usual response is one frame, and is not copied.
+        if buffered.is_empty() && length == Some(data.len() as u64) && data.len() <= MAX_BODY {
+            return ReadBody::Complete(data);
+        }
+        buffered.extend_from_slice(&data);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/upstream/response_stream.rs
@@ -0,0 +1,96 @@
+//! Streams a response that is too long to be buffered to the client, at the pace of the slower side.
+
+use super::attempt::AttemptProgress;
+use super::connection::Connection;
+use super::pool::ConnectionPool;
+use super::response_reader::PartialBody;
+use super::UpstreamEndpoint;
+use crate::body::{ResponseBody, ResponseChunk, UpstreamResponse};
+use crate::limits::MAX_LARGE;
+use bytes::Bytes;
+use hyper::body::{Body, Frame, Incoming};
+use hyper::header::HeaderMap;
+use std::future::{poll_fn, Future};
+use std::pin::Pin;
+use tokio::sync::mpsc;
+use tokio::time::{timeout, Instant};
+use weldworks_balancer::{LoadReport, Outcome};
+use weldworks_control::body_streaming::PEER_STALL_TIMEOUT;
+
+/// A response of which the start has been read, and the connection that the rest comes over.
+pub(super) struct StreamingResponse {
+    pub(super) connection: Connection,
+    pub(super) connection_closed: bool,
+    pub(super) headers: HeaderMap,
+    pub(super) first_byte_at: Instant,
+    pub(super) body: PartialBody,
+}
+
+impl ConnectionPool {
+    /// Streams the response until it is complete or either side is gone. The connection is closed by then, or idle in the pool.
+    pub(super) async fn stream_response(
+        &self,
+        response: StreamingResponse,
+        endpoint: &UpstreamEndpoint,
+        load_report: Option<LoadReport>,
+        report: &dyn Fn(AttemptProgress),
+    ) -> Outcome {
+        let StreamingResponse { mut connection, mut connection_closed, headers, first_byte_at, body } =
+            response;
+        let PartialBody { buffered, mut rest, length } = body;
+        let (chunks, receiver) = mpsc::channel(1);
+        let mut received_bytes = buffered.len() as u64;
+        let _ = chunks.try_send(ResponseChunk::Data(buffered)); // the channel has room for one
+        let body =
+            ResponseBody::Streaming { left: length, pieces: receiver, over: false, taken: None, guard: None };
+        let response = Box::new(UpstreamResponse { headers, body });
+        report(AttemptProgress::ResponseStarted { response, first_byte_at, load_report });
+        loop {
+            let frame = next_frame(&mut rest, &mut connection, &mut connection_closed);
+            let frame = tokio::select! {
+                biased;
+                () = chunks.closed() => return Outcome::Cancelled,
+                frame = timeout(PEER_STALL_TIMEOUT, frame) => frame,
+            };
+            let data = match frame {
+                Ok(Some(Ok(frame))) => frame.into_data(),
+                Ok(None) => {
+                    let _ = timeout(PEER_STALL_TIMEOUT, chunks.send(ResponseChunk::End)).await;
+                    if !connection_closed {
+                        self.put_back(connection, endpoint).await;
+                    }
+                    return Outcome::Served;
+                }
+                Ok(Some(Err(_))) | Err(_) => return Outcome::Reset,
+            };
+            let Ok(data) = data else { continue }; // trailers belong to this connection
+            received_bytes += data.len() as u64;
+            if received_bytes > MAX_LARGE {
+                return Outcome::Error;
+            }
+            let sent = timeout(PEER_STALL_TIMEOUT, chunks.send(ResponseChunk::Data(data))).await;
+            if !matches!(sent, Ok(Ok(()))) {
+                return Outcome::Cancelled;
+            }
+        }
+    }
+}
+
+/// The next frame of the body; drives the connection meanwhile.
+async fn next_frame(
+    body: &mut Incoming,
+    connection: &mut Connection,
+    connection_closed: &mut bool,
+) -> Option<Result<Frame<Bytes>, hyper::Error>> {
+    poll_fn(|cx| {
+        let frame = Pin::new(&mut *body).poll_frame(cx);
+        if frame.is_ready() {
+            return frame;
+        }
+        if !*connection_closed {
+            *connection_closed = connection.driver.as_mut().poll(cx).is_ready();
+        }
+        Pin::new(&mut *body).poll_frame(cx)
+    })
+    .await
+}
--- /dev/null
+++ b/crates/gateway/src/upstream/response_wait.rs
@@ -0,0 +1,116 @@
+//! Drives one connection while a request is written and its response read, and ends the wait when either side stalls.
+
+use super::attempt::AttemptProgress;
+use super::connection::Connection;
+use crate::body::{RequestPayload, StreamingUpload};
+use crate::metrics::Metrics;
+use crate::transport::instrumented_stream::IoTimestamps;
+use std::future::Future;
+use std::pin::Pin;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::task::{Context, Poll};
+use tokio::time::{Instant, Sleep};
+use weldworks_control::body_streaming::{ResponseBuffering, TransferState};
+use weldworks_control::execution::WriteProgress;
+
+/// The state of one request and response on a connection.
+pub(super) struct ResponseWait<'a> {
+    pub(super) connection: &'a mut Connection,
+    pub(super) timestamps: &'a IoTimestamps,
+    pub(super) body: &'a RequestPayload,
+    pub(super) metrics: &'a Metrics,
+    pub(super) report: &'a dyn Fn(AttemptProgress),
+    /// Set when a 1xx response has arrived.
+    pub(super) informational: &'a AtomicBool,
+    pub(super) stall_timer: Pin<&'a mut Sleep>,
+    pub(super) started_at: Instant,
+    pub(super) transfer_state: TransferState,
+    pub(super) connection_closed: bool,
+    pub(super) request_written: bool,
+}
+
+impl ResponseWait<'_> {
+    /// Polls the response and the connection under it; none where either side has stalled.
+    pub(super) fn poll<F: Future>(
+        &mut self,
+        cx: &mut Context<'_>,
+        mut response: Pin<&mut F>,
+    ) -> Poll<Option<F::Output>> {
+        if let Poll::Ready(response) = response.as_mut().poll(cx) {
+            return Poll::Ready(Some(response));
+        }
+        self.drive_connection(cx);
+        self.report_body_start();
+        self.report_written();
+        if let Poll::Ready(response) = response.as_mut().poll(cx) {
+            return Poll::Ready(Some(response));
+        }
+        let Some(deadline) = self.stall_deadline() else { return Poll::Pending };
+        if self.stall_timer.deadline() != deadline {
+            self.stall_timer.as_mut().reset(deadline);
+        }
+        self.stall_timer.as_mut().poll(cx).map(|()| None)
+    }
+
+    fn drive_connection(&mut self, cx: &mut Context<'_>) {
+        if !self.connection_closed {
+            self.connection_closed = self.connection.driver.as_mut().poll(cx).is_ready();
+        }
+    }
+
+    /// Reports once that a streamed body has begun to leave.
+    fn report_body_start(&mut self) {
+        let RequestPayload::Streaming(upload) = self.body else { return };
+        let previous = std::mem::replace(&mut self.transfer_state, upload.state());
+        if previous == TransferState::Intact && self.transfer_state != previous {
+            (self.report)(AttemptProgress::BodyForwardingStarted);
+        }
+    }
+
+    /// Reports once that the request's last byte has been written.
+    fn report_written(&mut self) {
+        if self.request_written || self.timestamps.written.get() != WriteProgress::Complete {
+            return;
+        }
+        self.request_written = true;
+        self.metrics.record_send();
+        if let RequestPayload::Streaming(upload) = self.body {
+            let received_after = upload.last_byte_not_before();
+            (self.report)(AttemptProgress::BodyForwarded { received_after });
+        }
+    }
+
+    /// When the side that is waited for counts as stalled; none while it may take its time.
+    fn stall_deadline(&self) -> Option<Instant> {
+        match self.body {
+            RequestPayload::Streaming(upload)
+                if !self.request_written && self.timestamps.read_since.get().is_none() =>
+            {
+                body_stall_deadline(upload)
+            }
+            _ => self.response_stall_deadline(),
+        }
+    }
+
+    /// When a response that has begun counts as stalled; none before it has begun.
+    fn response_stall_deadline(&self) -> Option<Instant> {
+        if self.informational.swap(false, Ordering::Relaxed) {
+            // What was read is a 1xx: the response itself has not begun.
+            self.timestamps.read_since.set(None);
+        }
+        let first_read = self.timestamps.read_since.get()?;
+        let last_read = self.timestamps.last_read.get().unwrap_or(first_read);
+        let next_byte_deadline = ResponseBuffering::next_byte_deadline(
+            first_read - self.started_at,
+            last_read.saturating_duration_since(self.started_at),
+        );
+        Some(self.started_at + next_byte_deadline)
+    }
+}
+
+/// When an endpoint that takes no more of a streamed body counts as stalled. It has never had the complete request.
+fn body_stall_deadline(upload: &StreamingUpload) -> Option<Instant> {
+    let endpoint_deadline = upload.endpoint_deadline()?;
+    // The client may have written the last byte long ago, and is owed an answer by then.
+    Some(endpoint_deadline.min(upload.last_byte_not_before() + upload.client_timeout))
+}
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -1,163 +1,157 @@
-//! Load reports, and ends of idle connections that are told.
+//! Tests of load reports in responses, and of idle connections that their endpoint closes.
 
+use super::pool::IDLE_CHECK_INTERVAL;
 use super::*;
 use crate::body::ForwardedRequest;
+use crate::transport::client_liveness::ClientLiveness;
 use crate::transport::descriptor_budget::DescriptorBudget;
 use hyper::HeaderMap;
+use std::rc::Rc;
+use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::{timeout, Instant};
+use weldworks_balancer::load_report::LoadReportFields;
 use weldworks_balancer::{LoadReport, Outcome};
 
-/// The load report that is read from an answer with this head, and the outcome.
-async fn heard(status: &str, head: &str) -> (Outcome, Option<LoadReport>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let answer = format!("HTTP/1.1 {status}\r\n{head}Content-Length: 2\r\n\r\nok");
-    let host = async {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
-        let _ = stream.read(&mut [0; 4096]).await;
-        stream.write_all(answer.as_bytes()).await.expect("an answer");
-        stream
+fn pool(keep_alive: Duration, load_report_fields: LoadReportFields) -> ConnectionPool {
+    let settings =
+        ConnectionSettings { dial_timeout: Duration::from_secs(5), keep_alive, load_report_fields };
+    let budget = DescriptorBudget::new(&Default::default(), false);
+    ConnectionPool::new(budget.upstream, settings, Rc::default())
+}
+
+fn endpoint(id: EndpointId, address: Option<SocketAddr>) -> UpstreamEndpoint {
+    UpstreamEndpoint { id, address: Cell::new(address), is_active: Cell::new(true) }
+}
+
+fn attempt(endpoint: UpstreamEndpoint) -> Attempt {
+    let forward = ForwardedRequest {
+        method: hyper::Method::GET,
+        uri: hyper::Uri::from_static("/look"),
+        headers: HeaderMap::new(),
+        body: Default::default(),
     };
-    let settings = r#"{"stats":{"how":"inline","fields":["throughput","outstanding"]}}"#;
-    let fields = LoadReportFields::parse(settings).expect("settings");
-    let (dial, keep) = (Duration::from_secs(5), Duration::from_secs(10));
-    let pool = ConnectionPool::new(
-        DescriptorBudget::new(&Default::default(), false).upstream,
-        ConnectionSettings { dial_timeout: dial, keep_alive: keep, load_report_fields: fields },
-        Rc::default(),
-    );
-    let (method, uri) = (hyper::Method::GET, hyper::Uri::from_static("/look"));
-    let forward = ForwardedRequest { method, uri, headers: HeaderMap::new(), body: Default::default() };
-    let attempt = Attempt {
-        endpoint: Rc::new(UpstreamEndpoint {
-            id: EndpointId(0),
-            address: Cell::new(Some(address)),
-            is_active: Cell::new(true),
-        }),
+    Attempt {
+        endpoint: Rc::new(endpoint),
         request: Rc::new(forward),
         deadline: Deadline::new(Instant::now() + Duration::from_secs(10)),
         write_by: None,
-        liveness: Rc::new(crate::transport::client_liveness::ClientLiveness::unobserved()),
+        liveness: Rc::new(ClientLiveness::unobserved()),
         cancel: Rc::default(),
-    };
-    let (end, _host) = tokio::join!(pool.attempt(&attempt, &|_| {}), host);
-    (end.outcome, end.load_report)
+    }
+}
+
+/// Accepts a connection, answers one request, and returns the connection.
+async fn answer_one(listener: &TcpListener, response: &str) -> TcpStream {
+    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let _ = stream.read(&mut [0; 4096]).await;
+    stream.write_all(response.as_bytes()).await.expect("a response");
+    stream
+}
+
+/// The outcome and the load report of an attempt whose response has this status and these headers.
+async fn load_report_of(status: &str, headers: &str) -> (Outcome, Option<LoadReport>) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let address = listener.local_addr().expect("an address");
+    let response = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 2\r\n\r\nok");
+    let settings = r#"{"stats":{"how":"inline","fields":["throughput","outstanding"]}}"#;
+    let fields = LoadReportFields::parse(settings).expect("settings");
+    let pool = pool(Duration::from_secs(10), fields);
+    let attempt = attempt(endpoint(EndpointId(0), Some(address)));
+    let (result, _stream) = tokio::join!(pool.attempt(&attempt, &|_| {}), answer_one(&listener, &response));
+    (result.outcome, result.load_report)
 }
 
 #[tokio::test]
-async fn a_load_report_is_read_from_any_answer_and_a_bad_one_costs_nothing_else() {
+async fn a_load_report_is_read_from_any_response_and_a_malformed_one_is_ignored() {
     let good = "X-Server-Load: TEXT throughput=27.5, outstanding=7\r\n";
     let report = Some(LoadReport { requests_per_second: 27.5, in_flight: 7.0 });
-    assert_eq!(heard("200 OK", good).await, (Outcome::Served, report));
-    assert_eq!(heard("500 Oops", good).await, (Outcome::Error, report));
+    assert_eq!(load_report_of("200 OK", good).await, (Outcome::Served, report));
+    assert_eq!(load_report_of("500 Oops", good).await, (Outcome::Error, report));
     let twice = good.repeat(2);
     let bad =
         ["", "X-Server-Load: TEXT throughput=-1, outstanding=NaN\r\n", "X-Server-Load: \u{e9}\r\n", &twice];
-    for head in bad {
-        assert_eq!(heard("200 OK", head).await, (Outcome::Served, None), "{head:?}");
+    for headers in bad {
+        assert_eq!(load_report_of("200 OK", headers).await, (Outcome::Served, None), "{headers:?}");
     }
 }
 
-/// Has a request served, does `then` with the host's end of the connection, and gives what the pool tells of it.
-async fn told_after(
-    then: impl AsyncFnOnce(&ConnectionPool, &mut tokio::net::TcpStream),
+/// Has a request served, runs `then` with the endpoint's side of the idle connection, and returns the close that the pool reports.
+async fn reported_close(
+    then: impl AsyncFnOnce(&ConnectionPool, &mut TcpStream),
 ) -> Option<ClosedIdleConnection> {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = Cell::new(Some(listener.local_addr().expect("an address")));
-    let (dial, keep) = (Duration::from_secs(5), Duration::from_secs(60));
-    let pool = ConnectionPool::new(
-        DescriptorBudget::new(&Default::default(), false).upstream,
-        ConnectionSettings {
-            dial_timeout: dial,
-            keep_alive: keep,
-            load_report_fields: LoadReportFields::default(),
-        },
-        Rc::default(),
-    );
-    let (method, uri) = (hyper::Method::GET, hyper::Uri::from_static("/look"));
-    let forward = ForwardedRequest { method, uri, headers: HeaderMap::new(), body: Default::default() };
-    let attempt = Attempt {
-        endpoint: Rc::new(UpstreamEndpoint { id: EndpointId(3), address, is_active: Cell::new(true) }),
-        request: Rc::new(forward),
-        deadline: Deadline::new(Instant::now() + Duration::from_secs(10)),
-        write_by: None,
-        liveness: Rc::new(crate::transport::client_liveness::ClientLiveness::unobserved()),
-        cancel: Rc::default(),
-    };
-    let host = async {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
-        let _ = stream.read(&mut [0; 4096]).await;
-        stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok").await.expect("an answer");
-        stream
-    };
-    let (end, mut stream) = tokio::join!(pool.attempt(&attempt, &|_| {}), host);
-    assert_eq!(end.outcome, Outcome::Served);
-    let told = Cell::new(None);
+    let address = listener.local_addr().expect("an address");
+    let pool = pool(Duration::from_secs(60), LoadReportFields::default());
+    let attempt = attempt(endpoint(EndpointId(3), Some(address)));
+    let response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+    let (result, mut stream) = tokio::join!(pool.attempt(&attempt, &|_| {}), answer_one(&listener, response));
+    assert_eq!(result.outcome, Outcome::Served);
+    let reported = Cell::new(None);
     tokio::select! {
-        () = pool.close_expired(|closed| told.set(Some(closed))) => {}
+        () = pool.close_expired(|closed| reported.set(Some(closed))) => {}
         () = async {
-            tokio::time::sleep(4 * LOOK).await; // it is being watched by now
+            tokio::time::sleep(4 * IDLE_CHECK_INTERVAL).await; // it is watched by now
             then(&pool, &mut stream).await;
-            let begun = Instant::now();
-            while told.get().is_none() && begun.elapsed() < Duration::from_secs(2) {
+            let start = Instant::now();
+            while reported.get().is_none() && start.elapsed() < Duration::from_secs(2) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         } => {}
     }
-    told.get()
+    reported.get()
 }
 
 #[tokio::test]
-async fn an_end_by_the_host_is_told_and_noise_is_not() {
-    let ended = told_after(async |_, stream| stream.shutdown().await.expect("an end")).await;
-    let ClosedIdleConnection { endpoint: host, idle_for: idle, remaining: left, .. } = ended.expect("told");
-    assert_eq!((host, left), (EndpointId(3), 0));
-    assert!(idle >= 4 * LOOK, "{idle:?}");
-    assert_eq!(told_after(async |_, stream| stream.write_all(b"noise").await.expect("written")).await, None);
-    assert_eq!(told_after(async |_, _| {}).await, None);
+async fn a_close_by_the_endpoint_is_reported_and_stray_bytes_are_not() {
+    let closed = reported_close(async |_, stream| stream.shutdown().await.expect("a close")).await;
+    let closed = closed.expect("reported");
+    assert_eq!((closed.endpoint, closed.remaining), (EndpointId(3), 0));
+    assert!(closed.idle_for >= 4 * IDLE_CHECK_INTERVAL, "{:?}", closed.idle_for);
+    let stray = reported_close(async |_, stream| stream.write_all(b"noise").await.expect("written")).await;
+    assert_eq!(stray, None);
+    assert_eq!(reported_close(async |_, _| {}).await, None);
 }
 
-/// A second answer comes 5 ms behind the first: until then the connection serves nobody, and from then on it is known for what it
-/// is, however late this process looks.
+/// An endpoint sends a second response 5 ms behind the first. Read as the response to the next request, it would be given to the wrong
+/// client. So until then the connection serves nobody, and from then on the stray bytes are found, however late this process looks.
 #[tokio::test]
-async fn a_connection_rests_for_longer_than_a_second_answer_takes() {
+async fn a_connection_rests_for_longer_than_a_second_response_takes() {
     for stray in [false, true] {
-        let left = Rc::new(Cell::new(None));
-        let found = left.clone();
-        told_after(async move |pool, stream| {
-            let host = EndpointId(3);
-            let age = |to: Duration| {
+        let seen = Rc::new(Cell::new(None));
+        let result = seen.clone();
+        reported_close(async move |pool, stream| {
+            let set_idle_for = |idle_for: Duration| {
                 for connection in pool.idle.borrow_mut().iter_mut() {
-                    connection.idle_since = Instant::now() - to;
+                    connection.idle_since = Instant::now() - idle_for;
                 }
             };
-            let address = Cell::new(stream.local_addr().ok());
-            let host = UpstreamEndpoint { id: host, address, is_active: Cell::new(true) };
-            age(Duration::from_millis(5));
-            let rests = pool.reuse(&host).await.is_none();
+            let endpoint = endpoint(EndpointId(3), stream.local_addr().ok());
+            set_idle_for(Duration::from_millis(5));
+            let rests = pool.reuse(&endpoint).await.is_none();
             if stray {
                 stream
                     .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
                     .await
                     .expect("written");
             }
-            age(Duration::from_millis(7));
-            found.set(Some((rests, pool.reuse(&host).await.is_some())));
+            set_idle_for(Duration::from_millis(7));
+            result.set(Some((rests, pool.reuse(&endpoint).await.is_some())));
         })
         .await;
-        assert_eq!(left.take(), Some((true, !stray)), "stray: {stray}");
+        assert_eq!(seen.take(), Some((true, !stray)), "stray: {stray}");
     }
 }
 
 #[tokio::test]
-async fn what_is_idle_is_held_to_the_new_keep_alive() {
-    let told = told_after(async |pool, stream| {
-        let keepalive = Duration::from_millis(10);
-        let terms = ConnectionSettings { keep_alive: keepalive, ..pool.terms.borrow().clone() };
-        pool.reconfigure(terms);
+async fn a_shorter_keep_alive_applies_to_idle_connections() {
+    let reported = reported_close(async |pool, stream| {
+        let keep_alive = Duration::from_millis(10);
+        let settings = ConnectionSettings { keep_alive, ..pool.settings.borrow().clone() };
+        pool.reconfigure(settings);
         let read = timeout(Duration::from_secs(30), stream.read(&mut [0; 1])).await;
-        assert!(matches!(read, Ok(Ok(0))), "its end: {read:?}");
+        assert!(matches!(read, Ok(Ok(0))), "the pool's close: {read:?}");
     });
-    assert_eq!(told.await, None, "the host had no part in it");
+    assert_eq!(reported.await, None, "the endpoint has closed nothing");
 }
