--- a/crates/gateway/src/config/platform_file.rs
+++ b/crates/gateway/src/config/platform_file.rs
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     /// Where nothing fits into it.
-    pub fn hold_to(&mut self, system: usize) -> Result<(), ConfigError> {
+    pub fn limit_descriptors(&mut self, system: usize) -> Result<(), ConfigError> {
         let said = self.limits.sockets;
         if system >= said {
             return Ok(());
@@ -193,7 +193,7 @@
     ///
     /// # Errors
     /// Where too few would be left for clients and hosts.
-    pub fn leave(&mut self, descriptors: usize) -> Result<(), ConfigError> {
+    pub fn reserve_descriptors(&mut self, descriptors: usize) -> Result<(), ConfigError> {
         let left = self.limits.sockets.saturating_sub(descriptors);
         if descriptors > 0 && left < LEAST_SOCKETS {
             let few = format!(
@@ -225,7 +225,7 @@
     ///
     /// # Errors
     /// What is wrong with it, or lacks that the running one has.
-    pub fn again(running: &Value) -> Result<Config, ConfigError> {
+    pub fn reload(running: &Value) -> Result<Config, ConfigError> {
         Config::read(Some(running), |key, from_file| (key, from_file))
     }
 
--- a/crates/gateway/src/engine/endpoint_updates.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -85,7 +85,7 @@
     /// Where the fleet is to be told: the hosts that a list is about to change and that take work, by name.
     fn departing(&self, list: &EndpointList) -> Vec<(String, EndpointId)> {
         let Some(fleet) = &self.fleet else { return Vec::new() };
-        fleet.lists(list.index);
+        fleet.begin_endpoint_list(list.index);
         let up =
             |id: EndpointId| self.listed.get(id.0 as usize).is_some_and(|h| h.state == EndpointState::Up);
         let taking = |(name, id): (&String, &EndpointId)| up(*id).then(|| (name.clone(), *id));
@@ -103,7 +103,7 @@
             |id: &EndpointId| self.listed.get(id.0 as usize).map_or(EndpointState::Removed, |h| h.state);
         let departed = before.iter().filter(|(_, id)| state(id) != EndpointState::Up);
         let departed = departed.map(|(name, id)| (name.clone(), state(id) == EndpointState::Removed));
-        fleet.listed(self.version, departed.collect());
+        fleet.apply_endpoint_list(self.version, departed.collect());
     }
 
     /// Others have a newer list: discovery is asked again, on a connection of its own.
@@ -124,7 +124,7 @@
     pub(super) fn turn_from(&mut self, gone: &[DepartedEndpoint]) {
         let Some(fleet) = self.fleet.clone() else { return };
         let mut news = Vec::new();
-        for name in fleet.told_gone(gone) {
+        for name in fleet.record_remote_departures(gone) {
             let Some(id) = self.host_ids.get(&name) else { continue };
             let Some(listed) = self.listed.get_mut(id.0 as usize) else { continue };
             if listed.state == EndpointState::Up {
@@ -216,9 +216,9 @@
             host.address.set(address);
         }
         if let Some(fleet) = &self.fleet {
-            fleet.know_host(id, &entry.name);
+            fleet.set_endpoint_name(id, &entry.name);
         }
-        let overruled = || self.fleet.as_ref().is_some_and(|fleet| fleet.overrules(&entry.name));
+        let overruled = || self.fleet.as_ref().is_some_and(|fleet| fleet.is_endpoint_overridden(&entry.name));
         let state = match entry.status {
             ListedStatus::Active if host.address.get().is_some() && overruled() => EndpointState::Draining,
             ListedStatus::Active if host.address.get().is_some() => EndpointState::Up,
--- a/crates/gateway/src/engine/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -215,16 +215,16 @@
     /// Books a decision about a request, where there are books.
     fn book(&self, kind: DecisionKind, id: RequestId, host: Option<EndpointId>) {
         let Some((fleet, entry)) = self.fleet.as_ref().zip(self.requests.get(&id)) else { return };
-        fleet.book(kind, entry.class, entry.number.to_str().unwrap_or_default(), host);
+        fleet.record_decision(kind, entry.class, entry.number.to_str().unwrap_or_default(), host);
     }
 
     /// Refuses what a gateway that is shut out may not take in.
     fn turned_away(&self, arrival: &Arrival) -> bool {
         self.fleet.as_ref().is_some_and(|fleet| {
-            let away = !fleet.takes_clients();
+            let away = !fleet.accepts_clients();
             if away {
                 let number = arrival.request_id.to_str().unwrap_or_default();
-                fleet.book(DecisionKind::Reject, arrival.request.class, number, None);
+                fleet.record_decision(DecisionKind::Reject, arrival.request.class, number, None);
             }
             away
         })
@@ -361,7 +361,7 @@
             }
             Message::RequestArrived(arrival) if self.turned_away(&arrival) => {
                 arrival.client.end();
-                let advised = self.fleet.as_ref().map_or(Duration::ZERO, |fleet| fleet.keep_away());
+                let advised = self.fleet.as_ref().map_or(Duration::ZERO, |fleet| fleet.retry_after());
                 let keep_away = advised.min(self.settings.max_retry_after);
                 let _ = arrival.answer.send(FinalAnswer::Rejected { retry_after: keep_away });
                 // a client that has gone wants none
@@ -554,7 +554,7 @@
     fn retune(&mut self, retune: Reconfiguration) {
         let Reconfiguration { mut settings, names, discovery, connections, digest } = retune;
         if let Some(fleet) = &self.fleet {
-            fleet.configured(digest, discovery);
+            fleet.apply_config(digest, discovery);
         }
         self.pool.reconfigure(connections);
         // The numbers of zones and kinds that hosts are known by stay.
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -41,11 +41,11 @@
 const LAST_PAGE: Duration = Duration::from_secs(1);
 
 /// What this process acts on, as far as it is known at the start; the list comes later.
-pub struct Basis {
+pub struct ConfigVersion {
     /// A digest of the platform's configuration, without what differs from gateway to gateway.
-    pub config: u64,
+    pub config_digest: u64,
     /// A digest of the operator's file, likewise.
-    pub operator: u64,
+    pub operator_digest: u64,
     /// Where discovery answers.
     pub discovery: SocketAddr,
 }
@@ -105,15 +105,15 @@
     /// Where its state on disk can't be used.
     pub fn new(
         settings: FleetSettings,
-        basis: &Basis,
+        config_version: &ConfigVersion,
         gateway: EngineHandle,
     ) -> Result<Rc<Fleet>, StoreError> {
-        let lineage = settings.lineage.clone().unwrap_or_else(|| basis.discovery.to_string());
+        let lineage = settings.lineage.clone().unwrap_or_else(|| config_version.discovery.to_string());
         let version = Version {
             list: ListVersion { lineage, index: 0 },
-            config: basis.config,
+            config: config_version.config_digest,
             generation: 1,
-            operator: basis.operator,
+            operator: config_version.operator_digest,
             build: build(),
         };
         let process = incarnation();
@@ -160,7 +160,7 @@
     }
 
     /// So many descriptors it may have open: a link to or from each peer that there is one with, staff, and what listens.
-    pub fn descriptors(settings: &FleetSettings) -> usize {
+    pub fn descriptor_count(settings: &FleetSettings) -> usize {
         let seated = settings.peers.iter().any(|p| p.is_voter && p.name == settings.gateway);
         let linked = if seated { settings.peers.len() } else { settings.voters().len() };
         linked + peer_link::STAFF + 2
@@ -189,7 +189,7 @@
                     if fine {
                         info!(standing = %acting, "fleet");
                     } else {
-                        warn!(standing = %acting, takes_clients = self.takes_clients(), "fleet");
+                        warn!(standing = %acting, takes_clients = self.accepts_clients(), "fleet");
                     }
                     self.changed.notify_one();
                 }
@@ -257,17 +257,17 @@
     }
 
     /// Whether clients are taken at this moment.
-    pub fn takes_clients(&self) -> bool {
+    pub fn accepts_clients(&self) -> bool {
         self.agent.borrow().accepts_clients(self.now())
     }
 
     /// When those that are not may come again.
-    pub fn keep_away(&self) -> Duration {
+    pub fn retry_after(&self) -> Duration {
         self.agent.borrow().retry_after()
     }
 
     /// Why they are not, in a word.
-    pub fn unready(&self) -> Option<&'static str> {
+    pub fn not_ready_reason(&self) -> Option<&'static str> {
         let agent = self.agent.borrow();
         match agent.session_state(self.now()) {
             _ if agent.accepts_clients(self.now()) => None,
@@ -277,7 +277,7 @@
     }
 
     /// A number stands for this host from now on.
-    pub fn know_host(&self, id: EndpointId, name: &str) {
+    pub fn set_endpoint_name(&self, id: EndpointId, name: &str) {
         let mut hosts = self.hosts.borrow_mut();
         let at = id.0 as usize;
         if hosts.len() <= at {
@@ -289,23 +289,23 @@
     }
 
     /// Whether others' newer lists forbid anything new to a host.
-    pub fn overrules(&self, host: &str) -> bool {
+    pub fn is_endpoint_overridden(&self, host: &str) -> bool {
         self.departures.borrow().overrides(host)
     }
 
     /// Others say that hosts leave or are gone; gives those to turn away from.
-    pub fn told_gone(&self, gone: &[DepartedEndpoint]) -> Vec<String> {
+    pub fn record_remote_departures(&self, gone: &[DepartedEndpoint]) -> Vec<String> {
         let own = self.version.borrow().list.index;
         self.departures.borrow_mut().record_remote(own, gone)
     }
 
     /// A list of this index is about to be taken in.
-    pub fn lists(&self, index: u64) {
+    pub fn begin_endpoint_list(&self, index: u64) {
         self.departures.borrow_mut().record_own_list(index);
     }
 
     /// A list is in force, by which these hosts leave or are gone that did not before.
-    pub fn listed(&self, index: u64, departed: Vec<(String, bool)>) {
+    pub fn apply_endpoint_list(&self, index: u64, departed: Vec<(String, bool)>) {
         let list = ListVersion { index, ..self.version.borrow().list.clone() };
         self.turn_to(|version| version.list = list.clone());
         for (host, _) in &departed {
@@ -319,7 +319,7 @@
     }
 
     /// Another configuration is in force.
-    pub fn configured(&self, config: u64, discovery: SocketAddr) {
+    pub fn apply_config(&self, config: u64, discovery: SocketAddr) {
         let lineage = self.settings.lineage.clone().unwrap_or_else(|| discovery.to_string());
         self.turn_to(|version| {
             version.config = config;
@@ -339,7 +339,7 @@
     }
 
     /// Books a decision about a request, and what speaks against it.
-    pub fn book(&self, kind: DecisionKind, class: usize, request: &str, host: Option<EndpointId>) {
+    pub fn record_decision(&self, kind: DecisionKind, class: usize, request: &str, host: Option<EndpointId>) {
         let now = self.now();
         let hosts = self.hosts.borrow();
         let host = host.and_then(|id| hosts.get(id.0 as usize)).map(|name| &**name);
@@ -362,7 +362,7 @@
         if told > own {
             audit.record_exception(now, Exception::StaleList { own, told }, request);
         }
-        if let Some(host) = host.filter(|host| self.overrules(host)) {
+        if let Some(host) = host.filter(|host| self.is_endpoint_overridden(host)) {
             audit.record_exception(now, Exception::RemovedEndpoint { host: host.to_owned() }, request);
         }
     }
@@ -401,7 +401,7 @@
     }
 
     /// Ends the session in order, and the books.
-    pub async fn leave(&self) {
+    pub async fn shut_down(&self) {
         self.step(|agent, now, out| agent.shut_down(now, out));
         // Where this process has a seat, what it has just proposed has to reach the others.
         let until = Instant::now() + FLUSH;
@@ -415,15 +415,11 @@
         }
     }
 
-    /// Binds the link's address; none where another process of this gateway has it still.
+    /// Binds the address of the link between gateways.
     ///
     /// # Errors
-    /// Where it can't be bound for another reason.
-    pub fn listen(settings: &FleetSettings, shared: bool) -> std::io::Result<Option<TcpListener>> {
-        match peer_link::bind(settings.listen) {
-            Ok(listener) => Ok(Some(listener)),
-            Err(error) if shared && error.kind() == std::io::ErrorKind::AddrInUse => Ok(None),
-            Err(error) => Err(error),
-        }
+    /// Where it cannot be bound.
+    pub fn bind_link(settings: &FleetSettings) -> std::io::Result<TcpListener> {
+        peer_link::bind(settings.listen)
     }
 }
--- a/crates/gateway/src/lifecycle/hot_restart.rs
+++ b/crates/gateway/src/lifecycle/hot_restart.rs
@@ -1,8 +1,8 @@
-//! Two processes of one gateway, while one replaces the other: what each knows of the other through the folder they share, and the
-//! file in which the old one keeps what the new one should know. Nobody waits for anybody.
+//! Hot restart: two processes of one gateway while one replaces the other. Each learns of the other by lock files in a folder that they
+//! share, and the old one writes a snapshot there of what the new one should know. Neither waits for the other.
 
+use super::service_state::ServiceState;
 use crate::engine::message::{EngineHandle, Message};
-use crate::lifecycle::service::ServiceState;
 use crate::transport::descriptor_budget::DescriptorBudget;
 use std::fs::{self, File, TryLockError};
 use std::io::{self, Read};
@@ -10,63 +10,64 @@
 use std::path::Path;
 use std::time::Duration;
 use tokio::sync::oneshot;
+use tokio::time::Instant;
 use tracing::{info, warn};
 use weldworks_balancer::Snapshot;
 use weldworks_control::hot_restart::{
     self, peer_check_interval, DescriptorUsage, SnapshotError, MAX_SNAPSHOT_BYTES, SNAPSHOT_INTERVAL,
 };
 
-/// While the folder can't be used it is tried again this often.
-const FOLDER_AGAIN: Duration = Duration::from_millis(250);
-/// What is known, whole at any time.
-const MEMORY: &str = "ottervane.memory";
-/// Held by the process that serves, until it is told to stop.
-const SERVES: &str = "ottervane.serves";
-/// Held by one that has come to replace it, until it gets the other.
-const FOLLOWS: &str = "ottervane.follows";
+/// Interval at which an unusable folder is tried again.
+const FOLDER_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// The file with the snapshot, complete at any time.
+const SNAPSHOT_FILE: &str = "ottervane.memory";
+/// The lock of the active process, until it shuts down.
+const ACTIVE_LOCK: &str = "ottervane.serves";
+/// The lock of a successor, until it has the other.
+const SUCCESSOR_LOCK: &str = "ottervane.follows";
 
-/// The machine's monotonic clock, which both processes share and nobody steps.
-fn monotonic() -> Duration {
+/// The machine's monotonic clock, which both processes share and nobody sets.
+fn monotonic_now() -> Duration {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     Duration::new(now.tv_sec.try_into().unwrap_or_default(), now.tv_nsec.try_into().unwrap_or_default())
 }
 
-/// What a process before this one knew, where it has just written it.
+/// Reads the snapshot of the process before this one, if it has been written recently.
 pub fn read_snapshot(folder: &Path) -> Option<Snapshot> {
-    let mut text = String::new();
-    let file = match File::open(folder.join(MEMORY)) {
-        Ok(file) => file,
-        Err(error) if error.kind() == io::ErrorKind::NotFound => return None, // the first one
+    let text = match read_snapshot_text(&folder.join(SNAPSHOT_FILE)) {
+        Ok(text) => text,
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return None, // the first process
         Err(error) => {
-            warn!(%error, "what the process before knew can't be read; starting without");
+            warn!(%error, "snapshot unreadable, starting without it");
             return None;
         }
     };
-    // One byte more than may be read tells that it is too long.
-    let read = file.take(MAX_SNAPSHOT_BYTES as u64 + 1).read_to_string(&mut text);
-    match read.map(|_| hot_restart::decode_snapshot(&text, monotonic())) {
-        Ok(Ok(memory)) => Some(memory),
-        Ok(Err(SnapshotError::Expired(_))) => None, // nobody serves beside this one
-        Ok(Err(why)) => {
-            warn!(%why, "what the process before knew is passed over; starting without");
-            None
-        }
+    match hot_restart::decode_snapshot(&text, monotonic_now()) {
+        Ok(snapshot) => Some(snapshot),
+        Err(SnapshotError::Expired(_)) => None, // no process serves beside this one
         Err(error) => {
-            warn!(%error, "what the process before knew can't be read; starting without");
+            warn!(%error, "snapshot invalid, starting without it");
             None
         }
     }
 }
 
-fn write(folder: &Path, memory: &Snapshot) -> io::Result<()> {
-    // The folder is memory: nothing outlives the machine, so there is nothing to make durable.
-    let beside = folder.join(format!("{MEMORY}.{}", std::process::id()));
-    fs::write(&beside, hot_restart::encode_snapshot(memory, monotonic()))?;
-    fs::rename(beside, folder.join(MEMORY))
+/// Reads the file, and at most one byte more than a snapshot may have: that much shows that it is too long.
+fn read_snapshot_text(path: &Path) -> io::Result<String> {
+    let mut text = String::new();
+    File::open(path)?.take(MAX_SNAPSHOT_BYTES as u64 + 1).read_to_string(&mut text)?;
+    Ok(text)
+}
+
+/// Replaces the snapshot. It is not synced: the folder is in memory, and the snapshot is of no use after a reboot.
+fn write_snapshot(folder: &Path, snapshot: &Snapshot) -> io::Result<()> {
+    let temporary = folder.join(format!("{SNAPSHOT_FILE}.{}", std::process::id()));
+    fs::write(&temporary, hot_restart::encode_snapshot(snapshot, monotonic_now()))?;
+    fs::rename(temporary, folder.join(SNAPSHOT_FILE))
 }
 
-/// The lock of this name, if nobody has it. It lasts as long as what is given, and no longer than the process.
-fn lock(folder: &Path, name: &str) -> io::Result<Option<File>> {
+/// Takes a lock unless another process has it. It is released when the file is dropped, and with the process at the latest.
+fn try_lock(folder: &Path, name: &str) -> io::Result<Option<File>> {
     let file = File::options().create(true).truncate(false).write(true).open(folder.join(name))?;
     match file.try_lock() {
         Ok(()) => Ok(Some(file)),
@@ -75,135 +76,109 @@
     }
 }
 
-/// How this process stands to others.
-enum Place {
-    /// It serves, and holds the lock that says so.
-    Serves(File),
-    /// Another one serves still; this one follows it, and holds that lock unless a third does.
-    Follows(Option<File>),
+/// This process's role among the processes of its gateway.
+enum Role {
+    /// It serves, and holds the active process's lock.
+    Active(File),
+    /// Another process is active still. This one holds the successor's lock unless a third does.
+    Successor(Option<File>),
 }
 
-/// Looks for another process of this gateway, until this one is told to stop. While there is one, each says what it has open, and
-/// leaves the other that much of the descriptors. The one that serves writes down what it knows.
-pub async fn run(folder: &Path, gateway: &EngineHandle, budget: &DescriptorBudget, service: &ServiceState) {
-    let mut place = Place::Follows(None);
-    let (mut written, mut shared, mut failing) = (None, None, false);
+/// Watches for another process of this gateway until this one shuts down. While there is one, each publishes how many descriptors it has
+/// open and leaves the other as many. The active process also writes the snapshot.
+pub async fn run(folder: &Path, engine: &EngineHandle, budget: &DescriptorBudget, service: &ServiceState) {
+    let mut role = Role::Successor(None);
+    let mut snapshot_written: Option<Instant> = None;
+    let mut peer_was_present: Option<bool> = None;
+    let mut failure_is_logged = false; // reset by the next success
     loop {
-        let other = match look(folder, &mut place, budget.usage()) {
-            Ok(other) => other,
-            // What is known of the other holds until the folder can be used again: both together have one limit.
+        let peer = match observe_peer(folder, &mut role, budget.usage()) {
+            Ok(peer) => peer,
+            // The last known usage of the other process stays reserved: both together have one limit.
             Err(error) => {
-                if !std::mem::replace(&mut failing, true) {
+                if !failure_is_logged {
                     warn!(
-                        %error, folder = %folder.display(),
-                        "the folder shared with the next process can't be used; trying again every {FOLDER_AGAIN:?}"
+                        %error, folder = %folder.display(), retry_delay = ?FOLDER_RETRY_DELAY,
+                        "hot-restart folder unusable, retrying"
                     );
+                    failure_is_logged = true;
                 }
                 tokio::select! {
-                    () = tokio::time::sleep(FOLDER_AGAIN) => continue,
-                    () = service.stopped.notified() => return drop(place),
+                    () = tokio::time::sleep(FOLDER_RETRY_DELAY) => continue,
+                    () = service.shutdown_started.notified() => return drop(role),
                 }
             }
         };
-        failing = false;
-        budget.reserve_for_peer(other.unwrap_or_default());
-        if shared.replace(other.is_some()) != Some(other.is_some()) {
-            match other {
-                Some(_) => info!(
-                    "another process of this gateway is there: what it has open of the descriptors is left to it"
-                ),
-                None => info!("no other process of this gateway: all descriptors are this one's"),
-            }
+        failure_is_logged = false;
+        budget.reserve_for_peer(peer.unwrap_or_default());
+        if peer_was_present != Some(peer.is_some()) {
+            log_presence(peer.as_ref());
+            peer_was_present = Some(peer.is_some());
         }
-        let due = written.is_none_or(|at: tokio::time::Instant| at.elapsed() >= SNAPSHOT_INTERVAL);
-        if due && matches!(place, Place::Serves(_)) {
-            let (answer, told) = oneshot::channel();
-            gateway.send(Message::TakeSnapshot(answer));
-            if let Ok(memory) = told.await {
-                if let Err(error) = write(folder, &memory) {
-                    warn!(%error, "what this process knows can't be written; the next one starts from nothing");
-                }
-            }
-            written = Some(tokio::time::Instant::now());
+        let snapshot_is_due = snapshot_written.is_none_or(|at| at.elapsed() >= SNAPSHOT_INTERVAL);
+        if snapshot_is_due && matches!(role, Role::Active(_)) {
+            update_snapshot(folder, engine).await;
+            snapshot_written = Some(Instant::now());
         }
         tokio::select! {
-            () = tokio::time::sleep(peer_check_interval(other.is_some())) => {}
-            // It takes nobody in any more: what its clients leave is the other's to give them.
-            () = service.stopped.notified() => return drop(place),
+            () = tokio::time::sleep(peer_check_interval(peer.is_some())) => {}
+            // The lock is released here, so that the successor becomes active while this process drains.
+            () = service.shutdown_started.notified() => return drop(role),
         }
     }
 }
 
-/// Finds out where it stands now, and what another one has open, if there is one. What it has open itself is said.
+fn log_presence(peer: Option<&DescriptorUsage>) {
+    match peer {
+        Some(_) => info!("another process of this gateway found, sharing the descriptor limit with it"),
+        None => info!("no other process of this gateway, using the whole descriptor limit"),
+    }
+}
+
+/// Asks the engine for a snapshot and writes it.
+async fn update_snapshot(folder: &Path, engine: &EngineHandle) {
+    let (sender, receiver) = oneshot::channel();
+    engine.send(Message::TakeSnapshot(sender));
+    let Ok(snapshot) = receiver.await else { return };
+    if let Err(error) = write_snapshot(folder, &snapshot) {
+        warn!(%error, "snapshot not written, the next process starts without it");
+    }
+}
+
+/// Updates this process's role, publishes its usage, and gives the usage of another process, if there is one.
 ///
 /// # Errors
-/// Where the folder can't be used. The locks that it holds stay held.
-fn look(folder: &Path, place: &mut Place, own: DescriptorUsage) -> io::Result<Option<DescriptorUsage>> {
-    if let Place::Follows(held) = place {
-        if let Some(serves) = lock(folder, SERVES)? {
-            *place = Place::Serves(serves);
-        } else if held.is_none() {
-            *held = lock(folder, FOLLOWS)?;
+/// Where the folder cannot be used. Locks that are held stay held.
+fn observe_peer(folder: &Path, role: &mut Role, own: DescriptorUsage) -> io::Result<Option<DescriptorUsage>> {
+    if let Role::Successor(successor_lock) = role {
+        if let Some(active_lock) = try_lock(folder, ACTIVE_LOCK)? {
+            *role = Role::Active(active_lock);
+        } else if successor_lock.is_none() {
+            *successor_lock = try_lock(folder, SUCCESSOR_LOCK)?;
         }
     }
-    let other = match place {
-        Place::Serves(file) => {
+    let peer_file = match role {
+        Role::Active(file) => {
             file.write_all_at(own.encode().as_bytes(), 0)?;
-            // Taken for a moment only, and free again before anything else runs.
-            lock(folder, FOLLOWS)?.is_none().then_some(FOLLOWS)
+            // A lock taken here is released again at once.
+            let successor_is_present = try_lock(folder, SUCCESSOR_LOCK)?.is_none();
+            successor_is_present.then_some(SUCCESSOR_LOCK)
         }
-        Place::Follows(file) => {
+        Role::Successor(file) => {
             if let Some(file) = file {
                 file.write_all_at(own.encode().as_bytes(), 0)?;
             }
-            Some(SERVES)
+            Some(ACTIVE_LOCK)
         }
     };
-    // One that has just come has said nothing yet, and has nothing.
-    let says = |name: &str| {
-        fs::read_to_string(folder.join(name)).ok().and_then(|text| DescriptorUsage::decode(&text))
-    };
-    Ok(other.map(|name| says(name).unwrap_or_default()))
+    Ok(peer_file.map(|name| published_usage(&folder.join(name))))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Locks of one process exclude each other like those of two, as each opens the file anew.
-    #[test]
-    fn each_knows_of_the_other_until_it_has_gone() {
-        let folder = std::env::temp_dir().join(format!("weldworks-places-{}", std::process::id()));
-        fs::create_dir_all(&folder).expect("a folder");
-        let step = |mut place| {
-            let other =
-                look(&folder, &mut place, DescriptorUsage { clients: 7, ..DescriptorUsage::default() })
-                    .expect("the folder can be used");
-            (place, other.map(|held| held.clients))
-        };
-        let (old, other) = step(Place::Follows(None));
-        assert!(matches!(old, Place::Serves(_)) && other.is_none(), "alone");
-        let (new, other) = step(Place::Follows(None));
-        assert!(matches!(new, Place::Follows(Some(_))) && other == Some(7), "it says what it has open");
-        let (old, other) = step(old);
-        assert_eq!(other, Some(7), "the old one sees it come");
-        let (third, other) = step(Place::Follows(None));
-        assert!(matches!(third, Place::Follows(None)) && other == Some(7));
-        drop(old);
-        let (new, other) = step(new);
-        assert!(matches!(new, Place::Serves(_)) && other.is_none());
-        let (third, _) = step(third);
-        assert!(matches!(third, Place::Follows(Some(_))));
-        let (mut new, other) = step(new);
-        assert_eq!(other, Some(7), "and then it sees the third");
-        // The folder fails for a while: the lock is not let go, or a third process would take this one's place.
-        let away = folder.with_extension("away");
-        fs::rename(&folder, &away).expect("a folder that is away");
-        assert!(look(&folder, &mut new, DescriptorUsage::default()).is_err());
-        fs::rename(&away, &folder).expect("it is back");
-        assert!(lock(&folder, SERVES).expect("the folder").is_none(), "the lock is held still");
-        drop((new, third));
-        assert!(lock(&folder, SERVES).expect("the folder").is_some(), "nothing outlives those who held it");
-        let _ = fs::remove_dir_all(&folder);
-    }
+/// The usage that a process has published. A process that has just started has published nothing, and has nothing open.
+fn published_usage(path: &Path) -> DescriptorUsage {
+    let text = fs::read_to_string(path).ok();
+    text.and_then(|text| DescriptorUsage::decode(&text)).unwrap_or_default()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gateway/src/lifecycle/log.rs
+++ b/crates/gateway/src/lifecycle/log.rs
@@ -1,13 +1,13 @@
-//! The log: one line an event on standard error, as text or as JSON.
+//! The log: one line for each event on standard error, as text or JSON.
 
 use std::io;
 use tracing::level_filters::LevelFilter;
 use weldworks_config::{Named, Table};
 
-/// How a line is worded.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Time, level, message, and the event's figures as `name=value`.
+    /// Time, level, message, and the event's fields as `name=value`.
     #[default]
     Text,
     /// An object with `timestamp`, `level` and `fields`, among them `message`.
@@ -19,13 +19,13 @@
         &[("text", LogFormat::Text), ("json", LogFormat::Json)];
 }
 
-/// How much is told.
+/// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogLevel {
-    /// What an operator should know of.
+    /// Events that an operator should know of.
     #[default]
     Info,
-    /// Also each request, attempt and list: for finding causes, and for `weldworks-testbed count`.
+    /// Also each request, attempt and endpoint list, for finding causes and for `weldworks-testbed count`.
     Debug,
 }
 
@@ -37,14 +37,14 @@
 /// The table `[log]` of the operator's file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogSettings {
-    /// How a line is worded.
+    /// The format of log lines; text by default.
     pub format: LogFormat,
-    /// How much is told.
+    /// The least severe level that is logged; info by default.
     pub level: LogLevel,
 }
 
 impl LogSettings {
-    /// The text that the operator file's digest is taken of, in the names of version 0.2.0.
+    /// The text that the operator file's digest is taken of, in the names of version 0.2.0: gateways of other builds compare it.
     pub fn digest_text(&self) -> String {
         format!("Log {{ format: {:?}, level: {:?} }}", self.format, self.level)
     }
@@ -59,7 +59,7 @@
         log
     }
 
-    /// Sends all events of this process to standard error from now on. A second call changes nothing.
+    /// Sends all events of this process to standard error from now on. A second call has no effect.
     pub fn install(self) {
         let level = match self.level {
             LogLevel::Info => LevelFilter::INFO,
--- /dev/null
+++ b/crates/gateway/src/lifecycle/service_state.rs
@@ -0,0 +1,139 @@
+//! Whether and how this process serves: start-up, drain and shutdown, with the clock that the drain machine wants. The servers read it
+//! and report to it.
+
+use crate::engine::message::{EngineHandle, Message};
+use crate::fleet::Fleet;
+use crate::metrics::Metrics;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::Instant;
+use weldworks_control::drain::{Drain, DrainSettings};
+use weldworks_control::hot_restart::{Startup, StartupWait};
+
+/// The service state of this process. Its times are durations since its creation.
+pub struct ServiceState {
+    start: Instant,
+    drain: RefCell<Drain>,
+    last_accept: Cell<Duration>,
+    engine: EngineHandle,
+    has_active_endpoint: Rc<Cell<bool>>,
+    startup: Startup,
+    /// Notified at each change of the drain.
+    pub drain_changed: Notify,
+    /// Notified at the start of the shutdown.
+    pub shutdown_started: Notify,
+    /// The metrics of this process.
+    pub metrics: Rc<Metrics>,
+    fleet: Option<Rc<Fleet>>,
+}
+
+impl ServiceState {
+    /// Creates the state of a process that starts now.
+    pub fn new(
+        drain_settings: DrainSettings,
+        engine: EngineHandle,
+        metrics: Rc<Metrics>,
+        fleet: Option<Rc<Fleet>>,
+    ) -> ServiceState {
+        let has_active_endpoint = engine.has_active_endpoint();
+        let shared_listener = drain_settings.shared_listener;
+        ServiceState {
+            start: Instant::now(),
+            drain: RefCell::new(Drain::new(drain_settings)),
+            last_accept: Cell::default(),
+            engine,
+            has_active_endpoint,
+            startup: Startup { shared_listener, started_at: Duration::ZERO },
+            drain_changed: Notify::new(),
+            shutdown_started: Notify::new(),
+            metrics,
+            fleet,
+        }
+    }
+
+    fn now(&self) -> Duration {
+        self.start.elapsed()
+    }
+
+    /// What the process waits for before it accepts clients, if anything.
+    pub fn waiting_for(&self) -> Option<StartupWait> {
+        self.startup.waiting_for(self.now(), self.engine.discovery_answered(), self.has_active_endpoint.get())
+    }
+
+    /// Why this process cannot serve, apart from a drain; none if it can.
+    pub fn not_ready_reason(&self) -> Option<&'static str> {
+        match self.waiting_for() {
+            _ if self.is_shutting_down() => Some("stopping"),
+            Some(StartupWait::Discovery) => Some("waiting for discovery's first word"),
+            _ if !self.has_active_endpoint.get() => Some("no host in discovery's list takes work"),
+            _ => self.fleet.as_ref().and_then(|fleet| fleet.not_ready_reason()),
+        }
+    }
+
+    /// Whether the platform may send clients here.
+    pub fn is_ready(&self) -> bool {
+        self.not_ready_reason().is_none() && self.drain.borrow().is_ready()
+    }
+
+    /// Starts a drain. Gives whether there was none.
+    pub fn start_drain(&self) -> bool {
+        let has_changed = self.drain.borrow_mut().set_draining(self.now(), true);
+        self.drain_changed.notify_one();
+        has_changed
+    }
+
+    /// Takes a drain back. Gives whether there was one.
+    pub fn end_drain(&self) -> bool {
+        let has_changed = self.drain.borrow_mut().set_draining(self.now(), false);
+        self.drain_changed.notify_one();
+        has_changed
+    }
+
+    /// Starts the shutdown. Called again, it changes nothing.
+    pub fn begin_shutdown(&self) {
+        self.drain.borrow_mut().begin_shutdown(self.now());
+        self.shutdown_started.notify_one();
+        if let Some(deadline) = self.drain.borrow().answer_deadline() {
+            self.engine.set_shutdown_deadline(self.start + deadline);
+            self.engine.send(Message::ShutdownStarted);
+        }
+        self.drain_changed.notify_one();
+    }
+
+    /// Sets the longest time that a client waits for a response.
+    pub fn set_longest_deadline(&self, deadline: Duration) {
+        self.drain.borrow_mut().set_longest_deadline(deadline);
+    }
+
+    /// Whether the shutdown has started.
+    pub fn is_shutting_down(&self) -> bool {
+        self.drain.borrow().is_shutting_down()
+    }
+
+    /// Whether a response ends its connection.
+    pub fn sends_connection_close(&self) -> bool {
+        self.drain.borrow().sends_connection_close(self.now())
+    }
+
+    /// Records that a connection has been accepted.
+    pub fn record_accept(&self) {
+        self.last_accept.set(self.now());
+    }
+
+    /// Until when connections are accepted; none while that has no end.
+    pub fn accept_deadline(&self) -> Option<Instant> {
+        Some(self.start + self.drain.borrow().accept_deadline(self.last_accept.get())?)
+    }
+
+    /// How long a connection may be idle; none while the drain sets no limit.
+    pub fn idle_limit(&self) -> Option<Duration> {
+        self.drain.borrow().idle_limit(self.now(), self.last_accept.get())
+    }
+
+    /// Whether new connections keep their time for a first request.
+    pub fn awaits_first_request(&self) -> bool {
+        self.drain.borrow().awaits_first_request(self.now())
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -0,0 +1,127 @@
+//! Assembles a gateway: reads the configuration, creates the parts and connects them.
+
+use super::listeners::{listen_for_admin, listen_for_clients, listen_for_peers, ListenerOwnership};
+use super::reload::{longest_deadline, ConfigReloader};
+use super::running::Gateway;
+use super::service_state::ServiceState;
+use super::ServeError;
+use crate::config::operator_file::OperatorFile;
+use crate::config::platform_file::{Config, ConfigError};
+use crate::engine::Engine;
+use crate::fleet::{ConfigVersion, Fleet};
+use crate::metrics::Metrics;
+use crate::server::admin;
+use crate::server::http::{RequestSettings, Server};
+use crate::transport::descriptor_budget::DescriptorBudget;
+use crate::upstream::ConnectionPool;
+use rustix::process::{getrlimit, Resource};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::task::spawn_local;
+use tracing::info;
+use weldworks_balancer::Settings;
+use weldworks_control::class_registry::ClassRegistry;
+use weldworks_control::drain::DrainSettings;
+
+/// Reads the platform's file and fits its descriptor limit to the system's and to the fleet's needs.
+pub(super) fn load_config(operator: &OperatorFile) -> Result<Config, ConfigError> {
+    let mut config = Config::at_start()?;
+    if let Some(system_limit) = getrlimit(Resource::Nofile).current {
+        config.limit_descriptors(usize::try_from(system_limit).unwrap_or(usize::MAX))?;
+    }
+    let fleet_descriptors = operator.fleet.as_ref().map_or(0, Fleet::descriptor_count);
+    config.reserve_descriptors(fleet_descriptors)?;
+    Ok(config)
+}
+
+/// Creates the parts of a gateway and binds its addresses. The admin API answers from here on.
+pub(super) fn assemble(
+    config: Config,
+    operator: OperatorFile,
+    inherited: Option<std::net::TcpListener>,
+) -> Result<Gateway, ServeError> {
+    let ownership = if inherited.is_some() { ListenerOwnership::Shared } else { ListenerOwnership::Own };
+    let config_version = operator.fleet.as_ref().map(|_| ConfigVersion {
+        config_digest: config.site_digest(),
+        operator_digest: operator.digest(),
+        discovery: config.discovery,
+    });
+    let mut classes = ClassRegistry::default();
+    classes.replace(Duration::ZERO, config.named_classes());
+    let budget = DescriptorBudget::new(&config.limits, config.management.is_some());
+    let settings = Settings { classes: classes.by_number(), ..config.settings };
+    let request_settings = RequestSettings::new(&classes, config.names.tenants.clone(), &settings);
+    let metrics = Rc::new(Metrics::default());
+    metrics.register_classes(&config.classes);
+    let pool = Rc::new(ConnectionPool::new(budget.upstream.clone(), config.connections, metrics.clone()));
+    let drain_settings = DrainSettings {
+        longest_deadline: longest_deadline(&settings),
+        shared_listener: ownership == ListenerOwnership::Shared,
+    };
+    let (mut engine, handle) =
+        Engine::new(settings, config.seed, config.names, pool.clone(), config.discovery);
+    if let Some(storm_settings) = operator.storm {
+        engine.enable_retry_storm_control(storm_settings);
+    }
+    let mut fleet = None;
+    let mut link_listener = None;
+    if let Some((settings, version)) = operator.fleet.zip(config_version) {
+        let joined = Fleet::new(settings.clone(), &version, handle.clone())?;
+        link_listener = listen_for_peers(&settings, ownership)?;
+        engine.join_fleet(joined.clone());
+        fleet = Some(joined);
+    }
+    let service = Rc::new(ServiceState::new(drain_settings, handle.clone(), metrics.clone(), fleet.clone()));
+    if let Some(address) = config.management {
+        start_admin_api(address, &budget, &service)?;
+        engine.attach_metrics(metrics);
+    }
+    let listener = client_listener(inherited, config.listen)?;
+    engine.learn(config.known);
+    let server = Rc::new(Server::new(handle.clone(), request_settings, &budget, service.clone()));
+    let reloader = ConfigReloader {
+        document: config.document,
+        classes,
+        engine: handle.clone(),
+        server: server.clone(),
+        service: service.clone(),
+    };
+    Ok(Gateway {
+        engine,
+        handle,
+        pool,
+        server,
+        service,
+        fleet,
+        link_listener,
+        listener,
+        ownership,
+        budget,
+        reloader,
+    })
+}
+
+/// Starts the admin API on its own address.
+fn start_admin_api(
+    address: SocketAddr,
+    budget: &DescriptorBudget,
+    service: &Rc<ServiceState>,
+) -> Result<(), ServeError> {
+    let listener = listen_for_admin(address)?;
+    info!(address = %listener.local_addr()?, "calls are answered");
+    spawn_local(admin::serve_admin(listener, budget.admin.clone(), service.clone()));
+    Ok(())
+}
+
+/// The clients' listener: the one handed on, or a new one.
+fn client_listener(
+    inherited: Option<std::net::TcpListener>,
+    address: SocketAddr,
+) -> Result<TcpListener, ServeError> {
+    match inherited {
+        Some(listener) => Ok(TcpListener::from_std(listener)?),
+        None => Ok(listen_for_clients(address)?),
+    }
+}
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -10,7 +10,7 @@
 use weldworks_gateway::cli::fleet::{self as fleet_commands, Shown};
 use weldworks_gateway::config::operator_file::OperatorFile;
 use weldworks_gateway::config::platform_file::Config;
-use weldworks_gateway::lifecycle;
+use weldworks_gateway::lifecycle::{self, FleetMembership};
 
 /// The gateway of the booking service.
 ///
@@ -71,14 +71,15 @@
 fn run(settings: Option<&Path>, fleet: bool) -> Result<(), Box<dyn Error>> {
     // A flag that finds no table is an error before anything is opened; the descriptor handed on is claimed ahead of what this
     // process opens, and the file has been closed again by then.
-    let mut operator = settings.map_or_else(|| Ok(OperatorFile::default()), OperatorFile::read)?;
+    let operator = settings.map_or_else(|| Ok(OperatorFile::default()), OperatorFile::read)?;
     if fleet && operator.fleet.is_none() {
         return Err("--fleet needs the table [fleet] in the operator's file; name the file with --settings, or leave the flag out".into());
     }
-    let handed = lifecycle::listener_inheritance::listener()?;
-    let left_off = !fleet && operator.fleet.take().is_some();
+    let handed = lifecycle::listener_inheritance::inherited_listener()?;
+    let membership = if fleet { FleetMembership::Joins } else { FleetMembership::Disabled };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    LocalSet::new().block_on(&runtime, lifecycle::serve(operator, handed, left_off))
+    LocalSet::new().block_on(&runtime, lifecycle::serve(operator, handed, membership))?;
+    Ok(())
 }
 
 /// The fleet of the operator's file, for a command.
--- a/crates/gateway/src/server/admin.rs
+++ b/crates/gateway/src/server/admin.rs
@@ -4,7 +4,7 @@
 //! HTTP/1.1, one call to a connection. An answer reads shared cells and waits for nothing, so it is sent as soon as the event loop
 //! comes round. Callers share a few descriptors of their own: once all are in use, the oldest caller without an answer is closed.
 
-use crate::lifecycle::service::ServiceState;
+use crate::lifecycle::service_state::ServiceState;
 use crate::transport::descriptor_budget::{DescriptorPermit, DescriptorQuota};
 use crate::transport::stream::Stream;
 use bytes::Bytes;
@@ -157,27 +157,33 @@
         return method_not_allowed(&method);
     }
     match call {
-        AdminCall::Metrics => text_response(StatusCode::OK, service.figures.text()),
+        AdminCall::Metrics => text_response(StatusCode::OK, service.metrics.text()),
         AdminCall::Readiness => match service.not_ready_reason() {
             None => text_response(StatusCode::OK, "yes\n".into()),
             Some(reason) => text_response(StatusCode::SERVICE_UNAVAILABLE, format!("no: {reason}\n")),
         },
-        AdminCall::StartDrain => set_draining(service, true),
-        AdminCall::EndDrain => set_draining(service, false),
+        AdminCall::StartDrain => start_drain(service),
+        AdminCall::EndDrain => end_drain(service),
     }
 }
 
-fn set_draining(service: &ServiceState, on: bool) -> Response<Full<Bytes>> {
-    if service.set_draining(on) {
-        info!(on, "drain, by a call at the second address");
+fn start_drain(service: &ServiceState) -> Response<Full<Bytes>> {
+    if service.start_drain() {
+        info!("drain started by an administrator");
     }
-    let state = if service.is_shutting_down() {
-        "stopping\n"
-    } else if on {
-        "draining\n"
-    } else {
-        "in service\n"
-    };
+    drain_response(service, "draining\n")
+}
+
+fn end_drain(service: &ServiceState) -> Response<Full<Bytes>> {
+    if service.end_drain() {
+        info!("drain ended by an administrator");
+    }
+    drain_response(service, "in service\n")
+}
+
+/// The state after a call, which has no effect during a shutdown.
+fn drain_response(service: &ServiceState, state: &str) -> Response<Full<Bytes>> {
+    let state = if service.is_shutting_down() { "stopping\n" } else { state };
     text_response(StatusCode::OK, state.into())
 }
 
--- a/crates/gateway/src/server/http/client_table.rs
+++ b/crates/gateway/src/server/http/client_table.rs
@@ -1,7 +1,7 @@
 //! All connections from clients: how many there may be, and which are closed to make room or because their time is over.
 
 use super::client_connection::ClientConnection;
-use crate::lifecycle::service::ServiceState;
+use crate::lifecycle::service_state::ServiceState;
 use crate::transport::descriptor_budget::{DescriptorBudget, DescriptorPermit, DescriptorQuota};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/crates/gateway/src/server/http/mod.rs
+++ b/crates/gateway/src/server/http/mod.rs
@@ -16,7 +16,7 @@
 pub use request_settings::RequestSettings;
 
 use crate::engine::message::EngineHandle;
-use crate::lifecycle::service::ServiceState;
+use crate::lifecycle::service_state::ServiceState;
 use crate::transport::descriptor_budget::DescriptorBudget;
 use accept::AcceptQueue;
 use client_table::ClientTable;
--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -110,7 +110,7 @@
     /// waiting here would keep out those that come next.
     fn reject_overflow(&self, headers: &HeaderMap) -> Response<ResponseBody> {
         if let Some(class) = header_text(headers, "x-priority-class") {
-            self.service.figures.record_ending(class, RequestEnding::Deferred);
+            self.service.metrics.record_ending(class, RequestEnding::Deferred);
         }
         let retry_after = self.settings.borrow().overflow_retry_after;
         answer_response(FinalAnswer::Rejected { retry_after })
@@ -130,7 +130,7 @@
         if parts.method == Method::GET && !buffered.is_empty() {
             return Err(MalformedRequest::UnexpectedBody);
         }
-        let mut counted = CountedRequest::new(self.service.figures.clone(), head.class.clone());
+        let mut counted = CountedRequest::new(self.service.metrics.clone(), head.class.clone());
         let client = Rc::new(ClientLiveness::new(connection.probe.clone()));
         let received = match rest {
             None => {
@@ -248,7 +248,7 @@
         let state = upload.state();
         let counted = upload
             .take_counted_request()
-            .unwrap_or_else(|| CountedRequest::new(self.service.figures.clone(), class));
+            .unwrap_or_else(|| CountedRequest::new(self.service.metrics.clone(), class));
         if state == TransferState::Complete {
             connection.await_next_head();
             return Ok(AnsweredRequest::new(answer, counted, ConnectionUse::KeepAlive));
--- a/crates/gateway/tests/whole.rs
+++ b/crates/gateway/tests/whole.rs
@@ -57,7 +57,7 @@
 
 #[test]
 fn changes() {
-    play("changes", &["nothing of it is applied", "the file is in force"]);
+    play("changes", &["configuration reload rejected", "configuration reloaded"]);
 }
 
 #[test]
