--- a/crates/gateway/src/lifecycle/hot_restart.rs
+++ b/crates/gateway/src/lifecycle/hot_restart.rs
@@ -121,7 +121,7 @@
             snapshot_written = Some(Instant::now());
         }
         tokio::select! {
-            () = tokio::time::sleep(peer_check_interval(peer.is_some())) => {}
+            () = tokio::time::sleep(peer_check_interval(peer)) => {}
             // The lock is released here, so that the successor becomes active while this process drains.
             () = service.shutdown_started.notified() => return drop(role),
         }
--- a/crates/gateway/src/lifecycle/service_state.rs
+++ b/crates/gateway/src/lifecycle/service_state.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use weldworks_control::drain::{Drain, DrainSettings};
-use weldworks_control::hot_restart::{Startup, StartupWait};
+use weldworks_control::hot_restart::{Startup, StartupProgress, StartupWait};
 
 /// The service state of this process. Its times are durations since its creation.
 pub struct ServiceState {
@@ -59,7 +59,11 @@
 
     /// What the process waits for before it accepts clients, if anything.
     pub fn waiting_for(&self) -> Option<StartupWait> {
-        self.startup.waiting_for(self.now(), self.engine.discovery_answered(), self.has_active_endpoint.get())
+        let progress = StartupProgress {
+            discovery_answered: self.engine.discovery_answered(),
+            has_active_endpoint: self.has_active_endpoint.get(),
+        };
+        self.startup.waiting_for(self.now(), progress)
     }
 
     /// Why this process cannot serve, apart from a drain; none if it can.
@@ -79,14 +83,14 @@
 
     /// Starts a drain. Gives whether there was none.
     pub fn start_drain(&self) -> bool {
-        let has_changed = self.drain.borrow_mut().set_draining(self.now(), true);
+        let has_changed = self.drain.borrow_mut().start_draining(self.now());
         self.drain_changed.notify_one();
         has_changed
     }
 
     /// Takes a drain back. Gives whether there was one.
     pub fn end_drain(&self) -> bool {
-        let has_changed = self.drain.borrow_mut().set_draining(self.now(), false);
+        let has_changed = self.drain.borrow_mut().cancel_draining();
         self.drain_changed.notify_one();
         has_changed
     }
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -79,7 +79,7 @@
         engine.attach_metrics(metrics);
     }
     let listener = client_listener(inherited, config.listen)?;
-    engine.learn(config.known);
+    engine.apply_endpoint_list(config.known);
     let server = Rc::new(Server::new(handle.clone(), request_settings, &budget, service.clone()));
     let reloader = ConfigReloader {
         document: config.document,
