--- a/crates/gateway/src/engine/request_events.rs
+++ b/crates/gateway/src/engine/request_events.rs
@@ -64,7 +64,7 @@
 
     /// Whether the fleet has fenced this gateway.
     fn must_reject_clients(&self) -> bool {
-        self.fleet.as_ref().is_some_and(|fleet| !fleet.takes_clients())
+        self.fleet.as_ref().is_some_and(|fleet| !fleet.accepts_clients())
     }
 
     /// Rejects a request that arrived while this gateway is fenced.
@@ -72,8 +72,8 @@
         let mut advised = Duration::ZERO;
         if let Some(fleet) = &self.fleet {
             let request_id = arrival.request_id.to_str().unwrap_or_default();
-            fleet.book(DecisionKind::Reject, arrival.request.class, request_id, None);
-            advised = fleet.keep_away();
+            fleet.record_decision(DecisionKind::Reject, arrival.request.class, request_id, None);
+            advised = fleet.retry_after();
         }
         arrival.client.end();
         let retry_after = advised.min(self.settings.max_retry_after);
@@ -191,6 +191,6 @@
     pub(super) fn record_decision(&self, kind: DecisionKind, id: RequestId, endpoint: Option<EndpointId>) {
         let Some((fleet, entry)) = self.fleet.as_ref().zip(self.requests.get(id)) else { return };
         let request_id = entry.request_id.to_str().unwrap_or_default();
-        fleet.book(kind, entry.class_index, request_id, endpoint);
+        fleet.record_decision(kind, entry.class_index, request_id, endpoint);
     }
 }
