--- a/crates/control/tests/body_streaming.rs
+++ b/crates/control/tests/body_streaming.rs
@@ -1,129 +1,142 @@
-//! What is held, what passes through, and who is waited for.
+//! What is buffered, what is streamed, and which side is waited for.
 
 use proptest::prelude::*;
 use std::time::Duration;
 use weldworks_control::body_streaming::{
-    BodyError, BodyTransfer, BufferingDecision, ResponseBuffering, TransferState, MAX_BODY_BYTES,
-    MAX_BUFFERED_BODY_BYTES, PEER_STALL_TIMEOUT,
+    BodyError, BodyTransfer, BufferingDecision, ResponseBuffering, TransferState, CLIENT_BODY_IDLE_TIMEOUT,
+    MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES, PEER_STALL_TIMEOUT,
 };
 
-const MS: fn(u64) -> Duration = Duration::from_millis;
+const fn ms(count: u64) -> Duration {
+    Duration::from_millis(count)
+}
 
 #[test]
-fn an_answer_is_held_until_it_is_known_to_be_long() {
-    // What it says, what has come of it after how long, and what follows.
-    let held = MAX_BUFFERED_BODY_BYTES as u64;
+fn a_response_is_buffered_until_it_proves_to_be_long() {
+    // Announced length, what has come after how long, the time of the decision, and the decision.
+    let limit = MAX_BUFFERED_BODY_BYTES as u64;
     let cases = [
         (Some(200), &[(0, 200)][..], 500, BufferingDecision::KeepBuffering),
-        (Some(held), &[(0, held)], 500, BufferingDecision::KeepBuffering),
-        (Some(held + 1), &[(0, 100)], 39, BufferingDecision::KeepBuffering),
-        (Some(held + 1), &[(0, 100)], 40, BufferingDecision::Stream),
-        (Some(held + 1), &[], 500, BufferingDecision::KeepBuffering),
-        (Some(MAX_BODY_BYTES), &[(0, held + 1)], 0, BufferingDecision::Stream),
+        (Some(limit), &[(0, limit)], 500, BufferingDecision::KeepBuffering),
+        (Some(limit + 1), &[(0, 100)], 39, BufferingDecision::KeepBuffering),
+        (Some(limit + 1), &[(0, 100)], 40, BufferingDecision::Stream),
+        (Some(limit + 1), &[], 500, BufferingDecision::KeepBuffering),
+        (Some(MAX_BODY_BYTES), &[(0, limit + 1)], 0, BufferingDecision::Stream),
         (Some(MAX_BODY_BYTES + 1), &[], 0, BufferingDecision::TooLong),
         (None, &[(0, 4000)], 500, BufferingDecision::KeepBuffering),
         (None, &[(0, 2000), (50, 3000)], 59, BufferingDecision::KeepBuffering),
         (None, &[(0, 2000), (50, 3000)], 60, BufferingDecision::Stream),
-        (None, &[(0, held + 1)], 0, BufferingDecision::Stream),
-        (None, &[(0, held), (10, MAX_BODY_BYTES)], 10, BufferingDecision::TooLong),
+        (None, &[(0, limit + 1)], 0, BufferingDecision::Stream),
+        (None, &[(0, limit), (10, MAX_BODY_BYTES)], 10, BufferingDecision::TooLong),
     ];
-    for (said, came, at, verdict) in cases {
-        let mut intake = ResponseBuffering::new(said);
-        for (ms, bytes) in came {
-            intake.record_received(MS(1000 + ms), *bytes);
+    for (announced, received, decided_after_ms, expected) in cases {
+        let mut buffering = ResponseBuffering::new(announced);
+        for (after_ms, bytes) in received {
+            buffering.record_received(ms(1000 + after_ms), *bytes);
         }
-        assert_eq!(intake.decide(MS(1000 + at)), verdict, "{said:?} {came:?} after {at} ms");
+        let decision = buffering.decide(ms(1000 + decided_after_ms));
+        assert_eq!(decision, expected, "{announced:?} {received:?} after {decided_after_ms} ms");
     }
     assert_eq!(
-        ResponseBuffering::next_byte_deadline(MS(10), MS(5)),
-        MS(110),
-        "what was read before its first byte was another's"
+        ResponseBuffering::next_byte_deadline(ms(10), ms(5)),
+        ms(110),
+        "a read before its first byte belongs to an earlier response"
     );
-    assert_eq!(ResponseBuffering::next_byte_deadline(MS(10), MS(90)), MS(190));
+    assert_eq!(ResponseBuffering::next_byte_deadline(ms(10), ms(90)), ms(190));
 }
 
 #[test]
-fn a_client_has_its_time_by_what_it_brings_and_a_host_by_what_it_takes() {
-    let mut transit = BodyTransfer::new(0);
-    assert_eq!((transit.state(), transit.endpoint_deadline()), (TransferState::Intact, None));
-    transit.record_demand(MS(0));
-    assert_eq!(transit.endpoint_deadline(), Some(PEER_STALL_TIMEOUT), "the first piece is its to take");
-    assert_eq!(transit.client_deadline(MS(100)), MS(1600));
-    assert_eq!(transit.client_deadline(MS(900)), MS(1600), "asking again gives no more time");
-    assert_eq!(transit.endpoint_deadline(), None, "it is not the host that is waited for");
-    transit.record_received(MS(1100), 32_000).expect("short enough");
-    // A second used, and a second earned.
-    assert_eq!(transit.client_deadline(MS(1100)), MS(1100 + 1500));
-    transit.record_received(MS(1200), 32_000).expect("short enough");
-    transit.record_demand(MS(1200));
-    // The host takes nine seconds over it: that is not held against the client.
-    transit.record_demand(MS(10_200));
-    assert_eq!(transit.client_deadline(MS(10_200)), MS(10_200 + 1500 + 2000 - 1100));
-    transit.record_received(MS(10_300), MAX_BODY_BYTES).expect_err("too long");
+fn a_client_is_timed_by_what_it_sends_and_an_endpoint_by_what_it_accepts() {
+    let mut transfer = BodyTransfer::new(0);
+    assert_eq!((transfer.state(), transfer.endpoint_deadline()), (TransferState::Intact, None));
+    transfer.record_demand(ms(0));
+    assert_eq!(transfer.endpoint_deadline(), Some(PEER_STALL_TIMEOUT), "it has to accept the first piece");
+    assert_eq!(transfer.client_deadline(ms(100)), ms(1600));
+    assert_eq!(transfer.client_deadline(ms(900)), ms(1600), "a second call gives no more time");
+    assert_eq!(transfer.endpoint_deadline(), None, "the client is waited for");
+    transfer.record_received(ms(1100), 32_000).expect("short enough");
+    // One second used, and one second earned.
+    assert_eq!(transfer.client_deadline(ms(1100)), ms(1100 + 1500));
+    transfer.record_received(ms(1200), 32_000).expect("short enough");
+    transfer.record_demand(ms(1200));
+    // The endpoint takes nine seconds over it, which does not count against the client.
+    transfer.record_demand(ms(10_200));
+    assert_eq!(transfer.client_deadline(ms(10_200)), ms(10_200 + 1500 + 2000 - 1100));
+    transfer.record_received(ms(10_300), MAX_BODY_BYTES).expect_err("too long");
     assert_eq!(
-        (transit.state(), transit.endpoint_deadline()),
+        (transfer.state(), transfer.endpoint_deadline()),
         (TransferState::Failed(BodyError::TooLong), None)
     );
 }
 
 proptest! {
-    /// Whoever keeps the rate is never cut off, and whoever brings nothing is within its time.
+    /// Slow clients are promised 64 kB/s. One that keeps this rate must never be cut off, however slow the endpoint is
+    /// within its own time.
     #[test]
-    fn the_rate_that_slow_clients_are_owed_is_enough(pieces in prop::collection::vec((1u64..40_000, 0u64..9000), 1..60)) {
-        let (mut transit, mut now) = (BodyTransfer::new(0), MS(0));
-        for (bytes, host_ms) in pieces {
-            transit.record_demand(now);
-            let due = transit.client_deadline(now);
-            let comes = now + Duration::from_secs_f64(bytes as f64 / 64e3);
-            prop_assert!(comes <= due, "64 kB/s, cut off at {:?} for {:?}", due, comes);
-            prop_assert!(due <= now + MS(1500) + Duration::from_secs_f64(MAX_BODY_BYTES as f64 / 32e3));
-            now = comes;
-            if transit.record_received(now, bytes).is_err() {
+    fn a_client_at_the_promised_rate_is_never_cut_off(pieces in prop::collection::vec((1u64..40_000, 0u64..9000), 1..60)) {
+        let mut transfer = BodyTransfer::new(0);
+        let mut now = ms(0);
+        for (bytes, endpoint_ms) in pieces {
+            transfer.record_demand(now);
+            let deadline = transfer.client_deadline(now);
+            let arrival = now + Duration::from_secs_f64(bytes as f64 / 64e3);
+            prop_assert!(arrival <= deadline, "64 kB/s, cut off at {:?} for {:?}", deadline, arrival);
+            prop_assert!(deadline <= now + ms(1500) + Duration::from_secs_f64(MAX_BODY_BYTES as f64 / 32e3));
+            now = arrival;
+            if transfer.record_received(now, bytes).is_err() {
                 return Ok(());
             }
-            prop_assert!(transit.endpoint_deadline().is_some_and(|due| due >= now.saturating_sub(MS(9000))));
-            now += MS(host_ms); // the host is slow, within its own time
+            prop_assert!(transfer.endpoint_deadline().is_some_and(|due| due >= now.saturating_sub(ms(9000))));
+            now += ms(endpoint_ms);
         }
-        // Its end has come from the client; the host has to take what is left of it still, in its time.
-        transit.record_demand(now);
-        transit.record_end();
-        prop_assert_eq!((transit.state(), transit.endpoint_deadline()), (TransferState::Complete, Some(now + PEER_STALL_TIMEOUT)));
+        // The client has sent everything; the endpoint still has to accept the rest, in its time.
+        transfer.record_demand(now);
+        transfer.record_end();
+        prop_assert_eq!((transfer.state(), transfer.endpoint_deadline()), (TransferState::Complete, Some(now + PEER_STALL_TIMEOUT)));
     }
 
-    /// Once begun, an answer that grows is never held again.
+    /// Bytes that were forwarded can't be taken back, so a streamed response is never buffered again.
     #[test]
-    fn a_choice_is_final(said in prop::option::of(0u64..200_000), pieces in prop::collection::vec((0u64..90, 0u64..30_000), 1..40)) {
-        let (mut intake, mut now, mut begun) = (ResponseBuffering::new(said), MS(0), false);
-        for (ms, bytes) in pieces {
-            now += MS(ms);
-            intake.record_received(now, bytes);
-            let verdict = intake.decide(now);
-            prop_assert!(!begun || verdict == BufferingDecision::Stream, "{:?}", verdict);
-            begun |= verdict == BufferingDecision::Stream;
+    fn a_decision_to_stream_is_final(announced in prop::option::of(0u64..200_000), pieces in prop::collection::vec((0u64..90, 0u64..30_000), 1..40)) {
+        let mut buffering = ResponseBuffering::new(announced);
+        let mut now = ms(0);
+        let mut is_streamed = false;
+        for (pause_ms, bytes) in pieces {
+            now += ms(pause_ms);
+            buffering.record_received(now, bytes);
+            let decision = buffering.decide(now);
+            prop_assert!(!is_streamed || decision == BufferingDecision::Stream, "{:?}", decision);
+            is_streamed |= decision == BufferingDecision::Stream;
         }
     }
 }
 
-/// A client that stops is owed its error within 3 s, however much it brought before; one that keeps its rate has its time.
+/// A client sends most of a long body quickly and stops. Its error response is due within 3 s, so what it sent before
+/// must not earn it more time than that; one that keeps its rate is not cut off.
 #[test]
-fn a_client_that_stops_has_no_more_time_for_what_it_brought() {
-    use weldworks_control::body_streaming::CLIENT_BODY_IDLE_TIMEOUT;
-    for brought in [0, 100, 64 << 10, 1 << 20, 31 << 20] {
-        let mut transit = BodyTransfer::new(brought);
-        let stopped = Duration::from_secs(7);
-        let due = transit.client_deadline(stopped);
-        assert!(due <= stopped + CLIENT_BODY_IDLE_TIMEOUT, "{brought} bytes: waited for until {due:?}");
+fn a_client_that_stops_gets_no_more_time_for_what_it_sent() {
+    for received in [0, 100, 64 << 10, 1 << 20, 31 << 20] {
+        let mut transfer = BodyTransfer::new(received);
+        let stopped_at = Duration::from_secs(7);
+        let deadline = transfer.client_deadline(stopped_at);
+        assert!(
+            deadline <= stopped_at + CLIENT_BODY_IDLE_TIMEOUT,
+            "{received} bytes: waited for until {deadline:?}"
+        );
         assert!(
             CLIENT_BODY_IDLE_TIMEOUT + Duration::from_millis(400) < Duration::from_secs(3),
             "with a busy machine's delay"
         );
-        assert!(due >= stopped + Duration::from_millis(1500), "{brought} bytes: {due:?} is no time");
+        assert!(
+            deadline >= stopped_at + Duration::from_millis(1500),
+            "{received} bytes: {deadline:?} is too early"
+        );
     }
     // A piece of 64 kB every second goes on for as long as it likes.
-    let mut transit = BodyTransfer::default();
+    let mut transfer = BodyTransfer::default();
     for second in 0..60 {
         let now = Duration::from_secs(second);
-        assert!(transit.client_deadline(now) > now + Duration::from_secs(1), "{second} s");
-        transit.record_received(now + Duration::from_secs(1), 64_000).expect("not too long");
+        assert!(transfer.client_deadline(now) > now + Duration::from_secs(1), "{second} s");
+        transfer.record_received(now + Duration::from_secs(1), 64_000).expect("not too long");
     }
 }
--- a/crates/control/tests/endpoint_start.rs
+++ b/crates/control/tests/endpoint_start.rs
@@ -1,71 +1,94 @@
-//! Starts of hosts under a wall clock that is right, ahead and behind.
+//! Estimated starts of endpoints under a wall clock that is right, ahead or behind.
 
 use proptest::prelude::*;
 use std::time::Duration;
 use weldworks_control::endpoint_start::{estimate_start, StartEvidence, MAX_START_REPORT_DELAY};
 
-const S: fn(u64) -> Duration = Duration::from_secs;
+const fn seconds(count: u64) -> Duration {
+    Duration::from_secs(count)
+}
+
 const HOUR: Duration = Duration::from_secs(3600);
-/// Now, on a clock that began a day ago.
+/// Current time, on a clock that began a day ago.
 const NOW: Duration = Duration::from_secs(86_400);
 
-/// What is known of a host that started `age` ago, told at once to a process that had heard from discovery `quiet` ago.
-fn seen(age: Duration, quiet: Option<Duration>, newest: Duration) -> StartEvidence {
+/// What is known of an endpoint that started `age` ago and is listed at once, to a process whose last discovery message
+/// before was `silent_for` ago. The newest endpoint started `newest_age` ago.
+fn evidence(age: Duration, silent_for: Option<Duration>, newest_age: Duration) -> StartEvidence {
     StartEvidence {
         now: NOW,
         wall_clock_start: Some(NOW - age),
-        offset_before_newest: age - newest,
-        last_discovery_message: quiet.map(|quiet| NOW - quiet),
+        offset_before_newest: age - newest_age,
+        last_discovery_message: silent_for.map(|silent_for| NOW - silent_for),
     }
 }
 
 #[test]
-fn a_right_clock_is_believed_as_far_as_discovery_has_spoken() {
-    assert_eq!(estimate_start(seen(S(1), Some(S(2)), S(1))), NOW - S(1));
-    // Discovery was down for half a minute, and the host started twenty seconds ago.
-    assert_eq!(estimate_start(seen(S(20), Some(S(30)), S(20))), NOW - S(20));
-    // It is told so late that it is taken for younger than it is.
-    assert_eq!(estimate_start(seen(S(9), Some(S(1)), S(9))), NOW - S(1) - MAX_START_REPORT_DELAY);
+fn a_right_clock_is_trusted_within_the_bound_of_the_last_discovery_message() {
+    assert_eq!(estimate_start(evidence(seconds(1), Some(seconds(2)), seconds(1))), NOW - seconds(1));
+    // Discovery was down for half a minute, and the endpoint started twenty seconds ago.
+    assert_eq!(estimate_start(evidence(seconds(20), Some(seconds(30)), seconds(20))), NOW - seconds(20));
+    // It is listed so late that it is taken for younger than it is.
+    assert_eq!(
+        estimate_start(evidence(seconds(9), Some(seconds(1)), seconds(9))),
+        NOW - seconds(1) - MAX_START_REPORT_DELAY
+    );
 }
 
 #[test]
-fn at_the_first_list_a_start_is_as_late_as_the_newest_allows() {
-    assert_eq!(estimate_start(seen(S(5), None, S(1))), NOW - S(4), "the newest may have started just now");
-    assert_eq!(estimate_start(seen(S(600), None, S(1))), NOW - S(599), "long before the newest is long ago");
+fn in_the_first_list_a_start_is_as_late_as_the_newest_allows() {
     assert_eq!(
-        estimate_start(seen(S(600), None, S(600))),
+        estimate_start(evidence(seconds(5), None, seconds(1))),
+        NOW - seconds(4),
+        "the newest may have started just now"
+    );
+    assert_eq!(
+        estimate_start(evidence(seconds(600), None, seconds(1))),
+        NOW - seconds(599),
+        "long before the newest is long ago"
+    );
+    assert_eq!(
+        estimate_start(evidence(seconds(600), None, seconds(600))),
         NOW,
         "it is the newest, and nothing else dates it"
     );
 }
 
 proptest! {
-    /// However wrong the wall clock is, no host is taken for older than it can be by what was seen, nor for one of the future; and
-    /// where the clock is right, none is taken for older than it is.
+    /// A wall clock was stepped by up to an hour. A cold endpoint that is taken for a warm one gets more requests than it
+    /// can serve; so none is taken for older than it can be, nor for one of the future, and with a right clock none is
+    /// taken for older than it is.
     #[test]
-    fn no_wall_clock_makes_a_cold_host_old(
-        age_ms in 0u64..200_000, newest_ms in 0u64..200_000, quiet_ms in prop::option::of(0u64..60_000),
-        wrong_ms in -3_700_000i64..3_700_000,
+    fn no_wall_clock_makes_a_cold_endpoint_old(
+        age_ms in 0u64..200_000, newest_ms in 0u64..200_000, silent_ms in prop::option::of(0u64..60_000),
+        clock_error_ms in -3_700_000i64..3_700_000,
     ) {
         let newest = Duration::from_millis(newest_ms.min(age_ms));
-        let right = seen(Duration::from_millis(age_ms), quiet_ms.map(Duration::from_millis), newest);
-        let shift = Duration::from_millis(wrong_ms.unsigned_abs());
-        let by = right.wall_clock_start.map(|by| if wrong_ms < 0 { by - shift } else { by + shift });
-        let at = estimate_start(StartEvidence { wall_clock_start: by, ..right });
-        prop_assert!(at <= NOW);
+        let right = evidence(Duration::from_millis(age_ms), silent_ms.map(Duration::from_millis), newest);
+        let clock_error = Duration::from_millis(clock_error_ms.unsigned_abs());
+        let wall_clock_start = right
+            .wall_clock_start
+            .map(|start| if clock_error_ms < 0 { start - clock_error } else { start + clock_error });
+        let start = estimate_start(StartEvidence { wall_clock_start, ..right });
+        prop_assert!(start <= NOW);
         let bound = match right.last_discovery_message {
-            Some(heard) => heard.saturating_sub(MAX_START_REPORT_DELAY),
+            Some(message_at) => message_at.saturating_sub(MAX_START_REPORT_DELAY),
             None => NOW - right.offset_before_newest,
         };
-        prop_assert!(at >= bound, "{at:?} is before {bound:?}");
+        prop_assert!(start >= bound, "{start:?} is before {bound:?}");
         prop_assert!(estimate_start(right) >= right.wall_clock_start.expect("a time"), "a right clock bounds the age");
     }
 
-    /// A host that was listed with no wall clock to go by is dated all the same.
+    /// An endpoint whose start the wall clock can't date has a bound all the same.
     #[test]
-    fn a_start_beyond_the_tie_of_the_clock_is_bounded_too(quiet_ms in 0u64..60_000) {
-        let heard = NOW - Duration::from_millis(quiet_ms);
-        let evidence = StartEvidence { now: NOW, wall_clock_start: None, offset_before_newest: HOUR, last_discovery_message: Some(heard) };
-        prop_assert_eq!(estimate_start(evidence), heard - MAX_START_REPORT_DELAY);
+    fn a_start_without_a_wall_clock_date_is_bounded_too(silent_ms in 0u64..60_000) {
+        let message_at = NOW - Duration::from_millis(silent_ms);
+        let evidence = StartEvidence {
+            now: NOW,
+            wall_clock_start: None,
+            offset_before_newest: HOUR,
+            last_discovery_message: Some(message_at),
+        };
+        prop_assert_eq!(estimate_start(evidence), message_at - MAX_START_REPORT_DELAY);
     }
 }
--- a/crates/control/tests/execution.rs
+++ b/crates/control/tests/execution.rs
@@ -1,15 +1,16 @@
-//! What the end of an attempt proves of its request.
+//! What the end of an attempt proves about its request.
 
 use weldworks_balancer::Outcome;
 use weldworks_control::execution::{
     classify_attempt, classify_response, AttemptEnd, ResponseVerdict, WriteProgress,
 };
 
-/// Every case, written out.
+/// A request that was possibly processed must not be retried as if it had not been: a write could happen twice. The
+/// table lists every end of an attempt with every progress of its write.
 #[test]
-fn what_each_end_proves() {
+fn each_end_of_an_attempt_has_its_outcome() {
     use AttemptEnd::*;
-    let (n, p, w) = (WriteProgress::Nothing, WriteProgress::Partial, WriteProgress::Complete);
+    let progress = [WriteProgress::Nothing, WriteProgress::Partial, WriteProgress::Complete];
     let table = [
         (Withheld, [Outcome::NotSent, Outcome::NotSent, Outcome::Reset]),
         (ConnectionFailed, [Outcome::NoConnection, Outcome::NoConnection, Outcome::Reset]),
@@ -20,15 +21,17 @@
         (Answered(ResponseVerdict::Error), [Outcome::Error; 3]),
     ];
     for (ended, outcomes) in table {
-        assert_eq!([n, p, w].map(|written| classify_attempt(written, ended)), outcomes, "{ended:?}");
-        // The rule behind it: but for a host's own word, only what lacks its last byte has surely not run.
-        let own_word = ended == Answered(ResponseVerdict::NotProcessed);
-        assert!(own_word || !classify_attempt(w, ended).proves_not_processed(), "{ended:?}");
+        assert_eq!(progress.map(|written| classify_attempt(written, ended)), outcomes, "{ended:?}");
+        // The rule behind the table: unless the endpoint says so itself, a request whose last byte was written is never
+        // proven to be unprocessed.
+        let said_by_endpoint = ended == Answered(ResponseVerdict::NotProcessed);
+        let after_last_byte = classify_attempt(WriteProgress::Complete, ended);
+        assert!(said_by_endpoint || !after_last_byte.proves_not_processed(), "{ended:?}");
     }
 }
 
 #[test]
-fn only_a_plain_word_says_that_a_request_was_not_processed() {
+fn only_a_single_plain_mark_on_a_rejection_says_not_processed() {
     let cases: [(u16, &[&[u8]], ResponseVerdict); 12] = [
         (200, &[], ResponseVerdict::Served),
         (200, &[b"1"], ResponseVerdict::Served),
@@ -43,7 +46,7 @@
         (503, &[b""], ResponseVerdict::Error),
         (500, &[b"1"], ResponseVerdict::Error),
     ];
-    for (status, marks, wanted) in cases {
-        assert_eq!(classify_response(status, marks.iter().copied()), wanted, "{status} {marks:?}");
+    for (status, marks, expected) in cases {
+        assert_eq!(classify_response(status, marks.iter().copied()), expected, "{status} {marks:?}");
     }
 }
