--- a/crates/control/tests/class_registry.rs
+++ b/crates/control/tests/class_registry.rs
@@ -1,4 +1,4 @@
-//! Classes come and go while requests hold on to theirs.
+//! Classes change while requests and attempts still refer to theirs.
 
 use proptest::prelude::*;
 use std::rc::Rc;
@@ -12,121 +12,134 @@
 const WRITE: RequestForm = RequestForm { is_write: true, has_idempotency_key: false };
 const NOW: Duration = Duration::from_secs(100);
 
-fn class(aim: u64, effect: Idempotency) -> RequestClass {
-    RequestClass {
-        idempotency: effect,
-        ..RequestClass::new(Duration::from_millis(aim), Duration::from_secs(1))
-    }
+fn class(latency_objective_ms: u64, idempotency: Idempotency) -> RequestClass {
+    let latency_objective = Duration::from_millis(latency_objective_ms);
+    RequestClass { idempotency, ..RequestClass::new(latency_objective, Duration::from_secs(1)) }
 }
 
-fn named(classes: &ClassRegistry, name: &str) -> Option<Rc<RegisteredClass>> {
-    classes.active().find(|kept| kept.name == name).cloned()
+fn active_class(registry: &ClassRegistry, name: &str) -> Option<Rc<RegisteredClass>> {
+    registry.active().find(|class| class.name == name).cloned()
 }
 
 #[test]
-fn a_class_with_another_effect_is_another_class() {
-    let mut classes = ClassRegistry::default();
-    classes.replace(
+fn a_class_with_another_idempotency_gets_another_number() {
+    let mut registry = ClassRegistry::default();
+    registry.replace(
         NOW,
         [
             ("pay".to_owned(), class(300, Idempotency::Idempotent)),
             ("look".to_owned(), class(100, Idempotency::Idempotent)),
         ],
     );
-    let (pay, look) = (named(&classes, "pay").expect("pay"), named(&classes, "look").expect("look").number);
-    classes.replace(
+    let old_pay = active_class(&registry, "pay").expect("pay");
+    let look_number = active_class(&registry, "look").expect("look").number;
+    registry.replace(
         NOW,
         [
             ("look".to_owned(), class(100, Idempotency::Idempotent)),
             ("pay".to_owned(), class(300, Idempotency::NotIdempotent)),
         ],
     );
-    let new = named(&classes, "pay").expect("pay");
-    assert_ne!(new.number, pay.number, "the old one is held");
+    let new_pay = active_class(&registry, "pay").expect("pay");
+    assert_ne!(new_pay.number, old_pay.number, "the old one is still referred to");
     assert_eq!(
-        (pay.class.idempotency, new.class.idempotency),
+        (old_pay.class.idempotency, new_pay.class.idempotency),
         (Idempotency::Idempotent, Idempotency::NotIdempotent)
     );
-    assert_eq!(named(&classes, "look").expect("look").number, look, "what is as before stays what it is");
-    let rules = classes.by_number();
+    assert_eq!(
+        active_class(&registry, "look").expect("look").number,
+        look_number,
+        "an unchanged class keeps its number"
+    );
+    let rules = registry.by_number();
     assert!(
-        rules[pay.number].retired && rules[pay.number].idempotency == Idempotency::Idempotent,
-        "held to its end"
+        rules[old_pay.number].retired && rules[old_pay.number].idempotency == Idempotency::Idempotent,
+        "its requests keep their rules"
     );
-    assert!(!rules[new.number].retired);
+    assert!(!rules[new_pay.number].retired);
 }
 
 proptest! {
-    /// Whatever the settings do, a number is one class's for as long as somebody holds it, and numbers do not run out.
+    /// Classes change with every configuration while requests still refer to old ones. If a number passed to another class
+    /// too early, the end of an attempt would be counted for the wrong class; if it never did, numbers would run out.
     #[test]
-    fn numbers_are_given_anew_only_once_nobody_holds_them(
-        files in prop::collection::vec(prop::collection::btree_map("[a-d]", 1u64..4, 1..4), 1..40),
-        hold in prop::collection::vec(0usize..5, 40),
+    fn a_number_is_reused_only_once_nothing_refers_to_its_class(
+        configurations in prop::collection::vec(prop::collection::btree_map("[a-d]", 1u64..4, 1..4), 1..40),
+        reference_counts in prop::collection::vec(0usize..5, 40),
     ) {
-        let mut classes = ClassRegistry::default();
-        let mut held: Vec<Rc<RegisteredClass>> = Vec::new();
-        let mut before = std::collections::BTreeMap::<String, u64>::new();
-        for (n, (file, hold)) in files.iter().zip(&hold).enumerate() {
-            let now = NOW + Duration::from_millis(700 * n as u64);
-            classes.replace(now, file.iter().map(|(name, aim)| (name.clone(), class(*aim, Idempotency::Idempotent))));
-            prop_assert_eq!(classes.active().count(), file.len());
-            for (name, aim) in file {
-                let kept = named(&classes, name).expect("every class of the file");
-                prop_assert_eq!(kept.class.latency_objective, Duration::from_millis(*aim));
+        let mut registry = ClassRegistry::default();
+        let mut referenced: Vec<Rc<RegisteredClass>> = Vec::new();
+        let mut previous = std::collections::BTreeMap::<String, u64>::new();
+        for (index, (configuration, count)) in configurations.iter().zip(&reference_counts).enumerate() {
+            let now = NOW + Duration::from_millis(700 * index as u64);
+            let classes = configuration.iter().map(|(name, objective_ms)| (name.clone(), class(*objective_ms, Idempotency::Idempotent)));
+            registry.replace(now, classes);
+            prop_assert_eq!(registry.active().count(), configuration.len());
+            for (name, objective_ms) in configuration {
+                let active = active_class(&registry, name).expect("every class of the configuration");
+                prop_assert_eq!(active.class.latency_objective, Duration::from_millis(*objective_ms));
             }
-            let rules = classes.by_number();
-            for kept in &held {
-                prop_assert_eq!(&rules[kept.number].latency_objective, &kept.class.latency_objective, "{:?} has lost its number", kept);
+            let rules = registry.by_number();
+            for class in &referenced {
+                prop_assert_eq!(&rules[class.number].latency_objective, &class.class.latency_objective, "{:?} has lost its number", class);
             }
-            held.extend(classes.active().take(*hold).cloned());
-            let over = held.len().saturating_sub(6);
-            held.drain(..over);
-            // Four live, six held, and three files' worth that clients may still use.
+            referenced.extend(registry.active().take(*count).cloned());
+            let excess = referenced.len().saturating_sub(6);
+            referenced.drain(..excess);
+            // Four active, six referred to, and those of three configurations that clients may still use.
             prop_assert!(rules.len() <= 4 + 6 + 4 * 4, "{} numbers", rules.len());
-            // Whatever was named a moment ago is still served by the rules it had, and some time later no more.
-            let offer = classes.table();
-            for (name, aim) in before.iter().filter(|(name, _)| !file.contains_key(name.as_str())) {
-                let kept = offer.resolve(now, name, READ).expect("clients may still use it");
-                prop_assert_eq!(kept.class.latency_objective, Duration::from_millis(*aim));
-                prop_assert_eq!(&rules[kept.number].latency_objective, &kept.class.latency_objective, "{:?} has lost its number", kept);
-                prop_assert_eq!(offer.resolve(now + RETIRED_CLASS_GRACE, name, READ).err(), Some(ClassError::Unknown));
+            // A class of the previous configuration is usable with its old rules for a while, and not after that.
+            let table = registry.table();
+            for (name, objective_ms) in previous.iter().filter(|(name, _)| !configuration.contains_key(name.as_str())) {
+                let retired = table.resolve(now, name, READ).expect("clients may still use it");
+                prop_assert_eq!(retired.class.latency_objective, Duration::from_millis(*objective_ms));
+                prop_assert_eq!(&rules[retired.number].latency_objective, &retired.class.latency_objective, "{:?} has lost its number", retired);
+                prop_assert_eq!(table.resolve(now + RETIRED_CLASS_GRACE, name, READ).err(), Some(ClassError::Unknown));
             }
-            before = file.clone();
+            previous = configuration.clone();
         }
     }
 }
 
 #[test]
-fn a_request_comes_under_the_rules_that_it_was_made_for() {
-    let mut classes = ClassRegistry::default();
-    classes.replace(
+fn a_request_gets_the_class_of_its_form_also_shortly_after_a_change() {
+    let mut registry = ClassRegistry::default();
+    registry.replace(
         NOW,
         [
             ("pay".to_owned(), class(300, Idempotency::Idempotent)),
             ("look".to_owned(), class(100, Idempotency::Idempotent)),
         ],
     );
-    let later = NOW + RETIRED_CLASS_GRACE / 2;
-    classes.replace(later, [("pay".to_owned(), class(300, Idempotency::NotIdempotent))]);
-    let offer = classes.table();
-    let effect = |now, name, form| offer.resolve(now, name, form).map(|kept| kept.class.idempotency);
-    let end = later + RETIRED_CLASS_GRACE;
-    assert_eq!(effect(later, "pay", WRITE), Ok(Idempotency::NotIdempotent), "by the new rules at once");
-    assert_eq!(effect(later, "pay", READ), Ok(Idempotency::Idempotent), "and by the old ones for a while");
-    assert_eq!(effect(later, "look", READ), Ok(Idempotency::Idempotent));
-    assert_eq!(effect(end, "pay", READ), Err(ClassError::MethodMismatch));
-    assert_eq!(effect(end, "look", READ), Err(ClassError::Unknown));
+    let changed_at = NOW + RETIRED_CLASS_GRACE / 2;
+    registry.replace(changed_at, [("pay".to_owned(), class(300, Idempotency::NotIdempotent))]);
+    let table = registry.table();
+    let idempotency = |now, name, form| table.resolve(now, name, form).map(|class| class.class.idempotency);
+    let grace_end = changed_at + RETIRED_CLASS_GRACE;
+    assert_eq!(
+        idempotency(changed_at, "pay", WRITE),
+        Ok(Idempotency::NotIdempotent),
+        "the new rules apply at once"
+    );
+    assert_eq!(
+        idempotency(changed_at, "pay", READ),
+        Ok(Idempotency::Idempotent),
+        "the old ones apply for a while"
+    );
+    assert_eq!(idempotency(changed_at, "look", READ), Ok(Idempotency::Idempotent));
+    assert_eq!(idempotency(grace_end, "pay", READ), Err(ClassError::MethodMismatch));
+    assert_eq!(idempotency(grace_end, "look", READ), Err(ClassError::Unknown));
     assert_eq!(
-        effect(later, "pay", RequestForm { is_write: true, has_idempotency_key: true }),
+        idempotency(changed_at, "pay", RequestForm { is_write: true, has_idempotency_key: true }),
         Err(ClassError::KeyMismatch)
     );
-    assert_eq!(effect(later, "nobody", READ), Err(ClassError::Unknown));
-    // A file that changes nothing more, a moment later, does not end it; one after its time does.
-    classes.replace(
-        later + RETIRED_CLASS_GRACE / 2,
+    assert_eq!(idempotency(changed_at, "nobody", READ), Err(ClassError::Unknown));
+    // A configuration that changes nothing more does not shorten the grace.
+    registry.replace(
+        changed_at + RETIRED_CLASS_GRACE / 2,
         [("pay".to_owned(), class(300, Idempotency::NotIdempotent))],
     );
-    assert!(classes.table().resolve(end - Duration::from_millis(1), "look", READ).is_ok());
-    classes.replace(end, [("pay".to_owned(), class(300, Idempotency::NotIdempotent))]);
-    assert_eq!(classes.table().resolve(end, "look", READ).err(), Some(ClassError::Unknown));
+    assert!(registry.table().resolve(grace_end - Duration::from_millis(1), "look", READ).is_ok());
+    registry.replace(grace_end, [("pay".to_owned(), class(300, Idempotency::NotIdempotent))]);
+    assert_eq!(registry.table().resolve(grace_end, "look", READ).err(), Some(ClassError::Unknown));
 }
--- a/crates/control/tests/hot_restart.rs
+++ b/crates/control/tests/hot_restart.rs
@@ -1,4 +1,4 @@
-//! What one process writes is read back by the next, whole or not at all.
+//! What one process writes is read back by its successor, completely or not at all.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -15,46 +15,47 @@
     Snapshot { endpoints, served_per_s, first_attempts_per_s, served_per_warm_endpoint_per_s, mean_latency_s }
 }
 
-fn memory() -> impl Strategy<Value = Snapshot> {
-    let host = (any::<u64>(), 1e-6..500.0f64)
-        .prop_map(|(hash, e)| EndpointSnapshot { name_hash: hash, latency_estimate_s: e });
+fn any_snapshot() -> impl Strategy<Value = Snapshot> {
+    let endpoint = (any::<u64>(), 1e-6..500.0f64)
+        .prop_map(|(name_hash, latency_estimate_s)| EndpointSnapshot { name_hash, latency_estimate_s });
     let rates = [0.0..1e6f64, 0.0..1e6f64, 0.0..1e3f64];
-    (prop::collection::vec(host, 0..40), rates, 0.0..10.0f64)
+    (prop::collection::vec(endpoint, 0..40), rates, 0.0..10.0f64)
         .prop_map(|(endpoints, rates, mean_latency_s)| snapshot(endpoints, rates, mean_latency_s))
 }
 
 proptest! {
     #[test]
-    fn what_is_written_is_read_back_to_the_last_digit(memory in memory(), age in 0u64..5000) {
-        let text = encode_snapshot(&memory, NOW - Duration::from_millis(age));
-        prop_assert_eq!(decode_snapshot(&text, NOW), Ok(memory));
+    fn a_snapshot_is_decoded_to_the_last_digit(snapshot in any_snapshot(), age_ms in 0u64..5000) {
+        let text = encode_snapshot(&snapshot, NOW - Duration::from_millis(age_ms));
+        prop_assert_eq!(decode_snapshot(&text, NOW), Ok(snapshot));
     }
 
-    /// A process that is killed while it writes, or a file of noise, costs the memory and nothing else.
+    /// A process is killed while it writes, or a byte of the file is damaged. The successor then starts without learned
+    /// state; values out of range must never reach the balancer.
     #[test]
-    fn a_torn_or_spoilt_text_is_passed_over(memory in memory(), at in any::<prop::sample::Index>(), byte in any::<u8>()) {
-        let text = encode_snapshot(&memory, NOW);
-        let torn = &text[..at.index(text.len())];
-        prop_assert!(decode_snapshot(torn, NOW).is_err(), "{:?}", torn);
-        let mut spoilt = text.clone().into_bytes();
-        spoilt[at.index(text.len())] = byte;
-        // A digit may have become another one: then the figures hold, and are as good as any.
-        if let Ok(memory) = decode_snapshot(&String::from_utf8_lossy(&spoilt), NOW) {
-            prop_assert!(memory.is_valid());
+    fn a_truncated_or_damaged_text_is_rejected_or_valid(snapshot in any_snapshot(), position in any::<prop::sample::Index>(), byte in any::<u8>()) {
+        let text = encode_snapshot(&snapshot, NOW);
+        let truncated = &text[..position.index(text.len())];
+        prop_assert!(decode_snapshot(truncated, NOW).is_err(), "{:?}", truncated);
+        let mut damaged = text.clone().into_bytes();
+        damaged[position.index(text.len())] = byte;
+        // A digit may have become another one, which can't be noticed.
+        if let Ok(snapshot) = decode_snapshot(&String::from_utf8_lossy(&damaged), NOW) {
+            prop_assert!(snapshot.is_valid());
         }
     }
 
     #[test]
-    fn nothing_makes_it_panic(text in "(ottervane-handover 2\nwritten [0-9]{0,20}\n)?(traffic|host|end|[ 0-9a-f.\n-]){0,40}") {
+    fn decoding_never_panics(text in "(ottervane-handover 2\nwritten [0-9]{0,20}\n)?(traffic|host|end|[ 0-9a-f.\n-]){0,40}") {
         let _ = decode_snapshot(&text, NOW);
     }
 }
 
 #[test]
-fn what_can_not_be_is_told_with_its_line() {
-    let memory =
+fn an_invalid_snapshot_is_rejected_with_its_cause_and_line() {
+    let valid =
         snapshot(vec![EndpointSnapshot { name_hash: 7, latency_estimate_s: 0.05 }], [10.0, 12.0, 3.0], 0.05);
-    let text = encode_snapshot(&memory, NOW);
+    let text = encode_snapshot(&valid, NOW);
     assert_eq!(
         decode_snapshot(&text.replace("handover 2", "handover 1"), NOW),
         Err(SnapshotError::UnknownFormat)
@@ -69,11 +70,11 @@
         Err(SnapshotError::Expired(-1000)),
         "from the future"
     );
-    for figure in ["NaN", "inf", "-0.05", "0", "1e300", "soon"] {
+    for estimate in ["NaN", "inf", "-0.05", "0", "1e300", "soon"] {
         assert_eq!(
-            decode_snapshot(&text.replace("7 0.05", &format!("7 {figure}")), NOW),
+            decode_snapshot(&text.replace("7 0.05", &format!("7 {estimate}")), NOW),
             Err(SnapshotError::InvalidLine(4)),
-            "{figure}"
+            "{estimate}"
         );
     }
     assert_eq!(decode_snapshot(&text.replace("10 12", "-1 12"), NOW), Err(SnapshotError::InvalidLine(3)));
@@ -83,7 +84,7 @@
 }
 
 #[test]
-fn a_process_takes_clients_once_it_can_serve_them_or_there_is_nobody_better() {
+fn a_new_process_waits_for_discovery_and_an_active_endpoint_within_limits() {
     let ms = Duration::from_millis;
     let startup = Startup { shared_listener: true, started_at: NOW };
     let cases = [
@@ -96,47 +97,56 @@
         (5999, true, false, Some(StartupWait::Endpoints)),
         (6000, false, false, None),
     ];
-    for (after, discovery_answered, has_active_endpoint, expected) in cases {
+    for (after_ms, discovery_answered, has_active_endpoint, expected) in cases {
         let progress = StartupProgress { discovery_answered, has_active_endpoint };
-        assert_eq!(startup.waiting_for(NOW + ms(after), progress), expected, "{after} ms, {progress:?}");
+        assert_eq!(
+            startup.waiting_for(NOW + ms(after_ms), progress),
+            expected,
+            "{after_ms} ms, {progress:?}"
+        );
         let alone = Startup { shared_listener: false, ..startup };
-        assert_eq!(alone.waiting_for(NOW + ms(after), progress), None);
+        assert_eq!(alone.waiting_for(NOW + ms(after_ms), progress), None);
     }
 }
 
 proptest! {
     #[test]
-    fn counts_are_read_back_or_passed_over(clients in 0usize..2_000_000, overflow in 0usize..100, hosts in 0usize..5000, cut in 0usize..21, noise in ".{0,24}") {
-        let held = DescriptorUsage { clients, overflow, endpoints: hosts };
-        let text = held.encode();
-        prop_assert_eq!(DescriptorUsage::decode(&text), Some(DescriptorUsage { clients: clients.min(999_999), ..held }));
-        prop_assert_eq!(DescriptorUsage::decode(&text[..cut.min(text.len() - 1)]), None);
+    fn descriptor_counts_are_decoded_completely_or_rejected(clients in 0usize..2_000_000, overflow in 0usize..100, endpoints in 0usize..5000, length in 0usize..21, noise in ".{0,24}") {
+        let usage = DescriptorUsage { clients, overflow, endpoints };
+        let text = usage.encode();
+        prop_assert_eq!(DescriptorUsage::decode(&text), Some(DescriptorUsage { clients: clients.min(999_999), ..usage }));
+        prop_assert_eq!(DescriptorUsage::decode(&text[..length.min(text.len() - 1)]), None);
         let _ = DescriptorUsage::decode(&noise);
     }
 
-    /// Both together never have more than there are, whoever takes what in which order, as long as each knows of the other.
+    /// Two processes open and close descriptors in any order. If they exceeded the limit together, accepting and connecting
+    /// would fail in both.
     #[test]
-    fn two_that_know_of_each_other_stay_within_one_limit(most in 1usize..200, takes in prop::collection::vec((any::<bool>(), any::<bool>()), 0..400)) {
+    fn two_processes_that_know_of_each_other_stay_within_one_limit(limit in 1usize..200, steps in prop::collection::vec((0usize..2, any::<bool>()), 0..400)) {
         let mut open = [0usize; 2];
-        for (who, takes) in takes {
-            let (own, other) = (open[usize::from(who)], open[usize::from(!who)]);
-            match takes {
-                true if own < remaining_descriptors(most, other) => open[usize::from(who)] += 1,
-                false if own > 0 => open[usize::from(who)] -= 1,
-                _ => {}
+        for (process, opens) in steps {
+            let own_usage = open[process];
+            let peer_usage = open[1 - process];
+            if opens && own_usage < remaining_descriptors(limit, peer_usage) {
+                open[process] += 1;
+            } else if !opens && own_usage > 0 {
+                open[process] -= 1;
             }
-            prop_assert!(open[0] + open[1] <= most);
+            prop_assert!(open[0] + open[1] <= limit);
         }
     }
 }
 
-/// A process of version 0.2.0 hands on to this one, and this one to it: the text is the same to the letter.
+/// A process of version 0.2.0 is replaced by this one, and this one by it, so the text stays the same to the byte.
 #[test]
 fn the_text_is_that_of_version_0_2_0() {
     let text = include_str!("fixtures/hot-restart-snapshot.txt");
-    let memory = decode_snapshot(text, NOW).expect("it is read");
-    let hosts = [(0x00ff_1234_5678_9abc, 0.05), (u64::MAX, 1e-6), (7, 0.123_456_789_012_345_68), (9, 600.0)];
-    let hosts = hosts.map(|(hash, e)| EndpointSnapshot { name_hash: hash, latency_estimate_s: e }).into();
-    assert_eq!(memory, snapshot(hosts, [10.25, 12.5, 0.1 + 0.2], 0.0875));
-    assert_eq!(encode_snapshot(&memory, NOW), text);
+    let decoded = decode_snapshot(text, NOW).expect("it is valid");
+    let endpoints =
+        [(0x00ff_1234_5678_9abc, 0.05), (u64::MAX, 1e-6), (7, 0.123_456_789_012_345_68), (9, 600.0)];
+    let endpoints = endpoints
+        .map(|(name_hash, latency_estimate_s)| EndpointSnapshot { name_hash, latency_estimate_s })
+        .into();
+    assert_eq!(decoded, snapshot(endpoints, [10.25, 12.5, 0.1 + 0.2], 0.0875));
+    assert_eq!(encode_snapshot(&decoded, NOW), text);
 }
