--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -1,152 +1,127 @@
-//! One gateway's whole part in the fleet: events in, frames and changes of standing out. The link carries it out.
+//! One gateway's whole part in the fleet, without I/O: events come in, [`NodeAction`]s go out, and the gateway's link carries them out.
 
+mod rate_limit;
 mod session_client;
 mod session_manager;
+mod status;
 
 pub use session_client::SessionState;
+pub use status::{SessionRow, Status};
 
-use crate::consensus::{ConsensusGroup, StepOutput, StoredRecord, TICK_INTERVAL};
-use crate::membership::{LinkFailure, Membership, PeerState, HEARTBEAT_INTERVAL};
-use crate::protocol::{DepartedEndpoint, Frame, StateUpdate};
+use crate::consensus::{ConsensusGroup, StepOutput, StoredRecord};
+use crate::membership::{LinkFailure, Membership, HEARTBEAT_INTERVAL};
+use crate::protocol::{Frame, StateUpdate};
 use crate::settings::{FleetSettings, WithoutSessionPolicy};
-use crate::state_machine::{Command, SessionId, StateMachine};
+use crate::state_machine::{Command, DepartedEndpoint, StateMachine};
 use crate::version::{GatewayName, Incarnation, ListVersion, Version};
-use serde::Serialize;
-use session_client::Holder;
-use session_manager::Keeper;
+use session_client::SessionClient;
+use session_manager::{describe_committed, SessionManager};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What is to be done.
+/// Time between two ticks from which on this process counts as having been paused.
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
+
+/// Something that the gateway has to carry out for its node.
 #[derive(Clone, Debug)]
 pub enum NodeAction {
-    /// This is to be on the disk before any frame goes that comes behind it; nothing, where no state is kept.
+    /// Write these records to stable storage before any frame of a later action is sent. Without storage, nothing is to be done.
     Store(Vec<StoredRecord>),
-    /// A frame is to go to a peer, where a link is up.
+    /// Send a frame to a peer, if its link is up.
     Send {
-        /// To whom.
+        /// Recipient.
         to: GatewayName,
-        /// What.
+        /// The frame.
         frame: Frame,
     },
-    /// A link brings nothing any more: it is to be ended and had again.
+    /// Close the link to a peer, which is half open, and connect again.
     CloseLink(GatewayName),
-    /// How this gateway stands has changed.
+    /// This gateway's session state has changed.
     SessionStateChanged(SessionState),
-    /// There is a newer list than the one held: discovery is to be asked again.
+    /// Poll discovery: other gateways have a newer endpoint list.
     PollDiscovery {
-        /// What the others have.
+        /// Current index of the list.
         current: u64,
     },
-    /// Staff require another configuration: the file is to be read again.
+    /// Read the configuration again: administrators require another one.
     ReloadConfig {
-        /// Its digest.
+        /// Digest of the required configuration.
         required: u64,
     },
-    /// Hosts that leave or are gone, by newer lists than the one held.
+    /// Send no new requests to endpoints that drain or were removed by newer lists than this gateway's.
     EndpointsDeparted(Vec<DepartedEndpoint>),
-    /// Something that staff should read.
+    /// Log a text for administrators.
     Notice(String),
 }
 
-/// How the fleet looks from one gateway.
-#[derive(Clone, Debug, Serialize)]
-pub struct Status {
-    /// This gateway.
-    pub gateway: GatewayName,
-    /// Its process.
-    pub process: String,
-    /// In session, alone or out, and why.
-    pub standing: String,
-    /// Its session.
-    pub session: Option<SessionId>,
-    /// For how long it holds yet, in milliseconds.
-    pub held_ms: u64,
-    /// What it acts on.
-    pub version: Version,
-    /// How far it knows the register.
-    pub position: u64,
-    /// The current index of its list's lineage, as it was last told.
-    pub current: Option<u64>,
-    /// Where it has a seat: who leads.
-    pub leader: Option<GatewayName>,
-    /// Where it has a seat: the council's configuration, and whether this process votes.
-    pub council: Option<(u32, bool)>,
-    /// How it sees the others.
-    pub members: Vec<(GatewayName, PeerState)>,
-    /// Where it has a seat: all sessions, with how far each list is behind and why one is out.
-    pub sessions: Vec<SessionRow>,
-    /// Where it has a seat: whom staff have shut out.
-    pub held_out: Vec<GatewayName>,
+/// Vote of a process, with the state that an earlier process with the same vote has stored.
+#[derive(Debug)]
+pub struct StoredVote {
+    /// Process whose vote it is: the own one, or the earlier one whose records these are.
+    pub voter: Incarnation,
+    /// Records of the consensus store, in their order.
+    pub records: Vec<StoredRecord>,
 }
 
-/// A session, as staff see it.
-#[derive(Clone, Debug, Serialize)]
-pub struct SessionRow {
-    /// Whose.
-    pub gateway: GatewayName,
-    /// Its process.
-    pub process: String,
-    /// Its number.
-    pub session: SessionId,
-    /// What it acts on.
-    pub version: Version,
-    /// By how many versions its list is older than the current one.
-    pub behind: u64,
-    /// Why it is shut out, where it is.
-    pub out: Option<String>,
+/// Process at the other end of a link.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PeerProcess {
+    /// The process.
+    pub process: Incarnation,
+    /// Process whose vote it holds: its own, or the earlier one whose stored state it restored.
+    pub voter: Incarnation,
 }
 
-/// One gateway's part.
+/// One gateway's part in the fleet.
 pub struct Node {
     settings: FleetSettings,
     process: Incarnation,
-    members: Membership,
-    council: Option<ConsensusGroup>,
-    keeper: Keeper,
-    holder: Holder,
-    /// Frames to itself: a member of the council asks itself as any other gateway asks it.
-    own: VecDeque<Frame>,
-    ticked: Option<Duration>,
-    pulsed: Option<Duration>,
-    stood: Option<SessionState>,
+    membership: Membership,
+    /// Present where this gateway is a member of the consensus group.
+    consensus: Option<ConsensusGroup>,
+    session_manager: SessionManager,
+    session_client: SessionClient,
+    /// Frames to this gateway itself: a replica's session client may choose its own session manager.
+    loopback: VecDeque<Frame>,
+    last_tick_at: Option<Duration>,
+    last_heartbeat_at: Option<Duration>,
+    reported_state: Option<SessionState>,
 }
 
 impl Node {
-    /// A part of this process, with the vote of `voter`: its own, or that of the process before whose state `stored` is. The seed spreads
-    /// what all gateways would else do at the same moment.
+    /// Creates the node of this process. The seed spreads what all gateways would otherwise do at the same moment.
     pub fn new(
         settings: FleetSettings,
         process: Incarnation,
         version: Version,
         seed: u64,
-        (voter, stored): (Incarnation, Vec<StoredRecord>),
+        vote: StoredVote,
     ) -> Node {
-        let council = settings.voters();
-        let names: Vec<GatewayName> = council.iter().map(|p| p.name.clone()).collect();
-        let own = settings.gateway.clone();
-        let council = names.contains(&own).then(|| {
-            let empty = StateMachine::new(&settings.lag_policy);
-            let mut council = ConsensusGroup::new(own.clone(), voter, names.clone(), empty);
-            council.restore(stored);
-            council
+        let gateway = settings.gateway.clone();
+        let voter_names: Vec<GatewayName> = settings.voters().iter().map(|peer| peer.name.clone()).collect();
+        let consensus = voter_names.contains(&gateway).then(|| {
+            let initial_state = StateMachine::new(&settings.lag_policy);
+            let mut group =
+                ConsensusGroup::new(gateway.clone(), vote.voter, voter_names.clone(), initial_state);
+            group.restore(vote.records);
+            group
         });
-        let others = settings.peers.iter().map(|p| p.name.clone()).filter(|n| *n != own);
+        let peer_names = settings.peers.iter().map(|peer| peer.name.clone()).filter(|name| *name != gateway);
         Node {
             process,
-            members: Membership::new(others),
-            keeper: Keeper::new(settings.lease, settings.lag_policy),
-            holder: Holder::new(own, names, settings.lease, version, seed),
-            council,
+            membership: Membership::new(peer_names),
+            session_manager: SessionManager::new(settings.lease, settings.lag_policy),
+            session_client: SessionClient::new(gateway, voter_names, settings.lease, version, seed),
+            consensus,
             settings,
-            own: VecDeque::new(),
-            ticked: None,
-            pulsed: None,
-            stood: None,
+            loopback: VecDeque::new(),
+            last_tick_at: None,
+            last_heartbeat_at: None,
+            reported_state: None,
         }
     }
 
-    /// Which gateway's.
+    /// Name of this gateway.
     pub fn gateway(&self) -> &GatewayName {
         &self.settings.gateway
     }
@@ -156,267 +131,240 @@
         self.process
     }
 
-    /// How this gateway may act at this moment: to be asked at every decision.
+    /// Whether this gateway may act at this moment. To be checked at every decision, because a lease expires without an event.
     pub fn session_state(&self, now: Duration) -> SessionState {
-        self.holder.acting(now)
+        self.session_client.state(now)
     }
 
-    /// Whether it takes clients at this moment.
+    /// Whether this gateway accepts clients at this moment.
     pub fn accepts_clients(&self, now: Duration) -> bool {
-        match self.holder.acting(now) {
+        match self.session_client.state(now) {
             SessionState::InSession(_) => true,
             SessionState::WithoutSession => self.settings.without_session == WithoutSessionPolicy::Serve,
             SessionState::Fenced(_) => false,
         }
     }
 
-    /// When a client that is refused for it may come again. One that a gateway without a session refuses finds another, or this one once
-    /// it has reached the council; one that was shut out is let in within its next renewal after it is up to date.
+    /// `Retry-After` for clients that are rejected for want of a session or because of a fence.
+    ///
+    /// A gateway that reaches a replica again, or has caught up, accepts clients within one renewal.
     pub fn retry_after(&self) -> Duration {
         self.settings.lease.renewal_interval()
     }
 
-    /// Whether a link to this process of a peer may be had now.
+    /// Whether a link to this process of a peer may be established now.
     pub fn admits_peer(&self, now: Duration, peer: &str, process: Incarnation) -> bool {
-        self.members.admits(now, peer, process)
+        self.membership.admits(now, peer, process)
     }
 
-    /// What it acts on.
+    /// Version that this gateway acts on.
     pub fn version(&self) -> &Version {
-        &self.holder.version
+        self.session_client.version()
     }
 
-    /// The register, where this gateway has a seat.
+    /// The state machine, where this gateway is a member of the consensus group.
     pub fn state_machine(&self) -> Option<&StateMachine> {
-        self.council.as_ref().map(ConsensusGroup::state)
+        self.consensus.as_ref().map(ConsensusGroup::state)
     }
 
-    /// How far it knows the register.
+    /// Log index up to which this gateway knows the state machine.
     pub fn log_index(&self) -> u64 {
-        self.state_machine().map_or(self.holder.news.log_index, StateMachine::log_index)
+        self.state_machine().map_or(self.last_update().log_index, StateMachine::log_index)
     }
 
-    /// The council's part, where this gateway has a seat.
+    /// The consensus group, where this gateway is a member of it.
     pub fn consensus_group(&self) -> Option<&ConsensusGroup> {
-        self.council.as_ref()
+        self.consensus.as_ref()
+    }
+
+    /// The last update that a replica sent to this gateway.
+    pub fn last_update(&self) -> &StateUpdate {
+        self.session_client.last_update()
     }
 
-    /// It acts on another version from now on.
+    /// This gateway acts on another version from now on.
     pub fn set_version(&mut self, now: Duration, version: Version, out: &mut Vec<NodeAction>) {
-        self.holder.turn_to(now, version);
-        self.finish(now, out);
+        self.session_client.set_version(now, version);
+        self.finish_step(now, out);
     }
 
-    /// A list says that these leave or are gone.
+    /// An endpoint list reports endpoints that drain or were removed: their names, each with whether it was removed.
     pub fn record_departures(
         &mut self,
         now: Duration,
         list: ListVersion,
-        hosts: Vec<(String, bool)>,
+        endpoints: Vec<(String, bool)>,
         out: &mut Vec<NodeAction>,
     ) {
-        self.holder.departed(now, list, hosts);
-        self.finish(now, out);
+        self.session_client.record_departures(now, &list, endpoints);
+        self.finish_step(now, out);
     }
 
-    /// A link to a peer has come up.
-    pub fn link_up(
-        &mut self,
-        now: Duration,
-        peer: &str,
-        (process, voter): (Incarnation, Incarnation),
-        out: &mut Vec<NodeAction>,
-    ) {
-        self.members.link_up(now, peer, process);
-        let doings = self.council.as_mut().map(|c| c.link_up(peer, voter)).unwrap_or_default();
-        self.take(now, doings, out);
-        self.finish(now, out);
+    /// The link to a peer is up.
+    pub fn link_up(&mut self, now: Duration, peer: &str, remote: PeerProcess, out: &mut Vec<NodeAction>) {
+        self.membership.link_up(now, peer, remote.process);
+        self.step_consensus(now, out, |group| group.link_up(peer, remote.voter));
+        self.finish_step(now, out);
     }
 
-    /// The link is down, or could not be had.
-    pub fn link_down(&mut self, now: Duration, peer: &str, why: LinkFailure, out: &mut Vec<NodeAction>) {
-        self.members.link_down(peer, why);
-        if let Some(council) = &mut self.council {
-            council.link_down(peer);
+    /// The link to a peer broke or could not be established.
+    pub fn link_down(&mut self, now: Duration, peer: &str, failure: LinkFailure, out: &mut Vec<NodeAction>) {
+        self.membership.link_down(peer, failure);
+        if let Some(group) = &mut self.consensus {
+            group.link_down(peer);
         }
-        self.keeper.unlinked(peer);
-        self.holder.unlinked(now, peer);
-        self.finish(now, out);
+        self.session_manager.link_down(peer);
+        self.session_client.link_down(now, peer);
+        self.finish_step(now, out);
     }
 
-    /// A frame has come over a link.
+    /// A frame of a peer has arrived.
     pub fn receive(&mut self, now: Duration, from: &str, frame: Frame, out: &mut Vec<NodeAction>) {
-        self.members.record_message(now, from);
-        self.frame(now, from, frame, out);
-        self.finish(now, out);
+        self.membership.record_message(now, from);
+        self.dispatch(now, from, frame, out);
+        self.finish_step(now, out);
     }
 
-    /// What was to be stored could not be: this process votes no longer.
+    /// Records could not be stored: this process does not vote any more.
     pub fn store_failed(&mut self) {
-        if let Some(council) = &mut self.council {
-            council.stop_voting();
+        if let Some(group) = &mut self.consensus {
+            group.stop_voting();
         }
     }
 
-    /// Something is to be decided on the word of staff. Whether it is on its way.
-    pub fn propose(&mut self, entry: Command) -> bool {
-        self.council.as_mut().is_some_and(|c| c.propose(entry))
+    /// Proposes a command of an administrator. Returns whether it is on its way.
+    pub fn propose(&mut self, command: Command) -> bool {
+        self.consensus.as_mut().is_some_and(|group| group.propose(command))
     }
 
-    /// Time goes on: to be called every [`TICK`], late where it must be.
+    /// Advances time. To be called every [`crate::consensus::TICK_INTERVAL`], as punctually as the gateway can.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<NodeAction>) {
-        let paused = self.ticked.is_some_and(|at| now.saturating_sub(at) > TICK_INTERVAL * 10);
-        self.ticked = Some(now);
-        for peer in self.members.half_open(now) {
-            out.push(NodeAction::CloseLink(peer));
+        let was_paused = self.last_tick_at.is_some_and(|at| now.saturating_sub(at) > PAUSE_THRESHOLD);
+        self.last_tick_at = Some(now);
+        out.extend(self.membership.half_open(now).into_iter().map(NodeAction::CloseLink));
+        let output = self.consensus.as_mut().map(ConsensusGroup::tick).unwrap_or_default();
+        if was_paused {
+            self.session_manager.reset_observations(now);
         }
-        let doings = self.council.as_mut().map(ConsensusGroup::tick).unwrap_or_default();
-        if paused {
-            self.keeper.start_over(now);
+        self.handle_consensus_output(now, output, out);
+        if let Some(group) = &mut self.consensus {
+            self.session_manager.tick(now, group, out);
         }
-        self.take(now, doings, out);
-        if let Some(council) = &mut self.council {
-            self.keeper.tick(now, council, &mut |to, frame| out.push(NodeAction::Send { to, frame }));
-        }
-        if self.pulsed.is_none_or(|at| now.saturating_sub(at) >= HEARTBEAT_INTERVAL) {
-            self.pulsed = Some(now);
-            // What is seen of others is of use to the council alone; told to all, it would be most of what the links carry.
-            let seated = |name: &GatewayName| self.council.as_ref().is_some_and(|c| c.is_member(name));
-            let views = if self.council.is_some() { self.members.views(now) } else { Vec::new() };
-            for to in self.members.reachable_peers() {
-                let views = if seated(to) { views.clone() } else { Vec::new() };
-                out.push(NodeAction::Send { to: to.clone(), frame: Frame::Heartbeat { views } });
-            }
-        }
-        self.finish(now, out);
+        self.send_due_heartbeats(now, out);
+        self.finish_step(now, out);
     }
 
-    /// Ends its session in order: the last thing that it does.
+    /// Closes this gateway's session. To be called last.
     pub fn shut_down(&mut self, now: Duration, out: &mut Vec<NodeAction>) {
-        if let Some((to, frame)) = self.holder.close() {
-            out.push(NodeAction::Send { to, frame });
+        self.session_client.close(out);
+        self.finish_step(now, out);
+    }
+
+    fn send_due_heartbeats(&mut self, now: Duration, out: &mut Vec<NodeAction>) {
+        let is_due = self.last_heartbeat_at.is_none_or(|at| now.saturating_sub(at) >= HEARTBEAT_INTERVAL);
+        if !is_due {
+            return;
+        }
+        self.last_heartbeat_at = Some(now);
+        // Views go between members of the consensus group only: sent to every gateway, they would be most of the traffic on the links.
+        let views = if self.consensus.is_some() { self.membership.views(now) } else { Vec::new() };
+        for to in self.membership.reachable_peers() {
+            let is_member = self.consensus.as_ref().is_some_and(|group| group.is_member(to));
+            let views = if is_member { views.clone() } else { Vec::new() };
+            out.push(NodeAction::Send { to: to.clone(), frame: Frame::Heartbeat { views } });
         }
-        self.finish(now, out);
     }
 
-    fn frame(&mut self, now: Duration, from: &str, frame: Frame, out: &mut Vec<NodeAction>) {
+    /// Hands a frame to the part of the node that it is for.
+    fn dispatch(&mut self, now: Duration, from: &str, frame: Frame, out: &mut Vec<NodeAction>) {
         match frame {
-            Frame::Heartbeat { views } => self.members.record_views(now, from, &views),
-            Frame::Consensus(word) => {
-                let doings = self.council.as_mut().map(|c| c.receive(from, word)).unwrap_or_default();
-                self.take(now, doings, out);
+            Frame::Heartbeat { views } => self.membership.record_views(now, from, &views),
+            Frame::Consensus(message) => {
+                self.step_consensus(now, out, |group| group.receive(from, message));
             }
             Frame::OpenSession { .. }
             | Frame::RenewSession { .. }
             | Frame::Departures { .. }
             | Frame::CloseSession { .. } => {
-                let process = if from == self.settings.gateway {
-                    Some(self.process)
-                } else {
-                    self.members.process(from)
-                };
-                if let (Some(council), Some(process)) = (&mut self.council, process) {
-                    self.keeper.hear(from, process, frame, council, &mut |to, frame| {
-                        out.push(NodeAction::Send { to, frame });
-                    });
+                let process = self.process_of(from);
+                if let (Some(group), Some(process)) = (&mut self.consensus, process) {
+                    self.session_manager.receive(from, process, frame, group, out);
                 }
             }
             Frame::SessionGranted { .. }
             | Frame::NoSession { .. }
             | Frame::Unavailable { .. }
-            | Frame::StateUpdate(_) => {
-                self.holder.hear(now, from, frame, out);
-            }
-            // Those of staff are the link's affair.
+            | Frame::StateUpdate(_) => self.session_client.receive(now, from, frame, out),
+            // The gateway's link answers administrators.
             Frame::AdminQuery(_) | Frame::AdminAnswer(_) | Frame::StateSnapshot(_) => {}
         }
     }
 
-    /// Passes on what the council has come to.
-    fn take(&mut self, now: Duration, doings: StepOutput, out: &mut Vec<NodeAction>) {
-        if !doings.records.is_empty() {
-            out.push(NodeAction::Store(doings.records));
-        }
-        out.extend(
-            doings
-                .messages
-                .into_iter()
-                .map(|s| NodeAction::Send { to: s.to, frame: Frame::Consensus(s.message) }),
-        );
-        out.extend(doings.notices.iter().map(|notice| NodeAction::Notice(notice.to_string())));
-        if doings.state_replaced {
-            self.keeper.start_over(now);
-        }
-        if let Some(council) = &self.council {
-            for agreed in &doings.committed {
-                let mut send = |to, frame| out.push(NodeAction::Send { to, frame });
-                self.keeper.agreed(now, agreed, council.state(), &mut send);
-                self.keeper.note(agreed, out);
-            }
+    /// Process of a peer whose link is up, or of this gateway.
+    fn process_of(&self, gateway: &str) -> Option<Incarnation> {
+        if gateway == self.settings.gateway {
+            return Some(self.process);
         }
+        self.membership.process(gateway)
+    }
+
+    /// Has the consensus group handle an event, where this gateway is a member of it.
+    fn step_consensus(
+        &mut self,
+        now: Duration,
+        out: &mut Vec<NodeAction>,
+        step: impl FnOnce(&mut ConsensusGroup) -> StepOutput,
+    ) {
+        let output = self.consensus.as_mut().map(step).unwrap_or_default();
+        self.handle_consensus_output(now, output, out);
     }
 
-    /// Has this gateway ask for what it needs, and takes what is for itself.
-    fn finish(&mut self, now: Duration, out: &mut Vec<NodeAction>) {
-        for (to, frame) in self.holder.ask(now, &self.members) {
-            out.push(NodeAction::Send { to, frame });
+    /// Passes on what a step of the consensus group has produced. Records go first: messages may only be sent once they are stored.
+    fn handle_consensus_output(&mut self, now: Duration, output: StepOutput, out: &mut Vec<NodeAction>) {
+        if !output.records.is_empty() {
+            out.push(NodeAction::Store(output.records));
         }
-        loop {
-            let mut to_self = Vec::new();
-            out.retain(|output| match output {
-                NodeAction::Send { to, frame } if *to == self.settings.gateway => {
-                    to_self.push(frame.clone());
-                    false
-                }
-                _ => true,
-            });
-            self.own.extend(to_self);
-            let Some(frame) = self.own.pop_front() else { break };
-            let own = self.settings.gateway.clone();
-            self.frame(now, &own, frame, out);
+        for message in output.messages {
+            out.push(NodeAction::Send { to: message.to, frame: Frame::Consensus(message.message) });
         }
-        let acting = self.holder.acting(now);
-        if self.stood.as_ref().is_none_or(|stood| !stood.is_same_kind(&acting)) {
-            self.stood = Some(acting.clone());
-            out.push(NodeAction::SessionStateChanged(acting));
+        out.extend(output.notices.iter().map(|notice| NodeAction::Notice(notice.to_string())));
+        if output.state_replaced {
+            self.session_manager.reset_observations(now);
+        }
+        let Some(group) = &self.consensus else { return };
+        for committed in &output.committed {
+            self.session_manager.handle_committed(committed, group.state(), out);
+            out.extend(describe_committed(committed).map(NodeAction::Notice));
         }
     }
 
-    /// How the fleet looks from here.
-    pub fn status(&self, now: Duration) -> Status {
-        let acting = self.holder.acting(now);
-        let row =
-            |(id, s): (&SessionId, &crate::state_machine::Session), register: &StateMachine| SessionRow {
-                gateway: s.name.clone(),
-                process: s.process.to_string(),
-                session: *id,
-                version: s.version.clone(),
-                behind: register
-                    .current_list_index(&s.version.list.lineage)
-                    .unwrap_or_default()
-                    .saturating_sub(s.version.list.index),
-                out: s.fence_reason.as_ref().map(ToString::to_string),
-            };
-        let register = self.state_machine();
-        Status {
-            gateway: self.settings.gateway.clone(),
-            process: self.process.to_string(),
-            standing: acting.to_string(),
-            session: self.holder.session(),
-            held_ms: self.holder.held_for(now).as_millis() as u64,
-            version: self.holder.version.clone(),
-            position: self.log_index(),
-            current: self.holder.news.current_list_index,
-            leader: self.council.as_ref().and_then(ConsensusGroup::leader).cloned(),
-            council: self.council.as_ref().and_then(|c| Some((c.config()?.generation, c.is_voting()))),
-            members: self.members.states(now),
-            sessions: register.map(|r| r.sessions().iter().map(|s| row(s, r)).collect()).unwrap_or_default(),
-            held_out: register.map(|r| r.fenced_by_administrator().cloned().collect()).unwrap_or_default(),
+    /// Ends every step: sends the session client's due request, handles frames to this gateway itself and reports a changed state.
+    fn finish_step(&mut self, now: Duration, out: &mut Vec<NodeAction>) {
+        self.session_client.send_due_request(now, &self.membership, out);
+        loop {
+            self.take_loopback_frames(out);
+            let Some(frame) = self.loopback.pop_front() else { break };
+            let gateway = self.settings.gateway.clone();
+            self.dispatch(now, &gateway, frame, out);
+        }
+        let state = self.session_client.state(now);
+        let is_reported = self.reported_state.as_ref().is_some_and(|reported| reported.is_same_kind(&state));
+        if !is_reported {
+            self.reported_state = Some(state.clone());
+            out.push(NodeAction::SessionStateChanged(state));
         }
     }
 
-    /// What the register last said to this gateway.
-    pub fn last_update(&self) -> &StateUpdate {
-        &self.holder.news
+    /// Moves frames that are addressed to this gateway from the actions to the loopback queue.
+    fn take_loopback_frames(&mut self, out: &mut Vec<NodeAction>) {
+        let gateway = &self.settings.gateway;
+        let loopback = &mut self.loopback;
+        out.retain(|action| match action {
+            NodeAction::Send { to, frame } if to == gateway => {
+                loopback.push_back(frame.clone());
+                false
+            }
+            _ => true,
+        });
     }
 }
--- /dev/null
+++ b/crates/fleet/src/node/rate_limit.rs
@@ -0,0 +1,25 @@
+//! A minimum interval between two occurrences of an action.
+
+use std::time::Duration;
+
+/// Permits an action at most once in an interval.
+#[derive(Clone, Debug)]
+pub(super) struct RateLimit {
+    min_interval: Duration,
+    last_at: Option<Duration>,
+}
+
+impl RateLimit {
+    pub(super) fn new(min_interval: Duration) -> RateLimit {
+        RateLimit { min_interval, last_at: None }
+    }
+
+    /// Whether the action is permitted now; if so, it counts as done.
+    pub(super) fn try_acquire(&mut self, now: Duration) -> bool {
+        let is_permitted = self.last_at.is_none_or(|at| now.saturating_sub(at) >= self.min_interval);
+        if is_permitted {
+            self.last_at = Some(now);
+        }
+        is_permitted
+    }
+}
--- a/crates/fleet/src/node/session_client.rs
+++ b/crates/fleet/src/node/session_client.rs
@@ -1,39 +1,47 @@
-//! The holder's side of a session: asking for it, believing in it no longer than its lease, and heeding what comes with it.
+//! The gateway's side of its session: requesting it from a replica, relying on it no longer than its lease, and acting on the updates
+//! that come with it.
 
+use super::rate_limit::RateLimit;
 use super::NodeAction;
 use crate::lease::Lease;
 use crate::membership::{Membership, PeerView};
-use crate::protocol::{DepartedEndpoint, Frame, StateUpdate};
-use crate::state_machine::{FenceReason, ReplicaLag, SessionId};
-use crate::version::{GatewayName, ListVersion, Version};
+use crate::protocol::{Frame, StateUpdate};
+use crate::state_machine::{DepartedEndpoint, FenceReason, ReplicaLag, SessionId};
+use crate::version::{GatewayName, Incarnation, ListVersion, Version};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// Discovery is asked again this often at most on the word of others.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
-/// The configuration is read again this often at most on the word of staff.
-const REREAD: Duration = Duration::from_secs(5);
-/// That another process has this gateway's name is said this often at most.
-const TOLD_TAKEN: Duration = Duration::from_secs(10);
-/// Between the news of the same hosts, told again for lost ones.
-const TELL_AGAIN: u32 = 4;
-/// The most hosts that wait to be told of.
-const DEPARTING: usize = 1024;
-
-/// How a gateway may act.
+/// Minimum interval between discovery polls that updates of the replicas trigger.
+const DISCOVERY_POLL_MIN_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum interval between configuration reloads that updates of the replicas trigger.
+const CONFIG_RELOAD_MIN_INTERVAL: Duration = Duration::from_secs(5);
+/// Minimum interval between notices that another process holds this gateway's name.
+const NAME_TAKEN_NOTICE_MIN_INTERVAL: Duration = Duration::from_secs(10);
+/// Number of times that each departure is sent, since frames may be lost.
+const DEPARTURE_SEND_COUNT: u32 = 4;
+/// Maximum number of endpoints whose departure waits to be sent.
+const MAX_UNSENT_DEPARTURES: usize = 1024;
+/// Maximum number of requests whose answer is still accepted.
+const MAX_TRACKED_REQUESTS: usize = 16;
+/// Shortest time between two renewals, as a fraction of the renewal interval.
+const MIN_RENEWAL_FRACTION: f64 = 0.8;
+/// Range of the random part of the time between two renewals, as a fraction of the renewal interval.
+const RENEWAL_JITTER_FRACTION: f64 = 0.2;
+
+/// Whether a gateway may act, and on what ground.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionState {
-    /// In a session that it holds.
+    /// It holds a session whose lease has not expired.
     InSession(SessionId),
-    /// Without one: the council can't be reached, or has none for it.
+    /// It holds none: no replica is reachable, or none grants one.
     WithoutSession,
-    /// Shut out: it takes no client.
+    /// It is fenced and accepts no clients.
     Fenced(FenceReason),
 }
 
 impl SessionState {
-    /// Whether it may do the same, in whichever session.
+    /// Whether both states permit the same, whatever the session.
     pub fn is_same_kind(&self, other: &SessionState) -> bool {
         match (self, other) {
             (SessionState::InSession(_), SessionState::InSession(_)) => true,
@@ -47,109 +55,127 @@
         match self {
             SessionState::InSession(id) => write!(f, "in session {id}"),
             SessionState::WithoutSession => write!(f, "alone"),
-            SessionState::Fenced(cause) => write!(f, "shut out: {cause}"),
+            SessionState::Fenced(reason) => write!(f, "shut out: {reason}"),
         }
     }
 }
 
+/// A session and the time until which this gateway may rely on it.
 #[derive(Clone, Debug)]
-struct Held {
+struct HeldSession {
     id: SessionId,
-    until: Duration,
+    expires_at: Duration,
+}
+
+/// A request that has not been answered.
+#[derive(Clone, Debug)]
+struct PendingRequest {
+    sent_at: Duration,
+    replica: GatewayName,
 }
 
-/// An asking that has not been answered.
+/// A departure that is still to be sent.
 #[derive(Clone, Debug)]
-struct Asking {
-    at: Duration,
-    keeper: GatewayName,
+struct UnsentDeparture {
+    removed: bool,
+    list_index: u64,
+    sends_left: u32,
 }
 
-/// The holder.
+/// Client of the session manager of whichever replica is reachable.
 #[derive(Clone, Debug)]
-pub(super) struct Holder {
-    own: GatewayName,
-    council: Vec<GatewayName>,
+pub(super) struct SessionClient {
+    gateway: GatewayName,
+    replica_names: Vec<GatewayName>,
     lease: Lease,
     rng: fastrand::Rng,
-    pub(super) version: Version,
-    pub(super) news: StateUpdate,
-    asks: u64,
-    asked_at: BTreeMap<u64, Duration>,
-    asking: Option<Asking>,
-    next: Duration,
-    keeper: Option<GatewayName>,
-    held: Option<Held>,
-    /// Hosts by name: whether gone, by which index, and how often to tell it yet.
-    departing: BTreeMap<String, (bool, u64, u32)>,
+    version: Version,
+    last_update: StateUpdate,
+    /// Number of the last request.
+    request_count: u64,
+    /// Time at which each request was sent whose answer is still accepted, by number.
+    sent_at: BTreeMap<u64, Duration>,
+    pending: Option<PendingRequest>,
+    next_request_at: Duration,
+    /// Replica that requests go to.
+    replica: Option<GatewayName>,
+    session: Option<HeldSession>,
+    /// Departures to be sent, by endpoint.
+    unsent_departures: BTreeMap<String, UnsentDeparture>,
+    /// Lineage of the departures.
     lineage: String,
-    told: bool,
-    asked_discovery: Option<Duration>,
-    reread: Option<Duration>,
-    told_taken: Option<Duration>,
-    closed: bool,
+    discovery_polls: RateLimit,
+    config_reloads: RateLimit,
+    name_taken_notices: RateLimit,
+    is_closed: bool,
 }
 
-/// Whether something may be done again that was last done at a moment; then it is.
-fn due(last: &mut Option<Duration>, now: Duration, every: Duration) -> bool {
-    let due = last.is_none_or(|at| now.saturating_sub(at) >= every);
-    if due {
-        *last = Some(now);
-    }
-    due
-}
-
-impl Holder {
+impl SessionClient {
     pub(super) fn new(
-        own: GatewayName,
-        council: Vec<GatewayName>,
+        gateway: GatewayName,
+        replica_names: Vec<GatewayName>,
         lease: Lease,
         version: Version,
         seed: u64,
-    ) -> Holder {
-        Holder {
-            own,
-            council,
+    ) -> SessionClient {
+        SessionClient {
+            gateway,
+            replica_names,
             lease,
             rng: fastrand::Rng::with_seed(seed),
             lineage: version.list.lineage.clone(),
             version,
-            news: StateUpdate::default(),
-            asks: 0,
-            asked_at: BTreeMap::new(),
-            asking: None,
-            next: Duration::ZERO,
-            keeper: None,
-            held: None,
-            departing: BTreeMap::new(),
-            told: false,
-            asked_discovery: None,
-            reread: None,
-            told_taken: None,
-            closed: false,
+            last_update: StateUpdate::default(),
+            request_count: 0,
+            sent_at: BTreeMap::new(),
+            pending: None,
+            next_request_at: Duration::ZERO,
+            replica: None,
+            session: None,
+            unsent_departures: BTreeMap::new(),
+            discovery_polls: RateLimit::new(DISCOVERY_POLL_MIN_INTERVAL),
+            config_reloads: RateLimit::new(CONFIG_RELOAD_MIN_INTERVAL),
+            name_taken_notices: RateLimit::new(NAME_TAKEN_NOTICE_MIN_INTERVAL),
+            is_closed: false,
         }
     }
 
+    /// Version that the gateway acts on.
+    pub(super) fn version(&self) -> &Version {
+        &self.version
+    }
+
+    /// The last update that a replica sent.
+    pub(super) fn last_update(&self) -> &StateUpdate {
+        &self.last_update
+    }
+
     pub(super) fn session(&self) -> Option<SessionId> {
-        self.held.as_ref().map(|h| h.id)
+        self.session.as_ref().map(|session| session.id)
     }
 
-    pub(super) fn held_for(&self, now: Duration) -> Duration {
-        self.held.as_ref().map_or(Duration::ZERO, |h| h.until.saturating_sub(now))
+    /// Time for which the gateway may still rely on its session.
+    pub(super) fn remaining_lease(&self, now: Duration) -> Duration {
+        let session = self.session.as_ref();
+        session.map_or(Duration::ZERO, |session| session.expires_at.saturating_sub(now))
     }
 
-    pub(super) fn acting(&self, now: Duration) -> SessionState {
-        // Who is shut out stays so without a session too, until it has what it lacked: it knows better than to serve.
-        match (&self.news.fence_reason, &self.held) {
-            (Some(cause), _) if self.lacks_still(cause) => SessionState::Fenced(cause.clone()),
-            (_, Some(held)) if now < held.until => SessionState::InSession(held.id),
+    pub(super) fn state(&self, now: Duration) -> SessionState {
+        // A fenced gateway stays fenced without a session too, until it has what it lacked: it knows that its state is too old to serve.
+        if let Some(reason) =
+            self.last_update.fence_reason.as_ref().filter(|reason| self.still_applies(reason))
+        {
+            return SessionState::Fenced(reason.clone());
+        }
+        match &self.session {
+            Some(session) if now < session.expires_at => SessionState::InSession(session.id),
             _ => SessionState::WithoutSession,
         }
     }
 
-    /// Whether what it was shut out for holds by its own knowledge, so that nobody has to be reached to know it.
-    fn lacks_still(&self, cause: &FenceReason) -> bool {
-        match cause {
+    /// Whether a fence still applies by what this gateway knows itself, without reaching a replica.
+    fn still_applies(&self, reason: &FenceReason) -> bool {
+        match reason {
             FenceReason::Administrator => true,
             FenceReason::Lagging(ReplicaLag::List { current, .. }) => self.version.list.index < *current,
             FenceReason::Lagging(ReplicaLag::Config { required, .. }) => self.version.config != *required,
@@ -157,181 +183,230 @@
         }
     }
 
-    pub(super) fn turn_to(&mut self, now: Duration, version: Version) {
+    /// The gateway acts on another version from now on.
+    pub(super) fn set_version(&mut self, now: Duration, version: Version) {
         if version == self.version {
             return;
         }
         if version.list.lineage != self.lineage {
             self.lineage.clone_from(&version.list.lineage);
-            self.departing.clear();
+            self.unsent_departures.clear();
         }
         self.version = version;
-        self.next = self.next.min(now);
+        self.request_soon(now);
     }
 
-    pub(super) fn departed(&mut self, now: Duration, list: ListVersion, hosts: Vec<(String, bool)>) {
+    /// An endpoint list reports these departures: endpoint names, each with whether it was removed.
+    pub(super) fn record_departures(
+        &mut self,
+        now: Duration,
+        list: &ListVersion,
+        endpoints: Vec<(String, bool)>,
+    ) {
         if list.lineage != self.lineage {
             return;
         }
-        for (host, gone) in hosts {
-            if self.departing.len() < DEPARTING || self.departing.contains_key(&host) {
-                self.departing.insert(host, (gone, list.index, TELL_AGAIN));
+        for (endpoint, removed) in endpoints {
+            let has_capacity = self.unsent_departures.len() < MAX_UNSENT_DEPARTURES;
+            if has_capacity || self.unsent_departures.contains_key(&endpoint) {
+                let departure =
+                    UnsentDeparture { removed, list_index: list.index, sends_left: DEPARTURE_SEND_COUNT };
+                self.unsent_departures.insert(endpoint, departure);
             }
         }
-        self.told = false;
-        self.next = self.next.min(now);
+        self.request_soon(now);
     }
 
-    pub(super) fn unlinked(&mut self, now: Duration, peer: &str) {
-        if self.keeper.as_deref() == Some(peer) {
-            self.keeper = None;
-            self.asking = None;
-            self.next = self.next.min(now);
+    pub(super) fn link_down(&mut self, now: Duration, peer: &str) {
+        if self.replica.as_deref() != Some(peer) {
+            return;
         }
+        self.replica = None;
+        self.pending = None;
+        self.request_soon(now);
     }
 
-    /// What there is to ask and to tell at this moment.
-    pub(super) fn ask(&mut self, now: Duration, members: &Membership) -> Vec<(GatewayName, Frame)> {
-        let mut frames = Vec::new();
-        // One that does not answer is left for another: three can be tried within a lease.
-        let patience = self.lease.renewal_interval() / 2;
-        if self.asking.as_ref().is_some_and(|asking| now.saturating_sub(asking.at) >= patience) {
-            self.keeper = None;
-            self.asking = None;
-            self.next = now;
-        }
-        if self.closed || self.asking.is_some() || now < self.next {
-            return frames;
+    fn request_soon(&mut self, now: Duration) {
+        self.next_request_at = self.next_request_at.min(now);
+    }
+
+    /// Time after which an unanswered request is sent to another replica: within one lease, three of them can be tried.
+    fn answer_timeout(&self) -> Duration {
+        self.lease.renewal_interval() / 2
+    }
+
+    /// Sends the next request and the departures, if they are due.
+    pub(super) fn send_due_request(
+        &mut self,
+        now: Duration,
+        membership: &Membership,
+        out: &mut Vec<NodeAction>,
+    ) {
+        self.give_up_unanswered(now);
+        if self.is_closed || self.pending.is_some() || now < self.next_request_at {
+            return;
         }
-        if self.keeper.is_none() {
-            self.keeper = self.choose(now, members);
+        if self.replica.is_none() {
+            self.replica = self.choose_replica(now, membership);
         }
-        let Some(keeper) = self.keeper.clone() else {
-            self.next = now + patience / 2;
-            return frames;
+        let Some(replica) = self.replica.clone() else {
+            self.next_request_at = now + self.answer_timeout() / 2;
+            return;
         };
-        self.asks += 1;
-        self.asked_at.insert(self.asks, now);
-        while self.asked_at.len() > 16 {
-            self.asked_at.pop_first();
+        let frame = self.next_request(now);
+        self.pending = Some(PendingRequest { sent_at: now, replica: replica.clone() });
+        out.push(NodeAction::Send { to: replica.clone(), frame });
+        self.send_departures(&replica, out);
+        // Without the random part, gateways that started together would send their requests together for ever.
+        let interval = self.lease.renewal_interval();
+        let fraction = MIN_RENEWAL_FRACTION + RENEWAL_JITTER_FRACTION * self.rng.f64();
+        self.next_request_at = now + interval.mul_f64(fraction);
+    }
+
+    fn give_up_unanswered(&mut self, now: Duration) {
+        let Some(pending) = &self.pending else { return };
+        if now.saturating_sub(pending.sent_at) >= self.answer_timeout() {
+            self.replica = None;
+            self.pending = None;
+            self.next_request_at = now;
+        }
+    }
+
+    fn next_request(&mut self, now: Duration) -> Frame {
+        self.request_count += 1;
+        self.sent_at.insert(self.request_count, now);
+        while self.sent_at.len() > MAX_TRACKED_REQUESTS {
+            self.sent_at.pop_first();
+        }
+        let request = self.request_count;
+        let version = self.version.clone();
+        // A session whose lease has expired here may still be open in the state machine, and is renewed there. This gateway relies on it
+        // again from this request on only.
+        match self.session() {
+            Some(session) => Frame::RenewSession { session, request, version },
+            None => Frame::OpenSession { request, version },
         }
-        let (ask, version) = (self.asks, self.version.clone());
-        // One that has lapsed may be the register's still, and is renewed there; its holder believes in it from this asking on only.
-        let frame = match self.held.as_ref().map(|h| h.id) {
-            Some(session) => Frame::RenewSession { session, request: ask, version },
-            None => Frame::OpenSession { request: ask, version },
-        };
-        self.asking = Some(Asking { at: now, keeper: keeper.clone() });
-        frames.push((keeper.clone(), frame));
-        frames.extend(self.departures(keeper));
-        // Spread, so that gateways that began together don't ask together for ever.
-        let every = self.lease.renewal_interval();
-        self.next = now + every.mul_f64(0.8 + 0.2 * self.rng.f64());
-        frames
     }
 
-    /// What hosts are to be told of, by index.
-    fn departures(&mut self, keeper: GatewayName) -> Vec<(GatewayName, Frame)> {
+    /// Sends each unsent departure once, one frame a list index.
+    fn send_departures(&mut self, replica: &GatewayName, out: &mut Vec<NodeAction>) {
         let mut by_index: BTreeMap<u64, Vec<(String, bool)>> = BTreeMap::new();
-        self.departing.retain(|host, (gone, index, left)| {
-            by_index.entry(*index).or_default().push((host.clone(), *gone));
-            *left -= 1;
-            *left > 0
+        self.unsent_departures.retain(|endpoint, departure| {
+            let endpoints = by_index.entry(departure.list_index).or_default();
+            endpoints.push((endpoint.clone(), departure.removed));
+            departure.sends_left -= 1;
+            departure.sends_left > 0
         });
-        let lineage = self.lineage.clone();
-        let frame = |(index, hosts)| Frame::Departures {
-            list: ListVersion { lineage: lineage.clone(), index },
-            endpoints: hosts,
-        };
-        by_index.into_iter().map(|told| (keeper.clone(), frame(told))).collect()
+        for (index, endpoints) in by_index {
+            let list = ListVersion { lineage: self.lineage.clone(), index };
+            out.push(NodeAction::Send { to: replica.clone(), frame: Frame::Departures { list, endpoints } });
+        }
     }
 
-    /// Whom to ask: itself where it has a seat and is asked first, else one that speaks, by draw.
-    fn choose(&mut self, now: Duration, members: &Membership) -> Option<GatewayName> {
-        let speaks =
-            |name: &&GatewayName| **name == self.own || members.view(now, name) == PeerView::Reachable;
-        let all: Vec<&GatewayName> = self.council.iter().filter(speaks).collect();
-        (!all.is_empty()).then(|| all[self.rng.usize(..all.len())].clone())
+    /// Picks a replica at random among those that are reachable. A replica may pick itself.
+    fn choose_replica(&mut self, now: Duration, membership: &Membership) -> Option<GatewayName> {
+        let is_reachable =
+            |name: &&GatewayName| **name == self.gateway || membership.view(now, name) == PeerView::Reachable;
+        let reachable: Vec<&GatewayName> = self.replica_names.iter().filter(is_reachable).collect();
+        if reachable.is_empty() {
+            return None;
+        }
+        let index = self.rng.usize(..reachable.len());
+        Some(reachable[index].clone())
     }
 
-    pub(super) fn hear(&mut self, now: Duration, from: &str, frame: Frame, out: &mut Vec<NodeAction>) {
+    /// Handles an answer or an update of a replica.
+    pub(super) fn receive(&mut self, now: Duration, from: &str, frame: Frame, out: &mut Vec<NodeAction>) {
         match frame {
-            Frame::SessionGranted { session, request: ask, update: news } => {
-                let Some(asked) = self.asked_at.remove(&ask) else { return };
-                // Older askings are answered by this one too.
-                self.asked_at.retain(|n, _| *n > ask);
-                self.answered(from);
-                let until = self.lease.holder_expiry(asked);
-                match &mut self.held {
-                    Some(held) if held.id == session => held.until = held.until.max(until),
-                    _ => self.held = Some(Held { id: session, until }),
-                }
-                self.heed(now, news, out);
+            Frame::SessionGranted { session, request, update } => {
+                let Some(sent_at) = self.sent_at.remove(&request) else { return };
+                self.clear_pending(from);
+                self.record_grant(session, request, sent_at);
+                self.apply_update(now, update, out);
             }
-            Frame::StateUpdate(news) if news.log_index >= self.news.log_index => self.heed(now, news, out),
-            Frame::NoSession { request: ask, holder: taken } => {
-                if self.asked_at.remove(&ask).is_none() {
+            Frame::StateUpdate(update) if update.log_index >= self.last_update.log_index => {
+                self.apply_update(now, update, out);
+            }
+            Frame::NoSession { request, holder } => {
+                if self.sent_at.remove(&request).is_none() {
                     return;
                 }
-                self.answered(from);
-                match taken {
-                    Some(process) => {
-                        if due(&mut self.told_taken, now, TOLD_TAKEN) {
-                            out.push(NodeAction::Notice(format!(
-                                "no session: process {process} has the name {} in the fleet; it keeps it until its lease is over, so \
-                                 end it or give this gateway a name of its own",
-                                self.own
-                            )));
-                        }
-                    }
-                    // The session is over. A new one is asked for at once.
+                self.clear_pending(from);
+                match holder {
+                    Some(process) => self.report_name_taken(now, process, out),
                     None => {
-                        self.held = None;
-                        self.next = now;
+                        // The session has ended. A new one is requested at once.
+                        self.session = None;
+                        self.next_request_at = now;
                     }
                 }
             }
-            Frame::Unavailable { request: ask } if self.asked_at.remove(&ask).is_some() => {
-                self.answered(from);
-                // Another may know a leader already.
-                self.keeper = None;
-                self.next = now + self.lease.renewal_interval() / 4;
+            Frame::Unavailable { request } => {
+                if self.sent_at.remove(&request).is_none() {
+                    return;
+                }
+                self.clear_pending(from);
+                // Another replica may know a leader already.
+                self.replica = None;
+                self.next_request_at = now + self.lease.renewal_interval() / 4;
             }
             _ => {}
         }
     }
 
-    fn answered(&mut self, from: &str) {
-        if self.asking.as_ref().is_some_and(|asking| asking.keeper == from) {
-            self.asking = None;
+    /// Extends the session by the grant of a request that was sent at `sent_at`.
+    fn record_grant(&mut self, id: SessionId, request: u64, sent_at: Duration) {
+        // The grant answers the older requests too.
+        self.sent_at.retain(|number, _| *number > request);
+        let expires_at = self.lease.holder_expiry(sent_at);
+        match &mut self.session {
+            Some(session) if session.id == id => session.expires_at = session.expires_at.max(expires_at),
+            _ => self.session = Some(HeldSession { id, expires_at }),
+        }
+    }
+
+    fn clear_pending(&mut self, from: &str) {
+        if self.pending.as_ref().is_some_and(|pending| pending.replica == from) {
+            self.pending = None;
+        }
+    }
+
+    fn report_name_taken(&mut self, now: Duration, process: Incarnation, out: &mut Vec<NodeAction>) {
+        if self.name_taken_notices.try_acquire(now) {
+            out.push(NodeAction::Notice(format!(
+                "no session: process {process} has the name {} in the fleet; it keeps it until its lease is over, so \
+                 end it or give this gateway a name of its own",
+                self.gateway
+            )));
         }
     }
 
-    /// Heeds what the register says.
-    fn heed(&mut self, now: Duration, news: StateUpdate, out: &mut Vec<NodeAction>) {
-        let own = self.version.list.index;
-        let newer: Vec<DepartedEndpoint> =
-            news.departures.iter().filter(|g| g.list_index > own).cloned().collect();
-        if !newer.is_empty() && newer != self.news.departures {
+    /// Acts on what a replica reports.
+    fn apply_update(&mut self, now: Duration, update: StateUpdate, out: &mut Vec<NodeAction>) {
+        let own_index = self.version.list.index;
+        let newer = update.departures.iter().filter(|departure| departure.list_index > own_index);
+        let newer: Vec<DepartedEndpoint> = newer.cloned().collect();
+        if !newer.is_empty() && newer != self.last_update.departures {
             out.push(NodeAction::EndpointsDeparted(newer));
         }
-        if let Some(current) = news.current_list_index.filter(|c| *c > own) {
-            if due(&mut self.asked_discovery, now, ASK_AGAIN) {
+        if let Some(current) = update.current_list_index.filter(|current| *current > own_index) {
+            if self.discovery_polls.try_acquire(now) {
                 out.push(NodeAction::PollDiscovery { current });
             }
         }
-        if let Some(required) = news.required_config.filter(|c| *c != self.version.config) {
-            if due(&mut self.reread, now, REREAD) {
+        if let Some(required) = update.required_config.filter(|digest| *digest != self.version.config) {
+            if self.config_reloads.try_acquire(now) {
                 out.push(NodeAction::ReloadConfig { required });
             }
         }
-        self.news = news;
+        self.last_update = update;
     }
 
-    /// The word with which it leaves in order.
-    pub(super) fn close(&mut self) -> Option<(GatewayName, Frame)> {
-        self.closed = true;
-        let held = self.held.take()?;
-        Some((self.keeper.clone()?, Frame::CloseSession { session: held.id }))
+    /// Ends the session and all requests. Sends the replica that the session is closed, where there is one.
+    pub(super) fn close(&mut self, out: &mut Vec<NodeAction>) {
+        self.is_closed = true;
+        let Some(session) = self.session.take() else { return };
+        let Some(to) = self.replica.clone() else { return };
+        out.push(NodeAction::Send { to, frame: Frame::CloseSession { session: session.id } });
     }
 }
--- a/crates/fleet/src/node/session_manager.rs
+++ b/crates/fleet/src/node/session_manager.rs
@@ -1,312 +1,401 @@
-//! A council member's side of the sessions: gathering what gateways ask, answering once it is decided, and proposing the end of those
-//! that nobody has heard of for a lease and its margin, or that stay behind.
+//! A replica's side of the sessions: proposing what gateways request, answering once it is committed, and proposing the end of sessions
+//! that were not renewed in time and fences for those that lag.
 
 use super::NodeAction;
 use crate::consensus::{Committed, ConsensusGroup};
 use crate::lease::Lease;
-use crate::protocol::{DepartedEndpoint, Frame, StateUpdate};
+use crate::protocol::{Frame, StateUpdate};
 use crate::settings::LagPolicy;
-use crate::state_machine::{Command, CommandOutcome, Renewal, SessionId, StateMachine};
-use crate::version::{GatewayName, Incarnation};
+use crate::state_machine::{Command, CommandOutcome, DepartedEndpoint, Renewal, SessionId, StateMachine};
+use crate::version::{GatewayName, Incarnation, ListVersion, Version};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The most hosts in one piece of news.
-const TOLD: usize = 256;
-/// What was proposed and not decided is proposed again after this.
-const AGAIN: Duration = Duration::from_millis(500);
+/// Maximum number of departures in one update.
+const MAX_DEPARTURES_PER_UPDATE: usize = 256;
+/// Time after which a proposal that was not committed is proposed again.
+const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-type Send<'a> = &'a mut dyn FnMut(GatewayName, Frame);
-
-/// What a gateway waits for.
+/// A request of a gateway that is answered once its command is committed.
 #[derive(Clone, Copy, Debug)]
-struct Pending {
-    ask: u64,
+struct PendingRequest {
+    request: u64,
+    /// The session to renew; absent where one is to be opened.
     session: Option<SessionId>,
 }
 
-/// A session as this member has seen it.
+/// What this replica has observed of a session's renewals.
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct ObservedSession {
     renewals: u64,
+    /// When this renewal count was first observed.
+    observed_at: Duration,
+    /// When its expiry was last proposed.
+    proposed_at: Option<Duration>,
+}
+
+/// What this replica has observed of a lagging session.
+#[derive(Clone, Copy, Debug)]
+struct ObservedLag {
     since: Duration,
-    proposed: Option<Duration>,
+    /// When a fence was last proposed.
+    proposed_at: Option<Duration>,
 }
 
-/// The keeper.
+/// Manager of all sessions at one replica.
 #[derive(Clone, Debug)]
-pub(super) struct Keeper {
+pub(super) struct SessionManager {
     lease: Lease,
-    stragglers: LagPolicy,
-    pending: BTreeMap<GatewayName, Pending>,
+    lag_policy: LagPolicy,
+    pending: BTreeMap<GatewayName, PendingRequest>,
+    /// Renewals that are proposed together at the next tick.
     renewals: Vec<Renewal>,
-    /// Whom this member keeps told, and what it told last.
-    told: BTreeMap<GatewayName, StateUpdate>,
-    dirty: bool,
-    seen: BTreeMap<SessionId, Seen>,
-    behind: BTreeMap<SessionId, (Duration, Option<Duration>)>,
-    led: bool,
+    /// Last update sent to each gateway whose session this replica has granted.
+    sent_updates: BTreeMap<GatewayName, StateUpdate>,
+    /// Whether the state machine has changed since updates were last sent.
+    state_changed: bool,
+    observed_sessions: BTreeMap<SessionId, ObservedSession>,
+    observed_lags: BTreeMap<SessionId, ObservedLag>,
+    was_leader: bool,
 }
 
-impl Keeper {
-    pub(super) fn new(lease: Lease, stragglers: LagPolicy) -> Keeper {
-        Keeper {
+impl SessionManager {
+    pub(super) fn new(lease: Lease, lag_policy: LagPolicy) -> SessionManager {
+        SessionManager {
             lease,
-            stragglers,
+            lag_policy,
             pending: BTreeMap::new(),
             renewals: Vec::new(),
-            told: BTreeMap::new(),
-            dirty: false,
-            seen: BTreeMap::new(),
-            behind: BTreeMap::new(),
-            led: false,
+            sent_updates: BTreeMap::new(),
+            state_changed: false,
+            observed_sessions: BTreeMap::new(),
+            observed_lags: BTreeMap::new(),
+            was_leader: false,
         }
     }
 
-    /// What was measured before is no longer worth anything: this process was paused, or has jumped over entries.
-    pub(super) fn start_over(&mut self, now: Duration) {
-        self.seen.values_mut().for_each(|seen| seen.since = now);
-        self.behind.clear();
+    /// Discards all observations, because this process was paused or its state machine was replaced.
+    ///
+    /// Renewals may have arrived unobserved in the meantime. Counted from before, sessions would expire that were renewed in time.
+    pub(super) fn reset_observations(&mut self, now: Duration) {
+        self.restart_timers(now);
         self.pending.clear();
-        self.dirty = true;
+        self.state_changed = true;
     }
 
-    pub(super) fn unlinked(&mut self, peer: &str) {
+    /// Counts the time without renewal, and the time of each lag, from now on.
+    fn restart_timers(&mut self, now: Duration) {
+        for observed in self.observed_sessions.values_mut() {
+            observed.observed_at = now;
+        }
+        self.observed_lags.clear();
+    }
+
+    pub(super) fn link_down(&mut self, peer: &str) {
         self.pending.remove(peer);
-        self.told.remove(peer);
+        self.sent_updates.remove(peer);
     }
 
-    /// A gateway asks or tells.
-    pub(super) fn hear(
+    /// Handles a request of a gateway's process.
+    pub(super) fn receive(
         &mut self,
         from: &str,
         process: Incarnation,
         frame: Frame,
-        council: &mut ConsensusGroup,
-        send: Send<'_>,
+        consensus: &mut ConsensusGroup,
+        out: &mut Vec<NodeAction>,
     ) {
-        let name = from.to_owned();
+        let gateway = from.to_owned();
         match frame {
-            Frame::OpenSession { request: ask, version } => {
-                let entry = Command::OpenSession { name: name.clone(), process, version, request: ask };
-                if council.propose(entry) {
-                    self.pending.insert(name, Pending { ask, session: None });
+            Frame::OpenSession { request, version } => {
+                let command = Command::OpenSession { name: gateway.clone(), process, version, request };
+                if consensus.propose(command) {
+                    self.pending.insert(gateway, PendingRequest { request, session: None });
                 } else {
-                    send(name, Frame::Unavailable { request: ask });
+                    send(out, gateway, Frame::Unavailable { request });
                 }
             }
-            Frame::RenewSession { session, request: ask, version } => {
-                if council.leader().is_none() {
-                    return send(name, Frame::Unavailable { request: ask });
-                }
-                match council.state().sessions().get(&session) {
-                    Some(known) if known.name == name && known.process == process => {
-                        let version = (known.version != version).then_some(version);
-                        self.pending.insert(name, Pending { ask, session: Some(session) });
-                        self.renewals.push(Renewal { session, count: ask, version });
-                    }
-                    // It may be open where this member has not come to yet.
-                    None if session > council.state().log_index() => {
-                        send(name, Frame::Unavailable { request: ask })
-                    }
-                    _ => send(name, Frame::NoSession { request: ask, holder: None }),
-                }
+            Frame::RenewSession { session, request, version } => {
+                let renewal = Renewal { session, count: request, version: Some(version) };
+                self.renew(gateway, process, renewal, consensus, out);
             }
-            Frame::Departures { list, endpoints: mut hosts } => {
-                hosts.retain(|(host, gone)| !council.state().has_departure(&list, host, *gone));
-                if !hosts.is_empty() {
-                    council.propose(Command::RecordDepartures { list, endpoints: hosts, reported_by: name });
-                }
+            Frame::Departures { list, endpoints } => {
+                propose_departures(gateway, list, endpoints, consensus);
             }
             Frame::CloseSession { session } => {
-                let own = council.state().sessions().get(&session).is_some_and(|s| s.name == name);
-                if own {
-                    council.propose(Command::CloseSession { session });
+                let state = consensus.state();
+                let is_own = state.sessions().get(&session).is_some_and(|open| open.name == gateway);
+                if is_own {
+                    consensus.propose(Command::CloseSession { session });
                 }
             }
             _ => {}
         }
     }
 
-    /// Something has been decided: whoever waits for it is answered.
-    pub(super) fn agreed(
+    /// Adds a renewal to the next batch, or answers why that is not possible.
+    fn renew(
         &mut self,
-        _now: Duration,
-        agreed: &Committed,
-        register: &StateMachine,
-        send: Send<'_>,
+        gateway: GatewayName,
+        process: Incarnation,
+        mut renewal: Renewal,
+        consensus: &ConsensusGroup,
+        out: &mut Vec<NodeAction>,
     ) {
-        self.dirty = true;
-        match (&agreed.command, &agreed.outcome) {
-            (Command::OpenSession { name, request: ask, .. }, applied) => {
-                let waits = self.pending.get(name).is_some_and(|p| p.ask == *ask && p.session.is_none());
-                if !waits {
-                    return;
-                }
-                self.pending.remove(name);
-                match applied {
-                    CommandOutcome::Opened(session) => self.grant(name, *session, *ask, register, send),
-                    CommandOutcome::NameTaken { holder: by } => {
-                        send(name.clone(), Frame::NoSession { request: *ask, holder: Some(*by) });
-                    }
-                    _ => {}
-                }
+        let request = renewal.count;
+        if consensus.leader().is_none() {
+            return send(out, gateway, Frame::Unavailable { request });
+        }
+        let state = consensus.state();
+        match state.sessions().get(&renewal.session) {
+            Some(open) if open.name == gateway && open.process == process => {
+                renewal.version = renewal.version.filter(|version| open.version != *version);
+                let pending = PendingRequest { request, session: Some(renewal.session) };
+                self.pending.insert(gateway, pending);
+                self.renewals.push(renewal);
+            }
+            // It may have been opened by a command that this replica has not applied yet.
+            None if renewal.session > state.log_index() => send(out, gateway, Frame::Unavailable { request }),
+            _ => send(out, gateway, Frame::NoSession { request, holder: None }),
+        }
+    }
+
+    /// Answers the gateways that wait for a command that was committed.
+    pub(super) fn handle_committed(
+        &mut self,
+        committed: &Committed,
+        state: &StateMachine,
+        out: &mut Vec<NodeAction>,
+    ) {
+        self.state_changed = true;
+        match &committed.command {
+            Command::OpenSession { name, request, .. } => {
+                self.answer_open(name, *request, &committed.outcome, state, out);
             }
-            (Command::RenewSessions(renewals), _) => {
-                for Renewal { session, count, .. } in renewals {
-                    let waits =
-                        self.pending.iter().find(|(_, p)| p.session == Some(*session) && p.ask == *count);
-                    let Some(name) = waits.map(|(name, _)| name.clone()) else { continue };
-                    self.pending.remove(&name);
-                    if register.sessions().contains_key(session) {
-                        self.grant(&name, *session, *count, register, send);
-                    } else {
-                        send(name, Frame::NoSession { request: *count, holder: None });
-                    }
+            Command::RenewSessions(renewals) => {
+                for renewal in renewals {
+                    self.answer_renewal(renewal, state, out);
                 }
             }
             _ => {}
         }
     }
 
+    fn answer_open(
+        &mut self,
+        gateway: &GatewayName,
+        request: u64,
+        outcome: &CommandOutcome,
+        state: &StateMachine,
+        out: &mut Vec<NodeAction>,
+    ) {
+        let is_pending = |pending: &PendingRequest| pending.request == request && pending.session.is_none();
+        if !self.pending.get(gateway).is_some_and(is_pending) {
+            return;
+        }
+        self.pending.remove(gateway);
+        match outcome {
+            CommandOutcome::Opened(session) => self.grant(gateway, *session, request, state, out),
+            CommandOutcome::NameTaken { holder } => {
+                send(out, gateway.clone(), Frame::NoSession { request, holder: Some(*holder) });
+            }
+            _ => {}
+        }
+    }
+
+    fn answer_renewal(&mut self, renewal: &Renewal, state: &StateMachine, out: &mut Vec<NodeAction>) {
+        let session = renewal.session;
+        let request = renewal.count;
+        let is_pending =
+            |pending: &PendingRequest| pending.session == Some(session) && pending.request == request;
+        let waiting = self.pending.iter().find(|(_, pending)| is_pending(pending));
+        let Some(gateway) = waiting.map(|(gateway, _)| gateway.clone()) else { return };
+        self.pending.remove(&gateway);
+        if state.sessions().contains_key(&session) {
+            self.grant(&gateway, session, request, state, out);
+        } else {
+            send(out, gateway, Frame::NoSession { request, holder: None });
+        }
+    }
+
     fn grant(
         &mut self,
-        name: &GatewayName,
+        gateway: &GatewayName,
         session: SessionId,
-        ask: u64,
-        register: &StateMachine,
-        send: Send<'_>,
+        request: u64,
+        state: &StateMachine,
+        out: &mut Vec<NodeAction>,
     ) {
-        let Some(news) = news(register, session) else { return };
-        self.told.insert(name.clone(), news.clone());
-        send(name.clone(), Frame::SessionGranted { session, request: ask, update: news });
+        let Some(update) = update_for(state, session) else { return };
+        self.sent_updates.insert(gateway.clone(), update.clone());
+        send(out, gateway.clone(), Frame::SessionGranted { session, request, update });
     }
 
-    /// What staff should read of what was decided.
-    pub(super) fn note(&self, agreed: &Committed, out: &mut Vec<NodeAction>) {
-        let text = match (&agreed.command, &agreed.outcome) {
-            (Command::ExpireSession { session, .. }, CommandOutcome::Applied) => {
-                format!("session {session} is over: not renewed within its lease")
-            }
-            (Command::FenceLagging { session, version }, CommandOutcome::Applied) => {
-                format!("session {session} is shut out: it stayed behind on {version}")
-            }
-            (Command::FenceLagging { session, .. }, CommandOutcome::FenceLimitReached) => {
-                format!(
-                    "session {session} stays behind and is not shut out: as many as may be are out already"
-                )
-            }
-            (Command::SetFenced { name, fenced: out }, CommandOutcome::Applied) => {
-                format!("{name} is {} by staff", if *out { "shut out" } else { "let in again" })
-            }
-            (Command::SetRequirements(require), CommandOutcome::Applied) => {
-                format!("staff require {require:?}")
-            }
-            _ => return,
-        };
-        out.push(NodeAction::Notice(text));
+    /// Proposes what is due and sends updates. To be called every [`crate::consensus::TICK_INTERVAL`].
+    pub(super) fn tick(&mut self, now: Duration, consensus: &mut ConsensusGroup, out: &mut Vec<NodeAction>) {
+        self.propose_renewals(consensus, out);
+        self.observe_leadership(now, consensus.is_leader());
+        self.observe_sessions(now, consensus.state());
+        let lagging = self.observe_lags(now, consensus.state());
+        // Two replicas may both believe that they lead. That does no harm: a command names what was observed and has no effect where that
+        // has changed.
+        if self.was_leader {
+            self.propose_expiries(now, consensus);
+            self.propose_fences(now, &lagging, consensus);
+        }
+        self.send_updates(consensus.state(), out);
     }
 
-    /// Time goes on.
-    pub(super) fn tick(&mut self, now: Duration, council: &mut ConsensusGroup, send: Send<'_>) {
+    fn propose_renewals(&mut self, consensus: &mut ConsensusGroup, out: &mut Vec<NodeAction>) {
         let renewals = std::mem::take(&mut self.renewals);
-        if !renewals.is_empty() && !council.propose(Command::RenewSessions(renewals.clone())) {
-            for renewal in renewals {
-                let waits = self.pending.iter().find(|(_, p)| p.session == Some(renewal.session));
-                if let Some(name) = waits.map(|(name, _)| name.clone()) {
-                    self.pending.remove(&name);
-                    send(name, Frame::Unavailable { request: renewal.count });
-                }
+        if renewals.is_empty() || consensus.propose(Command::RenewSessions(renewals.clone())) {
+            return;
+        }
+        for renewal in renewals {
+            let session = Some(renewal.session);
+            let waiting = self.pending.iter().find(|(_, pending)| pending.session == session);
+            if let Some(gateway) = waiting.map(|(gateway, _)| gateway.clone()) {
+                self.pending.remove(&gateway);
+                send(out, gateway, Frame::Unavailable { request: renewal.count });
             }
         }
-        self.watch(now, council);
-        self.tell(council.state(), send);
     }
 
-    /// Proposes what has waited its time. Whoever leads does; that two may think they lead harms nothing, for an entry names what
-    /// was seen, and is void where that has changed.
-    fn watch(&mut self, now: Duration, council: &mut ConsensusGroup) {
-        let leads = council.is_leader();
-        if leads && !self.led {
-            // What was seen while another led may have been seen late.
-            self.seen.values_mut().for_each(|seen| seen.since = now);
-            self.behind.clear();
+    fn observe_leadership(&mut self, now: Duration, is_leader: bool) {
+        if is_leader && !self.was_leader {
+            // What this replica observed while another one led may have been observed late.
+            self.restart_timers(now);
         }
-        self.led = leads;
-        let register = council.state();
-        self.seen.retain(|id, _| register.sessions().contains_key(id));
-        for (id, session) in register.sessions() {
-            let seen = self.seen.entry(*id).or_insert(Seen {
-                renewals: session.renewals,
-                since: now,
-                proposed: None,
-            });
-            if seen.renewals != session.renewals {
-                *seen = Seen { renewals: session.renewals, since: now, proposed: None };
+        self.was_leader = is_leader;
+    }
+
+    fn observe_sessions(&mut self, now: Duration, state: &StateMachine) {
+        self.observed_sessions.retain(|id, _| state.sessions().contains_key(id));
+        for (id, session) in state.sessions() {
+            let current = ObservedSession { renewals: session.renewals, observed_at: now, proposed_at: None };
+            let observed = self.observed_sessions.entry(*id).or_insert(current);
+            if observed.renewals != session.renewals {
+                *observed = current;
             }
         }
-        let lagging: BTreeMap<SessionId, _> = register
-            .lagging_sessions()
-            .map(|lagging| (lagging.id, lagging.session.version.clone()))
-            .collect();
-        self.behind.retain(|id, _| lagging.contains_key(id));
+    }
+
+    /// Updates which sessions lag since when; returns the version that each of them lags with.
+    fn observe_lags(&mut self, now: Duration, state: &StateMachine) -> BTreeMap<SessionId, Version> {
+        let lagging: BTreeMap<SessionId, Version> =
+            state.lagging_sessions().map(|lagging| (lagging.id, lagging.session.version.clone())).collect();
+        self.observed_lags.retain(|id, _| lagging.contains_key(id));
         for id in lagging.keys() {
-            self.behind.entry(*id).or_insert((now, None));
-        }
-        if !leads {
-            return;
+            self.observed_lags.entry(*id).or_insert(ObservedLag { since: now, proposed_at: None });
         }
-        let due = |proposed: Option<Duration>| proposed.is_none_or(|at| now.saturating_sub(at) >= AGAIN);
-        for (id, seen) in &mut self.seen {
-            if now >= self.lease.grantor_expiry(seen.since) && due(seen.proposed) {
-                seen.proposed = Some(now);
-                council.propose(Command::ExpireSession { session: *id, renewals: seen.renewals });
+        lagging
+    }
+
+    fn propose_expiries(&mut self, now: Duration, consensus: &mut ConsensusGroup) {
+        for (id, observed) in &mut self.observed_sessions {
+            let is_expired = now >= self.lease.grantor_expiry(observed.observed_at);
+            if is_expired && is_proposal_due(now, observed.proposed_at) {
+                observed.proposed_at = Some(now);
+                consensus.propose(Command::ExpireSession { session: *id, renewals: observed.renewals });
             }
         }
-        let mut left = council.state().fence_capacity();
-        for (id, (since, proposed)) in &mut self.behind {
-            let stays = now.saturating_sub(*since) >= self.stragglers.max_lag_duration;
-            if stays && left > 0 && due(*proposed) {
-                if let Some(version) = lagging.get(id) {
-                    left -= 1;
-                    *proposed = Some(now);
-                    council.propose(Command::FenceLagging { session: *id, version: version.clone() });
-                }
+    }
+
+    fn propose_fences(
+        &mut self,
+        now: Duration,
+        lagging: &BTreeMap<SessionId, Version>,
+        consensus: &mut ConsensusGroup,
+    ) {
+        let mut capacity = consensus.state().fence_capacity();
+        for (id, observed) in &mut self.observed_lags {
+            let lags_too_long = now.saturating_sub(observed.since) >= self.lag_policy.max_lag_duration;
+            if !lags_too_long || capacity == 0 || !is_proposal_due(now, observed.proposed_at) {
+                continue;
             }
+            let Some(version) = lagging.get(id) else { continue };
+            capacity -= 1;
+            observed.proposed_at = Some(now);
+            consensus.propose(Command::FenceLagging { session: *id, version: version.clone() });
         }
     }
 
-    /// Tells those it keeps what has changed for them since it last did.
-    fn tell(&mut self, register: &StateMachine, send: Send<'_>) {
-        if !std::mem::take(&mut self.dirty) {
+    /// Sends an update to each gateway for which more than the log index has changed since the last one.
+    fn send_updates(&mut self, state: &StateMachine, out: &mut Vec<NodeAction>) {
+        if !self.state_changed {
             return;
         }
-        for (name, told) in &mut self.told {
-            let Some((id, _)) = register.session_of(name) else { continue };
-            let Some(news) = news(register, id) else { continue };
-            let alike = StateUpdate { log_index: told.log_index, ..news.clone() } == *told;
-            if !alike {
-                told.clone_from(&news);
-                send(name.clone(), Frame::StateUpdate(news));
+        self.state_changed = false;
+        for (gateway, sent) in &mut self.sent_updates {
+            let Some((id, _)) = state.session_of(gateway) else { continue };
+            let Some(update) = update_for(state, id) else { continue };
+            let is_unchanged = StateUpdate { log_index: sent.log_index, ..update.clone() } == *sent;
+            if !is_unchanged {
+                sent.clone_from(&update);
+                send(out, gateway.clone(), Frame::StateUpdate(update));
             }
         }
     }
 }
 
-/// What the register says to a session.
-fn news(register: &StateMachine, id: SessionId) -> Option<StateUpdate> {
-    let session = register.sessions().get(&id)?;
-    let gone = register.departures_since(&session.version.list).map(|(host, departure)| DepartedEndpoint {
-        endpoint: host.to_owned(),
+fn send(out: &mut Vec<NodeAction>, to: GatewayName, frame: Frame) {
+    out.push(NodeAction::Send { to, frame });
+}
+
+fn is_proposal_due(now: Duration, proposed_at: Option<Duration>) -> bool {
+    proposed_at.is_none_or(|at| now.saturating_sub(at) >= PROPOSAL_RETRY_INTERVAL)
+}
+
+/// Proposes those departures that are not recorded yet.
+fn propose_departures(
+    reported_by: GatewayName,
+    list: ListVersion,
+    mut endpoints: Vec<(String, bool)>,
+    consensus: &mut ConsensusGroup,
+) {
+    endpoints.retain(|(endpoint, removed)| !consensus.state().has_departure(&list, endpoint, *removed));
+    if !endpoints.is_empty() {
+        consensus.propose(Command::RecordDepartures { list, endpoints, reported_by });
+    }
+}
+
+/// What the state machine holds for a session.
+fn update_for(state: &StateMachine, id: SessionId) -> Option<StateUpdate> {
+    let session = state.sessions().get(&id)?;
+    let list = &session.version.list;
+    let departures = state.departures_since(list).map(|(endpoint, departure)| DepartedEndpoint {
+        endpoint: endpoint.to_owned(),
         removed: departure.removed,
         list_index: departure.list_index,
         reported_by: departure.reported_by.clone(),
     });
     Some(StateUpdate {
-        log_index: register.log_index(),
+        log_index: state.log_index(),
         fence_reason: session.fence_reason.clone(),
-        current_list_index: register.current_list_index(&session.version.list.lineage),
-        required_config: register.requirements().config,
-        departures: gone.take(TOLD).collect(),
+        current_list_index: state.current_list_index(&list.lineage),
+        required_config: state.requirements().config,
+        departures: departures.take(MAX_DEPARTURES_PER_UPDATE).collect(),
     })
 }
+
+/// Notice for administrators about a committed command, where it is of interest to them.
+pub(super) fn describe_committed(committed: &Committed) -> Option<String> {
+    match (&committed.command, &committed.outcome) {
+        (Command::ExpireSession { session, .. }, CommandOutcome::Applied) => {
+            Some(format!("session {session} is over: not renewed within its lease"))
+        }
+        (Command::FenceLagging { session, version }, CommandOutcome::Applied) => {
+            Some(format!("session {session} is shut out: it stayed behind on {version}"))
+        }
+        (Command::FenceLagging { session, .. }, CommandOutcome::FenceLimitReached) => Some(format!(
+            "session {session} stays behind and is not shut out: as many as may be are out already"
+        )),
+        (Command::SetFenced { name, fenced }, CommandOutcome::Applied) => {
+            Some(format!("{name} is {} by staff", if *fenced { "shut out" } else { "let in again" }))
+        }
+        (Command::SetRequirements(requirements), CommandOutcome::Applied) => {
+            Some(format!("staff require {requirements:?}"))
+        }
+        _ => None,
+    }
+}
--- a/crates/fleet/tests/hostile.rs
+++ b/crates/fleet/tests/hostile.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 use weldworks_fleet::consensus::{ConsensusMessage, TICK_INTERVAL};
-use weldworks_fleet::node::{Node, NodeAction};
+use weldworks_fleet::node::{Node, NodeAction, PeerProcess, StoredVote};
 use weldworks_fleet::protocol::{self, Frame};
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::{Incarnation, Version};
@@ -33,7 +33,8 @@
     fn new(seed: u64) -> Three {
         let agent = |n: usize| {
             let process = Incarnation(n as u64 + 1);
-            Node::new(settings(NAMES[n]), process, Version::default(), n as u64, (process, Vec::new()))
+            let vote = StoredVote { voter: process, records: Vec::new() };
+            Node::new(settings(NAMES[n]), process, Version::default(), n as u64, vote)
         };
         let mut three = Three {
             now: Duration::ZERO,
@@ -76,7 +77,8 @@
     fn link(&mut self, one: usize, other: usize) {
         let process = Incarnation(other as u64 + 1);
         let mut out = Vec::new();
-        self.agents[one].link_up(self.now, NAMES[other], (process, process), &mut out);
+        let remote = PeerProcess { process, voter: process };
+        self.agents[one].link_up(self.now, NAMES[other], remote, &mut out);
         self.deliver(one, out);
     }
 
@@ -136,7 +138,7 @@
         }
         broke_off += three.broke_off;
         for agent in &three.agents {
-            assert!(!agent.status(three.now).standing.is_empty());
+            assert!(!agent.status(three.now).session_state.is_empty());
         }
     }
     assert!(broke_off > 0, "nothing that was said broke anything: this shows nothing");
@@ -157,5 +159,5 @@
         }
     }
     three.run(10);
-    assert!(!three.agents[0].status(three.now).standing.is_empty());
+    assert!(!three.agents[0].status(three.now).session_state.is_empty());
 }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -28,7 +28,7 @@
 use weldworks_fleet::audit::{AuditLog, Decision, DecisionKind, Exception};
 use weldworks_fleet::consensus::TICK_INTERVAL;
 use weldworks_fleet::departures::RemoteDepartures;
-use weldworks_fleet::node::{Node, NodeAction, SessionState};
+use weldworks_fleet::node::{Node, NodeAction, SessionState, StoredVote};
 use weldworks_fleet::protocol::{DepartedEndpoint, Frame};
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::{digest, GatewayName, Incarnation, ListVersion, Version};
@@ -132,8 +132,8 @@
             .map(|folder| audit_store::AuditStore::open(folder, &settings, clock))
             .transpose()?;
         let (voter, store) = (found.voter, found.store);
-        let memory = (voter, found.records);
-        let agent = Node::new(settings.clone(), process, version.clone(), process.0, memory);
+        let vote = StoredVote { voter, records: found.records };
+        let agent = Node::new(settings.clone(), process, version.clone(), process.0, vote);
         info!(
             fleet = settings.name, gateway = settings.gateway, %process, peers = settings.peers.len(), build = version.build,
             "this gateway is in a fleet"
--- a/crates/gateway/src/fleet/peer_link.rs
+++ b/crates/gateway/src/fleet/peer_link.rs
@@ -22,9 +22,10 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 use tracing::{info, warn};
 use weldworks_fleet::membership::LinkFailure;
+use weldworks_fleet::node::PeerProcess;
 use weldworks_fleet::protocol::{self, Caller, Frame, Hello, ProtocolError, MAX_FRAME_BYTES};
 use weldworks_fleet::settings::Peer;
-use weldworks_fleet::version::{GatewayName, Incarnation};
+use weldworks_fleet::version::GatewayName;
 
 /// Connections of staff at a time.
 pub(super) const STAFF: usize = 8;
@@ -228,7 +229,7 @@
     sent.map_err(|_| "its hello can't be answered".to_owned())?.map_err(|e| e.to_string())?;
     match caller {
         Caller::Gateway { name, process, voter, .. } => {
-            link(fleet, &name, (process, voter), reader, writer).await
+            link(fleet, &name, PeerProcess { process, voter }, reader, writer).await
         }
         Caller::Administrator => super::admin::serve(fleet, reader, writer).await,
     }
@@ -274,7 +275,7 @@
     let caller = fleet.greet(&said, &|name| name == peer.name).map_err(|e| broken(e.to_string()))?;
     let Caller::Gateway { process, voter, .. } = caller else { return Err((LinkFailure::Broken, None)) };
     // A link that was up tells of its end by itself.
-    let _ = link(fleet, &peer.name, (process, voter), reader, writer).await;
+    let _ = link(fleet, &peer.name, PeerProcess { process, voter }, reader, writer).await;
     Ok(())
 }
 
@@ -282,7 +283,7 @@
 async fn link(
     fleet: &Rc<Fleet>,
     name: &str,
-    process: (Incarnation, Incarnation),
+    process: PeerProcess,
     mut reader: Reader,
     mut writer: Writer,
 ) -> Result<(), String> {
--- a/crates/gateway/src/fleet/stored_files_tests.rs
+++ b/crates/gateway/src/fleet/stored_files_tests.rs
@@ -243,24 +243,24 @@
     let status = Status {
         gateway: "a".into(),
         process: "p".into(),
-        standing: "in session 4".into(),
+        session_state: "in session 4".into(),
         session: Some(4),
-        held_ms: 1500,
+        remaining_lease_ms: 1500,
         version: version.clone(),
-        position: 12,
-        current: Some(9),
+        log_index: 12,
+        current_list_index: Some(9),
         leader: Some("b".into()),
-        council: Some((3, true)),
+        consensus: Some((3, true)),
         members: states.iter().enumerate().map(|(n, state)| (n.to_string(), *state)).collect(),
         sessions: vec![SessionRow {
             gateway: "a".into(),
             process: "p".into(),
             session: 4,
             version: version.clone(),
-            behind: 2,
-            out: Some("held".into()),
+            list_lag: 2,
+            fence_reason: Some("held".into()),
         }],
-        held_out: vec!["c".into()],
+        fenced_by_administrator: vec!["c".into()],
     };
     let mut audit = AuditLog::new(Duration::ZERO, version);
     let exceptions = [
--- a/crates/testbed/src/whole/virtual_time.rs
+++ b/crates/testbed/src/whole/virtual_time.rs
@@ -11,7 +11,7 @@
 use weldworks_fleet::consensus::{StoredRecord, TICK_INTERVAL};
 use weldworks_fleet::lease::Lease;
 use weldworks_fleet::membership::LinkFailure;
-use weldworks_fleet::node::{Node, NodeAction, SessionState};
+use weldworks_fleet::node::{Node, NodeAction, PeerProcess, SessionState, StoredVote};
 use weldworks_fleet::protocol::Frame;
 use weldworks_fleet::settings::{FleetSettings, LagPolicy, Peer, WithoutSessionPolicy};
 use weldworks_fleet::state_machine::SessionId;
@@ -254,7 +254,7 @@
         let stored = self.disks[gateway].clone();
         // Without a disk a process votes for itself; with one it goes on as the first that had it.
         let voter = if self.script.disks { Incarnation(gateway as u64 + 1) } else { process };
-        let agent = Node::new(settings, process, version(index), seed, (voter, stored));
+        let agent = Node::new(settings, process, version(index), seed, StoredVote { voter, records: stored });
         self.gateways[gateway] = Some(Process {
             agent,
             began: self.at,
@@ -412,10 +412,9 @@
             }
         }
         for (one, other) in [(from, to), (to, from)] {
-            let Some(process) = self.gateways[other].as_ref().map(|p| (p.agent.process(), p.voter)) else {
-                continue;
-            };
-            self.with(one, |agent, now, out| agent.link_up(now, &name(other), process, out));
+            let Some(peer) = &self.gateways[other] else { continue };
+            let remote = PeerProcess { process: peer.agent.process(), voter: peer.voter };
+            self.with(one, |agent, now, out| agent.link_up(now, &name(other), remote, out));
         }
     }
 
