--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,175 +1,204 @@
-//! The list of hosts, as discovery writes it.
+//! The list of endpoints as discovery sends it, and the faults that an entry may have.
+//!
+//! The field names of the protocol are mapped here and nowhere else: the private types of [`wire`] are converted into the types of
+//! this module as soon as they are read.
 
 use rustc_hash::FxHashSet;
 use serde::Deserialize;
-use std::fmt;
 use std::net::SocketAddr;
 
-/// A list of hosts, or the changes since the one before.
+/// Longest part of a name or an address that a fault repeats, in characters: a malformed one may be as long as a list.
+const MAX_QUOTED_CHARS: usize = 64;
+
+/// A list of endpoints, or a delta to the list before.
 #[derive(Debug, Default, Deserialize)]
+#[serde(from = "wire::List")]
 pub struct EndpointList {
-    /// Its version.
-    #[serde(default)]
+    /// Its index, which grows with each change; 0 where the list has none.
     pub index: u64,
-    /// Whether it is whole: a host that it lacks is gone.
-    #[serde(default, rename = "snapshot")]
+    /// Whether it lists all endpoints: one that it lacks is removed. Otherwise it is a delta.
     pub is_snapshot: bool,
-    /// The hosts.
-    #[serde(default)]
+    /// The endpoints, or those that have changed.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// A host as discovery lists it.
-#[derive(Debug, Deserialize)]
+/// An endpoint as discovery lists it.
+#[derive(Debug)]
 pub struct ListedEndpoint {
     /// Its lasting name.
     pub name: String,
-    /// Where it listens, as seen from here; one that has left may have none.
-    #[serde(default)]
+    /// Its address and port as seen from here; empty where a removed one has none.
     pub address: String,
-    /// Its zone's name.
-    #[serde(default)]
+    /// The name of its zone; empty where it is in none.
     pub zone: String,
-    /// Its machine kind's name.
-    #[serde(default, rename = "type")]
+    /// The name of its machine kind; empty where that is not known.
     pub kind: String,
-    /// Its cell, where it is in one.
-    #[serde(default)]
-    pub group: Option<u32>,
+    /// The number of its cell, where it is in one.
+    pub cell: Option<u32>,
     /// Its state.
-    #[serde(default)]
     pub status: ListedStatus,
-    /// Its weight.
-    #[serde(default = "one")]
+    /// Its weight; 1 by default.
     pub weight: f64,
     /// When it last started, in Unix milliseconds; 0 for long ago.
-    #[serde(default, rename = "since_ms")]
     pub started_unix_ms: u64,
 }
 
-fn one() -> f64 {
-    1.0
-}
-
-/// The state of a host.
-#[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
+/// The state of an endpoint as discovery lists it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedStatus {
-    /// Takes work.
-    #[default]
+    /// It takes requests. This is the default.
     Active,
-    /// Finishes what it has.
-    Leaving,
-    /// Gone.
-    Left,
-    /// A state of which nothing is known: better sent nothing.
-    #[serde(other)]
+    /// It finishes the requests that it has.
+    Draining,
+    /// It is gone.
+    Removed,
+    /// A state that this version does not know. Nothing new is sent to such an endpoint.
     Unknown,
 }
 
-/// What is wrong with a list that could be read. All but an old one costs its entry only.
-#[derive(Clone, Debug, PartialEq, Eq)]
+/// What is wrong with a list that could be read. All but an outdated delta cost their entry only.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListFault {
-    /// Changes older than the list held: a drain heard of since would be undone.
+    /// A delta older than the list in force. Applied, it would undo a drain that has been seen since.
+    #[error(
+        "delta of index {index} is older than the list in force, of index {current}, and ignored: a registry that has lost its \
+         indexes must send a snapshot, or this gateway be restarted"
+    )]
     Outdated {
-        /// Its version.
+        /// The delta's index.
         index: u64,
-        /// That of the list held.
-        held: u64,
+        /// The index of the list in force.
+        current: u64,
     },
-    /// An entry whose address is none; a host known by another address keeps that.
-    Address {
-        /// Whose.
+    /// An entry without a valid address. An endpoint that is known by another address keeps that.
+    #[error(
+        "entry {name:?}: {address:?} is no address and port, nothing is sent to it unless another is known: correct the entry in \
+         the registry"
+    )]
+    InvalidAddress {
+        /// The entry's name.
         name: String,
-        /// What stands there.
+        /// What stands in place of the address.
         address: String,
     },
-    /// A name that stands there twice; the last one counts.
+    /// A name that is listed twice. The last entry counts.
+    #[error("entry {name:?} is listed twice, the last one counts")]
     Duplicate {
-        /// Which.
+        /// The name.
         name: String,
     },
 }
 
-impl fmt::Display for ListFault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ListFault::Outdated { index, held } => {
-                write!(f, "changes of version {index} after version {held}: passed over, the list held stays; a register that has \
-                 lost its versions must send a whole list, or this gateway be started anew")
-            }
-            ListFault::Address { name, address } => write!(
-                f,
-                "entry {name:?}: {address:?} is no address and port: it is sent nothing unless another is known; \
-                 mend the entry in the register"
-            ),
-            ListFault::Duplicate { name } => write!(f, "entry {name:?} stands there twice: the last one counts"),
+impl EndpointList {
+    /// The first `limit` faults of the list, where the one in force has the index `current`.
+    pub fn faults(&self, current: u64, limit: usize) -> Vec<ListFault> {
+        if !self.is_snapshot && self.index < current {
+            return vec![ListFault::Outdated { index: self.index, current }];
         }
+        let mut names = FxHashSet::default();
+        let faults = self.endpoints.iter().filter_map(|entry| {
+            if !names.insert(&entry.name) {
+                return Some(ListFault::Duplicate { name: shorten(&entry.name) });
+            }
+            entry.address_fault()
+        });
+        faults.take(limit).collect()
     }
 }
 
-/// The longest part of a name or an address that is told: what is wrong may be as long as a list.
-const TOLD: usize = 64;
+impl ListedEndpoint {
+    fn address_fault(&self) -> Option<ListFault> {
+        if self.status == ListedStatus::Removed || self.address.parse::<SocketAddr>().is_ok() {
+            return None;
+        }
+        Some(ListFault::InvalidAddress { name: shorten(&self.name), address: shorten(&self.address) })
+    }
+}
 
-fn told(text: &str) -> String {
-    text.chars().take(TOLD).collect()
+fn shorten(text: &str) -> String {
+    text.chars().take(MAX_QUOTED_CHARS).collect()
 }
 
-impl EndpointList {
-    /// What is wrong with it where version `held` is in force, at most `most` faults.
-    pub fn faults(&self, held: u64, most: usize) -> Vec<ListFault> {
-        if !self.is_snapshot && self.index < held {
-            return vec![ListFault::Outdated { index: self.index, held }];
-        }
-        let mut names = FxHashSet::default();
-        let faults = self.endpoints.iter().filter_map(|e| {
-            if !names.insert(&e.name) {
-                return Some(ListFault::Duplicate { name: told(&e.name) });
-            }
-            let wrong = e.status != ListedStatus::Left && e.address.parse::<SocketAddr>().is_err();
-            wrong.then(|| ListFault::Address { name: told(&e.name), address: told(&e.address) })
-        });
-        faults.take(most).collect()
+/// The list in the words of the protocol.
+mod wire {
+    use serde::Deserialize;
+
+    #[derive(Deserialize)]
+    #[serde(rename = "EndpointList")]
+    pub(super) struct List {
+        #[serde(default)]
+        index: u64,
+        #[serde(default)]
+        snapshot: bool,
+        #[serde(default)]
+        endpoints: Vec<Endpoint>,
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
+    #[derive(Deserialize)]
+    #[serde(rename = "ListedEndpoint")]
+    pub(super) struct Endpoint {
+        name: String,
+        #[serde(default)]
+        address: String,
+        #[serde(default)]
+        zone: String,
+        #[serde(default, rename = "type")]
+        kind: String,
+        #[serde(default)]
+        group: Option<u32>,
+        #[serde(default)]
+        status: Status,
+        #[serde(default = "default_weight")]
+        weight: f64,
+        #[serde(default)]
+        since_ms: u64,
+    }
 
-    fn list(text: &str) -> EndpointList {
-        serde_json::from_str(text).expect("a list")
+    fn default_weight() -> f64 {
+        1.0
     }
 
-    #[test]
-    fn each_fault_is_told_with_its_entry_and_a_good_list_has_none() {
-        let good =
-            r#"{"index":4,"endpoints":[{"name":"a","address":"127.0.0.1:1"},{"name":"b","status":"left"}]}"#;
-        assert_eq!(list(good).faults(4, 9), []);
-        assert_eq!(list(good).faults(5, 9), [ListFault::Outdated { index: 4, held: 5 }]);
-        let whole = good.replace("\"index\":4", "\"index\":4,\"snapshot\":true");
-        assert_eq!(list(&whole).faults(5, 9), [], "a register that lost its versions tells all it has");
-        let bad = r#"{"endpoints":[{"name":"a","address":"here"},{"name":"c","address":"127.0.0.1:1"},{"name":"c"}]}"#;
-        let faults = list(bad).faults(0, 9);
-        assert_eq!(faults.len(), 2, "{faults:?}");
-        assert!(faults[0].to_string().contains("\"a\"") && faults[1].to_string().contains("twice"));
+    #[derive(Default, Deserialize)]
+    #[serde(rename = "ListedStatus", rename_all = "lowercase")]
+    enum Status {
+        #[default]
+        Active,
+        Leaving,
+        Left,
+        #[serde(other)]
+        Unknown,
     }
 
-    proptest! {
-        #[test]
-        fn no_list_makes_it_panic_and_no_more_is_told_than_asked(
-            index in any::<u64>(), held in any::<u64>(), snapshot in any::<bool>(),
-            entries in prop::collection::vec(("[ab]{0,2}", ".{0,400}"), 0..12),
-        ) {
-            let entry = |(name, address): (String, String)| {
-                let known = serde_json::json!({ "name": name, "address": address });
-                serde_json::from_value::<ListedEndpoint>(known).expect("an entry")
-            };
-            let endpoints = entries.into_iter().map(entry).collect();
-            let list = EndpointList { index, is_snapshot: snapshot, endpoints };
-            let faults = list.faults(held, 3);
-            prop_assert!(faults.len() <= 3 && faults.iter().all(|f| f.to_string().len() < 2000));
+    impl From<List> for super::EndpointList {
+        fn from(list: List) -> super::EndpointList {
+            super::EndpointList {
+                index: list.index,
+                is_snapshot: list.snapshot,
+                endpoints: list.endpoints.into_iter().map(super::ListedEndpoint::from).collect(),
+            }
+        }
+    }
+
+    impl From<Endpoint> for super::ListedEndpoint {
+        fn from(endpoint: Endpoint) -> super::ListedEndpoint {
+            super::ListedEndpoint {
+                name: endpoint.name,
+                address: endpoint.address,
+                zone: endpoint.zone,
+                kind: endpoint.kind,
+                cell: endpoint.group,
+                status: match endpoint.status {
+                    Status::Active => super::ListedStatus::Active,
+                    Status::Leaving => super::ListedStatus::Draining,
+                    Status::Left => super::ListedStatus::Removed,
+                    Status::Unknown => super::ListedStatus::Unknown,
+                },
+                weight: endpoint.weight,
+                started_unix_ms: endpoint.since_ms,
+            }
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! News of the hosts: the list, and the watch on its changes.
+//! Service discovery: the endpoint lists that the registry sends, and the watch that receives them.
 
 pub mod endpoint_list;
 pub mod line_reader;
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,16 +1,18 @@
-//! The watch on the changes of the list of hosts.
+//! A watch on discovery: one connection over which lists, deltas and keep-alives arrive until it fails.
 
 use super::endpoint_list::EndpointList;
-use super::line_reader::{LineReader, WatchMessage};
+use super::line_reader::{LineReader, ListError, WatchMessage};
 use crate::engine::message::{EngineHandle, Message};
 use crate::transport::stream::Stream;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
-use hyper::client::conn::http1;
-use hyper::{Request, StatusCode};
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use std::cell::Cell;
 use std::net::SocketAddr;
+use std::pin::Pin;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::{timeout_at, Instant};
@@ -27,127 +29,168 @@
     Poll,
 }
 
+impl ListDelivery {
+    /// How long the first message may take, from the start of the call.
+    fn first_message_timeout(self) -> Duration {
+        match self {
+            ListDelivery::Push => PUSH_FIRST_LIST_TIMEOUT,
+            ListDelivery::Poll => POLL_FIRST_LIST_TIMEOUT,
+        }
+    }
+}
+
+/// A watch that is to be opened.
+#[derive(Clone, Copy, Debug)]
+pub struct Watch {
+    /// The address of discovery.
+    pub address: SocketAddr,
+    /// The index of the list in force; 0 for none.
+    pub since_index: u64,
+    /// The number of this watch, from 1. The engine ignores messages of another watch than the current one.
+    pub id: u64,
+    /// How lists come.
+    pub delivery: ListDelivery,
+}
+
+/// Why a watch has ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("{0}")]
     Io(#[from] std::io::Error),
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("answered {0}")]
+    #[error("answered with status {0}")]
     Status(StatusCode),
-    #[error("silent for too long")]
+    #[error("no message in time")]
     Silent(#[from] tokio::time::error::Elapsed),
     #[error("{0}")]
-    Malformed(#[from] super::line_reader::ListError),
-    #[error("ended")]
-    Ended,
+    Malformed(#[from] ListError),
+    #[error("connection closed")]
+    Closed,
 }
 
-/// Tells the gateway that the watch is over, however it ends: also when its task panics, or the gateway would
-/// wait for news that never come.
-struct Ended {
-    gateway: EngineHandle,
+/// Reports the end of a watch to the engine when it is dropped.
+///
+/// The report is sent on drop so that the engine hears of the end also where the watch's task panics. Without it the engine would
+/// wait for lists that never come.
+struct WatchEndReporter {
+    engine: EngineHandle,
     watch: u64,
-    why: String,
-    /// When the last word came, or the call was made.
-    heard: Cell<Instant>,
+    reason: String,
+    /// When the last message arrived, or the call was made.
+    last_message_at: Cell<Instant>,
 }
 
-impl Drop for Ended {
+impl Drop for WatchEndReporter {
     fn drop(&mut self) {
-        let why = std::mem::take(&mut self.why);
-        let quiet = self.heard.get().elapsed();
-        self.gateway.send(Message::DiscoveryFailed { watch: self.watch, reason: why, silent_for: quiet });
+        let reason = std::mem::take(&mut self.reason);
+        let silent_for = self.last_message_at.get().elapsed();
+        self.engine.send(Message::DiscoveryFailed { watch: self.watch, reason, silent_for });
     }
 }
 
-/// Watches the list from version `since` on until that fails; the gateway counts its watches, and this is number
-/// `watch`. Where lists are `pushed` the first word comes at once.
-pub async fn watch(
-    address: SocketAddr,
-    since: u64,
-    watch: u64,
-    delivery: ListDelivery,
-    gateway: EngineHandle,
-) {
-    let heard = Cell::new(Instant::now());
-    let mut ended = Ended { gateway, watch, why: "its task has panicked".to_owned(), heard };
-    let first = match delivery {
-        ListDelivery::Push => PUSH_FIRST_LIST_TIMEOUT,
-        ListDelivery::Poll => POLL_FIRST_LIST_TIMEOUT,
-    };
-    if let Err(error) = follow(address, since, watch, first, &ended).await {
-        ended.why = error.to_string();
+impl Watch {
+    /// Sends the engine all lists from the one in force on, until the watch fails; then that it has ended, and why.
+    pub async fn run(self, engine: EngineHandle) {
+        let mut reporter = WatchEndReporter {
+            engine,
+            watch: self.id,
+            reason: "its task has panicked".to_owned(),
+            last_message_at: Cell::new(Instant::now()),
+        };
+        if let Err(error) = self.follow(&reporter).await {
+            reporter.reason = error.to_string();
+        }
     }
-}
 
-async fn follow(
-    address: SocketAddr,
-    since: u64,
-    watch: u64,
-    first: Duration,
-    Ended { gateway, heard, .. }: &Ended,
-) -> Result<(), WatchError> {
-    // One time for all that comes before the first word: a call that is heard and not answered is as silent as one that is not.
-    let mut due = Instant::now() + first;
-    let opening = async {
-        let stream = TcpStream::connect(address).await?;
+    async fn follow(&self, reporter: &WatchEndReporter) -> Result<(), WatchError> {
+        // One deadline for all that comes before the first message: a call that is accepted and never answered is as silent as one
+        // that is not accepted.
+        let deadline = Instant::now() + self.delivery.first_message_timeout();
+        let call = timeout_at(deadline, self.open()).await??;
+        if call.response.status() != StatusCode::OK {
+            return Err(WatchError::Status(call.response.status()));
+        }
+        // The connection ends with its sender, so that stays until the end.
+        let WatchCall { response, connection, sender: _sender } = call;
+        let reading = self.read_messages(response, deadline, reporter);
+        tokio::pin!(reading);
+        tokio::select! {
+            biased;
+            read = &mut reading => read,
+            // What arrived before the end is still read.
+            _ = connection => reading.await,
+        }
+    }
+
+    /// Connects, sends the request, and waits for the head of the response.
+    async fn open(&self) -> Result<WatchCall, WatchError> {
+        let stream = TcpStream::connect(self.address).await?;
         stream.set_nodelay(true)?;
         let (mut sender, connection) = http1::handshake(TokioIo::new(Stream::new(stream))).await?;
-        let request = Request::get(format!("/registry/instances?follow=1&since={since}"))
-            .header("Host", address.to_string())
+        let request = Request::get(format!("/registry/instances?follow=1&since={}", self.since_index))
+            .header("Host", self.address.to_string())
             .body(Empty::<Bytes>::new())
             .unwrap_or_default();
         let mut connection = Box::pin(connection);
         let response = tokio::select! {
             response = sender.send_request(request) => response?,
-            ended = &mut connection => { ended?; return Err(WatchError::Ended) }
+            ended = &mut connection => {
+                ended?;
+                return Err(WatchError::Closed);
+            }
         };
-        Ok::<_, WatchError>((response, connection, sender))
-    };
-    let (response, connection, _sender) = timeout_at(due, opening).await??;
-    if response.status() != StatusCode::OK {
-        return Err(WatchError::Status(response.status()));
+        Ok(WatchCall { response, connection, sender })
     }
-    let reading = async {
+
+    /// Reads messages and sends the engine their lists, until one does not come in time.
+    ///
+    /// TCP keep-alive notices nothing where a machine has vanished: only complete lists and empty lines prove that discovery is alive.
+    /// A list that never comes to its end is none, however slowly its bytes go on arriving.
+    async fn read_messages(
+        &self,
+        response: Response<Incoming>,
+        first_deadline: Instant,
+        reporter: &WatchEndReporter,
+    ) -> Result<(), WatchError> {
         let mut body = response.into_body();
-        let (mut lists, mut first) = (LineReader::default(), true);
+        let mut reader = LineReader::default();
+        let mut deadline = first_deadline;
+        let mut is_first = true;
         loop {
-            // Keep-alive notices nothing where a machine has vanished: only whole lists and empty lines prove that discovery lives. A
-            // list that does not come to its end is none, however it trickles.
-            let frame = timeout_at(due, body.frame()).await?.ok_or(WatchError::Ended)??;
+            let frame = timeout_at(deadline, body.frame()).await?.ok_or(WatchError::Closed)??;
             let Ok(data) = frame.into_data() else { continue };
-            lists.push(&data);
-            while let Some(word) = lists.next_message()? {
-                heard.set(Instant::now());
-                due = heard.get() + WATCH_SILENCE_TIMEOUT;
-                let heard_before = gateway.record_discovery_message();
-                match word {
-                    WatchMessage::List(list) => gateway.send(Message::EndpointListReceived {
-                        watch,
-                        list,
-                        previous_message_at: heard_before,
-                    }),
+            reader.push(&data);
+            while let Some(message) = reader.next_message()? {
+                let received_at = Instant::now();
+                reporter.last_message_at.set(received_at);
+                deadline = received_at + WATCH_SILENCE_TIMEOUT;
+                let previous_message_at = reporter.engine.record_discovery_message();
+                let list = match message {
+                    WatchMessage::List(list) => Some(list),
                     // Each call is owed an answer, also where nothing has changed.
-                    WatchMessage::KeepAlive if first => {
-                        let list = EndpointList { index: since, ..EndpointList::default() };
-                        gateway.send(Message::EndpointListReceived {
-                            watch,
-                            list,
-                            previous_message_at: heard_before,
-                        });
-                    }
-                    WatchMessage::KeepAlive => {}
+                    WatchMessage::KeepAlive if is_first => Some(self.unchanged_list()),
+                    WatchMessage::KeepAlive => None,
+                };
+                if let Some(list) = list {
+                    let watch = self.id;
+                    let message = Message::EndpointListReceived { watch, list, previous_message_at };
+                    reporter.engine.send(message);
                 }
-                first = false;
+                is_first = false;
             }
         }
-    };
-    tokio::pin!(reading);
-    tokio::select! {
-        biased;
-        read = &mut reading => read,
-        // What came before the end is read still.
-        _ = connection => reading.await,
     }
+
+    /// A delta that changes nothing.
+    fn unchanged_list(&self) -> EndpointList {
+        EndpointList { index: self.since_index, ..EndpointList::default() }
+    }
+}
+
+/// An HTTP connection to discovery whose response has begun.
+struct WatchCall {
+    response: Response<Incoming>,
+    connection: Pin<Box<http1::Connection<TokioIo<Stream>, Empty<Bytes>>>>,
+    sender: SendRequest<Empty<Bytes>>,
 }
--- a/crates/gateway/src/engine/discovery_watch.rs
+++ b/crates/gateway/src/engine/discovery_watch.rs
@@ -8,7 +8,7 @@
 use super::timers::Timer;
 use super::Engine;
 use crate::discovery::endpoint_list::EndpointList;
-use crate::discovery::watch::{watch, ListDelivery};
+use crate::discovery::watch::{ListDelivery, Watch};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::task::spawn_local;
@@ -31,14 +31,14 @@
         debug!(version = self.list_index, "watch opened");
         self.watch_id += 1;
         self.watch_backoff.record_open(self.handle.balancer_time(Instant::now()));
-        let watching = watch(
-            self.discovery_address,
-            self.list_index,
-            self.watch_id,
-            self.list_delivery(),
-            self.handle.clone(),
-        );
-        if let Some(previous) = self.watch_task.replace(spawn_local(watching)) {
+        let watch = Watch {
+            address: self.discovery_address,
+            since_index: self.list_index,
+            id: self.watch_id,
+            delivery: self.list_delivery(),
+        };
+        let task = spawn_local(watch.run(self.handle.clone()));
+        if let Some(previous) = self.watch_task.replace(task) {
             previous.abort();
         }
     }
--- a/crates/gateway/src/engine/endpoint_updates.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -254,7 +254,7 @@
         Endpoint {
             state,
             zone: self.names.zone(&entry.zone, id.0),
-            cell: entry.group.unwrap_or(u32::MAX - id.0),
+            cell: entry.cell.unwrap_or(u32::MAX - id.0),
             started: self.estimate_start(id, entry.started_unix_ms, reference),
             kind: self.names.kind(&entry.kind, id.0),
             weight: entry.weight,
@@ -289,8 +289,8 @@
             ListedStatus::Active if endpoint.address.get().is_none() => EndpointState::Removed,
             ListedStatus::Active if self.has_departed_remotely(&entry.name) => EndpointState::Draining,
             ListedStatus::Active => EndpointState::Up,
-            ListedStatus::Left => EndpointState::Removed,
-            ListedStatus::Leaving | ListedStatus::Unknown => EndpointState::Draining,
+            ListedStatus::Removed => EndpointState::Removed,
+            ListedStatus::Draining | ListedStatus::Unknown => EndpointState::Draining,
         }
     }
 
