--- a/crates/gateway/src/fleet/admin.rs
+++ b/crates/gateway/src/fleet/admin.rs
@@ -1,6 +1,6 @@
-//! What staff ask over the link, and what this gateway answers.
+//! Answers administrators over the link.
 
-use super::peer_link::{Reader, Writer};
+use super::link_codec::{FrameReader, FrameWriter, LinkError};
 use super::Fleet;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -12,108 +12,120 @@
 use weldworks_fleet::protocol::{self, AdminQuery, Frame};
 use weldworks_fleet::state_machine::{Command, StateMachine};
 
-/// Staff who ask nothing for so long are cut off.
-const QUIET: Duration = Duration::from_secs(5);
-/// What staff want decided is decided within this, or they are told that it is not known to be.
-const DECIDED: Duration = Duration::from_secs(2);
-/// Between two looks whether it is.
-const LOOK: Duration = Duration::from_millis(20);
+/// Time after which an idle connection of an administrator is closed.
+const ADMIN_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time for a proposal to be committed; after it the administrator is told that its outcome is unknown.
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which a proposal is checked.
+const COMMIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Answers one caller's questions.
-pub(super) async fn serve(fleet: &Rc<Fleet>, mut reader: Reader, mut writer: Writer) -> Result<(), String> {
-    while let Ok(Some(Ok(bytes))) = timeout(QUIET, reader.next()).await {
-        let Frame::AdminQuery(question) = protocol::decode_frame(&bytes).map_err(|e| e.to_string())? else {
-            return Err("staff may only ask".to_owned());
+/// Answers one administrator's queries until the connection ends or is idle.
+pub(super) async fn serve(
+    fleet: &Rc<Fleet>,
+    mut reader: FrameReader,
+    mut writer: FrameWriter,
+) -> Result<(), LinkError> {
+    while let Ok(Some(Ok(bytes))) = timeout(ADMIN_IDLE_TIMEOUT, reader.next()).await {
+        let Frame::AdminQuery(query) = protocol::decode_frame(&bytes)? else {
+            return Err(LinkError::NotAnAdminQuery);
         };
-        let answer = fleet.told(question).await;
-        let long =
-            || json!({ "error": "the answer is too long for one frame: ask for fewer lists" }).to_string();
-        let frame = protocol::encode_frame(&Frame::AdminAnswer(answer))
-            .or_else(|| protocol::encode_frame(&Frame::AdminAnswer(long())));
-        let frame = frame.unwrap_or_default();
-        if timeout(QUIET, writer.send(Bytes::from(frame))).await.is_err() {
+        let answer = fleet.answer_query(query).await;
+        let frame = encode_answer(answer);
+        if timeout(ADMIN_IDLE_TIMEOUT, writer.send(Bytes::from(frame))).await.is_err() {
             return Ok(());
         }
     }
     Ok(())
 }
 
+/// Encodes an answer, or the error that it exceeds a frame.
+fn encode_answer(answer: String) -> Vec<u8> {
+    let too_long = || error_answer("the answer is too long for one frame: ask for fewer lists");
+    protocol::encode_frame(&Frame::AdminAnswer(answer))
+        .or_else(|| protocol::encode_frame(&Frame::AdminAnswer(too_long())))
+        .unwrap_or_default()
+}
+
+fn error_answer(text: &str) -> String {
+    json!({ "error": text }).to_string()
+}
+
 impl Fleet {
-    /// The answer to a question, as JSON.
-    async fn told(&self, question: AdminQuery) -> String {
+    /// The answer to a query, as JSON.
+    async fn answer_query(&self, query: AdminQuery) -> String {
         let now = self.now();
-        let answer = match question {
-            AdminQuery::Status => serde_json::to_value(self.agent.borrow().status(now)),
+        let answer = match query {
+            AdminQuery::Status => serde_json::to_value(self.node.borrow().status(now)).unwrap_or_default(),
             AdminQuery::Audit { from_index, to_index } => {
                 let lists = from_index..=to_index;
-                let told = serde_json::to_value(self.audit.borrow().report_lists(now, lists.clone()));
-                Ok(self.with_past(told.unwrap_or_default(), AuditQuery::Lists(lists)).await)
+                let report = serde_json::to_value(self.audit.borrow().report_lists(now, lists.clone()));
+                self.with_history(report.unwrap_or_default(), AuditQuery::Lists(lists)).await
             }
-            AdminQuery::Request { request_id: number } => {
-                let (since_ms, steps) = self.audit.borrow().report_request(&number);
-                let told = json!({ "since_ms": since_ms, "steps": steps });
-                Ok(self.with_past(told, AuditQuery::Request(number)).await)
+            AdminQuery::Request { request_id } => {
+                let (since_ms, steps) = self.audit.borrow().report_request(&request_id);
+                let report = json!({ "since_ms": since_ms, "steps": steps });
+                self.with_history(report, AuditQuery::Request(request_id)).await
             }
-            AdminQuery::Propose(entry) => match *entry {
-                entry @ (Command::SetFenced { .. } | Command::SetRequirements(_)) => {
-                    return self.decide(entry).await
+            AdminQuery::Propose(command) => match *command {
+                command @ (Command::SetFenced { .. } | Command::SetRequirements(_)) => {
+                    return self.propose(command).await;
                 }
-                _ => return json!({ "error": "this is not for staff to decide" }).to_string(),
+                _ => return error_answer("this is not for staff to decide"),
             },
         };
-        let answer = answer.unwrap_or_default();
         let gateway = self.settings.gateway.clone();
-        let process = self.agent.borrow().process().to_string();
-        // Each gateway's times count from its own start; this ties them to its wall clock, for a reader to compare by eye.
+        let process = self.node.borrow().process().to_string();
+        // Times in answers count from each gateway's own start; its wall clock at that moment lets a reader compare them.
         let began_unix_ms = self.began_unix_ms;
         json!({ "gateway": gateway, "process": process, "began_unix_ms": began_unix_ms, "answer": answer })
             .to_string()
     }
 
-    /// Adds what is on the disk of earlier processes, and of this one before its memory; or why that is not known.
-    async fn with_past(&self, mut told: Value, wanted: AuditQuery) -> Value {
-        let Some(books) = &self.books else { return told };
-        let own = self.audit.borrow().memory_span(self.agent.borrow().process());
-        match books.read_history(wanted, own).await {
-            Ok(past) => told["earlier"] = serde_json::to_value(past).unwrap_or_default(),
-            Err(why) => told["earlier_unread"] = why.into(),
+    /// Adds what is on disk of earlier processes, and of this one before its memory, or why that is unknown.
+    async fn with_history(&self, mut report: Value, query: AuditQuery) -> Value {
+        let Some(audit_store) = &self.audit_store else { return report };
+        let own = self.audit.borrow().memory_span(self.node.borrow().process());
+        match audit_store.read_history(query, own).await {
+            Ok(history) => report["earlier"] = serde_json::to_value(history).unwrap_or_default(),
+            Err(error) => report["earlier_unread"] = error.to_string().into(),
         }
-        told
+        report
     }
 
-    /// Proposes what staff want, and waits until the register has come past it.
-    async fn decide(&self, entry: Command) -> String {
-        let position = || self.agent.borrow().state_machine().map(StateMachine::log_index);
-        let Some(before) = position() else {
-            return json!({ "error": "this gateway has no seat in the council: ask one that has" })
-                .to_string();
+    /// Proposes a command, and waits until this gateway's state machine has applied it.
+    async fn propose(&self, command: Command) -> String {
+        let log_index = || self.node.borrow().state_machine().map(StateMachine::log_index);
+        let Some(index_before) = log_index() else {
+            return error_answer("this gateway has no seat in the council: ask one that has");
         };
-        let wanted = entry.clone();
-        let mut proposed = false;
-        self.step(|agent, _, _| proposed = agent.propose(entry));
-        if !proposed {
-            return json!({ "error": "the council has no leader that this gateway knows of; nothing was decided" }).to_string();
+        let wanted = command.clone();
+        let mut is_proposed = false;
+        self.step(|node, _, _| is_proposed = node.propose(command));
+        if !is_proposed {
+            return error_answer("the council has no leader that this gateway knows of; nothing was decided");
         }
-        let until = Instant::now() + DECIDED;
-        while Instant::now() < until {
-            sleep(LOOK).await;
-            if position() > Some(before) && self.holds(&wanted) {
-                return json!({ "decided": true, "position": position() }).to_string();
+        let deadline = Instant::now() + COMMIT_TIMEOUT;
+        while Instant::now() < deadline {
+            sleep(COMMIT_CHECK_INTERVAL).await;
+            if log_index() > Some(index_before) && self.is_in_force(&wanted) {
+                return json!({ "decided": true, "position": log_index() }).to_string();
             }
         }
-        json!({ "error": format!("not seen to be decided within {DECIDED:?}; it may be still: look at `fleet status`") })
-            .to_string()
+        error_answer(&format!(
+            "not seen to be decided within {COMMIT_TIMEOUT:?}; it may be still: look at `fleet status`"
+        ))
     }
 
-    /// Whether the register stands as staff wanted.
-    fn holds(&self, wanted: &Command) -> bool {
-        let agent = self.agent.borrow();
-        let Some(register) = agent.state_machine() else { return false };
-        match wanted {
-            Command::SetFenced { name, fenced: out } => {
-                register.fenced_by_administrator().any(|held| held == name) == *out
+    /// Whether the state machine is as the command wants it.
+    fn is_in_force(&self, command: &Command) -> bool {
+        let node = self.node.borrow();
+        let Some(state_machine) = node.state_machine() else { return false };
+        match command {
+            Command::SetFenced { name, fenced } => {
+                let is_fenced = state_machine.fenced_by_administrator().any(|other| other == name);
+                is_fenced == *fenced
             }
-            Command::SetRequirements(require) => register.requirements() == require,
+            Command::SetRequirements(requirements) => state_machine.requirements() == requirements,
             _ => true,
         }
     }
--- a/crates/gateway/src/fleet/consensus_store.rs
+++ b/crates/gateway/src/fleet/consensus_store.rs
@@ -1,13 +1,15 @@
-//! A council member's state on disk: its vote, its promises and its log, in one file of `redb`. Written by a thread of its own, one
-//! transaction at a time, each synced before it counts as written; what is to be said behind it waits for that.
+//! A voting member's consensus state on disk: its vote, its promises and its log, in one file of `redb`. A thread of its own writes it,
+//! one synced transaction at a time; frames that depend on a record wait until it is written.
 //!
-//! `redb` and not `fjall`: one file with checksums and one sync a transaction; `fjall` keeps a folder of journals and tables with threads
-//! that compact, which pays where there is much more data than the few hundred KB here.
+//! `redb` rather than `fjall`: one file with checksums and one sync a transaction. `fjall` keeps a folder of journals and tables with
+//! threads that compact, which pays where there is much more data than the few hundred KB here.
 
-use redb::{Database, DatabaseError, ReadableDatabase, ReadableTable, StorageError, TableDefinition};
+use super::store_file::{
+    database_error, open_database, open_or_set_aside, DamagedStore, OpenError, StoreError, FORMAT_VERSION,
+};
+use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
-use std::panic::{catch_unwind, AssertUnwindSafe};
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::sync::mpsc as threads;
 use tokio::sync::mpsc;
 use tracing::{info, warn};
@@ -16,422 +18,254 @@
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::{digest, Incarnation};
 
-/// The form of what is stored: raised when it changes.
-const FORM: u32 = 1;
-const HEAD: TableDefinition<'_, u32, &[u8]> = TableDefinition::new("head");
-const LOG: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
+const HEAD_TABLE: TableDefinition<'_, u32, &[u8]> = TableDefinition::new("head");
+const LOG_TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
 
-/// Whose a file is.
+/// Length in bytes of the digest in front of each record.
+const RECORD_DIGEST_BYTES: usize = 8;
+/// Batches that are written in one transaction beyond the first.
+const MAX_JOINED_BATCHES: usize = 256;
+
+/// Which gateway a file belongs to. Stored: the order of the fields is part of the format.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Head {
-    form: u32,
+    format_version: u32,
     fleet: String,
     gateway: String,
     voter: Incarnation,
 }
 
-/// Why the state can't be had, and the process does not start.
-#[derive(Debug, thiserror::Error)]
-pub enum StoreError {
-    /// Something about the folder or the disk.
-    #[error("cannot use {path}, which is in `state` of [fleet] in the operator's file: {why}; mend that, or leave `state` out")]
-    Unusable {
-        /// The file.
-        path: PathBuf,
-        /// Why.
-        why: String,
-    },
-    /// It is another gateway's.
-    #[error("{path} is the state of gateway {gateway:?} of the fleet {fleet:?}: give each gateway a folder of its own")]
-    Another {
-        /// The file.
-        path: PathBuf,
-        /// Whose it is.
-        gateway: String,
-        /// Of which fleet.
-        fleet: String,
-    },
-}
-
-/// Why a file is set aside.
-#[derive(Debug, thiserror::Error)]
-pub(super) enum Spoilt {
-    #[error("{0}")]
-    Torn(String),
-    #[error("its form is {0}, this build writes {FORM}")]
-    Form(u32),
-}
-
-/// What was found.
+/// What was found on opening.
 pub struct OpenedStore {
-    /// Whose vote this process has.
+    /// The process whose vote this one continues.
     pub voter: Incarnation,
-    /// What was stored, in order.
+    /// The stored records, in order.
     pub records: Vec<StoredRecord>,
-    /// Where to write on; none where another process of this gateway has the file.
+    /// Where further records are written; none while another process of this gateway has the file.
     pub store: Option<ConsensusStore>,
 }
 
-/// The way to the thread that writes.
+/// Records that are written in one transaction.
+struct Batch {
+    number: u64,
+    /// Encoded, each with its digest.
+    records: Vec<Vec<u8>>,
+    start: BatchStart,
+}
+
+/// Where in the log a batch is written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum BatchStart {
+    /// Behind the records that are there.
+    Append,
+    /// In place of them: a new configuration of the group begins.
+    ReplaceLog,
+}
+
+/// Number of the last batch that is on disk, or why no more will be.
+pub type WriteResult = Result<u64, Box<redb::Error>>;
+
+/// Sends records to the thread that writes them.
 pub struct ConsensusStore {
-    batches: threads::Sender<(u64, Vec<Vec<u8>>, bool)>,
-    next: u64,
-    /// The numbers of batches that are written, or why no more will be.
-    pub written: Option<mpsc::UnboundedReceiver<Result<u64, String>>>,
+    batches: threads::Sender<Batch>,
+    last_number: u64,
+    /// Receives the numbers of batches that are on disk.
+    pub written: Option<mpsc::UnboundedReceiver<WriteResult>>,
 }
 
 impl ConsensusStore {
-    /// Gives something to be written; its number.
-    pub fn write(&mut self, stored: &[StoredRecord]) -> u64 {
-        self.next += 1;
-        let anew = stored.iter().rposition(|s| matches!(s, StoredRecord::ConfigStarted { .. }));
-        let bytes = stored[anew.unwrap_or(0)..].iter().map(sealed).collect();
-        // A thread that has ended has said why.
-        let _ = self.batches.send((self.next, bytes, anew.is_some()));
-        self.next
+    /// Has records written, and gives the number of their batch. What precedes the start of a configuration is left out.
+    pub fn write(&mut self, records: &[StoredRecord]) -> u64 {
+        self.last_number += 1;
+        let config_start =
+            records.iter().rposition(|record| matches!(record, StoredRecord::ConfigStarted { .. }));
+        let encoded = records[config_start.unwrap_or(0)..].iter().map(encode_record).collect();
+        let start = if config_start.is_some() { BatchStart::ReplaceLog } else { BatchStart::Append };
+        // A writer that has ended has reported why.
+        let _ = self.batches.send(Batch { number: self.last_number, records: encoded, start });
+        self.last_number
     }
 }
 
-/// With a digest in front, beside the file's own checksums: a record is taken whole or not at all.
-fn sealed(stored: &StoredRecord) -> Vec<u8> {
-    let bytes = protocol::encode_frame(stored).unwrap_or_default();
+/// Encodes a record behind a digest of it, beside the file's own checksums: it is read completely or not at all.
+fn encode_record(record: &StoredRecord) -> Vec<u8> {
+    let bytes = protocol::encode_frame(record).unwrap_or_default();
     [&digest(&bytes).to_le_bytes()[..], &bytes].concat()
 }
 
-fn unsealed(bytes: &[u8]) -> Option<StoredRecord> {
-    let (seal, bytes) = bytes.split_at_checked(8)?;
-    (seal == digest(bytes).to_le_bytes()).then(|| protocol::decode_frame(bytes).ok())?
+fn decode_record(bytes: &[u8]) -> Option<StoredRecord> {
+    let (stored_digest, bytes) = bytes.split_at_checked(RECORD_DIGEST_BYTES)?;
+    if stored_digest != digest(bytes).to_le_bytes() {
+        return None;
+    }
+    protocol::decode_frame(bytes).ok()
 }
 
-/// Opens the state of a gateway. One that is spoilt is set aside, with the reason in the log, and the process begins without.
+/// Opens the state of a gateway. A damaged file is set aside, and the process begins without state.
 ///
 /// # Errors
-/// Where there is no using the folder, or the file is another gateway's.
+/// Where the folder is unusable, or the file belongs to another gateway.
 pub fn open(
     folder: &Path,
     settings: &FleetSettings,
     process: Incarnation,
 ) -> Result<OpenedStore, StoreError> {
     let path = folder.join(format!("council-{}.redb", settings.gateway));
-    let unusable = |why: String| StoreError::Unusable { path: path.clone(), why };
-    std::fs::create_dir_all(folder).map_err(|e| unusable(e.to_string()))?;
-    for _ in 0..2 {
-        // The library checks what it reads, and breaks off where it finds what it holds for impossible.
-        let tried = catch_unwind(AssertUnwindSafe(|| try_open(&path, settings, process)));
-        let spoilt = match tried {
-            Ok(Ok(found)) => return Ok(found),
-            Ok(Err(Tried::Held)) => {
-                warn!(file = %path.display(), "fleet: another process has the council's state; this one has no vote until it is seated");
-                return Ok(OpenedStore { voter: process, records: Vec::new(), store: None });
-            }
-            Ok(Err(Tried::Another { gateway, fleet })) => {
-                return Err(StoreError::Another { path, gateway, fleet });
-            }
-            Ok(Err(Tried::Unusable(why))) => return Err(unusable(why)),
-            Ok(Err(Tried::Spoilt(spoilt))) => spoilt.to_string(),
-            Err(_) => "the library broke off reading it".to_owned(),
-        };
-        let aside = set_aside(&path).map_err(|e| unusable(e.to_string()))?;
-        warn!(
-            why = spoilt, aside = %aside.display(),
-            "fleet: the council's state can't be read and is set aside; this process has no vote until the others seat it"
-        );
+    if let Err(error) = std::fs::create_dir_all(folder) {
+        return Err(StoreError::new(path, error.into()));
+    }
+    let opened = open_or_set_aside(
+        &path,
+        || try_open(&path, settings, process),
+        |error, aside| {
+            warn!(
+                %error, aside = %aside.display(),
+                "fleet: consensus store damaged and set aside, no vote until the other members add this process"
+            );
+        },
+    );
+    match opened {
+        Ok(opened) => Ok(opened),
+        Err(OpenError::Locked) => {
+            warn!(
+                file = %path.display(),
+                "fleet: consensus store in use by another process, no vote until the other members add this one"
+            );
+            Ok(OpenedStore { voter: process, records: Vec::new(), store: None })
+        }
+        Err(error) => Err(StoreError::new(path, error)),
     }
-    Err(unusable("a new file can't be read either".to_owned()))
-}
-
-/// Renames a file that can't be read, so that it can be looked at.
-pub(super) fn set_aside(path: &Path) -> std::io::Result<PathBuf> {
-    let aside = (0..).map(|n| path.with_extension(format!("spoilt-{n}"))).find(|p| !p.exists());
-    let aside = aside.unwrap_or_else(|| path.with_extension("spoilt"));
-    std::fs::rename(path, &aside)?;
-    Ok(aside)
 }
 
-/// Why a file was not opened.
-pub(super) enum Tried {
-    Held,
-    Another { gateway: String, fleet: String },
-    Unusable(String),
-    Spoilt(Spoilt),
+/// Whether a file was there before.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum FileOrigin {
+    Existing,
+    Created,
 }
 
-impl From<Spoilt> for Tried {
-    fn from(spoilt: Spoilt) -> Tried {
-        Tried::Spoilt(spoilt)
+fn try_open(path: &Path, settings: &FleetSettings, process: Incarnation) -> Result<OpenedStore, OpenError> {
+    let database = open_database(path)?;
+    let origin = write_missing_head(&database, settings, process)?;
+    let head = read_head(&database)?;
+    if head.fleet != settings.name || head.gateway != settings.gateway {
+        return Err(OpenError::OtherGateway { gateway: head.gateway, fleet: head.fleet });
     }
+    let records = read_records(&database)?;
+    if origin == FileOrigin::Existing {
+        info!(records = records.len(), voter = %head.voter, "fleet: continuing with the consensus store on disk");
+    }
+    let store = start_writer(database, records.len() as u64)?;
+    Ok(OpenedStore { voter: head.voter, records, store: Some(store) })
 }
 
-pub(super) fn torn(error: impl Into<redb::Error>) -> Tried {
-    match error.into() {
-        redb::Error::Io(error)
-            if error.kind() != std::io::ErrorKind::InvalidData
-                && error.kind() != std::io::ErrorKind::UnexpectedEof =>
-        {
-            Tried::Unusable(error.to_string())
+/// Creates the tables, and marks a new file as this gateway's.
+fn write_missing_head(
+    database: &Database,
+    settings: &FleetSettings,
+    process: Incarnation,
+) -> Result<FileOrigin, OpenError> {
+    let transaction = database.begin_write().map_err(database_error)?;
+    let origin = {
+        let mut table = transaction.open_table(HEAD_TABLE).map_err(database_error)?;
+        transaction.open_table(LOG_TABLE).map_err(database_error)?;
+        if table.get(0).map_err(database_error)?.is_some() {
+            FileOrigin::Existing
+        } else {
+            let head = Head {
+                format_version: FORMAT_VERSION,
+                fleet: settings.name.clone(),
+                gateway: settings.gateway.clone(),
+                voter: process,
+            };
+            let bytes = protocol::encode_frame(&head).unwrap_or_default();
+            table.insert(0, &bytes[..]).map_err(database_error)?;
+            FileOrigin::Created
         }
-        error => Tried::Spoilt(Spoilt::Torn(error.to_string())),
-    }
+    };
+    transaction.commit().map_err(database_error)?;
+    Ok(origin)
 }
 
-/// Opens a file, or begins one, that no other process has open.
-pub(super) fn create(path: &Path) -> Result<Database, Tried> {
-    match Database::create(path) {
-        Ok(db) => Ok(db),
-        Err(DatabaseError::DatabaseAlreadyOpen) => Err(Tried::Held),
-        Err(DatabaseError::Storage(StorageError::Io(e))) if e.kind() == std::io::ErrorKind::WouldBlock => {
-            Err(Tried::Held)
-        }
-        Err(error) => Err(torn(error)),
+fn read_head(database: &Database) -> Result<Head, OpenError> {
+    let transaction = database.begin_read().map_err(database_error)?;
+    let table = transaction.open_table(HEAD_TABLE).map_err(database_error)?;
+    let bytes = table.get(0).map_err(database_error)?.ok_or(DamagedStore::OwnerMissing)?;
+    // The version is the first field, so that a head of another format can be told apart.
+    let format_version = bytes.value().first().copied().unwrap_or_default();
+    if u32::from(format_version) != FORMAT_VERSION {
+        return Err(DamagedStore::OtherFormat(format_version.into()).into());
     }
+    let head = protocol::decode_frame(bytes.value()).map_err(DamagedStore::OwnerUndecodable)?;
+    Ok(head)
 }
 
-fn try_open(path: &Path, settings: &FleetSettings, process: Incarnation) -> Result<OpenedStore, Tried> {
-    let db = create(path)?;
-    let new = {
-        let writing = db.begin_write().map_err(torn)?;
-        let new = {
-            let mut head = writing.open_table(HEAD).map_err(torn)?;
-            writing.open_table(LOG).map_err(torn)?;
-            let new = head.get(0).map_err(torn)?.is_none();
-            if new {
-                let own = Head {
-                    form: FORM,
-                    fleet: settings.name.clone(),
-                    gateway: settings.gateway.clone(),
-                    voter: process,
-                };
-                let bytes = protocol::encode_frame(&own).unwrap_or_default();
-                head.insert(0, &bytes[..]).map_err(torn)?;
-            }
-            new
-        };
-        writing.commit().map_err(torn)?;
-        new
-    };
-    let reading = db.begin_read().map_err(torn)?;
-    let head = {
-        let table = reading.open_table(HEAD).map_err(torn)?;
-        let bytes = table.get(0).map_err(torn)?.ok_or_else(|| Spoilt::Torn("it has no head".to_owned()))?;
-        let form = bytes.value().first().copied().unwrap_or_default();
-        if u32::from(form) != FORM {
-            return Err(Spoilt::Form(form.into()).into());
-        }
-        protocol::decode_frame::<Head>(bytes.value()).map_err(|e| Spoilt::Torn(e.to_string()))?
-    };
-    if head.fleet != settings.name || head.gateway != settings.gateway {
-        return Err(Tried::Another { gateway: head.gateway, fleet: head.fleet });
-    }
-    let mut stored = Vec::new();
-    let mut next = 0;
-    for entry in reading.open_table(LOG).map_err(torn)?.iter().map_err(torn)? {
-        let (key, value) = entry.map_err(torn)?;
-        let whole = unsealed(value.value()).filter(|_| key.value() == next);
-        stored.push(
-            whole.ok_or_else(|| Spoilt::Torn(format!("record {} is not as it was written", key.value())))?,
-        );
-        next += 1;
+fn read_records(database: &Database) -> Result<Vec<StoredRecord>, OpenError> {
+    let transaction = database.begin_read().map_err(database_error)?;
+    let table = transaction.open_table(LOG_TABLE).map_err(database_error)?;
+    let mut records = Vec::new();
+    for entry in table.iter().map_err(database_error)? {
+        let (key, value) = entry.map_err(database_error)?;
+        let expected_key = records.len() as u64;
+        let record = decode_record(value.value()).filter(|_| key.value() == expected_key);
+        records.push(record.ok_or(DamagedStore::RecordMismatch(key.value()))?);
     }
-    if !new {
-        info!(records = stored.len(), voter = %head.voter, "fleet: going on with the council's state on disk");
-    }
-    let (batches, to_write) = threads::channel();
-    let (done, written) = mpsc::unbounded_channel();
+    Ok(records)
+}
+
+/// Starts the thread that writes. It ends, and closes the file, once the store is dropped.
+fn start_writer(database: Database, next_key: u64) -> Result<ConsensusStore, OpenError> {
+    let (batches, pending) = threads::channel();
+    let (results, written) = mpsc::unbounded_channel();
     std::thread::Builder::new()
         .name("council-state".to_owned())
-        .spawn(move || write_all(&db, next, &to_write, &done))
-        .map_err(|e| Tried::Unusable(e.to_string()))?;
-    let store = ConsensusStore { batches, next: 0, written: Some(written) };
-    Ok(OpenedStore { voter: head.voter, records: stored, store: Some(store) })
+        .spawn(move || write_batches(&database, next_key, &pending, &results))?;
+    Ok(ConsensusStore { batches, last_number: 0, written: Some(written) })
 }
 
-/// Writes what it is given until nobody gives any more, or it fails.
-fn write_all(
-    db: &Database,
-    mut next: u64,
-    batches: &threads::Receiver<(u64, Vec<Vec<u8>>, bool)>,
-    done: &mpsc::UnboundedSender<Result<u64, String>>,
+/// Writes batches until the store is dropped or a write fails.
+fn write_batches(
+    database: &Database,
+    mut next_key: u64,
+    pending: &threads::Receiver<Batch>,
+    results: &mpsc::UnboundedSender<WriteResult>,
 ) {
-    while let Ok(first) = batches.recv() {
-        // What has come meanwhile goes with it: one sync for all.
-        let mut all = vec![first];
-        all.extend(batches.try_iter().take(256));
-        let last = all.last().map_or(0, |(number, ..)| *number);
-        let written = write(db, &mut next, all);
-        let failed = written.is_err();
-        let _ = done.send(written.map(|()| last)); // nobody waits in a process that ends
-        if failed {
+    while let Ok(first) = pending.recv() {
+        // Batches that are waiting already share the transaction and its sync.
+        let mut batches = vec![first];
+        batches.extend(pending.try_iter().take(MAX_JOINED_BATCHES));
+        let last_number = batches.last().map_or(0, |batch| batch.number);
+        let written = write_transaction(database, &mut next_key, batches);
+        let has_failed = written.is_err();
+        let _ = results.send(written.map(|()| last_number).map_err(Box::new)); // nobody receives in a process that ends
+        if has_failed {
             return;
         }
     }
 }
 
-fn write(db: &Database, next: &mut u64, all: Vec<(u64, Vec<Vec<u8>>, bool)>) -> Result<(), String> {
-    let told = |error: redb::Error| error.to_string();
-    let writing = db.begin_write().map_err(|e| told(e.into()))?;
+fn write_transaction(
+    database: &Database,
+    next_key: &mut u64,
+    batches: Vec<Batch>,
+) -> Result<(), redb::Error> {
+    let transaction = database.begin_write()?;
     {
-        let mut log = writing.open_table(LOG).map_err(|e| told(e.into()))?;
-        for (_, records, anew) in all {
-            if anew {
-                log.retain(|_, _| false).map_err(|e| told(e.into()))?;
-                *next = 0;
+        let mut log = transaction.open_table(LOG_TABLE)?;
+        for batch in batches {
+            if batch.start == BatchStart::ReplaceLog {
+                log.retain(|_, _| false)?;
+                *next_key = 0;
             }
-            for record in records {
-                log.insert(*next, &record[..]).map_err(|e| told(e.into()))?;
-                *next += 1;
+            for record in batch.records {
+                log.insert(*next_key, &record[..])?;
+                *next_key += 1;
             }
         }
     }
-    writing.commit().map_err(|e| told(e.into()))
+    transaction.commit()?;
+    Ok(())
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use weldworks_fleet::consensus::{GroupConfig, Replica, StorageChange};
-
-    fn settings(gateway: &str) -> FleetSettings {
-        let text = format!(
-            "[fleet]\nname = \"f\"\ngateway = \"{gateway}\"\n{}",
-            ["a", "b", "c"]
-                .map(|n| format!(
-                    "[[fleet.peer]]\nname = \"{n}\"\naddress = \"127.0.0.1:1\"\ncouncil = true\n"
-                ))
-                .concat()
-        );
-        crate::config::operator_file::OperatorFile::parse("f.toml", &text)
-            .expect("a table")
-            .fleet
-            .expect("a fleet")
-    }
-
-    fn folder(name: &str) -> PathBuf {
-        let folder = std::env::temp_dir().join(format!("weldworks-store-{name}-{}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
-        folder
-    }
-
-    fn began(id: u32) -> StoredRecord {
-        let seats = vec![Replica { name: "a".into(), process: Incarnation(7) }];
-        StoredRecord::ConfigStarted {
-            config: GroupConfig { group_id: 1, generation: id, replicas: seats },
-            base: Box::default(),
-        }
-    }
-
-    fn wrote(n: usize) -> StoredRecord {
-        StoredRecord::StorageChanged(StorageChange::Decided(n))
-    }
-
-    /// Writes batches and waits for each.
-    fn written(found: &mut OpenedStore, batches: &[Vec<StoredRecord>]) {
-        let store = found.store.as_mut().expect("a store");
-        let mut done = store.written.take().expect("news of it");
-        for batch in batches {
-            let number = store.write(batch);
-            while done.blocking_recv().expect("the thread lives").expect("written") < number {}
-        }
-        store.written = Some(done);
-    }
-
-    /// The thread lets go of the file when nobody can give it anything any more.
-    fn reopen(folder: &Path, process: u64) -> OpenedStore {
-        for _ in 0..500 {
-            let found = open(folder, &settings("a"), Incarnation(process)).expect("it can be used");
-            if found.store.is_some() {
-                return found;
-            }
-            std::thread::sleep(std::time::Duration::from_millis(10));
-        }
-        panic!("the file is held for good");
-    }
-
-    #[test]
-    fn what_was_written_is_found_and_a_new_configuration_begins_anew() {
-        let folder = folder("found");
-        let mut found = reopen(&folder, 1);
-        assert_eq!((found.voter, found.records.len()), (Incarnation(1), 0));
-        written(&mut found, &[vec![began(1), wrote(1)], vec![wrote(2)]]);
-        drop(found);
-        let mut found = reopen(&folder, 2);
-        assert_eq!(found.voter, Incarnation(1), "it votes as the one before");
-        assert_eq!(found.records, [began(1), wrote(1), wrote(2)]);
-        written(&mut found, &[vec![wrote(3), began(2), wrote(4)]]);
-        drop(found);
-        assert_eq!(reopen(&folder, 3).records, [began(2), wrote(4)]);
-        let another = open(&folder, &settings("b"), Incarnation(4)).expect("a file of its own");
-        assert_eq!(another.records.len(), 0);
-        let _ = std::fs::remove_dir_all(&folder);
-    }
-
-    #[test]
-    fn a_second_process_has_no_vote_and_anothers_file_is_an_error() {
-        let folder = folder("held");
-        let first = reopen(&folder, 1);
-        let second = open(&folder, &settings("a"), Incarnation(2)).expect("it starts all the same");
-        assert!(second.store.is_none() && second.voter == Incarnation(2));
-        drop(first);
-        let path = folder.join("council-a.redb");
-        drop(reopen(&folder, 3));
-        for _ in 0..500 {
-            if Database::open(&path).is_ok() {
-                break;
-            }
-            std::thread::sleep(std::time::Duration::from_millis(10));
-        }
-        std::fs::copy(&path, folder.join("council-b.redb")).expect("a copy");
-        let error = open(&folder, &settings("b"), Incarnation(4)).err().expect("not its own").to_string();
-        assert!(error.contains("\"a\"") && error.contains("folder of its own"), "{error}");
-        let _ = std::fs::remove_dir_all(&folder);
-    }
-
-    /// A file that is cut, or in which a byte is another, is read as it was or set aside: never half, never with a panic.
-    #[test]
-    fn a_torn_file_is_whole_or_set_aside() {
-        let folder = folder("torn");
-        let mut found = reopen(&folder, 1);
-        let batches: Vec<Vec<StoredRecord>> =
-            (0..20).map(|n| vec![if n == 0 { began(1) } else { wrote(n) }]).collect();
-        written(&mut found, &batches);
-        drop(found);
-        let whole = reopen(&folder, 2).records;
-        assert_eq!(whole.len(), 20);
-        let path = folder.join("council-a.redb");
-        std::thread::sleep(std::time::Duration::from_millis(50));
-        let bytes = std::fs::read(&path).expect("the file");
-        let (mut aside, mut same) = (0, 0);
-        for n in 0..60 {
-            let at = bytes.len() * n / 60;
-            for cut in [true, false] {
-                let mut spoilt = bytes.clone();
-                if cut {
-                    spoilt.truncate(at);
-                } else {
-                    spoilt[at] ^= 0xff;
-                }
-                let place = folder.join(format!("{n}-{cut}"));
-                std::fs::create_dir_all(&place).expect("a folder");
-                std::fs::write(place.join("council-a.redb"), &spoilt).expect("a file");
-                let found = open(&place, &settings("a"), Incarnation(9)).expect("it starts all the same");
-                if found.voter == Incarnation(1) {
-                    assert_eq!(found.records, whole, "{n} {cut}: another state than was written");
-                    same += 1;
-                } else {
-                    assert!(found.records.is_empty() && found.voter == Incarnation(9));
-                    aside += 1;
-                }
-            }
-        }
-        assert!(aside > 20 && same > 0, "{aside} set aside, {same} the same");
-        let _ = std::fs::remove_dir_all(&folder);
-    }
-
-    #[test]
-    fn a_folder_that_can_t_be_used_says_so() {
-        let file = folder("file");
-        std::fs::write(&file, "no folder").expect("a file");
-        let error = open(&file, &settings("a"), Incarnation(1)).err().expect("no folder").to_string();
-        assert!(error.contains("`state` of [fleet]"), "{error}");
-        let _ = std::fs::remove_file(&file);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/gateway/src/fleet/engine_interface.rs
@@ -0,0 +1,138 @@
+//! What the engine asks the fleet before it acts, and what it reports: endpoint lists, configurations and decisions about requests.
+
+use super::Fleet;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+use weldworks_balancer::EndpointId;
+use weldworks_fleet::audit::{Decision, DecisionKind, Exception};
+use weldworks_fleet::node::SessionState;
+use weldworks_fleet::protocol::DepartedEndpoint;
+use weldworks_fleet::version::{ListVersion, Version};
+
+impl Fleet {
+    /// Whether clients' requests are accepted at this moment.
+    pub fn accepts_clients(&self) -> bool {
+        self.node.borrow().accepts_clients(self.now())
+    }
+
+    /// `Retry-After` of requests that are rejected because of the fleet.
+    pub fn retry_after(&self) -> Duration {
+        self.node.borrow().retry_after()
+    }
+
+    /// Why clients' requests are not accepted; none if they are.
+    pub fn not_ready_reason(&self) -> Option<&'static str> {
+        let node = self.node.borrow();
+        match node.session_state(self.now()) {
+            _ if node.accepts_clients(self.now()) => None,
+            SessionState::Fenced(_) => Some("shut out of the fleet"),
+            _ => Some("without a session in the fleet"),
+        }
+    }
+
+    /// Records the name of the endpoint with this number; a number may pass to another endpoint.
+    pub fn set_endpoint_name(&self, id: EndpointId, name: &str) {
+        let mut names = self.endpoint_names.borrow_mut();
+        let index = id.0 as usize;
+        if names.len() <= index {
+            names.resize(index + 1, Rc::from(""));
+        }
+        if &*names[index] != name {
+            names[index] = Rc::from(name);
+        }
+    }
+
+    /// Whether newer lists of other gateways forbid new requests to an endpoint.
+    pub fn is_endpoint_overridden(&self, endpoint: &str) -> bool {
+        self.departures.borrow().overrides(endpoint)
+    }
+
+    /// Records endpoints that drain or are removed by other gateways' lists. Gives those that new requests have to avoid.
+    pub fn record_remote_departures(&self, departed: &[DepartedEndpoint]) -> Vec<String> {
+        let own_index = self.version.borrow().list.index;
+        self.departures.borrow_mut().record_remote(own_index, departed)
+    }
+
+    /// Records that the list of this index is about to be applied.
+    pub fn begin_endpoint_list(&self, index: u64) {
+        self.departures.borrow_mut().record_own_list(index);
+    }
+
+    /// Records that a list is in force, and which endpoints drain (false) or are removed (true) by it that did not before.
+    pub fn apply_endpoint_list(&self, index: u64, departed: Vec<(String, bool)>) {
+        let list = ListVersion { index, ..self.version.borrow().list.clone() };
+        self.update_version(|version| version.list = list.clone());
+        for (endpoint, _) in &departed {
+            let decision =
+                Decision { kind: DecisionKind::Drain, class: 0, request_id: "", endpoint: Some(endpoint) };
+            self.audit.borrow_mut().record_decision(self.now(), decision);
+        }
+        if !departed.is_empty() {
+            self.step(|node, now, actions| node.record_departures(now, list, departed, actions));
+        }
+    }
+
+    /// Records that another configuration is in force.
+    pub fn apply_config(&self, config_digest: u64, discovery: SocketAddr) {
+        let lineage = self.settings.lineage.clone().unwrap_or_else(|| discovery.to_string());
+        self.update_version(|version| {
+            version.config = config_digest;
+            version.generation += 1;
+            if version.list.lineage != lineage {
+                version.list = ListVersion { lineage, index: 0 };
+                self.departures.borrow_mut().clear();
+            }
+        });
+    }
+
+    fn update_version(&self, change: impl FnOnce(&mut Version)) {
+        change(&mut self.version.borrow_mut());
+        let version = self.version.borrow().clone();
+        self.audit.borrow_mut().set_version(self.now(), version.clone());
+        self.step(|node, now, actions| node.set_version(now, version, actions));
+    }
+
+    /// Records a decision about a request in the audit log, with the exceptions that it makes from the fleet's rules.
+    pub fn record_decision(
+        &self,
+        kind: DecisionKind,
+        class: usize,
+        request_id: &str,
+        endpoint: Option<EndpointId>,
+    ) {
+        let now = self.now();
+        let names = self.endpoint_names.borrow();
+        let endpoint = endpoint.and_then(|id| names.get(id.0 as usize)).map(|name| &**name);
+        let decision = Decision { kind, class, request_id, endpoint };
+        self.audit.borrow_mut().record_decision(now, decision);
+        self.record_session_exception(now, kind, request_id);
+        if matches!(kind, DecisionKind::Pick | DecisionKind::Retry) {
+            self.record_endpoint_exceptions(now, request_id, endpoint);
+        }
+    }
+
+    /// Records a decision without a session, or a first attempt while fenced. What was in flight when the gateway was fenced may end,
+    /// and requests that arrive later are rejected, as they should be.
+    fn record_session_exception(&self, now: Duration, kind: DecisionKind, request_id: &str) {
+        let exception = match self.node.borrow().session_state(now) {
+            SessionState::WithoutSession => Exception::WithoutSession,
+            SessionState::Fenced(_) if kind == DecisionKind::Pick => Exception::Fenced,
+            SessionState::InSession(_) | SessionState::Fenced(_) => return,
+        };
+        self.audit.borrow_mut().record_exception(now, exception, request_id);
+    }
+
+    /// Records an attempt under an outdated list, or to an endpoint that others know to be removed.
+    fn record_endpoint_exceptions(&self, now: Duration, request_id: &str, endpoint: Option<&str>) {
+        let mut audit = self.audit.borrow_mut();
+        let own = self.version.borrow().list.index;
+        let told = self.current_list_index.get();
+        if told > own {
+            audit.record_exception(now, Exception::StaleList { own, told }, request_id);
+        }
+        if let Some(endpoint) = endpoint.filter(|endpoint| self.is_endpoint_overridden(endpoint)) {
+            audit.record_exception(now, Exception::RemovedEndpoint { host: endpoint.to_owned() }, request_id);
+        }
+    }
+}
--- a/crates/gateway/src/fleet/peer_link.rs
+++ b/crates/gateway/src/fleet/peer_link.rs
@@ -1,127 +1,54 @@
-//! The connections to the other gateways. TCP, each frame behind its length (`tokio-util`'s codec), written with `postcard`. The link is
-//! neither signed nor encrypted.
-//!
-//! A peer that does not take what is for it costs a bounded queue: beyond it the connection ends, and what it missed it gets from the
-//! council's log or as a whole when it is back.
+//! The links to the other gateways, over TCP with frames in `postcard`. A link is neither signed nor encrypted.
 
-use super::Fleet;
-use crate::transport::stream::Stream;
+use super::link_codec::{
+    not_a_frame, read_hello, FrameReader, FrameWriter, FramedConnection, LinkError, HELLO_TIMEOUT,
+};
+use super::send_queue::{PeerRole, SendQueue};
+use super::{admin, Fleet};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, VecDeque};
+use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{split, ReadHalf, WriteHalf};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use tokio::sync::Notify;
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
-use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
-use tracing::{info, warn};
+use tracing::info;
 use weldworks_fleet::membership::LinkFailure;
-use weldworks_fleet::protocol::{self, Caller, Frame, Hello, ProtocolError, MAX_FRAME_BYTES};
+use weldworks_fleet::protocol::{self, Caller, Hello, ProtocolError};
 use weldworks_fleet::settings::Peer;
-use weldworks_fleet::version::{GatewayName, Incarnation};
+use weldworks_fleet::version::Incarnation;
 
-/// Connections of staff at a time.
-pub(super) const STAFF: usize = 8;
-/// A connection that is not up, or has not said hello, by then is given up.
-const HELLO: Duration = Duration::from_millis(1000);
-/// The wait before the first new try, and the longest.
-const AGAIN: (Duration, Duration) = (Duration::from_millis(100), Duration::from_millis(1600));
-/// The most that waits for one peer.
-const QUEUE_FRAMES: usize = 4096;
-/// The same in bytes, for a member of the council: a whole register and what comes behind it.
-const MEMBER_BYTES: usize = MAX_FRAME_BYTES + (4 << 20);
-/// And for any other gateway, which gets news alone: hundreds of them may be slow at once.
-const OTHER_BYTES: usize = 256 << 10;
-/// The same fault of the same caller is told so often.
-const TELL_AGAIN: Duration = Duration::from_secs(10);
-/// While the address is another process's, it is tried this often.
-const BIND_AGAIN: Duration = Duration::from_millis(200);
+/// Most connections of administrators at a time.
+pub(super) const MAX_ADMIN_CONNECTIONS: usize = 8;
+/// Delay before the first reconnect. It doubles with each failure.
+const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Longest delay before a reconnect.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(1600);
+/// Interval at which the listening address is tried while another process has it, and delay after a failed accept.
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Length of the kernel's accept queue, in connections.
+const LINK_BACKLOG: u32 = 1024;
 
-pub(super) type Reader = FramedRead<ReadHalf<Stream>, LengthDelimitedCodec>;
-pub(super) type Writer = FramedWrite<WriteHalf<Stream>, LengthDelimitedCodec>;
-
-/// What waits for one peer.
-#[derive(Default)]
-struct Queue {
-    most: usize,
-    frames: RefCell<VecDeque<Bytes>>,
-    bytes: Cell<usize>,
-    more: Notify,
-    end: Notify,
-    over: Cell<bool>,
-}
-
-impl Queue {
-    fn push(&self, bytes: Vec<u8>) {
-        let waiting = self.bytes.get() + bytes.len();
-        let mut frames = self.frames.borrow_mut();
-        if waiting > self.most || frames.len() >= QUEUE_FRAMES {
-            return self.close();
-        }
-        self.bytes.set(waiting);
-        frames.push_back(bytes.into());
-        self.more.notify_one();
-    }
-
-    fn close(&self) {
-        self.over.set(true);
-        self.end.notify_one();
-    }
-
-    async fn next(&self) -> Bytes {
-        loop {
-            if let Some(frame) = self.frames.borrow_mut().pop_front() {
-                self.bytes.set(self.bytes.get() - frame.len());
-                return frame;
-            }
-            self.more.notified().await;
-        }
-    }
+/// The process at the other end of a link.
+struct LinkedProcess {
+    process: Incarnation,
+    /// The process whose vote it continues.
+    voter: Incarnation,
 }
 
-/// The links that are up, one a peer.
-#[derive(Default)]
-pub(super) struct Links {
-    up: BTreeMap<GatewayName, Rc<Queue>>,
-    /// When what was last told of whom.
-    told: BTreeMap<String, (String, Instant)>,
+/// Why a link to a peer could not be established.
+struct DialError {
+    failure: LinkFailure,
+    /// What was wrong with the peer's answer, if there was one.
+    error: Option<LinkError>,
 }
 
-impl Links {
-    /// Puts a frame behind what waits for a peer.
-    pub(super) fn send(&mut self, to: &str, frame: &Frame) {
-        let Some(queue) = self.up.get(to) else { return };
-        match protocol::encode_frame(frame) {
-            Some(bytes) => queue.push(bytes),
-            None => warn!(peer = to, "fleet: a frame is longer than the link allows and was not sent"),
-        }
-    }
-
-    /// Ends the link to a peer.
-    pub(super) fn end(&mut self, peer: &str) {
-        if let Some(queue) = self.up.get(peer) {
-            queue.close();
-        }
-    }
-
-    /// Tells of a fault, once in a while.
-    fn fault(&mut self, whose: &str, what: &str) {
-        let now = Instant::now();
-        let known = self.told.get(whose).is_some_and(|(told, at)| told == what && now - *at < TELL_AGAIN);
-        if known {
-            return;
-        }
-        if self.told.len() > 256 {
-            self.told.clear();
-        }
-        self.told.insert(whose.to_owned(), (what.to_owned(), now));
-        warn!(peer = whose, "fleet: {what}");
+impl From<LinkFailure> for DialError {
+    fn from(failure: LinkFailure) -> DialError {
+        DialError { failure, error: None }
     }
 }
 
@@ -130,248 +57,214 @@
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(1024)
+    socket.listen(LINK_BACKLOG)
 }
 
-/// Listens as soon as the process that is replaced has let go of the address.
-pub(super) async fn listen_later(fleet: Rc<Fleet>) {
-    info!(address = %fleet.settings.listen, "fleet: another process has the link's address still; waiting for it");
+/// Accepts links as soon as the process that is replaced has released the address, until dropped.
+pub(super) async fn bind_and_accept(fleet: Rc<Fleet>) {
+    info!(address = %fleet.settings.listen, "fleet: link address in use by another process, waiting for it");
     loop {
-        sleep(BIND_AGAIN).await;
+        sleep(BIND_RETRY_INTERVAL).await;
         if let Ok(listener) = bind(fleet.settings.listen) {
-            return answer(fleet, listener).await;
+            return accept(fleet, listener).await;
         }
     }
 }
 
-fn framed(stream: TcpStream) -> (Reader, Writer) {
-    let _ = stream.set_nodelay(true);
-    let (read, write) = split(Stream::new(stream));
-    let codec = || LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
-    (FramedRead::new(read, codec()), FramedWrite::new(write, codec()))
-}
-
-async fn hello(reader: &mut Reader) -> Result<Bytes, String> {
-    match timeout(HELLO, reader.next()).await {
-        Ok(Some(Ok(bytes))) => Ok(bytes.freeze()),
-        Ok(Some(Err(error))) => Err(ProtocolError::NotAFrame(error.to_string()).to_string()),
-        Ok(None) => Err("the connection ended before it said hello".to_owned()),
-        Err(_) => Err(format!("no hello within {HELLO:?}")),
-    }
-}
-
 impl Fleet {
-    fn own_hello(&self, to: &str) -> Option<Bytes> {
-        let (name, terms) = (self.settings.gateway.clone(), self.terms);
+    /// The hello of this gateway to another, encoded.
+    fn own_hello(&self, addressee: &str) -> Option<Bytes> {
         let caller = Caller::Gateway {
-            name,
-            process: self.agent.borrow().process(),
+            name: self.settings.gateway.clone(),
+            process: self.node.borrow().process(),
             voter: self.voter,
-            agreement_digest: terms,
+            agreement_digest: self.agreement_digest,
         };
-        protocol::encode_frame(&Hello::new(&self.settings.name, caller, to)).map(Bytes::from)
+        protocol::encode_frame(&Hello::new(&self.settings.name, caller, addressee)).map(Bytes::from)
     }
 
-    fn greet(&self, bytes: &[u8], known: &dyn Fn(&str) -> bool) -> Result<Caller, ProtocolError> {
-        protocol::accept_hello(bytes, &self.settings.name, &self.settings.gateway, self.terms, known)
+    /// Checks the hello of another gateway or an administrator.
+    fn check_hello(&self, bytes: &[u8], is_known: &dyn Fn(&str) -> bool) -> Result<Caller, ProtocolError> {
+        let own_name = &self.settings.gateway;
+        protocol::accept_hello(bytes, &self.settings.name, own_name, self.agreement_digest, is_known)
     }
 
-    fn fault(&self, whose: &str, what: &str) {
-        self.links.borrow_mut().fault(whose, what);
+    fn log_link_failure(&self, peer: &str, error: &str) {
+        self.links.borrow_mut().log_failure(peer, error);
+    }
+
+    fn role_of(&self, peer: &str) -> PeerRole {
+        if self.settings.peers.iter().any(|other| other.is_voter && other.name == peer) {
+            PeerRole::Voter
+        } else {
+            PeerRole::Other
+        }
     }
 }
 
-/// Accepts the others' connections for as long as it runs.
-pub(super) async fn answer(fleet: Rc<Fleet>, listener: TcpListener) {
+/// Accepts links until dropped.
+pub(super) async fn accept(fleet: Rc<Fleet>, listener: TcpListener) {
     if let Ok(address) = listener.local_addr() {
         info!(%address, "fleet: the link listens");
     }
-    let open = Rc::new(Cell::new(0_usize));
+    let open_connections = Rc::new(Cell::new(0_usize));
     loop {
         let Ok((stream, from)) = listener.accept().await else {
-            sleep(BIND_AGAIN).await;
+            sleep(BIND_RETRY_INTERVAL).await;
             continue;
         };
-        // Beyond that many there is somebody who should not be there, or comes again and again.
-        if open.get() >= fleet.settings.peers.len() + STAFF {
-            fleet.fault("anyone", "more connections to the link than there are peers; the newest is closed");
+        // More than that come from an unknown caller, or from one that reconnects without end.
+        if open_connections.get() >= fleet.settings.peers.len() + MAX_ADMIN_CONNECTIONS {
+            let error = "more connections to the link than there are peers; the newest is closed";
+            fleet.log_link_failure("anyone", error);
             continue;
         }
-        open.set(open.get() + 1);
-        let (fleet, open) = (fleet.clone(), open.clone());
+        open_connections.set(open_connections.get() + 1);
+        let fleet = fleet.clone();
+        let open_connections = open_connections.clone();
         spawn_local(async move {
-            if let Err(why) = welcome(&fleet, stream).await {
-                fleet.fault(&from.ip().to_string(), &why);
+            if let Err(error) = serve_caller(&fleet, stream).await {
+                fleet.log_link_failure(&from.ip().to_string(), &error.to_string());
             }
-            open.set(open.get() - 1);
+            open_connections.set(open_connections.get() - 1);
         });
     }
 }
 
-/// Takes a connection in.
-async fn welcome(fleet: &Rc<Fleet>, stream: TcpStream) -> Result<(), String> {
-    let (mut reader, mut writer) = framed(stream);
-    let said = hello(&mut reader).await?;
-    let known = |name: &str| fleet.settings.peers.iter().any(|p| p.name == name);
-    let caller = fleet.greet(&said, &known).map_err(|e| e.to_string())?;
-    let to = match &caller {
+/// Serves an accepted connection, of a gateway or an administrator, until it ends.
+async fn serve_caller(fleet: &Rc<Fleet>, stream: TcpStream) -> Result<(), LinkError> {
+    let FramedConnection { mut reader, mut writer } = FramedConnection::new(stream);
+    let hello = read_hello(&mut reader).await?;
+    let is_known = |name: &str| fleet.settings.peers.iter().any(|peer| peer.name == name);
+    let caller = fleet.check_hello(&hello, &is_known)?;
+    let addressee = match &caller {
         Caller::Gateway { name, process, .. } => {
-            if !fleet.agent.borrow().admits_peer(fleet.now(), name, *process) {
-                return Err(ProtocolError::DuplicatePeer(name.clone()).to_string());
+            if !fleet.node.borrow().admits_peer(fleet.now(), name, *process) {
+                return Err(ProtocolError::DuplicatePeer(name.clone()).into());
             }
             name.clone()
         }
         Caller::Administrator => String::new(),
     };
-    let answer = fleet.own_hello(&to).unwrap_or_default();
-    let sent = timeout(HELLO, writer.send(answer)).await;
-    sent.map_err(|_| "its hello can't be answered".to_owned())?.map_err(|e| e.to_string())?;
+    let own_hello = fleet.own_hello(&addressee).unwrap_or_default();
+    let sent = timeout(HELLO_TIMEOUT, writer.send(own_hello)).await;
+    sent.map_err(|_| LinkError::HelloNotAnswered)??;
     match caller {
         Caller::Gateway { name, process, voter, .. } => {
-            link(fleet, &name, (process, voter), reader, writer).await
+            run_link(fleet, &name, LinkedProcess { process, voter }, reader, writer).await
         }
-        Caller::Administrator => super::admin::serve(fleet, reader, writer).await,
+        Caller::Administrator => admin::serve(fleet, reader, writer).await,
     }
 }
 
-/// Calls a peer for as long as it runs.
-pub(super) async fn call(fleet: Rc<Fleet>, peer: Peer) {
-    let mut wait = AGAIN.0;
-    let mut draw = fastrand::Rng::new();
+/// Keeps a link to a peer established until dropped.
+pub(super) async fn keep_connected(fleet: Rc<Fleet>, peer: Peer) {
+    let mut delay = MIN_RECONNECT_DELAY;
+    let mut jitter = fastrand::Rng::new();
     loop {
-        let began = Instant::now();
-        if let Err((down, why)) = dial(&fleet, &peer).await {
-            if let Some(why) = why {
-                fleet.fault(&peer.name, &why);
+        let started = Instant::now();
+        if let Err(DialError { failure, error }) = dial(&fleet, &peer).await {
+            if let Some(error) = error {
+                fleet.log_link_failure(&peer.name, &error.to_string());
             }
-            fleet.step(|agent, now, out| agent.link_down(now, &peer.name, down, out));
+            fleet.step(|node, now, actions| node.link_down(now, &peer.name, failure, actions));
         }
-        // One that held for a while is no reason for patience.
-        wait = if began.elapsed() > AGAIN.1 { AGAIN.0 } else { (wait * 2).min(AGAIN.1) };
-        sleep(wait.mul_f64(0.5 + 0.5 * draw.f64())).await;
+        // A link that was up for a while starts the backoff anew.
+        let was_up = started.elapsed() > MAX_RECONNECT_DELAY;
+        delay = if was_up { MIN_RECONNECT_DELAY } else { (delay * 2).min(MAX_RECONNECT_DELAY) };
+        sleep(delay.mul_f64(0.5 + 0.5 * jitter.f64())).await;
     }
 }
 
-type Failed = (LinkFailure, Option<String>);
-
-async fn dial(fleet: &Rc<Fleet>, peer: &Peer) -> Result<(), Failed> {
-    let broken = |why: String| (LinkFailure::Broken, Some(why));
-    let stream = match timeout(HELLO, TcpStream::connect(peer.address)).await {
+/// Connects to a peer and runs the link until it ends.
+async fn dial(fleet: &Rc<Fleet>, peer: &Peer) -> Result<(), DialError> {
+    let stream = match timeout(HELLO_TIMEOUT, TcpStream::connect(peer.address)).await {
         Ok(Ok(stream)) => stream,
         Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => {
-            return Err((LinkFailure::Refused, None))
+            return Err(LinkFailure::Refused.into());
         }
-        Ok(Err(_)) | Err(_) => return Err((LinkFailure::Broken, None)),
+        Ok(Err(_)) | Err(_) => return Err(LinkFailure::Broken.into()),
     };
-    let (mut reader, mut writer) = framed(stream);
-    let own = fleet.own_hello(&peer.name).unwrap_or_default();
-    match timeout(HELLO, writer.send(own)).await {
-        Ok(Ok(())) => {}
-        _ => return Err((LinkFailure::Broken, None)),
-    }
-    // One that turns this process away says nothing and closes; its own log says why.
-    let Ok(said) = hello(&mut reader).await else { return Err((LinkFailure::Broken, None)) };
-    let caller = fleet.greet(&said, &|name| name == peer.name).map_err(|e| broken(e.to_string()))?;
-    let Caller::Gateway { process, voter, .. } = caller else { return Err((LinkFailure::Broken, None)) };
-    // A link that was up tells of its end by itself.
-    let _ = link(fleet, &peer.name, (process, voter), reader, writer).await;
+    let FramedConnection { mut reader, mut writer } = FramedConnection::new(stream);
+    let own_hello = fleet.own_hello(&peer.name).unwrap_or_default();
+    let Ok(Ok(())) = timeout(HELLO_TIMEOUT, writer.send(own_hello)).await else {
+        return Err(LinkFailure::Broken.into());
+    };
+    // A peer that rejects this process closes the connection without a hello; its own log has the reason.
+    let Ok(hello) = read_hello(&mut reader).await else {
+        return Err(LinkFailure::Broken.into());
+    };
+    let caller = fleet
+        .check_hello(&hello, &|name| name == peer.name)
+        .map_err(|error| DialError { failure: LinkFailure::Broken, error: Some(error.into()) })?;
+    let Caller::Gateway { process, voter, .. } = caller else {
+        return Err(LinkFailure::Broken.into());
+    };
+    // A link that was up reports its end to the node by itself.
+    let _ = run_link(fleet, &peer.name, LinkedProcess { process, voter }, reader, writer).await;
     Ok(())
 }
 
-/// Carries frames both ways until the connection ends.
-async fn link(
+/// Carries frames both ways until the connection ends or the link is closed.
+async fn run_link(
     fleet: &Rc<Fleet>,
-    name: &str,
-    process: (Incarnation, Incarnation),
-    mut reader: Reader,
-    mut writer: Writer,
-) -> Result<(), String> {
-    let member = fleet.settings.peers.iter().any(|p| p.is_voter && p.name == name);
-    let most = if member { MEMBER_BYTES } else { OTHER_BYTES };
-    let queue = Rc::new(Queue { most, ..Queue::default() });
-    if let Some(before) = fleet.links.borrow_mut().up.insert(name.to_owned(), queue.clone()) {
-        before.close();
+    peer: &str,
+    remote: LinkedProcess,
+    mut reader: FrameReader,
+    mut writer: FrameWriter,
+) -> Result<(), LinkError> {
+    let queue = Rc::new(SendQueue::new(fleet.role_of(peer)));
+    fleet.links.borrow_mut().insert(peer, queue.clone());
+    fleet.step(|node, now, actions| node.link_up(now, peer, (remote.process, remote.voter), actions));
+    let result = tokio::select! {
+        () = write_frames(&queue, &mut writer) => Ok(()),
+        result = receive_frames(fleet, peer, &queue, &mut reader) => result,
+        () = queue.wait_until_closed() => Ok(()),
+    };
+    let was_current = fleet.links.borrow_mut().remove(peer, &queue);
+    // Otherwise another connection to the peer is up.
+    if was_current {
+        fleet.step(|node, now, actions| node.link_down(now, peer, LinkFailure::Broken, actions));
     }
-    fleet.step(|agent, now, out| agent.link_up(now, name, process, out));
-    let writing = async {
-        loop {
-            let frame = queue.next().await;
+    result
+}
+
+/// Writes queued frames, with one flush for all that are queued at a time, until the connection fails.
+async fn write_frames(queue: &SendQueue, writer: &mut FrameWriter) {
+    loop {
+        let frame = queue.next().await;
+        if writer.feed(frame).await.is_err() {
+            return;
+        }
+        while let Some(frame) = queue.try_next() {
             if writer.feed(frame).await.is_err() {
                 return;
             }
-            while let Some(frame) = next_now(&queue) {
-                if writer.feed(frame).await.is_err() {
-                    return;
-                }
-            }
-            if SinkExt::<Bytes>::flush(&mut writer).await.is_err() {
-                return;
-            }
         }
-    };
-    let reading = async {
-        while let Some(bytes) = reader.next().await {
-            let bytes = match bytes {
-                Ok(bytes) => bytes,
-                Err(error) if error.kind() == io::ErrorKind::InvalidData => {
-                    return Err(ProtocolError::NotAFrame(error.to_string()).to_string());
-                }
-                Err(_) => return Ok(()),
-            };
-            let frame = protocol::decode_frame(&bytes).map_err(|e| e.to_string())?;
-            if queue.over.get() {
-                return Ok(());
-            }
-            fleet.step(|agent, now, out| agent.receive(now, name, frame, out));
-        }
-        Ok(())
-    };
-    let ended = tokio::select! {
-        () = writing => Ok(()),
-        read = reading => read,
-        () = queue.end.notified() => Ok(()),
-    };
-    let current = {
-        let mut links = fleet.links.borrow_mut();
-        let current = links.up.get(name).is_some_and(|up| Rc::ptr_eq(up, &queue));
-        if current {
-            links.up.remove(name);
+        if SinkExt::<Bytes>::flush(writer).await.is_err() {
+            return;
         }
-        current
-    };
-    // Another connection may have taken its place, and is up.
-    if current {
-        fleet.step(|agent, now, out| agent.link_down(now, name, LinkFailure::Broken, out));
     }
-    ended
 }
 
-fn next_now(queue: &Queue) -> Option<Bytes> {
-    let frame = queue.frames.borrow_mut().pop_front()?;
-    queue.bytes.set(queue.bytes.get() - frame.len());
-    Some(frame)
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A peer that takes nothing costs what may wait for it, and its link.
-    #[test]
-    fn a_queue_is_bounded_in_bytes_and_frames_and_ends_beyond() {
-        let queue = Queue { most: 1000, ..Queue::default() };
-        for _ in 0..10 {
-            queue.push(vec![0; 100]);
-        }
-        assert!(!queue.over.get() && queue.bytes.get() == 1000);
-        queue.push(vec![0; 1]);
-        assert!(queue.over.get() && queue.bytes.get() == 1000, "nothing more is held");
-        assert_eq!(next_now(&queue).map(|f| f.len()), Some(100));
-        assert_eq!(queue.bytes.get(), 900);
-        let queue = Queue { most: usize::MAX, ..Queue::default() };
-        for _ in 0..=QUEUE_FRAMES {
-            queue.push(Vec::new());
+/// Hands received frames to the node until the connection ends or the link is closed.
+async fn receive_frames(
+    fleet: &Rc<Fleet>,
+    peer: &str,
+    queue: &SendQueue,
+    reader: &mut FrameReader,
+) -> Result<(), LinkError> {
+    while let Some(bytes) = reader.next().await {
+        let bytes = match bytes {
+            Ok(bytes) => bytes,
+            Err(error) if error.kind() == io::ErrorKind::InvalidData => return Err(not_a_frame(&error)),
+            Err(_) => return Ok(()),
+        };
+        let frame = protocol::decode_frame(&bytes)?;
+        if queue.is_closed() {
+            return Ok(());
         }
-        assert!(queue.over.get() && queue.frames.borrow().len() == QUEUE_FRAMES);
+        fleet.step(|node, now, actions| node.receive(now, peer, frame, actions));
     }
+    Ok(())
 }
--- /dev/null
+++ b/crates/gateway/src/fleet/process_identity.rs
@@ -0,0 +1,25 @@
+//! What identifies this process and its build to the fleet.
+
+use std::collections::hash_map::RandomState;
+use std::hash::{BuildHasher, Hasher};
+use std::time::{SystemTime, UNIX_EPOCH};
+use weldworks_fleet::version::{digest, Incarnation};
+
+/// A number that no other process has, however the wall clock is set.
+pub(super) fn new_incarnation() -> Incarnation {
+    // The standard library seeds this hasher with random numbers of the system.
+    let mut hasher = RandomState::new().build_hasher();
+    hasher.write_u32(std::process::id());
+    let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    hasher.write_u128(unix_time.as_nanos());
+    Incarnation(hasher.finish() | 1)
+}
+
+/// The package's version with a digest of the program: two builds may share a version.
+pub(super) fn build_version() -> String {
+    let program = std::env::current_exe().and_then(std::fs::read).map(|bytes| digest(&bytes));
+    match program {
+        Ok(digest) => format!("{}+{digest:016x}", env!("CARGO_PKG_VERSION")),
+        Err(_) => format!("{}+unknown", env!("CARGO_PKG_VERSION")),
+    }
+}
--- a/crates/gateway/tests/whole.rs
+++ b/crates/gateway/tests/whole.rs
@@ -64,6 +64,6 @@
 fn full_disk() {
     play(
         "full-disk",
-        &["this process votes no longer", "books can't be written", "books are on the disk again"],
+        &["this process votes no longer", "audit store unavailable", "audit store available again"],
     );
 }
