--- a/crates/gateway/src/engine/endpoint_updates.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -112,7 +112,7 @@
     /// In a fleet, the endpoints that are up and that the list may change, by name.
     fn active_endpoints_named_in(&self, list: &EndpointList) -> Vec<(String, EndpointId)> {
         let Some(fleet) = &self.fleet else { return Vec::new() };
-        fleet.lists(list.index);
+        fleet.begin_endpoint_list(list.index);
         let if_up = |(name, id): (&String, &EndpointId)| {
             let is_up = self.listed_state(*id) == Some(EndpointState::Up);
             is_up.then(|| (name.clone(), *id))
@@ -136,14 +136,14 @@
             let has_departed = state != EndpointState::Up;
             has_departed.then(|| (name.clone(), state == EndpointState::Removed))
         });
-        fleet.listed(self.list_index, departed.collect());
+        fleet.apply_endpoint_list(self.list_index, departed.collect());
     }
 
     /// Drains endpoints that newer lists of other gateways say to drain or to be removed.
     pub(super) fn drain_remote_departures(&mut self, departed: &[DepartedEndpoint]) {
         let Some(fleet) = self.fleet.clone() else { return };
         let mut drained = Vec::new();
-        for name in fleet.told_gone(departed) {
+        for name in fleet.record_remote_departures(departed) {
             drained.extend(self.drain_endpoint(&name));
         }
         if drained.is_empty() {
@@ -247,14 +247,14 @@
             endpoint.address.set(address);
         }
         if let Some(fleet) = &self.fleet {
-            fleet.know_host(id, &entry.name);
+            fleet.set_endpoint_name(id, &entry.name);
         }
         let state = self.endpoint_state(entry, endpoint);
         endpoint.is_active.set(state == EndpointState::Up);
         Endpoint {
             state,
             zone: self.names.zone(&entry.zone, id.0),
-            cell: entry.group.unwrap_or(u32::MAX - id.0),
+            cell: entry.cell.unwrap_or(u32::MAX - id.0),
             started: self.estimate_start(id, entry.started_unix_ms, reference),
             kind: self.names.kind(&entry.kind, id.0),
             weight: entry.weight,
@@ -289,13 +289,13 @@
             ListedStatus::Active if endpoint.address.get().is_none() => EndpointState::Removed,
             ListedStatus::Active if self.has_departed_remotely(&entry.name) => EndpointState::Draining,
             ListedStatus::Active => EndpointState::Up,
-            ListedStatus::Left => EndpointState::Removed,
-            ListedStatus::Leaving | ListedStatus::Unknown => EndpointState::Draining,
+            ListedStatus::Removed => EndpointState::Removed,
+            ListedStatus::Draining | ListedStatus::Unknown => EndpointState::Draining,
         }
     }
 
     fn has_departed_remotely(&self, name: &str) -> bool {
-        self.fleet.as_ref().is_some_and(|fleet| fleet.overrules(name))
+        self.fleet.as_ref().is_some_and(|fleet| fleet.is_endpoint_overridden(name))
     }
 }
 
--- a/crates/gateway/tests/whole.rs
+++ b/crates/gateway/tests/whole.rs
@@ -57,13 +57,13 @@
 
 #[test]
 fn changes() {
-    play("changes", &["nothing of it is applied", "the file is in force"]);
+    play("changes", &["configuration reload rejected", "configuration reloaded"]);
 }
 
 #[test]
 fn full_disk() {
     play(
         "full-disk",
-        &["this process votes no longer", "books can't be written", "books are on the disk again"],
+        &["this process votes no longer", "audit store unavailable", "audit store available again"],
     );
 }
