--- a/crates/testbed/src/count.rs
+++ b/crates/testbed/src/count.rs
@@ -1,14 +1,17 @@
-//! Counts over a fleet, from its logs: what all gateways together asked of nodes and register in each stretch of time,
-//! and what came of it at each node. What is harmless in one gateway shows only here.
+//! Counts over a fleet, from its logs: what all gateways together sent to endpoints and discovery in each interval, and
+//! what came of it at each endpoint. What is harmless from one gateway may not be from all of them.
 //!
-//! Reads what [`crate::logs`] gives; the time counts from the earliest line.
+//! Times count from the earliest event.
 
-use crate::logs::{self, LogsError};
+use crate::logs::{self, LogEvent, LogsError};
 use serde::Deserialize;
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
+use std::ops::Range;
 use std::path::Path;
 
+/// The fields of a gateway's log events that are counted.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Fields {
@@ -24,174 +27,212 @@
     started_unix_ms: Option<u64>,
 }
 
-/// What happened in one stretch, over all gateways.
+/// Counts of one interval, over all gateways.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Stretch {
+pub struct IntervalCounts {
     /// Requests that arrived.
     pub arrived: u64,
-    /// Attempts begun.
-    pub sent: u64,
-    /// Connections opened to nodes.
-    pub dialled: u64,
-    /// Requests served, and how long each took, in milliseconds.
-    pub served: Vec<u64>,
-    /// Requests refused at once, with nothing sent.
-    pub refused_at_once: u64,
-    /// Requests refused later.
-    pub refused_later: u64,
+    /// Attempts sent.
+    pub attempts: u64,
+    /// Connections opened to endpoints.
+    pub connections: u64,
+    /// Durations of the served requests, in milliseconds.
+    pub served_ms: Vec<u64>,
+    /// Requests rejected at once, without an attempt.
+    pub rejected_at_once: u64,
+    /// Requests rejected later.
+    pub rejected_later: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Attempts by how they ended.
-    pub ended: BTreeMap<String, u64>,
-    /// Calls to the register.
+    /// Attempts by their outcome.
+    pub outcomes: BTreeMap<String, u64>,
+    /// Watches opened on discovery.
     pub watches: u64,
-    /// Lists heard.
+    /// Endpoint lists received.
     pub lists: u64,
 }
 
-/// What one node saw, over all gateways and the time asked for.
+impl IntervalCounts {
+    fn record(&mut self, fields: &Fields) {
+        match fields.message.as_str() {
+            "request arrived" => self.arrived += 1,
+            "attempt sent" => self.attempts += 1,
+            "connecting to endpoint" => self.connections += 1,
+            "request finished" => self.record_finished(fields),
+            "attempt ended" => count_outcome(&mut self.outcomes, fields),
+            "watch opened" => self.watches += 1,
+            "endpoint list received" => self.lists += 1,
+            _ => {}
+        }
+    }
+
+    fn record_finished(&mut self, fields: &Fields) {
+        let is_immediate = fields.attempts == Some(0) && fields.duration_ms == Some(0);
+        match fields.result.as_deref() {
+            Some("served") => self.served_ms.extend(fields.duration_ms),
+            Some("rejected") if is_immediate => self.rejected_at_once += 1,
+            Some("rejected") => self.rejected_later += 1,
+            Some("failed") => self.failed += 1,
+            _ => {}
+        }
+    }
+}
+
+/// Counts of one endpoint, over all gateways and the period asked for.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Seen {
-    /// Its kind, as listed last.
+pub struct EndpointCounts {
+    /// Kind, as listed last.
     pub kind: String,
-    /// Its state, as listed last.
+    /// Status, as listed last.
     pub status: String,
-    /// When it last started, Unix milliseconds; 0 for long ago.
-    pub since: u64,
+    /// Last start, in Unix milliseconds; 0 for long ago.
+    pub started_unix_ms: u64,
     /// Attempts sent to it.
-    pub sent: u64,
+    pub attempts: u64,
     /// Connections opened to it.
-    pub dialled: u64,
-    /// Attempts by how they ended.
-    pub ended: BTreeMap<String, u64>,
-    /// How long those took that were served, in milliseconds.
-    pub took: Vec<u64>,
+    pub connections: u64,
+    /// Attempts by their outcome.
+    pub outcomes: BTreeMap<String, u64>,
+    /// Latencies of the served attempts, in milliseconds.
+    pub served_ms: Vec<u64>,
 }
 
-/// The counts of a fleet.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Counts {
-    /// By stretch, from the first.
-    pub stretches: BTreeMap<u64, Stretch>,
-    /// By node, within the time asked for.
-    pub nodes: BTreeMap<String, Seen>,
-    /// How long a stretch is, in seconds.
-    pub every: f64,
-    /// Lines that were no event.
-    pub passed_over: u64,
-}
-
-impl Counts {
-    /// Takes one event in; `listed` only says what a node is, and counts at any time.
-    fn take(&mut self, at: f64, within: (f64, f64), fields: Fields) {
-        let stretch = self.stretches.entry((at / self.every) as u64).or_default();
-        let counted = (within.0..within.1).contains(&at);
-        let outcome = fields.outcome.unwrap_or_default();
-        let sent_nothing = fields.attempts == Some(0) && fields.duration_ms == Some(0);
-        match (fields.message.as_str(), fields.result.as_deref()) {
-            ("request arrived", _) => stretch.arrived += 1,
-            ("attempt sent", _) => stretch.sent += 1,
-            ("connecting to endpoint", _) => stretch.dialled += 1,
-            ("request finished", Some("served")) => stretch.served.extend(fields.duration_ms),
-            ("request finished", Some("rejected")) if sent_nothing => stretch.refused_at_once += 1,
-            ("request finished", Some("rejected")) => stretch.refused_later += 1,
-            ("request finished", Some("failed")) => stretch.failed += 1,
-            ("attempt ended", _) => *stretch.ended.entry(outcome.clone()).or_default() += 1,
-            ("watch opened", _) => stretch.watches += 1,
-            ("endpoint list received", _) => stretch.lists += 1,
-            _ => {}
-        }
-        let Some(endpoint) = fields.endpoint else { return };
-        let listed = fields.message == "endpoint listed" && at < within.1;
-        if !counted && !listed {
-            return;
-        }
-        let node = self.nodes.entry(endpoint).or_default();
+impl EndpointCounts {
+    fn record(&mut self, fields: Fields) {
         match fields.message.as_str() {
             "endpoint listed" => {
-                node.kind = fields.kind.unwrap_or_default();
-                node.status = fields.status.unwrap_or_default();
-                node.since = fields.started_unix_ms.unwrap_or_default();
+                self.kind = fields.kind.unwrap_or_default();
+                self.status = fields.status.unwrap_or_default();
+                self.started_unix_ms = fields.started_unix_ms.unwrap_or_default();
             }
-            "attempt sent" => node.sent += 1,
-            "connecting to endpoint" => node.dialled += 1,
+            "attempt sent" => self.attempts += 1,
+            "connecting to endpoint" => self.connections += 1,
             "attempt ended" => {
-                node.took.extend(fields.latency_ms.filter(|_| outcome == "Served"));
-                *node.ended.entry(outcome).or_default() += 1;
+                if fields.outcome.as_deref() == Some("Served") {
+                    self.served_ms.extend(fields.latency_ms);
+                }
+                count_outcome(&mut self.outcomes, &fields);
             }
             _ => {}
         }
     }
 
-    /// Counts all files of a folder in stretches of `every` seconds; nodes within the times `within`, in seconds.
+    /// Number of attempts that were not served.
+    fn unserved(&self) -> u64 {
+        self.outcomes.iter().filter(|(outcome, _)| *outcome != "Served").map(|(_, count)| count).sum()
+    }
+}
+
+fn count_outcome(outcomes: &mut BTreeMap<String, u64>, fields: &Fields) {
+    let outcome = fields.outcome.clone().unwrap_or_default();
+    *outcomes.entry(outcome).or_default() += 1;
+}
+
+/// The counts of a fleet.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Counts {
+    /// Counts by interval, from the first.
+    pub intervals: BTreeMap<u64, IntervalCounts>,
+    /// Counts by endpoint, within the period asked for.
+    pub endpoints: BTreeMap<String, EndpointCounts>,
+    /// Length of an interval, in seconds.
+    pub interval_s: f64,
+    /// Lines that were no event.
+    pub skipped_lines: u64,
+}
+
+impl Counts {
+    /// Counts all files of a folder, by intervals of `interval_s` and for endpoints within `period_s`, both in seconds.
     ///
     /// # Errors
-    /// Where the folder or a file can't be read, or no line is an event.
-    pub fn of(folder: &Path, every: f64, within: (f64, f64)) -> Result<Counts, LogsError> {
-        let mut counts = Counts { every, ..Counts::default() };
-        let mut events = Vec::new();
-        counts.passed_over = logs::read(folder, |_, at, fields: Fields| events.push((at, fields)))?;
-        // Gateways that play in step begin at 0; a log by the wall clock begins at its earliest line.
-        let first = events.iter().map(|(at, _)| *at).fold(f64::INFINITY, f64::min);
-        for (at, fields) in events {
-            counts.take(at - first, within, fields);
+    /// The folder or a file can't be read, or no line is an event.
+    pub fn read(folder: &Path, interval_s: f64, period_s: Range<f64>) -> Result<Counts, LogsError> {
+        let mut events: Vec<LogEvent<Fields>> = Vec::new();
+        let skipped_lines = logs::read_events(folder, |event| events.push(event))?;
+        let mut counts = Counts { interval_s, skipped_lines, ..Counts::default() };
+        // A simulation begins at 0; a log by the wall clock begins at its earliest event.
+        let start_s = events.iter().map(|event| event.time_s).fold(f64::INFINITY, f64::min);
+        for event in events {
+            counts.record(event.time_s - start_s, &period_s, event.fields);
         }
         Ok(counts)
     }
 
-    /// The tables: one line a stretch, then one line a node, those with most attempts that did not serve first.
+    fn record(&mut self, time_s: f64, period_s: &Range<f64>, fields: Fields) {
+        let interval = (time_s / self.interval_s) as u64;
+        self.intervals.entry(interval).or_default().record(&fields);
+        let Some(endpoint) = fields.endpoint.clone() else { return };
+        // What an endpoint was listed as before the period is still true in it.
+        let is_listing = fields.message == "endpoint listed" && time_s < period_s.end;
+        if is_listing || period_s.contains(&time_s) {
+            self.endpoints.entry(endpoint).or_default().record(fields);
+        }
+    }
+
+    /// The counts as text: one line for each interval, then one for each endpoint, those with most unserved attempts
+    /// first.
     pub fn tables(&self) -> String {
         let mut text = String::from(
             "  from arrived   sent dialled served  p50  p95 at-once later failed timed-out no-conn watches  lists\n",
         );
-        for (n, s) in &self.stretches {
-            let ended = |how| s.ended.get(how).copied().unwrap_or(0);
-            let _ = writeln!(
-                text,
-                "{:6.1} {:7} {:6} {:7} {:6} {:4} {:4} {:7} {:5} {:6} {:9} {:7} {:7} {:6}",
-                *n as f64 * self.every,
-                s.arrived,
-                s.sent,
-                s.dialled,
-                s.served.len(),
-                quantile(&s.served, 0.5),
-                quantile(&s.served, 0.95),
-                s.refused_at_once,
-                s.refused_later,
-                s.failed,
-                ended("TimedOut"),
-                ended("NoConnection"),
-                s.watches,
-                s.lists
-            );
+        for (index, interval) in &self.intervals {
+            write_interval(&mut text, *index as f64 * self.interval_s, interval);
         }
         text.push_str("node                  kind       status         since   sent dialled served unserved  p50  p95\n");
-        let unserved =
-            |n: &Seen| n.ended.iter().filter(|(how, _)| *how != "Served").map(|(_, c)| c).sum::<u64>();
-        let mut nodes: Vec<_> = self.nodes.iter().filter(|(_, n)| n.sent > 0).collect();
-        nodes.sort_by_key(|(name, n)| (std::cmp::Reverse(unserved(n)), (*name).clone()));
-        for (name, n) in nodes {
-            let _ = writeln!(
-                text,
-                "{name:21} {:10} {:8} {:>13} {:6} {:7} {:6} {:8} {:4} {:4}",
-                n.kind,
-                n.status,
-                n.since,
-                n.sent,
-                n.dialled,
-                n.took.len(),
-                unserved(n),
-                quantile(&n.took, 0.5),
-                quantile(&n.took, 0.95)
-            );
+        let mut endpoints: Vec<_> =
+            self.endpoints.iter().filter(|(_, endpoint)| endpoint.attempts > 0).collect();
+        endpoints.sort_by_key(|(name, endpoint)| (Reverse(endpoint.unserved()), (*name).clone()));
+        for (name, endpoint) in endpoints {
+            write_endpoint(&mut text, name, endpoint);
         }
-        let _ = writeln!(text, "{} lines were no event", self.passed_over);
+        let _ = writeln!(text, "{} lines were no event", self.skipped_lines);
         text
     }
 }
 
-fn quantile(values: &[u64], part: f64) -> u64 {
+fn write_interval(text: &mut String, start_s: f64, interval: &IntervalCounts) {
+    let outcome_count = |outcome| interval.outcomes.get(outcome).copied().unwrap_or(0);
+    // Writing to a `String` never fails.
+    let _ = writeln!(
+        text,
+        "{:6.1} {:7} {:6} {:7} {:6} {:4} {:4} {:7} {:5} {:6} {:9} {:7} {:7} {:6}",
+        start_s,
+        interval.arrived,
+        interval.attempts,
+        interval.connections,
+        interval.served_ms.len(),
+        quantile(&interval.served_ms, 0.5),
+        quantile(&interval.served_ms, 0.95),
+        interval.rejected_at_once,
+        interval.rejected_later,
+        interval.failed,
+        outcome_count("TimedOut"),
+        outcome_count("NoConnection"),
+        interval.watches,
+        interval.lists
+    );
+}
+
+fn write_endpoint(text: &mut String, name: &str, endpoint: &EndpointCounts) {
+    let _ = writeln!(
+        text,
+        "{name:21} {:10} {:8} {:>13} {:6} {:7} {:6} {:8} {:4} {:4}",
+        endpoint.kind,
+        endpoint.status,
+        endpoint.started_unix_ms,
+        endpoint.attempts,
+        endpoint.connections,
+        endpoint.served_ms.len(),
+        endpoint.unserved(),
+        quantile(&endpoint.served_ms, 0.5),
+        quantile(&endpoint.served_ms, 0.95)
+    );
+}
+
+/// The value at a fraction of the sorted values; 0 where there are none.
+fn quantile(values: &[u64], fraction: f64) -> u64 {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
-    sorted.get((sorted.len() as f64 * part) as usize).copied().unwrap_or(0)
+    let index = (sorted.len() as f64 * fraction) as usize;
+    sorted.get(index).copied().unwrap_or(0)
 }
--- a/crates/testbed/src/logs.rs
+++ b/crates/testbed/src/logs.rs
@@ -1,6 +1,6 @@
-//! The logs of a fleet, one file a gateway, written with `[log] format = "json"` and `level = "debug"`.
+//! Reads the logs of a fleet: one file for each gateway, written with `[log] format = "json"` and `level = "debug"`.
 //!
-//! A line may begin with the time in seconds, as a bench that plays many gateways in step writes it; else its `timestamp` counts.
+//! A line may begin with its time in seconds, as the simulation of a fleet writes it; otherwise its `timestamp` counts.
 
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
@@ -8,82 +8,106 @@
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 
-/// Why a folder of logs can't be read.
+/// Reason why a folder of logs can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum LogsError {
     /// The folder or a file in it can't be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// Which.
+        /// Path of the folder or file.
         path: PathBuf,
-        /// What the system says.
+        /// Cause reported by the operating system.
         source: std::io::Error,
     },
-    /// No line in it is an event.
+    /// No line in the folder is an event.
     #[error(
         "{0}: no line is a gateway's event; let the gateways log with [log] format = \"json\" and level = \"debug\""
     )]
-    Nothing(PathBuf),
+    NoEvents(PathBuf),
 }
 
-#[derive(Deserialize)]
-struct Line<F> {
-    timestamp: String,
-    fields: F,
-}
-
-/// The seconds of a day in an RFC 3339 time; the day itself is not told apart from the next.
-fn seconds(timestamp: &str) -> Option<f64> {
-    let clock = timestamp.split('T').nth(1)?.trim_end_matches('Z');
-    let mut parts = clock.splitn(3, ':').map(|p| p.parse::<f64>().ok());
-    let (h, m, s) = (parts.next()??, parts.next()??, parts.next()??);
-    Some(h * 3600.0 + m * 60.0 + s)
+impl LogsError {
+    fn unreadable(path: &Path) -> impl FnOnce(std::io::Error) -> LogsError + '_ {
+        move |source| LogsError::Unreadable { path: path.to_owned(), source }
+    }
 }
 
-fn event<F: DeserializeOwned>(text: &str) -> Option<(f64, F)> {
-    let (before, json) = text.split_at(text.find('{')?);
-    let line: Line<F> = serde_json::from_str(json).ok()?;
-    let at = match before.trim() {
-        "" => seconds(&line.timestamp)?,
-        prefix => prefix.parse().ok().filter(|at: &f64| at.is_finite() && *at >= 0.0)?,
-    };
-    Some((at, line.fields))
+/// An event of a gateway's log.
+#[derive(Clone, Copy, Debug)]
+pub struct LogEvent<F> {
+    /// Index of its file among the files of the folder, which are sorted by name.
+    pub file: usize,
+    /// Time of the event, in seconds.
+    pub time_s: f64,
+    /// Fields of the event.
+    pub fields: F,
 }
 
-/// Gives all events of a folder, file by file, with the file's place and the time; gives how many lines were none.
+/// Reads all events of a folder, file by file, and returns the number of non-empty lines that are no event.
 ///
 /// # Errors
-/// Where the folder or a file can't be read, or no line is an event.
-pub fn read<F: DeserializeOwned>(
+/// The folder or a file can't be read, or no line is an event.
+pub fn read_events<F: DeserializeOwned>(
     folder: &Path,
-    mut take: impl FnMut(usize, f64, F),
+    mut handle: impl FnMut(LogEvent<F>),
 ) -> Result<u64, LogsError> {
-    let unreadable = |path: &Path| {
-        let path = path.to_owned();
-        move |source| LogsError::Unreadable { path, source }
-    };
-    let mut files = Vec::new();
-    for entry in std::fs::read_dir(folder).map_err(unreadable(folder))? {
-        let path = entry.map_err(unreadable(folder))?.path();
-        files.extend(path.is_file().then_some(path));
-    }
-    files.sort();
-    let (mut events, mut passed_over) = (0u64, 0);
-    for (n, path) in files.iter().enumerate() {
-        let reader = BufReader::new(File::open(path).map_err(unreadable(path))?);
-        for text in reader.split(b'\n') {
-            let text = text.map_err(unreadable(path))?;
-            match event(&String::from_utf8_lossy(&text)) {
-                Some((at, fields)) => {
-                    events += 1;
-                    take(n, at, fields);
-                }
-                None => passed_over += u64::from(!text.trim_ascii().is_empty()),
+    let mut event_count = 0u64;
+    let mut skipped_lines = 0u64;
+    for (file, path) in log_files(folder)?.iter().enumerate() {
+        let reader = BufReader::new(File::open(path).map_err(LogsError::unreadable(path))?);
+        for line in reader.split(b'\n') {
+            let line = line.map_err(LogsError::unreadable(path))?;
+            if let Some((time_s, fields)) = parse_line(&String::from_utf8_lossy(&line)) {
+                event_count += 1;
+                handle(LogEvent { file, time_s, fields });
+            } else if !line.trim_ascii().is_empty() {
+                skipped_lines += 1;
             }
         }
     }
-    if events == 0 {
-        return Err(LogsError::Nothing(folder.to_owned()));
+    if event_count == 0 {
+        return Err(LogsError::NoEvents(folder.to_owned()));
     }
-    Ok(passed_over)
+    Ok(skipped_lines)
+}
+
+/// The files of a folder, sorted by name.
+fn log_files(folder: &Path) -> Result<Vec<PathBuf>, LogsError> {
+    let mut files = Vec::new();
+    for entry in std::fs::read_dir(folder).map_err(LogsError::unreadable(folder))? {
+        let path = entry.map_err(LogsError::unreadable(folder))?.path();
+        if path.is_file() {
+            files.push(path);
+        }
+    }
+    files.sort();
+    Ok(files)
+}
+
+/// The JSON object of a line.
+#[derive(Deserialize)]
+struct JsonEvent<F> {
+    timestamp: String,
+    fields: F,
+}
+
+/// The time in seconds and the fields of a line; `None` where it is no event.
+fn parse_line<F: DeserializeOwned>(line: &str) -> Option<(f64, F)> {
+    let (prefix, json) = line.split_at(line.find('{')?);
+    let event: JsonEvent<F> = serde_json::from_str(json).ok()?;
+    let time_s = match prefix.trim() {
+        "" => second_of_day(&event.timestamp)?,
+        prefix => prefix.parse().ok().filter(|time_s: &f64| time_s.is_finite() && *time_s >= 0.0)?,
+    };
+    Some((time_s, event.fields))
+}
+
+/// The second of the day in an RFC 3339 time. The date is ignored.
+fn second_of_day(timestamp: &str) -> Option<f64> {
+    let clock = timestamp.split('T').nth(1)?.trim_end_matches('Z');
+    let mut parts = clock.splitn(3, ':').map(|part| part.parse::<f64>().ok());
+    let hours = parts.next()??;
+    let minutes = parts.next()??;
+    let seconds = parts.next()??;
+    Some(hours * 3600.0 + minutes * 60.0 + seconds)
 }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -267,13 +267,13 @@
             Ok(ExitCode::SUCCESS)
         }
         Sub::Count { folder, every, from, until } => {
-            print!("{}", count::Counts::of(&folder, every, (from, until))?.tables());
+            print!("{}", count::Counts::read(&folder, every, from..until)?.tables());
             Ok(ExitCode::SUCCESS)
         }
         Sub::Resends { folder } => {
-            let audit = resends::Audit::of(&folder)?;
+            let audit = resends::Audit::read(&folder)?;
             print!("{}", audit.tables());
-            Ok(if audit.breaches.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(1) })
+            Ok(if audit.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(1) })
         }
         Sub::Fleet { script, seed, in_virtual_time, program: named, json, history } => {
             let text = std::fs::read_to_string(&script).map_err(|e| format!("{}: {e}", script.display()))?;
--- a/crates/testbed/src/resends.rs
+++ b/crates/testbed/src/resends.rs
@@ -1,14 +1,33 @@
-//! An audit of resends, from the logs of a fleet: for each attempt after the first, how those before it ended, what that proves, and how
-//! much of the window for repeats was left when its last byte was written. And of refusals: whether all attempts before surely never ran.
+//! Audits retries, from the logs of a fleet.
 //!
-//! It judges by what the gateways wrote down, and by rules of its own: nothing of the decision module is asked.
+//! For each attempt after the first: how the attempts before it ended, what that proves, and how much of the idempotency
+//! window was left when its last byte was written. For each rejection: whether all attempts before were certainly not
+//! processed.
+//!
+//! The audit judges by what the gateways logged and by rules of its own; it uses no code of the balancer.
 
-use crate::logs::{self, LogsError};
+use crate::logs::{self, LogEvent, LogsError};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::path::Path;
 
+/// A request was processed by the endpoints of two gateways.
+const RAN_UNDER_TWO_GATEWAYS: &str = "ran under two gateways";
+/// A request was rejected although an attempt was possibly processed.
+const REJECTED_AFTER_POSSIBLE_PROCESSING: &str = "refused after an attempt that may have run";
+/// A request that is not idempotent was retried although an attempt was possibly processed.
+const UNSAFE_RETRY: &str = "unsafe work was sent again after an attempt that may have run";
+/// A retry went to an endpoint outside the scope of its idempotency key.
+const RETRY_OUTSIDE_SCOPE: &str = "sent again outside its group";
+/// A retry within an idempotency window had no deadline for its last byte.
+const RETRY_WITHOUT_DEADLINE: &str = "sent again with no latest moment for its last byte";
+/// The last byte of an attempt was written, and its outcome says that it was not processed.
+const WRITTEN_BUT_NOT_PROCESSED: &str = "its last byte was written, and it was taken for one that never ran";
+/// The last byte of a retry was written after the idempotency window.
+const WRITTEN_AFTER_WINDOW: &str = "its last byte was written after its window";
+
+/// The fields of a gateway's log events that are audited.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 struct Fields {
@@ -26,243 +45,320 @@
     result: Option<String>,
 }
 
-/// What repeating a request may do, as its gateway's log words it.
+/// What repeating a request may do, as its gateway logs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Effect {
-    Safe,
-    KeyedByAll,
-    KeyedByZone,
-    KeyedByCell,
-    Unsafe,
+enum Repeatability {
+    Idempotent,
+    KeyForAll,
+    KeyForZone,
+    KeyForCell,
+    NotIdempotent,
 }
 
-impl Effect {
-    fn read(text: &str) -> Option<Effect> {
-        Some(match text {
-            "Idempotent" => Effect::Safe,
-            "NotIdempotent" => Effect::Unsafe,
-            keyed if !keyed.starts_with("IdempotencyKey") => return None,
-            keyed if keyed.contains("scope: All") => Effect::KeyedByAll,
-            keyed if keyed.contains("scope: Zone") => Effect::KeyedByZone,
-            keyed if keyed.contains("scope: Cell") => Effect::KeyedByCell,
-            _ => return None,
-        })
+impl Repeatability {
+    fn parse(text: &str) -> Option<Repeatability> {
+        match text {
+            "Idempotent" => Some(Repeatability::Idempotent),
+            "NotIdempotent" => Some(Repeatability::NotIdempotent),
+            key if !key.starts_with("IdempotencyKey") => None,
+            key if key.contains("scope: All") => Some(Repeatability::KeyForAll),
+            key if key.contains("scope: Zone") => Some(Repeatability::KeyForZone),
+            key if key.contains("scope: Cell") => Some(Repeatability::KeyForCell),
+            _ => None,
+        }
+    }
+
+    fn has_key(self) -> bool {
+        !matches!(self, Repeatability::Idempotent | Repeatability::NotIdempotent)
+    }
+
+    /// Whether the request may be processed at two endpoints, wherever they are.
+    fn is_repeatable_anywhere(self) -> bool {
+        matches!(self, Repeatability::Idempotent | Repeatability::KeyForAll)
     }
 }
 
-#[derive(Clone, Debug, Default)]
+#[derive(Clone, Debug)]
 struct Attempt {
-    at: f64,
+    sent_at_s: f64,
     zone: Option<u32>,
     cell: Option<u32>,
-    /// How much of the window was left when it was decided.
-    left_us: Option<u64>,
-    /// From then to its last byte, and how it ended; none while it is out.
-    ended: Option<(Option<u64>, String, f64)>,
+    /// What was left of the idempotency window when the attempt was sent, in microseconds.
+    window_us: Option<u64>,
+    /// How the attempt ended; `None` while it is in flight.
+    end: Option<AttemptEnd>,
+}
+
+#[derive(Clone, Debug)]
+struct AttemptEnd {
+    ended_at_s: f64,
+    outcome: String,
+    /// Time from sending the attempt to writing its last byte, in microseconds; `None` where that was not written.
+    written_us: Option<u64>,
 }
 
 impl Attempt {
-    /// Whether it may have run, by what it did and not by what its gateway made of it: only a host's own word counts for more
-    /// than a last byte that has gone.
-    fn may_have_run(&self) -> bool {
-        match &self.ended {
-            None => true,
-            Some((written, how, _)) => match how.as_str() {
-                "Rejected" => false,
-                "NoConnection" | "NotSent" => written.is_some(),
-                _ => true,
-            },
+    /// Whether the attempt was possibly processed, by what it did and not by what its gateway concluded: only an
+    /// endpoint's own rejection weighs more than a last byte that was written.
+    fn possibly_processed(&self) -> bool {
+        let Some(end) = &self.end else { return true };
+        match end.outcome.as_str() {
+            "Rejected" => false,
+            "NoConnection" | "NotSent" => end.written_us.is_some(),
+            _ => true,
         }
     }
 }
 
 #[derive(Debug)]
 struct Request {
-    number: String,
+    request_id: String,
     class: String,
-    effect: Effect,
+    repeatability: Repeatability,
     attempts: Vec<Attempt>,
 }
 
-/// A rule that was broken, or a proof that does not hold.
+impl Request {
+    /// The attempts that were possibly processed.
+    fn processed_attempts(&self) -> impl Iterator<Item = &Attempt> {
+        self.attempts.iter().filter(|attempt| attempt.possibly_processed())
+    }
+
+    /// Whether a retry stays within the scope of the idempotency key of all attempts that were possibly processed.
+    fn is_in_scope(&self, retry: &Attempt) -> bool {
+        match self.repeatability {
+            Repeatability::Idempotent | Repeatability::KeyForAll | Repeatability::NotIdempotent => true,
+            Repeatability::KeyForZone => {
+                self.processed_attempts().all(|attempt| attempt.zone.is_some() && attempt.zone == retry.zone)
+            }
+            Repeatability::KeyForCell => {
+                self.processed_attempts().all(|attempt| attempt.cell.is_some() && attempt.cell == retry.cell)
+            }
+        }
+    }
+}
+
+/// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Breach {
-    /// What.
-    pub what: &'static str,
-    /// The client's number of the request, and its class.
-    pub number: String,
-    /// The class.
+pub struct Violation {
+    /// Description of what broke the rule.
+    pub rule: &'static str,
+    /// The client's identifier of the request.
+    pub request_id: String,
+    /// Class of the request.
     pub class: String,
 }
 
-/// What the logs of a fleet say of its resends.
+/// What the logs of a fleet say about its retries.
 #[derive(Clone, Debug, Default)]
 pub struct Audit {
-    /// Requests, attempts after the first, and those of them that follow one that may have run.
+    /// Number of requests.
     pub requests: u64,
-    /// See there.
-    pub resends: u64,
-    /// See there.
+    /// Number of attempts after the first of a request.
+    pub retries: u64,
+    /// Number of retries after an attempt that was possibly processed.
     pub repeats: u64,
-    /// How much of the window was left when the last byte of each repeat of keyed work was written, in microseconds, in order.
-    pub margins: Vec<i64>,
-    /// Repeats of keyed work that were not written at all.
-    pub withheld: u64,
-    /// By how the attempt before ended.
-    pub after: BTreeMap<String, u64>,
-    /// What was broken, all of it.
-    pub breaches: Vec<Breach>,
+    /// What was left of the idempotency window at the last byte of each repeat with a key, in microseconds, sorted.
+    pub margins_us: Vec<i64>,
+    /// Number of repeats with a key that were not written.
+    pub unwritten_repeats: u64,
+    /// Number of retries by the outcome of the attempt before.
+    pub previous_outcomes: BTreeMap<String, u64>,
+    /// All violations, sorted.
+    pub violations: Vec<Violation>,
 }
 
 impl Audit {
     /// Audits all files of a folder.
     ///
     /// # Errors
-    /// Where the folder or a file can't be read, or no line is an event.
-    pub fn of(folder: &Path) -> Result<Audit, LogsError> {
-        let mut audit = Audit::default();
-        let mut open: BTreeMap<(usize, u64), Request> = BTreeMap::new();
-        // Who sent each number so that it may have run: hosts know nothing of one another's clients.
-        let mut ran: BTreeMap<String, usize> = BTreeMap::new();
-        logs::read(folder, |file, at, fields: Fields| {
-            let Some(id) = fields.request else { return };
-            if fields.message == "request arrived" {
-                let Some(effect) = Effect::read(&fields.idempotency) else { return };
-                audit.requests += 1;
-                let class = fields.class.as_str().map_or_else(|| fields.class.to_string(), str::to_owned);
-                open.insert(
-                    (file, id),
-                    Request { number: fields.request_id, class, effect, attempts: Vec::new() },
-                );
-                return;
-            }
-            let Some(request) = open.get_mut(&(file, id)) else { return };
-            match (fields.message.as_str(), fields.attempt) {
-                ("attempt sent", _) => {
-                    let (zone, cell, left_us) = (fields.zone, fields.cell, fields.write_window_us);
-                    let attempt = Attempt { at, zone, cell, left_us, ended: None };
-                    audit.sent(request, &attempt);
-                    request.attempts.push(attempt);
-                }
-                ("attempt ended", Some(n)) => {
-                    let how = fields.outcome.unwrap_or_default();
-                    let Some(attempt) = request.attempts.get_mut(n) else { return };
-                    attempt.ended = Some((fields.written_us, how, at));
-                    audit.ended(request, n);
-                    let ran_now = request.attempts.get(n).is_some_and(Attempt::may_have_run);
-                    if ran_now && request.effect != Effect::Safe && !request.number.is_empty() {
-                        let first = *ran.entry(request.number.clone()).or_insert(file);
-                        if first != file {
-                            audit.breach("ran under two gateways", request);
-                        }
-                    }
-                }
-                ("request finished", _) if fields.result.as_deref() == Some("rejected") => {
-                    let harmless = matches!(request.effect, Effect::Safe | Effect::KeyedByAll);
-                    if !harmless && request.attempts.iter().any(Attempt::may_have_run) {
-                        audit.breach("refused after an attempt that may have run", request);
-                    }
-                }
-                _ => {}
-            }
-        })?;
-        audit.margins.sort_unstable();
-        audit.breaches.sort();
+    /// The folder or a file can't be read, or no line is an event.
+    pub fn read(folder: &Path) -> Result<Audit, LogsError> {
+        let mut auditor = Auditor::default();
+        logs::read_events(folder, |event| auditor.handle(event))?;
+        let mut audit = auditor.audit;
+        audit.margins_us.sort_unstable();
+        audit.violations.sort();
         Ok(audit)
     }
 
-    fn breach(&mut self, what: &'static str, request: &Request) {
-        let (number, class) = (request.number.clone(), request.class.clone());
-        self.breaches.push(Breach { what, number, class });
+    fn report(&mut self, rule: &'static str, request: &Request) {
+        let request_id = request.request_id.clone();
+        let class = request.class.clone();
+        self.violations.push(Violation { rule, request_id, class });
     }
 
-    fn sent(&mut self, request: &Request, next: &Attempt) {
-        let Some(before) = request.attempts.last() else { return };
-        self.resends += 1;
-        let how = before.ended.as_ref().map_or("out still", |(_, how, _)| how);
-        *self.after.entry(how.to_owned()).or_default() += 1;
-        let ran: Vec<&Attempt> = request.attempts.iter().filter(|a| a.may_have_run()).collect();
-        self.repeats += u64::from(!ran.is_empty());
-        let group =
-            |of: fn(&Attempt) -> Option<u32>| ran.iter().all(|a| of(a).is_some() && of(a) == of(next));
-        let joined = match request.effect {
-            Effect::Safe | Effect::KeyedByAll | Effect::Unsafe => true,
-            Effect::KeyedByZone => group(|a| a.zone),
-            Effect::KeyedByCell => group(|a| a.cell),
-        };
-        if request.effect == Effect::Unsafe && !ran.is_empty() {
-            self.breach("unsafe work was sent again after an attempt that may have run", request);
+    /// Checks an attempt that is sent after those of the request, if there are any.
+    fn check_retry(&mut self, request: &Request, retry: &Attempt) {
+        let Some(previous) = request.attempts.last() else { return };
+        let previous_outcome = previous.end.as_ref().map_or("out still", |end| end.outcome.as_str());
+        *self.previous_outcomes.entry(previous_outcome.to_owned()).or_default() += 1;
+        self.retries += 1;
+        let is_repeat = request.processed_attempts().next().is_some();
+        if is_repeat {
+            self.repeats += 1;
+        }
+        if is_repeat && request.repeatability == Repeatability::NotIdempotent {
+            self.report(UNSAFE_RETRY, request);
         }
-        if !joined {
-            self.breach("sent again outside its group", request);
+        if !request.is_in_scope(retry) {
+            self.report(RETRY_OUTSIDE_SCOPE, request);
         }
-        let keyed = !matches!(request.effect, Effect::Safe | Effect::Unsafe);
-        if keyed && !ran.is_empty() && next.left_us.is_none() {
-            self.breach("sent again with no latest moment for its last byte", request);
+        if is_repeat && request.repeatability.has_key() && retry.window_us.is_none() {
+            self.report(RETRY_WITHOUT_DEADLINE, request);
         }
     }
 
-    fn ended(&mut self, request: &Request, n: usize) {
-        let Some(attempt) = request.attempts.get(n) else { return };
-        let Some((written, how, ended)) = &attempt.ended else { return };
-        if written.is_some() && matches!(how.as_str(), "NoConnection" | "NotSent") {
-            self.breach("its last byte was written, and it was taken for one that never ran", request);
+    /// Checks the attempt of this index, which has just ended.
+    fn check_end(&mut self, request: &Request, index: usize) {
+        let Some(attempt) = request.attempts.get(index) else { return };
+        let Some(end) = &attempt.end else { return };
+        if end.written_us.is_some() && matches!(end.outcome.as_str(), "NoConnection" | "NotSent") {
+            self.report(WRITTEN_BUT_NOT_PROCESSED, request);
         }
-        let repeated = request.attempts.iter().take(n).any(Attempt::may_have_run);
-        if !repeated || matches!(request.effect, Effect::Safe | Effect::Unsafe) {
+        let is_repeat = request.attempts.iter().take(index).any(Attempt::possibly_processed);
+        if !is_repeat || !request.repeatability.has_key() {
             return;
         }
-        let Some(left) = attempt.left_us else { return };
-        let Some(written) = *written else {
-            // One that is called off may have gone whole; then its end is the latest moment for that.
-            if how == "Cancelled" {
-                self.margins.push(left as i64 - ((ended - attempt.at) * 1e6) as i64);
+        let Some(window_us) = attempt.window_us else { return };
+        let Some(written_us) = end.written_us else {
+            // A cancelled attempt may have been written as a whole, at its end at the latest.
+            if end.outcome == "Cancelled" {
+                let lasted_us = ((end.ended_at_s - attempt.sent_at_s) * 1e6) as i64;
+                self.margins_us.push(window_us as i64 - lasted_us);
             }
-            return self.withheld += 1;
+            self.unwritten_repeats += 1;
+            return;
         };
-        let margin = left as i64 - written as i64;
-        self.margins.push(margin);
-        if margin <= 0 {
-            self.breach("its last byte was written after its window", request);
+        let margin_us = window_us as i64 - written_us as i64;
+        self.margins_us.push(margin_us);
+        if margin_us <= 0 {
+            self.report(WRITTEN_AFTER_WINDOW, request);
         }
     }
 
-    /// The tables.
+    /// The audit as text.
     pub fn tables(&self) -> String {
         let mut text = format!(
             "{} requests, {} attempts after the first, {} of them after one that may have run\nafter an attempt that ended as",
-            self.requests, self.resends, self.repeats
+            self.requests, self.retries, self.repeats
         );
-        for (how, count) in &self.after {
-            let _ = write!(text, "  {how} {count}");
+        // Writing to a `String` never fails.
+        for (outcome, count) in &self.previous_outcomes {
+            let _ = write!(text, "  {outcome} {count}");
         }
-        let at = |part: f64| {
-            let last = self.margins.len().saturating_sub(1);
-            self.margins.get((last as f64 * part) as usize).map_or(f64::NAN, |us| *us as f64 / 1e3)
-        };
         let _ = writeln!(
             text,
             "\nrepeats of keyed work: {} written, {} not; left of the window at the last byte, ms: least {:.1}, 1 in 100 under {:.1}, median {:.1}",
-            self.margins.len(),
-            self.withheld,
-            at(0.0),
-            at(0.01),
-            at(0.5)
+            self.margins_us.len(),
+            self.unwritten_repeats,
+            self.margin_ms(0.0),
+            self.margin_ms(0.01),
+            self.margin_ms(0.5)
         );
-        let mut kinds: BTreeMap<&str, Vec<&Breach>> = BTreeMap::new();
-        self.breaches.iter().for_each(|b| kinds.entry(b.what).or_default().push(b));
-        for (what, breaches) in &kinds {
-            let first = breaches.first().map(|b| format!("{} of class {}", b.number, b.class));
-            let _ = writeln!(
-                text,
-                "BROKEN {} times: {what}; first {}",
-                breaches.len(),
-                first.unwrap_or_default()
-            );
+        self.write_violations(&mut text);
+        text
+    }
+
+    /// The margin at a fraction of the sorted margins, in milliseconds; NaN where there are none.
+    fn margin_ms(&self, fraction: f64) -> f64 {
+        let last = self.margins_us.len().saturating_sub(1);
+        let index = (last as f64 * fraction) as usize;
+        self.margins_us.get(index).map_or(f64::NAN, |margin_us| *margin_us as f64 / 1e3)
+    }
+
+    fn write_violations(&self, text: &mut String) {
+        let mut by_rule: BTreeMap<&str, Vec<&Violation>> = BTreeMap::new();
+        for violation in &self.violations {
+            by_rule.entry(violation.rule).or_default().push(violation);
         }
-        if kinds.is_empty() {
+        for (rule, violations) in &by_rule {
+            let count = violations.len();
+            let Violation { request_id, class, .. } = violations[0];
+            let _ = writeln!(text, "BROKEN {count} times: {rule}; first {request_id} of class {class}");
+        }
+        if by_rule.is_empty() {
             text.push_str("nothing broken\n");
         }
-        text
+    }
+}
+
+/// Follows the requests of all gateways through their logs.
+#[derive(Default)]
+struct Auditor {
+    audit: Audit,
+    /// Requests by file and number.
+    requests: BTreeMap<(usize, u64), Request>,
+    /// File of the first gateway under which each request that is not idempotent was possibly processed. Endpoints
+    /// don't know the clients of another gateway, so no key protects a request under two.
+    first_gateways: BTreeMap<String, usize>,
+}
+
+impl Auditor {
+    fn handle(&mut self, event: LogEvent<Fields>) {
+        let Some(number) = event.fields.request else { return };
+        let key = (event.file, number);
+        match event.fields.message.as_str() {
+            "request arrived" => self.record_arrival(key, event.fields),
+            "attempt sent" => self.record_sent(key, event),
+            "attempt ended" => self.record_end(key, event),
+            "request finished" if event.fields.result.as_deref() == Some("rejected") => {
+                self.check_rejection(key);
+            }
+            _ => {}
+        }
+    }
+
+    fn record_arrival(&mut self, key: (usize, u64), fields: Fields) {
+        let Some(repeatability) = Repeatability::parse(&fields.idempotency) else { return };
+        self.audit.requests += 1;
+        let class = match fields.class.as_str() {
+            Some(name) => name.to_owned(),
+            None => fields.class.to_string(),
+        };
+        let request_id = fields.request_id;
+        self.requests.insert(key, Request { request_id, class, repeatability, attempts: Vec::new() });
+    }
+
+    fn record_sent(&mut self, key: (usize, u64), event: LogEvent<Fields>) {
+        let Some(request) = self.requests.get_mut(&key) else { return };
+        let attempt = Attempt {
+            sent_at_s: event.time_s,
+            zone: event.fields.zone,
+            cell: event.fields.cell,
+            window_us: event.fields.write_window_us,
+            end: None,
+        };
+        self.audit.check_retry(request, &attempt);
+        request.attempts.push(attempt);
+    }
+
+    fn record_end(&mut self, key: (usize, u64), event: LogEvent<Fields>) {
+        let Some(request) = self.requests.get_mut(&key) else { return };
+        let Some(index) = event.fields.attempt else { return };
+        let Some(attempt) = request.attempts.get_mut(index) else { return };
+        attempt.end = Some(AttemptEnd {
+            ended_at_s: event.time_s,
+            outcome: event.fields.outcome.unwrap_or_default(),
+            written_us: event.fields.written_us,
+        });
+        let possibly_processed = attempt.possibly_processed();
+        self.audit.check_end(request, index);
+        let is_idempotent = request.repeatability == Repeatability::Idempotent;
+        if !possibly_processed || is_idempotent || request.request_id.is_empty() {
+            return;
+        }
+        let first_gateway = *self.first_gateways.entry(request.request_id.clone()).or_insert(event.file);
+        if first_gateway != event.file {
+            self.audit.report(RAN_UNDER_TWO_GATEWAYS, request);
+        }
+    }
+
+    fn check_rejection(&mut self, key: (usize, u64)) {
+        let Some(request) = self.requests.get(&key) else { return };
+        let is_repeat = request.processed_attempts().next().is_some();
+        if is_repeat && !request.repeatability.is_repeatable_anywhere() {
+            self.audit.report(REJECTED_AFTER_POSSIBLE_PROCESSING, request);
+        }
     }
 }
--- a/crates/testbed/tests/count.rs
+++ b/crates/testbed/tests/count.rs
@@ -1,11 +1,11 @@
-//! Counting over a fleet, on logs made here.
+//! Counting over a fleet, on logs written here.
 
 use std::fs;
 use std::path::PathBuf;
 use weldworks_testbed::count::Counts;
 use weldworks_testbed::logs::LogsError;
 
-/// A folder of its own, gone at the end.
+/// A temporary folder, removed at the end.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -21,7 +21,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        let _ = fs::remove_dir_all(&self.0); // left behind it harms nobody
+        let _ = fs::remove_dir_all(&self.0); // a folder left behind does no harm
     }
 }
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn two_gateways_are_counted_together_by_stretch_and_node() {
+fn two_gateways_are_counted_together_by_interval_and_endpoint() {
     let sent = r#""message":"attempt sent","request":1,"attempt":0,"endpoint":"127.0.0.1:1""#;
     let served = r#""message":"attempt ended","request":1,"attempt":0,"endpoint":"127.0.0.1:1","latency_ms":40,"outcome":"Served""#;
     let late = r#""message":"attempt ended","request":1,"attempt":0,"endpoint":"127.0.0.1:1","latency_ms":300,"outcome":"TimedOut""#;
@@ -69,18 +69,27 @@
         line("1.600 ", 31.6, listed),
     ];
     let folder = Folder::with("two", &[("n0.log", &a.concat()), ("n1.log", &b.concat())]);
-    let counts = Counts::of(&folder.0, 1.0, (0.0, f64::INFINITY)).expect("counts");
-    let (first, second) = (&counts.stretches[&0], &counts.stretches[&1]);
-    assert_eq!((first.sent, first.dialled, first.served.as_slice()), (1, 1, [41].as_slice()));
-    assert_eq!((second.sent, second.refused_at_once, second.refused_later), (1, 1, 1));
-    let node = &counts.nodes["127.0.0.1:1"];
-    assert_eq!((node.sent, node.dialled, node.took.as_slice()), (2, 1, [40].as_slice()));
-    assert_eq!((node.status.as_str(), node.ended["TimedOut"], counts.passed_over), ("Leaving", 1, 1));
+    let counts = Counts::read(&folder.0, 1.0, 0.0..f64::INFINITY).expect("counts");
+    let (first, second) = (&counts.intervals[&0], &counts.intervals[&1]);
+    assert_eq!((first.attempts, first.connections, first.served_ms.as_slice()), (1, 1, [41].as_slice()));
+    assert_eq!((second.attempts, second.rejected_at_once, second.rejected_later), (1, 1, 1));
+    let endpoint = &counts.endpoints["127.0.0.1:1"];
+    assert_eq!(
+        (endpoint.attempts, endpoint.connections, endpoint.served_ms.as_slice()),
+        (2, 1, [40].as_slice())
+    );
+    assert_eq!(
+        (endpoint.status.as_str(), endpoint.outcomes["TimedOut"], counts.skipped_lines),
+        ("Leaving", 1, 1)
+    );
     assert!(counts.tables().contains("127.0.0.1:1"));
-    // Within the first second the node had served one and was told to be active.
-    let early = Counts::of(&folder.0, 1.0, (0.0, 1.0)).expect("counts");
-    let node = &early.nodes["127.0.0.1:1"];
-    assert_eq!((node.sent, node.status.as_str(), node.ended.contains_key("TimedOut")), (1, "Active", false));
+    // Within the first second the endpoint had served one and was listed as active.
+    let early = Counts::read(&folder.0, 1.0, 0.0..1.0).expect("counts");
+    let endpoint = &early.endpoints["127.0.0.1:1"];
+    assert_eq!(
+        (endpoint.attempts, endpoint.status.as_str(), endpoint.outcomes.contains_key("TimedOut")),
+        (1, "Active", false)
+    );
 }
 
 #[test]
@@ -88,18 +97,18 @@
     let arrived = r#""message":"request arrived","request":1,"class":0,"client_retry":false"#;
     let files = [("b.log", line("", 33.0, arrived)), ("a.log", line("", 31.5, arrived))];
     let folder = Folder::with("wall", &files.each_ref().map(|(name, text)| (*name, text.as_str())));
-    let counts = Counts::of(&folder.0, 1.0, (0.0, f64::INFINITY)).expect("counts");
-    assert_eq!(counts.stretches.keys().copied().collect::<Vec<_>>(), [0, 1]);
+    let counts = Counts::read(&folder.0, 1.0, 0.0..f64::INFINITY).expect("counts");
+    assert_eq!(counts.intervals.keys().copied().collect::<Vec<_>>(), [0, 1]);
 }
 
 #[test]
-fn a_folder_without_events_says_what_to_do() {
+fn a_folder_without_events_is_an_error_that_says_what_to_do() {
     let folder = Folder::with("none", &[("n0.log", "2026-12-01 INFO listening\n{\"half\":\n\u{fffd}\n")]);
-    let error = Counts::of(&folder.0, 1.0, (0.0, 1.0)).expect_err("nothing to count");
+    let error = Counts::read(&folder.0, 1.0, 0.0..1.0).expect_err("nothing to count");
     assert!(
-        matches!(error, LogsError::Nothing(_)) && error.to_string().contains("level = \"debug\""),
+        matches!(error, LogsError::NoEvents(_)) && error.to_string().contains("level = \"debug\""),
         "{error}"
     );
-    let gone = Counts::of(&folder.0.join("gone"), 1.0, (0.0, 1.0)).expect_err("no folder");
-    assert!(matches!(gone, LogsError::Unreadable { .. }));
+    let missing = Counts::read(&folder.0.join("gone"), 1.0, 0.0..1.0).expect_err("no folder");
+    assert!(matches!(missing, LogsError::Unreadable { .. }));
 }
--- a/crates/testbed/tests/resends.rs
+++ b/crates/testbed/tests/resends.rs
@@ -1,11 +1,11 @@
-//! The audit of resends, fed with a history that breaks each rule and with one that breaks none.
+//! The audit of retries, on logs that break each rule and on logs that break none.
 
 use std::path::PathBuf;
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, KeyScope};
 use weldworks_testbed::resends::Audit;
 
-/// A folder of its own, gone at the end.
+/// A temporary folder, removed at the end.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -21,7 +21,7 @@
 
 impl Drop for Folder {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.0); // left behind it harms nobody
+        let _ = std::fs::remove_dir_all(&self.0); // a folder left behind does no harm
     }
 }
 
@@ -33,16 +33,16 @@
     )
 }
 
-fn arrived(effect: Idempotency) -> String {
+fn arrived(idempotency: Idempotency) -> String {
     line(
         0,
         &format!(
-            r#""message":"request arrived","request":1,"request_id":"ab01","class":"book","idempotency":"{effect:?}""#
+            r#""message":"request arrived","request":1,"request_id":"ab01","class":"book","idempotency":"{idempotency:?}""#
         ),
     )
 }
 
-/// An attempt: when it was sent, to which zone and cell, what was left of the window.
+/// An attempt: when it was sent, to which zone and cell, and what was left of the idempotency window.
 fn sent(ms: u64, n: u32, place: (u32, u32), left_us: Option<u64>) -> String {
     let left = left_us.map(|us| format!(r#","write_window_us":{us}"#)).unwrap_or_default();
     let (zone, cell) = place;
@@ -57,21 +57,21 @@
     line(ms, &format!(r#""message":"attempt ended","request":1,"attempt":{n},"outcome":"{how}"{written}"#))
 }
 
-fn refused(ms: u64) -> String {
+fn rejected(ms: u64) -> String {
     line(ms, r#""message":"request finished","result":"rejected","request":1,"attempts":1,"duration_ms":9"#)
 }
 
-fn keyed(group: KeyScope) -> Idempotency {
-    Idempotency::IdempotencyKey { scope: group, window: Duration::from_millis(1200) }
+fn keyed(scope: KeyScope) -> Idempotency {
+    Idempotency::IdempotencyKey { scope, window: Duration::from_millis(1200) }
 }
 
 fn audit(name: &str, files: &[Vec<String>]) -> Audit {
     let files: Vec<String> = files.iter().map(|lines| lines.concat()).collect();
-    Audit::of(&Folder::with(name, &files).0).expect("logs")
+    Audit::read(&Folder::with(name, &files).0).expect("logs")
 }
 
 #[test]
-fn each_rule_that_is_broken_is_seen() {
+fn each_broken_rule_is_reported() {
     let (here, other) = ((0, 3), (1, 4));
     let reset = ended(10, 0, "Reset", Some(900));
     let first = sent(5, 0, here, None);
@@ -119,26 +119,34 @@
         (
             "refused after an attempt that may have run",
             keyed(KeyScope::Cell),
-            vec![first.clone(), reset.clone(), refused(12)],
+            vec![first.clone(), reset.clone(), rejected(12)],
         ),
         (
             "refused after an attempt that may have run",
             Idempotency::NotIdempotent,
-            vec![first.clone(), ended(10, 0, "NoConnection", Some(900)), refused(12)],
+            vec![first.clone(), ended(10, 0, "NoConnection", Some(900)), rejected(12)],
         ),
     ];
-    for (n, (what, effect, lines)) in cases.into_iter().enumerate() {
-        let audit = audit(&format!("broken-{n}"), &[[vec![arrived(effect)], lines].concat()]);
-        assert!(audit.breaches.iter().any(|b| b.what == what), "{n}: {what} in {:?}", audit.breaches);
-        assert!(audit.tables().contains(what) && audit.tables().contains("ab01"));
+    for (index, (rule, idempotency, lines)) in cases.into_iter().enumerate() {
+        let audit = audit(&format!("broken-{index}"), &[[vec![arrived(idempotency)], lines].concat()]);
+        assert!(
+            audit.violations.iter().any(|violation| violation.rule == rule),
+            "{index}: {rule} in {:?}",
+            audit.violations
+        );
+        assert!(audit.tables().contains(rule) && audit.tables().contains("ab01"));
     }
     let one = vec![arrived(Idempotency::NotIdempotent), first, ended(10, 0, "TimedOut", Some(900))];
     let audit = audit("two", &[one.clone(), one]);
-    assert!(audit.breaches.iter().any(|b| b.what == "ran under two gateways"), "{:?}", audit.breaches);
+    assert!(
+        audit.violations.iter().any(|violation| violation.rule == "ran under two gateways"),
+        "{:?}",
+        audit.violations
+    );
 }
 
 #[test]
-fn what_is_allowed_breaks_nothing_and_its_margin_is_told() {
+fn an_allowed_retry_breaks_no_rule_and_its_margin_is_counted() {
     let here = (0, 3);
     let lines = vec![
         arrived(keyed(KeyScope::Cell)),
@@ -151,14 +159,14 @@
         "no event\n".to_owned(),
     ];
     let audit = audit("kept", &[lines]);
-    assert_eq!(audit.breaches, []);
-    assert_eq!((audit.requests, audit.resends, audit.repeats), (1, 2, 2));
-    assert_eq!((audit.margins.as_slice(), audit.withheld), (&[500][..], 1));
+    assert_eq!(audit.violations, []);
+    assert_eq!((audit.requests, audit.retries, audit.repeats), (1, 2, 2));
+    assert_eq!((audit.margins_us.as_slice(), audit.unwritten_repeats), (&[500][..], 1));
     assert!(audit.tables().contains("nothing broken") && audit.tables().contains("least 0.5"));
 }
 
 #[test]
-fn what_surely_never_ran_may_be_refused_and_sent_anywhere() {
+fn a_request_that_was_not_processed_may_be_rejected_and_retried_anywhere() {
     for (how, written) in [("Rejected", Some(900)), ("NoConnection", None), ("NotSent", None)] {
         let lines = vec![
             arrived(Idempotency::NotIdempotent),
@@ -166,8 +174,8 @@
             ended(10, 0, how, written),
             sent(11, 1, (1, 4), None),
             ended(12, 1, how, written),
-            refused(13),
+            rejected(13),
         ];
-        assert_eq!(audit(&format!("never-{how}"), &[lines]).breaches, [], "{how}");
+        assert_eq!(audit(&format!("never-{how}"), &[lines]).violations, [], "{how}");
     }
 }
