--- a/crates/gateway/src/fleet/admin.rs
+++ b/crates/gateway/src/fleet/admin.rs
@@ -50,8 +50,8 @@
                 Ok(self.with_past(told.unwrap_or_default(), AuditQuery::Lists(lists)).await)
             }
             AdminQuery::Request { request_id: number } => {
-                let (since_ms, steps) = self.audit.borrow().report_request(&number);
-                let told = json!({ "since_ms": since_ms, "steps": steps });
+                let report = self.audit.borrow().report_request(&number);
+                let told = json!({ "since_ms": report.since_ms, "steps": report.steps });
                 Ok(self.with_past(told, AuditQuery::Request(number)).await)
             }
             AdminQuery::Propose(entry) => match *entry {
--- a/crates/gateway/src/fleet/audit_store.rs
+++ b/crates/gateway/src/fleet/audit_store.rs
@@ -16,7 +16,8 @@
 use weldworks_fleet::audit::AuditLog;
 use weldworks_fleet::audit::{
     decode_header, AuditQuery, EncodedSegment, Evicted, HistoryQuery, HistoryReport, MemorySpan,
-    RetentionIndex, RetentionLimits, Segment, SegmentBuilder, SegmentCursor, SegmentSteps, SegmentWriter,
+    ProcessState, RetentionIndex, RetentionLimits, Segment, SegmentBuilder, SegmentCursor, SegmentDelta, SegmentSteps,
+    SegmentWriter,
 };
 use weldworks_fleet::protocol;
 use weldworks_fleet::settings::FleetSettings;
@@ -136,12 +137,14 @@
         ended: bool,
     ) -> Result<(), String> {
         let _turn = self.turn.lock().await;
-        let (page, steps, next) = audit.borrow().segment_since(&self.mark.get(), now(), ended);
+        let state = if ended { ProcessState::Ended } else { ProcessState::Running };
+        let SegmentDelta { segment, steps, cursor } =
+            audit.borrow().segment_since(&self.mark.get(), now(), state);
         let (done, told) = oneshot::channel();
         let gone = || "the thread that writes has ended".to_owned();
-        self.orders.send((page, steps, done)).map_err(|_| gone())?;
+        self.orders.send((segment, steps, done)).map_err(|_| gone())?;
         told.await.map_err(|_| gone())??;
-        self.mark.set(next);
+        self.mark.set(cursor);
         Ok(())
     }
 
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -360,10 +360,10 @@
         }
         let (own, told) = (self.version.borrow().list.index, self.told.get());
         if told > own {
-            audit.record_exception(now, Exception::StaleList { own, told }, request);
+            audit.record_exception(now, Exception::StaleList { own, newest_known: told }, request);
         }
         if let Some(host) = host.filter(|host| self.overrules(host)) {
-            audit.record_exception(now, Exception::RemovedEndpoint { host: host.to_owned() }, request);
+            audit.record_exception(now, Exception::RemovedEndpoint { endpoint: host.to_owned() }, request);
         }
     }
 
--- a/crates/gateway/src/fleet/stored_files_tests.rs
+++ b/crates/gateway/src/fleet/stored_files_tests.rs
@@ -225,7 +225,7 @@
 #[test]
 fn answers_to_administrators_have_the_names_of_version_0_2_0() {
     use weldworks_fleet::audit::Exception;
-    use weldworks_fleet::audit::{ProcessReport, UnknownKind, UnknownSpan};
+    use weldworks_fleet::audit::{ProcessReport, RequestReport, UnknownKind, UnknownSpan};
     use weldworks_fleet::membership::PeerState;
     use weldworks_fleet::node::{SessionRow, Status};
     use weldworks_fleet::version::ListVersion;
@@ -264,8 +264,8 @@
     };
     let mut audit = AuditLog::new(Duration::ZERO, version);
     let exceptions = [
-        Exception::StaleList { own: 1, told: 2 },
-        Exception::RemovedEndpoint { host: "n1".into() },
+        Exception::StaleList { own: 1, newest_known: 2 },
+        Exception::RemovedEndpoint { endpoint: "n1".into() },
         Exception::WithoutSession,
         Exception::Fenced,
     ];
@@ -278,8 +278,8 @@
     }
     audit.set_log_index(13);
     audit.set_version(Duration::from_secs(5), Version::default());
-    let (since_ms, steps) = audit.report_request("r-1");
-    let gap = |what| UnknownSpan { from_ms: 20, to_ms: 900, what };
+    let RequestReport { since_ms, steps } = audit.report_request("r-1");
+    let gap = |kind| UnknownSpan { from_ms: 20, to_ms: 900, kind };
     let process = ProcessReport {
         process: "p".into(),
         began_unix_ms: 1_790_000_001_000,
@@ -290,7 +290,7 @@
         exceptions: Vec::new(),
         steps: steps.clone(),
     };
-    let past = HistoryReport { processes: vec![process], more: 2 };
+    let past = HistoryReport { processes: vec![process], omitted: 2 };
     let answers = serde_json::json!({
         "status": status,
         "audit": audit.report_lists(Duration::from_secs(6), 0..=9),
--- a/crates/testbed/tests/whole.rs
+++ b/crates/testbed/tests/whole.rs
@@ -248,7 +248,7 @@
 #[test]
 #[ignore = "a measurement"]
 fn figures_of_the_books() {
-    use weldworks_fleet::audit::{decode_header, SegmentBuilder, SegmentCursor, SegmentWriter};
+    use weldworks_fleet::audit::{decode_header, ProcessState, SegmentBuilder, SegmentCursor, SegmentWriter};
     use weldworks_fleet::audit::{AuditLog, Decision, DecisionKind};
     use weldworks_fleet::version::{Incarnation, ListVersion, Version};
     let version = |index| Version {
@@ -281,12 +281,12 @@
                 );
             }
             let begun = std::time::Instant::now();
-            let (page, steps, next) = audit.segment_since(&mark, now, false);
+            let delta = audit.segment_since(&mark, now, ProcessState::Running);
             taken += begun.elapsed();
             longest = longest.max(begun.elapsed());
-            mark = next;
+            mark = delta.cursor;
             let begun = std::time::Instant::now();
-            let record = filling.append(page, steps, 0);
+            let record = filling.append(delta.segment, delta.steps, 0);
             packed += begun.elapsed();
             assert!(decode_header(&record.header).is_some());
             let size = record.header.len() + record.segment.len() + record.steps.len();
