--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,23 +1,38 @@
-//! What operators may set, as the table `[fleet]` of their file.
+//! The `[fleet]` table of the operator's file.
 
 use crate::audit::RetentionLimits;
 use crate::lease::Lease;
-use crate::version::GatewayName;
+use crate::version::{digest, GatewayName};
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use std::time::Duration;
 use weldworks_config::{Bytes, Named, Table};
 
-/// The most gateways of one fleet.
+/// Maximum number of gateways in a fleet.
 pub const MAX_PEERS: usize = 1000;
+/// Maximum length of a fleet's name, in bytes.
+const MAX_FLEET_NAME_BYTES: usize = 64;
 
-/// What a gateway does that has no session.
+const LEASE_LENGTH_RANGE: RangeInclusive<Duration> = Duration::from_millis(500)..=Duration::from_secs(600);
+const LEASE_MARGIN_RANGE: RangeInclusive<f64> = 0.001..=0.2;
+const LIST_LAG_RANGE: RangeInclusive<u64> = 1..=1_000_000;
+const LAG_DURATION_RANGE: RangeInclusive<Duration> = Duration::from_millis(500)..=Duration::from_secs(600);
+const FENCED_FRACTION_RANGE: RangeInclusive<f64> = 0.0..=0.5;
+const AUDIT_SIZE_RANGE: RangeInclusive<Bytes> = Bytes(1 << 20)..=Bytes(64 << 30);
+const AUDIT_AGE_RANGE: RangeInclusive<Duration> = Duration::from_secs(60)..=Duration::from_secs(366 * 86_400);
+
+const DEFAULT_LEASE: Lease = Lease { length: Duration::from_secs(3), margin: 0.02 };
+const DEFAULT_LAG_POLICY: LagPolicy =
+    LagPolicy { max_list_lag: 3, max_lag_duration: Duration::from_secs(5), max_fenced_fraction: 0.2 };
+
+/// What a gateway without a session does with its clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WithoutSessionPolicy {
-    /// It serves, as without a fleet; what it does is booked as done alone.
+    /// It serves them; the audit log records that it did so without a session. This is the default.
     #[default]
     Serve,
-    /// It takes no client and refuses.
+    /// It rejects them.
     Reject,
 }
 
@@ -31,20 +46,20 @@
 pub struct Peer {
     /// Its name.
     pub name: GatewayName,
-    /// Where its link listens.
+    /// Address on which its link listens.
     pub address: SocketAddr,
-    /// Whether it has a seat in the council.
+    /// Whether it is a member of the consensus group.
     pub is_voter: bool,
 }
 
-/// When a gateway that lags is shut out.
+/// When a lagging gateway is fenced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LagPolicy {
-    /// It is behind when its list is older by this many versions or more.
+    /// Number of versions by which an endpoint list has to be older than the current one for its gateway to lag; 3 by default.
     pub max_list_lag: u64,
-    /// One that stays behind for so long is shut out.
+    /// Time for which a gateway has to lag before it is fenced; 5 s by default.
     pub max_lag_duration: Duration,
-    /// At most this part of the sessions is shut out at once.
+    /// Greatest fraction of the sessions that may be fenced at once; 0.2 by default.
     pub max_fenced_fraction: f64,
 }
 
@@ -59,98 +74,58 @@
     }
 }
 
-/// The table.
+/// Settings of one gateway in a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// The fleet's name: gateways of another are turned away.
+    /// Name of the fleet. Gateways of another fleet are rejected.
     pub name: String,
-    /// This gateway's name.
+    /// Name of this gateway.
     pub gateway: GatewayName,
-    /// Where its link listens; its own entry among the peers, unless said otherwise.
+    /// Address on which its link listens; by default, that of its own entry among the peers.
     pub listen: SocketAddr,
-    /// All gateways of the fleet, this one among them.
+    /// All gateways of the fleet, including this one.
     pub peers: Vec<Peer>,
-    /// Whose numbers the indices of the list are; by default the address of discovery.
+    /// Lineage of the endpoint list's indices; by default, the address of discovery.
     pub lineage: Option<String>,
-    /// Sessions.
+    /// Lease of the sessions; 3 s with a margin of 0.02 by default.
     pub lease: Lease,
-    /// What is done without one.
+    /// What this gateway does without a session.
     pub without_session: WithoutSessionPolicy,
-    /// Those that lag.
+    /// When a lagging gateway is fenced.
     pub lag_policy: LagPolicy,
-    /// How much of the audit's books is kept on the disk.
+    /// Limits of the audit log on disk.
     pub audit_retention: RetentionLimits,
-    /// Where a council member keeps its vote and log, and each gateway the audit's books; without it a member that comes back is seated
-    /// anew, and a process's books end with it.
+    /// Folder of the consensus store and the audit store. Without it a replica that restarts has to be given its vote anew, and the audit
+    /// log ends with the process.
     pub state_folder: Option<PathBuf>,
 }
 
 impl FleetSettings {
-    /// Reads the table; what is wrong is noted there.
+    /// Reads the table. Errors are reported to the table's document.
     pub fn read(table: &Table<'_, '_>) -> FleetSettings {
-        let long = Duration::from_secs(600);
+        let unset_address = SocketAddr::from(([127, 0, 0, 1], 0));
         let name: String = table.need("name").unwrap_or_default();
         let gateway: String = table.need("gateway").unwrap_or_default();
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        let mut peers = Vec::new();
-        for entry in table.tables("peer") {
-            let peer = Peer {
-                name: entry.need("name").unwrap_or_default(),
-                address: entry.need("address").unwrap_or(nowhere),
-                is_voter: entry.or("council", false),
-            };
-            if peers.iter().any(|p: &Peer| p.name == peer.name && !p.name.is_empty()) {
-                entry.wrong("name", "is there twice: each gateway has one entry");
-            }
-            entry.finish();
-            peers.push(peer);
-        }
-        let own = peers.iter().find(|p| p.name == gateway);
-        if own.is_none() && !gateway.is_empty() {
+        let peers = read_peers(table, unset_address);
+        let own_entry = peers.iter().find(|peer| peer.name == gateway);
+        if own_entry.is_none() && !gateway.is_empty() {
             table.wrong("gateway", "is not among the peers: add a [[fleet.peer]] with this name");
         }
-        let listen = table.get("listen").or(own.map(|p| p.address)).unwrap_or(nowhere);
-        let council = peers.iter().filter(|p| p.is_voter).count();
-        if !matches!(council, 3 | 5) {
-            table.wrong(
-                "peer",
-                format!("{council} of them have council = true: a council has 3 or 5, so that a majority is left when 1 or 2 are lost"),
-            );
-        }
-        if peers.len() > MAX_PEERS {
-            table.wrong("peer", format!("{} gateways: a fleet has {MAX_PEERS} at most", peers.len()));
-        }
-        if name.is_empty() || name.len() > 64 {
+        let listen = table.get("listen").or(own_entry.map(|peer| peer.address)).unwrap_or(unset_address);
+        check_peer_counts(table, &peers);
+        if name.is_empty() || name.len() > MAX_FLEET_NAME_BYTES {
             table.wrong("name", "has 1 to 64 letters");
         }
-        let books = RetentionLimits::default();
         let settings = FleetSettings {
             listen,
             lineage: table.get("lineage"),
             lease: Lease {
-                length: table.within("lease", Duration::from_millis(500)..=long, Duration::from_secs(3)),
-                margin: table.within("margin", 0.001..=0.2, 0.02),
+                length: table.within("lease", LEASE_LENGTH_RANGE, DEFAULT_LEASE.length),
+                margin: table.within("margin", LEASE_MARGIN_RANGE, DEFAULT_LEASE.margin),
             },
             without_session: table.or("alone", WithoutSessionPolicy::default()),
-            lag_policy: LagPolicy {
-                max_list_lag: table.within("behind", 1..=1_000_000, 3),
-                max_lag_duration: table.within(
-                    "behind_for",
-                    Duration::from_millis(500)..=long,
-                    Duration::from_secs(5),
-                ),
-                max_fenced_fraction: table.within("shut_out_most", 0.0..=0.5, 0.2),
-            },
-            audit_retention: RetentionLimits {
-                max_bytes: table
-                    .within("audit_size", Bytes(1 << 20)..=Bytes(64 << 30), Bytes(books.max_bytes))
-                    .0,
-                max_age: table.within(
-                    "audit_age",
-                    Duration::from_secs(60)..=Duration::from_secs(366 * 86_400),
-                    books.max_age,
-                ),
-            },
+            lag_policy: read_lag_policy(table),
+            audit_retention: read_retention(table),
             state_folder: table.get::<String>("state").map(PathBuf::from),
             name,
             gateway,
@@ -160,19 +135,70 @@
         settings
     }
 
-    /// The peers with a seat, in the order of their names: what every gateway computes alike.
+    /// Members of the consensus group, ordered by name, so that every gateway computes the same list.
     pub fn voters(&self) -> Vec<&Peer> {
-        let mut council: Vec<&Peer> = self.peers.iter().filter(|p| p.is_voter).collect();
-        council.sort_by(|a, b| a.name.cmp(&b.name));
-        council
+        let mut voters: Vec<&Peer> = self.peers.iter().filter(|peer| peer.is_voter).collect();
+        voters.sort_by(|left, right| left.name.cmp(&right.name));
+        voters
     }
 
-    /// A digest of what all gateways of the fleet have to agree on.
+    /// Digest of the settings that all gateways of the fleet have to agree on.
     pub fn digest(&self) -> u64 {
-        let council: Vec<_> = self.voters().iter().map(|p| p.name.as_str()).collect();
-        crate::version::digest(
-            format!("{} {council:?} {:?} {}", self.name, self.lease, self.lag_policy.digest_text())
-                .as_bytes(),
-        )
+        let voter_names: Vec<&str> = self.voters().iter().map(|peer| peer.name.as_str()).collect();
+        let lag_policy = self.lag_policy.digest_text();
+        digest(format!("{} {voter_names:?} {:?} {lag_policy}", self.name, self.lease).as_bytes())
+    }
+}
+
+fn read_peers(table: &Table<'_, '_>, unset_address: SocketAddr) -> Vec<Peer> {
+    let mut peers: Vec<Peer> = Vec::new();
+    for entry in table.tables("peer") {
+        let peer = Peer {
+            name: entry.need("name").unwrap_or_default(),
+            address: entry.need("address").unwrap_or(unset_address),
+            is_voter: entry.or("council", false),
+        };
+        let is_duplicate = peers.iter().any(|known| known.name == peer.name);
+        if is_duplicate && !peer.name.is_empty() {
+            entry.wrong("name", "is there twice: each gateway has one entry");
+        }
+        entry.finish();
+        peers.push(peer);
+    }
+    peers
+}
+
+fn check_peer_counts(table: &Table<'_, '_>, peers: &[Peer]) {
+    let voter_count = peers.iter().filter(|peer| peer.is_voter).count();
+    if !matches!(voter_count, 3 | 5) {
+        let message = format!(
+            "{voter_count} of them have council = true: a council has 3 or 5, so that a majority is left when 1 or 2 are lost"
+        );
+        table.wrong("peer", message);
+    }
+    if peers.len() > MAX_PEERS {
+        table.wrong("peer", format!("{} gateways: a fleet has {MAX_PEERS} at most", peers.len()));
+    }
+}
+
+fn read_lag_policy(table: &Table<'_, '_>) -> LagPolicy {
+    let default = DEFAULT_LAG_POLICY;
+    LagPolicy {
+        max_list_lag: table.within("behind", LIST_LAG_RANGE, default.max_list_lag),
+        max_lag_duration: table.within("behind_for", LAG_DURATION_RANGE, default.max_lag_duration),
+        max_fenced_fraction: table.within(
+            "shut_out_most",
+            FENCED_FRACTION_RANGE,
+            default.max_fenced_fraction,
+        ),
+    }
+}
+
+fn read_retention(table: &Table<'_, '_>) -> RetentionLimits {
+    let default = RetentionLimits::default();
+    let max_size = table.within("audit_size", AUDIT_SIZE_RANGE, Bytes(default.max_bytes));
+    RetentionLimits {
+        max_bytes: max_size.0,
+        max_age: table.within("audit_age", AUDIT_AGE_RANGE, default.max_age),
     }
 }
