--- a/crates/fleet/tests/hostile.rs
+++ b/crates/fleet/tests/hostile.rs
@@ -1,4 +1,5 @@
-//! What a member says may be anything: another build's, a broken machine's, a stranger's. It costs a seat at most, never the process.
+//! A replica may send anything: it may run another build or on a faulty machine, or be a stranger. That costs votes at most, never a
+//! process.
 
 use omnipaxos::messages::sequence_paxos::PaxosMsg;
 use omnipaxos::messages::Message;
@@ -20,56 +21,55 @@
     FleetSettings::read(&document.root())
 }
 
-/// Three members in session, and some of what they say to each other.
-struct Three {
+/// Three replicas in session, some of whose messages to each other are corrupted.
+struct Cluster {
     now: Duration,
-    agents: Vec<Node>,
+    nodes: Vec<Node>,
     rng: fastrand::Rng,
-    lies: bool,
-    broke_off: usize,
+    corrupts_messages: bool,
+    library_failures: usize,
 }
 
-impl Three {
-    fn new(seed: u64) -> Three {
-        let agent = |n: usize| {
+impl Cluster {
+    fn new(seed: u64) -> Cluster {
+        let node = |n: usize| {
             let process = Incarnation(n as u64 + 1);
             let vote = StoredVote { voter: process, records: Vec::new() };
             Node::new(settings(NAMES[n]), process, Version::default(), n as u64, vote)
         };
-        let mut three = Three {
+        let mut cluster = Cluster {
             now: Duration::ZERO,
-            agents: (0..3).map(agent).collect(),
+            nodes: (0..3).map(node).collect(),
             rng: fastrand::Rng::with_seed(seed),
-            lies: false,
-            broke_off: 0,
+            corrupts_messages: false,
+            library_failures: 0,
         };
         for one in 0..3 {
             for other in (0..3).filter(|o| *o != one) {
-                three.link(one, other);
+                cluster.link(one, other);
             }
         }
-        three.run(100);
-        three
+        cluster.run(100);
+        cluster
     }
 
     fn deliver(&mut self, from: usize, out: Vec<NodeAction>) {
         let mut queue: VecDeque<(usize, usize, Frame)> = VecDeque::new();
         let sends = |from: usize, out: Vec<NodeAction>| {
-            out.into_iter().filter_map(move |output| match output {
+            out.into_iter().filter_map(move |action| match action {
                 NodeAction::Send { to, frame } => Some((from, NAMES.iter().position(|n| *n == to)?, frame)),
                 _ => None,
             })
         };
         queue.extend(sends(from, out));
         while let Some((from, to, mut frame)) = queue.pop_front() {
-            if self.lies && self.rng.bool() {
-                lie(&mut frame, &mut self.rng);
+            if self.corrupts_messages && self.rng.bool() {
+                corrupt(&mut frame, &mut self.rng);
             }
             let mut out = Vec::new();
-            self.agents[to].receive(self.now, NAMES[from], frame, &mut out);
-            let broke_off =
-                |o: &&NodeAction| matches!(o, NodeAction::Notice(note) if note.contains("broke off"));
-            self.broke_off += out.iter().filter(broke_off).count();
+            self.nodes[to].receive(self.now, NAMES[from], frame, &mut out);
+            let is_library_failure = |action: &&NodeAction| matches!(action, NodeAction::Notice(text) if text.contains("broke off"));
+            self.library_failures += out.iter().filter(is_library_failure).count();
             queue.extend(sends(to, out));
         }
     }
@@ -78,7 +78,7 @@
         let process = Incarnation(other as u64 + 1);
         let mut out = Vec::new();
         let remote = PeerProcess { process, voter: process };
-        self.agents[one].link_up(self.now, NAMES[other], remote, &mut out);
+        self.nodes[one].link_up(self.now, NAMES[other], remote, &mut out);
         self.deliver(one, out);
     }
 
@@ -87,77 +87,79 @@
             self.now += TICK_INTERVAL;
             for n in 0..3 {
                 let mut out = Vec::new();
-                self.agents[n].tick(self.now, &mut out);
+                self.nodes[n].tick(self.now, &mut out);
                 self.deliver(n, out);
             }
         }
     }
 }
 
-/// Changes what a member says to what it can't have meant.
-fn lie(frame: &mut Frame, rng: &mut fastrand::Rng) {
+/// Changes the indices and ballots in a message of the replication library to contradictory ones.
+fn corrupt(frame: &mut Frame, rng: &mut fastrand::Rng) {
     let Frame::Consensus(ConsensusMessage::Log { message, .. }) = frame else { return };
-    let Message::SequencePaxos(said) = &mut **message else { return };
-    let mut any =
+    let Message::SequencePaxos(paxos) = &mut **message else { return };
+    let mut shift =
         |index: &mut usize| *index = index.wrapping_add(rng.usize(..2000)).wrapping_sub(1000) % 100_000;
-    match &mut said.msg {
-        PaxosMsg::AcceptDecide(said) => any(&mut said.decided_idx),
-        PaxosMsg::Decide(said) => any(&mut said.decided_idx),
-        PaxosMsg::Accepted(said) => any(&mut said.accepted_idx),
-        PaxosMsg::Prepare(said) => {
-            any(&mut said.decided_idx);
-            any(&mut said.accepted_idx);
-            said.n_accepted.n = said.n_accepted.n.saturating_sub(1);
+    match &mut paxos.msg {
+        PaxosMsg::AcceptDecide(message) => shift(&mut message.decided_idx),
+        PaxosMsg::Decide(message) => shift(&mut message.decided_idx),
+        PaxosMsg::Accepted(message) => shift(&mut message.accepted_idx),
+        PaxosMsg::Prepare(message) => {
+            shift(&mut message.decided_idx);
+            shift(&mut message.accepted_idx);
+            message.n_accepted.n = message.n_accepted.n.saturating_sub(1);
         }
-        PaxosMsg::Promise(said) => {
-            any(&mut said.decided_idx);
-            any(&mut said.accepted_idx);
-            said.n_accepted.n += 1;
-            said.log_sync = None;
+        PaxosMsg::Promise(message) => {
+            shift(&mut message.decided_idx);
+            shift(&mut message.accepted_idx);
+            message.n_accepted.n += 1;
+            message.log_sync = None;
         }
-        PaxosMsg::AcceptSync(said) => {
-            any(&mut said.decided_idx);
-            any(&mut said.log_sync.sync_idx);
+        PaxosMsg::AcceptSync(message) => {
+            shift(&mut message.decided_idx);
+            shift(&mut message.log_sync.sync_idx);
         }
         _ => {}
     }
 }
 
+/// One replica sends messages of the library that contradict its log, as one of another build or on a faulty machine would. The library
+/// panics on some of them; the receiver gives up its vote and goes on.
 #[test]
-fn a_member_that_says_anything_costs_seats_at_most() {
-    let mut broke_off = 0;
+fn contradictory_messages_cost_votes_at_most() {
+    let mut library_failures = 0;
     for seed in 0..100 {
-        let mut three = Three::new(seed);
-        three.lies = true;
+        let mut cluster = Cluster::new(seed);
+        cluster.corrupts_messages = true;
         for _ in 0..10 {
-            three.run(10);
-            let (one, other) = (three.rng.usize(..3), three.rng.usize(..3));
+            cluster.run(10);
+            let (one, other) = (cluster.rng.usize(..3), cluster.rng.usize(..3));
             if one != other {
-                three.link(one, other);
+                cluster.link(one, other);
             }
         }
-        broke_off += three.broke_off;
-        for agent in &three.agents {
-            assert!(!agent.status(three.now).session_state.is_empty());
+        library_failures += cluster.library_failures;
+        for node in &cluster.nodes {
+            assert!(!node.status(cluster.now).session_state.is_empty());
         }
     }
-    assert!(broke_off > 0, "nothing that was said broke anything: this shows nothing");
+    assert!(library_failures > 0, "no corrupted message made the library fail: this shows nothing");
 }
 
-/// The same of bytes: whatever can be read is heard without harm.
+/// A peer sends frames with random bytes: whatever decodes is handled without a panic.
 #[test]
-fn changed_bytes_are_turned_down_or_heard() {
-    let mut three = Three::new(1);
-    let said = Frame::Heartbeat { views: Vec::new() };
+fn random_bytes_are_rejected_or_handled() {
+    let mut cluster = Cluster::new(1);
+    let heartbeat = Frame::Heartbeat { views: Vec::new() };
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..2000 {
-        let mut bytes = protocol::encode_frame(&said).expect("a frame");
+        let mut bytes = protocol::encode_frame(&heartbeat).expect("a frame");
         bytes.extend((0..rng.usize(..64)).map(|_| rng.u8(..)));
         bytes[0] = rng.u8(..16);
         if let Ok(frame) = protocol::decode_frame::<Frame>(&bytes) {
-            three.agents[0].receive(three.now, "b", frame, &mut Vec::new());
+            cluster.nodes[0].receive(cluster.now, "b", frame, &mut Vec::new());
         }
     }
-    three.run(10);
-    assert!(!three.agents[0].status(three.now).session_state.is_empty());
+    cluster.run(10);
+    assert!(!cluster.nodes[0].status(cluster.now).session_state.is_empty());
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,5 +1,5 @@
-//! The register's rules of sessions under every order of asking, loss, doubling and delay, to a stated depth. The register is the real
-//! one; time, the messages and what a holder may believe are the model's.
+//! The rules of sessions under every order of requests, loss, duplication and delay, searched to a stated depth. The state machine is the
+//! real one; time, messages and what a holder may rely on are the model's.
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -11,104 +11,164 @@
 
 /// Two processes of one name.
 const PROCESSES: [(&str, u64); 2] = [("a", 1), ("a", 2)];
-/// A lease of 4 s whose margin is a quarter: let go after 3, counted on after 5.
+/// A lease of 4 s with a margin of a quarter: its holder stops after 3 s, and its grantors count on the end after 5 s.
 const LEASE: Lease = Lease { length: Duration::from_secs(4), margin: 0.25 };
-/// The model's time ends here, in seconds.
-const END: u64 = 7;
-/// Each process asks so often at most.
-const ASKS: u64 = 2;
-/// The register applies so many entries at most, those that come twice among them.
-const MOST: u64 = 4;
-/// Depth to which all is searched.
-const DEPTH: usize = 14;
+/// End of the model's time, in seconds.
+const END_S: u64 = 7;
+/// Maximum number of requests of each process.
+const MAX_REQUESTS: u64 = 2;
+/// Maximum number of commands that the state machine applies, including duplicates.
+const MAX_COMMANDS: u64 = 4;
+/// Depth to which the state space is searched completely.
+const SEARCH_DEPTH: usize = 14;
+
+const NO_ACTION_WITHOUT_SESSION: &str = "nobody acts in a session that has ended";
+const ONE_PROCESS_AT_A_TIME: &str = "one process of a name acts at a time";
+const A_SESSION_EXPIRES: &str = "a session expires";
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Holder {
-    asks: u64,
-    /// When each was asked, by its number from 1.
-    asked: Vec<u64>,
+    request_count: u64,
+    /// When each request was sent, by its number from 1.
+    sent_at: Vec<u64>,
     session: Option<SessionId>,
-    until: u64,
+    expires_at: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: u64,
-    register: StateMachine,
+    state_machine: StateMachine,
     holders: Vec<Holder>,
-    /// Entries on their way to the register: each may come late, twice, or never.
-    entries: BTreeSet<Asked>,
-    /// Grants on their way: to whom, which session, which asking.
+    /// Commands on their way to the state machine: each may arrive late, twice, or never.
+    commands: BTreeSet<Pending>,
+    /// Grants on their way: to which holder, of which session, for which request.
     grants: BTreeSet<(usize, SessionId, u64)>,
-    /// Since when the one who ends sessions has seen no renewal: session, asking, time.
-    seen: Vec<(SessionId, u64, u64)>,
+    /// Renewals that the replica which expires sessions has observed: session, renewal count, since when.
+    observed: Vec<(SessionId, u64, u64)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Asked {
+enum Pending {
     Open(usize, u64),
     Renew(usize, SessionId, u64),
-    Lapse(SessionId, u64),
+    Expire(SessionId, u64),
 }
 
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     Tick,
-    Ask(usize),
-    Arrive(Asked),
-    Grant(usize, SessionId, u64),
-    Give(SessionId, u64),
+    SendRequest(usize),
+    ApplyCommand(Pending),
+    ReceiveGrant(usize, SessionId, u64),
+    ProposeExpiry(SessionId, u64),
 }
 
-/// A rule that can be broken on purpose, to see that the search finds it.
+/// A rule that is broken on purpose, to show that the search finds it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Broken {
-    Nothing,
-    /// The holder counts from the grant.
+enum Mutation {
+    None,
+    /// The holder counts its lease from the grant.
     CountsFromGrant,
-    /// A lapse does not name the renewals that were seen.
-    BlindLapse,
-    /// Opening again is not counted as a renewal.
+    /// An expiry does not name the renewals that were observed.
+    UnconditionalExpiry,
+    /// Opening a session again is not counted as a renewal.
     ReopenUncounted,
 }
 
-struct Sessions(Broken);
+struct Sessions(Mutation);
 
 fn version(index: u64) -> Version {
     Version { list: ListVersion { lineage: "r".into(), index }, ..Version::default() }
 }
 
-fn secs(at: u64) -> Duration {
-    Duration::from_secs(at)
+fn secs(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
 }
 
 impl Sessions {
-    fn entry(&self, state: &State, asked: Asked) -> Command {
-        match asked {
-            Asked::Open(who, ask) => {
-                let (name, process) = PROCESSES[who];
-                let known = state.register.session_of(name).map(|(_, s)| s.renewals);
-                let ask = match (self.0, known) {
-                    (Broken::ReopenUncounted, Some(renewals)) => renewals,
-                    _ => ask,
+    fn command(&self, state: &State, pending: Pending) -> Command {
+        match pending {
+            Pending::Open(holder, request) => {
+                let (name, process) = PROCESSES[holder];
+                let known = state.state_machine.session_of(name).map(|(_, session)| session.renewals);
+                let request = match (self.0, known) {
+                    (Mutation::ReopenUncounted, Some(renewals)) => renewals,
+                    _ => request,
                 };
                 Command::OpenSession {
                     name: name.into(),
                     process: Incarnation(process),
                     version: version(1),
-                    request: ask,
+                    request,
                 }
             }
-            Asked::Renew(_, session, count) => {
+            Pending::Renew(_, session, count) => {
                 Command::RenewSessions(vec![Renewal { session, count, version: None }])
             }
-            Asked::Lapse(session, seen) => {
-                let now = state.register.sessions().get(&session).map_or(seen, |s| s.renewals);
-                let renewals = if self.0 == Broken::BlindLapse { now } else { seen };
+            Pending::Expire(session, observed) => {
+                let open = state.state_machine.sessions().get(&session);
+                let current = open.map_or(observed, |session| session.renewals);
+                let renewals = if self.0 == Mutation::UnconditionalExpiry { current } else { observed };
                 Command::ExpireSession { session, renewals }
             }
         }
     }
+
+    fn apply_command(&self, last: &State, state: &mut State, pending: Pending) {
+        let outcome = state.state_machine.apply(&self.command(last, pending));
+        match (pending, outcome) {
+            (Pending::Open(holder, request), CommandOutcome::Opened(session)) => {
+                state.grants.insert((holder, session, request));
+            }
+            (Pending::Renew(holder, session, request), CommandOutcome::Applied) => {
+                state.grants.insert((holder, session, request));
+            }
+            _ => {}
+        }
+    }
+
+    fn receive_grant(&self, state: &mut State, holder: usize, session: SessionId, request: u64) {
+        let now = state.now;
+        let holder = &mut state.holders[holder];
+        let sent_at = holder.sent_at[request as usize - 1];
+        let from = if self.0 == Mutation::CountsFromGrant { now } else { sent_at };
+        let expires_at = LEASE.holder_expiry(secs(from)).as_secs();
+        let is_same = holder.session == Some(session);
+        holder.expires_at = if is_same { holder.expires_at.max(expires_at) } else { expires_at };
+        holder.session = Some(session);
+    }
+}
+
+impl State {
+    fn send_request(&mut self, holder_index: usize) {
+        let holder = &mut self.holders[holder_index];
+        holder.request_count += 1;
+        holder.sent_at.push(self.now);
+        let request = holder.request_count;
+        self.commands.insert(match holder.session {
+            Some(session) => Pending::Renew(holder_index, session, request),
+            None => Pending::Open(holder_index, request),
+        });
+    }
+
+    fn observe_renewals(&mut self) {
+        let sessions = self.state_machine.sessions();
+        self.observed.retain(|(id, ..)| sessions.contains_key(id));
+        for (id, session) in sessions {
+            match self.observed.iter_mut().find(|(known, ..)| known == id) {
+                Some(observed) if observed.1 != session.renewals => {
+                    *observed = (*id, session.renewals, self.now);
+                }
+                Some(_) => {}
+                None => self.observed.push((*id, session.renewals, self.now)),
+            }
+        }
+    }
+
+    fn may_act(&self, holder: usize) -> bool {
+        self.holders[holder].session.is_some() && self.now < self.holders[holder].expires_at
+    }
 }
 
 impl Model for Sessions {
@@ -116,31 +176,33 @@
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let terms = LagPolicy { max_list_lag: 3, max_lag_duration: secs(5), max_fenced_fraction: 0.2 };
+        let lag_policy = LagPolicy { max_list_lag: 3, max_lag_duration: secs(5), max_fenced_fraction: 0.2 };
         vec![State {
             now: 0,
-            register: StateMachine::new(&terms),
+            state_machine: StateMachine::new(&lag_policy),
             holders: vec![Holder::default(); PROCESSES.len()],
-            entries: BTreeSet::new(),
+            commands: BTreeSet::new(),
             grants: BTreeSet::new(),
-            seen: Vec::new(),
+            observed: Vec::new(),
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.now < END {
+        if state.now < END_S {
             actions.push(Action::Tick);
         }
-        for (who, holder) in state.holders.iter().enumerate() {
-            if holder.asks < ASKS {
-                actions.push(Action::Ask(who));
+        for (index, holder) in state.holders.iter().enumerate() {
+            if holder.request_count < MAX_REQUESTS {
+                actions.push(Action::SendRequest(index));
             }
         }
-        actions.extend(state.entries.iter().map(|asked| Action::Arrive(*asked)));
-        actions.extend(state.grants.iter().map(|(who, session, ask)| Action::Grant(*who, *session, *ask)));
-        for (session, renewals, since) in &state.seen {
+        actions.extend(state.commands.iter().map(|pending| Action::ApplyCommand(*pending)));
+        for (holder, session, request) in &state.grants {
+            actions.push(Action::ReceiveGrant(*holder, *session, *request));
+        }
+        for (session, renewals, since) in &state.observed {
             if secs(state.now) >= LEASE.grantor_expiry(secs(*since)) {
-                actions.push(Action::Give(*session, *renewals));
+                actions.push(Action::ProposeExpiry(*session, *renewals));
             }
         }
     }
@@ -149,52 +211,20 @@
         let mut state = last.clone();
         match action {
             Action::Tick => state.now += 1,
-            Action::Ask(who) => {
-                let holder = &mut state.holders[who];
-                holder.asks += 1;
-                holder.asked.push(state.now);
-                let ask = holder.asks;
-                state.entries.insert(match holder.session {
-                    Some(session) => Asked::Renew(who, session, ask),
-                    None => Asked::Open(who, ask),
-                });
-            }
-            Action::Arrive(asked) => {
-                let applied = state.register.apply(&self.entry(last, asked));
-                match (asked, applied) {
-                    (Asked::Open(who, ask), CommandOutcome::Opened(session)) => {
-                        state.grants.insert((who, session, ask));
-                    }
-                    (Asked::Renew(who, session, ask), CommandOutcome::Applied) => {
-                        state.grants.insert((who, session, ask));
-                    }
-                    _ => {}
-                }
-                // The position of an entry that comes again and again would make the search endless.
-                if state.register.log_index() > MOST {
+            Action::SendRequest(holder) => state.send_request(holder),
+            Action::ApplyCommand(pending) => {
+                self.apply_command(last, &mut state, pending);
+                // The log index of a command that is duplicated again and again would make the search endless.
+                if state.state_machine.log_index() > MAX_COMMANDS {
                     return None;
                 }
-                state.seen.retain(|(id, ..)| state.register.sessions().contains_key(id));
-                for (id, session) in state.register.sessions() {
-                    match state.seen.iter_mut().find(|(known, ..)| known == id) {
-                        Some(seen) if seen.1 != session.renewals => {
-                            *seen = (*id, session.renewals, state.now)
-                        }
-                        Some(_) => {}
-                        None => state.seen.push((*id, session.renewals, state.now)),
-                    }
-                }
+                state.observe_renewals();
             }
-            Action::Grant(who, session, ask) => {
-                let holder = &mut state.holders[who];
-                let asked = holder.asked[ask as usize - 1];
-                let from = if self.0 == Broken::CountsFromGrant { state.now } else { asked };
-                let until = LEASE.holder_expiry(secs(from)).as_secs();
-                holder.until = if holder.session == Some(session) { holder.until.max(until) } else { until };
-                holder.session = Some(session);
+            Action::ReceiveGrant(holder, session, request) => {
+                self.receive_grant(&mut state, holder, session, request);
             }
-            Action::Give(session, renewals) => {
-                if !state.entries.insert(Asked::Lapse(session, renewals)) {
+            Action::ProposeExpiry(session, renewals) => {
+                if !state.commands.insert(Pending::Expire(session, renewals)) {
                     return None;
                 }
             }
@@ -204,50 +234,66 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nobody acts in a session that is over", |_, state: &State| {
-                state.holders.iter().all(|h| {
-                    let over = h.session.is_some_and(|id| !state.register.sessions().contains_key(&id));
-                    !over || state.now >= h.until
+            Property::always(NO_ACTION_WITHOUT_SESSION, |_, state: &State| {
+                state.holders.iter().all(|holder| {
+                    let sessions = state.state_machine.sessions();
+                    let has_ended = holder.session.is_some_and(|id| !sessions.contains_key(&id));
+                    !has_ended || state.now >= holder.expires_at
                 })
             }),
-            Property::always("one process of a name acts at a time", |_, state: &State| {
-                let acts =
-                    |who: usize| state.holders[who].session.is_some() && state.now < state.holders[who].until;
-                !(acts(0) && acts(1))
+            Property::always(ONE_PROCESS_AT_A_TIME, |_, state: &State| {
+                !(state.may_act(0) && state.may_act(1))
             }),
-            Property::sometimes("a session lapses", |_, state: &State| {
-                !state.register.ended_sessions().is_empty()
+            Property::sometimes(A_SESSION_EXPIRES, |_, state: &State| {
+                !state.state_machine.ended_sessions().is_empty()
             }),
             Property::sometimes("a second process takes the name over", |_, state: &State| {
-                state.register.session_of("a").is_some_and(|(_, s)| s.process == Incarnation(2))
-                    && !state.register.ended_sessions().is_empty()
+                let session = state.state_machine.session_of("a");
+                session.is_some_and(|(_, session)| session.process == Incarnation(2))
+                    && !state.state_machine.ended_sessions().is_empty()
             }),
         ]
     }
 }
 
-fn search(broken: Broken) -> (usize, Vec<&'static str>) {
-    let checker = Sessions(broken).checker().threads(2).target_max_depth(DEPTH).spawn_bfs().join();
-    let found = checker.discoveries().into_keys().collect();
-    (checker.unique_state_count(), found)
+/// Result of a search: how many states it visited, and the properties that it found violated or reached.
+struct SearchResult {
+    states: usize,
+    discoveries: Vec<&'static str>,
+}
+
+impl SearchResult {
+    fn has_violation(&self) -> bool {
+        let rules = [NO_ACTION_WITHOUT_SESSION, ONE_PROCESS_AT_A_TIME];
+        self.discoveries.iter().any(|name| rules.contains(name))
+    }
+}
+
+fn search(mutation: Mutation) -> SearchResult {
+    let checker = Sessions(mutation).checker().threads(2).target_max_depth(SEARCH_DEPTH).spawn_bfs().join();
+    SearchResult {
+        states: checker.unique_state_count(),
+        discoveries: checker.discoveries().into_keys().collect(),
+    }
 }
 
 #[test]
 fn sessions_keep_their_rules_in_every_order() {
-    let (states, found) = search(Broken::Nothing);
-    println!("{states} states");
-    assert!(states > 10_000, "{states} states are no search");
-    assert!(!found.iter().any(|f| f.starts_with("nobody") || f.starts_with("one process")), "{found:?}");
-    assert!(found.contains(&"a session lapses"), "nothing happens in it: {found:?}");
+    let result = search(Mutation::None);
+    println!("{} states", result.states);
+    assert!(result.states > 10_000, "{} states are no search", result.states);
+    assert!(!result.has_violation(), "{:?}", result.discoveries);
+    assert!(
+        result.discoveries.contains(&A_SESSION_EXPIRES),
+        "nothing happens in it: {:?}",
+        result.discoveries
+    );
 }
 
 #[test]
-fn each_rule_left_out_is_found() {
-    for broken in [Broken::CountsFromGrant, Broken::BlindLapse, Broken::ReopenUncounted] {
-        let (_, found) = search(broken);
-        assert!(
-            found.iter().any(|f| f.starts_with("nobody") || f.starts_with("one process")),
-            "{broken:?}: {found:?}"
-        );
+fn each_omitted_rule_is_found() {
+    for mutation in [Mutation::CountsFromGrant, Mutation::UnconditionalExpiry, Mutation::ReopenUncounted] {
+        let result = search(mutation);
+        assert!(result.has_violation(), "{mutation:?}: {:?}", result.discoveries);
     }
 }
--- a/crates/fleet/tests/throughput.rs
+++ b/crates/fleet/tests/throughput.rs
@@ -1,4 +1,4 @@
-//! What an entry of the register costs. `cargo test --release -p weldworks-fleet --test throughput -- --ignored --nocapture`
+//! Cost of a command of the replicated log. `cargo test --release -p weldworks-fleet --test throughput -- --ignored --nocapture`
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -8,79 +8,80 @@
 use weldworks_fleet::state_machine::{Command, Renewal, StateMachine};
 use weldworks_fleet::version::{Incarnation, Version};
 
-struct Members {
+struct Cluster {
     names: Vec<String>,
-    councils: Vec<ConsensusGroup>,
-    said: VecDeque<(usize, usize, Vec<u8>)>,
+    groups: Vec<ConsensusGroup>,
+    /// Encoded messages: sender, receiver and bytes.
+    in_flight: VecDeque<(usize, usize, Vec<u8>)>,
     bytes: usize,
 }
 
-impl Members {
-    fn new(count: usize) -> Members {
+impl Cluster {
+    fn new(count: usize) -> Cluster {
         let names: Vec<String> = (0..count).map(|n| format!("m{n}")).collect();
-        let terms =
+        let lag_policy =
             LagPolicy { max_list_lag: 3, max_lag_duration: Duration::from_secs(5), max_fenced_fraction: 0.2 };
-        let council = |n: usize| {
+        let group = |n: usize| {
             ConsensusGroup::new(
                 names[n].clone(),
                 Incarnation(n as u64 + 1),
                 names.clone(),
-                StateMachine::new(&terms),
+                StateMachine::new(&lag_policy),
             )
         };
-        let councils = (0..count).map(council).collect();
-        let mut members = Members { names, councils, said: VecDeque::new(), bytes: 0 };
+        let groups = (0..count).map(group).collect();
+        let mut cluster = Cluster { names, groups, in_flight: VecDeque::new(), bytes: 0 };
         for one in 0..count {
-            for other in (0..count).filter(|o| *o != one) {
-                let doings = members.councils[one]
-                    .link_up(&members.names[other].clone(), Incarnation(other as u64 + 1));
-                members.put(one, doings);
+            for other in (0..count).filter(|other| *other != one) {
+                let output =
+                    cluster.groups[one].link_up(&cluster.names[other].clone(), Incarnation(other as u64 + 1));
+                cluster.put(one, output);
             }
         }
-        members
+        cluster
     }
 
-    /// Words go encoded, as on a link.
-    fn put(&mut self, from: usize, doings: StepOutput) {
-        for said in doings.messages {
-            let Some(to) = self.names.iter().position(|n| *n == said.to) else { continue };
-            let bytes = protocol::encode_frame(&said.message).expect("a word");
+    /// Encodes the messages, as a link does.
+    fn put(&mut self, from: usize, output: StepOutput) {
+        for outgoing in output.messages {
+            let Some(to) = self.names.iter().position(|name| *name == outgoing.to) else { continue };
+            let bytes = protocol::encode_frame(&outgoing.message).expect("a message");
             self.bytes += bytes.len();
-            self.said.push_back((from, to, bytes));
+            self.in_flight.push_back((from, to, bytes));
         }
     }
 
     fn tick(&mut self) {
-        for n in 0..self.councils.len() {
-            let doings = self.councils[n].tick();
-            self.put(n, doings);
+        for n in 0..self.groups.len() {
+            let output = self.groups[n].tick();
+            self.put(n, output);
         }
-        while let Some((from, to, bytes)) = self.said.pop_front() {
-            let word = protocol::decode_frame(&bytes).expect("a word");
+        while let Some((from, to, bytes)) = self.in_flight.pop_front() {
+            let message = protocol::decode_frame(&bytes).expect("a message");
             let from = self.names[from].clone();
-            let doings = self.councils[to].receive(&from, word);
-            self.put(to, doings);
+            let output = self.groups[to].receive(&from, message);
+            self.put(to, output);
         }
     }
 
     fn leader(&self) -> Option<usize> {
-        self.councils
+        self.groups
             .iter()
-            .position(|c| c.is_leader() && c.state().log_index() > 0)
-            .or_else(|| self.councils.iter().position(ConsensusGroup::is_leader))
+            .position(|group| group.is_leader() && group.state().log_index() > 0)
+            .or_else(|| self.groups.iter().position(ConsensusGroup::is_leader))
     }
 }
 
 #[test]
 #[ignore = "a measurement"]
-fn figures() {
+fn cost_of_a_command() {
     for members in [3, 5] {
         for renewals in [1usize, 100] {
-            let mut fleet = Members::new(members);
-            while fleet.leader().is_none() {
-                fleet.tick();
+            let mut cluster = Cluster::new(members);
+            while cluster.leader().is_none() {
+                cluster.tick();
             }
-            let leader = fleet.leader().expect("a leader");
+            let leader = cluster.leader().expect("a leader");
             for n in 0..renewals {
                 let open = Command::OpenSession {
                     name: format!("g{n}"),
@@ -88,35 +89,36 @@
                     version: Version::default(),
                     request: 1,
                 };
-                assert!(fleet.councils[leader].propose(open));
+                assert!(cluster.groups[leader].propose(open));
             }
             for _ in 0..5 {
-                fleet.tick();
+                cluster.tick();
             }
-            let sessions: Vec<u64> = fleet.councils[leader].state().sessions().keys().copied().collect();
+            let sessions: Vec<u64> = cluster.groups[leader].state().sessions().keys().copied().collect();
             assert_eq!(sessions.len(), renewals);
-            let (began, from, bytes) =
-                (Instant::now(), fleet.councils[leader].state().log_index(), fleet.bytes);
+            let start = Instant::now();
+            let first_index = cluster.groups[leader].state().log_index();
+            let first_bytes = cluster.bytes;
             let mut count = 1;
-            while began.elapsed() < Duration::from_secs(2) {
-                // A long log is begun anew, and for some ticks nobody leads.
-                let Some(leader) = fleet.leader() else {
-                    fleet.tick();
+            while start.elapsed() < Duration::from_secs(2) {
+                // A long log is truncated, and for some ticks nobody leads.
+                let Some(leader) = cluster.leader() else {
+                    cluster.tick();
                     continue;
                 };
                 for _ in 0..256 {
                     count += 1;
                     let renewal = |session: &u64| Renewal { session: *session, count, version: None };
-                    fleet.councils[leader]
+                    cluster.groups[leader]
                         .propose(Command::RenewSessions(sessions.iter().map(renewal).collect()));
                 }
-                fleet.tick();
+                cluster.tick();
             }
-            let took = began.elapsed().as_secs_f64();
-            let entries = (fleet.councils[0].state().log_index() - from) as f64;
+            let elapsed_s = start.elapsed().as_secs_f64();
+            let entries = (cluster.groups[0].state().log_index() - first_index) as f64;
             println!(
                 "{members} members, {renewals} renewals an entry: {:.0} entries a second on one core for all members, {:.1} us an entry and member, {:.0} bytes an entry",
-                entries / took, took * 1e6 / entries / members as f64, (fleet.bytes - bytes) as f64 / entries
+                entries / elapsed_s, elapsed_s * 1e6 / entries / members as f64, (cluster.bytes - first_bytes) as f64 / entries
             );
         }
     }
