--- a/crates/gateway/src/fleet/admin.rs
+++ b/crates/gateway/src/fleet/admin.rs
@@ -62,8 +62,8 @@
                 self.with_history(report.unwrap_or_default(), AuditQuery::Lists(lists)).await
             }
             AdminQuery::Request { request_id } => {
-                let (since_ms, steps) = self.audit.borrow().report_request(&request_id);
-                let report = json!({ "since_ms": since_ms, "steps": steps });
+                let report = self.audit.borrow().report_request(&request_id);
+                let report = json!({ "since_ms": report.since_ms, "steps": report.steps });
                 self.with_history(report, AuditQuery::Request(request_id)).await
             }
             AdminQuery::Propose(command) => match *command {
--- a/crates/gateway/src/fleet/engine_interface.rs
+++ b/crates/gateway/src/fleet/engine_interface.rs
@@ -129,10 +129,14 @@
         let own = self.version.borrow().list.index;
         let told = self.current_list_index.get();
         if told > own {
-            audit.record_exception(now, Exception::StaleList { own, told }, request_id);
+            audit.record_exception(now, Exception::StaleList { own, newest_known: told }, request_id);
         }
         if let Some(endpoint) = endpoint.filter(|endpoint| self.is_endpoint_overridden(endpoint)) {
-            audit.record_exception(now, Exception::RemovedEndpoint { host: endpoint.to_owned() }, request_id);
+            audit.record_exception(
+                now,
+                Exception::RemovedEndpoint { endpoint: endpoint.to_owned() },
+                request_id,
+            );
         }
     }
 }
