--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -92,7 +92,7 @@
     }
 
     /// Whether an operator has started a drain and not cancelled it.
-    pub fn is_draining(&self) -> bool {
+    fn is_draining(&self) -> bool {
         self.draining_since.is_some()
     }
 
--- a/crates/control/src/retry_storm/retry_after.rs
+++ b/crates/control/src/retry_storm/retry_after.rs
@@ -130,7 +130,7 @@
     }
 
     /// Retries per second that endpoints can serve at a time, beside the first attempts that come now.
-    pub fn spare_rate(&self, now: Duration, at: Duration) -> f64 {
+    fn spare_rate(&self, now: Duration, at: Duration) -> f64 {
         let first_attempts_per_s = self.first_attempts.rate_at(now.as_secs_f64());
         let capacity = self.capacity(at);
         (USABLE_CAPACITY_RATIO * capacity - first_attempts_per_s).max(MIN_RETRY_CAPACITY_RATIO * capacity)
