--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -2,7 +2,7 @@
 
 use crate::balancer::Balancer;
 use crate::concurrency_limit::ReportedLoad;
-use crate::endpoint_state::FleetLatencySums;
+use crate::endpoint_state::{EndpointRecord, FleetLatencySums};
 use crate::slow_start::BudgetGrowth;
 use crate::traffic_stats::AveragingInterval;
 
@@ -43,11 +43,22 @@
 /// Sums over the ready endpoints.
 #[derive(Default)]
 struct ReadyEndpointSums {
+    /// The number of them that are past slow start.
     warm: f64,
     latency: FleetLatencySums,
     reported_load: ReportedLoad,
 }
 
+impl ReadyEndpointSums {
+    fn add(&mut self, endpoint: &EndpointRecord) {
+        if endpoint.is_warm() {
+            self.warm += 1.0;
+        }
+        self.latency.add(endpoint);
+        self.reported_load.add(endpoint);
+    }
+}
+
 impl Balancer {
     /// Recomputes everything that changes with time.
     pub(crate) fn run_maintenance(&mut self, now_s: f64) {
@@ -76,12 +87,9 @@
         for &index in &self.ready {
             let endpoint = &mut self.endpoints[index];
             let prior_s = self.fleet_latency.prior_s(endpoint);
-            if growth.apply(now_s, endpoint, prior_s, &self.settings) {
-                sums.warm += 1.0;
-            }
+            growth.apply(now_s, endpoint, prior_s, &self.settings);
             endpoint.refresh_latency_estimate(now_s, prior_s, longest_objective_s);
-            sums.reported_load.add(endpoint);
-            sums.latency.add(endpoint);
+            sums.add(endpoint);
         }
         sums
     }
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -90,29 +90,22 @@
 }
 
 impl BudgetGrowth {
-    /// Lets the budget of an endpoint grow; `prior_s` is the latency in seconds that is expected of its kind. Returns whether it is warm.
+    /// Lets the budget of an endpoint grow; `prior_s` is the latency in seconds that is expected of its kind.
     ///
     /// A kind that is slower when warm is slower when cold. The settings' overload factor bounds what a cold endpoint is sent against
     /// what it can do; since a warm one is not full and the warm-up fraction is a lower bound, the budget stays below that.
-    pub(crate) fn apply(
-        self,
-        now_s: f64,
-        endpoint: &mut EndpointRecord,
-        prior_s: f64,
-        settings: &Settings,
-    ) -> bool {
+    pub(crate) fn apply(self, now_s: f64, endpoint: &mut EndpointRecord, prior_s: f64, settings: &Settings) {
         let warm_up = warm_up_fraction(now_s, endpoint.started_s, settings);
         if warm_up >= 1.0 {
             endpoint.tokens = f64::INFINITY;
             endpoint.restart_suspected = false;
-            return true;
+            return;
         }
         let speed = (self.mean_latency_s / prior_s).clamp(MIN_SPEED_RATIO, MAX_SPEED_RATIO);
         let suspicion = if endpoint.restart_suspected { SUSPECTED_BUDGET_FRACTION } else { 1.0 };
         let share = settings.overload_factor * suspicion;
         let growth = self.elapsed_s * share * speed * warm_up * self.warm_endpoint_requests_per_s;
         endpoint.tokens = (endpoint.tokens + growth).min(MAX_TOKENS);
-        false
     }
 }
 
