--- a/crates/gateway/src/body/mod.rs
+++ b/crates/gateway/src/body/mod.rs
@@ -113,7 +113,7 @@
 
     /// What has come of it last came after this moment, and with it perhaps its last byte: while nobody reads it, nobody knows.
     pub fn last_byte_not_before(&self) -> Instant {
-        let known = [self.marks.came_after.get(), self.came_awaited.get()];
+        let known = [self.marks.received_after.get(), self.came_awaited.get()];
         known.into_iter().flatten().fold(self.start, Instant::max)
     }
 
@@ -272,7 +272,7 @@
                 }
                 if end.is_some() {
                     ready!(due.as_mut().poll(cx));
-                    if !upload.client.has_stayed() {
+                    if !upload.client.is_connected() {
                         return Poll::Ready(Some(Err(upload
                             .transit
                             .borrow_mut()
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -5,7 +5,7 @@
 use crate::body::ForwardedRequest;
 use crate::discovery::endpoint_list::EndpointList;
 use crate::transport::client_liveness::ClientLiveness;
-use crate::transport::descriptor_budget::DescriptorBudget;
+use crate::transport::descriptor_budget::{AdminApi, DescriptorBudget};
 use hyper::header::HeaderValue;
 use hyper::StatusCode;
 use tokio::sync::oneshot;
@@ -32,7 +32,7 @@
         .classes
         .push(weldworks_balancer::RequestClass::new(Duration::from_secs(10), Duration::from_secs(30)));
     let names = StringInterner { tenants: vec![], zones: vec![], kinds: vec![] };
-    let budget = DescriptorBudget::new(&Default::default(), false);
+    let budget = DescriptorBudget::new(&Default::default(), AdminApi::Disabled);
     let (dial_timeout, keepalive) = (Duration::from_secs(5), Duration::from_secs(10));
     let terms = crate::upstream::ConnectionSettings {
         dial_timeout,
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -12,7 +12,7 @@
 use crate::metrics::Metrics;
 use crate::server::admin;
 use crate::server::http::{RequestSettings, Server};
-use crate::transport::descriptor_budget::DescriptorBudget;
+use crate::transport::descriptor_budget::{AdminApi, DescriptorBudget};
 use crate::upstream::ConnectionPool;
 use rustix::process::{getrlimit, Resource};
 use std::net::SocketAddr;
@@ -50,7 +50,8 @@
     });
     let mut classes = ClassRegistry::default();
     classes.replace(Duration::ZERO, config.named_classes());
-    let budget = DescriptorBudget::new(&config.limits, config.management.is_some());
+    let admin_api = if config.management.is_some() { AdminApi::Enabled } else { AdminApi::Disabled };
+    let budget = DescriptorBudget::new(&config.limits, admin_api);
     let settings = Settings { classes: classes.by_number(), ..config.settings };
     let request_settings = RequestSettings::new(&classes, config.names.tenants.clone(), &settings);
     let metrics = Rc::new(Metrics::default());
--- a/crates/gateway/src/server/http/client_table.rs
+++ b/crates/gateway/src/server/http/client_table.rs
@@ -73,7 +73,7 @@
 
     /// Which quota the permit belongs to.
     pub(super) fn slot_of(&self, permit: &DescriptorPermit) -> ConnectionSlot {
-        if self.overflow_quota.include(permit) {
+        if self.overflow_quota.contains(permit) {
             ConnectionSlot::Overflow
         } else {
             ConnectionSlot::Client
--- a/crates/gateway/src/server/http/tests.rs
+++ b/crates/gateway/src/server/http/tests.rs
@@ -3,6 +3,7 @@
 use super::client_connection::ClientConnection;
 use super::*;
 use crate::engine::message::Message;
+use crate::transport::descriptor_budget::AdminApi;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream as ClientStream};
 use std::time::Duration;
@@ -32,7 +33,12 @@
     let drain = drain::DrainSettings { longest_deadline: Duration::from_secs(1), shared_listener: false };
     let service = Rc::new(ServiceState::new(drain, engine.clone(), Rc::default(), None));
     (
-        Rc::new(Server::new(engine, settings, &DescriptorBudget::new(&Default::default(), false), service)),
+        Rc::new(Server::new(
+            engine,
+            settings,
+            &DescriptorBudget::new(&Default::default(), AdminApi::Disabled),
+            service,
+        )),
         messages,
     )
 }
--- a/crates/gateway/src/transport/descriptor_budget.rs
+++ b/crates/gateway/src/transport/descriptor_budget.rs
@@ -1,61 +1,86 @@
-//! The budget of descriptors: a fixed share for clients and one for hosts, so that neither starves the other.
+//! The budget of file descriptors: fixed quotas for clients and for endpoints, so that neither starves the other.
 
 use crate::limits::{Limits, MAX_BODY, MAX_BUFFER};
 use std::cell::Cell;
 use std::rc::Rc;
 use weldworks_control::hot_restart::{remaining_descriptors, DescriptorUsage};
 
-/// The most memory that a client's connection and its request can hold: a body each way, what was read ahead of a head,
-/// and the tasks.
-const CLIENT_MEMORY: usize = 2 * MAX_BODY + MAX_BUFFER + (32 << 10);
+/// Most memory that a client's connection and its request can take, in bytes: a body each way, what is read ahead of a head, and the
+/// tasks.
+const MAX_CLIENT_MEMORY_BYTES: usize = 2 * MAX_BODY + MAX_BUFFER + (32 << 10);
 
 /// Descriptors of the program itself: standard streams, poller, wakers, signals, listener, discovery.
-const OWN: usize = 20;
+const PROCESS_DESCRIPTORS: usize = 20;
 
-/// The descriptors of the second address, where there is one: a part of all, within these bounds.
-const MANAGEMENT: (usize, usize, usize) = (24, 4, 20);
+/// The admin API gets one in this many of all descriptors.
+const ADMIN_DIVISOR: usize = 24;
 
-/// The fewest descriptors for clients that are only told that there is no room.
-const OVERFLOW: usize = 4;
+/// Fewest descriptors for calls of the admin API, where there is one.
+const MIN_ADMIN_DESCRIPTORS: usize = 4;
 
-/// Of all descriptors, the part that connections of clients may have while they rest. Clients may hold a third of
-/// them: what rests within that third leaves too little for those that ask.
-const RESTING: usize = 5;
+/// Most descriptors for calls of the admin API.
+const MAX_ADMIN_DESCRIPTORS: usize = 20;
+
+/// Further descriptors that the admin API takes: its listener, and for a moment the newest caller beyond the quota.
+const ADMIN_OVERHEAD_DESCRIPTORS: usize = 2;
+
+/// Clients that are only rejected get one in this many of the descriptors for connections.
+const OVERFLOW_DIVISOR: usize = 16;
+
+/// Fewest descriptors for clients that are only rejected, as long as memory allows.
+const MIN_OVERFLOW_DESCRIPTORS: usize = 4;
+
+/// Clients that are only rejected get at most one in this many of the connections that fit into the memory.
+const OVERFLOW_MEMORY_DIVISOR: usize = 5;
+
+/// Idle connections of clients may take one in this many of all descriptors. Clients have a third of all; if idle connections took
+/// that third, too little would be left for active ones.
+const IDLE_CLIENT_DIVISOR: usize = 5;
+
+/// Whether the process serves the admin API, which takes descriptors of its own.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AdminApi {
+    /// It does.
+    Enabled,
+    /// It does not.
+    Disabled,
+}
 
 /// A number of descriptors that may be open at once.
 #[derive(Clone, Debug)]
 pub struct DescriptorQuota {
     open: Rc<Cell<usize>>,
-    most: usize,
-    /// How many of them another process of this gateway has open.
-    elsewhere: Rc<Cell<usize>>,
+    limit: usize,
+    /// How many of them another process of this gateway has open, during a hot restart.
+    open_in_peer: Rc<Cell<usize>>,
 }
 
 impl DescriptorQuota {
-    fn new(most: usize) -> DescriptorQuota {
-        DescriptorQuota { open: Rc::default(), most, elsewhere: Rc::default() }
+    fn new(limit: usize) -> DescriptorQuota {
+        DescriptorQuota { open: Rc::default(), limit, open_in_peer: Rc::default() }
     }
 
     /// Takes a descriptor, if one is left.
     pub fn acquire(&self) -> Option<DescriptorPermit> {
-        (self.open.get() < self.capacity()).then(|| {
-            self.open.set(self.open.get() + 1);
-            DescriptorPermit(self.open.clone())
-        })
+        if self.open.get() >= self.capacity() {
+            return None;
+        }
+        self.open.set(self.open.get() + 1);
+        Some(DescriptorPermit(self.open.clone()))
     }
 
-    /// How many there are for this process.
+    /// How many descriptors this process may have open.
     pub fn capacity(&self) -> usize {
-        remaining_descriptors(self.most, self.elsewhere.get())
+        remaining_descriptors(self.limit, self.open_in_peer.get())
     }
 
-    /// Whether the descriptor is one of these.
-    pub fn include(&self, slot: &DescriptorPermit) -> bool {
-        Rc::ptr_eq(&self.open, &slot.0)
+    /// Whether the permit is one of this quota.
+    pub fn contains(&self, permit: &DescriptorPermit) -> bool {
+        Rc::ptr_eq(&self.open, &permit.0)
     }
 }
 
-/// A descriptor taken; given back when it is dropped.
+/// A descriptor that is taken from its quota until this is dropped.
 #[derive(Debug)]
 pub struct DescriptorPermit(Rc<Cell<usize>>);
 
@@ -65,83 +90,67 @@
     }
 }
 
-/// How the descriptors are shared out.
+/// The quotas into which the process's descriptors are divided.
 pub struct DescriptorBudget {
     /// Connections of clients.
     pub clients: DescriptorQuota,
-    /// Connections that are taken in beyond those, only to be told that there is no room: what has come
-    /// as far as the kernel is taken, so accepting may not stop.
+    /// Connections of clients beyond those, which are only rejected. Accepting never stops, so that clients get an answer instead of
+    /// waiting in the kernel's queue.
     pub overflow: DescriptorQuota,
-    /// How many connections of clients may rest before new ones are no longer kept.
+    /// How many connections of clients may be idle before further ones are closed behind their response.
     pub idle_clients: usize,
-    /// Connections to hosts.
+    /// Connections to endpoints.
     pub upstream: DescriptorQuota,
-    /// Calls at the second address.
+    /// Calls of the admin API.
     pub admin: DescriptorQuota,
 }
 
 impl DescriptorBudget {
-    /// What this process has open.
-    pub fn usage(&self) -> DescriptorUsage {
-        let [clients, overflow, hosts] =
-            [&self.clients, &self.overflow, &self.upstream].map(|slots| slots.open.get());
-        DescriptorUsage { clients, overflow, endpoints: hosts }
-    }
-
-    /// Leaves another process what it has open. What is open here stays open.
-    pub fn reserve_for_peer(&self, other: DescriptorUsage) {
-        self.clients.elsewhere.set(other.clients);
-        self.overflow.elsewhere.set(other.overflow);
-        self.upstream.elsewhere.set(other.endpoints);
-    }
-
-    /// Shares out what the limits allow: of the memory, clients together may fill three quarters.
-    /// With `managed` a few are kept for the second address.
-    pub fn new(limits: &Limits, managed: bool) -> DescriptorBudget {
-        let (part, least, most) = MANAGEMENT;
-        let management = if managed { (limits.sockets / part).clamp(least, most) } else { 0 };
-        // The second address listens, and the newest caller is a descriptor over for a moment.
-        let rest = limits.sockets.saturating_sub(OWN + management + 2 * usize::from(managed));
-        let fit = (limits.memory_mb << 20) / 4 * 3 / CLIENT_MEMORY;
-        let overflow = (rest / 16).max(OVERFLOW).min(fit / 5);
-        let clients = (rest / 2).min(fit.saturating_sub(overflow));
-        let hosts = (rest - rest / 2).saturating_sub(overflow);
-        let resting = (limits.sockets / RESTING).min(clients / 4 * 3);
+    /// Divides what the limits allow. Clients together may fill three quarters of the memory.
+    pub fn new(limits: &Limits, admin_api: AdminApi) -> DescriptorBudget {
+        let admin = match admin_api {
+            AdminApi::Enabled => {
+                (limits.sockets / ADMIN_DIVISOR).clamp(MIN_ADMIN_DESCRIPTORS, MAX_ADMIN_DESCRIPTORS)
+            }
+            AdminApi::Disabled => 0,
+        };
+        let admin_overhead = match admin_api {
+            AdminApi::Enabled => ADMIN_OVERHEAD_DESCRIPTORS,
+            AdminApi::Disabled => 0,
+        };
+        let for_connections = limits.sockets.saturating_sub(PROCESS_DESCRIPTORS + admin + admin_overhead);
+        let fit_in_memory = (limits.memory_mb << 20) / 4 * 3 / MAX_CLIENT_MEMORY_BYTES;
+        let overflow = (for_connections / OVERFLOW_DIVISOR)
+            .max(MIN_OVERFLOW_DESCRIPTORS)
+            .min(fit_in_memory / OVERFLOW_MEMORY_DIVISOR);
+        let clients = (for_connections / 2).min(fit_in_memory.saturating_sub(overflow));
+        let upstream = (for_connections - for_connections / 2).saturating_sub(overflow);
+        let idle_clients = (limits.sockets / IDLE_CLIENT_DIVISOR).min(clients / 4 * 3);
         DescriptorBudget {
             clients: DescriptorQuota::new(clients),
             overflow: DescriptorQuota::new(overflow),
-            idle_clients: resting,
-            upstream: DescriptorQuota::new(hosts),
-            admin: DescriptorQuota::new(management),
+            idle_clients,
+            upstream: DescriptorQuota::new(upstream),
+            admin: DescriptorQuota::new(admin),
         }
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_another_process_has_open_is_left_to_it() {
-        let budget = DescriptorBudget::new(&Limits { memory_mb: 192, sockets: 1024 }, true);
-        let whole = budget.clients.capacity();
-        let mut held: Vec<_> = (0..whole).map(|_| budget.clients.acquire().expect("a place")).collect();
-        assert!(budget.clients.acquire().is_none());
-        assert_eq!(budget.usage(), DescriptorUsage { clients: whole, overflow: 0, endpoints: 0 });
-        budget.reserve_for_peer(DescriptorUsage { clients: 10, overflow: 1, endpoints: 2 });
-        assert_eq!(
-            (budget.clients.capacity(), budget.usage().clients),
-            (whole - 10, whole),
-            "nothing is cut off"
-        );
-        held.truncate(whole - 10);
-        assert!(budget.clients.acquire().is_none(), "ten are another's");
-        held.truncate(whole - 11);
-        assert!(budget.clients.acquire().is_some());
-        budget.reserve_for_peer(DescriptorUsage::default());
-        assert_eq!(budget.clients.capacity(), whole);
-        // The second address is paid for by the others.
-        let without = DescriptorBudget::new(&Limits { memory_mb: 192, sockets: 1024 }, false);
-        assert!(without.upstream.capacity() > budget.upstream.capacity() && without.admin.capacity() == 0);
+    /// What this process has open.
+    pub fn usage(&self) -> DescriptorUsage {
+        DescriptorUsage {
+            clients: self.clients.open.get(),
+            overflow: self.overflow.open.get(),
+            endpoints: self.upstream.open.get(),
+        }
+    }
+
+    /// Leaves the other process of a hot restart what it has open. What is open here stays open.
+    pub fn reserve_for_peer(&self, peer: DescriptorUsage) {
+        self.clients.open_in_peer.set(peer.clients);
+        self.overflow.open_in_peer.set(peer.overflow);
+        self.upstream.open_in_peer.set(peer.endpoints);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gateway/src/transport/instrumented_stream/tests.rs
+++ b/crates/gateway/src/transport/instrumented_stream/tests.rs
@@ -1,4 +1,4 @@
-//! What a wire says of the requests that are written to it: whole with their last byte, in whatever pieces they go.
+//! Tests of tracking requests as they are written: complete with their last byte, in whatever pieces they are written.
 
 use super::*;
 use proptest::prelude::*;
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use weldworks_control::execution::{classify_attempt, AttemptEnd, ResponseVerdict};
 
-/// Heads and bodies as they go to a host: none, with a length, in chunks, with a length of nothing.
+/// Requests as they are written to an endpoint: without a body, with a length, in chunks, with length 0.
 const REQUESTS: [&str; 4] = [
     "GET /look HTTP/1.1\r\nhost: a\r\n\r\n",
     "POST /once HTTP/1.1\r\nhost: a\r\ncontent-length: 11\r\n\r\n\r\n0\r\n\r\nbody",
@@ -15,23 +15,23 @@
     "POST /once HTTP/1.1\r\ncontent-length: 0\r\nhost: a\r\n\r\n",
 ];
 
-async fn wire() -> (InstrumentedStream, Rc<IoTimestamps>, TcpStream) {
+async fn connected_stream() -> (InstrumentedStream, Rc<IoTimestamps>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let (near, far) = tokio::join!(TcpStream::connect(address), listener.accept());
-    let (wire, marks) = InstrumentedStream::new(near.expect("a connection"));
-    (wire.tracking_requests(), marks, far.expect("a connection").0)
+    let (stream, timestamps) = InstrumentedStream::new(near.expect("a connection"));
+    (stream.tracking_requests(), timestamps, far.expect("a connection").0)
 }
 
-/// Writes a piece, at once or as several buffers.
-async fn put(wire: &mut InstrumentedStream, piece: &[u8], buffers: usize) -> io::Result<usize> {
+/// Writes a piece, as one buffer or as several.
+async fn write(stream: &mut InstrumentedStream, piece: &[u8], buffers: usize) -> io::Result<usize> {
     poll_fn(|cx| {
         if buffers < 2 {
-            return Pin::new(&mut *wire).poll_write(cx, piece);
+            return Pin::new(&mut *stream).poll_write(cx, piece);
         }
         let slices: Vec<IoSlice<'_>> =
             piece.chunks(piece.len().div_ceil(buffers).max(1)).map(IoSlice::new).collect();
-        Pin::new(&mut *wire).poll_write_vectored(cx, &slices)
+        Pin::new(&mut *stream).poll_write_vectored(cx, &slices)
     })
     .await
 }
@@ -39,41 +39,41 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// At each step of each request, and however it ends there: only what lacks its last byte, or of which the host says so, has
-    /// surely never run.
+    /// An attempt that is retried though the endpoint has the complete request may be processed twice. At each step of each request,
+    /// however the attempt ends there, only one that lacks its last byte, or of which the endpoint says so, counts as not processed.
     #[test]
-    fn nothing_is_taken_for_never_run_that_has_gone_whole(
+    fn a_request_that_was_written_completely_never_counts_as_not_processed(
         kinds in prop::collection::vec(0usize..4, 1..5),
         cuts in prop::collection::vec((1usize..60, 0usize..4), 1..12),
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
-            let (mut wire, marks, _far) = wire().await;
+            let (mut stream, timestamps, _far) = connected_stream().await;
             let mut cuts = cuts.iter().cycle();
             for kind in kinds {
                 let text = REQUESTS[kind].as_bytes();
-                marks.begin(None);
-                let mut gone = 0;
-                while gone < text.len() {
-                    let wanted = match gone {
+                timestamps.begin_request(None);
+                let mut written = 0;
+                while written < text.len() {
+                    let wanted = match written {
                         0 => WriteProgress::Nothing,
                         _ => WriteProgress::Partial,
                     };
-                    prop_assert_eq!(marks.written.get(), wanted, "{} of {:?}", gone, REQUESTS[kind]);
+                    prop_assert_eq!(timestamps.write_progress.get(), wanted, "{} of {:?}", written, REQUESTS[kind]);
                     for ended in [AttemptEnd::Withheld, AttemptEnd::ConnectionFailed, AttemptEnd::TimedOut, AttemptEnd::Answered(ResponseVerdict::Served)] {
-                        prop_assert!(classify_attempt(marks.written.get(), ended).proves_not_processed());
+                        prop_assert!(classify_attempt(timestamps.write_progress.get(), ended).proves_not_processed());
                     }
                     let (cut, buffers) = *cuts.next().expect("endless");
-                    let piece = &text[gone..text.len().min(gone + cut)];
-                    gone += put(&mut wire, piece, buffers).await.expect("written");
+                    let piece = &text[written..text.len().min(written + cut)];
+                    written += write(&mut stream, piece, buffers).await.expect("written");
                 }
-                prop_assert_eq!(marks.written.get(), WriteProgress::Complete, "{:?}", REQUESTS[kind]);
-                prop_assert!(marks.written_at.get().is_some());
+                prop_assert_eq!(timestamps.write_progress.get(), WriteProgress::Complete, "{:?}", REQUESTS[kind]);
+                prop_assert!(timestamps.written_at.get().is_some());
                 for ended in [
                     AttemptEnd::Withheld, AttemptEnd::ConnectionFailed, AttemptEnd::TimedOut, AttemptEnd::Cancelled,
                     AttemptEnd::Answered(ResponseVerdict::Served), AttemptEnd::Answered(ResponseVerdict::Error),
                 ] {
-                    prop_assert!(!classify_attempt(marks.written.get(), ended).proves_not_processed(), "{:?}", ended);
+                    prop_assert!(!classify_attempt(timestamps.write_progress.get(), ended).proves_not_processed(), "{:?}", ended);
                 }
             }
             Ok(())
@@ -81,30 +81,32 @@
     }
 }
 
-/// From its latest moment on not a byte of a request is written that is not whole, and what is whole is not disturbed.
+/// From the write deadline on no byte of an incomplete request is written, and a complete one is not disturbed.
 #[tokio::test]
-async fn nothing_is_written_after_its_latest_moment() {
+async fn nothing_is_written_after_the_write_deadline() {
     let text = REQUESTS[1].as_bytes();
     for already in [0, 20, text.len() - 1] {
-        let (mut wire, marks, mut far) = wire().await;
-        marks.begin(Some(Instant::now() + Duration::from_secs(3600)));
-        let mut gone = 0;
-        while gone < already {
-            gone += put(&mut wire, &text[gone..already], 1).await.expect("in time");
+        let (mut stream, timestamps, mut far) = connected_stream().await;
+        timestamps.begin_request(Some(Instant::now() + Duration::from_secs(3600)));
+        let mut written = 0;
+        while written < already {
+            written += write(&mut stream, &text[written..already], 1).await.expect("in time");
         }
-        marks.write_by.set(Some(Instant::now()));
-        assert!(marks.is_late());
-        let late = put(&mut wire, &text[already..], 1 + already % 2).await;
+        timestamps.write_by.set(Some(Instant::now()));
+        assert!(timestamps.is_past_write_deadline());
+        let late = write(&mut stream, &text[already..], 1 + already % 2).await;
         assert_eq!(late.map_err(|error| error.kind()), Err(io::ErrorKind::TimedOut), "after {already}");
-        assert!(classify_attempt(marks.written.get(), AttemptEnd::Withheld).proves_not_processed());
-        drop(wire);
-        let mut came = Vec::new();
-        far.read_to_end(&mut came).await.expect("its end");
-        assert_eq!(came, &text[..already]);
+        assert!(
+            classify_attempt(timestamps.write_progress.get(), AttemptEnd::Withheld).proves_not_processed()
+        );
+        drop(stream);
+        let mut received = Vec::new();
+        far.read_to_end(&mut received).await.expect("its end");
+        assert_eq!(received, &text[..already]);
     }
-    let (mut wire, marks, _far) = wire().await;
-    marks.begin(Some(Instant::now() + Duration::from_secs(3600)));
-    assert_eq!(put(&mut wire, text, 1).await.expect("in time"), text.len());
-    marks.write_by.set(Some(Instant::now()));
-    assert!(!marks.is_late(), "it has gone");
+    let (mut stream, timestamps, _far) = connected_stream().await;
+    timestamps.begin_request(Some(Instant::now() + Duration::from_secs(3600)));
+    assert_eq!(write(&mut stream, text, 1).await.expect("in time"), text.len());
+    timestamps.write_by.set(Some(Instant::now()));
+    assert!(!timestamps.is_past_write_deadline(), "it is complete");
 }
--- a/crates/gateway/src/transport/message_framing.rs
+++ b/crates/gateway/src/transport/message_framing.rs
@@ -1,249 +1,340 @@
-//! Where each message on a connection begins and ends, told from its bytes alone: requests of a client, or answers of a host.
+//! Finds where each message on a connection begins and ends, from its bytes alone.
 //!
-//! The HTTP library frames requests itself, but drops a `Content-Length` that comes behind a `Transfer-Encoding` and says nothing of
-//! it. Such a request may hide another: somebody who goes by the length reads something else. So each head is looked over
-//! as it comes for the two words. The scan keeps a few dozen bytes and skips over bodies.
+//! The HTTP library frames messages itself, but silently drops a `Content-Length` that stands behind a `Transfer-Encoding`. Such a
+//! request may hide another: a peer that goes by the length reads different requests than this gateway does (request smuggling). So
+//! each head is scanned for both headers while it arrives. The scan keeps a few dozen bytes and skips over bodies.
 //!
-//! The library also gives a body up whose chunks bring 16 KiB of extensions together. What follows the framing takes them off.
+//! The library also gives up a body whose chunks carry 16 KiB of extensions in total. Nobody reads them, so the scan strips them.
 
-/// The two names that matter, and what begins each.
-const LENGTH: &[u8] = b"content-length";
-const ENCODING: &[u8] = b"transfer-encoding";
-/// Of an answer's first line, as far as its status.
-const STATUS: usize = "HTTP/1.1 200".len();
-/// The longest chunk size that is followed, in digits.
-const DIGITS: u32 = 15;
+const CONTENT_LENGTH: &[u8] = b"content-length";
+const TRANSFER_ENCODING: &[u8] = b"transfer-encoding";
 
+/// Length of a response's first line up to the end of its status, in bytes.
+const STATUS_END: usize = "HTTP/1.1 200".len();
+
+/// Length of the status in a response's first line, in bytes.
+const STATUS_DIGITS: usize = 3;
+
+/// Longest chunk size that is followed, in hexadecimal digits.
+const MAX_CHUNK_SIZE_DIGITS: u32 = 15;
+
+/// Length of the line end behind a chunk's data, in bytes.
+const CHUNK_LINE_END_BYTES: u64 = 2;
+
+/// Whose messages are followed.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+enum MessageKind {
+    #[default]
+    Requests,
+    /// A response also ends by its status, or by the connection's end.
+    Responses,
+}
+
+/// Where in a message the scan stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// In the request line, with something in it or not: empty lines ahead of one are passed over.
-    First(bool),
-    /// In a header's name, after so many bytes.
-    Name(usize),
-    /// In a header's value.
-    Value(Header),
-    /// In a body of which so much is to come.
-    Body(u64),
-    /// In a chunk's size: so far, its digits, and whether they are over.
-    Size(u64, u32, bool),
-    /// In a chunk of which so much is to come, its line's end included.
-    Chunk(u64),
-    /// In the trailer, after so many bytes of a line.
-    Trailer(usize),
-    /// It can't be followed from here on.
+    /// Ahead of a message. Empty lines there are skipped.
+    BetweenMessages,
+    StartLine,
+    HeaderName {
+        length: usize,
+    },
+    HeaderValue(Header),
+    /// In a body of which this many bytes are to come.
+    Body {
+        remaining: u64,
+    },
+    ChunkSize {
+        size: u64,
+        digits: u32,
+    },
+    /// Behind the digits of a chunk's size, up to the end of the line.
+    ChunkExtension {
+        size: u64,
+    },
+    /// In a chunk of which this many bytes are to come, its line end included.
+    Chunk {
+        remaining: u64,
+    },
+    /// At the start of a line of the trailer section.
+    TrailerLineStart,
+    /// In a line of the trailer section that is not empty.
+    TrailerLine,
+    /// The messages can't be followed from here on.
     Lost,
 }
 
+const START_OF_HEADER: State = State::HeaderName { length: 0 };
+const START_OF_CHUNK_SIZE: State = State::ChunkSize { size: 0, digits: 0 };
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Header {
-    Length,
-    Encoding,
+    ContentLength,
+    TransferEncoding,
     Other,
 }
 
-/// The messages on one connection, in the order in which they come.
+/// How far one step of the scan has gone.
+struct Step {
+    bytes: usize,
+    /// Whether these bytes are a chunk's extension.
+    is_extension: bool,
+}
+
+/// The messages on one connection, in the order in which they arrive.
 #[derive(Debug)]
 pub struct MessageFraming {
     state: State,
-    /// They are answers, which end by their status too, and by the connection's end.
-    answers: bool,
-    /// How much of the first line is kept, where it is looked at, and the status that stood there.
-    first: usize,
+    kind: MessageKind,
+    /// How many bytes of a response's first line are in `line_buffer`.
+    start_line_length: usize,
+    /// The status of the current response.
     status: u16,
-    name: [u8; ENCODING.len()],
-    length: Option<u64>,
-    encoded: bool,
-    /// Heads that were followed to their end, and messages.
-    heads: u64,
-    messages: u64,
-    /// The one of them that says both.
-    ambiguous: Option<u64>,
+    /// The start of a response's first line, or of a header's name in lower case.
+    line_buffer: [u8; TRANSFER_ENCODING.len()],
+    content_length: Option<u64>,
+    has_transfer_encoding: bool,
+    complete_heads: u64,
+    complete_messages: u64,
+    /// The number of the request that has both headers.
+    ambiguous_request: Option<u64>,
 }
 
 impl Default for MessageFraming {
     fn default() -> MessageFraming {
-        let (answers, first, status, length, encoded, heads, messages, ambiguous) = Default::default();
-        let (state, name) = (State::First(false), [0; ENCODING.len()]);
-        MessageFraming { state, answers, first, status, name, length, encoded, heads, messages, ambiguous }
+        MessageFraming {
+            state: State::BetweenMessages,
+            kind: MessageKind::Requests,
+            start_line_length: 0,
+            status: 0,
+            line_buffer: [0; TRANSFER_ENCODING.len()],
+            content_length: None,
+            has_transfer_encoding: false,
+            complete_heads: 0,
+            complete_messages: 0,
+            ambiguous_request: None,
+        }
     }
 }
 
 impl MessageFraming {
-    /// For the answers of a host; else it follows requests.
+    /// Follows the responses of an endpoint. The default follows requests.
     pub fn for_responses() -> MessageFraming {
-        MessageFraming { answers: true, ..MessageFraming::default() }
+        MessageFraming { kind: MessageKind::Responses, ..MessageFraming::default() }
     }
 
-    /// Whether the head of the request with this number, counted from 1, was seen whole and says at most one of the two.
+    /// Whether the head of the request with this number, counted from 1, was seen completely and has at most one of `Content-Length`
+    /// and `Transfer-Encoding`.
     pub fn is_plain(&self, number: u64) -> bool {
-        self.heads >= number && self.ambiguous.is_none_or(|at| number < at)
+        self.complete_heads >= number && self.ambiguous_request.is_none_or(|ambiguous| number < ambiguous)
     }
 
-    /// How many messages have ended so far; nobody knows where they can't be followed any more.
+    /// How many messages have ended; none where they can't be followed any more.
     pub fn messages(&self) -> Option<u64> {
-        (self.state != State::Lost).then_some(self.messages)
+        (self.state != State::Lost).then_some(self.complete_messages)
     }
 
-    /// Whether a message has begun and not ended, as far as it can be followed.
+    /// Whether a message has begun and not ended, as far as messages can be followed.
     pub fn is_inside(&self) -> bool {
-        !matches!(self.state, State::First(false) | State::Lost)
+        !matches!(self.state, State::BetweenMessages | State::Lost)
     }
 
-    /// Whether a whole message has come behind the one with this number, counted from 1.
+    /// Whether a complete message has arrived behind the one with this number, counted from 1.
     pub fn is_ahead_of(&self, number: u64) -> bool {
         self.messages().is_some_and(|messages| messages > number)
     }
 
-    /// Takes what has come, drops the extensions of chunks from it, and gives how much is left. The library allows 16 KiB of them a
-    /// body, which a long one in small chunks passes; nobody reads them.
-    pub fn take(&mut self, bytes: &mut [u8]) -> usize {
-        let (mut kept, mut at) = (0, 0);
-        while let Some(rest) = bytes.get(at..).filter(|rest| !rest.is_empty()) {
-            let (passed, drop) = self.advance(rest);
-            if !drop {
-                if kept < at {
-                    bytes.copy_within(at..at + passed, kept);
+    /// Follows bytes that have been read, and removes the extensions of chunks from them; returns how many bytes are left.
+    pub fn strip_chunk_extensions(&mut self, bytes: &mut [u8]) -> usize {
+        let mut kept = 0;
+        let mut position = 0;
+        while let Some(rest) = bytes.get(position..).filter(|rest| !rest.is_empty()) {
+            let step = self.advance(rest);
+            if !step.is_extension {
+                if kept < position {
+                    bytes.copy_within(position..position + step.bytes, kept);
                 }
-                kept += passed;
+                kept += step.bytes;
             }
-            at += passed;
+            position += step.bytes;
         }
         kept
     }
 
-    /// Follows what has passed.
+    /// Follows bytes that have been written.
     pub fn follow(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let (passed, _) = self.advance(bytes);
-            bytes = bytes.get(passed..).unwrap_or_default();
+            let step = self.advance(bytes);
+            bytes = bytes.get(step.bytes..).unwrap_or_default();
         }
     }
 
-    /// Goes over the first of these bytes, which are some: how many, and whether they are a chunk's extension.
-    fn advance(&mut self, bytes: &[u8]) -> (usize, bool) {
-        let (all, byte) = (bytes.len(), bytes.first().copied().unwrap_or_default());
+    /// Goes over the first of these bytes, of which there is at least one.
+    fn advance(&mut self, bytes: &[u8]) -> Step {
+        let byte = bytes.first().copied().unwrap_or_default();
         match self.state {
-            State::Lost => (all, false),
-            State::Body(left) | State::Chunk(left) => {
-                let skipped = left.min(all as u64);
-                let left = left - skipped;
-                self.state = match self.state {
-                    State::Body(_) if left == 0 => self.message_ends(),
-                    State::Body(_) => State::Body(left),
-                    _ if left == 0 => State::Size(0, 0, false),
-                    _ => State::Chunk(left),
-                };
-                (skipped as usize, false)
+            State::Lost => Step { bytes: bytes.len(), is_extension: false },
+            State::Body { remaining } => {
+                let skipped = remaining.min(bytes.len() as u64);
+                let remaining = remaining - skipped;
+                self.state = if remaining == 0 { self.end_message() } else { State::Body { remaining } };
+                Step { bytes: skipped as usize, is_extension: false }
+            }
+            State::Chunk { remaining } => {
+                let skipped = remaining.min(bytes.len() as u64);
+                let remaining = remaining - skipped;
+                self.state = if remaining == 0 { START_OF_CHUNK_SIZE } else { State::Chunk { remaining } };
+                Step { bytes: skipped as usize, is_extension: false }
             }
-            State::Value(Header::Other) | State::First(true)
-                if byte != b'\n' && (!self.answers || self.first >= STATUS) =>
-            {
-                (bytes.iter().position(|&b| b == b'\n').unwrap_or(all), false)
+            State::HeaderValue(Header::Other) | State::StartLine if self.may_skip_line(byte) => {
+                let line_end = bytes.iter().position(|&byte| byte == b'\n');
+                Step { bytes: line_end.unwrap_or(bytes.len()), is_extension: false }
             }
             _ => {
-                self.step(byte);
-                (1, matches!(self.state, State::Size(_, _, true)) && byte != b'\r')
+                self.state = self.next_state(byte);
+                let in_extension = matches!(self.state, State::ChunkExtension { .. });
+                Step { bytes: 1, is_extension: in_extension && byte != b'\r' }
             }
         }
     }
 
-    fn message_ends(&mut self) -> State {
-        self.messages += 1;
-        State::First(false)
+    /// Whether the rest of a line that begins with this byte says nothing.
+    fn may_skip_line(&self, byte: u8) -> bool {
+        let is_read = self.kind == MessageKind::Responses && self.start_line_length < STATUS_END;
+        byte != b'\n' && !is_read
     }
 
-    fn step(&mut self, byte: u8) {
-        self.state = match (self.state, byte) {
-            (State::First(false), b'\r' | b'\n') => State::First(false),
-            (State::First(_), b'\n') => {
-                (self.length, self.encoded) = (None, false);
-                let digits = self.name.get(STATUS - 3..self.first).and_then(|d| std::str::from_utf8(d).ok());
-                self.status = digits.and_then(|digits| digits.parse().ok()).unwrap_or(0);
-                self.first = 0;
-                State::Name(0)
-            }
-            (State::First(_), byte) => {
-                if self.answers && self.first < STATUS {
-                    self.name[self.first] = byte;
-                    self.first += 1;
-                }
-                State::First(true)
-            }
-            (State::Name(0), b'\r') => State::Name(0),
-            (State::Name(0), b'\n') => self.head_ends(),
-            (State::Name(_), b'\n') => State::Name(0),
-            (State::Name(n), b':') => State::Value(self.header(n)),
-            (State::Name(n), byte) => {
-                if let Some(place) = self.name.get_mut(n) {
+    fn end_message(&mut self) -> State {
+        self.complete_messages += 1;
+        State::BetweenMessages
+    }
+
+    /// The state behind this byte.
+    fn next_state(&mut self, byte: u8) -> State {
+        match self.state {
+            State::BetweenMessages if matches!(byte, b'\r' | b'\n') => State::BetweenMessages,
+            State::BetweenMessages | State::StartLine => self.scan_start_line(byte),
+            State::HeaderName { length } => self.scan_header_name(byte, length),
+            State::HeaderValue(header) => self.scan_header_value(byte, header),
+            State::ChunkSize { size, digits } => scan_chunk_size(byte, size, digits),
+            State::ChunkExtension { size } if byte == b'\n' => end_chunk_size(size),
+            State::ChunkExtension { size } => State::ChunkExtension { size },
+            State::TrailerLineStart if byte == b'\n' => self.end_message(),
+            State::TrailerLineStart if byte == b'\r' => State::TrailerLineStart,
+            State::TrailerLine if byte == b'\n' => State::TrailerLineStart,
+            State::TrailerLineStart | State::TrailerLine => State::TrailerLine,
+            State::Body { .. } | State::Chunk { .. } | State::Lost => State::Lost,
+        }
+    }
+
+    fn scan_start_line(&mut self, byte: u8) -> State {
+        if byte == b'\n' {
+            self.content_length = None;
+            self.has_transfer_encoding = false;
+            self.status = self.read_status().unwrap_or(0);
+            self.start_line_length = 0;
+            return START_OF_HEADER;
+        }
+        if self.kind == MessageKind::Responses && self.start_line_length < STATUS_END {
+            self.line_buffer[self.start_line_length] = byte;
+            self.start_line_length += 1;
+        }
+        State::StartLine
+    }
+
+    /// The status in the first line of a response.
+    fn read_status(&self) -> Option<u16> {
+        let digits = self.line_buffer.get(STATUS_END - STATUS_DIGITS..self.start_line_length)?;
+        std::str::from_utf8(digits).ok()?.parse().ok()
+    }
+
+    fn scan_header_name(&mut self, byte: u8, length: usize) -> State {
+        match byte {
+            b'\r' if length == 0 => START_OF_HEADER,
+            b'\n' if length == 0 => self.end_head(),
+            b'\n' => START_OF_HEADER,
+            b':' => State::HeaderValue(self.recognize_header(length)),
+            byte => {
+                if let Some(place) = self.line_buffer.get_mut(length) {
                     *place = byte.to_ascii_lowercase();
                 }
-                State::Name((n + 1).min(self.name.len() + 1))
+                State::HeaderName { length: (length + 1).min(self.line_buffer.len() + 1) }
             }
-            (State::Value(_), b'\n') => State::Name(0),
-            (State::Value(Header::Length), byte) => {
-                if let Some(digit) = (byte as char).to_digit(10) {
-                    let length = self.length.unwrap_or(0);
-                    self.length = Some(length.saturating_mul(10).saturating_add(u64::from(digit)));
-                }
-                self.state
+        }
+    }
+
+    fn scan_header_value(&mut self, byte: u8, header: Header) -> State {
+        if byte == b'\n' {
+            return START_OF_HEADER;
+        }
+        if header == Header::ContentLength {
+            if let Some(digit) = (byte as char).to_digit(10) {
+                let length = self.content_length.unwrap_or(0);
+                self.content_length = Some(length.saturating_mul(10).saturating_add(u64::from(digit)));
             }
-            (State::Value(_), _) => self.state,
-            (State::Size(0, 1.., _), b'\n') => State::Trailer(0),
-            (State::Size(size, 1.., _), b'\n') => State::Chunk(size + 2),
-            (State::Size(size, digits, false), byte) => match (byte as char).to_digit(16) {
-                Some(digit) if digits < DIGITS => {
-                    State::Size(size * 16 + u64::from(digit), digits + 1, false)
-                }
-                None if digits > 0 && matches!(byte, b'\r' | b';' | b' ' | b'\t') => {
-                    State::Size(size, digits, true)
-                }
-                _ => State::Lost,
-            },
-            (State::Size(size, digits, true), _) => State::Size(size, digits, true),
-            (State::Trailer(0), b'\n') => self.message_ends(),
-            (State::Trailer(_), b'\n') => State::Trailer(0),
-            (State::Trailer(n), b'\r') => State::Trailer(n),
-            (State::Trailer(n), _) => State::Trailer((n + 1).min(2)),
-            (State::Body(_) | State::Chunk(_) | State::Lost, _) => State::Lost,
-        };
-    }
-
-    fn header(&mut self, length: usize) -> Header {
-        match self.name.get(..length) {
-            Some(LENGTH) => {
-                self.length.get_or_insert(0);
-                Header::Length
+        }
+        State::HeaderValue(header)
+    }
+
+    fn recognize_header(&mut self, name_length: usize) -> Header {
+        match self.line_buffer.get(..name_length) {
+            Some(CONTENT_LENGTH) => {
+                self.content_length.get_or_insert(0);
+                Header::ContentLength
             }
-            Some(ENCODING) => {
-                self.encoded = true;
-                Header::Encoding
+            Some(TRANSFER_ENCODING) => {
+                self.has_transfer_encoding = true;
+                Header::TransferEncoding
             }
             _ => Header::Other,
         }
     }
 
-    fn head_ends(&mut self) -> State {
-        self.heads += 1;
-        match (self.answers, self.status) {
-            (false, _) => {}
-            // Another answer follows, or this one has no body.
-            (true, 100 | 102..=199 | 204 | 304) => return self.message_ends(),
-            // To the connection's end, or no answer at all.
-            (true, _) if !self.encoded && self.length.is_none() => return State::Lost,
-            (true, 200..=599) => {}
-            (true, _) => return State::Lost,
+    /// The state behind the empty line that ends a head.
+    fn end_head(&mut self) -> State {
+        self.complete_heads += 1;
+        if self.kind == MessageKind::Responses {
+            match self.status {
+                // Another response follows, or this one has no body.
+                100 | 102..=199 | 204 | 304 => return self.end_message(),
+                // The body goes on to the connection's end, or this is no response at all.
+                _ if !self.has_transfer_encoding && self.content_length.is_none() => return State::Lost,
+                200..=599 => {}
+                _ => return State::Lost,
+            }
         }
-        match (self.encoded, self.length) {
+        match (self.has_transfer_encoding, self.content_length) {
             (true, Some(_)) => {
-                self.ambiguous = Some(self.heads);
+                self.ambiguous_request = Some(self.complete_heads);
                 State::Lost
             }
-            (true, None) => State::Size(0, 0, false),
-            (false, Some(length)) if length > 0 => State::Body(length),
-            (false, _) => self.message_ends(),
+            (true, None) => START_OF_CHUNK_SIZE,
+            (false, Some(length)) if length > 0 => State::Body { remaining: length },
+            (false, _) => self.end_message(),
         }
     }
 }
 
+fn scan_chunk_size(byte: u8, size: u64, digits: u32) -> State {
+    if byte == b'\n' && digits > 0 {
+        return end_chunk_size(size);
+    }
+    match (byte as char).to_digit(16) {
+        Some(digit) if digits < MAX_CHUNK_SIZE_DIGITS => {
+            State::ChunkSize { size: size * 16 + u64::from(digit), digits: digits + 1 }
+        }
+        None if digits > 0 && matches!(byte, b'\r' | b';' | b' ' | b'\t') => State::ChunkExtension { size },
+        _ => State::Lost,
+    }
+}
+
+/// The state behind the line with a chunk's size. A chunk of size 0 is the last.
+fn end_chunk_size(size: u64) -> State {
+    match size {
+        0 => State::TrailerLineStart,
+        _ => State::Chunk { remaining: size + CHUNK_LINE_END_BYTES },
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/gateway/src/transport/message_framing/tests.rs
+++ b/crates/gateway/src/transport/message_framing/tests.rs
@@ -1,40 +1,42 @@
+//! Tests of finding messages in a stream, however it is cut.
+
 use super::*;
 use proptest::prelude::*;
 
 const PLAIN: &str = "POST /a HTTP/1.1\r\nContent-LENGTH: 4\r\nX-Note: content-length: 9\r\n\r\nbody";
-const NONE: &str = "GET /a HTTP/1.1\r\nX-Content-Length: 7\r\n\r\n";
+const NO_BODY: &str = "GET /a HTTP/1.1\r\nX-Content-Length: 7\r\n\r\n";
 const CHUNKED: &str =
     "\r\nPOST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n4;x=y\r\nGET \r\n0a\r\n0123456789\r\n0\r\nContent-Length: 3\r\n\r\n";
-const BOTH: [&str; 2] = [
+const AMBIGUOUS: [&str; 2] = [
     "POST /a HTTP/1.1\r\ntransfer-encoding: chunked\r\ncontent-length: 4\r\n\r\n",
     "POST /a HTTP/1.1\nContent-Length: 4\nTRANSFER-ENCODING: chunked\n\n",
 ];
 
 #[test]
-fn a_head_that_says_both_is_told_and_nothing_behind_it_is_believed() {
-    for both in BOTH {
+fn a_head_with_both_headers_is_ambiguous_and_so_is_all_behind_it() {
+    for both in AMBIGUOUS {
         let mut framing = MessageFraming::default();
-        framing.take(&mut [PLAIN, CHUNKED, NONE, both, PLAIN].concat().into_bytes());
+        framing.strip_chunk_extensions(&mut [PLAIN, CHUNKED, NO_BODY, both, PLAIN].concat().into_bytes());
         let plain: Vec<bool> = (1..=6).map(|n| framing.is_plain(n)).collect();
         assert_eq!(plain, [true, true, true, false, false, false], "{both:?}");
     }
 }
 
 #[test]
-fn what_hides_in_a_body_is_no_head() {
+fn a_head_inside_a_body_does_not_count() {
     let mut framing = MessageFraming::default();
-    framing.take(
+    framing.strip_chunk_extensions(
         &mut b"POST /a HTTP/1.1\r\nContent-Length: 31\r\n\r\nGET /b HTTP/1.1\r\nHost: hidden\r\n\r\n"
             .to_vec(),
     );
-    assert_eq!(framing.heads, 1);
-    framing.take(&mut b"GET /c HTTP/1.1\r\n".to_vec());
+    assert_eq!(framing.complete_heads, 1);
+    framing.strip_chunk_extensions(&mut b"GET /c HTTP/1.1\r\n".to_vec());
     assert!(!framing.is_plain(2), "not whole");
-    framing.take(&mut b"\r\n".to_vec());
+    framing.strip_chunk_extensions(&mut b"\r\n".to_vec());
     assert!(framing.is_plain(2));
 }
 
-const ANSWERS: [&str; 6] = [
+const RESPONSES: [&str; 6] = [
     "HTTP/1.1 200 Fine\r\nContent-Length: 4\r\n\r\nbody",
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=y\r\n4;x=\r\n0;z\r\n\r\n",
     "HTTP/1.1 204 Nothing\r\nContent-Length: 9\r\n\r\n",
@@ -44,13 +46,15 @@
     "noise\r\nTransfer-Encoding: chunked\r\n\r\n4;x=y\r\n",
 ];
 
-/// What is left of a text that comes in pieces of these lengths, by turns.
-fn cut_up(framing: &mut MessageFraming, whole: &str, cuts: &[usize]) -> String {
-    let (mut rest, mut cut, mut passed) = (whole.as_bytes(), cuts.iter().cycle(), Vec::new());
+/// What is left of a text that arrives in pieces of these lengths, by turns.
+fn strip_in_pieces(framing: &mut MessageFraming, whole: &str, cuts: &[usize]) -> String {
+    let mut rest = whole.as_bytes();
+    let mut cut = cuts.iter().cycle();
+    let mut passed = Vec::new();
     while !rest.is_empty() {
         let (piece, behind) = rest.split_at((*cut.next().expect("endless")).min(rest.len()));
         let mut piece = piece.to_vec();
-        let kept = framing.take(&mut piece);
+        let kept = framing.strip_chunk_extensions(&mut piece);
         passed.extend_from_slice(&piece[..kept]);
         rest = behind;
     }
@@ -58,32 +62,32 @@
 }
 
 proptest! {
-    /// The extensions of an answer's chunks are all that is ever left out, however it is cut.
+    /// The extensions of a response's chunks are all that is ever stripped, however it is cut.
     #[test]
-    fn answers_lose_nothing_but_extensions(kinds in prop::collection::vec(0usize..6, 0..8), cuts in prop::collection::vec(1usize..30, 1..20)) {
-        let whole: String = kinds.iter().map(|kind| ANSWERS[*kind]).collect();
+    fn responses_lose_nothing_but_extensions(kinds in prop::collection::vec(0usize..6, 0..8), cuts in prop::collection::vec(1usize..30, 1..20)) {
+        let whole: String = kinds.iter().map(|kind| RESPONSES[*kind]).collect();
         let mut framing = MessageFraming::for_responses();
-        let passed = cut_up(&mut framing, &whole, &cuts);
+        let passed = strip_in_pieces(&mut framing, &whole, &cuts);
         let followed = kinds.iter().position(|kind| *kind > 3).unwrap_or(kinds.len());
         let (followed, lost) = kinds.split_at(followed);
-        let text = |kinds: &[usize]| kinds.iter().map(|kind| ANSWERS[*kind]).collect::<String>();
+        let text = |kinds: &[usize]| kinds.iter().map(|kind| RESPONSES[*kind]).collect::<String>();
         let wanted = text(followed).replace("\n4;x=y", "\n4").replace("\n0;z", "\n0") + &text(lost);
         prop_assert_eq!(passed, wanted);
     }
 
     /// However a stream is cut, the same is seen; the model is the list of messages that it was made of.
     #[test]
-    fn cuts_change_nothing(kinds in prop::collection::vec(0usize..5, 0..12), cuts in prop::collection::vec(1usize..40, 1..20)) {
-        let messages: Vec<&str> = kinds.iter().map(|kind| [PLAIN, NONE, CHUNKED, BOTH[0], BOTH[1]][*kind]).collect();
+    fn cuts_do_not_change_what_is_seen(kinds in prop::collection::vec(0usize..5, 0..12), cuts in prop::collection::vec(1usize..40, 1..20)) {
+        let messages: Vec<&str> = kinds.iter().map(|kind| [PLAIN, NO_BODY, CHUNKED, AMBIGUOUS[0], AMBIGUOUS[1]][*kind]).collect();
         let whole = messages.concat();
         let mut framing = MessageFraming::default();
-        let passed = cut_up(&mut framing, &whole, &cuts);
-        let spoilt = kinds.iter().position(|kind| *kind > 2).map_or(kinds.len(), |at| at);
+        let passed = strip_in_pieces(&mut framing, &whole, &cuts);
+        let plain_count = kinds.iter().position(|kind| *kind > 2).map_or(kinds.len(), |at| at);
         for number in 1..=kinds.len() {
-            prop_assert_eq!(framing.is_plain(number as u64), number <= spoilt, "{}", number);
+            prop_assert_eq!(framing.is_plain(number as u64), number <= plain_count, "{}", number);
         }
-        // All that is left out is the extension, where it was followed.
-        let (followed, lost) = messages.split_at(spoilt);
+        // All that is stripped is the extension, where messages can be followed.
+        let (followed, lost) = messages.split_at(plain_count);
         let wanted = followed.concat().replace("4;x=y", "4") + &lost.concat();
         prop_assert_eq!(passed, wanted);
     }
@@ -91,10 +95,11 @@
     /// However requests are written, their ends are seen with their last byte and not before.
     #[test]
     fn the_end_of_each_message_is_its_last_byte(kinds in prop::collection::vec(0usize..3, 1..8), cuts in prop::collection::vec(1usize..40, 1..20)) {
-        let messages: Vec<&str> = kinds.iter().map(|kind| [PLAIN, NONE, CHUNKED][*kind]).collect();
+        let messages: Vec<&str> = kinds.iter().map(|kind| [PLAIN, NO_BODY, CHUNKED][*kind]).collect();
         let ends: Vec<usize> = messages.iter().scan(0, |at, m| { *at += m.len(); Some(*at) }).collect();
         let whole = messages.concat();
-        let (mut framing, mut at) = (MessageFraming::default(), 0);
+        let mut framing = MessageFraming::default();
+        let mut at = 0;
         for cut in cuts.iter().cycle() {
             let to = (at + cut).min(whole.len());
             framing.follow(&whole.as_bytes()[at..to]);
@@ -105,15 +110,15 @@
                 break;
             }
         }
-        framing.follow(BOTH[0].as_bytes());
-        prop_assert_eq!(framing.messages(), None, "nobody knows");
+        framing.follow(AMBIGUOUS[0].as_bytes());
+        prop_assert_eq!(framing.messages(), None, "it can't be followed");
     }
 
-    /// Nothing that comes makes it panic.
+    /// No input causes a panic.
     #[test]
-    fn noise_is_survived(mut bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn noise_does_not_cause_a_panic(mut bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let length = bytes.len();
-        prop_assert!(MessageFraming::default().take(&mut bytes.clone()) <= length);
-        prop_assert!(MessageFraming::for_responses().take(&mut bytes) <= length);
+        prop_assert!(MessageFraming::default().strip_chunk_extensions(&mut bytes.clone()) <= length);
+        prop_assert!(MessageFraming::for_responses().strip_chunk_extensions(&mut bytes) <= length);
     }
 }
--- a/crates/gateway/src/transport/stream.rs
+++ b/crates/gateway/src/transport/stream.rs
@@ -1,9 +1,9 @@
-//! A TCP stream that never takes a short read or write for the end of what the kernel has or takes.
+//! A TCP stream that reads and writes on until the kernel says "would block".
 //!
-//! The poller tells of a change once. The runtime's own stream forgets that a socket is ready as soon as a call moves less than it
-//! was asked to, which saves a call that would only answer "would block". Linux promises no such thing: a read ends early at a byte
-//! sent out of band, either call at a signal. What is left would then wait for a change that never comes. Here readiness is
-//! forgotten only when the kernel says "would block", and a call that was interrupted is made again.
+//! The poller reports a change once. The runtime's own stream clears a socket's readiness as soon as a call moves fewer bytes than it
+//! was asked to, which saves a call that would only return "would block". Linux does not promise that: a read ends early at a byte
+//! sent out of band, and either call at a signal. The bytes left would then wait for a change that never comes, and the connection
+//! would hang. Here readiness is cleared only by "would block", and an interrupted call is made again.
 
 use std::io;
 use std::pin::Pin;
@@ -11,7 +11,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Reads what there is into the buffer; nothing where the other side has ended its sending.
+/// Reads available bytes into the buffer; none where the peer has shut its sending side down.
 pub fn poll_read(stream: &TcpStream, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(cx))?;
@@ -22,32 +22,32 @@
     }
 }
 
-/// Has `put` write to the stream, and gives how much the kernel took.
+/// Writes to the stream with `write`; returns how many bytes the kernel took.
 pub fn poll_write(
     stream: &TcpStream,
     cx: &mut Context<'_>,
-    put: impl Fn(&TcpStream) -> io::Result<usize>,
+    write: impl Fn(&TcpStream) -> io::Result<usize>,
 ) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(cx))?;
-        match put(stream) {
+        match write(stream) {
             Err(error) if is_transient(&error) => {}
             written => return Poll::Ready(written),
         }
     }
 }
 
-/// Whether the call is to be made again: at once where it was interrupted, else once the socket is ready again.
+/// Whether the call is to be made again: at once where it was interrupted, or when the socket is ready again.
 pub fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// The stream, for what reads and writes through the runtime's traits.
+/// Such a stream behind the runtime's I/O traits.
 #[derive(Debug)]
 pub struct Stream(TcpStream);
 
 impl Stream {
-    /// This stream.
+    /// Wraps a connected stream.
     pub fn new(stream: TcpStream) -> Stream {
         Stream(stream)
     }
@@ -80,7 +80,7 @@
         true
     }
 
-    /// What is written goes to the kernel at once.
+    /// Does nothing: each write goes to the kernel at once.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- /dev/null
+++ b/crates/gateway/src/transport/system_errors/tests.rs
@@ -0,0 +1,29 @@
+//! Tests of the meaning of system errors.
+
+use super::*;
+
+fn error(errno: Errno) -> io::Error {
+    io::Error::from_raw_os_error(errno.raw_os_error())
+}
+
+#[test]
+fn only_a_lack_of_resources_closes_idle_connections_after_an_accept() {
+    for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
+        assert_eq!(accept_failure(&error(errno)), AcceptFailure::NoRoom, "{errno}");
+    }
+    for errno in [Errno::CONNABORTED, Errno::INTR, Errno::PROTO, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
+        assert_eq!(accept_failure(&error(errno)), AcceptFailure::OneConnection, "{errno}");
+    }
+    assert_eq!(accept_failure(&error(Errno::PERM)), AcceptFailure::Passing);
+    assert_eq!(accept_failure(&io::Error::other("no number")), AcceptFailure::Passing);
+}
+
+#[test]
+fn only_the_endpoints_own_failures_count_against_it() {
+    for errno in [Errno::CONNREFUSED, Errno::CONNRESET, Errno::TIMEDOUT, Errno::HOSTUNREACH] {
+        assert!(!is_own_connect_failure(&error(errno)), "{errno}");
+    }
+    for errno in [Errno::NETUNREACH, Errno::ADDRNOTAVAIL, Errno::NFILE, Errno::NOBUFS, Errno::CONNABORTED] {
+        assert!(is_own_connect_failure(&error(errno)), "{errno}");
+    }
+}
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -149,7 +149,7 @@
                 if !request_written {
                     return Err(AttemptEnd::ConnectionFailed);
                 }
-                let first_byte_at = connection.marks.read_since.get().unwrap_or_else(Instant::now);
+                let first_byte_at = connection.timestamps.read_since.get().unwrap_or_else(Instant::now);
                 let mut headers = head.headers;
                 strip_hop_by_hop(&mut headers);
                 return Ok(Exchanged::Streaming(Box::new(StreamingResponse {
@@ -201,8 +201,8 @@
         let informational = Arc::new(AtomicBool::new(false));
         let informational_flag = informational.clone();
         on_informational(&mut request, move |_| informational_flag.store(true, Ordering::Relaxed));
-        let timestamps = connection.marks.clone();
-        timestamps.begin(attempt.write_by);
+        let timestamps = connection.timestamps.clone();
+        timestamps.begin_request(attempt.write_by);
         progress.timestamps.replace(Some(timestamps.clone()));
         let started_at = Instant::now();
         let sending = connection.sender.send_request(request);
@@ -229,7 +229,7 @@
         let connection_closed = wait.connection_closed;
         let request_written = wait.request_written;
         let response = response.ok_or(AttemptEnd::ConnectionFailed)?.map_err(|_| {
-            if timestamps.is_late() {
+            if timestamps.is_past_write_deadline() {
                 AttemptEnd::Withheld
             } else {
                 AttemptEnd::ConnectionFailed
@@ -263,7 +263,7 @@
 impl ExchangeProgress {
     fn write_progress(&self) -> WriteProgress {
         let timestamps = self.timestamps.borrow();
-        timestamps.as_ref().map_or(WriteProgress::Nothing, |timestamps| timestamps.written.get())
+        timestamps.as_ref().map_or(WriteProgress::Nothing, |timestamps| timestamps.write_progress.get())
     }
 
     fn into_result(self, outcome: Outcome, response: Option<UpstreamResponse>) -> AttemptResult {
--- a/crates/gateway/src/upstream/connect.rs
+++ b/crates/gateway/src/upstream/connect.rs
@@ -64,7 +64,7 @@
         let deadline = deadline.min(Instant::now() + self.settings.borrow().dial_timeout);
         let stream = connect_with_retry(|| TcpStream::connect(address), deadline).await?;
         let _ = stream.set_nodelay(true);
-        let (stream, marks) = InstrumentedStream::new(stream);
+        let (stream, timestamps) = InstrumentedStream::new(stream);
         let (stream, _) = stream.tracking_requests().with_framing(MessageFraming::for_responses());
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_BUFFER);
@@ -75,7 +75,7 @@
             address,
             sender,
             driver: Box::pin(driver),
-            marks,
+            timestamps,
             idle_since: Instant::now(),
             _permit: permit,
         })
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -23,7 +23,7 @@
     pub(super) address: SocketAddr,
     pub(super) sender: SendRequest<RequestBody>,
     pub(super) driver: Pin<Box<http1::Connection<TokioIo<InstrumentedStream>, RequestBody>>>,
-    pub(super) marks: Rc<IoTimestamps>,
+    pub(super) timestamps: Rc<IoTimestamps>,
     /// When the connection was put into the pool, or opened.
     pub(super) idle_since: Instant,
     pub(super) _permit: DescriptorPermit,
@@ -37,15 +37,15 @@
 
     /// Whether the endpoint has left it open and sent nothing beyond its responses, as far as the kernel knows now.
     pub(super) async fn is_open(&mut self) -> bool {
-        self.marks.idle.set(true);
+        self.timestamps.is_idle.set(true);
         let is_closed = poll_fn(|cx| Poll::Ready(self.driver.as_mut().poll(cx).is_ready())).await;
-        self.marks.idle.set(false);
+        self.timestamps.is_idle.set(false);
         !is_closed && self.sender.is_ready()
     }
 
     /// Whether nothing has been read since it was put into the pool. Then it ended by the endpoint's close, and not by stray bytes
     /// behind a response.
     pub(super) fn was_silent(&self) -> bool {
-        self.marks.last_read.get().is_none_or(|at| at <= self.idle_since)
+        self.timestamps.last_read.get().is_none_or(|at| at <= self.idle_since)
     }
 }
--- a/crates/gateway/src/upstream/response_wait.rs
+++ b/crates/gateway/src/upstream/response_wait.rs
@@ -69,7 +69,7 @@
 
     /// Reports once that the request's last byte has been written.
     fn report_written(&mut self) {
-        if self.request_written || self.timestamps.written.get() != WriteProgress::Complete {
+        if self.request_written || self.timestamps.write_progress.get() != WriteProgress::Complete {
             return;
         }
         self.request_written = true;
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::body::ForwardedRequest;
 use crate::transport::client_liveness::ClientLiveness;
-use crate::transport::descriptor_budget::DescriptorBudget;
+use crate::transport::descriptor_budget::{AdminApi, DescriptorBudget};
 use hyper::HeaderMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 fn pool(keep_alive: Duration, load_report_fields: LoadReportFields) -> ConnectionPool {
     let settings =
         ConnectionSettings { dial_timeout: Duration::from_secs(5), keep_alive, load_report_fields };
-    let budget = DescriptorBudget::new(&Default::default(), false);
+    let budget = DescriptorBudget::new(&Default::default(), AdminApi::Disabled);
     ConnectionPool::new(budget.upstream, settings, Rc::default())
 }
 
