--- /dev/null
+++ b/crates/gateway/src/body/request_body.rs
@@ -0,0 +1,167 @@
+//! A client's request as it is forwarded, and its body as it is written to an endpoint.
+
+use super::buffered_frame;
+use super::streaming_upload::StreamingUpload;
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use hyper::header::HeaderMap;
+use hyper::{Method, Uri};
+use std::future::Future;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::time::{sleep, Instant, Sleep};
+use weldworks_control::body_streaming::{BodyError, TransferState};
+
+/// How long the end of a body is held back where the client may have disconnected: the kernel reports a close only once all bytes
+/// before it have been read.
+const CLOSE_DETECTION_DELAY: Duration = Duration::from_millis(5);
+
+/// A client's request as it is forwarded to an endpoint.
+#[derive(Debug)]
+pub struct ForwardedRequest {
+    /// Its method.
+    pub method: Method,
+    /// Its path and query.
+    pub uri: Uri,
+    /// Its end-to-end headers.
+    pub headers: HeaderMap,
+    /// Its body.
+    pub body: RequestPayload,
+}
+
+/// A request's body, from which each attempt takes its own.
+#[derive(Debug)]
+pub enum RequestPayload {
+    /// All of it.
+    Buffered(Bytes),
+    /// A body that is still arriving, for one attempt only.
+    Streaming(Rc<StreamingUpload>),
+}
+
+impl Default for RequestPayload {
+    fn default() -> RequestPayload {
+        RequestPayload::Buffered(Bytes::new())
+    }
+}
+
+/// A request's body as one attempt writes it.
+pub enum RequestBody {
+    /// All of it; empty once it has been written.
+    Buffered(Bytes),
+    /// A body that is streamed while it arrives.
+    Streaming(StreamingRequestBody),
+}
+
+/// A streamed request body as it is written to an endpoint.
+pub struct StreamingRequestBody {
+    upload: Rc<StreamingUpload>,
+    /// Fires when the next piece is overdue, or a held-back end may go on.
+    timer: Pin<Box<Sleep>>,
+    held_back: Option<HeldBackEnd>,
+    /// Whether the client was seen to be connected after the whole body was read.
+    client_confirmed: bool,
+}
+
+/// The end of a body, held back until the client has been looked for.
+struct HeldBackEnd {
+    last_piece: Option<Bytes>,
+}
+
+impl RequestBody {
+    /// The body for one attempt.
+    pub fn new(payload: &RequestPayload) -> RequestBody {
+        match payload {
+            RequestPayload::Buffered(bytes) => RequestBody::Buffered(bytes.clone()),
+            RequestPayload::Streaming(upload) => RequestBody::Streaming(StreamingRequestBody {
+                upload: upload.clone(),
+                timer: Box::pin(sleep(Duration::ZERO)),
+                held_back: None,
+                client_confirmed: false,
+            }),
+        }
+    }
+}
+
+impl StreamingRequestBody {
+    fn poll_frame(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        if self.held_back.is_none() {
+            if let Poll::Ready(piece) = self.upload.poll_data(cx) {
+                let piece = match piece.transpose() {
+                    Err(error) => return Poll::Ready(Some(Err(error))),
+                    Ok(piece) => piece,
+                };
+                if !self.must_confirm_client() {
+                    return Poll::Ready(data_frame(piece));
+                }
+                self.timer.as_mut().reset(Instant::now() + CLOSE_DETECTION_DELAY);
+                self.held_back = Some(HeldBackEnd { last_piece: piece });
+            }
+        }
+        if self.held_back.is_some() {
+            self.poll_held_back(cx)
+        } else {
+            self.poll_overdue(cx)
+        }
+    }
+
+    /// Whether the body is complete and its client may have disconnected before it was read.
+    fn must_confirm_client(&self) -> bool {
+        let is_complete = self.upload.state() == TransferState::Complete;
+        !self.client_confirmed && is_complete && self.upload.may_be_abandoned()
+    }
+
+    /// Lets the end go on after its delay, where the client is still connected.
+    fn poll_held_back(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        ready!(self.timer.as_mut().poll(cx));
+        if !self.upload.client.is_connected() {
+            return Poll::Ready(Some(Err(self.upload.fail_incomplete())));
+        }
+        self.client_confirmed = true;
+        let last_piece = self.held_back.take().and_then(|end| end.last_piece);
+        Poll::Ready(data_frame(last_piece))
+    }
+
+    /// Fails the body once the client takes too long to send more of it.
+    fn poll_overdue(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        let deadline = self.upload.client_deadline();
+        if self.timer.deadline() != deadline {
+            self.timer.as_mut().reset(deadline);
+        }
+        ready!(self.timer.as_mut().poll(cx));
+        Poll::Ready(Some(Err(self.upload.fail_incomplete())))
+    }
+}
+
+fn data_frame(data: Option<Bytes>) -> Option<Result<Frame<Bytes>, BodyError>> {
+    data.map(|data| Ok(Frame::data(data)))
+}
+
+impl Body for RequestBody {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        match &mut *self {
+            RequestBody::Buffered(bytes) => buffered_frame(bytes),
+            RequestBody::Streaming(streaming) => streaming.poll_frame(cx),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        matches!(self, RequestBody::Buffered(bytes) if bytes.is_empty())
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            RequestBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            RequestBody::Streaming(streaming) => {
+                streaming.upload.length.map_or_else(SizeHint::default, SizeHint::with_exact)
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/body/streaming_upload.rs
@@ -0,0 +1,189 @@
+//! A client's body that is streamed to an endpoint while it arrives.
+
+use crate::metrics::CountedRequest;
+use crate::transport::client_liveness::ClientLiveness;
+use crate::transport::instrumented_stream::IoTimestamps;
+use bytes::Bytes;
+use hyper::body::{Body, Incoming};
+use std::cell::{Cell, RefCell};
+use std::future::poll_fn;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::time::{timeout, Instant};
+use weldworks_control::body_streaming::{BodyError, BodyTransfer, TransferState};
+
+/// How long the last byte may have waited unread before the client has to be looked for: the unread bytes may be all that the client
+/// wrote before it disconnected. An attempt begins with the last byte, and none may begin more than 0.1 s after its client has
+/// disconnected.
+const MAX_UNREAD_BEFORE_CLIENT_CHECK: Duration = Duration::from_millis(50);
+
+/// A wait of at least this long shows that what ends it arrived just then. What is there sooner may have lain unread.
+const MIN_WAIT_FOR_FRESH_DATA: Duration = Duration::from_millis(20);
+
+/// What a streamed body is made of.
+pub struct UploadSource {
+    /// The part that has been read.
+    pub buffered: Bytes,
+    /// The rest.
+    pub rest: Incoming,
+    /// The length of the whole in bytes, where the request states it.
+    pub length: Option<u64>,
+    /// How long the client waits for an answer, from its last byte on.
+    pub client_timeout: Duration,
+    /// Counts the request as open from its last byte on.
+    pub counted: CountedRequest,
+    /// The client.
+    pub client: Rc<ClientLiveness>,
+    /// The I/O on the client's connection.
+    pub timestamps: Rc<IoTimestamps>,
+}
+
+/// A client's body that is streamed while it arrives.
+#[derive(Debug)]
+pub struct StreamingUpload {
+    /// What was read of it before it was forwarded.
+    buffered: RefCell<Option<Bytes>>,
+    rest: RefCell<Incoming>,
+    pub(super) length: Option<u64>,
+    /// The zero of the transfer's times.
+    pub(super) start: Instant,
+    pub(super) transfer: RefCell<BodyTransfer>,
+    /// How long the client waits for an answer, from its last byte on.
+    pub client_timeout: Duration,
+    pub(super) client: Rc<ClientLiveness>,
+    timestamps: Rc<IoTimestamps>,
+    /// Since when more data is waited for.
+    waiting_since: Cell<Option<Instant>>,
+    /// When data last arrived after a wait.
+    fresh_data_at: Cell<Option<Instant>>,
+    /// Counts the request as open from its last byte on.
+    counted: RefCell<Option<CountedRequest>>,
+}
+
+impl StreamingUpload {
+    /// A body of which the first part has been read.
+    pub fn new(source: UploadSource) -> StreamingUpload {
+        StreamingUpload {
+            transfer: RefCell::new(BodyTransfer::new(source.buffered.len() as u64)),
+            buffered: RefCell::new(Some(source.buffered)),
+            rest: RefCell::new(source.rest),
+            length: source.length,
+            start: Instant::now(),
+            client_timeout: source.client_timeout,
+            client: source.client,
+            timestamps: source.timestamps,
+            waiting_since: Cell::new(None),
+            fresh_data_at: Cell::new(None),
+            counted: RefCell::new(Some(source.counted)),
+        }
+    }
+
+    /// The data that was read last arrived after this moment, and with it perhaps the last byte: while nobody reads, nobody knows.
+    pub fn last_byte_not_before(&self) -> Instant {
+        let known = [self.timestamps.received_after.get(), self.fresh_data_at.get()];
+        known.into_iter().flatten().fold(self.start, Instant::max)
+    }
+
+    /// How long the client still waits, at least.
+    pub fn time_left(&self) -> Duration {
+        self.client_timeout.saturating_sub(self.last_byte_not_before().elapsed())
+    }
+
+    /// Whether the last byte may have waited so long that the client has disconnected since.
+    pub(super) fn may_be_abandoned(&self) -> bool {
+        self.last_byte_not_before().elapsed() >= MAX_UNREAD_BEFORE_CLIENT_CHECK
+    }
+
+    /// Takes what counts the request, for whoever ends it.
+    pub fn take_counted_request(&self) -> Option<CountedRequest> {
+        self.counted.take()
+    }
+
+    /// Reads and drops the rest for up to `limit`: a client that is still writing would otherwise be cut off before it has read that
+    /// its request is over.
+    pub async fn discard(&self, limit: Duration) {
+        if self.state() == TransferState::Complete {
+            return;
+        }
+        let rest = poll_fn(|cx| loop {
+            // Each borrow ends before anything else runs.
+            match ready!(Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx)) {
+                Some(Ok(_)) => {}
+                _ => return Poll::Ready(()),
+            }
+        });
+        let _ = timeout(limit, rest).await;
+    }
+
+    /// The state of the transfer.
+    pub fn state(&self) -> TransferState {
+        self.transfer.borrow().state()
+    }
+
+    /// By when the endpoint must take more of the body, where it is the endpoint that is waited for.
+    pub fn endpoint_deadline(&self) -> Option<Instant> {
+        Some(self.start + self.transfer.borrow().endpoint_deadline()?)
+    }
+
+    /// By when the client must send more of the body.
+    pub(super) fn client_deadline(&self) -> Instant {
+        self.start + self.transfer.borrow_mut().client_deadline(self.start.elapsed())
+    }
+
+    /// Marks the transfer failed because its body is incomplete.
+    pub(super) fn fail_incomplete(&self) -> BodyError {
+        self.transfer.borrow_mut().fail(BodyError::Incomplete)
+    }
+
+    /// The next piece of the body; none at its end.
+    pub(super) fn poll_data(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+        let now = self.start.elapsed();
+        let mut transfer = self.transfer.borrow_mut();
+        transfer.record_demand(now);
+        if let Some(buffered) = self.buffered.take() {
+            self.record_end_if_reached(&mut transfer);
+            return Poll::Ready(Some(Ok(buffered)));
+        }
+        loop {
+            let frame = Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx);
+            self.record_wait(&frame);
+            let data = match ready!(frame) {
+                None => {
+                    self.record_end_if_reached(&mut transfer);
+                    return Poll::Ready(None);
+                }
+                Some(Err(_)) => return Poll::Ready(Some(Err(transfer.fail(BodyError::Incomplete)))),
+                Some(Ok(frame)) => frame.into_data(),
+            };
+            let Ok(data) = data else { continue }; // trailers belong to the client's connection
+            let received = transfer.record_received(now, data.len() as u64).map(|()| data);
+            if received.is_ok() {
+                self.record_end_if_reached(&mut transfer);
+            }
+            return Poll::Ready(Some(received));
+        }
+    }
+
+    /// Records how long data has been waited for, and when it arrived after a wait. Data that is there at once may have lain unread.
+    fn record_wait<T>(&self, frame: &Poll<T>) {
+        let now = Instant::now();
+        if frame.is_pending() {
+            self.waiting_since.set(self.waiting_since.get().or(Some(now)));
+        } else if self.waiting_since.take().is_some_and(|since| now - since >= MIN_WAIT_FOR_FRESH_DATA) {
+            self.fresh_data_at.set(Some(now));
+        }
+    }
+
+    /// Records the end of the body where it has been reached. A body of known length ends with its last byte: nobody polls further.
+    fn record_end_if_reached(&self, transfer: &mut BodyTransfer) {
+        if !self.rest.borrow().is_end_stream() || transfer.state() == TransferState::Complete {
+            return;
+        }
+        transfer.record_end();
+        if let Some(counted) = &mut *self.counted.borrow_mut() {
+            counted.mark_open();
+        }
+    }
+}
--- a/crates/gateway/src/engine/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -127,8 +127,8 @@
         let Some(metrics) = &self.metrics else { return };
         let present = self.listed_endpoints.iter().filter(|e| e.state != EndpointState::Removed).count();
         let avoided = self.balancer.avoided_endpoint_count(self.handle.balancer_time(Instant::now()));
-        metrics.cluster_size.set(present as u64);
-        metrics.cluster_unhealthy.set(avoided as u64);
+        metrics.listed_endpoints.set(present as u64);
+        metrics.avoided_endpoints.set(avoided as u64);
         self.timers.push(Instant::now() + ENDPOINT_METRICS_INTERVAL, Timer::EndpointMetrics);
     }
 }
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -3,6 +3,7 @@
 use super::service_state::ServiceState;
 use crate::config::platform_file::Config;
 use crate::engine::message::{EngineHandle, Message, Reconfiguration};
+use crate::metrics::ReloadOutcome;
 use crate::server::http::{RequestSettings, Server};
 use serde_json::Value;
 use std::rc::Rc;
@@ -28,7 +29,8 @@
     pub(super) async fn run(mut self, mut hang_up: Signal) {
         while hang_up.recv().await.is_some() {
             let config = Config::reload(&self.document);
-            self.service.metrics.record_reload(config.is_ok());
+            let outcome = if config.is_ok() { ReloadOutcome::Applied } else { ReloadOutcome::Rejected };
+            self.service.metrics.record_reload(outcome);
             match config {
                 Ok(config) => self.apply(config),
                 Err(error) => {
--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,20 +1,19 @@
-//! What the process may use, and the sizes of what passes through it.
+//! The limits of this process, and of the sizes of what it forwards.
 
 use serde::Deserialize;
 
-pub use weldworks_control::body_streaming::{
-    MAX_BODY_BYTES as MAX_LARGE, MAX_BUFFERED_BODY_BYTES as MAX_BODY,
-};
-/// The most that is read ahead of a head or body on one connection.
-pub const MAX_BUFFER: usize = 32 << 10;
+pub use weldworks_control::body_streaming::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
+
+/// Most that is read ahead of a head or body on one connection, in bytes.
+pub const MAX_READ_AHEAD_BYTES: usize = 32 << 10;
 
 /// The limits that the platform sets this process.
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory, in MB.
+    /// Memory, in mebibytes; 192 by default.
     pub memory_mb: usize,
-    /// Descriptors.
+    /// File descriptors; 1024 by default.
     pub sockets: usize,
 }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,6 @@
-//! The figures: what this process has done and how it stands, counted where it happens and read at the second address.
+//! The metrics of this process, counted where things happen and read as text over the admin API.
+//!
+//! The names in the text are those that operators' scrapers read. They are mapped to the fields in [`Metrics::text`] alone.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -6,48 +8,51 @@
 use std::rc::Rc;
 use weldworks_control::class_registry::RegisteredClass;
 
-/// A request that is open: counted for as long as this lives.
+/// Capacity that the text starts with, in bytes.
+const INITIAL_TEXT_BYTES: usize = 2048;
+
+/// An open request, counted for as long as this lives.
 #[derive(Debug)]
 pub struct OpenRequest(Rc<Metrics>);
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.0.current.set(self.0.current.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
 
-/// A request that is to be counted, once, when it ends. One that goes without has lost its client, and counts as nothing.
+/// A request that is counted, once, when it ends. One that is dropped before has lost its client, and is not counted.
 #[derive(Debug)]
 pub struct CountedRequest {
-    figures: Rc<Metrics>,
+    metrics: Rc<Metrics>,
     class: Rc<RegisteredClass>,
     open: Option<OpenRequest>,
 }
 
 impl CountedRequest {
-    /// A request of the class; it is not open yet.
-    pub fn new(figures: Rc<Metrics>, class: Rc<RegisteredClass>) -> CountedRequest {
-        CountedRequest { figures, class, open: None }
+    /// A request of the class, which is not open yet.
+    pub fn new(metrics: Rc<Metrics>, class: Rc<RegisteredClass>) -> CountedRequest {
+        CountedRequest { metrics, class, open: None }
     }
 
-    /// Its last byte has come.
+    /// Counts the request as open, once its last byte has arrived.
     pub fn mark_open(&mut self) {
         if self.open.is_none() {
-            self.open = Some(self.figures.open_request());
+            self.open = Some(self.metrics.open_request());
         }
     }
 
-    /// It has ended.
-    pub fn finish(self, how: RequestEnding) {
-        self.figures.record_ending(&self.class.name, how);
+    /// Counts the end of the request.
+    pub fn finish(self, ending: RequestEnding) {
+        self.metrics.record_ending(&self.class.name, ending);
     }
 }
 
 impl Drop for CountedRequest {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            self.figures.record_ending(&self.class.name, RequestEnding::Errored);
-            // what the client is told then
+            // The client is answered with status 500.
+            self.metrics.record_ending(&self.class.name, RequestEnding::Failed);
         }
     }
 }
@@ -55,41 +60,47 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnding {
-    /// Served.
-    Answered,
-    /// Refused: trying again is harmless.
-    Deferred,
-    /// Failed.
-    Errored,
+    /// An endpoint served it.
+    Served,
+    /// It was rejected, and may safely be retried.
+    Rejected,
+    /// It failed.
+    Failed,
 }
 
-/// The endings of one class's requests.
+/// What became of a configuration file at a reload.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ReloadOutcome {
+    /// It was applied.
+    Applied,
+    /// It was rejected, and the one before stays in force.
+    Rejected,
+}
+
+/// How many requests of one class ended in which way.
 #[derive(Clone, Copy, Debug, Default)]
-struct Endings {
-    answered: u64,
-    deferred: u64,
-    errored: u64,
+struct EndingCounts {
+    served: u64,
+    rejected: u64,
+    failed: u64,
 }
 
-/// The figures. One owner for all of them; a class that is no longer in the settings keeps its own.
+/// The metrics of this process. A class that is removed from the settings keeps its counts.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    classes: RefCell<BTreeMap<String, Endings>>,
-    current: Cell<u64>,
-    /// Attempts written whole to hosts.
-    pub sends: Cell<u64>,
-    /// Hosts in the list, those that are leaving among them.
-    pub cluster_size: Cell<u64>,
-    /// Listed hosts that the module avoids.
-    pub cluster_unhealthy: Cell<u64>,
-    /// Files taken at SIGHUP.
-    pub conf_loaded: Cell<u64>,
-    /// Files turned down at SIGHUP.
-    pub conf_invalid: Cell<u64>,
+    classes: RefCell<BTreeMap<String, EndingCounts>>,
+    open_requests: Cell<u64>,
+    written_attempts: Cell<u64>,
+    /// Endpoints in the list in force, draining ones included.
+    pub listed_endpoints: Cell<u64>,
+    /// Listed endpoints that the balancer avoids.
+    pub avoided_endpoints: Cell<u64>,
+    applied_reloads: Cell<u64>,
+    rejected_reloads: Cell<u64>,
 }
 
 impl Metrics {
-    /// Has the classes stand there from 0.
+    /// Lists these classes in the text, from 0.
     pub fn register_classes(&self, classes: &[String]) {
         let mut known = self.classes.borrow_mut();
         for class in classes {
@@ -97,135 +108,68 @@
         }
     }
 
-    /// A request has been taken.
+    /// Counts a request as open until the returned guard is dropped.
     pub fn open_request(self: &Rc<Self>) -> OpenRequest {
-        self.current.set(self.current.get() + 1);
+        self.open_requests.set(self.open_requests.get() + 1);
         OpenRequest(self.clone())
     }
 
-    /// A request of a known class has ended.
-    pub fn record_ending(&self, class: &str, how: RequestEnding) {
-        if let Some(endings) = self.classes.borrow_mut().get_mut(class) {
-            *match how {
-                RequestEnding::Answered => &mut endings.answered,
-                RequestEnding::Deferred => &mut endings.deferred,
-                RequestEnding::Errored => &mut endings.errored,
-            } += 1;
+    /// Counts the end of a request; one of a class that is not registered is not counted.
+    pub fn record_ending(&self, class: &str, ending: RequestEnding) {
+        let mut classes = self.classes.borrow_mut();
+        let Some(counts) = classes.get_mut(class) else { return };
+        match ending {
+            RequestEnding::Served => counts.served += 1,
+            RequestEnding::Rejected => counts.rejected += 1,
+            RequestEnding::Failed => counts.failed += 1,
         }
     }
 
-    /// An attempt has been written whole.
-    pub fn record_send(&self) {
-        self.sends.set(self.sends.get() + 1);
+    /// Counts an attempt of which the complete request has been written to an endpoint.
+    pub fn record_written_attempt(&self) {
+        self.written_attempts.set(self.written_attempts.get() + 1);
     }
 
-    /// A file has come with SIGHUP.
-    pub fn record_reload(&self, taken: bool) {
-        let count = if taken { &self.conf_loaded } else { &self.conf_invalid };
+    /// Counts a configuration file that was read again.
+    pub fn record_reload(&self, outcome: ReloadOutcome) {
+        let count = match outcome {
+            ReloadOutcome::Applied => &self.applied_reloads,
+            ReloadOutcome::Rejected => &self.rejected_reloads,
+        };
         count.set(count.get() + 1);
     }
 
-    /// All of them, a line each, as scrapers read them.
+    /// All metrics in the text format that scrapers read, one on each line.
     pub fn text(&self) -> String {
-        let mut text = String::with_capacity(2048);
-        type Of = fn(&Endings) -> u64;
-        let of_classes: [(&str, Of); 3] =
-            [("answered", |e| e.answered), ("deferred", |e| e.deferred), ("errored", |e| e.errored)];
-        for (name, of) in of_classes {
-            for (class, endings) in &*self.classes.borrow() {
-                let _ = writeln!(text, "router_{name}{{group=\"{}\"}} {}", escaped(class), of(endings));
-            }
-        }
-        let single = [
-            ("sends", &self.sends),
-            ("current", &self.current),
-            ("cluster_size", &self.cluster_size),
-            ("cluster_unhealthy", &self.cluster_unhealthy),
-            ("conf_loaded", &self.conf_loaded),
-            ("conf_invalid", &self.conf_invalid),
+        let mut text = String::with_capacity(INITIAL_TEXT_BYTES);
+        self.write_classes(&mut text, "answered", |counts| counts.served);
+        self.write_classes(&mut text, "deferred", |counts| counts.rejected);
+        self.write_classes(&mut text, "errored", |counts| counts.failed);
+        let values = [
+            ("sends", &self.written_attempts),
+            ("current", &self.open_requests),
+            ("cluster_size", &self.listed_endpoints),
+            ("cluster_unhealthy", &self.avoided_endpoints),
+            ("conf_loaded", &self.applied_reloads),
+            ("conf_invalid", &self.rejected_reloads),
         ];
-        for (name, value) in single {
+        for (name, value) in values {
             let _ = writeln!(text, "router_{name} {}", value.get());
         }
         text
     }
+
+    fn write_classes(&self, text: &mut String, name: &str, count: impl Fn(&EndingCounts) -> u64) {
+        for (class, counts) in &*self.classes.borrow() {
+            let _ = writeln!(text, "router_{name}{{group=\"{}\"}} {}", escape_label(class), count(counts));
+        }
+    }
 }
 
-/// A label's value as the text format wants it.
-fn escaped(value: &str) -> String {
+/// Escapes a label's value for the text format.
+fn escape_label(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn every_class_stands_there_from_nothing_and_a_dropped_one_keeps_its_counts() {
-        let figures = Rc::new(Metrics::default());
-        figures.register_classes(&["look".into(), "a \"b\"\n\\".into()]);
-        figures.record_ending("look", RequestEnding::Answered);
-        figures.register_classes(&["pay".into()]);
-        figures.record_ending("nobody's", RequestEnding::Errored);
-        let held = figures.open_request();
-        let text = figures.text();
-        let lines: Vec<&str> = text.lines().collect();
-        assert!(lines.contains(&"router_answered{group=\"look\"} 1"), "{text}");
-        assert!(lines.contains(&"router_errored{group=\"pay\"} 0"));
-        assert!(lines.contains(&"router_deferred{group=\"a \\\"b\\\"\\n\\\\\"} 0"));
-        assert!(lines.contains(&"router_current 1") && !text.contains("nobody"));
-        assert_eq!(lines.len(), 3 * 3 + 6, "a line each");
-        drop(held);
-        assert!(figures.text().contains("router_current 0\n"));
-    }
-
-    /// Scrapers of operators read these names and this order: the text is version 0.2.0's to the letter.
-    #[test]
-    fn the_text_is_that_of_version_0_2_0() {
-        let figures = Rc::new(Metrics::default());
-        figures.register_classes(&["look".into(), "pay".into()]);
-        for ending in [
-            RequestEnding::Answered,
-            RequestEnding::Answered,
-            RequestEnding::Deferred,
-            RequestEnding::Errored,
-        ] {
-            figures.record_ending("pay", ending);
-        }
-        let _open = figures.open_request();
-        figures.record_send();
-        figures.cluster_size.set(12);
-        figures.cluster_unhealthy.set(3);
-        for taken in [true, true, false] {
-            figures.record_reload(taken);
-        }
-        assert_eq!(figures.text(), include_str!("../tests/fixtures/figures.txt"));
-    }
-
-    /// What is being decided when something panics is answered 500, and counts as that.
-    #[test]
-    fn a_request_whose_deciding_panics_has_failed_and_one_whose_client_goes_counts_as_nothing() {
-        let figures = Rc::new(Metrics::default());
-        figures.register_classes(&["look".into()]);
-        let class =
-            weldworks_balancer::RequestClass::new(std::time::Duration::ZERO, std::time::Duration::ZERO);
-        let kept = Rc::new(RegisteredClass { name: "look".into(), number: 0, class });
-        let taken = || {
-            let mut taken = CountedRequest::new(figures.clone(), kept.clone());
-            taken.mark_open();
-            taken
-        };
-        let panics = std::panic::AssertUnwindSafe(|| {
-            let _taken = taken();
-            panic!("on purpose");
-        });
-        assert!(std::panic::catch_unwind(panics).is_err());
-        assert!(figures.text().contains("router_errored{group=\"look\"} 1\n"));
-        drop(taken());
-        let text = figures.text();
-        assert!(
-            text.contains("router_errored{group=\"look\"} 1\n") && text.contains("router_current 0\n"),
-            "{text}"
-        );
-    }
-}
+mod tests;
--- a/crates/gateway/src/server/http/connection.rs
+++ b/crates/gateway/src/server/http/connection.rs
@@ -5,7 +5,7 @@
 use super::response::plain_response;
 use super::Server;
 use crate::body::ResponseBody;
-use crate::limits::MAX_BUFFER;
+use crate::limits::MAX_READ_AHEAD_BYTES;
 use crate::transport::instrumented_stream::InstrumentedStream;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderValue};
@@ -46,8 +46,9 @@
             let client = client.clone();
             async move { Ok::<_, Infallible>(server.answer_on_connection(request, &client).await) }
         });
-        let connection =
-            http1::Builder::new().max_buf_size(MAX_BUFFER).serve_connection(TokioIo::new(stream), service);
+        let connection = http1::Builder::new()
+            .max_buf_size(MAX_READ_AHEAD_BYTES)
+            .serve_connection(TokioIo::new(stream), service);
         // The HTTP library does not notice a close while it has bytes of a next request, or a body that nobody polls. Without this
         // the requests of a client that has disconnected would still be started.
         let disconnected = client.probe.closed();
--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -8,9 +8,11 @@
     answer_response, plain_response, with_connection_close, AnsweredRequest, ConnectionUse,
 };
 use super::Server;
-use crate::body::{buffer_body, ForwardedRequest, RequestPayload, ResponseBody, StreamingUpload};
+use crate::body::{
+    buffer_body, BufferedBody, ForwardedRequest, RequestPayload, ResponseBody, StreamingUpload, UploadSource,
+};
 use crate::engine::message::{Arrival, EngineHandle, FinalAnswer, Message};
-use crate::limits::MAX_BODY;
+use crate::limits::MAX_BUFFERED_BODY_BYTES;
 use crate::metrics::{CountedRequest, RequestEnding};
 use crate::transport::client_liveness::ClientLiveness;
 use bytes::Bytes;
@@ -110,7 +112,7 @@
     /// waiting here would keep out those that come next.
     fn reject_overflow(&self, headers: &HeaderMap) -> Response<ResponseBody> {
         if let Some(class) = header_text(headers, "x-priority-class") {
-            self.service.metrics.record_ending(class, RequestEnding::Deferred);
+            self.service.metrics.record_ending(class, RequestEnding::Rejected);
         }
         let retry_after = self.settings.borrow().overflow_retry_after;
         answer_response(FinalAnswer::Rejected { retry_after })
@@ -126,7 +128,7 @@
         // Held to the end of the request: the table of classes keeps their numbers from being given to other classes.
         let settings = self.settings.borrow().clone();
         let head = self.check_head(&parts, &body, connection, &settings)?;
-        let (buffered, rest) = buffer_body(body, MAX_BODY).await?;
+        let BufferedBody { buffered, rest } = buffer_body(body, MAX_BUFFERED_BODY_BYTES).await?;
         if parts.method == Method::GET && !buffered.is_empty() {
             return Err(MalformedRequest::UnexpectedBody);
         }
@@ -271,15 +273,15 @@
     client: &Rc<ClientLiveness>,
     connection: &ClientConnection,
 ) -> ReceivedRequest {
-    let upload = Rc::new(StreamingUpload::new(
+    let upload = Rc::new(StreamingUpload::new(UploadSource {
         buffered,
         rest,
-        head.body_length,
-        head.client_timeout,
+        length: head.body_length,
+        client_timeout: head.client_timeout,
         counted,
-        client.clone(),
-        connection.timestamps.clone(),
-    ));
+        client: client.clone(),
+        timestamps: connection.timestamps.clone(),
+    }));
     ReceivedRequest {
         payload: RequestPayload::Streaming(upload.clone()),
         receipt: Receipt::Streaming(upload),
--- a/crates/gateway/src/server/http/request_head.rs
+++ b/crates/gateway/src/server/http/request_head.rs
@@ -2,7 +2,7 @@
 
 use super::client_connection::ClientConnection;
 use super::request_settings::RequestSettings;
-use crate::limits::MAX_LARGE;
+use crate::limits::MAX_BODY_BYTES;
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::{Method, StatusCode};
@@ -122,7 +122,7 @@
             .filter(|id| !id.is_empty())
             .ok_or(MalformedRequest::MissingRequestId)?
             .clone();
-        if body_length.is_some_and(|length| length > MAX_LARGE) {
+        if body_length.is_some_and(|length| length > MAX_BODY_BYTES) {
             return Err(MalformedRequest::BodyTooLong); // before any of it is read
         }
         let class = classify(head, settings, now)?;
--- a/crates/gateway/src/server/http/response.rs
+++ b/crates/gateway/src/server/http/response.rs
@@ -29,12 +29,15 @@
         connection: ConnectionUse,
     ) -> AnsweredRequest {
         match &mut answer {
-            FinalAnswer::Served(UpstreamResponse { body: ResponseBody::Streaming { taken, .. }, .. }) => {
-                *taken = Some(counted);
+            FinalAnswer::Served(UpstreamResponse {
+                body: ResponseBody::Streaming { counted: slot, .. },
+                ..
+            }) => {
+                *slot = Some(counted);
             }
-            FinalAnswer::Served(_) => counted.finish(RequestEnding::Answered),
-            FinalAnswer::Rejected { .. } => counted.finish(RequestEnding::Deferred),
-            FinalAnswer::Failed(_) => counted.finish(RequestEnding::Errored),
+            FinalAnswer::Served(_) => counted.finish(RequestEnding::Served),
+            FinalAnswer::Rejected { .. } => counted.finish(RequestEnding::Rejected),
+            FinalAnswer::Failed(_) => counted.finish(RequestEnding::Failed),
         }
         AnsweredRequest { answer, connection }
     }
--- a/crates/gateway/src/string_interner.rs
+++ b/crates/gateway/src/string_interner.rs
@@ -1,9 +1,9 @@
-//! The names behind the numbers that the module knows.
+//! The names behind the numbers by which the balancer knows tenants, zones and machine kinds.
 
-/// So many zones or machine kinds have numbers of their own. What a list names beyond is only known to be no other's.
-const NUMBERED: usize = 4096;
+/// How many zones, and how many machine kinds, get numbers of their own. A name beyond shares its number with no other endpoint's.
+const MAX_INTERNED_NAMES: usize = 4096;
 
-/// The names in the settings, and behind them those that lists of hosts have brought; a place here is what the module knows.
+/// The names in the settings, and behind them those that endpoint lists have brought. A name's place is its number.
 #[derive(Debug, Default)]
 pub struct StringInterner {
     /// The tenants.
@@ -15,42 +15,51 @@
 }
 
 impl StringInterner {
-    /// Turns to other names. Zones and machine kinds keep their places, as hosts are known by them; new ones come behind.
+    /// Replaces the names. Zones and machine kinds keep their numbers, by which endpoints are known; new ones are appended.
     pub fn replace_keeping_numbers(&mut self, new: StringInterner) {
-        let add = |known: &mut Vec<String>, new: Vec<String>| {
-            for name in new {
-                if !known.contains(&name) {
-                    known.push(name);
-                }
-            }
-        };
-        add(&mut self.zones, new.zones);
-        add(&mut self.kinds, new.kinds);
+        append_missing(&mut self.zones, new.zones);
+        append_missing(&mut self.kinds, new.kinds);
         self.tenants = new.tenants;
     }
 
-    /// The number of a host's zone. Two that the settings do not name are two: hosts of one zone may know each other's requests. A host
-    /// that names none is in nobody's, unless there are no zones at all; `alone` is its own number.
-    pub fn zone(&mut self, name: &str, alone: u32) -> u32 {
+    /// The number of an endpoint's zone.
+    ///
+    /// Two zones that the settings don't name get two numbers: endpoints of one zone may share idempotency keys. An endpoint without
+    /// a zone shares one with nobody, unless there are no zones at all. `endpoint` is the number of the endpoint itself.
+    pub fn zone(&mut self, name: &str, endpoint: u32) -> u32 {
         if name.is_empty() && !self.zones.is_empty() {
-            return u32::MAX - alone;
+            return unshared_number(endpoint);
         }
-        number(&mut self.zones, name, alone)
+        intern(&mut self.zones, name, endpoint)
     }
 
-    /// The number of a host's machine kind.
-    pub fn kind(&mut self, name: &str, alone: u32) -> u32 {
-        number(&mut self.kinds, name, alone)
+    /// The number of an endpoint's machine kind. `endpoint` is the number of the endpoint itself.
+    pub fn kind(&mut self, name: &str, endpoint: u32) -> u32 {
+        intern(&mut self.kinds, name, endpoint)
     }
 }
 
-fn number(known: &mut Vec<String>, name: &str, alone: u32) -> u32 {
-    let at = known.iter().position(|n| n == name).or_else(|| {
-        let room = known.len() < NUMBERED;
-        room.then(|| {
-            known.push(name.to_owned());
-            known.len() - 1
-        })
-    });
-    at.map_or(u32::MAX - alone, |at| at as u32)
+fn append_missing(known: &mut Vec<String>, names: Vec<String>) {
+    for name in names {
+        if !known.contains(&name) {
+            known.push(name);
+        }
+    }
+}
+
+/// A number that belongs to this endpoint alone.
+fn unshared_number(endpoint: u32) -> u32 {
+    u32::MAX - endpoint
+}
+
+/// The number of a name, which is appended where it is new and there is room.
+fn intern(known: &mut Vec<String>, name: &str, endpoint: u32) -> u32 {
+    if let Some(number) = known.iter().position(|other| other == name) {
+        return number as u32;
+    }
+    if known.len() >= MAX_INTERNED_NAMES {
+        return unshared_number(endpoint);
+    }
+    known.push(name.to_owned());
+    known.len() as u32 - 1
 }
--- a/crates/gateway/src/transport/descriptor_budget.rs
+++ b/crates/gateway/src/transport/descriptor_budget.rs
@@ -1,13 +1,13 @@
 //! The budget of file descriptors: fixed quotas for clients and for endpoints, so that neither starves the other.
 
-use crate::limits::{Limits, MAX_BODY, MAX_BUFFER};
+use crate::limits::{Limits, MAX_BUFFERED_BODY_BYTES, MAX_READ_AHEAD_BYTES};
 use std::cell::Cell;
 use std::rc::Rc;
 use weldworks_control::hot_restart::{remaining_descriptors, DescriptorUsage};
 
 /// Most memory that a client's connection and its request can take, in bytes: a body each way, what is read ahead of a head, and the
 /// tasks.
-const MAX_CLIENT_MEMORY_BYTES: usize = 2 * MAX_BODY + MAX_BUFFER + (32 << 10);
+const MAX_CLIENT_MEMORY_BYTES: usize = 2 * MAX_BUFFERED_BODY_BYTES + MAX_READ_AHEAD_BYTES + (32 << 10);
 
 /// Descriptors of the program itself: standard streams, poller, wakers, signals, listener, discovery.
 const PROCESS_DESCRIPTORS: usize = 20;
--- a/crates/gateway/src/upstream/connect.rs
+++ b/crates/gateway/src/upstream/connect.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use super::pool::ConnectionPool;
 use super::UpstreamEndpoint;
-use crate::limits::MAX_BUFFER;
+use crate::limits::MAX_READ_AHEAD_BYTES;
 use crate::transport::instrumented_stream::InstrumentedStream;
 use crate::transport::message_framing::MessageFraming;
 use crate::transport::system_errors::is_own_connect_failure;
@@ -67,7 +67,7 @@
         let (stream, timestamps) = InstrumentedStream::new(stream);
         let (stream, _) = stream.tracking_requests().with_framing(MessageFraming::for_responses());
         let mut builder = http1::Builder::new();
-        builder.max_buf_size(MAX_BUFFER);
+        builder.max_buf_size(MAX_READ_AHEAD_BYTES);
         let handshake = builder.handshake(TokioIo::new(stream)).await;
         let (sender, driver) = handshake.map_err(|_| AttemptEnd::ConnectionFailed)?;
         Ok(Connection {
--- a/crates/gateway/src/upstream/response_reader.rs
+++ b/crates/gateway/src/upstream/response_reader.rs
@@ -1,6 +1,6 @@
 //! Reads a response's body until it is complete, or known to be too long to be buffered.
 
-use crate::limits::MAX_BODY;
+use crate::limits::MAX_BUFFERED_BODY_BYTES;
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -60,7 +60,7 @@
         let Ok(data) = frame.into_data() else { continue };
         buffering.record_received(start.elapsed(), data.len() as u64);
         // The usual response is one frame, and is not copied.
-        if buffered.is_empty() && length == Some(data.len() as u64) && data.len() <= MAX_BODY {
+        if buffered.is_empty() && length == Some(data.len() as u64) && data.len() <= MAX_BUFFERED_BODY_BYTES {
             return ReadBody::Complete(data);
         }
         buffered.extend_from_slice(&data);
--- a/crates/gateway/src/upstream/response_stream.rs
+++ b/crates/gateway/src/upstream/response_stream.rs
@@ -6,7 +6,7 @@
 use super::response_reader::PartialBody;
 use super::UpstreamEndpoint;
 use crate::body::{ResponseBody, ResponseChunk, UpstreamResponse};
-use crate::limits::MAX_LARGE;
+use crate::limits::MAX_BODY_BYTES;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming};
 use hyper::header::HeaderMap;
@@ -41,8 +41,7 @@
         let (chunks, receiver) = mpsc::channel(1);
         let mut received_bytes = buffered.len() as u64;
         let _ = chunks.try_send(ResponseChunk::Data(buffered)); // the channel has room for one
-        let body =
-            ResponseBody::Streaming { left: length, pieces: receiver, over: false, taken: None, guard: None };
+        let body = ResponseBody::streaming(length, receiver);
         let response = Box::new(UpstreamResponse { headers, body });
         report(AttemptProgress::ResponseStarted { response, first_byte_at, load_report });
         loop {
@@ -65,7 +64,7 @@
             };
             let Ok(data) = data else { continue }; // trailers belong to this connection
             received_bytes += data.len() as u64;
-            if received_bytes > MAX_LARGE {
+            if received_bytes > MAX_BODY_BYTES {
                 return Outcome::Error;
             }
             let sent = timeout(PEER_STALL_TIMEOUT, chunks.send(ResponseChunk::Data(data))).await;
--- a/crates/gateway/src/upstream/response_wait.rs
+++ b/crates/gateway/src/upstream/response_wait.rs
@@ -73,7 +73,7 @@
             return;
         }
         self.request_written = true;
-        self.metrics.record_send();
+        self.metrics.record_written_attempt();
         if let RequestPayload::Streaming(upload) = self.body {
             let received_after = upload.last_byte_not_before();
             (self.report)(AttemptProgress::BodyForwarded { received_after });
