--- a/crates/gateway/src/body/request_body.rs
+++ b/crates/gateway/src/body/request_body.rs
@@ -60,7 +60,7 @@
     /// Fires when the next piece is overdue, or a held-back end may go on.
     timer: Pin<Box<Sleep>>,
     held_back: Option<HeldBackEnd>,
-    /// Whether the client was seen to be connected after the whole body was read.
+    /// Whether the client was seen to be connected after the complete body was read.
     client_confirmed: bool,
 }
 
--- a/crates/gateway/src/body/streaming_upload.rs
+++ b/crates/gateway/src/body/streaming_upload.rs
@@ -28,7 +28,7 @@
     pub buffered: Bytes,
     /// The rest.
     pub rest: Incoming,
-    /// The length of the whole in bytes, where the request states it.
+    /// The length of the complete body in bytes, where the request states it.
     pub length: Option<u64>,
     /// How long the client waits for an answer, from its last byte on.
     pub client_timeout: Duration,
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The list of endpoints as discovery sends it, and the faults that an entry may have.
 //!
-//! The field names of the protocol are mapped here and nowhere else: the private types of [`wire`] are converted into the types of
+//! The field names of the protocol are mapped here and nowhere else: the private types of `wire` are converted into the types of
 //! this module as soon as they are read.
 
 use rustc_hash::FxHashSet;
@@ -50,7 +50,7 @@
     Active,
     /// It finishes the requests that it has.
     Draining,
-    /// It is gone.
+    /// It has left the cluster.
     Removed,
     /// A state that this version does not know. Nothing new is sent to such an endpoint.
     Unknown,
--- a/crates/gateway/src/discovery/line_reader.rs
+++ b/crates/gateway/src/discovery/line_reader.rs
@@ -55,7 +55,7 @@
     /// The next message; none where it is not complete yet.
     ///
     /// # Errors
-    /// Where what has come is not a list, or is too long to be one. Nothing that follows can be told apart then.
+    /// Where what has come is not a list, or is too long to be one. The messages that follow can't be separated then.
     pub fn next_message(&mut self) -> Result<Option<WatchMessage>, ListError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
--- a/crates/gateway/src/discovery/line_reader/tests.rs
+++ b/crates/gateway/src/discovery/line_reader/tests.rs
@@ -56,14 +56,14 @@
     fn cuts_and_layout_do_not_change_what_is_read(
         layouts in prop::collection::vec((0u8..4, 0usize..3), 1..6), cuts in prop::collection::vec(1usize..90, 1..12),
     ) {
-        let mut whole = String::new();
+        let mut stream = String::new();
         let mut lines = 0;
         for (n, (layout, empty_lines)) in layouts.iter().enumerate() {
-            whole += &list_text(n as u64, *layout);
-            whole += &"\n".repeat(*empty_lines);
+            stream += &list_text(n as u64, *layout);
+            stream += &"\n".repeat(*empty_lines);
             lines += empty_lines;
         }
-        let (indexes, keep_alives) = read_all(whole.as_bytes(), &cuts).expect("lists");
+        let (indexes, keep_alives) = read_all(stream.as_bytes(), &cuts).expect("lists");
         prop_assert_eq!(indexes, (0..layouts.len() as u64).collect::<Vec<_>>());
         // The end of a list's own line counts as a keep-alive where it comes apart from the list.
         prop_assert!(keep_alives + layouts.len() >= lines, "{} of {}", keep_alives, lines);
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -168,7 +168,7 @@
                 let previous_message_at = reporter.engine.record_discovery_message();
                 let list = match message {
                     WatchMessage::List(list) => Some(list),
-                    // Each call is owed an answer, also where nothing has changed.
+                    // Each poll has to be answered, also where nothing has changed.
                     WatchMessage::KeepAlive if is_first => Some(self.unchanged_list()),
                     WatchMessage::KeepAlive => None,
                 };
--- a/crates/gateway/src/engine/actions.rs
+++ b/crates/gateway/src/engine/actions.rs
@@ -132,7 +132,7 @@
         entry.attempts_in_flight += 1;
         let pool = self.pool.clone();
         spawn_local(async move {
-            let mut reporter = reporter; // moves the whole into this task, because its drop reports the end
+            let mut reporter = reporter; // moves all fields into this task: the drop reports the end
             let result = pool.attempt(&attempt, &|progress| reporter.report_progress(progress)).await;
             reporter.result = result;
         });
--- a/crates/gateway/src/engine/driver.rs
+++ b/crates/gateway/src/engine/driver.rs
@@ -99,7 +99,7 @@
     }
 
     fn send_snapshot(&self, receiver: oneshot::Sender<Snapshot>) {
-        // The hot restart that asked for it may have been called off.
+        // The hot restart that requested it may have been cancelled.
         let _ = receiver.send(self.balancer.snapshot());
     }
 
--- a/crates/gateway/src/engine/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -125,7 +125,8 @@
 
     fn update_endpoint_metrics(&mut self) {
         let Some(metrics) = &self.metrics else { return };
-        let present = self.listed_endpoints.iter().filter(|e| e.state != EndpointState::Removed).count();
+        let present =
+            self.listed_endpoints.iter().filter(|listed| listed.state != EndpointState::Removed).count();
         let avoided = self.balancer.avoided_endpoint_count(self.handle.balancer_time(Instant::now()));
         metrics.listed_endpoints.set(present as u64);
         metrics.avoided_endpoints.set(avoided as u64);
--- a/crates/gateway/src/engine/retry_storm.rs
+++ b/crates/gateway/src/engine/retry_storm.rs
@@ -1,4 +1,4 @@
-//! What the engine tells and asks the retry-storm control, where it is switched on.
+//! The engine's use of retry-storm control, where that is switched on.
 
 use super::message::FinalAnswer;
 use super::Engine;
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -64,8 +64,8 @@
     assert!(engine.endpoints.len() <= 4, "{} ids for one endpoint at a time", engine.endpoints.len());
     assert!(engine.endpoint_ids.len() <= 4 && engine.listed_endpoints.len() == engine.endpoints.len());
     // An id is not reused while an open request has been sent to its endpoint.
-    let host = engine.endpoint_ids.get("first").copied();
-    assert_eq!(host, Some(EndpointId(0)), "its request is still open");
+    let id = engine.endpoint_ids.get("first").copied();
+    assert_eq!(id, Some(EndpointId(0)), "its request is still open");
 }
 
 /// Two of sixty endpoints are replaced by new ones every half second for a minute, each time with a request in flight.
@@ -98,7 +98,7 @@
             }
         }
     }
-    let up = engine.listed_endpoints.iter().filter(|h| h.state == EndpointState::Up).count();
+    let up = engine.listed_endpoints.iter().filter(|listed| listed.state == EndpointState::Up).count();
     assert_eq!((up, engine.requests.len()), (60, 0));
     assert!(engine.endpoints.len() <= 70, "{} ids for 60 endpoints at a time", engine.endpoints.len());
 }
@@ -142,11 +142,11 @@
     engine.apply_message(Message::RequestArrived(arrived));
     let late = Instant::now() + Duration::from_secs(20);
     engine.apply_message(Message::BodyForwarded { request: id, client_deadline: late });
-    assert_eq!(engine.requests.get(id).map(|e| e.client_deadline), Some(late));
+    assert_eq!(engine.requests.get(id).map(|entry| entry.client_deadline), Some(late));
     let by = Instant::now() + Duration::from_secs(1);
     handle.set_shutdown_deadline(by);
     engine.apply_message(Message::BodyForwarded { request: id, client_deadline: late });
-    assert_eq!(engine.requests.get(id).map(|e| e.client_deadline), Some(by));
+    assert_eq!(engine.requests.get(id).map(|entry| entry.client_deadline), Some(by));
 }
 
 /// A list of one endpoint of this name, with a start time in seconds from now by this machine's wall clock.
@@ -198,9 +198,9 @@
     let _inside = local.enter();
     let (mut engine, _handle) = engine();
     engine.apply_endpoint_list(started_at("a", 1, true, -9000));
-    let heard = Some(Instant::now());
+    let previous_message_at = Some(Instant::now());
     for (index, name, from_now) in [(2, "a", -3600), (3, "a", -3599), (4, "b", -3602)] {
-        engine.apply_received_list(heard, started_at(name, index, false, from_now));
+        engine.apply_received_list(previous_message_at, started_at(name, index, false, from_now));
         let age = age(&engine, name).expect("a start in the past");
         assert!(age < Duration::from_secs(10), "version {index}: taken for {age:?} old");
     }
@@ -236,7 +236,7 @@
     let id = next.request.id;
     engine.apply_message(Message::RequestArrived(next));
     assert_eq!(
-        engine.requests.get(id).map(|e| e.attempts_in_flight),
+        engine.requests.get(id).map(|entry| entry.attempts_in_flight),
         Some(1),
         "the endpoints are still known"
     );
--- a/crates/gateway/src/transport/client_liveness.rs
+++ b/crates/gateway/src/transport/client_liveness.rs
@@ -1,4 +1,4 @@
-//! Whether a request's client still waits for an answer, asked before each step that can't be taken back.
+//! Whether a request's client still waits for an answer, checked before each step that can't be taken back.
 
 use crate::transport::socket_probe::SocketProbe;
 use std::cell::Cell;
--- a/crates/gateway/src/transport/descriptor_budget/tests.rs
+++ b/crates/gateway/src/transport/descriptor_budget/tests.rs
@@ -5,22 +5,22 @@
 #[test]
 fn descriptors_that_another_process_has_open_are_left_to_it() {
     let budget = DescriptorBudget::new(&Limits { memory_mb: 192, sockets: 1024 }, AdminApi::Enabled);
-    let whole = budget.clients.capacity();
-    let mut held: Vec<_> = (0..whole).map(|_| budget.clients.acquire().expect("a place")).collect();
+    let capacity = budget.clients.capacity();
+    let mut permits: Vec<_> = (0..capacity).map(|_| budget.clients.acquire().expect("a place")).collect();
     assert!(budget.clients.acquire().is_none());
-    assert_eq!(budget.usage(), DescriptorUsage { clients: whole, overflow: 0, endpoints: 0 });
+    assert_eq!(budget.usage(), DescriptorUsage { clients: capacity, overflow: 0, endpoints: 0 });
     budget.reserve_for_peer(DescriptorUsage { clients: 10, overflow: 1, endpoints: 2 });
     assert_eq!(
         (budget.clients.capacity(), budget.usage().clients),
-        (whole - 10, whole),
+        (capacity - 10, capacity),
         "nothing is cut off"
     );
-    held.truncate(whole - 10);
+    permits.truncate(capacity - 10);
     assert!(budget.clients.acquire().is_none(), "ten are another's");
-    held.truncate(whole - 11);
+    permits.truncate(capacity - 11);
     assert!(budget.clients.acquire().is_some());
     budget.reserve_for_peer(DescriptorUsage::default());
-    assert_eq!(budget.clients.capacity(), whole);
+    assert_eq!(budget.clients.capacity(), capacity);
     // The second address is paid for by the others.
     let without = DescriptorBudget::new(&Limits { memory_mb: 192, sockets: 1024 }, AdminApi::Disabled);
     assert!(without.upstream.capacity() > budget.upstream.capacity() && without.admin.capacity() == 0);
--- a/crates/gateway/src/transport/message_framing/tests.rs
+++ b/crates/gateway/src/transport/message_framing/tests.rs
@@ -31,7 +31,7 @@
     );
     assert_eq!(framing.complete_heads, 1);
     framing.strip_chunk_extensions(&mut b"GET /c HTTP/1.1\r\n".to_vec());
-    assert!(!framing.is_plain(2), "not whole");
+    assert!(!framing.is_plain(2), "not complete");
     framing.strip_chunk_extensions(&mut b"\r\n".to_vec());
     assert!(framing.is_plain(2));
 }
@@ -47,8 +47,8 @@
 ];
 
 /// What is left of a text that arrives in pieces of these lengths, by turns.
-fn strip_in_pieces(framing: &mut MessageFraming, whole: &str, cuts: &[usize]) -> String {
-    let mut rest = whole.as_bytes();
+fn strip_in_pieces(framing: &mut MessageFraming, stream: &str, cuts: &[usize]) -> String {
+    let mut rest = stream.as_bytes();
     let mut cut = cuts.iter().cycle();
     let mut passed = Vec::new();
     while !rest.is_empty() {
@@ -65,9 +65,9 @@
     /// The extensions of a response's chunks are all that is ever stripped, however it is cut.
     #[test]
     fn responses_lose_nothing_but_extensions(kinds in prop::collection::vec(0usize..6, 0..8), cuts in prop::collection::vec(1usize..30, 1..20)) {
-        let whole: String = kinds.iter().map(|kind| RESPONSES[*kind]).collect();
+        let stream: String = kinds.iter().map(|kind| RESPONSES[*kind]).collect();
         let mut framing = MessageFraming::for_responses();
-        let passed = strip_in_pieces(&mut framing, &whole, &cuts);
+        let passed = strip_in_pieces(&mut framing, &stream, &cuts);
         let followed = kinds.iter().position(|kind| *kind > 3).unwrap_or(kinds.len());
         let (followed, lost) = kinds.split_at(followed);
         let text = |kinds: &[usize]| kinds.iter().map(|kind| RESPONSES[*kind]).collect::<String>();
@@ -79,9 +79,9 @@
     #[test]
     fn cuts_do_not_change_what_is_seen(kinds in prop::collection::vec(0usize..5, 0..12), cuts in prop::collection::vec(1usize..40, 1..20)) {
         let messages: Vec<&str> = kinds.iter().map(|kind| [PLAIN, NO_BODY, CHUNKED, AMBIGUOUS[0], AMBIGUOUS[1]][*kind]).collect();
-        let whole = messages.concat();
+        let stream = messages.concat();
         let mut framing = MessageFraming::default();
-        let passed = strip_in_pieces(&mut framing, &whole, &cuts);
+        let passed = strip_in_pieces(&mut framing, &stream, &cuts);
         let plain_count = kinds.iter().position(|kind| *kind > 2).map_or(kinds.len(), |at| at);
         for number in 1..=kinds.len() {
             prop_assert_eq!(framing.is_plain(number as u64), number <= plain_count, "{}", number);
@@ -97,16 +97,16 @@
     fn the_end_of_each_message_is_its_last_byte(kinds in prop::collection::vec(0usize..3, 1..8), cuts in prop::collection::vec(1usize..40, 1..20)) {
         let messages: Vec<&str> = kinds.iter().map(|kind| [PLAIN, NO_BODY, CHUNKED][*kind]).collect();
         let ends: Vec<usize> = messages.iter().scan(0, |at, m| { *at += m.len(); Some(*at) }).collect();
-        let whole = messages.concat();
+        let stream = messages.concat();
         let mut framing = MessageFraming::default();
         let mut at = 0;
         for cut in cuts.iter().cycle() {
-            let to = (at + cut).min(whole.len());
-            framing.follow(&whole.as_bytes()[at..to]);
+            let to = (at + cut).min(stream.len());
+            framing.follow(&stream.as_bytes()[at..to]);
             at = to;
             let ended = ends.iter().filter(|end| **end <= at).count() as u64;
             prop_assert_eq!(framing.messages(), Some(ended), "at {}", at);
-            if at == whole.len() {
+            if at == stream.len() {
                 break;
             }
         }
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -31,7 +31,7 @@
 
 /// How an attempt ended.
 pub struct AttemptResult {
-    /// The outcome, as the balancer is told of it.
+    /// The outcome, as the balancer receives it.
     pub outcome: Outcome,
     /// The response, where the attempt was served and the response not streamed.
     pub response: Option<UpstreamResponse>,
@@ -41,7 +41,7 @@
     pub written_at: Option<Instant>,
 }
 
-/// A step of an attempt that the engine is told of while the attempt goes on.
+/// A step of an attempt that is reported to the engine while the attempt goes on.
 pub enum AttemptProgress {
     /// The first bytes of a streamed request body have been written.
     BodyForwardingStarted,
@@ -83,7 +83,7 @@
         self.write_by.is_some_and(|by| Instant::now() >= by)
     }
 
-    /// Whether the request may be written, asked once the connection is there: while it was opened, the client may have left, the
+    /// Whether the request may be written, checked once the connection is open: while it was opened, the client may have left, the
     /// endpoint begun to drain, or the time for writing passed.
     fn may_be_written(&self) -> bool {
         let has_client = match &self.request.body {
--- a/crates/gateway/src/upstream/headers.rs
+++ b/crates/gateway/src/upstream/headers.rs
@@ -43,7 +43,7 @@
     headers.remove("keep-alive");
 }
 
-/// The load report in a response's headers. One that stands there twice is none: nothing tells which of the two is the endpoint's.
+/// The load report in a response's headers. Two are none: nothing says which of them is the endpoint's.
 pub(super) fn load_report(headers: &HeaderMap, fields: &LoadReportFields) -> Option<LoadReport> {
     let mut reports = headers.get_all(LOAD_REPORT_HEADER).iter();
     let text = reports.next()?.to_str().ok()?;
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -111,7 +111,7 @@
 
     /// Closes, for as long as it is polled, idle connections that are expired or were closed by their endpoint: either takes up a
     /// descriptor here and a place at the endpoint. Reports those that their endpoint closed early, at once where the connection has
-    /// been idle for [`IDLE_CHECK_INTERVAL`], else within that.
+    /// been idle for `IDLE_CHECK_INTERVAL`, else within that.
     ///
     /// # Cancellation safety
     /// Cancel safe: only the wish to be woken is lost.
--- a/crates/gateway/src/upstream/response_reader.rs
+++ b/crates/gateway/src/upstream/response_reader.rs
@@ -24,7 +24,7 @@
 pub(super) struct PartialBody {
     pub(super) buffered: Bytes,
     pub(super) rest: Incoming,
-    /// The length of the whole in bytes, where the response states it.
+    /// The length of the complete body in bytes, where the response states it.
     pub(super) length: Option<u64>,
 }
 
--- a/crates/gateway/src/upstream/response_stream.rs
+++ b/crates/gateway/src/upstream/response_stream.rs
@@ -27,7 +27,7 @@
 }
 
 impl ConnectionPool {
-    /// Streams the response until it is complete or either side is gone. The connection is closed by then, or idle in the pool.
+    /// Streams the response until it is complete or either side has disconnected. The connection is closed by then, or idle in the pool.
     pub(super) async fn stream_response(
         &self,
         response: StreamingResponse,
--- a/crates/gateway/src/upstream/response_wait.rs
+++ b/crates/gateway/src/upstream/response_wait.rs
@@ -111,6 +111,6 @@
 /// When an endpoint that takes no more of a streamed body counts as stalled. It has never had the complete request.
 fn body_stall_deadline(upload: &StreamingUpload) -> Option<Instant> {
     let endpoint_deadline = upload.endpoint_deadline()?;
-    // The client may have written the last byte long ago, and is owed an answer by then.
+    // The client may have written the last byte long ago, and its own timeout counts from then.
     Some(endpoint_deadline.min(upload.last_byte_not_before() + upload.client_timeout))
 }
