--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -1,5 +1,5 @@
-//! The way of a request from one attempt to the next: it asks [`crate::retry`] whether and [`crate::selection`] where, and takes in
-//! outcomes.
+//! Sends attempts and handles their outcomes. [`crate::retry`] decides whether another attempt is allowed, [`crate::selection`] where it
+//! goes, and [`crate::failure_tracking`] what a failure counts against.
 
 use crate::api::{Action, EndpointId, EndpointState, Idempotency, Outcome, RequestId};
 use crate::balancer::{set_timer, Balancer};
@@ -11,19 +11,22 @@
 use crate::traffic_stats::update_average;
 use std::time::Duration;
 
-/// A request for which no endpoint is eligible is looked at again after this time, in seconds.
-const ENDPOINT_WAIT_POLL_S: f64 = 0.015;
+/// Time after which a request with no eligible endpoint is tried again, in seconds.
+const NO_ELIGIBLE_ENDPOINT_RECHECK_S: f64 = 0.015;
 /// Fraction of the keep-alive time for which a connection is expected to be open: gateways close it half way.
 const IDLE_CONNECTION_KEEP_ALIVE_FRACTION: f64 = 0.5;
 
-/// An attempt that has ended, with what its outcome is judged by. Times are in seconds.
+/// An attempt that has ended, with the data that its outcome is recorded from. Times are in seconds.
 #[derive(Clone, Copy)]
-struct EndedAttempt {
-    endpoint: usize,
-    class: usize,
-    outcome: Outcome,
+pub(crate) struct EndedAttempt {
+    /// The endpoint's number.
+    pub(crate) endpoint: usize,
+    /// The request's class, as an index into the settings.
+    pub(crate) class: usize,
+    /// How it ended.
+    pub(crate) outcome: Outcome,
     /// From the send to the outcome.
-    latency_s: f64,
+    pub(crate) latency_s: f64,
     /// The same, scaled to a request of mean work.
     scaled_latency_s: f64,
     cost_hint_s: f64,
@@ -31,7 +34,11 @@
 }
 
 impl Balancer {
-    /// Performs the next step of an open request: an attempt, or where none is in flight also a wait or the end.
+    /// Takes the next step of an open request. Called on arrival, after each outcome, when its key is released and on each of its timers;
+    /// a timer carries the request only, so it may belong to an earlier attempt.
+    ///
+    /// A retry that is not allowed, also for lack of budget, ends the request at once; a hedge that is not allowed is dropped and not
+    /// tried again.
     pub(crate) fn advance(
         &mut self,
         now_s: f64,
@@ -64,6 +71,7 @@
         self.send_attempt(now_s, id, request, endpoint, actions);
     }
 
+    /// Sends an attempt of the request to an endpoint and sets the timer of its hedge.
     fn send_attempt(
         &mut self,
         now_s: f64,
@@ -73,27 +81,13 @@
         actions: &mut Vec<Action>,
     ) {
         let idempotency = self.settings.classes[request.class].idempotency;
+        let sent_at_s = self.track_in_flight(now_s, request, index);
         let endpoint = &mut self.endpoints[index];
-        // A streamed body keeps no endpoint at work: the attempt counts once the body is complete.
-        let sent_at_s = if request.body_streaming { f64::INFINITY } else { now_s };
-        if !request.body_streaming {
-            endpoint.in_flight_since_s.push(sent_at_s);
-            if request.in_flight() == 0 {
-                self.traffic.requests_in_flight += 1.0;
-            }
-        }
         endpoint.spend_attempt_token();
-        let expected_latency_s = if self.traffic.latency_s > 0.0 {
-            endpoint.latency_estimate_s * request.relative_work
-        } else {
-            // Nothing is known of latencies yet: no hedge.
-            request.deadline_s - now_s
-        };
         let key_partition = match idempotency {
             Idempotency::IdempotencyKey { scope, .. } => scope.partition_of(&endpoint.entry),
             _ => 0,
         };
-        let hedge_delay_s = hedge_delay_s(expected_latency_s, self.settings.timer_tick.as_secs_f64());
         let write_by =
             latest_write_s(request, idempotency).map(|latest_s| Duration::from_secs_f64(latest_s.max(0.0)));
         request.attempts.push(AttemptState::started(index, key_partition, now_s, sent_at_s));
@@ -103,13 +97,47 @@
             deadline: Duration::from_secs_f64(request.deadline_s),
             write_by,
         });
+        self.schedule_hedge(now_s, id, request, index, actions);
+    }
+
+    /// Counts a new attempt as in flight at its endpoint and returns the time at which it was sent, in seconds. An attempt whose body is
+    /// still arriving does not occupy the endpoint: it counts once the body is complete, and its time of sending is infinite until then.
+    fn track_in_flight(&mut self, now_s: f64, request: &RequestState, index: usize) -> f64 {
+        if request.body_streaming {
+            return f64::INFINITY;
+        }
+        self.endpoints[index].in_flight_since_s.push(now_s);
+        if request.attempts_in_flight() == 0 {
+            self.traffic.requests_in_flight += 1.0;
+        }
+        now_s
+    }
+
+    /// Sets the timer of a hedge for the attempt just sent, if the request may have another attempt and the hedge is due before the
+    /// deadline.
+    fn schedule_hedge(
+        &self,
+        now_s: f64,
+        id: RequestId,
+        request: &RequestState,
+        index: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        let expected_latency_s = if self.traffic.latency_s > 0.0 {
+            self.endpoints[index].latency_estimate_s * request.relative_work
+        } else {
+            // No request was served yet, so no latency can be expected: no hedge.
+            request.deadline_s - now_s
+        };
+        let hedge_delay_s = hedge_delay_s(expected_latency_s, self.settings.timer_tick.as_secs_f64());
+        let idempotency = self.settings.classes[request.class].idempotency;
         let is_hedge_possible = is_attempt_allowed(request, idempotency, now_s);
         if is_hedge_possible && now_s + hedge_delay_s < request.deadline_s {
             actions.push(set_timer(hedge_delay_s, id.0));
         }
     }
 
-    /// Handles the last byte of a streamed body: the time of the request and of its attempt begins now.
+    /// Handles the last byte of a streamed body: the clock of the request and of its attempt starts now.
     pub(crate) fn on_body_forwarded(
         &mut self,
         now_s: f64,
@@ -118,11 +146,12 @@
         actions: &mut Vec<Action>,
     ) {
         self.update_request_and_key(now_s, id, actions, |balancer, request, actions| {
-            balancer.begin_request_time(now_s, id, request, client_deadline.as_secs_f64(), actions);
+            balancer.start_request_clock(now_s, id, request, client_deadline.as_secs_f64(), actions);
         });
     }
 
-    fn begin_request_time(
+    /// Starts the objective and the attempt's latency once the streamed body is complete.
+    fn start_request_clock(
         &mut self,
         now_s: f64,
         id: RequestId,
@@ -135,7 +164,7 @@
         }
         request.deadline_s = client_deadline_s.min(now_s + request.objective_s);
         // There is one at most: a body that is still arriving has no hedge.
-        for attempt in request.attempts.iter_mut().filter(|attempt| attempt.in_flight) {
+        for attempt in request.attempts.iter_mut().filter(|attempt| attempt.is_in_flight) {
             self.endpoints[attempt.endpoint].in_flight_since_s.push(now_s);
             self.traffic.requests_in_flight += 1.0;
             attempt.sent_at_s = now_s;
@@ -144,8 +173,8 @@
         actions.push(Action::SetAttemptDeadline { request: id, deadline });
     }
 
-    /// Records the outcome of an attempt: what it proves about the request, and what it shows about the endpoint. An attempt that is not in flight
-    /// is ignored.
+    /// Records the outcome of an attempt: whether the request may have been processed, and how the endpoint performed. An attempt that is
+    /// not in flight is ignored.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now_s: f64,
@@ -155,14 +184,14 @@
         latency_s: f64,
         actions: &mut Vec<Action>,
     ) {
-        let Some(attempt) = request.attempts.get_mut(attempt as usize).filter(|attempt| attempt.in_flight)
+        let Some(attempt) = request.attempts.get_mut(attempt as usize).filter(|attempt| attempt.is_in_flight)
         else {
             return;
         };
         attempt.end(outcome);
         let endpoint = attempt.endpoint;
         let sent_at_s = attempt.sent_at_s;
-        if request.in_flight() == 0 && !request.body_streaming {
+        if request.attempts_in_flight() == 0 && !request.body_streaming {
             self.traffic.requests_in_flight -= 1.0;
         }
         self.release_endpoint(endpoint, sent_at_s, actions);
@@ -190,11 +219,12 @@
         }
     }
 
-    /// Takes an attempt off its endpoint. The connection that it used is idle now, and must not stay open to a draining endpoint.
+    /// Removes an attempt from those in flight at its endpoint. The connection that it used is idle now, and must not stay open to a
+    /// draining endpoint.
     fn release_endpoint(&mut self, index: usize, sent_at_s: f64, actions: &mut Vec<Action>) {
         let endpoint = &mut self.endpoints[index];
-        if let Some(place) = endpoint.in_flight_since_s.iter().position(|&since_s| since_s == sent_at_s) {
-            endpoint.in_flight_since_s.remove(place);
+        if let Some(position) = endpoint.in_flight_since_s.iter().position(|&since_s| since_s == sent_at_s) {
+            endpoint.in_flight_since_s.remove(position);
         }
         let is_draining = endpoint.entry.state == EndpointState::Draining;
         if is_draining && self.settings.drain_close_within.is_some() {
@@ -213,6 +243,7 @@
         self.key_queues.entry(key).or_default().begin_quiet_period(quiet_until_s);
     }
 
+    /// Records a served request: clears the endpoint's failures and adds its latency to the averages.
     fn record_served(&mut self, now_s: f64, ended: EndedAttempt) {
         let prior_s = self.fleet_latency.prior_s(&self.endpoints[ended.endpoint]);
         let endpoint = &mut self.endpoints[ended.endpoint];
@@ -244,23 +275,8 @@
         }
     }
 
-    /// A failure counts as a sample of at least the latency objective, or fast failures would attract work. An endpoint that has served
-    /// other classes since this class began to fail is not to blame as a whole: then it counts against the class alone.
-    fn record_failed(&mut self, now_s: f64, ended: EndedAttempt) {
-        let endpoint = &mut self.endpoints[ended.endpoint];
-        let class_failures = &mut endpoint.class_failures[ended.class];
-        let served_other_classes = endpoint.last_served_s > class_failures.last_served_s;
-        if served_other_classes && !ended.outcome.proves_not_processed() {
-            class_failures.record_failure(now_s);
-            return;
-        }
-        endpoint.consecutive_failures += 1;
-        let objective_s = self.settings.classes[ended.class].latency_objective.as_secs_f64();
-        self.observe_latency(now_s, ended.endpoint, objective_s.max(ended.latency_s));
-    }
-
     /// Adds a latency sample of an endpoint, in seconds. Until a request was served, it also sets the latency expected of all.
-    fn observe_latency(&mut self, now_s: f64, index: usize, latency_s: f64) {
+    pub(crate) fn observe_latency(&mut self, now_s: f64, index: usize, latency_s: f64) {
         let endpoint = &mut self.endpoints[index];
         if self.traffic.latency_s <= 0.0 {
             self.fleet_latency.mean_s = latency_s * endpoint.relative_size;
@@ -278,9 +294,12 @@
     }
 }
 
-/// Looks at the request again once its key's turn has come, or after a moment.
+/// Sets a timer to try the request again once its key is released, or after [`NO_ELIGIBLE_ENDPOINT_RECHECK_S`].
 fn wait_for_endpoint(now_s: f64, id: RequestId, request: &RequestState, actions: &mut Vec<Action>) {
-    let wait_s =
-        if now_s < request.earliest_send_s { request.earliest_send_s - now_s } else { ENDPOINT_WAIT_POLL_S };
+    let wait_s = if now_s < request.earliest_send_s {
+        request.earliest_send_s - now_s
+    } else {
+        NO_ELIGIBLE_ENDPOINT_RECHECK_S
+    };
     actions.push(set_timer(wait_s.min(request.deadline_s - now_s), id.0));
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -126,7 +126,7 @@
                     state.open &= !request_ended;
                     let latency_s = latency.as_secs_f64();
                     balancer.on_attempt_ended(now_s, state, attempt, outcome, latency_s, actions);
-                    if state.open && state.in_flight() == 0 {
+                    if state.open && state.attempts_in_flight() == 0 {
                         balancer.advance(now_s, request, state, actions);
                     }
                 });
@@ -204,10 +204,10 @@
         update(self, &mut request, actions);
         if was_open && !request.open && request.limits.cancellation_allowed {
             let numbered = (0u32..).zip(&request.attempts);
-            let in_flight = numbered.filter(|(_, attempt)| attempt.in_flight);
+            let in_flight = numbered.filter(|(_, attempt)| attempt.is_in_flight);
             actions.extend(in_flight.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
         }
-        if request.open || request.in_flight() > 0 {
+        if request.open || request.attempts_in_flight() > 0 {
             self.requests.insert(id.0, request);
             return None;
         }
--- a/crates/balancer/src/failure_tracking.rs
+++ b/crates/balancer/src/failure_tracking.rs
@@ -1,11 +1,15 @@
-//! Failures of endpoints by request class, and how long a failure or a raised latency estimate counts.
+//! Outlier detection by failures: whether a failure counts against an endpoint or only against one request class at it, and how long a
+//! failure or a raised latency estimate counts. Detection by latency: [`crate::latency_detector`].
+
+use crate::attempt::EndedAttempt;
+use crate::balancer::Balancer;
 
 /// Time without a sample in which half of the excess of a raised estimate remains, in units of the longest latency objective.
 const HALF_DECAY_OBJECTIVE_FACTOR: f64 = 6.0;
 /// Failures in a row, each of which doubles the decay time, up to this many.
 const MAX_DECAY_DOUBLINGS: i32 = 4;
 
-/// Failures in a row of one class at one endpoint. Moments are in seconds.
+/// Failures in a row of one class at one endpoint. Times are in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ClassFailures {
     /// Failures in a row that counted against this class alone.
@@ -28,7 +32,7 @@
         self.last_failure_s = now_s;
     }
 
-    /// What the failures add to the expected latency of this class, in seconds: one latency objective each, decaying with time.
+    /// Latency penalty of this class for its failures, in seconds: one latency objective for each, decaying with time.
     pub(crate) fn latency_penalty_s(
         &self,
         now_s: f64,
@@ -41,13 +45,32 @@
     }
 }
 
+impl Balancer {
+    /// Records a failed attempt as a latency sample of at least the latency objective; otherwise fast failures would attract traffic.
+    ///
+    /// A possibly processed failure counts against its class alone if the endpoint has served another class since it last served this
+    /// one. All other failures count against the endpoint.
+    pub(crate) fn record_failed(&mut self, now_s: f64, ended: EndedAttempt) {
+        let endpoint = &mut self.endpoints[ended.endpoint];
+        let class_failures = &mut endpoint.class_failures[ended.class];
+        let served_other_classes = endpoint.last_served_s > class_failures.last_served_s;
+        if served_other_classes && !ended.outcome.proves_not_processed() {
+            class_failures.record_failure(now_s);
+            return;
+        }
+        endpoint.consecutive_failures += 1;
+        let objective_s = self.settings.classes[ended.class].latency_objective.as_secs_f64();
+        self.observe_latency(now_s, ended.endpoint, objective_s.max(ended.latency_s));
+    }
+}
+
 /// Time that counts as recent when an endpoint is judged, in seconds.
 pub(crate) fn recent_activity_window_s(longest_objective_s: f64) -> f64 {
     longest_objective_s * HALF_DECAY_OBJECTIVE_FACTOR
 }
 
 /// The fraction of a raised estimate's excess that still counts after `silent_s` seconds without a sample. An avoided endpoint gets no
-/// sample that could clear it, so it is tried again after a while, later with each failure in a row.
+/// sample that could clear it, so the excess decays until it is tried again; each failure in a row doubles the decay time.
 pub(crate) fn retained_fraction(silent_s: f64, longest_objective_s: f64, consecutive_failures: i32) -> f64 {
     let doublings = consecutive_failures.min(MAX_DECAY_DOUBLINGS);
     let half_decays = silent_s / (HALF_DECAY_OBJECTIVE_FACTOR * longest_objective_s * 2f64.powi(doublings));
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -3,7 +3,7 @@
 use crate::api::{Outcome, Settings};
 use std::time::Duration;
 
-/// A request that is open, or closed with attempts still in flight. Moments are in seconds.
+/// A request that is open, or closed with attempts still in flight. Times are in seconds.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestState {
     /// Its class, as an index into the settings.
@@ -13,11 +13,11 @@
     pub(crate) relative_work: f64,
     /// The client's cost hint, in seconds; 0 for none.
     pub(crate) cost_hint_s: f64,
-    /// After this an answer has no value.
+    /// Time after which an answer has no value.
     pub(crate) deadline_s: f64,
     /// When it may first be sent; infinite while an earlier request of its key is open.
     pub(crate) earliest_send_s: f64,
-    /// Its body is still arriving: it has an objective but its time has not begun.
+    /// Its body is still arriving: it has an objective but its clock has not started.
     pub(crate) body_streaming: bool,
     /// A part of the streamed body has been forwarded, so no other attempt can follow.
     pub(crate) body_forwarding_started: bool,
@@ -34,8 +34,8 @@
 
 impl RequestState {
     /// The number of its attempts in flight.
-    pub(crate) fn in_flight(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.in_flight).count()
+    pub(crate) fn attempts_in_flight(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.is_in_flight).count()
     }
 
     /// Until when it waits for an endpoint that may take its next attempt, in seconds.
@@ -48,7 +48,7 @@
     }
 }
 
-/// One attempt of a request. Moments are in seconds.
+/// One attempt of a request. Times are in seconds.
 #[derive(Clone, Debug)]
 pub(crate) struct AttemptState {
     /// The endpoint's number.
@@ -57,34 +57,34 @@
     pub(crate) key_partition: u32,
     /// When it was decided.
     pub(crate) decided_at_s: f64,
-    /// When its endpoint had all of it; the same, or infinite while a streamed body is on its way.
+    /// When its endpoint had received all of it: the same time, or infinite while a streamed body is being forwarded.
     pub(crate) sent_at_s: f64,
-    pub(crate) in_flight: bool,
+    pub(crate) is_in_flight: bool,
     /// Its outcome proves that the endpoint did not process it.
     pub(crate) not_processed: bool,
 }
 
 impl AttemptState {
-    /// An attempt that goes out now.
+    /// An attempt that is sent now.
     pub(crate) fn started(endpoint: usize, key_partition: u32, decided_at_s: f64, sent_at_s: f64) -> Self {
         AttemptState {
             endpoint,
             key_partition,
             decided_at_s,
             sent_at_s,
-            in_flight: true,
+            is_in_flight: true,
             not_processed: false,
         }
     }
 
     /// Records its outcome.
     pub(crate) fn end(&mut self, outcome: Outcome) {
-        self.in_flight = false;
+        self.is_in_flight = false;
         self.not_processed = outcome.proves_not_processed();
     }
 }
 
-/// What the settings that a request came under allow it, to its end.
+/// Limits of a request: those of the settings under which it arrived, until it ends.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RequestLimits {
     /// Most attempts in all.
@@ -92,7 +92,7 @@
     /// Most attempts in flight when another one is sent.
     pub(crate) max_in_flight_before_attempt: usize,
     pub(crate) cancellation_allowed: bool,
-    /// Time for which its key rests after an attempt that may still be running, in seconds.
+    /// Quiet period of its key after an attempt that may still be running, in seconds.
     pub(crate) key_quiet_period_s: f64,
     /// `Retry-After` of a rejection.
     pub(crate) retry_after: Duration,
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -34,7 +34,7 @@
     pub(crate) fn of_next(request: &RequestState) -> Self {
         if request.attempts.is_empty() {
             AttemptKind::First
-        } else if request.in_flight() == 0 {
+        } else if request.attempts_in_flight() == 0 {
             AttemptKind::Retry
         } else {
             AttemptKind::Hedge
@@ -85,7 +85,7 @@
     if request.body_forwarding_started {
         return false;
     }
-    let in_flight = request.in_flight();
+    let in_flight = request.attempts_in_flight();
     if request.body_streaming && in_flight > 0 {
         return false;
     }
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -121,14 +121,13 @@
     }
 }
 
-/// Whether an attempt of the request may go to the endpoint now: its key's turn has come, slow start allows it, no attempt was there
-/// before, and the endpoint would recognize a repeat of each attempt that may have been processed.
+/// Whether the next attempt of the request may go to the endpoint: slow start allows it, no earlier attempt went there, and the endpoint
+/// would recognize a repeat of each attempt that may have been processed. Whether the request may be sent at all is decided before.
 fn is_eligible(
     request: &RequestState,
     idempotency: Idempotency,
     endpoint: &EndpointRecord,
     index: usize,
-    now_s: f64,
 ) -> bool {
     let recognizes_repeat = |attempt: &AttemptState| match idempotency {
         Idempotency::IdempotencyKey { scope, .. } => {
@@ -136,8 +135,7 @@
         }
         _ => true,
     };
-    now_s >= request.earliest_send_s
-        && endpoint.has_attempt_token()
+    endpoint.has_attempt_token()
         && request
             .attempts
             .iter()
@@ -178,7 +176,7 @@
         let start = self.rng.usize(0..=self.ready.len());
         for &index in self.ready[start..].iter().chain(&self.ready[..start]) {
             let endpoint = &self.endpoints[index];
-            let score = if is_eligible(request, idempotency, endpoint, index, now_s) {
+            let score = if is_eligible(request, idempotency, endpoint, index) {
                 context.terms(endpoint).score()
             } else {
                 f64::INFINITY
