--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{Action, Request, RequestClass};
 use crate::balancer::Balancer;
-use crate::concurrency_limit::{mean_concurrency_at_target, TARGET_IN_FLIGHT_PER_CORE};
+use crate::load_signals::{mean_concurrency_at_target, TARGET_IN_FLIGHT_PER_CORE};
 use crate::request::{RequestLimits, RequestState};
 use crate::traffic_stats::{update_average, TrafficStats};
 use std::time::Duration;
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -121,13 +121,13 @@
     pub probes_allowed: bool,
     /// The longest `Retry-After` that clients obey. Default zero: they are given none.
     pub max_retry_after: Duration,
-    /// The fraction of its full work that a starting endpoint can do at least. Default 0.1.
+    /// Fraction of its full capacity that a starting endpoint has at least. Default 0.1.
     pub slow_start_min_capacity: f64,
-    /// The time after its start at which an endpoint is warm. Default 30 s.
+    /// Time from its start until an endpoint is warm. Default 30 s.
     pub slow_start_duration: Duration,
-    /// A cold endpoint that is sent this many times what it can do collapses, if it lasts for `overload_duration`. Default 2.
+    /// Load, as a multiple of its capacity, at which a cold endpoint collapses if it lasts for `overload_duration`. Default 2.
     pub overload_factor: f64,
-    /// How long such an overload may last. Default 1 s.
+    /// How long such an overload may last. Read from the settings document; the balancer does not use it. Default 1 s.
     pub overload_duration: Duration,
     /// How long a key of a sequential class is kept quiet after an attempt that may still be running. Default zero.
     pub key_quiet_period: Duration,
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,13 +1,13 @@
 //! The state of one gateway's decisions. Each event is handed to the module that decides on it; no rule stands here.
 
 use crate::api::{Action, Event, Outcome, RequestClass, RequestId, Settings};
-use crate::concurrency_limit::ListedLoad;
 use crate::discovery_polling::DiscoveryPolling;
 use crate::endpoint_list::ListKind;
 use crate::endpoint_state::{EndpointRecord, FleetLatency};
 use crate::failure_tracking::ClassFailures;
 use crate::fleet_terms::FleetTerms;
 use crate::key_sequencing::KeyQueue;
+use crate::load_signals::ListedLoad;
 use crate::maintenance::MaintenanceClock;
 use crate::request::RequestState;
 use crate::retry::AttemptBudget;
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -2,8 +2,8 @@
 
 use crate::api::{Action, Endpoint, EndpointId, EndpointState, EndpointWeights};
 use crate::balancer::Balancer;
-use crate::concurrency_limit::{listed_in_flight_per_core, ListedLoad};
 use crate::endpoint_state::EndpointRecord;
+use crate::load_signals::{listed_in_flight_per_core, ListedLoad};
 
 /// Smallest size of an endpoint, against the mean.
 const MIN_SIZE_RATIO: f64 = 0.1;
--- a/crates/balancer/src/endpoint_state.rs
+++ b/crates/balancer/src/endpoint_state.rs
@@ -1,4 +1,4 @@
-//! What this gateway knows of one endpoint, and the latency expected of endpoints that it has no sample of.
+//! The state of one endpoint at this gateway, and the latency expected of endpoints without samples.
 
 use crate::api::{Endpoint, EndpointState, LoadReport};
 use crate::failure_tracking::{retained_fraction, ClassFailures};
@@ -8,12 +8,12 @@
 /// Latency expected of an endpoint before any sample, as a fraction of the shortest latency objective.
 const INITIAL_LATENCY_FRACTION: f64 = 0.25;
 
-/// An endpoint as this gateway sees it. Moments are in seconds on the gateway's clock.
+/// An endpoint as this gateway sees it. Times are in seconds on the gateway's clock.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EndpointRecord {
     /// Its latest entry in the endpoint list.
     pub(crate) entry: Endpoint,
-    /// When it last started; minus infinity for long ago.
+    /// When it last started; minus infinity if it started before records began.
     pub(crate) started_s: f64,
     /// Its size against the mean of the ready endpoints, where weights are sizes; 1 otherwise.
     pub(crate) relative_size: f64,
@@ -33,8 +33,8 @@
     pub(crate) last_served_s: f64,
     /// Its failures by class; classes beyond the end have none.
     pub(crate) class_failures: Vec<ClassFailures>,
-    /// Attempts that slow start allows it now; infinite once it is warm.
-    pub(crate) tokens: f64,
+    /// Attempts that slow start allows it now. Infinite means warm: see [`EndpointRecord::is_warm`].
+    pub(crate) slow_start_tokens: f64,
     /// Whether it is treated as restarted although discovery has not said so.
     pub(crate) restart_suspected: bool,
     /// Its start as known before a restart was suspected.
@@ -57,16 +57,21 @@
 }
 
 impl EndpointRecord {
-    /// An endpoint that nothing is known of: up for long, and of mean size.
+    /// An endpoint without any record: started before records began, and of mean size.
     pub(crate) fn unknown() -> Self {
         EndpointRecord { started_s: f64::NEG_INFINITY, relative_size: 1.0, ..EndpointRecord::default() }
     }
 
     /// Forgets what was learned from an earlier process or another endpoint of this number; attempts in flight stay.
-    pub(crate) fn reset_for_new_process(&mut self, started_s: f64, tokens: f64) {
+    pub(crate) fn reset_for_new_process(&mut self, started_s: f64, slow_start_tokens: f64) {
         let in_flight_since_s = std::mem::take(&mut self.in_flight_since_s);
-        *self =
-            EndpointRecord { started_s, in_flight_since_s, tokens, relative_size: 1.0, ..Self::default() };
+        *self = EndpointRecord {
+            started_s,
+            in_flight_since_s,
+            slow_start_tokens,
+            relative_size: 1.0,
+            ..Self::default()
+        };
     }
 
     /// Whether it takes new work.
@@ -74,13 +79,13 @@
         self.entry.state == EndpointState::Up
     }
 
-    /// Whether it is past slow start.
+    /// Whether it is past slow start: a warm endpoint has infinite tokens.
     pub(crate) fn is_warm(&self) -> bool {
-        self.tokens.is_infinite()
+        self.slow_start_tokens.is_infinite()
     }
 
-    /// The latency expected of it in seconds, where an overdue attempt counts as a sample of at least its age: silence must not look
-    /// like speed.
+    /// The latency expected of it in seconds, where an overdue attempt counts as a sample of at least its age: an endpoint
+    /// that stops answering must not look fast.
     pub(crate) fn latency_with_overdue_s(&self, now_s: f64) -> f64 {
         match self.in_flight_since_s.first() {
             Some(oldest_sent_s) => self.latency_estimate_s.max(now_s - oldest_sent_s),
@@ -99,7 +104,7 @@
     }
 
     /// Recomputes the expected latency: `prior_s` without samples; otherwise the detector's, of which the part above `prior_s` decays
-    /// while no samples come. Without the decay an avoided endpoint would never get the sample that clears it.
+    /// while no samples arrive. Without the decay an avoided endpoint would never get the sample that clears it.
     pub(crate) fn refresh_latency_estimate(&mut self, now_s: f64, prior_s: f64, longest_objective_s: f64) {
         self.latency_estimate_s = prior_s;
         if !self.detector.has_samples() {
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -3,12 +3,12 @@
 //! A gateway owns the sockets and the clock. It hands what happens to its [`Balancer`] as [`Event`]s and carries out the [`Action`]s that
 //! come back: where each request goes, and when it is retried, rejected or failed. Instances share nothing; each gateway decides alone.
 //!
-//! The modules in the order of a request's way:
+//! The modules in the order in which a request passes through them:
 //!
-//! - `admission`: whether a request is admitted or shed; `concurrency_limit`: bounds from the load of endpoints
-//! - `selection`: which endpoint an attempt goes to; `slow_start`: what cold endpoints get
-//! - `attempt`: the way from one attempt to the next; `retry`: whether another one is allowed, hedges, giving up
-//! - `latency_detector`, `failure_tracking`, `endpoint_state`: what is known of an endpoint from outcomes
+//! - `admission`: whether a request is admitted or shed; `load_signals`: what endpoints report of their load
+//! - `selection`: which endpoint an attempt goes to; `slow_start`: how many attempts a cold endpoint gets
+//! - `attempt`: sending attempts and handling their outcomes; `retry`: whether another one is allowed, hedges, giving up
+//! - `latency_detector`, `failure_tracking`, `endpoint_state`: the state of an endpoint as learned from outcomes
 //! - `traffic_stats`, `maintenance`: rates and averages, and what changes with time
 //! - `endpoint_list`, `discovery_polling`, `draining`: endpoints according to discovery, and when it is polled
 //! - `key_sequencing`: one request of a key at a time
@@ -34,7 +34,6 @@
 mod api;
 mod attempt;
 mod balancer;
-mod concurrency_limit;
 mod discovery_polling;
 mod draining;
 mod endpoint_list;
@@ -44,6 +43,7 @@
 mod key_sequencing;
 mod latency_detector;
 pub mod load_report;
+mod load_signals;
 mod maintenance;
 mod request;
 mod retry;
--- a/crates/balancer/src/concurrency_limit.rs
+++ b/crates/balancer/src/load_signals.rs
@@ -1,4 +1,4 @@
-//! Bounds on this gateway's concurrency from the load of endpoints: live weights in the endpoint list and load reports.
+//! What endpoints report of their load (live weights in the endpoint list, load reports), as inputs of [`crate::admission`].
 
 use crate::api::{EndpointId, LoadReport};
 use crate::balancer::Balancer;
@@ -7,21 +7,21 @@
 
 /// Most requests in flight on a core that a live weight counts for.
 const MAX_LISTED_IN_FLIGHT_PER_CORE: f64 = 20.0;
-/// Latency by load reports, as a fraction of the shortest objective, from which on admission is not eased.
+/// Latency by load reports, as a fraction of the shortest objective, above which admission is not eased.
 const NO_HEADROOM_LATENCY_FRACTION: f64 = 0.45;
-/// Latency by load reports, as a fraction of the shortest objective, up to which admission is eased in full.
+/// Latency by load reports, as a fraction of the shortest objective, below which admission is eased in full.
 const FULL_HEADROOM_LATENCY_FRACTION: f64 = 0.3;
 /// Time constant of the average of reported requests in flight, in seconds.
 const REPORTED_IN_FLIGHT_TIME_CONSTANT_S: f64 = 0.7;
 /// Time constant of the average of reported request rates, in seconds.
 const REPORTED_RATE_TIME_CONSTANT_S: f64 = 5.0;
-/// Requests in flight on a core that the bound from live weights is set to: more does not raise throughput, and endpoints slow down under it.
+/// Requests in flight on a core that the limit from live weights aims at: more would slow endpoints down without raising throughput.
 pub(crate) const TARGET_IN_FLIGHT_PER_CORE: f64 = 1.6;
-/// Lowest listed load that the bound is computed with, in requests in flight on a core; below, lists say too little.
+/// Lowest listed load that the limit is computed with, in requests in flight on a core; below it, lists are too imprecise.
 const MIN_LISTED_IN_FLIGHT_PER_CORE: f64 = 0.2;
-/// Room to grow above the bound, as a fraction of this gateway's share of the endpoints.
+/// Allowance for growth above the limit, as a fraction of this gateway's share of the endpoints.
 const GROWTH_ALLOWANCE_FRACTION: f64 = 0.25;
-/// Age from which on a list's live weights no longer count, in seconds.
+/// Age at which a list's live weights no longer count, in seconds.
 const MAX_LISTED_LOAD_AGE_S: f64 = 3.0;
 
 /// The load according to the last endpoint list with live weights.
@@ -39,14 +39,14 @@
         ListedLoad { in_flight_per_core: 0.0, received_at_s: f64::NEG_INFINITY }
     }
 
-    /// Whether it is recent enough to bound admission.
+    /// Whether it is recent enough to limit admission.
     pub(crate) fn is_recent(&self, now_s: f64) -> bool {
         now_s - self.received_at_s < MAX_LISTED_LOAD_AGE_S
     }
 }
 
-/// This gateway's requests in flight at which endpoints reach the target load, on average: what was in flight over the last seconds for
-/// each request listed on a core in that time, times the target, with room to grow from.
+/// This gateway's requests in flight at which endpoints reach the target load, on average: the mean number in flight over the last
+/// seconds, scaled from the load listed in that time to the target load, with an allowance for growth.
 pub(crate) fn mean_concurrency_at_target(
     average_requests_in_flight: f64,
     listed_in_flight_per_core: f64,
@@ -58,7 +58,7 @@
 }
 
 /// Requests in flight on a core over the ready endpoints, by their live weights: a weight is the size divided by 1 + requests in flight
-/// on a core. Endpoints of one kind have one size, so one that was never seen idle is judged by its kind.
+/// on a core. Endpoints of one kind have one size, so one that was never listed idle has the size of its kind.
 pub(crate) fn listed_in_flight_per_core(endpoints: &mut [EndpointRecord], ready: &[usize]) -> f64 {
     let mut size_by_kind: FxHashMap<u32, f64> = FxHashMap::default();
     for endpoint in endpoints.iter_mut() {
@@ -97,8 +97,8 @@
         self.requests_per_s += endpoint.reported_requests_per_s;
     }
 
-    /// How far admission may be eased, from 0 to 1: in full where this gateway is one of many (`dilution` near 1) and endpoints report to
-    /// be quick. By Little's law their latency is what they have in flight over what they serve a second.
+    /// How far admission may be eased, from 0 to 1: in full where this gateway is one of many (`dilution` near 1) and endpoints report
+    /// low latencies. By Little's law, latency is requests in flight divided by requests served a second.
     pub(crate) fn admission_headroom(&self, shortest_objective_s: f64, dilution: f64) -> f64 {
         let latency_fraction = if self.requests_per_s > 0.0 {
             self.in_flight / self.requests_per_s / shortest_objective_s
@@ -111,20 +111,18 @@
 }
 
 impl Balancer {
-    /// Handles a load report. It covers the requests of all gateways but is seconds old when received, so it shows how loaded the fleet is
-    /// and not where the next request should go: docs/design/fleet-size.md.
+    /// Handles a load report. It covers the requests of all gateways but is seconds old when received, so it is used for
+    /// admission and not for selection: docs/design/fleet-size.md.
     pub(crate) fn on_load_report(&mut self, now_s: f64, endpoint: EndpointId, report: LoadReport) {
         let Some(report) = report.checked() else { return };
         let Some(endpoint) = self.endpoints.get_mut(endpoint.0 as usize) else { return };
         let gap_s = match endpoint.last_report {
-            // The same report again, beside another response.
+            // The same report again, carried by another response.
             Some(last) if last.report == report => return,
             Some(last) => now_s - last.received_at_s,
             None => f64::INFINITY,
         };
-        if endpoint.report_shows_restart(&report, gap_s, self.fleet_terms.longest_objective_s) {
-            endpoint.restart_slow_start(now_s, 0.0);
-        }
+        endpoint.on_reported_restart(now_s, &report, gap_s, self.fleet_terms.longest_objective_s);
         endpoint.last_report = Some(ReceivedReport { report, received_at_s: now_s });
         let gain = |time_constant_s: f64| 1.0 - (-gap_s / time_constant_s).exp();
         endpoint.reported_in_flight +=
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -1,8 +1,8 @@
 //! Periodic recomputation of what changes with time: slow-start budgets, expected latencies, rates and bounds.
 
 use crate::balancer::Balancer;
-use crate::concurrency_limit::ReportedLoad;
 use crate::endpoint_state::{EndpointRecord, FleetLatencySums};
+use crate::load_signals::ReportedLoad;
 use crate::slow_start::BudgetGrowth;
 use crate::traffic_stats::AveragingInterval;
 
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -98,7 +98,7 @@
         endpoint.last_sample_s = now_s;
         if !endpoint.is_warm() {
             // The predecessor may have spent its own tokens a moment ago: together they would overload a cold endpoint.
-            endpoint.tokens = 0.0;
+            endpoint.slow_start_tokens = 0.0;
         }
     }
 
