--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -7,18 +7,18 @@
 use crate::traffic_stats::{update_average, TrafficStats};
 use std::time::Duration;
 
-/// Fraction of the capacity that is left once requests end unserved and the served ones are slow.
-const TIGHTEST_CAPACITY_FRACTION: f64 = 0.3;
-/// Mean latency, as a fraction of the shortest objective, from which on served requests count as slow.
+/// Fraction of the concurrency limit that is left once requests end unserved and the served ones are slow.
+const TIGHTEST_LIMIT_FRACTION: f64 = 0.3;
+/// Mean latency, as a fraction of the shortest objective, above which served requests count as slow.
 const SLOW_LATENCY_FRACTION: f64 = 0.4;
-/// Standard deviations of chance added to the capacity while endpoints report load, or report nothing.
-const CHANCE_DEVIATION_FACTOR: f64 = 0.5;
-/// The same while endpoints report little load: what one gateway has in flight says little then.
-const EASED_CHANCE_DEVIATION_FACTOR: f64 = 2.0;
-/// Exponent of a class's weight against the mean weight; a small one, since each class counts for the fleet's score.
+/// Standard deviations of the number in flight added to the limit, without admission headroom.
+const HEADROOM_DEVIATIONS_MIN: f64 = 0.5;
+/// The same with full admission headroom.
+const HEADROOM_DEVIATIONS_MAX: f64 = 2.0;
+/// Exponent of a class's weight relative to the mean weight; below 1, so that weights only moderately change who is shed.
 const PRIORITY_EXPONENT: f64 = 0.25;
-/// Load, as a fraction of the one at which admission is tightest, from which on hopeless requests are shed.
-const HOPELESS_SHEDDING_LOAD_THRESHOLD: f64 = 0.3;
+/// Overload level above which hopeless requests are shed; 1 is the load at which admission is tightest.
+const HOPELESS_SHEDDING_OVERLOAD_LEVEL: f64 = 0.3;
 /// Smallest expected work of a request, against the mean.
 const MIN_WORK_RATIO: f64 = 0.25;
 /// Largest expected work of a request, against the mean.
@@ -26,53 +26,58 @@
 /// Fraction of the expected work that does not depend on the cost hint.
 const FIXED_WORK_FRACTION: f64 = 0.5;
 
-/// What the estimate of this gateway's capacity is made from.
+/// Inputs of the estimate of this gateway's concurrency limit.
 #[derive(Clone, Copy, Debug)]
-struct CapacityInputs {
+struct ConcurrencyLimitInputs {
     /// Requests served in time, a second.
     served_per_s: f64,
     /// Mean latency of served requests, in seconds; 0 before the first.
     latency_s: f64,
     /// The shortest latency objective, in seconds.
     shortest_objective_s: f64,
-    /// How many requests end unserved, from 0 to 1 (see [`TrafficStats`]).
+    /// Pressure by requests that end unserved, 0 to 1: see [`TrafficStats`].
     unserved_pressure: f64,
-    /// How far load reports allow admission to be eased, from 0 to 1.
+    /// How far load reports allow the limit to be raised, 0 to 1.
     admission_headroom: f64,
-    /// Ready endpoints for each gateway: what every gateway may have in flight at least.
+    /// Ready endpoints for each gateway: the least that the limit allows in flight.
     endpoints_per_gateway: f64,
 }
 
 /// The number of requests in flight that could be served within the shortest objective: by Little's law on this gateway's own rate, with
-/// an allowance for chance. Failures lower it only as far as served requests are slow as well: a few failing endpoints are no overload.
-fn estimated_capacity(inputs: &CapacityInputs) -> f64 {
+/// an allowance for random variation. Failures lower it only as far as served requests are slow as well: a few failing endpoints are no
+/// overload.
+fn estimated_concurrency_limit(inputs: &ConcurrencyLimitInputs) -> f64 {
     let slow_latency_s = SLOW_LATENCY_FRACTION * inputs.shortest_objective_s;
     let slowness = (inputs.latency_s / slow_latency_s).powi(2).min(1.0);
-    let reduction = (1.0 - TIGHTEST_CAPACITY_FRACTION) * inputs.unserved_pressure * slowness;
+    let reduction = (1.0 - TIGHTEST_LIMIT_FRACTION) * inputs.unserved_pressure * slowness;
     let served_in_objective = inputs.served_per_s * inputs.shortest_objective_s * (1.0 - reduction);
-    let chance_range = EASED_CHANCE_DEVIATION_FACTOR - CHANCE_DEVIATION_FACTOR;
-    let chance = CHANCE_DEVIATION_FACTOR + chance_range * inputs.admission_headroom;
-    served_in_objective + chance * served_in_objective.sqrt() + inputs.endpoints_per_gateway
+    let deviations_range = HEADROOM_DEVIATIONS_MAX - HEADROOM_DEVIATIONS_MIN;
+    let deviations = HEADROOM_DEVIATIONS_MIN + deviations_range * inputs.admission_headroom;
+    served_in_objective + deviations * served_in_objective.sqrt() + inputs.endpoints_per_gateway
 }
 
-/// The number of requests in flight that recent live weights allow, at least this gateway's share of the endpoints. Where the gateway is
-/// one of many (`dilution` near 1) it has one request in flight or none, so a bound on the mean leaves room for chance.
-fn capacity_by_listed_load(traffic: &TrafficStats, endpoints_per_gateway: f64, dilution: f64) -> f64 {
+/// The number of requests in flight that recent live weights allow, at least this gateway's share of the endpoints. With many gateways
+/// (`dilution` near 1) each has few requests in flight, so half a standard deviation is added to the mean.
+fn concurrency_limit_by_listed_load(
+    traffic: &TrafficStats,
+    endpoints_per_gateway: f64,
+    dilution: f64,
+) -> f64 {
     let mean = mean_concurrency_at_target(
         traffic.average_requests_in_flight,
         traffic.listed_in_flight_per_core,
         endpoints_per_gateway,
     );
-    (mean + dilution.powi(2) * CHANCE_DEVIATION_FACTOR * mean.sqrt()).max(endpoints_per_gateway)
+    (mean + dilution.powi(2) * HEADROOM_DEVIATIONS_MIN * mean.sqrt()).max(endpoints_per_gateway)
 }
 
-/// Whether a request would, by its cost hint, take longer than there is time, while endpoints are loaded: it would only keep others from
-/// being served. `load` is a fraction of the load at which admission is tightest.
-fn is_hopeless(cost_hint_s: f64, latency_per_hint: f64, remaining_s: f64, load: f64) -> bool {
-    cost_hint_s * latency_per_hint > remaining_s && load > HOPELESS_SHEDDING_LOAD_THRESHOLD
+/// Whether the request, by its cost hint, would end after its deadline while endpoints are loaded. An `overload_level` of 1 is the load
+/// at which admission is tightest.
+fn is_hopeless(cost_hint_s: f64, latency_per_hint: f64, remaining_s: f64, overload_level: f64) -> bool {
+    cost_hint_s * latency_per_hint > remaining_s && overload_level > HOPELESS_SHEDDING_OVERLOAD_LEVEL
 }
 
-/// The factor on the capacity for a class of this weight: classes of little weight are shed first, but not by far.
+/// The factor on the concurrency limit for a class of this weight: classes of little weight are shed somewhat earlier.
 fn priority_weight(class_weight: f64, mean_weight: f64) -> f64 {
     (class_weight / mean_weight).powf(PRIORITY_EXPONENT)
 }
@@ -82,7 +87,7 @@
     let work = if cost_hint_s > 0.0 {
         FIXED_WORK_FRACTION + (1.0 - FIXED_WORK_FRACTION) * cost_hint_s / traffic.cost_hint_s
     } else {
-        // Not a number before anything was served.
+        // NaN before any request was served.
         let by_class = traffic.class_latency_s[class] / traffic.latency_s;
         if by_class > 0.0 {
             by_class
@@ -93,7 +98,7 @@
     work.clamp(MIN_WORK_RATIO, MAX_WORK_RATIO)
 }
 
-/// The time that a request has. All in seconds.
+/// The deadlines and the objective of a request. All in seconds.
 struct RequestTimes {
     deadline_s: f64,
     objective_s: f64,
@@ -101,7 +106,8 @@
 }
 
 impl RequestTimes {
-    /// A streamed body has the client's deadline until it is complete; a class that values late answers has no objective to end by.
+    /// A request with a streamed body has the client's deadline until the body is complete; a class whose late answers have value has no
+    /// objective.
     fn new(now_s: f64, request: &Request, class: &RequestClass, cost_hint_s: f64, timer_tick_s: f64) -> Self {
         let client_deadline_s = request.client_deadline.as_secs_f64();
         let full_value_s =
@@ -122,6 +128,7 @@
         if self.requests.contains_key(&request.id.0) {
             return;
         }
+        // The caller resolves classes; an unknown one is a bug of the caller.
         let Some(class) = self.settings.classes.get(request.class) else {
             return actions.push(Action::Reject { request: request.id, retry_after: Duration::ZERO });
         };
@@ -139,14 +146,14 @@
             let retry_after = self.settings.max_retry_after;
             return actions.push(Action::Reject { request: request.id, retry_after });
         }
-        self.attempt_budget.earn();
+        self.retry_budget.earn();
         self.insert_request(request, cost_hint_s, &times);
         self.update_request_and_key(now_s, request.id, actions, |balancer, state, actions| {
             balancer.advance(now_s, request.id, state, actions);
         });
     }
 
-    /// Whether the request is admitted, by capacity, priority and the time that it needs.
+    /// Whether the request is admitted, by the concurrency limit, its priority and the time that it needs.
     fn is_admitted(
         &self,
         now_s: f64,
@@ -158,7 +165,7 @@
         let traffic = &self.traffic;
         let gateway_count = f64::from(self.settings.gateway_count.max(1));
         let endpoints_per_gateway = self.ready.len() as f64 / gateway_count;
-        let mut capacity = estimated_capacity(&CapacityInputs {
+        let mut concurrency_limit = estimated_concurrency_limit(&ConcurrencyLimitInputs {
             served_per_s: traffic.served_in_time.per_s,
             latency_s: traffic.latency_s,
             shortest_objective_s: self.fleet_terms.shortest_objective_s,
@@ -166,19 +173,26 @@
             admission_headroom: traffic.admission_headroom,
             endpoints_per_gateway,
         });
-        let mut load = traffic.unserved_pressure;
+        let mut overload_level = traffic.unserved_pressure;
         if self.listed_load.is_recent(now_s) {
             let dilution = self.fleet_terms.dilution;
-            capacity = capacity.min(capacity_by_listed_load(traffic, endpoints_per_gateway, dilution));
-            load = load.max(traffic.listed_in_flight_per_core / TARGET_IN_FLIGHT_PER_CORE);
+            concurrency_limit = concurrency_limit.min(concurrency_limit_by_listed_load(
+                traffic,
+                endpoints_per_gateway,
+                dilution,
+            ));
+            overload_level =
+                overload_level.max(traffic.listed_in_flight_per_core / TARGET_IN_FLIGHT_PER_CORE);
         }
-        if is_hopeless(cost_hint_s, traffic.latency_per_hint, times.deadline_s - now_s, load) {
+        if is_hopeless(cost_hint_s, traffic.latency_per_hint, times.deadline_s - now_s, overload_level) {
             return false;
         }
         let weight = priority_weight(class.priority_weight, traffic.priority_weight);
-        // Not `<=`: a capacity that is not a number, as without any class weight, admits.
-        let exceeds_capacity = traffic.requests_in_flight > capacity * weight * request.admission_share;
-        !exceeds_capacity
+        // In a retry storm control::retry_storm applies the class weight once more, through admission_share.
+        let request_limit = concurrency_limit * weight * request.admission_share;
+        // Not `<=`: a limit that is NaN, as without any class weight, admits.
+        let exceeds_limit = traffic.requests_in_flight > request_limit;
+        !exceeds_limit
     }
 
     fn insert_request(&mut self, request: &Request, cost_hint_s: f64, times: &RequestTimes) {
--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -1,12 +1,12 @@
-//! What the gateway is to do.
+//! Actions that the balancer asks the gateway to carry out.
 
 use super::{EndpointId, RequestId};
 use std::time::Duration;
 
-/// What the gateway is to do, in the order given.
+/// An action for the gateway to carry out, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of the request to the endpoint and give it up at `deadline`.
+    /// Send an attempt of the request to the endpoint and time it out at `deadline`.
     Send {
         /// The request.
         request: RequestId,
@@ -14,11 +14,11 @@
         endpoint: EndpointId,
         /// When the attempt times out.
         deadline: Duration,
-        /// The latest moment for its last byte to be written, where an earlier attempt was possibly processed: endpoints recognize a
-        /// repeat until then. What is not written by then ends as [`Outcome::NotSent`](super::Outcome::NotSent).
+        /// The latest time for its last byte to be written, where an earlier attempt was possibly processed: endpoints recognize a
+        /// repeat until then. An attempt not written by then ends as [`Outcome::NotSent`](super::Outcome::NotSent).
         write_by: Option<Duration>,
     },
-    /// Give the request's attempts in flight up at another time than before.
+    /// Change the deadline of the request's attempts in flight.
     SetAttemptDeadline {
         /// The request.
         request: RequestId,
@@ -51,7 +51,7 @@
         /// Given back with the event.
         token: u64,
     },
-    /// Send a health check to the endpoint.
+    /// Send a health check to the endpoint. The balancer sends none at present.
     Probe {
         /// The endpoint.
         endpoint: EndpointId,
--- a/crates/balancer/src/api/endpoint.rs
+++ b/crates/balancer/src/api/endpoint.rs
@@ -36,16 +36,16 @@
     pub zone: u32,
     /// Its cell: the endpoints of a cell share the idempotency keys that they have seen.
     pub cell: u32,
-    /// When it last started; `None` for long ago.
+    /// When it last started; `None` if it started before records began.
     pub started: Option<Duration>,
     /// Its machine kind: endpoints of one kind are expected to be equally fast.
     pub kind: u32,
-    /// A figure whose meaning [`Settings::endpoint_weights`](super::Settings::endpoint_weights) gives.
+    /// Its weight; [`Settings::endpoint_weights`](super::Settings::endpoint_weights) says what it means.
     pub weight: f64,
 }
 
 impl Endpoint {
-    /// An endpoint of zone, cell and kind 0 with weight 1 that has been up for long.
+    /// An endpoint of zone, cell and kind 0 with weight 1 that started before records began.
     pub fn new(id: EndpointId, name: &str) -> Self {
         let hash = stable_hash(name);
         Endpoint { id, hash, state: EndpointState::Up, zone: 0, cell: 0, started: None, kind: 0, weight: 1.0 }
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -1,9 +1,9 @@
-//! What happens at the gateway.
+//! Events that the gateway reports to the balancer.
 
 use super::{Endpoint, EndpointId, LoadReport, Outcome, Request, RequestId};
 use std::time::Duration;
 
-/// What happens at the gateway.
+/// An event at the gateway.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
     /// Discovery has sent an endpoint list.
@@ -15,10 +15,10 @@
     },
     /// An [`Action::PollDiscovery`](super::Action::PollDiscovery) failed, or its subscription broke.
     DiscoveryFailed {
-        /// How long a broken subscription had been silent; ignored where a poll failed, whose time is known.
+        /// How long a broken subscription had been silent; ignored where a poll failed, whose duration is known.
         silent_for: Duration,
     },
-    /// Another discovery service is used from now on and has not answered yet: it is polled soon, whatever was planned.
+    /// Another discovery service is used from now on and has not answered yet: it is polled soon, even if a later poll was scheduled.
     DiscoveryChanged,
     /// A client has sent a request; one final answer is owed from here on.
     Request(Request),
@@ -27,15 +27,15 @@
         /// The request.
         request: RequestId,
     },
-    /// The last byte of a [streamed body](Request::body_streaming) was forwarded: the time of the request and of its attempt begins.
+    /// The last byte of a [streamed body](Request::body_streaming) was forwarded: the clock of the request and of its attempt starts.
     BodyForwarded {
         /// The request.
         request: RequestId,
         /// When the client gives up.
         client_deadline: Duration,
     },
-    /// A response is being forwarded while it is received. The choice of endpoint is final, its deadlines no longer hold, and how long the rest takes
-    /// says nothing about the endpoint. No outcome of the attempt follows.
+    /// A response is being forwarded while it is received. The choice of endpoint is final, its deadlines no longer apply, and the duration
+    /// of the rest is no latency sample. No outcome of the attempt follows.
     ResponseStarted {
         /// The request.
         request: RequestId,
@@ -44,7 +44,7 @@
         /// The time since the send.
         latency: Duration,
     },
-    /// An attempt has ended; each [`Action::Send`](super::Action::Send) is followed by one of these.
+    /// An attempt has ended. Follows each [`Action::Send`](super::Action::Send), unless [`Event::ResponseStarted`] did.
     AttemptEnded {
         /// The request.
         request: RequestId,
@@ -54,7 +54,7 @@
         latency: Duration,
         /// How it ended.
         outcome: Outcome,
-        /// Whether the request is over, so that no answer is owed any more.
+        /// Whether a final answer has been given. Must be true with [`Outcome::Served`]; otherwise the request is retried.
         request_ended: bool,
     },
     /// A response carried a load report; sent ahead of the [`Event::AttemptEnded`] of its attempt.
--- a/crates/balancer/src/api/request.rs
+++ b/crates/balancer/src/api/request.rs
@@ -13,7 +13,8 @@
     pub id: RequestId,
     /// Its class, as an index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// Its tenant, as an index into [`Settings::tenant_quotas`](super::Settings::tenant_quotas).
+    /// Its tenant, as an index into [`Settings::tenant_quotas`](super::Settings::tenant_quotas). The
+    /// balancer does not use it.
     pub tenant: usize,
     /// The [`stable_hash`](super::stable_hash) of its subject; requests of one key are related.
     pub key: Option<u64>,
@@ -21,12 +22,12 @@
     pub cost_hint: Option<Duration>,
     /// Whether the client says that it has sent the request before.
     pub is_client_retry: bool,
-    /// The fraction of the admission capacity that it may use, from 0 to 1. Below 1 it is shed while others are still admitted; at 0 it
-    /// is shed unless nothing is in flight.
+    /// Factor on the admission capacity for this request. Below 1 it is shed while others are admitted; above 1 it is admitted while
+    /// others are shed; at 0 it is admitted only when nothing is in flight.
     pub admission_share: f64,
     /// When the client gives up.
     pub client_deadline: Duration,
-    /// Whether its body is still arriving and is forwarded to one endpoint as it comes. Its time then begins with
+    /// Whether its body is still arriving and is forwarded to one endpoint as it arrives. Its clock then starts with
     /// [`Event::BodyForwarded`](super::Event::BodyForwarded).
     pub body_streaming: bool,
 }
@@ -59,7 +60,7 @@
     Rejected,
     /// There was no answer by the attempt's deadline; the request was possibly processed or still is.
     TimedOut,
-    /// No connection could be opened; the request was not processed.
+    /// The request was not completely written, for instance because no connection could be opened; it was not processed.
     NoConnection,
     /// The connection broke; the request was possibly processed.
     Reset,
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the decisions.
+//! Settings of the balancer.
 
 use super::Endpoint;
 use std::time::Duration;
@@ -90,11 +90,11 @@
     Off,
     /// Its size, exactly or roughly.
     Size,
-    /// Its size divided by 1 + requests in flight on a core, as it was some time ago.
+    /// Its size divided by 1 + requests in flight on a core, with a delay.
     Live,
 }
 
-/// The settings of one gateway's decisions. The default allows everything and has no class.
+/// The settings of one gateway's balancer. The default allows everything and has no class.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The number of gateways, this one included. Default 1.
@@ -103,13 +103,15 @@
     pub zone: u32,
     /// The request classes; a request names one by its index. Default none.
     pub classes: Vec<RequestClass>,
-    /// Each tenant's quota, in requests a second over all gateways; a request names its tenant by its index. Default none.
+    /// Each tenant's quota, in requests a second over all gateways; a request names its tenant by its index. The balancer does
+    /// not use them. Default none.
     pub tenant_quotas: Vec<f64>,
-    /// The value of a request beyond its tenant's quota, as a fraction of its class's. Default 1.
+    /// The value of a request beyond its tenant's quota, as a fraction of its class's. The balancer does not use it. Default 1.
     pub over_quota_weight: f64,
-    /// How often discovery must be polled, where changes are sent only to those who poll. Default none: changes are pushed.
+    /// Reference time for the backoff before discovery is asked again, where the gateway must open the watch itself. Default none: lists
+    /// are pushed.
     pub discovery_poll_interval: Option<Duration>,
-    /// The shortest time between two moments at which the gateway acts. Default 1 ms.
+    /// Resolution of the gateway's timers. Default 1 ms.
     pub timer_tick: Duration,
     /// The most attempts for one request. Default 3.
     pub max_attempts: u32,
@@ -117,7 +119,7 @@
     pub cancellation_allowed: bool,
     /// Whether two attempts of one request may be in flight at once. Default true.
     pub hedging_allowed: bool,
-    /// Whether endpoints may be sent health checks. Default true.
+    /// Whether endpoints may be sent health checks. The balancer sends none. Default true.
     pub probes_allowed: bool,
     /// The longest `Retry-After` that clients obey. Default zero: they are given none.
     pub max_retry_after: Duration,
@@ -141,7 +143,7 @@
     pub keep_alive: Duration,
     /// Whether an endpoint does less work for a key that it served lately. Default false.
     pub key_cache_affinity: bool,
-    /// What [`Endpoint::weight`] means. Default [`EndpointWeights::Off`].
+    /// Meaning of [`Endpoint::weight`]. Default [`EndpointWeights::Off`].
     pub endpoint_weights: EndpointWeights,
 }
 
--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -48,7 +48,7 @@
     ) {
         let kind = AttemptKind::of_next(request);
         let idempotency = self.settings.classes[request.class].idempotency;
-        let is_allowed = is_attempt_allowed(request, idempotency, now_s) && self.attempt_budget.covers(kind);
+        let is_allowed = is_attempt_allowed(request, idempotency, now_s) && self.retry_budget.covers(kind);
         let is_expired = now_s >= request.wait_for_endpoint_until_s();
         if kind != AttemptKind::Hedge && (is_expired || !is_allowed) {
             return self.end_unserved(id, request, actions);
@@ -67,7 +67,7 @@
                 return;
             }
         }
-        self.attempt_budget.spend(kind);
+        self.retry_budget.spend(kind);
         self.send_attempt(now_s, id, request, endpoint, actions);
     }
 
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The state of one gateway's decisions. Each event is handed to the module that decides on it; no rule stands here.
+//! The state of one gateway's balancer. Dispatches events to the modules that decide.
 
 use crate::api::{Action, Event, Outcome, RequestClass, RequestId, Settings};
 use crate::discovery_polling::DiscoveryPolling;
@@ -10,7 +10,7 @@
 use crate::load_signals::ListedLoad;
 use crate::maintenance::MaintenanceClock;
 use crate::request::RequestState;
-use crate::retry::AttemptBudget;
+use crate::retry::RetryBudget;
 use crate::slow_start::LastIdleClose;
 use crate::traffic_stats::TrafficStats;
 use rustc_hash::FxHashMap;
@@ -21,13 +21,13 @@
 /// Timer token of the next round of closing connections to draining endpoints.
 pub(crate) const DRAIN_TIMER_TOKEN: u64 = 1 << 62;
 
-/// The decisions of one gateway: feed it events, carry out the actions.
+/// The load balancer of one gateway: it is fed events and returns actions for the gateway to carry out.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) fleet_terms: FleetTerms,
     pub(crate) rng: fastrand::Rng,
-    /// What is known of endpoints, by their numbers.
+    /// State of the endpoints, by their numbers.
     pub(crate) endpoints: Vec<EndpointRecord>,
     /// Numbers of the endpoints that take new work.
     pub(crate) ready: Vec<usize>,
@@ -37,7 +37,7 @@
     /// Requests of sequential classes, by their keys.
     pub(crate) key_queues: FxHashMap<u64, KeyQueue>,
     pub(crate) traffic: TrafficStats,
-    pub(crate) attempt_budget: AttemptBudget,
+    pub(crate) retry_budget: RetryBudget,
     pub(crate) maintenance: MaintenanceClock,
     pub(crate) listed_load: ListedLoad,
     pub(crate) discovery: DiscoveryPolling,
@@ -51,7 +51,7 @@
 }
 
 impl Balancer {
-    /// A gateway's decisions, from its settings and a seed of its own.
+    /// A balancer with the settings of its gateway and a random seed, which should differ between gateways.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let fleet_terms = FleetTerms::new(&settings);
         Balancer {
@@ -64,7 +64,7 @@
             ready: Vec::new(),
             requests: FxHashMap::default(),
             key_queues: FxHashMap::default(),
-            attempt_budget: AttemptBudget::new(),
+            retry_budget: RetryBudget::new(),
             maintenance: MaintenanceClock::new(),
             listed_load: ListedLoad::none(),
             discovery: DiscoveryPolling::new(),
@@ -73,8 +73,9 @@
         }
     }
 
-    /// Continues under other settings. What is known of endpoints stays; open requests keep their class and limits; a class that is not
-    /// the one of this number before starts without statistics.
+    /// Continues under other settings. The state of endpoints stays; open requests keep their class and limits; a class that differs from
+    /// the previous one of its number starts without statistics. Class numbers must stay valid: keep removed classes in the list with
+    /// `retired = true`.
     pub fn apply_settings(&mut self, settings: Settings) {
         self.fleet_terms = FleetTerms::new(&settings);
         self.traffic.class_latency_s.resize(settings.classes.len(), 0.0);
@@ -92,7 +93,7 @@
         self.settings = settings;
     }
 
-    /// Handles an event at `now` and appends what is to be done to `actions`.
+    /// Handles an event at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         let now_s = now.as_secs_f64();
         if self.maintenance.is_due(now_s) {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Ends a request whose response is being forwarded while it is received: the rest is between the endpoint and the client.
+    /// Ends a request whose response is being forwarded while it is received: its attempt counts as served, and no outcome follows.
     fn on_response_started(
         &mut self,
         now_s: f64,
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Runs `update` on a request, if it is known, and advances the requests of its key whose turn comes by that.
+    /// Runs `update` on a request, if it is known, and advances the requests of its key that this releases.
     pub(crate) fn update_request_and_key(
         &mut self,
         now_s: f64,
@@ -215,7 +216,7 @@
     }
 }
 
-/// Whether two classes are the same but for having left the settings.
+/// Whether two classes are equal except for `retired`.
 fn is_same_class(old: &RequestClass, new: &RequestClass) -> bool {
     *old == RequestClass { retired: old.retired, ..new.clone() }
 }
--- a/crates/balancer/src/load_signals.rs
+++ b/crates/balancer/src/load_signals.rs
@@ -15,7 +15,7 @@
 const REPORTED_IN_FLIGHT_TIME_CONSTANT_S: f64 = 0.7;
 /// Time constant of the average of reported request rates, in seconds.
 const REPORTED_RATE_TIME_CONSTANT_S: f64 = 5.0;
-/// Requests in flight on a core that the limit from live weights aims at: more would slow endpoints down without raising throughput.
+/// Target of the limit from live weights, in requests in flight on a core: more would slow endpoints down without raising throughput.
 pub(crate) const TARGET_IN_FLIGHT_PER_CORE: f64 = 1.6;
 /// Lowest listed load that the limit is computed with, in requests in flight on a core; below it, lists are too imprecise.
 const MIN_LISTED_IN_FLIGHT_PER_CORE: f64 = 0.2;
--- a/crates/balancer/src/request.rs
+++ b/crates/balancer/src/request.rs
@@ -89,8 +89,8 @@
 pub(crate) struct RequestLimits {
     /// Most attempts in all.
     pub(crate) max_attempts: u32,
-    /// Most attempts in flight when another one is sent.
-    pub(crate) max_in_flight_before_attempt: usize,
+    /// Most attempts that may be in flight when the next one is sent: 1 with hedging, 0 without.
+    pub(crate) max_in_flight_for_next_attempt: usize,
     pub(crate) cancellation_allowed: bool,
     /// Quiet period of its key after an attempt that may still be running, in seconds.
     pub(crate) key_quiet_period_s: f64,
@@ -103,7 +103,7 @@
     pub(crate) fn new(settings: &Settings) -> Self {
         RequestLimits {
             max_attempts: settings.max_attempts,
-            max_in_flight_before_attempt: if settings.hedging_allowed { 1 } else { 0 },
+            max_in_flight_for_next_attempt: if settings.hedging_allowed { 1 } else { 0 },
             cancellation_allowed: settings.cancellation_allowed,
             key_quiet_period_s: settings.key_quiet_period.as_secs_f64(),
             retry_after: settings.max_retry_after,
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -4,21 +4,21 @@
 use crate::api::{Action, Idempotency, KeyScope, RequestId};
 use crate::request::RequestState;
 
-/// Budget of attempts beyond the first, in hedges, that can be saved up.
+/// Largest budget, in hedges.
 const MAX_BUDGET_HEDGE_COUNT: f64 = 1.0;
-/// Budget that each admitted request adds: one hedge for 33 requests.
+/// Budget that each admitted request earns, in hedges.
 const BUDGET_PER_REQUEST: f64 = 0.03;
-/// Budget that a hedge takes.
+/// Budget that a hedge costs.
 const HEDGE_BUDGET_COST: f64 = 1.0;
-/// Budget that a retry takes; less, since it follows an attempt that did no work or lost it.
+/// Budget that a retry costs. Lower than a hedge: the earlier attempt no longer occupies an endpoint.
 const RETRY_BUDGET_COST: f64 = 0.15;
-/// A hedge is due when an attempt takes this many times its expected latency.
+/// Time after a send at which a hedge is due, as a multiple of the expected latency.
 const HEDGE_LATENCY_RATIO: f64 = 3.0;
-/// Longest time that the process may stand still between its last look at the clock and its write, in seconds: an idempotency window
-/// ends that much sooner.
+/// Longest time that the process may be suspended between reading the clock and the end of the write, in seconds. An idempotency window
+/// is shortened by it; otherwise a late write could arrive after the endpoint has dropped the key, and be processed twice.
 const MAX_WRITE_DELAY_S: f64 = 0.15;
 
-/// What an attempt is to its request.
+/// The kind of an attempt, by the earlier attempts of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptKind {
     /// Nothing was sent before.
@@ -30,7 +30,7 @@
 }
 
 impl AttemptKind {
-    /// What the next attempt of the request would be.
+    /// The kind of the request's next attempt.
     pub(crate) fn of_next(request: &RequestState) -> Self {
         if request.attempts.is_empty() {
             AttemptKind::First
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The budget that an attempt of this kind takes.
+    /// The budget that an attempt of this kind costs.
     fn budget_cost(self) -> f64 {
         match self {
             AttemptKind::First => 0.0,
@@ -51,16 +51,19 @@
     }
 }
 
-/// Budget for retries and hedges, filled by admitted requests: without it they would multiply an overload.
+/// One budget for retries and hedges: without it they would multiply an overload.
+///
+/// A full budget covers 1 hedge or 6 retries; each admitted request earns 0.03, so in the long run at most 3 % hedges or 20 % retries.
+/// Not to be confused with the budget for retries by clients, `retry_storm::RetryBudget` of the control package.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct AttemptBudget {
+pub(crate) struct RetryBudget {
     available: f64,
 }
 
-impl AttemptBudget {
+impl RetryBudget {
     /// A full budget.
     pub(crate) fn new() -> Self {
-        AttemptBudget { available: MAX_BUDGET_HEDGE_COUNT }
+        RetryBudget { available: MAX_BUDGET_HEDGE_COUNT }
     }
 
     /// Adds what an admitted request earns.
@@ -73,14 +76,14 @@
         self.available >= kind.budget_cost()
     }
 
-    /// Takes the cost of an attempt of this kind.
+    /// Spends the cost of an attempt of this kind.
     pub(crate) fn spend(&mut self, kind: AttemptKind) {
         self.available -= kind.budget_cost();
     }
 }
 
-/// Whether the request may have another attempt at all, by its body, its limits and the idempotency window. The budget and the choice of
-/// endpoint ([`crate::selection`]) come on top.
+/// Whether the request may have another attempt at all, by its body, its limits and the idempotency window. The caller also
+/// checks the budget and whether an endpoint is eligible ([`crate::selection`]).
 pub(crate) fn is_attempt_allowed(request: &RequestState, idempotency: Idempotency, now_s: f64) -> bool {
     if request.body_forwarding_started {
         return false;
@@ -92,14 +95,15 @@
     if request.attempts.len() as u32 >= request.limits.max_attempts {
         return false;
     }
-    if in_flight > request.limits.max_in_flight_before_attempt {
+    if in_flight > request.limits.max_in_flight_for_next_attempt {
         return false;
     }
     latest_write_s(request, idempotency).is_none_or(|latest_s| now_s < latest_s)
 }
 
-/// Until when the next attempt must be written, in seconds; `None` for any time. Where an attempt before may have been processed, that is
-/// as long as its endpoints know the key, less the time that a write may come late. A window no longer than that allows no attempt.
+/// Until when the next attempt must be written, in seconds; `None` for any time. Where an earlier attempt may have been processed, that
+/// is as long as its endpoints know the key, less [`MAX_WRITE_DELAY_S`]. A window of at most `MAX_WRITE_DELAY_S` allows no further
+/// attempt.
 pub(crate) fn latest_write_s(request: &RequestState, idempotency: Idempotency) -> Option<f64> {
     let window_s = match idempotency {
         Idempotency::Idempotent => return None,
