--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -168,14 +168,14 @@
         let mut concurrency_limit = estimated_concurrency_limit(&ConcurrencyLimitInputs {
             served_per_s: traffic.served_in_time.per_s,
             latency_s: traffic.latency_s,
-            shortest_objective_s: self.fleet_terms.shortest_objective_s,
+            shortest_objective_s: self.derived_settings.shortest_objective_s,
             unserved_pressure: traffic.unserved_pressure,
             admission_headroom: traffic.admission_headroom,
             endpoints_per_gateway,
         });
         let mut overload_level = traffic.unserved_pressure;
         if self.listed_load.is_recent(now_s) {
-            let dilution = self.fleet_terms.dilution;
+            let dilution = self.derived_settings.dilution;
             concurrency_limit = concurrency_limit.min(concurrency_limit_by_listed_load(
                 traffic,
                 endpoints_per_gateway,
--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -258,7 +258,7 @@
         if endpoint.is_warm() {
             self.traffic.served_per_warm_endpoint.record();
         }
-        endpoint.refund_token_if_unqueued(ended.scaled_latency_s, prior_s, self.fleet_terms.dilution);
+        endpoint.refund_token_if_unqueued(ended.scaled_latency_s, prior_s, self.derived_settings.dilution);
         endpoint.clear_suspicion_if_fast(ended.scaled_latency_s, prior_s, &self.settings);
         self.observe_latency(now_s, ended.endpoint, ended.scaled_latency_s);
         update_average(&mut self.traffic.class_latency_s[ended.class], ended.latency_s);
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,11 +1,11 @@
 //! The state of one gateway's balancer. Dispatches events to the modules that decide.
 
 use crate::api::{Action, Event, Outcome, RequestClass, RequestId, Settings};
+use crate::derived_settings::DerivedSettings;
 use crate::discovery_polling::DiscoveryPolling;
 use crate::endpoint_list::ListKind;
 use crate::endpoint_state::{EndpointRecord, FleetLatency};
 use crate::failure_tracking::ClassFailures;
-use crate::fleet_terms::FleetTerms;
 use crate::key_sequencing::KeyQueue;
 use crate::load_signals::ListedLoad;
 use crate::maintenance::MaintenanceClock;
@@ -19,13 +19,13 @@
 /// Timer token of the next discovery poll; other tokens are numbers of requests.
 pub(crate) const DISCOVERY_POLL_TIMER_TOKEN: u64 = 0;
 /// Timer token of the next round of closing connections to draining endpoints.
-pub(crate) const DRAIN_TIMER_TOKEN: u64 = 1 << 62;
+pub(crate) const ENDPOINT_DRAIN_TIMER_TOKEN: u64 = 1 << 62;
 
 /// The load balancer of one gateway: it is fed events and returns actions for the gateway to carry out.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
-    pub(crate) fleet_terms: FleetTerms,
+    pub(crate) derived_settings: DerivedSettings,
     pub(crate) rng: fastrand::Rng,
     /// State of the endpoints, by their numbers.
     pub(crate) endpoints: Vec<EndpointRecord>,
@@ -53,10 +53,10 @@
 impl Balancer {
     /// A balancer with the settings of its gateway and a random seed, which should differ between gateways.
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let fleet_terms = FleetTerms::new(&settings);
+        let derived_settings = DerivedSettings::new(&settings);
         Balancer {
-            fleet_terms,
-            fleet_latency: FleetLatency::initial(fleet_terms.shortest_objective_s),
+            derived_settings,
+            fleet_latency: FleetLatency::initial(derived_settings.shortest_objective_s),
             traffic: TrafficStats::new(settings.classes.len()),
             settings,
             rng: fastrand::Rng::with_seed(seed),
@@ -77,7 +77,7 @@
     /// the previous one of its number starts without statistics. Class numbers must stay valid: keep removed classes in the list with
     /// `retired = true`.
     pub fn apply_settings(&mut self, settings: Settings) {
-        self.fleet_terms = FleetTerms::new(&settings);
+        self.derived_settings = DerivedSettings::new(&settings);
         self.traffic.class_latency_s.resize(settings.classes.len(), 0.0);
         for (index, (old, new)) in self.settings.classes.iter().zip(&settings.classes).enumerate() {
             if is_same_class(old, new) {
@@ -163,7 +163,7 @@
     fn on_timer(&mut self, now_s: f64, token: u64, actions: &mut Vec<Action>) {
         match token {
             DISCOVERY_POLL_TIMER_TOKEN => self.discovery.on_timer(now_s, actions),
-            DRAIN_TIMER_TOKEN => self.on_drain_timer(actions),
+            ENDPOINT_DRAIN_TIMER_TOKEN => self.on_drain_timer(actions),
             request => {
                 let id = RequestId(request);
                 self.update_request_and_key(now_s, id, actions, |balancer, state, actions| {
--- a/crates/balancer/src/discovery_polling.rs
+++ b/crates/balancer/src/discovery_polling.rs
@@ -1,12 +1,13 @@
-//! When discovery is polled: backoff after failures, within a limit, with jitter so that many gateways do not poll together.
+//! When discovery is polled in pull mode: backoff after failures, within a limit, with jitter so that many gateways do not poll
+//! together. Push mode: `watch_backoff` of the control package.
 
 use crate::api::{Action, Settings};
 use crate::balancer::{set_timer, DISCOVERY_POLL_TIMER_TOKEN};
 use std::time::Duration;
 
-/// A change counts as notified this long after discovery had it and could be reached, in seconds.
+/// Time after which a gateway must know of a change that discovery had and could be reached for, in seconds.
 const NOTIFICATION_DEADLINE_S: f64 = 6.0;
-/// A poll is answered within this, its wait for a connection included, in seconds.
+/// Longest time until a poll is answered, including the wait for a connection, in seconds.
 const MAX_POLL_DURATION_S: f64 = 2.4;
 /// Shortest jitter window before a poll, in seconds.
 const MIN_JITTER_WINDOW_S: f64 = 0.3;
@@ -19,32 +20,54 @@
 const MAX_BACKOFF_DOUBLINGS: i32 = 3;
 /// Largest backoff window, as a fraction of the poll interval.
 const MAX_BACKOFF_WINDOW_FRACTION: f64 = 0.8;
-/// How much too early a timer may come by rounding, in seconds.
+/// How much too early a timer may fire by rounding, in seconds.
 const TIMER_TOLERANCE_S: f64 = 1e-3;
 
-/// The state of polling. Moments are in seconds.
+/// Whether polling has started, and how it went.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum PollHistory {
+    /// There was no endpoint list and no failure yet.
+    NotStarted,
+    /// The first poll was scheduled.
+    Started {
+        /// Polls that failed in a row.
+        consecutive_failures: i32,
+    },
+}
+
+impl PollHistory {
+    /// The history after another failure; the first list or failure of all only starts polling.
+    fn after_failure(self) -> Self {
+        let consecutive_failures = match self {
+            PollHistory::NotStarted => 0,
+            PollHistory::Started { consecutive_failures } => consecutive_failures + 1,
+        };
+        PollHistory::Started { consecutive_failures }
+    }
+}
+
+/// The state of polling. Times are in seconds.
 #[derive(Clone, Debug)]
 pub(crate) struct DiscoveryPolling {
     awaiting_answer: bool,
-    /// Polls that failed in a row; none before the first endpoint list or failure.
-    consecutive_failures: Option<i32>,
+    history: PollHistory,
     last_poll_s: f64,
-    /// When the next poll is due; infinite where none is planned.
+    /// When the next poll is due; infinite while none is scheduled.
     next_poll_s: f64,
 }
 
 impl DiscoveryPolling {
-    /// The state at the start: nothing is planned before the first list.
+    /// The state at the start: nothing is scheduled before the first list.
     pub(crate) fn new() -> Self {
         DiscoveryPolling {
             awaiting_answer: false,
-            consecutive_failures: None,
+            history: PollHistory::NotStarted,
             last_poll_s: 0.0,
             next_poll_s: f64::INFINITY,
         }
     }
 
-    /// Handles an endpoint list. The first one plans the first poll, which spreads the polls of the gateways.
+    /// Handles an endpoint list. The first one schedules the first poll, at a random time that spreads the polls of the gateways.
     pub(crate) fn on_endpoint_list(
         &mut self,
         now_s: f64,
@@ -52,14 +75,14 @@
         rng: &mut fastrand::Rng,
         actions: &mut Vec<Action>,
     ) {
-        if self.consecutive_failures.is_none() {
-            self.poll_with_backoff(now_s, 0.0, settings, rng, actions);
+        if self.history == PollHistory::NotStarted {
+            self.schedule_first_poll(now_s, settings, rng, actions);
         } else if std::mem::take(&mut self.awaiting_answer) {
-            self.consecutive_failures = Some(0);
+            self.history = PollHistory::Started { consecutive_failures: 0 };
         }
     }
 
-    /// Plans another poll after one that failed, or after a subscription that broke and had been silent for this long.
+    /// Schedules another poll after one that failed, or after a subscription that broke and had been silent for this long.
     pub(crate) fn on_failure(
         &mut self,
         now_s: f64,
@@ -72,7 +95,7 @@
         self.poll_with_backoff(now_s, silent_s, settings, rng, actions);
     }
 
-    /// Plans a poll of another discovery service than before.
+    /// Schedules a poll of another discovery service than before.
     pub(crate) fn on_service_changed(
         &mut self,
         now_s: f64,
@@ -94,7 +117,18 @@
         actions.push(Action::PollDiscovery);
     }
 
-    /// Plans a poll after a backoff that grows with each failure in a row.
+    /// Schedules the first poll at a random time of the initial window.
+    fn schedule_first_poll(
+        &mut self,
+        now_s: f64,
+        settings: &Settings,
+        rng: &mut fastrand::Rng,
+        actions: &mut Vec<Action>,
+    ) {
+        self.poll_with_backoff(now_s, 0.0, settings, rng, actions);
+    }
+
+    /// Schedules a poll after a backoff that grows with each failure in a row. The first list or failure starts polling.
     fn poll_with_backoff(
         &mut self,
         now_s: f64,
@@ -104,13 +138,13 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(interval) = settings.discovery_poll_interval else { return };
-        let window_s = backoff_window_s(interval.as_secs_f64(), self.consecutive_failures, silent_s);
-        self.consecutive_failures = Some(self.consecutive_failures.map_or(0, |failures| failures + 1));
+        let window_s = backoff_window_s(interval.as_secs_f64(), self.history, silent_s);
+        self.history = self.history.after_failure();
         self.next_poll_s = f64::INFINITY;
         self.poll_within(now_s, window_s, settings, rng, actions);
     }
 
-    /// Plans a poll at a random moment of the next `window_s` seconds, unless one is due before.
+    /// Schedules a poll at a random time within the next `window_s` seconds, unless one is due before.
     fn poll_within(
         &mut self,
         now_s: f64,
@@ -128,13 +162,17 @@
     }
 }
 
-/// The time in seconds within which the next poll falls. It grows with each failure in a row, but after a failure it leaves time to learn
-/// before the notification deadline of what changed since discovery fell silent, `silent_s` seconds ago.
-fn backoff_window_s(interval_s: f64, consecutive_failures: Option<i32>, silent_s: f64) -> f64 {
-    let doublings = consecutive_failures.unwrap_or(0).clamp(1, MAX_BACKOFF_DOUBLINGS) + 1;
+/// Longest time until the next poll, in seconds. It grows with each failure in a row. Once polling has started it is limited so that changes
+/// since discovery became silent, `silent_s` seconds ago, are known before the notification deadline.
+fn backoff_window_s(interval_s: f64, history: PollHistory, silent_s: f64) -> f64 {
+    let consecutive_failures = match history {
+        PollHistory::NotStarted => 0,
+        PollHistory::Started { consecutive_failures } => consecutive_failures,
+    };
+    let doublings = consecutive_failures.clamp(1, MAX_BACKOFF_DOUBLINGS) + 1;
     let fraction = (BACKOFF_WINDOW_FRACTION * 2f64.powi(doublings)).min(MAX_BACKOFF_WINDOW_FRACTION);
     let window_s = interval_s * fraction;
-    if consecutive_failures.is_none() {
+    if history == PollHistory::NotStarted {
         return window_s;
     }
     let remaining_s = NOTIFICATION_DEADLINE_S - MAX_POLL_DURATION_S - silent_s;
--- a/crates/balancer/src/draining.rs
+++ b/crates/balancer/src/endpoint_draining.rs
@@ -1,15 +1,15 @@
 //! Connections to draining endpoints: idle ones are closed at once, and again while the drain lasts.
 
 use crate::api::{Action, EndpointState};
-use crate::balancer::{set_timer, Balancer, DRAIN_TIMER_TOKEN};
+use crate::balancer::{set_timer, Balancer, ENDPOINT_DRAIN_TIMER_TOKEN};
 
-/// Rounds of closing within the time that the settings allow.
-const CLOSE_ROUND_COUNT: f64 = 3.0;
+/// Rounds in each `drain_close_within`; they go on while an endpoint is draining.
+const CLOSE_ROUNDS_PER_LIMIT: f64 = 3.0;
 
 impl Balancer {
-    /// Closes the idle connections to draining endpoints and sets a timer for the next round. One round is not enough: a connection that a
-    /// cancelled attempt still uses becomes idle unnoticed.
-    pub(crate) fn close_draining(&mut self, actions: &mut Vec<Action>) {
+    /// Closes the idle connections to draining endpoints and sets a timer for the next round. One round is not enough: the balancer gets
+    /// no event when the connection of a cancelled attempt becomes idle.
+    pub(crate) fn close_idle_connections_to_draining(&mut self, actions: &mut Vec<Action>) {
         let Some(close_within) = self.settings.drain_close_within else { return };
         let actions_before = actions.len();
         let draining =
@@ -18,13 +18,16 @@
         let any_draining = actions.len() > actions_before;
         if any_draining && !self.drain_timer_set {
             self.drain_timer_set = true;
-            actions.push(set_timer(close_within.as_secs_f64() / CLOSE_ROUND_COUNT, DRAIN_TIMER_TOKEN));
+            actions.push(set_timer(
+                close_within.as_secs_f64() / CLOSE_ROUNDS_PER_LIMIT,
+                ENDPOINT_DRAIN_TIMER_TOKEN,
+            ));
         }
     }
 
-    /// Starts the next round.
+    /// Runs the next round.
     pub(crate) fn on_drain_timer(&mut self, actions: &mut Vec<Action>) {
         self.drain_timer_set = false;
-        self.close_draining(actions);
+        self.close_idle_connections_to_draining(actions);
     }
 }
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists from discovery: which endpoints there are, which of them are new processes, and their sizes.
+//! Handles endpoint lists from discovery: adds and removes endpoints, detects new processes and sets sizes.
 
 use crate::api::{Action, Endpoint, EndpointId, EndpointState, EndpointWeights};
 use crate::balancer::Balancer;
@@ -37,7 +37,7 @@
         for entry in list.iter().filter(|entry| entry.id.0 < EndpointId::LIMIT) {
             self.update_entry(entry);
         }
-        self.close_draining(actions);
+        self.close_idle_connections_to_draining(actions);
         self.ready = (0..self.endpoints.len()).filter(|&index| self.endpoints[index].is_ready()).collect();
         match self.settings.endpoint_weights {
             EndpointWeights::Off => {}
@@ -51,8 +51,8 @@
         self.run_maintenance(now_s);
     }
 
-    /// Applies an entry. A later start or another name under the number is a new process, of which nothing learned before is true. Its first
-    /// attempt under slow start comes at a random time, or those of all gateways would arrive together.
+    /// Applies an entry. A later start or another name under the number is a new process, which starts without learned state. Its first
+    /// attempt under slow start is sent at a random time; otherwise those of all gateways would arrive together.
     fn update_entry(&mut self, entry: &Endpoint) {
         let index = entry.id.0 as usize;
         let is_known = index < self.endpoints.len();
--- a/crates/balancer/src/key_sequencing.rs
+++ b/crates/balancer/src/key_sequencing.rs
@@ -25,15 +25,15 @@
         self.quiet_until_s = until_s;
     }
 
-    /// Whether it holds anything back.
+    /// Whether it has open requests or a quiet period that is not over.
     pub(crate) fn is_in_use(&self, now_s: f64) -> bool {
         !self.requests.is_empty() || self.quiet_until_s > now_s
     }
 }
 
 impl Balancer {
-    /// Lets the first request of the key that is still open run, and returns its number if it had to wait until now. Requests that are
-    /// over leave the queue here, each once, so a long queue costs no more per event.
+    /// Releases the first request of the key that is still open, and returns its number if it had to wait until now. Requests that have
+    /// ended are removed from the queue here, each once, so the cost per event does not grow with the queue.
     pub(crate) fn release_next_of_key(&mut self, key: u64) -> Option<u64> {
         let queue = self.key_queues.get_mut(&key)?;
         while let Some(&id) = queue.requests.front() {
--- a/crates/balancer/src/latency_detector.rs
+++ b/crates/balancer/src/latency_detector.rs
@@ -1,16 +1,16 @@
 //! Detection of shifts in the latency of one endpoint: a filtered mean and a two-sided Cusum over it.
 
-use crate::traffic_stats::AVERAGE_GAIN;
-
 /// Weight of a new sample in the tracking mean (α of the method).
-const MEAN_GAIN: f64 = 0.15;
-/// Smallest shift worth detecting (K of the method), as a fraction of the mean of the first epoch.
+const TRACKING_MEAN_GAIN: f64 = 0.15;
+/// Weight of a new sample in the mean absolute deviation.
+const DEVIATION_GAIN: f64 = 0.1;
+/// Smallest shift to be detected (K of the method), as a fraction of the mean of the first epoch.
 const MIN_SHIFT_FRACTION: f64 = 0.25;
 /// Mean number of samples between false alarms that the threshold H is chosen for.
 const FALSE_ALARM_RUN_LENGTH_COUNT: f64 = 40.0;
 /// Smallest fraction of the mean to which one detected fall lowers the epoch estimate.
 const MIN_EPOCH_AFTER_FALL_FRACTION: f64 = 0.2;
-/// Change of K/σ, as a fraction, from which on the threshold is computed anew: the bisection costs 40 steps.
+/// Change of K/σ, as a fraction, above which the threshold is computed again; the bisection takes 40 steps.
 const THRESHOLD_REFRESH_FRACTION: f64 = 0.1;
 /// Smallest deviation that K is divided by, in seconds.
 const MIN_DEVIATION_S: f64 = 1e-9;
@@ -22,15 +22,19 @@
 /// The latency detector of one endpoint. Samples and estimates are in seconds.
 #[derive(Clone, Debug, Default)]
 pub struct Cusum {
-    mean: f64,
-    shift: f64,
-    deviation: f64,
-    rise_sum: f64,
-    fall_sum: f64,
+    /// Filtered mean of the samples.
+    tracking_mean_s: f64,
+    /// Smallest shift that counts (K of the method).
+    min_shift_s: f64,
+    /// Mean absolute deviation from the tracking mean.
+    deviation_s: f64,
+    rise_sum_s: f64,
+    fall_sum_s: f64,
     samples_since_rise: u32,
     samples_since_fall: u32,
     threshold: CachedThreshold,
-    epoch: f64,
+    /// Estimate of the current epoch (E of the method).
+    epoch_estimate_s: f64,
     shift_detected: bool,
     samples: u32,
 }
@@ -38,58 +42,60 @@
 /// The last computed threshold H/σ and the ratio K/σ that it holds for; a ratio of 0 stands for none.
 #[derive(Clone, Copy, Debug, Default)]
 struct CachedThreshold {
-    ratio: f64,
-    threshold: f64,
+    /// Shift in standard deviations, K/σ.
+    shift_in_deviations: f64,
+    /// Threshold in standard deviations, H/σ.
+    threshold_in_deviations: f64,
 }
 
 impl Cusum {
     /// A detector that starts at `prior` seconds, or at its first sample where that is 0.
     pub fn new(prior: f64) -> Self {
         Cusum {
-            mean: prior,
-            epoch: prior,
-            shift: MIN_SHIFT_FRACTION * prior,
-            deviation: MIN_SHIFT_FRACTION * prior,
+            tracking_mean_s: prior,
+            epoch_estimate_s: prior,
+            min_shift_s: MIN_SHIFT_FRACTION * prior,
+            deviation_s: MIN_SHIFT_FRACTION * prior,
             ..Cusum::default()
         }
     }
 
     /// The estimate of the current epoch (E of the method), in seconds.
     pub fn estimate(&self) -> f64 {
-        self.epoch
+        self.epoch_estimate_s
     }
 
-    /// Whether the detector has taken any sample.
+    /// Whether the detector has had any sample.
     pub(crate) fn has_samples(&self) -> bool {
         self.samples > 0
     }
 
-    /// Takes a sample in seconds and returns whether it starts a new epoch.
+    /// Adds a sample in seconds and returns whether it starts a new epoch.
     pub fn add(&mut self, sample: f64) -> bool {
-        if self.mean <= 0.0 {
+        if self.tracking_mean_s <= 0.0 {
             *self = Cusum::new(sample);
         }
         self.samples += 1;
-        self.deviation += AVERAGE_GAIN * ((sample - self.mean).abs() - self.deviation);
-        let previous_mean = self.mean;
-        self.mean += MEAN_GAIN * (sample - self.mean);
+        self.deviation_s += DEVIATION_GAIN * ((sample - self.tracking_mean_s).abs() - self.deviation_s);
+        let previous_mean = self.tracking_mean_s;
+        self.tracking_mean_s += TRACKING_MEAN_GAIN * (sample - self.tracking_mean_s);
         if !self.shift_detected {
-            self.epoch = self.mean;
-            self.shift = MIN_SHIFT_FRACTION * self.mean;
+            self.epoch_estimate_s = self.tracking_mean_s;
+            self.min_shift_s = MIN_SHIFT_FRACTION * self.tracking_mean_s;
         }
-        self.rise_sum = (self.rise_sum + sample - (self.mean + self.shift)).max(0.0);
-        self.fall_sum = (self.fall_sum + (self.mean - self.shift) - sample).max(0.0);
+        self.rise_sum_s = (self.rise_sum_s + sample - (self.tracking_mean_s + self.min_shift_s)).max(0.0);
+        self.fall_sum_s = (self.fall_sum_s + (self.tracking_mean_s - self.min_shift_s) - sample).max(0.0);
         self.samples_since_rise += 1;
         self.samples_since_fall += 1;
-        let limit = self.current_threshold() * self.deviation;
-        if self.rise_sum > limit {
+        let limit = self.current_threshold() * self.deviation_s;
+        if self.rise_sum_s > limit {
             let run = f64::from(std::mem::take(&mut self.samples_since_rise));
-            self.start_epoch(previous_mean + self.shift + self.rise_sum / run);
+            self.start_epoch(previous_mean + self.min_shift_s + self.rise_sum_s / run);
             return true;
         }
-        if self.fall_sum > limit {
+        if self.fall_sum_s > limit {
             let run = f64::from(std::mem::take(&mut self.samples_since_fall));
-            let estimate = previous_mean - self.shift - self.fall_sum / run;
+            let estimate = previous_mean - self.min_shift_s - self.fall_sum_s / run;
             self.start_epoch(estimate.max(MIN_EPOCH_AFTER_FALL_FRACTION * previous_mean));
             return true;
         }
@@ -97,22 +103,23 @@
     }
 
     fn start_epoch(&mut self, estimate: f64) {
-        self.epoch = estimate;
-        self.mean = estimate;
+        self.epoch_estimate_s = estimate;
+        self.tracking_mean_s = estimate;
         self.shift_detected = true;
-        self.rise_sum = 0.0;
-        self.fall_sum = 0.0;
+        self.rise_sum_s = 0.0;
+        self.fall_sum_s = 0.0;
     }
 
     /// The threshold H/σ for the present K/σ.
     fn current_threshold(&mut self) -> f64 {
-        let ratio = self.shift / self.deviation.max(MIN_DEVIATION_S);
-        let cached = self.threshold.ratio;
-        if (ratio / cached - 1.0).abs() > THRESHOLD_REFRESH_FRACTION || cached == 0.0 {
+        let ratio = self.min_shift_s / self.deviation_s.max(MIN_DEVIATION_S);
+        let cached_ratio = self.threshold.shift_in_deviations;
+        if (ratio / cached_ratio - 1.0).abs() > THRESHOLD_REFRESH_FRACTION || cached_ratio == 0.0 {
             let threshold = Cusum::threshold(ratio, FALSE_ALARM_RUN_LENGTH_COUNT);
-            self.threshold = CachedThreshold { ratio, threshold };
+            self.threshold =
+                CachedThreshold { shift_in_deviations: ratio, threshold_in_deviations: threshold };
         }
-        self.threshold.threshold
+        self.threshold.threshold_in_deviations
     }
 
     /// The threshold H/σ at which Siegmund's approximation of the run length reaches `target` samples, for K/σ = `ratio`.
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -10,7 +10,7 @@
 //! - `attempt`: sending attempts and handling their outcomes; `retry`: whether another one is allowed, hedges, giving up
 //! - `latency_detector`, `failure_tracking`, `endpoint_state`: the state of an endpoint as learned from outcomes
 //! - `traffic_stats`, `maintenance`: rates and averages, and what changes with time
-//! - `endpoint_list`, `discovery_polling`, `draining`: endpoints according to discovery, and when it is polled
+//! - `endpoint_list`, `discovery_polling`, `endpoint_draining`: endpoints according to discovery, and when it is polled
 //! - `key_sequencing`: one request of a key at a time
 //! - `snapshot`: learned state for a successor process
 //!
@@ -34,12 +34,12 @@
 mod api;
 mod attempt;
 mod balancer;
+mod derived_settings;
 mod discovery_polling;
-mod draining;
+mod endpoint_draining;
 mod endpoint_list;
 mod endpoint_state;
 mod failure_tracking;
-mod fleet_terms;
 mod key_sequencing;
 mod latency_detector;
 pub mod load_report;
--- a/crates/balancer/src/load_signals.rs
+++ b/crates/balancer/src/load_signals.rs
@@ -122,7 +122,7 @@
             Some(last) => now_s - last.received_at_s,
             None => f64::INFINITY,
         };
-        endpoint.on_reported_restart(now_s, &report, gap_s, self.fleet_terms.longest_objective_s);
+        endpoint.on_reported_restart(now_s, &report, gap_s, self.derived_settings.longest_objective_s);
         endpoint.last_report = Some(ReceivedReport { report, received_at_s: now_s });
         let gain = |time_constant_s: f64| 1.0 - (-gap_s / time_constant_s).exp();
         endpoint.reported_in_flight +=
--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! Periodic recomputation of what changes with time: slow-start budgets, expected latencies, rates and bounds.
+//! Periodic recomputation of the values that change with time: slow-start budgets, expected latencies, rates and averages.
 
 use crate::balancer::Balancer;
 use crate::endpoint_state::{EndpointRecord, FleetLatencySums};
@@ -11,7 +11,7 @@
 /// Longest time since the last run that counts, in seconds.
 const MAX_ELAPSED_S: f64 = 1.0;
 
-/// When maintenance ran and how much time it has covered, in seconds.
+/// Time of the last maintenance run and the time covered by all runs, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MaintenanceClock {
     last_run_s: f64,
@@ -60,11 +60,11 @@
 }
 
 impl Balancer {
-    /// Recomputes everything that changes with time.
+    /// Recomputes the values that change with time.
     pub(crate) fn run_maintenance(&mut self, now_s: f64) {
         let elapsed_s = self.maintenance.advance(now_s);
         let sums = self.refresh_ready_endpoints(now_s, elapsed_s);
-        let terms = &self.fleet_terms;
+        let terms = &self.derived_settings;
         self.traffic.admission_headroom =
             sums.reported_load.admission_headroom(terms.shortest_objective_s, terms.dilution);
         self.fleet_latency.update(sums.latency);
@@ -82,7 +82,7 @@
             warm_endpoint_requests_per_s: self.warm_endpoint_requests_per_s(),
             mean_latency_s: self.fleet_latency.mean_s,
         };
-        let longest_objective_s = self.fleet_terms.longest_objective_s;
+        let longest_objective_s = self.derived_settings.longest_objective_s;
         let mut sums = ReadyEndpointSums::default();
         for &index in &self.ready {
             let endpoint = &mut self.endpoints[index];
@@ -95,7 +95,7 @@
     }
 
     /// Requests a second that one warm endpoint serves. Where none has served yet, as after a start of everything together, each endpoint
-    /// would get its part of the arriving requests.
+    /// counts with an equal part of the arriving requests.
     fn warm_endpoint_requests_per_s(&self) -> f64 {
         let served_per_s = self.traffic.served_per_warm_endpoint.per_s;
         if served_per_s > 0.0 {
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -6,16 +6,17 @@
 use crate::endpoint_state::EndpointRecord;
 use crate::request::{AttemptState, RequestState};
 
-/// What another zone adds to the zone term, times the cost of crossing zones, while requests are served.
-const ZONE_COST_FACTOR: f64 = 30.0;
-/// What a new connection adds to the handshake term, times the cost of handshakes, while requests are served. Among many gateways an
-/// idle connection mostly expires before its next use; with this each gateway keeps to some endpoints as long as they do well.
-const HANDSHAKE_COST_FACTOR: f64 = 20.0;
-/// Fraction of both costs that is waived as requests end unserved, so that requests leave a zone that fails them.
+/// Zone term of another zone: 1 + this x [`crate::Settings::cross_zone_cost`], less [`WAIVED_COST_FRACTION`] under unserved pressure.
+const CROSS_ZONE_PENALTY_PER_COST: f64 = 30.0;
+/// Handshake term without an idle connection: 1 + this x [`crate::Settings::handshake_cost`], less [`WAIVED_COST_FRACTION`] under unserved
+/// pressure. With many gateways an idle connection would mostly expire before its next use; with this term each gateway prefers the
+/// endpoints that it used last.
+const HANDSHAKE_PENALTY_PER_COST: f64 = 20.0;
+/// Fraction of both costs that is waived at full unserved pressure, so that requests leave a zone in which they fail.
 const WAIVED_COST_FRACTION: f64 = 0.85;
-/// A key leaves its preferred endpoints when their score is this many times the best one.
+/// Score of a key's preferred endpoints, relative to the best score, from which the best endpoint is used instead.
 const MAX_AFFINITY_SCORE_RATIO: f64 = 3.0;
-/// Attempts in flight above the mean up to which an endpoint is not counted as avoided.
+/// Attempts in flight above the mean up to which an endpoint does not count as avoided, for the metric only.
 const AVOIDED_EXCESS_IN_FLIGHT_COUNT: f64 = 2.0;
 
 /// The factors of an endpoint's score for a request; lower is better.
@@ -24,7 +25,7 @@
     in_flight: f64,
     /// Expected latency in seconds, with overdue attempts and failures of the class.
     latency_s: f64,
-    /// 1 in the own zone, more in another one.
+    /// 1 in the gateway's zone, more in another one.
     zone: f64,
     /// 1 with an idle connection, more without.
     handshake: f64,
@@ -36,16 +37,16 @@
     }
 }
 
-/// What the scores of all endpoints for one request have in common.
+/// Inputs that the scores of all endpoints for one request share.
 struct ScoreContext {
     now_s: f64,
     class: usize,
     class_objective_s: f64,
     longest_objective_s: f64,
     zone: u32,
-    /// What another zone adds to the zone term.
+    /// Added to the zone term of an endpoint in another zone.
     cross_zone_penalty: f64,
-    /// What a new connection adds to the handshake term.
+    /// Added to the handshake term of an endpoint without an idle connection.
     handshake_penalty: f64,
 }
 
@@ -73,7 +74,7 @@
         }
     }
 
-    /// A cold endpoint has few connections because it gets few attempts; only its tokens bound what it gets.
+    /// A cold endpoint has few connections because it gets few attempts; its tokens alone limit its attempts.
     fn handshake_term(&self, endpoint: &EndpointRecord) -> f64 {
         let has_idle_connection =
             self.now_s < endpoint.idle_connection_until_s && endpoint.in_flight_since_s.is_empty();
@@ -143,8 +144,8 @@
 }
 
 impl Balancer {
-    /// The number of listed endpoints that get next to nothing now: those that drain, and those that would be selected only once every
-    /// other one had two attempts in flight above the mean.
+    /// Number of listed endpoints that get almost no traffic now, a metric: those that drain, and those that would be selected only once
+    /// every other one had two attempts in flight above the mean.
     pub fn avoided_endpoint_count(&self, now: std::time::Duration) -> usize {
         let now_s = now.as_secs_f64();
         let scaled_latency_s =
@@ -203,10 +204,10 @@
             now_s,
             class,
             class_objective_s: self.settings.classes[class].latency_objective.as_secs_f64(),
-            longest_objective_s: self.fleet_terms.longest_objective_s,
+            longest_objective_s: self.derived_settings.longest_objective_s,
             zone: self.settings.zone,
-            cross_zone_penalty: ZONE_COST_FACTOR * self.settings.cross_zone_cost * cost_fraction,
-            handshake_penalty: HANDSHAKE_COST_FACTOR * self.settings.handshake_cost * cost_fraction,
+            cross_zone_penalty: CROSS_ZONE_PENALTY_PER_COST * self.settings.cross_zone_cost * cost_fraction,
+            handshake_penalty: HANDSHAKE_PENALTY_PER_COST * self.settings.handshake_cost * cost_fraction,
         }
     }
 }
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -13,7 +13,7 @@
 /// Highest request rate that a snapshot may hold, in requests a second.
 const MAX_REQUESTS_PER_S: f64 = 1e7;
 
-/// What was learned of one endpoint.
+/// Learned state of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointSnapshot {
     /// The hash of its name: see [`crate::stable_hash`].
@@ -22,7 +22,7 @@
     pub latency_estimate_s: f64,
 }
 
-/// What was learned in all.
+/// Learned state of one gateway.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
     /// The endpoints that have samples.
@@ -38,7 +38,7 @@
 }
 
 impl Snapshot {
-    /// Whether every figure is one that a gateway can have measured.
+    /// Whether every value is within the range that a gateway can measure.
     pub fn is_valid(&self) -> bool {
         let is_within = |value: f64, max: f64| (0.0..=max).contains(&value);
         let rates = [self.served_per_s, self.first_attempts_per_s, self.served_per_warm_endpoint_per_s];
@@ -52,7 +52,7 @@
 }
 
 impl Balancer {
-    /// What a successor process should start from.
+    /// The learned state for a successor process.
     pub fn snapshot(&self) -> Snapshot {
         let learned =
             self.endpoints.iter().filter(|endpoint| endpoint.is_ready() && endpoint.detector.has_samples());
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Starts from another process's snapshot: its estimates stand in for endpoints that this one has no sample of, and its traffic
-    /// figures where this one has seen no traffic. Nothing is taken of an invalid snapshot; returns whether it was taken.
+    /// Starts from another process's snapshot: its estimates are used for endpoints without samples here, and its traffic figures if no
+    /// request was served here. An invalid snapshot is ignored; returns whether it was applied.
     pub fn restore(&mut self, now: Duration, snapshot: &Snapshot) -> bool {
         if !snapshot.is_valid() {
             return false;
@@ -97,7 +97,7 @@
         endpoint.latency_estimate_s = learned.latency_estimate_s;
         endpoint.last_sample_s = now_s;
         if !endpoint.is_warm() {
-            // The predecessor may have spent its own tokens a moment ago: together they would overload a cold endpoint.
+            // The predecessor may just have spent its own tokens: both budgets together would overload a cold endpoint.
             endpoint.slow_start_tokens = 0.0;
         }
     }
@@ -111,7 +111,7 @@
         traffic.served_in_time.per_s = snapshot.served_per_s;
         traffic.first_attempts.per_s = snapshot.first_attempts_per_s;
         traffic.served_per_warm_endpoint.per_s = snapshot.served_per_warm_endpoint_per_s;
-        // Without this the first moments would outweigh all that the predecessor measured.
+        // Without this the first interval would outweigh everything that the predecessor measured.
         self.maintenance.observed_s = self.maintenance.observed_s.max(RATE_TIME_CONSTANT_S);
     }
 }
--- a/crates/balancer/src/traffic_stats.rs
+++ b/crates/balancer/src/traffic_stats.rs
@@ -1,7 +1,7 @@
 //! Rates and moving averages of the traffic of this gateway.
 
 /// Weight of a new sample in the averages of latency, cost hint and priority weight.
-pub(crate) const AVERAGE_GAIN: f64 = 0.1;
+const AVERAGE_GAIN: f64 = 0.1;
 /// Time constant of the measured request rates, in seconds.
 pub(crate) const RATE_TIME_CONSTANT_S: f64 = 3.0;
 /// Time constant of the averages of listed load and of requests in flight, in seconds.
