--- a/crates/control/src/body_streaming.rs
+++ b/crates/control/src/body_streaming.rs
@@ -1,4 +1,4 @@
-//! Which bodies are buffered and which are streamed, and when a streamed body is given up.
+//! Which bodies are buffered and which are streamed, and when a streamed body times out.
 //!
 //! Limits apply to progress and never to the whole: a long body may take as long as its slower side needs. Times are on
 //! any clock of the caller that does not run backwards.
@@ -14,29 +14,29 @@
 /// Rate that a client's body has to reach, in bytes per second, once [`CLIENT_BODY_GRACE`] has passed: half of what
 /// slow clients are promised.
 const MIN_CLIENT_BODY_BYTES_PER_S: f64 = 32e3;
-/// Time that a client may pause in all without any credit earned by [`MIN_CLIENT_BODY_BYTES_PER_S`].
+/// Total time that a client may pause without any credit earned by [`MIN_CLIENT_BODY_BYTES_PER_S`].
 const CLIENT_BODY_GRACE: Duration = Duration::from_millis(1500);
-/// Time without data after which a client counts as stopped, however much it sent before. Its error response is due
+/// Time without data after which a client counts as stopped, regardless of how much it sent before. Its error response is due
 /// within 3 s.
 pub const CLIENT_BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time for which one side of a streamed body may make no progress while the other side waits for it.
 pub const PEER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time without data after which a buffered response is given up. An endpoint that keeps the connection open after too
+/// Time without data after which a buffered response is abandoned. An endpoint that keeps the connection open after too
 /// few bytes would otherwise hold its request until the attempt times out, too late for a retry.
 const BUFFERED_RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time after the first byte from which a response is streamed if its announced length exceeds
 /// [`MAX_BUFFERED_BODY_BYTES`].
 const STREAM_ANNOUNCED_AFTER: Duration = Duration::from_millis(40);
 /// Time after the first byte from which a response without an announced length is streamed if
-/// [`STREAM_UNANNOUNCED_MIN_BYTES`] have come. A short one would be complete by then.
+/// [`STREAM_UNANNOUNCED_MIN_BYTES`] were received. A short one would be complete by then.
 const STREAM_UNANNOUNCED_AFTER: Duration = Duration::from_millis(60);
 /// Least number of bytes received before a response without an announced length is streamed.
 const STREAM_UNANNOUNCED_MIN_BYTES: u64 = 4 << 10;
 
-/// Reason why a body has no end.
+/// Reason why a body did not complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BodyError {
-    /// The body came too slowly, its sender disconnected, or its connection broke.
+    /// The body arrived too slowly, its sender disconnected, or its connection broke.
     #[error("the body is incomplete")]
     Incomplete,
     /// The body is longer than [`MAX_BODY_BYTES`].
@@ -44,17 +44,17 @@
     TooLong,
 }
 
-/// How far a streamed body has come.
+/// Progress of a streamed body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransferState {
     /// Nothing has been handed to the writer of an endpoint's connection.
     #[default]
-    Intact,
+    NotForwarded,
     /// Part of the body has been handed to the writer.
     PartlyForwarded,
-    /// The whole body has come and has been handed to the writer.
+    /// The whole body was received and has been handed to the writer.
     Complete,
-    /// The body has no end.
+    /// The body did not complete.
     Failed(BodyError),
 }
 
@@ -72,25 +72,25 @@
 }
 
 impl BodyTransfer {
-    /// Creates a transfer of which `received_bytes` have come already.
+    /// Creates a transfer of which `received_bytes` were received already.
     pub fn new(received_bytes: u64) -> BodyTransfer {
         BodyTransfer { received_bytes, ..BodyTransfer::default() }
     }
 
-    /// How far the body has come.
+    /// Progress of the body.
     pub fn state(&self) -> TransferState {
         self.state
     }
 
     /// Records that the endpoint has accepted all that it was given and asks for more.
-    pub fn record_demand(&mut self, now: Duration) {
-        if self.state == TransferState::Intact {
+    pub fn record_endpoint_ready(&mut self, now: Duration) {
+        if self.state == TransferState::NotForwarded {
             self.state = TransferState::PartlyForwarded;
         }
         self.endpoint_progress_at = now;
     }
 
-    /// Records that `bytes` have come from the client, which ends the wait for it.
+    /// Records that `bytes` were received from the client, which ends the wait for it.
     ///
     /// # Errors
     /// [`BodyError::TooLong`] where the body exceeds [`MAX_BODY_BYTES`]; the transfer has failed then.
@@ -107,14 +107,14 @@
 
     /// Starts the wait for the client, unless it runs already, and returns when it ends. Time in which the endpoint is
     /// slow does not count against the client.
-    pub fn client_deadline(&mut self, now: Duration) -> Duration {
+    pub fn next_client_data_deadline(&mut self, now: Duration) -> Duration {
         let since = *self.waiting_for_client_since.get_or_insert(now);
         let earned = Duration::from_secs_f64(self.received_bytes as f64 / MIN_CLIENT_BODY_BYTES_PER_S);
         let remaining = (CLIENT_BODY_GRACE + earned).saturating_sub(self.client_waited);
         since + remaining.min(CLIENT_BODY_IDLE_TIMEOUT)
     }
 
-    /// Records that the body has come to its end.
+    /// Records the end of the body.
     pub fn record_end(&mut self) {
         self.waiting_for_client_since = None;
         self.state = TransferState::Complete;
@@ -143,7 +143,7 @@
     KeepBuffering,
     /// Stream it from now on. This decision is final.
     Stream,
-    /// Give it up: it is longer than [`MAX_BODY_BYTES`].
+    /// Abandon it: it is longer than [`MAX_BODY_BYTES`].
     TooLong,
 }
 
@@ -161,7 +161,7 @@
         ResponseBuffering { announced_bytes, received_bytes: 0, first_byte_at: None }
     }
 
-    /// Records that `bytes` more have come.
+    /// Records that `bytes` more were received.
     pub fn record_received(&mut self, now: Duration, bytes: u64) {
         self.first_byte_at.get_or_insert(now);
         self.received_bytes = self.received_bytes.saturating_add(bytes);
@@ -184,7 +184,7 @@
         self.received_bytes > limit || self.announced_bytes.is_some_and(|announced| announced > limit)
     }
 
-    /// Whether the response will be too long to be buffered, by its announced length or by how it has come so far.
+    /// Whether the response will be too long to be buffered, by its announced length or by its progress so far.
     fn is_expected_long(&self, now: Duration) -> bool {
         let Some(first_byte_at) = self.first_byte_at else { return false };
         let elapsed = now.saturating_sub(first_byte_at);
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Time by which the next byte of a buffered response must come. `response_start` is when its first byte came;
+    /// Time by which the next byte of a buffered response must arrive. `response_start` is when its first byte arrived;
     /// `last_read` is when the connection was last read, possibly for an earlier response.
     pub fn next_byte_deadline(response_start: Duration, last_read: Duration) -> Duration {
         response_start.max(last_read) + BUFFERED_RESPONSE_IDLE_TIMEOUT
--- a/crates/control/src/class_registry.rs
+++ b/crates/control/src/class_registry.rs
@@ -1,14 +1,14 @@
 //! The request classes of a gateway whose configuration changes while it runs.
 //!
-//! The balancer knows a class by its number. A number passes to another class only once nothing refers to the old one:
-//! a request keeps the rules under which it arrived, and the end of an attempt is counted for its class.
+//! The balancer identifies a class by its number. A number is reused for another class only once nothing refers to the
+//! old one: a request keeps the rules under which it arrived, and the end of an attempt is counted for its class.
 
 use std::rc::Rc;
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, RequestClass};
 
 /// Time for which clients may still use a class that the configuration has dropped or changed. Clients follow a new
-/// configuration after 1.2 s, and requests sent just before are still on their way.
+/// configuration after 1.2 s, and requests sent just before may still be in transit.
 pub const RETIRED_CLASS_GRACE: Duration = Duration::from_millis(2000);
 
 /// A class as it was when a request arrived; kept as long as anything about the request may still happen.
--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -4,7 +4,7 @@
 //! covers both, so that a shutdown during a drain, or the reverse, needs no rule of its own.
 //!
 //! A front balancer polls readiness and stops sending new connections shortly after the first "not ready", while
-//! clients go on using the connections that they have. A drain therefore goes through three phases: not ready;
+//! clients continue to use their open connections. A drain therefore goes through three phases: not ready;
 //! responses carry `Connection: close`; idle connections are closed. The idle limit shrinks steadily to zero, so that
 //! connections close one after another and those idle the longest, which are the least likely to be reused at that
 //! moment, close first.
@@ -13,9 +13,9 @@
 
 use std::time::Duration;
 
-/// Time after the start of a drain during which the front balancer may still send new connections. It covers the
-/// front's polling interval (0.1 s) and its propagation delay (0.2 s).
-pub const NOT_READY_NOTICE: Duration = Duration::from_millis(350);
+/// Time after the start of a drain at which responses begin to carry `Connection: close`. Until then the front balancer
+/// may still send new connections: its polling interval is 0.1 s and its propagation delay 0.2 s.
+pub const CONNECTION_CLOSE_START: Duration = Duration::from_millis(350);
 /// Time after the start of a drain at which idle connections begin to be closed, those idle the longest first.
 pub const IDLE_CLOSE_START: Duration = Duration::from_millis(500);
 /// Time after the start of a drain by which every idle connection is closed. A request that arrives just before has
@@ -31,20 +31,20 @@
 /// Time without a new connection after which the listener closes, between [`LISTENER_CLOSE_EARLIEST`] and
 /// [`LISTENER_CLOSE_LATEST`].
 pub const ACCEPT_QUIET_PERIOD: Duration = Duration::from_millis(200);
-/// Time after SIGTERM until which a new connection may still bring its first request: the 0.7 s of the protocol and
-/// 50 ms of slack.
+/// Time after SIGTERM until which the first request of a new connection may still arrive: the 0.7 s of the protocol
+/// and a margin of 50 ms.
 pub const FIRST_REQUEST_LIMIT: Duration = Duration::from_millis(750);
 /// Time between the longest client deadline after SIGTERM and the kill of the process.
 pub const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// Time before the kill by which every response has been written. A process may be paused for 0.15 s between its last
-/// look at the clock and its write.
+/// Time before the kill by which every response has been written. A process may be paused for 0.15 s between
+/// reading the clock and its write.
 pub const ANSWER_MARGIN_BEFORE_KILL: Duration = Duration::from_millis(250);
 /// Shortest time after SIGTERM that idle connections stay open when another process shares the listener.
 pub const SHARED_LISTENER_IDLE_CLOSE_EARLIEST: Duration = Duration::from_millis(700);
 /// Longest time after SIGTERM that idle connections stay open when another process shares the listener.
 pub const SHARED_LISTENER_IDLE_CLOSE_LATEST: Duration = Duration::from_millis(2000);
 
-/// What a drain depends on besides time.
+/// Settings of draining and shutdown.
 #[derive(Clone, Copy, Debug)]
 pub struct DrainSettings {
     /// Longest time that a client waits for a response.
@@ -109,7 +109,7 @@
     /// Whether responses close their connection.
     pub fn sends_connection_close(&self, now: Duration) -> bool {
         let Some(since) = self.draining_since else { return self.is_shutting_down() };
-        self.is_shutting_down() || now.saturating_sub(since) >= NOT_READY_NOTICE
+        self.is_shutting_down() || now.saturating_sub(since) >= CONNECTION_CLOSE_START
     }
 
     /// Until when connections are accepted; `None` while there is no end. `last_accepted` is the time of the last
@@ -155,13 +155,13 @@
         listener_closed.then_some(Duration::ZERO)
     }
 
-    /// Whether a connection that has not brought a request yet stays open regardless of [`Self::idle_limit`].
+    /// Whether a connection that has not received a request yet stays open regardless of [`Self::idle_limit`].
     pub fn awaits_first_request(&self, now: Duration) -> bool {
         self.shutdown_since.is_some_and(|since| now < since + FIRST_REQUEST_LIMIT)
     }
 
     /// Latest time at which a response may be written; `None` while no shutdown has started. The kill drops every
-    /// response that comes later.
+    /// response that is written later.
     pub fn answer_deadline(&self) -> Option<Duration> {
         let since = self.shutdown_since?;
         let kill_at = since + self.settings.longest_deadline + KILL_AFTER_DEADLINE;
--- a/crates/control/src/endpoint_start.rs
+++ b/crates/control/src/endpoint_start.rs
@@ -1,21 +1,22 @@
-//! Estimates when an endpoint last started, without trusting this machine's wall clock.
+//! Estimates when an endpoint last started, without trusting this machine's wall clock. The gateway's discovery calls
+//! [`estimate_start`] when an endpoint list first reports a start, and keeps the estimate.
 //!
-//! Discovery dates a start by a clock that all machines are meant to share, but a wall clock may be stepped by an hour.
-//! Its date is therefore kept between two bounds that use no wall clock:
+//! Discovery dates a start by a clock that all machines should share, but a wall clock may be stepped by an hour. The
+//! date is therefore clamped between two bounds that use no wall clock:
 //!
 //! - starts in one list are as far apart as their dates, and none lies in the future;
-//! - a start that appeared while this process watched came after the discovery message before it, give or take
-//!   [`MAX_START_REPORT_DELAY`].
+//! - a start that is first reported while this process watches was at most [`MAX_START_REPORT_DELAY`] before the previous
+//!   discovery message.
 //!
-//! Where neither bound helps, the later start is assumed: then a warm endpoint is spared for a while, and a cold one is
-//! never flooded.
+//! Where neither bound helps, the later start is assumed: a warm endpoint may then get too few requests for a while, but
+//! a cold one never gets too many.
 
 use std::time::Duration;
 
 /// Longest usual delay between a start and the discovery message that reports it.
 pub const MAX_START_REPORT_DELAY: Duration = Duration::from_secs(2);
 
-/// What is known of a start when it is first listed. All times are on this process's monotonic clock.
+/// Evidence of a start when it is first listed. All times are on this process's monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct StartEvidence {
     /// Current time.
@@ -40,7 +41,7 @@
         None => latest,
     };
     match evidence.wall_clock_start {
-        // A start in the future shows that the wall clock is behind, so its date says nothing.
+        // A start in the future shows that the wall clock is behind, so its date is ignored.
         Some(start) if start > now => earliest.max(latest),
         Some(start) => earliest.max(start),
         None => earliest,
--- a/crates/control/src/execution.rs
+++ b/crates/control/src/execution.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt proves about its request: that it was not processed, that it was served, or nothing.
+//! Classifies how an attempt ended: its request was certainly not processed, was served, or was possibly processed.
 //!
 //! An endpoint begins to process a request once it has received the last byte. So the proof rests on whether that byte
 //! was handed to the kernel, as recorded where bytes are written and not where they are framed. In doubt the request
@@ -18,7 +18,7 @@
     Complete,
 }
 
-/// What a complete response of an endpoint says about the request.
+/// Result of the request according to a complete response of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseVerdict {
     /// The request was served: status 200.
@@ -40,7 +40,7 @@
     TimedOut,
     /// The gateway cancelled the attempt.
     Cancelled,
-    /// A complete response came, or one that exceeds the size limit.
+    /// A complete response was received, or one that exceeds the size limit.
     Answered(ResponseVerdict),
 }
 
@@ -69,8 +69,8 @@
 /// Value of the header that marks a request as not processed.
 const NOT_PROCESSED_VALUE: &[u8] = b"1";
 
-/// What a response says about the request, by its status and the values of its not-processed header, one for each
-/// occurrence of the header.
+/// Classifies a response by its status and the values of its not-processed header, one for each occurrence of the
+/// header.
 ///
 /// A repeated header or another value has no defined meaning, so it proves nothing.
 pub fn classify_response<'a>(
--- a/crates/control/src/hot_restart/descriptor_usage.rs
+++ b/crates/control/src/hot_restart/descriptor_usage.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-/// Interval between looks for another process while there is one. The process that stays must have all descriptors
+/// Interval between checks for another process while there is one. The process that stays must have all descriptors
 /// before clients that the other one disconnects reconnect to it, which takes them a few milliseconds.
 const PEER_PRESENT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Interval between looks for another process while there is none.
+/// Interval between checks for another process while there is none.
 const PEER_ABSENT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Interval after which a process looks for another one again. `peer` is the usage of the other process, `None` where
+/// Interval after which a process checks for another one again. `peer` is the usage of the other process, `None` where
 /// there is none.
 pub fn peer_check_interval(peer: Option<DescriptorUsage>) -> Duration {
     match peer {
--- a/crates/control/src/hot_restart/startup.rs
+++ b/crates/control/src/hot_restart/startup.rs
@@ -5,21 +5,21 @@
 /// Longest wait for the first endpoint list while another process may serve. The process must be ready within 6 s of
 /// its start.
 const DISCOVERY_WAIT_LIMIT: Duration = Duration::from_millis(2500);
-/// Longest wait for an active endpoint while another process may serve. After that clients are accepted and told that
-/// there is no endpoint.
+/// Longest wait for an active endpoint while another process may serve. After that clients are accepted and
+/// answered that there is no endpoint.
 const ACTIVE_ENDPOINT_WAIT_LIMIT: Duration = Duration::from_secs(6);
 
 /// What a process waits for before it accepts clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupWait {
-    /// The first endpoint list of discovery. The other process may know of drains that this one does not; without the
-    /// wait clients would be served by an old list.
+    /// The first endpoint list of discovery. The other process may have a newer list; without the wait requests would be
+    /// sent to endpoints that drain.
     Discovery,
     /// An active endpoint. Without the wait this process would take clients away from one that can serve them.
     Endpoints,
 }
 
-/// What a starting process has learned so far.
+/// Progress of a starting process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartupProgress {
     /// Whether discovery has sent an endpoint list.
--- a/crates/control/src/retry_storm/allowance.rs
+++ b/crates/control/src/retry_storm/allowance.rs
@@ -1,4 +1,4 @@
-//! What a request is allowed during a retry storm, and the counts of it.
+//! Allowances of requests during a retry storm, and their counts.
 
 use super::settings::StormSettings;
 
@@ -9,15 +9,15 @@
     Calm,
     /// The request is a first attempt.
     FirstAttempt,
-    /// The request is a retry that came at its reserved time.
+    /// The request is a retry that arrived at its reserved time.
     Reserved,
-    /// The request is a retry that the budget pays for.
+    /// The request is a retry that the budget covers.
     Budgeted,
     /// The request is a retry without a reservation for which the budget is empty.
     Unbudgeted,
 }
 
-/// What a request is allowed.
+/// Allowance of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
     /// Share of the admission limits that the request may use; see [`weldworks_balancer::Request`]. 1 is all.
@@ -33,9 +33,9 @@
     pub calm: u64,
     /// First attempts in a storm.
     pub first_attempts: u64,
-    /// Retries that came at their reserved time.
+    /// Retries that arrived at their reserved time.
     pub reserved: u64,
-    /// Retries that the budget paid for.
+    /// Retries that the budget covered.
     pub budgeted: u64,
     /// Retries without a reservation for which the budget was empty.
     pub unbudgeted: u64,
@@ -56,7 +56,8 @@
     }
 }
 
-/// Factor on the admission share of a request in a storm by whether it is a retry, and who pays for it.
+/// Factor on the admission share of a request in a storm by whether it is a retry that neither a reservation nor
+/// the budget covers.
 pub(super) fn retry_factor(reason: AllowanceReason, settings: &StormSettings) -> f64 {
     match reason {
         AllowanceReason::Unbudgeted => settings.unbudgeted_admission_share,
--- a/crates/control/src/retry_storm/detector.rs
+++ b/crates/control/src/retry_storm/detector.rs
@@ -1,6 +1,6 @@
-//! Detects retry storms from what one gateway sees alone.
+//! Detects retry storms from the traffic of one gateway alone.
 //!
-//! High load alone is no storm: a peak brings many first attempts that are served. In a storm clients retry because
+//! High load alone is no storm: in a peak many first attempts arrive and are served. In a storm clients retry because
 //! their requests were not served, so both signals are required. Each state is left at other limits than those at which
 //! it was entered, so that a signal at a limit does not make the state oscillate.
 
@@ -16,20 +16,22 @@
 pub enum StormState {
     /// Normal operation.
     Calm,
-    /// The signals exceed their limits, possibly by chance.
+    /// The signals exceed their limits, possibly by chance. Rejections carry a computed `Retry-After` if enabled; nothing is
+    /// damped yet.
     Suspected,
     /// Retries are damped, and rejections carry a computed `Retry-After`.
     Storm,
-    /// The storm is over; retries are still damped.
+    /// The storm is over; retries are still damped, and rejections still carry a computed `Retry-After` if enabled.
     Recovering,
 }
 
-/// The signals from which the state follows.
+/// Signals for operators. The state follows from the lower confidence bounds of [`Self::client_retry_ratio`] and
+/// [`Self::unserved_ratio`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
     /// Fraction of arrivals that their client marks as retries.
     pub client_retry_ratio: f64,
-    /// Fraction of arrivals whose identity was seen a moment ago.
+    /// Fraction of arrivals whose identity was seen within [`StormSettings::repeat_window`].
     pub repeated_key_ratio: f64,
     /// Fraction of responses that are rejections or failures.
     pub unserved_ratio: f64,
@@ -68,30 +70,30 @@
     }
 }
 
-/// What shows that an arriving request is a retry.
+/// Signs that an arriving request is a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySigns {
     /// Whether its client marks it as a retry.
     pub is_client_retry: bool,
-    /// Whether its identity was seen a moment ago.
+    /// Whether its identity was seen within [`StormSettings::repeat_window`].
     pub is_repeated_key: bool,
 }
 
 impl RetrySigns {
-    /// Whether anything shows that the request is a retry.
+    /// Whether there is any sign that the request is a retry.
     pub fn is_retry(self) -> bool {
         self.is_client_retry || self.is_repeated_key
     }
 }
 
-/// Least decayed number of arrivals from which a storm may be suspected.
+/// Least decayed number of arrivals with which a storm may be suspected.
 const MIN_ARRIVALS: f64 = 8.0;
 /// Fraction of a limit below which a suspicion is dropped. Near the limit the ratio changes with every arrival.
 const SUSPICION_EXIT_FRACTION: f64 = 0.75;
 /// Fraction of both limits below which a storm is over.
 const STORM_EXIT_FRACTION: f64 = 0.5;
 
-/// Detects storms.
+/// Detector of retry storms.
 #[derive(Clone, Debug)]
 pub struct StormDetector {
     settings: StormSettings,
@@ -179,6 +181,8 @@
         Some(change)
     }
 
+    /// The state that follows now: Calm -> Suspected -> Storm -> Recovering -> Calm; Suspected -> Calm on refutation;
+    /// Recovering -> Storm on new signs.
     fn next_state(&self, now_s: f64) -> StormState {
         let settings = &self.settings;
         let evidence = self.evidence(now_s);
@@ -210,7 +214,7 @@
     }
 }
 
-/// What the state is decided by; ratios are the lower ends of their confidence intervals.
+/// Evidence from which the state follows; ratios are the lower bounds of their confidence intervals.
 struct Evidence {
     has_enough_arrivals: bool,
     client_retry_ratio: f64,
--- a/crates/control/src/retry_storm/mod.rs
+++ b/crates/control/src/retry_storm/mod.rs
@@ -1,5 +1,5 @@
-//! Retry storms: detected from what one gateway sees, damped by limits within which the balancer admits, and ended by a
-//! `Retry-After` that spreads the retries.
+//! Retry storms: detected from the traffic of one gateway, damped by lower admission limits in the balancer, and ended by
+//! a `Retry-After` that spreads the retries.
 //!
 //! [`RetryStormControl`] rejects nothing itself. It gives each request an allowance, the share of the balancer's
 //! admission limits that the request may use, and each rejection a `Retry-After`. Without a storm the allowance is 1 and
--- a/crates/control/src/retry_storm/repeat_cache.rs
+++ b/crates/control/src/retry_storm/repeat_cache.rs
@@ -1,4 +1,4 @@
-//! Recognizes requests that were seen a moment ago.
+//! Recognizes repeats of recent requests.
 
 use super::slot_table::{Slot, SlotTable};
 use std::time::Duration;
@@ -16,7 +16,7 @@
         RepeatCache { table: SlotTable::new(slots), retention }
     }
 
-    /// Records an identity and returns whether it was recorded within the retention before.
+    /// Records an identity and returns whether it was already recorded within the retention time.
     pub fn insert(&mut self, now: Duration, identity: u64) -> bool {
         let slot = self.table.slot_mut(identity);
         let is_recorded = slot.identity == identity && !slot.time.is_zero();
--- a/crates/control/src/retry_storm/reservation_cache.rs
+++ b/crates/control/src/retry_storm/reservation_cache.rs
@@ -1,9 +1,9 @@
-//! Remembers at which times rejected clients were told to come back.
+//! Stores the times at which rejected clients were asked to retry.
 
 use super::slot_table::{Slot, SlotTable};
 use std::time::Duration;
 
-/// Time by which a client may come before its reservation.
+/// Time by which a client may be early for its reservation.
 const EARLY_ARRIVAL_TOLERANCE: Duration = Duration::from_millis(20);
 /// Time for which a reservation stays valid after it.
 const RESERVATION_VALIDITY: Duration = Duration::from_secs(2);
@@ -23,7 +23,7 @@
         *self.0.slot_mut(identity) = Slot { identity, time };
     }
 
-    /// Returns whether a request comes at its reserved time. A reservation can be redeemed once.
+    /// Returns whether a request arrives at its reserved time. A reservation can be redeemed once.
     pub fn redeem(&mut self, now: Duration, identity: u64) -> bool {
         let slot = self.0.slot_mut(identity);
         let is_early = now + EARLY_ARRIVAL_TOLERANCE < slot.time;
--- a/crates/control/src/retry_storm/retry_after.rs
+++ b/crates/control/src/retry_storm/retry_after.rs
@@ -1,4 +1,4 @@
-//! When rejected clients should come back: spread so that their retries never exceed what endpoints will be able to
+//! When rejected clients should retry: spread so that their retries never exceed what endpoints will be able to
 //! serve.
 //!
 //! The schedule is a virtual clock of the generic cell rate algorithm (ITU-T I.371) whose rate changes: each
@@ -8,7 +8,7 @@
 use super::{RequestResult, StartedEndpoint};
 use std::time::Duration;
 
-/// A time at which a rejected client should come back.
+/// A time at which a rejected client should retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
     /// Time from now.
@@ -22,10 +22,10 @@
 const RATE_WINDOW_S: f64 = 2.0;
 /// Fraction of the expected capacity that first attempts and reserved retries may use together.
 const USABLE_CAPACITY_RATIO: f64 = 0.9;
-/// Fraction of the capacity that retries may use where first attempts take all of it. Some have to come back, or
-/// nothing would show that the overload is over.
+/// Fraction of the capacity that retries may use where first attempts take all of it. Without any retries the end of
+/// the overload would not be noticed.
 const MIN_RETRY_CAPACITY_RATIO: f64 = 0.05;
-/// Largest relative jitter of a delay, so that consecutive clients don't come back in step.
+/// Largest relative jitter of a delay, so that consecutive clients do not retry in step.
 const JITTER_RATIO: f64 = 0.1;
 /// Shortest delay, in seconds: the response takes time to reach the client.
 const MIN_RETRY_AFTER_S: f64 = 0.02;
@@ -36,7 +36,7 @@
 /// Least duration of slow start, in seconds; keeps the warm-up fraction from dividing by zero.
 const MIN_SLOW_START_DURATION_S: f64 = 1e-3;
 
-/// Hands out the times at which rejected clients should come back.
+/// Schedule of the times at which rejected clients should retry.
 #[derive(Clone, Debug)]
 pub struct RetryAfterSchedule {
     slow_start_min_capacity: f64,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes the rate served now as a sample of the capacity of one endpoint.
+    /// Records the rate served now as a sample of the capacity of one endpoint.
     fn sample_capacity(&mut self, now_s: f64) {
         let warm_endpoints = self.warm_endpoints(now_s);
         if warm_endpoints <= 0.0 {
@@ -117,6 +117,8 @@
         self.endpoints.iter().map(|endpoint| self.warm_up_fraction(endpoint, at_s)).sum()
     }
 
+    /// Fraction of its full capacity that an endpoint has at a time. Same curve as the warm-up fraction in
+    /// `balancer::slow_start`, clamped to `slow_start_min_capacity`.
     fn warm_up_fraction(&self, endpoint: &StartedEndpoint, at_s: f64) -> f64 {
         let Some(started_at) = endpoint.started_at else { return 1.0 };
         let elapsed_fraction =
@@ -129,14 +131,14 @@
         self.capacity_per_endpoint * self.warm_endpoints(at.as_secs_f64())
     }
 
-    /// Retries per second that endpoints can serve at a time, beside the first attempts that come now.
+    /// Retries per second that endpoints can serve at a time, beside the first attempts at their present rate.
     fn spare_rate(&self, now: Duration, at: Duration) -> f64 {
         let first_attempts_per_s = self.first_attempts.rate_at(now.as_secs_f64());
         let capacity = self.capacity(at);
         (USABLE_CAPACITY_RATIO * capacity - first_attempts_per_s).max(MIN_RETRY_CAPACITY_RATIO * capacity)
     }
 
-    /// Drops all reservations when a storm begins.
+    /// Restarts the schedule at now, when a storm begins. Times already handed out stay valid.
     pub fn reset(&mut self, now: Duration) {
         self.next_free_s = now.as_secs_f64();
     }
--- a/crates/control/src/retry_storm/retry_budget.rs
+++ b/crates/control/src/retry_storm/retry_budget.rs
@@ -1,6 +1,9 @@
 //! A budget of client retries: earned by first attempts, spent by retries, never below zero.
+//!
+//! It limits retries by clients. Retries and hedges by the gateway itself have a budget of their own: the module `retry`
+//! of [`weldworks_balancer`].
 
-/// The budget, counted in retries.
+/// Budget of retries by clients, counted in retries.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     earned_per_first_attempt: f64,
@@ -19,7 +22,7 @@
         self.balance = (self.balance + self.earned_per_first_attempt).min(self.max_balance);
     }
 
-    /// Spends one retry and returns whether the budget had it.
+    /// Spends one retry and returns whether the budget covered it.
     pub fn withdraw(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
@@ -28,7 +31,7 @@
         true
     }
 
-    /// Number of retries that the budget can pay for; never negative.
+    /// Number of retries that the budget covers; never negative.
     pub fn balance(&self) -> f64 {
         self.balance
     }
--- a/crates/control/src/retry_storm/settings.rs
+++ b/crates/control/src/retry_storm/settings.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use weldworks_config::Table;
 
-/// Shortest time that the table accepts where a time of zero makes no sense.
+/// Shortest time that the table accepts, except for keys where zero is allowed.
 const MIN_TIME: Duration = Duration::from_millis(50);
 /// Longest time that the table accepts.
 const MAX_TIME: Duration = Duration::from_secs(600);
@@ -11,7 +11,7 @@
 /// Settings of storm control. The defaults are those of `docs/operate/storms.md`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StormSettings {
-    /// Whether in a storm retries are paid from a budget and class weights and tenant shares apply. Key `damping`,
+    /// Whether in a storm retries are limited by a budget and class weights and tenant shares apply. Key `damping`,
     /// default on.
     pub damping_enabled: bool,
     /// Whether in a storm rejections carry a `Retry-After` computed from the expected capacity, in place of the
@@ -36,7 +36,7 @@
     pub retries_per_first_attempt: f64,
     /// Largest number of retries that the budget saves up. Key `budget_most`, default 20.
     pub max_saved_retries: f64,
-    /// Admission share of a retry that the budget does not pay for. Key `unpaid`, default 0.5.
+    /// Admission share of a retry that the budget does not cover. Key `unpaid`, default 0.5.
     pub unbudgeted_admission_share: f64,
     /// Factor on the admission share of a tenant that exceeds its share of the traffic. Key `beyond_share`, default
     /// 0.7.
@@ -45,8 +45,8 @@
     pub weight_exponent: f64,
     /// Largest admission share. Key `most_part`, default 1.5.
     pub max_admission_share: f64,
-    /// Time within which a second request of the same identity counts as a retry, whether or not its client marks it.
-    /// Key `remembers`, default 2 s.
+    /// Time within which a second request of the same identity counts as a repeat. Repeats are reported and may redeem
+    /// a reservation; they do not affect the state or the budget. Key `remembers`, default 2 s.
     pub repeat_window: Duration,
     /// Number of identities that are remembered, and of reservations. Key `memory`, default 4096.
     pub cache_slots: usize,
--- a/crates/control/src/retry_storm/slot_table.rs
+++ b/crates/control/src/retry_storm/slot_table.rs
@@ -1,8 +1,8 @@
 //! A hash table of fixed size, so that its memory does not grow with the number of clients.
 //!
 //! A signed token that the client returns would need no table, but the platform's clients return nothing but their
-//! request. Two identities that share a slot displace each other: the displaced one is then treated as unknown, from
-//! which no client gains anything.
+//! request. Two identities that share a slot displace each other: the displaced one is then treated as unknown, which
+//! gives no client an advantage.
 
 use std::time::Duration;
 
--- a/crates/control/src/retry_storm/storm_control.rs
+++ b/crates/control/src/retry_storm/storm_control.rs
@@ -52,7 +52,7 @@
 /// An endpoint that accepts requests, as far as its capacity is concerned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StartedEndpoint {
-    /// Time at which it started; `None` where that is long ago.
+    /// Time at which it started; `None` if it started before records began.
     pub started_at: Option<Duration>,
 }
 
@@ -65,7 +65,7 @@
     pub since: Duration,
     /// Current signals.
     pub signals: Signals,
-    /// Number of retries that the budget can pay for.
+    /// Number of retries that the budget covers.
     pub budget_balance: f64,
     /// Number of requests by the reason of their allowance.
     pub allowances: AllowanceCounts,
@@ -111,7 +111,7 @@
         self.schedule.set_endpoints(now, endpoints);
     }
 
-    /// Records an arriving request and returns what it is allowed.
+    /// Records an arriving request and returns its allowance.
     pub fn admit(&mut self, now: Duration, request: ArrivingRequest) -> Allowance {
         let signs = self.record_arrival(now, &request);
         let is_within_share = self.fair_share.record_request(now, request.tenant);
--- a/crates/control/src/retry_storm/wilson_interval.rs
+++ b/crates/control/src/retry_storm/wilson_interval.rs
@@ -1,6 +1,6 @@
 //! Confidence interval of a ratio that is estimated from few observations.
 //!
-//! One gateway of many sees a handful of requests in a window, and of ten responses two may be rejections by chance. So
+//! One gateway of many handles few requests in a window, and of ten responses two may be rejections by chance. So
 //! a ratio counts as exceeding a limit only where the lower end of its confidence interval does (E. B. Wilson,
 //! "Probable inference, the law of succession, and statistical inference", 1927).
 
--- a/crates/control/src/watch_backoff.rs
+++ b/crates/control/src/watch_backoff.rs
@@ -1,4 +1,5 @@
-//! When a discovery watch is opened again after it ended, and how often its loss is reported.
+//! Push mode of discovery: when a watch is opened again after it ended, and how often its loss is reported. Pull mode:
+//! `discovery_polling` of the balancer.
 //!
 //! Where endpoint lists are pushed, an agent on the gateway's own machine answers at once and at no cost, and the
 //! gateway is responsible for a change as soon as the agent has been sent it. So the retry delay is short and bounded.
@@ -6,11 +7,10 @@
 
 use std::time::Duration;
 
-/// Time after which a poll of discovery without a first list is given up. A live discovery answers within 2 or 3 s; a
-/// poll that stays open longer was accepted by a process that is no longer there.
+/// Timeout of the first list of a poll of discovery. A live discovery answers within 2 or 3 s; a poll that stays open
+/// longer was accepted by a process that has ended.
 pub const POLL_FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(3200);
-/// Time after which a watch on pushed lists without a first list is given up. A restarted agent does not know of the
-/// watch, so the next one must be open within the strictest limit for observing a drain (300 ms), [`MAX_RETRY_DELAY`]
+/// Timeout of the first list of a watch on pushed lists. A restarted agent does not know of the watch, so the next one must be open within the strictest limit for observing a drain (300 ms), [`MAX_RETRY_DELAY`]
 /// included.
 pub const PUSH_FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time without any data after which a watch is dead. A live watch sends an empty line every 2 s.
@@ -21,19 +21,19 @@
 /// Longest retry delay: under a third of the strictest limit for observing a drain (300 ms), which also covers the
 /// connection and the reading of the list.
 pub const MAX_RETRY_DELAY: Duration = Duration::from_millis(80);
-/// Age from which a watch counts as stable. One that ended earlier is a failure, whatever it sent.
+/// Age at which a watch counts as stable. One that ended earlier is a failure, even if it sent lists.
 pub const STABLE_WATCH_AGE: Duration = Duration::from_secs(1);
 /// Time within which at most one loss and one recovery are reported.
 pub const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 /// Largest number of doublings of [`FIRST_RETRY_DELAY`]; keeps the product from overflowing.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// What follows from the loss of a watch.
+/// Consequences of the loss of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchLoss {
     /// Delay before the next watch is opened.
     pub retry_delay: Duration,
-    /// Whether the loss is to be reported to an operator.
+    /// Whether the loss should be reported to an operator.
     pub should_report: bool,
     /// Number of consecutive watches that were not stable, this one included.
     pub consecutive_failures: u32,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Forgets the failures of the previous agent when the gateway turns to another one.
+    /// Forgets the failures of the previous agent when the gateway switches to another one.
     pub fn reset(&mut self) {
         self.consecutive_failures = 0;
     }
--- a/crates/control/tests/body_streaming.rs
+++ b/crates/control/tests/body_streaming.rs
@@ -48,20 +48,20 @@
 #[test]
 fn a_client_is_timed_by_what_it_sends_and_an_endpoint_by_what_it_accepts() {
     let mut transfer = BodyTransfer::new(0);
-    assert_eq!((transfer.state(), transfer.endpoint_deadline()), (TransferState::Intact, None));
-    transfer.record_demand(ms(0));
+    assert_eq!((transfer.state(), transfer.endpoint_deadline()), (TransferState::NotForwarded, None));
+    transfer.record_endpoint_ready(ms(0));
     assert_eq!(transfer.endpoint_deadline(), Some(PEER_STALL_TIMEOUT), "it has to accept the first piece");
-    assert_eq!(transfer.client_deadline(ms(100)), ms(1600));
-    assert_eq!(transfer.client_deadline(ms(900)), ms(1600), "a second call gives no more time");
+    assert_eq!(transfer.next_client_data_deadline(ms(100)), ms(1600));
+    assert_eq!(transfer.next_client_data_deadline(ms(900)), ms(1600), "a second call gives no more time");
     assert_eq!(transfer.endpoint_deadline(), None, "the client is waited for");
     transfer.record_received(ms(1100), 32_000).expect("short enough");
     // One second used, and one second earned.
-    assert_eq!(transfer.client_deadline(ms(1100)), ms(1100 + 1500));
+    assert_eq!(transfer.next_client_data_deadline(ms(1100)), ms(1100 + 1500));
     transfer.record_received(ms(1200), 32_000).expect("short enough");
-    transfer.record_demand(ms(1200));
+    transfer.record_endpoint_ready(ms(1200));
     // The endpoint takes nine seconds over it, which does not count against the client.
-    transfer.record_demand(ms(10_200));
-    assert_eq!(transfer.client_deadline(ms(10_200)), ms(10_200 + 1500 + 2000 - 1100));
+    transfer.record_endpoint_ready(ms(10_200));
+    assert_eq!(transfer.next_client_data_deadline(ms(10_200)), ms(10_200 + 1500 + 2000 - 1100));
     transfer.record_received(ms(10_300), MAX_BODY_BYTES).expect_err("too long");
     assert_eq!(
         (transfer.state(), transfer.endpoint_deadline()),
@@ -77,8 +77,8 @@
         let mut transfer = BodyTransfer::new(0);
         let mut now = ms(0);
         for (bytes, endpoint_ms) in pieces {
-            transfer.record_demand(now);
-            let deadline = transfer.client_deadline(now);
+            transfer.record_endpoint_ready(now);
+            let deadline = transfer.next_client_data_deadline(now);
             let arrival = now + Duration::from_secs_f64(bytes as f64 / 64e3);
             prop_assert!(arrival <= deadline, "64 kB/s, cut off at {:?} for {:?}", deadline, arrival);
             prop_assert!(deadline <= now + ms(1500) + Duration::from_secs_f64(MAX_BODY_BYTES as f64 / 32e3));
@@ -90,7 +90,7 @@
             now += ms(endpoint_ms);
         }
         // The client has sent everything; the endpoint still has to accept the rest, in its time.
-        transfer.record_demand(now);
+        transfer.record_endpoint_ready(now);
         transfer.record_end();
         prop_assert_eq!((transfer.state(), transfer.endpoint_deadline()), (TransferState::Complete, Some(now + PEER_STALL_TIMEOUT)));
     }
@@ -118,7 +118,7 @@
     for received in [0, 100, 64 << 10, 1 << 20, 31 << 20] {
         let mut transfer = BodyTransfer::new(received);
         let stopped_at = Duration::from_secs(7);
-        let deadline = transfer.client_deadline(stopped_at);
+        let deadline = transfer.next_client_data_deadline(stopped_at);
         assert!(
             deadline <= stopped_at + CLIENT_BODY_IDLE_TIMEOUT,
             "{received} bytes: waited for until {deadline:?}"
@@ -136,7 +136,7 @@
     let mut transfer = BodyTransfer::default();
     for second in 0..60 {
         let now = Duration::from_secs(second);
-        assert!(transfer.client_deadline(now) > now + Duration::from_secs(1), "{second} s");
+        assert!(transfer.next_client_data_deadline(now) > now + Duration::from_secs(1), "{second} s");
         transfer.record_received(now + Duration::from_secs(1), 64_000).expect("not too long");
     }
 }
--- a/crates/control/tests/drain.rs
+++ b/crates/control/tests/drain.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 use weldworks_control::drain::{
-    Drain, DrainSettings, IDLE_CLOSE_END, LISTENER_CLOSE_EARLIEST, LISTENER_CLOSE_LATEST, NOT_READY_NOTICE,
-    SHARED_LISTENER_IDLE_CLOSE_LATEST,
+    Drain, DrainSettings, CONNECTION_CLOSE_START, IDLE_CLOSE_END, LISTENER_CLOSE_EARLIEST,
+    LISTENER_CLOSE_LATEST, SHARED_LISTENER_IDLE_CLOSE_LATEST,
 };
 
 const fn ms(count: u64) -> Duration {
@@ -116,7 +116,7 @@
     fn check_draining(&self, since: Duration, idle_limit: Option<Duration>) {
         let now = self.now;
         assert!(
-            now < since + NOT_READY_NOTICE || self.drain.sends_connection_close(now),
+            now < since + CONNECTION_CLOSE_START || self.drain.sends_connection_close(now),
             "no `Connection: close` at {now:?}"
         );
         // A request that comes now has 2 s until no request may be in flight any more.
--- a/crates/gateway/src/body/buffering.rs
+++ b/crates/gateway/src/body/buffering.rs
@@ -55,7 +55,7 @@
     let mut transfer = BodyTransfer::default();
     let mut buffer = Buffer::default();
     while buffer.len() <= max_bytes {
-        let deadline = start + transfer.client_deadline(start.elapsed());
+        let deadline = start + transfer.next_client_data_deadline(start.elapsed());
         let frame = timeout_at(deadline, body.frame()).await.map_err(|_| BodyError::Incomplete)?;
         let Some(frame) = frame else {
             return Ok(BufferedBody { buffered: buffer.into_bytes(), rest: None });
--- a/crates/gateway/src/body/streaming_upload.rs
+++ b/crates/gateway/src/body/streaming_upload.rs
@@ -129,7 +129,7 @@
 
     /// By when the client must send more of the body.
     pub(super) fn client_deadline(&self) -> Instant {
-        self.start + self.transfer.borrow_mut().client_deadline(self.start.elapsed())
+        self.start + self.transfer.borrow_mut().next_client_data_deadline(self.start.elapsed())
     }
 
     /// Marks the transfer failed because its body is incomplete.
@@ -141,7 +141,7 @@
     pub(super) fn poll_data(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let now = self.start.elapsed();
         let mut transfer = self.transfer.borrow_mut();
-        transfer.record_demand(now);
+        transfer.record_endpoint_ready(now);
         if let Some(buffered) = self.buffered.take() {
             self.record_end_if_reached(&mut transfer);
             return Poll::Ready(Some(Ok(buffered)));
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -221,7 +221,7 @@
             informational: &informational,
             stall_timer,
             started_at,
-            transfer_state: TransferState::Intact,
+            transfer_state: TransferState::NotForwarded,
             connection_closed: false,
             request_written: false,
         };
--- a/crates/gateway/src/upstream/response_wait.rs
+++ b/crates/gateway/src/upstream/response_wait.rs
@@ -62,7 +62,7 @@
     fn report_body_start(&mut self) {
         let RequestPayload::Streaming(upload) = self.body else { return };
         let previous = std::mem::replace(&mut self.transfer_state, upload.state());
-        if previous == TransferState::Intact && self.transfer_state != previous {
+        if previous == TransferState::NotForwarded && self.transfer_state != previous {
             (self.report)(AttemptProgress::BodyForwardingStarted);
         }
     }
