--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -23,7 +23,7 @@
     /// Parses a text; `file` is the name under which problems are reported.
     ///
     /// # Errors
-    /// The text is not valid TOML; every invalid place is reported.
+    /// The text is not valid TOML; every syntax error is reported.
     pub fn parse(file: &str, text: &'t str) -> Result<Document<'t>, Problems> {
         let (root, errors) = DeTable::parse_recoverable(text);
         if !errors.is_empty() {
@@ -58,7 +58,7 @@
         Err(Problems { file: self.file.clone(), list })
     }
 
-    /// Records a problem with the key of this path at this place of the text.
+    /// Records a problem with the key of this path at this position of the text.
     pub(crate) fn add_problem(&self, span: &Range<usize>, key: String, text: String) {
         let line = line_of(self.text, span.start);
         self.problems.borrow_mut().push(Problem { line, key, text });
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -9,7 +9,7 @@
     pub line: usize,
     /// Path of the key: its tables and itself, joined by dots. Empty where the document can't be parsed.
     pub key: String,
-    /// What is wrong, and what would be right.
+    /// Description of the problem and of a valid value.
     pub text: String,
 }
 
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -27,7 +27,7 @@
         self.table.contains_key(key)
     }
 
-    /// The value of an optional key; `None` also where it is wrong, which is reported.
+    /// The value of an optional key; `None` also where it is invalid, which is reported.
     pub fn get<T: FromValue>(&self, key: &str) -> Option<T> {
         let value = self.value(key)?;
         match T::from_value(value.get_ref()) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The value of a required key; `None` where it is missing or wrong, which is reported.
+    /// The value of a required key; `None` where it is missing or invalid, which is reported.
     pub fn require<T: FromValue>(&self, key: &str) -> Option<T> {
         if !self.contains(key) {
             let path = self.path_of(key);
@@ -49,7 +49,7 @@
         self.get(key)
     }
 
-    /// The value of an optional key, or a default.
+    /// The value of an optional key, or a default where it is missing or invalid.
     pub fn get_or<T: FromValue>(&self, key: &str, default: T) -> T {
         self.get(key).unwrap_or(default)
     }
@@ -73,7 +73,7 @@
         let value = self.value(key)?;
         let path = self.path_of(key);
         let DeValue::Table(table) = value.get_ref() else {
-            self.report(key, format!("is to be a table: [{path}]"));
+            self.report(key, format!("must be a table: [{path}]"));
             return None;
         };
         Some(Table { document: self.document, table, path, span: value.span() })
@@ -84,7 +84,7 @@
         let Some(value) = self.value(key) else { return Vec::new() };
         let array_path = self.path_of(key);
         let DeValue::Array(array) = value.get_ref() else {
-            self.report(key, format!("is to be an array of tables: [[{array_path}]]"));
+            self.report(key, format!("must be an array of tables: [[{array_path}]]"));
             return Vec::new();
         };
         let mut tables = Vec::new();
@@ -93,13 +93,13 @@
             let span = entry.span();
             match entry.get_ref() {
                 DeValue::Table(table) => tables.push(Table { document: self.document, table, path, span }),
-                _ => self.document.add_problem(&span, path, "is to be a table".to_owned()),
+                _ => self.document.add_problem(&span, path, "must be a table".to_owned()),
             }
         }
         tables
     }
 
-    /// Reports that the value of a key is wrong.
+    /// Reports a problem with the value of a key.
     pub fn report(&self, key: &str, text: impl Into<String>) {
         let span = match self.table.get_key_value(key) {
             Some((key, _)) => key.span(),
@@ -108,7 +108,7 @@
         self.document.add_problem(&span, self.path_of(key), text.into());
     }
 
-    /// Reports every key of the table that was not read. To be called once all known keys have been read.
+    /// Reports every unknown key, which is one that was not read. Must be called after all known keys have been read.
     pub fn finish(&self) {
         for key in self.table.keys() {
             let path = self.path_of(key.get_ref());
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The raw value of a key, which counts as read from now on.
+    /// The raw value of a key. The key counts as read from now on.
     fn value(&self, key: &str) -> Option<&'d Spanned<DeValue<'t>>> {
         self.document.record_read(self.path_of(key));
         self.table.get(key)
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -1,4 +1,4 @@
-//! The types as which a value of a document can be read.
+//! Types that the values of a document can be read as.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,25 +10,25 @@
     /// The value has another type or format.
     #[error("{found} is not {expected}")]
     Unexpected {
-        /// The value as it stands in the document.
+        /// The value as written in the document.
         found: String,
-        /// What is expected, with an example.
+        /// Description of the expected value, with an example.
         expected: &'static str,
     },
     /// The value is none of the names that the key accepts.
-    #[error("{found} is to be one of {}", quoted_list(.choices))]
+    #[error("{found} must be one of {}", quoted_list(.choices))]
     UnknownChoice {
-        /// The value as it stands in the document.
+        /// The value as written in the document.
         found: String,
         /// The names that the key accepts.
         choices: Vec<&'static str>,
     },
-    /// The value is not a range, or its greater end comes first.
+    /// The value is not a range, or its greater end is first.
     #[error("{found} is not {expected}, the lesser one first")]
     InvalidRange {
-        /// The value as it stands in the document.
+        /// The value as written in the document.
         found: String,
-        /// What is expected, with an example.
+        /// Description of the expected value, with an example.
         expected: &'static str,
     },
 }
@@ -44,10 +44,10 @@
     quoted.join(", ")
 }
 
-/// Number of characters of a text after which messages cut it off.
+/// Number of characters after which messages truncate a text.
 const MAX_DISPLAYED_CHARS: usize = 40;
 
-/// The value as it stands in the document; a long text is cut off.
+/// The value as written in the document; a long text is truncated.
 fn display_value(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) if text.chars().count() > MAX_DISPLAYED_CHARS => {
@@ -62,9 +62,9 @@
     }
 }
 
-/// A type as which a value can be read.
+/// A type that a value of a document can be read as.
 pub trait FromValue: Sized {
-    /// What is expected, with an example.
+    /// Description of the expected value, with an example.
     const EXPECTED: &'static str;
 
     /// Reads a value.
--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -1,6 +1,6 @@
-//! What can be wrong with the simulator's input.
+//! Errors in the simulator's input.
 
-/// What is wrong with a line of input, and where.
+/// Error in a line of input, with its position.
 #[derive(Debug, thiserror::Error)]
 pub enum InputError {
     /// The line is not a batch.
@@ -8,7 +8,7 @@
     Malformed {
         /// The line, counted from 1.
         line: u64,
-        /// What the parser says.
+        /// The parser's error.
         #[source]
         source: serde_json::Error,
     },
@@ -17,13 +17,13 @@
     InvalidEvent {
         /// The number of the batch.
         batch: u64,
-        /// What is wrong with the event.
+        /// The error in the event.
         #[source]
         source: EventError,
     },
 }
 
-/// What is wrong with an event. Events and fields have their names on the wire.
+/// Error in an event. Events and fields have their names on the wire.
 #[derive(Debug, thiserror::Error)]
 pub enum EventError {
     /// A field that this kind of event must have is absent.
--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of the decisions, and the names that the simulator gives its endpoints and requests.
+//! One instance of the balancer, and the names that the simulator gives its endpoints and requests.
 
 use crate::error::EventError;
 use crate::protocol::{outcome_from_wire_name, EventFields, ListEntry, ListMode, ReplyWriter};
@@ -10,7 +10,7 @@
     RequestId, Settings,
 };
 
-/// Where and when an event is handled, and what collects its results.
+/// Time and instance of an event, and the buffers for its results.
 pub(crate) struct EventContext<'a> {
     pub(crate) now: Duration,
     /// The number of the instance on the wire.
@@ -26,11 +26,11 @@
     /// The name as a JSON string.
     name_json: Box<str>,
     attempts_in_flight: u32,
-    /// No answer is owed any more.
+    /// A final answer was given or the client has disconnected.
     ended: bool,
 }
 
-/// One gateway: its decisions, and the names of its endpoints and requests.
+/// One gateway: its balancer, and the names of its endpoints and requests.
 pub(crate) struct Instance {
     balancer: Balancer,
     load_report_fields: LoadReportFields,
@@ -115,7 +115,7 @@
         self.handle(Event::ResponseStarted { request, attempt, latency: fields.latency() }, context);
     }
 
-    /// Handles the outcome of an attempt, and the load report beside it.
+    /// Handles the outcome of an attempt, and the load report in the same event.
     pub(crate) fn on_attempt_ended(
         &mut self,
         fields: &EventFields<'_>,
@@ -180,7 +180,7 @@
         self.handle(Event::LoadReport { endpoint, report }, context);
     }
 
-    /// Hands an event to the decisions and writes their actions into the reply.
+    /// Passes an event to the balancer and writes its actions into the reply.
     fn handle(&mut self, event: Event<'_>, context: &mut EventContext<'_>) {
         context.actions.clear();
         self.balancer.handle(context.now, event, context.actions);
@@ -191,6 +191,7 @@
 
     fn write_action(&mut self, action: &Action, gateway: u64, now: Duration, reply: &mut ReplyWriter) {
         match action {
+            // The wire has no write limit.
             Action::Send { request, endpoint, deadline, write_by: _ } => {
                 let endpoint = self.endpoint_json(*endpoint);
                 reply.send(gateway, self.request_json(*request), endpoint, *deadline.max(&now));
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,5 +1,5 @@
-//! Many instances of the load-balancing decisions on the simulator's wire: one JSON batch a line in, one JSON reply a line out. This
-//! package translates and decides nothing.
+//! Runs many instances of the load balancer on the simulator's protocol: one JSON batch a line in, one JSON reply a line out. This
+//! package only translates; all decisions are the balancer's.
 
 mod error;
 mod instance;
@@ -78,7 +78,7 @@
             EventKind::InstanceEnded => {
                 self.instances.remove(&gateway);
             }
-            // The first two were handled above.
+            // ListDefined and InstanceStarted are handled above; PeerMessage is ignored.
             EventKind::ListDefined | EventKind::InstanceStarted | EventKind::PeerMessage => {}
         }
         Ok(())
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -7,7 +7,7 @@
 /// Capacity of the input buffer: batches of a large simulation are long lines.
 const INPUT_BUFFER_BYTES: usize = 1 << 20;
 
-/// Why the program ends before its input does.
+/// Reason why the program ends before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error(transparent)]
