--- a/crates/balancer/src/api/endpoint.rs
+++ b/crates/balancer/src/api/endpoint.rs
@@ -40,7 +40,7 @@
     pub started: Option<Duration>,
     /// Its machine kind: endpoints of one kind are expected to be equally fast.
     pub kind: u32,
-    /// Its weight; [`Settings::endpoint_weights`](super::Settings::endpoint_weights) says what it means.
+    /// Its weight; its meaning is set by [`Settings::endpoint_weights`](super::Settings::endpoint_weights).
     pub weight: f64,
 }
 
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -31,7 +31,7 @@
     BodyForwarded {
         /// The request.
         request: RequestId,
-        /// When the client gives up.
+        /// Time until which the client waits for an answer.
         client_deadline: Duration,
     },
     /// A response is being forwarded while it is received. The choice of endpoint is final, its deadlines no longer apply, and the duration
--- a/crates/balancer/src/api/request.rs
+++ b/crates/balancer/src/api/request.rs
@@ -20,12 +20,12 @@
     pub key: Option<u64>,
     /// Expected work, as time on a standard core.
     pub cost_hint: Option<Duration>,
-    /// Whether the client says that it has sent the request before.
+    /// Whether the client marks the request as a retry.
     pub is_client_retry: bool,
     /// Factor on the admission capacity for this request. Below 1 it is shed while others are admitted; above 1 it is admitted while
     /// others are shed; at 0 it is admitted only when nothing is in flight.
     pub admission_share: f64,
-    /// When the client gives up.
+    /// Time until which the client waits for an answer.
     pub client_deadline: Duration,
     /// Whether its body is still arriving and is forwarded to one endpoint as it arrives. Its clock then starts with
     /// [`Event::BodyForwarded`](super::Event::BodyForwarded).
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -10,16 +10,16 @@
     Idempotent,
     /// It carries an idempotency key: the endpoints of `scope` drop a repeat within `window` after an attempt that was possibly processed.
     IdempotencyKey {
-        /// The endpoints that know each other's keys.
+        /// The endpoints that share their keys.
         scope: KeyScope,
-        /// How long they know a key.
+        /// How long they store a key.
         window: Duration,
     },
     /// It must never be processed twice.
     NotIdempotent,
 }
 
-/// The endpoints that know each other's idempotency keys.
+/// The set of endpoints that share idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All endpoints.
@@ -31,7 +31,7 @@
 }
 
 impl KeyScope {
-    /// Whether the two endpoints know each other's idempotency keys.
+    /// Whether the two endpoints share idempotency keys.
     pub fn shares_keys(self, a: &Endpoint, b: &Endpoint) -> bool {
         self.partition_of(a) == self.partition_of(b)
     }
@@ -86,7 +86,7 @@
 /// What the `weight` of an endpoint means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointWeights {
-    /// Nothing.
+    /// It has no meaning.
     Off,
     /// Its size, exactly or roughly.
     Size,
--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -13,7 +13,7 @@
 
 /// Time after which a request with no eligible endpoint is tried again, in seconds.
 const NO_ELIGIBLE_ENDPOINT_RECHECK_S: f64 = 0.015;
-/// Fraction of the keep-alive time for which a connection is expected to be open: gateways close it half way.
+/// Fraction of the keep-alive time for which an idle connection is expected to stay open: gateways close it after half of that time.
 const IDLE_CONNECTION_KEEP_ALIVE_FRACTION: f64 = 0.5;
 
 /// An attempt that has ended, with the data that its outcome is recorded from. Times are in seconds.
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Runs `update` on a request, if it is known. If that closes it, its attempts in flight are cancelled; once it is closed and nothing is
-    /// in flight it is forgotten, and its key is returned if its class is sequential.
+    /// Runs `update` on a request, if it is known. If that closes it, its attempts in flight are cancelled. Once it is closed and has no
+    /// attempts in flight it is removed, and its key is returned if its class is sequential.
     fn update_request(
         &mut self,
         id: RequestId,
--- a/crates/balancer/src/discovery_polling.rs
+++ b/crates/balancer/src/discovery_polling.rs
@@ -5,7 +5,7 @@
 use crate::balancer::{set_timer, DISCOVERY_POLL_TIMER_TOKEN};
 use std::time::Duration;
 
-/// Time after which a gateway must know of a change that discovery had and could be reached for, in seconds.
+/// Time within which a gateway must learn of a change while discovery is reachable, in seconds.
 const NOTIFICATION_DEADLINE_S: f64 = 6.0;
 /// Longest time until a poll is answered, including the wait for a connection, in seconds.
 const MAX_POLL_DURATION_S: f64 = 2.4;
@@ -20,7 +20,7 @@
 const MAX_BACKOFF_DOUBLINGS: i32 = 3;
 /// Largest backoff window, as a fraction of the poll interval.
 const MAX_BACKOFF_WINDOW_FRACTION: f64 = 0.8;
-/// How much too early a timer may fire by rounding, in seconds.
+/// Time by which a timer may fire early because of rounding, in seconds.
 const TIMER_TOLERANCE_S: f64 = 1e-3;
 
 /// Whether polling has started, and how it went.
@@ -162,8 +162,8 @@
     }
 }
 
-/// Longest time until the next poll, in seconds. It grows with each failure in a row. Once polling has started it is limited so that changes
-/// since discovery became silent, `silent_s` seconds ago, are known before the notification deadline.
+/// Longest time until the next poll, in seconds. It grows with each failure in a row. Once polling has started it is limited so that
+/// changes since discovery became silent, `silent_s` seconds ago, are known before the notification deadline.
 fn backoff_window_s(interval_s: f64, history: PollHistory, silent_s: f64) -> f64 {
     let consecutive_failures = match history {
         PollHistory::NotStarted => 0,
--- a/crates/balancer/src/latency_detector.rs
+++ b/crates/balancer/src/latency_detector.rs
@@ -39,7 +39,7 @@
     samples: u32,
 }
 
-/// The last computed threshold H/σ and the ratio K/σ that it holds for; a ratio of 0 stands for none.
+/// The last computed threshold H/σ and the ratio K/σ that it was computed for; a ratio of 0 means that there is none.
 #[derive(Clone, Copy, Debug, Default)]
 struct CachedThreshold {
     /// Shift in standard deviations, K/σ.
@@ -125,8 +125,8 @@
     /// The threshold H/σ at which Siegmund's approximation of the run length reaches `target` samples, for K/σ = `ratio`.
     pub fn threshold(ratio: f64, target: f64) -> f64 {
         let run_length = |threshold: f64| {
-            let x = 2.0 * ratio * (threshold + SIEGMUND_CORRECTION);
-            (x.exp() - x - 1.0) / (2.0 * ratio * ratio)
+            let exponent = 2.0 * ratio * (threshold + SIEGMUND_CORRECTION);
+            (exponent.exp() - exponent - 1.0) / (2.0 * ratio * ratio)
         };
         let mut low = 0.0;
         let mut high = target.sqrt();
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,13 +1,14 @@
-//! The decisions of an HTTP load balancer that runs as a fleet of gateways, without any I/O.
+//! A load balancer for HTTP gateways that run as a fleet. It decides and does no I/O.
 //!
 //! A gateway owns the sockets and the clock. It hands what happens to its [`Balancer`] as [`Event`]s and carries out the [`Action`]s that
-//! come back: where each request goes, and when it is retried, rejected or failed. Instances share nothing; each gateway decides alone.
+//! are returned: where each request is sent, and when it is retried, rejected or failed. Instances share no state; each gateway decides
+//! alone.
 //!
 //! The modules in the order in which a request passes through them:
 //!
 //! - `admission`: whether a request is admitted or shed; `load_signals`: what endpoints report of their load
 //! - `selection`: which endpoint an attempt goes to; `slow_start`: how many attempts a cold endpoint gets
-//! - `attempt`: sending attempts and handling their outcomes; `retry`: whether another one is allowed, hedges, giving up
+//! - `attempt`: sending attempts and handling their outcomes; `retry`: whether another one is allowed, hedges, final answers
 //! - `latency_detector`, `failure_tracking`, `endpoint_state`: the state of an endpoint as learned from outcomes
 //! - `traffic_stats`, `maintenance`: rates and averages, and what changes with time
 //! - `endpoint_list`, `discovery_polling`, `endpoint_draining`: endpoints according to discovery, and when it is polled
--- a/crates/balancer/src/load_report.rs
+++ b/crates/balancer/src/load_report.rs
@@ -1,4 +1,4 @@
-//! Load reports that endpoints send beside their responses: which figures the settings name, and which of them are valid.
+//! Load reports that endpoints send with their responses: parses them by the field names in the settings and checks their values.
 
 use crate::api::LoadReport;
 use serde::Deserialize;
@@ -20,7 +20,7 @@
 /// One figure of a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct ReportField {
-    /// Its place in a row of figures.
+    /// Its index in a row of figures.
     index: usize,
     /// Its name in a header.
     name: String,
@@ -50,7 +50,7 @@
 
 impl LoadReportFields {
     /// Reads the names from the settings object, as JSON text. Settings whose responses carry no report, or one that lacks either
-    /// figure, give fields that read nothing.
+    /// figure, result in fields that match nothing.
     ///
     /// # Errors
     /// If the text is not a settings object.
--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -164,8 +164,8 @@
         self.endpoints.iter().filter(is_avoided).count()
     }
 
-    /// The ready endpoint that the request's next attempt should go to, if any is eligible. A key's preferred endpoints come first, unless
-    /// their scores are much worse than the best one.
+    /// The ready endpoint for the request's next attempt, if any is eligible. A key's preferred endpoints have priority, unless their scores
+    /// are much worse than the best one.
     pub(crate) fn select_endpoint(&mut self, now_s: f64, request: &RequestState) -> Option<usize> {
         let idempotency = self.settings.classes[request.class].idempotency;
         let context = self.score_context(now_s, request.class);
--- a/crates/balancer/src/settings_document.rs
+++ b/crates/balancer/src/settings_document.rs
@@ -1,5 +1,5 @@
 //! The platform's settings object, as the simulator's wire and the gateway's configuration file carry it. The protocol's field names are
-//! mapped to [`Settings`] here and nowhere else.
+//! mapped to [`Settings`] only here.
 
 use crate::api::{EndpointWeights, Idempotency, KeyScope, RequestClass, Settings};
 use rustc_hash::FxHashMap;
@@ -107,7 +107,7 @@
     drain_close_within_s: Option<f64>,
 }
 
-/// Seconds of the platform's documents as a [`Duration`], to the microsecond; 0 for what is negative or not a number.
+/// Converts seconds of the platform's documents to a [`Duration`], to the microsecond; 0 for a negative value or NaN.
 pub fn duration_from_seconds(seconds: f64) -> Duration {
     Duration::from_micros((seconds * MICROS_PER_S).round().clamp(0.0, MAX_MICROS) as u64)
 }
@@ -182,7 +182,7 @@
 }
 
 impl ClassDocument {
-    /// Whether it may be sent again; unknown words mean that it may not.
+    /// Whether it may be sent again; an unknown value means that it may not.
     fn idempotency(&self) -> Idempotency {
         match self.idempotency.as_str() {
             "free" => Idempotency::Idempotent,
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -191,7 +191,7 @@
     }
 
     /// Treats an endpoint as restarted although discovery has not reported it. It starts with a random part of a cold one's budget;
-    /// otherwise the first attempts of all gateways would arrive together. Nothing changes while it has attempts in flight, which a
+    /// otherwise the first attempts of all gateways would arrive together. The state stays while it has attempts in flight, which a
     /// restart would have ended, or if more than half of the endpoints would then be in slow start, which would leave too little capacity.
     fn suspect_restart(&mut self, now_s: f64, index: usize) {
         let cold = self.ready.iter().filter(|&&ready| !self.endpoints[ready].is_warm()).count();
--- a/crates/balancer/src/traffic_stats.rs
+++ b/crates/balancer/src/traffic_stats.rs
@@ -16,7 +16,7 @@
 const MIN_DIVISOR_PER_S: f64 = 1e-9;
 /// Fraction of requests that are faster, measured by their cost hints, than the tracked quantile.
 const LATENCY_PER_HINT_QUANTILE: f64 = 0.4;
-/// Step of the tracked quantile, as a fraction; a larger one would follow momentary queues.
+/// Step of the tracked quantile, as a fraction; a larger one would follow short-lived queues.
 const LATENCY_PER_HINT_GAIN: f64 = 0.02;
 
 /// Events per second, as an exponentially weighted average.
--- a/crates/balancer/tests/behaviour/admission.rs
+++ b/crates/balancer/tests/behaviour/admission.rs
@@ -44,7 +44,7 @@
     assert!((20..80).contains(&sent), "{sent} of 200 at once were admitted");
 }
 
-/// Clients that are rejected come back at once and add to the overload, unless they are told to wait.
+/// Clients that are rejected retry at once and add to the overload, unless they are asked to wait.
 #[test]
 fn rejection_at_capacity_has_retry_after_where_clients_obey_it() {
     let max_retry_after = Duration::from_secs(2);
@@ -95,7 +95,7 @@
     assert_eq!(admitted_at_once(with_reported_load(50.0, 40.0)), without_reports);
 }
 
-/// A gateway with four endpoints whose live weights, listed every 500 ms for 10 s, tell this many requests in flight on a core.
+/// A gateway with four endpoints whose live weights, listed every 500 ms for 10 s, show this many requests in flight on a core.
 fn with_listed_load(in_flight_per_core: f64) -> TestGateway {
     let settings = Settings { gateway_count: 3, endpoint_weights: EndpointWeights::Live, ..settings() };
     let mut gateway = TestGateway::new(settings, 4);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn fewer_are_admitted_at_once_where_live_weights_tell_high_load() {
+fn fewer_are_admitted_at_once_where_live_weights_show_high_load() {
     let idle = admitted_at_once(with_listed_load(0.1));
     let loaded = admitted_at_once(with_listed_load(4.0));
     assert!(loaded < idle, "{loaded} in place of {idle}");
--- a/crates/balancer/tests/behaviour/main.rs
+++ b/crates/balancer/tests/behaviour/main.rs
@@ -1,4 +1,4 @@
-//! What the decisions do, one situation each.
+//! Behaviour of the balancer, one situation in each test.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/crates/balancer/tests/behaviour/selection.rs
+++ b/crates/balancer/tests/behaviour/selection.rs
@@ -72,7 +72,7 @@
 
 /// Before any sample all endpoints look alike. If sizes did not count then, a start would send small endpoints as much as large ones.
 #[test]
-fn without_samples_attempts_follow_sizes_where_weights_tell_them() {
+fn without_samples_attempts_follow_sizes_where_weights_are_sizes() {
     for (endpoint_weights, expected) in [(EndpointWeights::Size, 7..9), (EndpointWeights::Off, 2..7)] {
         let mut gateway = TestGateway::new(Settings { endpoint_weights, gateway_count: 1, ..settings() }, 0);
         let sized = |number| {
@@ -182,7 +182,7 @@
     gateway.serve(100, latency_ms);
     let requests = gateway.serve(50, latency_ms);
     assert_eq!(requests.iter().skip(1).step_by(2).sum::<u32>(), 0, "twice as slow, but at home");
-    // Requests end unserved in a way that tells nothing of any endpoint: the estimates stay.
+    // Requests end unserved without a sample of any endpoint: the estimates stay.
     for _ in 0..60 {
         gateway.request(IDEMPOTENT_CLASS, None);
         let mut attempt = 0;
--- a/crates/balancer/tests/behaviour/slow_start.rs
+++ b/crates/balancer/tests/behaviour/slow_start.rs
@@ -72,7 +72,7 @@
     sent_endpoints(&mut gateway, 8)
 }
 
-/// A process that restarts closes its idle connections long before discovery tells of it, and is cold when it comes back.
+/// A process that restarts closes its idle connections long before discovery reports it, and is cold when it is back.
 #[test]
 fn endpoint_that_closes_its_last_idle_connection_is_treated_as_cold() {
     let reaches_all = |sent: &[u32]| (0..4).all(|endpoint| sent.contains(&endpoint));
--- a/crates/balancer/tests/common/checker.rs
+++ b/crates/balancer/tests/common/checker.rs
@@ -33,7 +33,7 @@
     pub endpoint: u32,
     pub sent_at: Duration,
     pub outcome: Option<Outcome>,
-    /// When the outcome came.
+    /// When the outcome was reported.
     pub ended_at: Duration,
 }
 
--- a/crates/balancer/tests/common/random_run.rs
+++ b/crates/balancer/tests/common/random_run.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use weldworks_balancer::*;
 
-/// An attempt whose outcome is still to come.
+/// An attempt without an outcome yet.
 #[derive(Clone, Copy)]
 struct PendingOutcome {
     due: Duration,
@@ -133,7 +133,7 @@
         });
     }
 
-    /// Runs this many ticks of random traffic of all classes, with endpoints that drain, leave and come back cold, then lets it end.
+    /// Runs this many ticks of random traffic of all classes, with endpoints that drain, leave and return cold, then lets all requests end.
     pub fn run_random_events(&mut self, ticks: u32) {
         for _ in 0..ticks {
             self.tick();
--- a/crates/balancer/tests/invariants.rs
+++ b/crates/balancer/tests/invariants.rs
@@ -223,7 +223,7 @@
     assert_eq!(actions, [Action::SetTimer { after: MS(50), token: 3 }], "cancelled: the key is kept quiet");
     let actions = handle(70, Event::Timer { token: 3 });
     assert_eq!(sent_requests(&actions), [3]);
-    // The others' turn does not come within their objective: each is rejected at its timer, none is sent.
+    // The others are not released within their objective: each is rejected at its timer, none is sent.
     let actions: Vec<Action> = (4..=4000).flat_map(|token| handle(310, Event::Timer { token })).collect();
     assert_eq!(actions.len(), 3997);
     assert!(actions.iter().all(|action| matches!(action, Action::Reject { .. })));
--- a/crates/balancer/tests/latency_detector.rs
+++ b/crates/balancer/tests/latency_detector.rs
@@ -78,7 +78,7 @@
 
 #[test]
 fn false_alarms_on_steady_noise_are_rare() {
-    // K is 0.25 of the mean, nearly two deviations of this noise: alarms come more seldom than the target.
+    // K is 0.25 of the mean, nearly two deviations of this noise: alarms are rarer than the target.
     let mut detector = Cusum::new(1.0);
     let mut rng = fastrand::Rng::with_seed(5);
     let alarms = (0..4000).filter(|_| detector.add(noise(&mut rng))).count();
--- a/crates/balancer/tests/load_reports.rs
+++ b/crates/balancer/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! No load report and no closed connection, however wrong, may break the decisions: every request gets its one answer, and no endpoint is
+//! No load report and no closed connection, however wrong, may break the balancer: every request gets its one answer, and no endpoint is
 //! lost for good.
 
 mod common;
--- a/crates/balancer/tests/streaming.rs
+++ b/crates/balancer/tests/streaming.rs
@@ -1,4 +1,4 @@
-//! Streamed bodies, responses that are forwarded while they come, and settings that change meanwhile.
+//! Streamed bodies, responses that are forwarded while they are received, and settings that change meanwhile.
 
 mod common;
 
@@ -98,7 +98,7 @@
         let answer = gateway.negative_answer();
         assert!(matches!(answer, Some(Action::Reject { .. })), "{:?}", gateway.actions);
     }
-    // The client must not be told that a retry is safe: it was possibly processed.
+    // The client must not get an answer that makes a retry look safe: it was possibly processed.
     let gateway = end_streamed_attempt(NOT_IDEMPOTENT_CLASS, Outcome::Reset, true);
     assert!(matches!(gateway.negative_answer(), Some(Action::Fail { .. })), "{:?}", gateway.actions);
 }
@@ -146,7 +146,7 @@
     serve(&mut gateway, 60, &with_one_slow);
     let avoided = gateway.avoided();
     let requests = serve(&mut gateway, 100, &with_one_slow);
-    // The figure tells how many, and where the requests went tells which.
+    // The metric shows how many endpoints are avoided, and the requests show which.
     assert_eq!(avoided, 1);
     assert!(requests[3] * 10 < requests[0].max(requests[1]), "{requests:?}");
     gateway.balancer.apply_settings(settings());
@@ -177,7 +177,7 @@
 }
 
 /// Settings changed while requests were open. Whether these may be cancelled, how long their keys are kept quiet and how long their clients
-/// are told to wait must stay as they were when the requests came.
+/// are asked to wait must stay as they were when the requests arrived.
 #[test]
 fn new_settings_leave_open_requests_their_limits() {
     let mut old = Settings {
@@ -319,7 +319,7 @@
 }
 
 proptest! {
-    /// Whatever comes in whatever order, a request gets at most one answer, nothing is sent for it after that, and there is never a second
+    /// For any events in any order, a request gets at most one answer, nothing is sent for it after that, and there is never a second
     /// attempt once some of its body was forwarded.
     #[test]
     fn any_order_of_events_keeps_the_rules(steps in prop::collection::vec((0u8..9, 0u64..6, 0u64..900), 1..120)) {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! Configuration documents that are validated as a whole: the operator's file of the gateway and the test bed's scripts.
 //!
 //! A [`Table`] is read key by key. Each problem is recorded with its line and key and reading continues, so that
-//! the document's [`Problems`] list everything that has to be corrected. A key that nothing reads is a problem too.
+//! the document's [`Problems`] list everything that has to be corrected. An unknown key is a problem too.
 //!
 //! Times are written as text with a unit (`"250ms"`, `"2s"`, `"1.5min"`), sizes likewise (`"64KiB"`).
 //!
--- a/crates/control/src/body_streaming.rs
+++ b/crates/control/src/body_streaming.rs
@@ -16,8 +16,8 @@
 const MIN_CLIENT_BODY_BYTES_PER_S: f64 = 32e3;
 /// Total time that a client may pause without any credit earned by [`MIN_CLIENT_BODY_BYTES_PER_S`].
 const CLIENT_BODY_GRACE: Duration = Duration::from_millis(1500);
-/// Time without data after which a client counts as stopped, regardless of how much it sent before. Its error response is due
-/// within 3 s.
+/// Time without data after which a client counts as stopped, regardless of how much it sent before. Its error response
+/// is due within 3 s.
 pub const CLIENT_BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Time for which one side of a streamed body may make no progress while the other side waits for it.
 pub const PEER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -4,10 +4,9 @@
 //! covers both, so that a shutdown during a drain, or the reverse, needs no rule of its own.
 //!
 //! A front balancer polls readiness and stops sending new connections shortly after the first "not ready", while
-//! clients continue to use their open connections. A drain therefore goes through three phases: not ready;
-//! responses carry `Connection: close`; idle connections are closed. The idle limit shrinks steadily to zero, so that
-//! connections close one after another and those idle the longest, which are the least likely to be reused at that
-//! moment, close first.
+//! clients continue to use their open connections. A drain therefore has three phases: not ready; responses carry
+//! `Connection: close`; idle connections are closed. The idle limit shrinks steadily to zero, so that connections close
+//! one after another and those idle the longest, which are the least likely to be reused, close first.
 //!
 //! All times are on one monotonic clock of the caller.
 
--- a/crates/control/src/execution.rs
+++ b/crates/control/src/execution.rs
@@ -72,7 +72,7 @@
 /// Classifies a response by its status and the values of its not-processed header, one for each occurrence of the
 /// header.
 ///
-/// A repeated header or another value has no defined meaning, so it proves nothing.
+/// A repeated header or another value has no defined meaning, so the request counts as possibly processed.
 pub fn classify_response<'a>(
     status: u16,
     mut not_processed: impl Iterator<Item = &'a [u8]>,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,7 +1,7 @@
 //! Policies of one gateway beside load balancing: drain, hot restart, retry storms, body streaming.
 //!
-//! No module does any I/O: time comes in as a [`std::time::Duration`], events come in, decisions go out, and random
-//! choices come from a seed.
+//! No module does any I/O: the caller passes the time as a [`std::time::Duration`] and events as calls, decisions are
+//! return values, and random choices follow from a seed.
 
 pub mod body_streaming;
 pub mod class_registry;
--- a/crates/control/src/retry_storm/detector.rs
+++ b/crates/control/src/retry_storm/detector.rs
@@ -16,10 +16,10 @@
 pub enum StormState {
     /// Normal operation.
     Calm,
-    /// The signals exceed their limits, possibly by chance. Rejections carry a computed `Retry-After` if enabled; nothing is
-    /// damped yet.
+    /// The signals exceed their limits, possibly by chance. Rejections carry a computed `Retry-After` if enabled;
+    /// nothing is damped yet.
     Suspected,
-    /// Retries are damped, and rejections carry a computed `Retry-After`.
+    /// Retries are damped, and rejections carry a computed `Retry-After` if enabled.
     Storm,
     /// The storm is over; retries are still damped, and rejections still carry a computed `Retry-After` if enabled.
     Recovering,
--- a/crates/control/src/retry_storm/settings.rs
+++ b/crates/control/src/retry_storm/settings.rs
@@ -149,7 +149,7 @@
         if !settings.damping_enabled && !settings.retry_after_enabled {
             table.report(
                 "damping",
-                "and advice are both off, so that nothing would come of a storm: leave the table out",
+                "and advice are both off, so that a detected storm has no effect: leave the table out",
             );
         }
         table.finish();
--- a/crates/control/src/retry_storm/slot_table.rs
+++ b/crates/control/src/retry_storm/slot_table.rs
@@ -20,7 +20,7 @@
 pub(super) struct SlotTable(Vec<Slot>);
 
 impl SlotTable {
-    /// Creates a table of so many slots, at least one.
+    /// Creates a table of this many slots, at least one.
     pub(super) fn new(slots: usize) -> SlotTable {
         SlotTable(vec![Slot::default(); slots.max(1)])
     }
--- a/crates/control/src/retry_storm/storm_control.rs
+++ b/crates/control/src/retry_storm/storm_control.rs
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Takes the last change of state that was not reported yet, with the signals that caused it.
+    /// Returns the last change of state that was not reported yet, with the signals that caused it, and marks it reported.
     pub fn take_change(&mut self) -> Option<StateChange> {
         self.unreported_change.take()
     }
--- a/crates/control/src/watch_backoff.rs
+++ b/crates/control/src/watch_backoff.rs
@@ -10,8 +10,8 @@
 /// Timeout of the first list of a poll of discovery. A live discovery answers within 2 or 3 s; a poll that stays open
 /// longer was accepted by a process that has ended.
 pub const POLL_FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(3200);
-/// Timeout of the first list of a watch on pushed lists. A restarted agent does not know of the watch, so the next one must be open within the strictest limit for observing a drain (300 ms), [`MAX_RETRY_DELAY`]
-/// included.
+/// Timeout of the first list of a watch on pushed lists. A restarted agent has lost the watch, so the next one must be
+/// open within the strictest limit for observing a drain (300 ms), [`MAX_RETRY_DELAY`] included.
 pub const PUSH_FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time without any data after which a watch is dead. A live watch sends an empty line every 2 s.
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2700);
--- a/crates/control/tests/body_streaming.rs
+++ b/crates/control/tests/body_streaming.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn a_response_is_buffered_until_it_proves_to_be_long() {
-    // Announced length, what has come after how long, the time of the decision, and the decision.
+    // Announced length, bytes received and when, the time of the decision, and the decision.
     let limit = MAX_BUFFERED_BODY_BYTES as u64;
     let cases = [
         (Some(200), &[(0, 200)][..], 500, BufferingDecision::KeepBuffering),
--- a/crates/control/tests/discovery_polling.rs
+++ b/crates/control/tests/discovery_polling.rs
@@ -120,7 +120,7 @@
     }
 }
 
-/// A sequence of polls that all came to nothing.
+/// A sequence of polls that all failed.
 struct Outage {
     /// Longest time from a change until it was known, if discovery was back right after any of the polls.
     longest_delay: Duration,
@@ -142,7 +142,7 @@
 }
 
 proptest! {
-    /// Discovery fails in any way, any number of times, and comes back with a change. A drain that is not noticed in time
+    /// Discovery fails in any way, any number of times, and returns with a change. A drain that is not noticed in time
     /// sends requests to an endpoint that is about to stop.
     #[test]
     fn a_change_is_known_in_time_whatever_failed_before(
--- a/crates/control/tests/drain.rs
+++ b/crates/control/tests/drain.rs
@@ -86,7 +86,7 @@
         self.draining_since.is_some() || self.shutdown_since.is_some()
     }
 
-    /// Checks what is true at any time, whatever came before.
+    /// Checks what must hold at any time, after any events.
     fn check(&self) {
         let before = format!("{:?}", self.drain);
         let idle_limit = self.drain.idle_limit(self.now, self.now);
@@ -119,7 +119,7 @@
             now < since + CONNECTION_CLOSE_START || self.drain.sends_connection_close(now),
             "no `Connection: close` at {now:?}"
         );
-        // A request that comes now has 2 s until no request may be in flight any more.
+        // A request that arrives now has 2 s until no request may be in flight any more.
         assert!(
             now < since + ms(2000) || idle_limit.is_some_and(|limit| limit <= ms(200)),
             "{idle_limit:?} at {now:?}"
@@ -292,7 +292,7 @@
         }
     }
 
-    /// 4 s after the start of a drain no connection may be idle, and none may have a request that came less than 2 s ago:
+    /// 4 s after the start of a drain no connection may be idle, and none may have a request that arrived less than 2 s ago:
     /// it should have been closed before.
     fn check_drain_limit(&self) {
         let now = self.observed.now;
@@ -312,7 +312,7 @@
     }
 }
 
-/// Calls, requests, responses and closes come in any order, with one connection in use and one idle. Nothing is closed
+/// Calls, requests, responses and closes happen in any order, with one connection in use and one idle. Nothing is closed
 /// without cause, and 4 s after the start of a drain nothing is open that may not be.
 #[test]
 fn no_connection_is_closed_without_cause_or_open_too_long() {
--- a/crates/control/tests/endpoint_start.rs
+++ b/crates/control/tests/endpoint_start.rs
@@ -12,7 +12,7 @@
 /// Current time, on a clock that began a day ago.
 const NOW: Duration = Duration::from_secs(86_400);
 
-/// What is known of an endpoint that started `age` ago and is listed at once, to a process whose last discovery message
+/// Evidence of an endpoint that started `age` ago and is listed at once, to a process whose last discovery message
 /// before was `silent_for` ago. The newest endpoint started `newest_age` ago.
 fn evidence(age: Duration, silent_for: Option<Duration>, newest_age: Duration) -> StartEvidence {
     StartEvidence {
--- a/crates/control/tests/retry_storm.rs
+++ b/crates/control/tests/retry_storm.rs
@@ -278,7 +278,7 @@
     // Wilson's interval for 4 of 10 begins at 0.1682.
     assert!((wilson_lower_bound(4.0, 10.0) - 0.1682).abs() < 1e-4, "{}", wilson_lower_bound(4.0, 10.0));
     assert!(wilson_lower_bound(2.0, 10.0) < 0.12 && wilson_lower_bound(200.0, 1000.0) > 0.17);
-    // Half of the requests come from a tenant whose quota is a tenth of all: it exceeds its share at 40 a second, not at 4
+    // Half of the requests are from a tenant whose quota is a tenth of all: it exceeds its share at 40 a second, not at 4
     // while all others are quiet, and at 4 where ten such gateways make 40.
     for (gateway_count, interval_ms, exceeds_share) in [(1, 25, true), (1, 250, false), (10, 250, true)] {
         let mut fair_share = FairShare::new(&[10.0, 90.0], gateway_count);
@@ -336,7 +336,7 @@
         }
     }
 
-    /// Rejections come in bursts. If more retries were reserved for one second than endpoints can serve then, they would
+    /// Rejections occur in bursts. If more retries were reserved for one second than endpoints can serve then, they would
     /// be rejected again and the storm would go on.
     #[test]
     fn reservations_stay_under_the_capacity(
@@ -370,7 +370,7 @@
         }
     }
 
-    /// Events come in any order, also where the clock seems to run backwards. An allowance or a `Retry-After` out of bounds
+    /// Events arrive in any order, also if the clock seems to run backwards. An allowance or a `Retry-After` out of bounds
     /// would admit everything or nothing.
     #[test]
     fn allowances_and_retry_after_stay_in_bounds(steps in proptest::collection::vec(
--- a/crates/simhost/src/error.rs
+++ b/crates/simhost/src/error.rs
@@ -56,7 +56,7 @@
         /// The mode.
         mode: Option<String>,
     },
-    /// An attempt or a health check ended in an unknown way.
+    /// An attempt or a health check ended with an unknown outcome.
     #[error("{event} with unknown outcome {outcome:?}")]
     UnknownOutcome {
         /// The kind of event.
--- a/crates/simhost/src/protocol.rs
+++ b/crates/simhost/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The simulator's protocol: JSON batches of events in, JSON replies with commands out. Its names are mapped to the domain's here and
-//! nowhere else.
+//! The simulator's protocol: JSON batches of events in, JSON replies with commands out. Its names are mapped to the domain's
+//! only here.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -13,10 +13,10 @@
 /// Bit of [`EventFields::flags`]: the client has sent the request before.
 const FLAG_CLIENT_RETRY: u64 = 2;
 
-/// One line of input: events of many instances at one moment.
+/// One line of input: events of many instances at one time.
 #[derive(Deserialize)]
 pub(crate) struct Batch<'a> {
-    /// The moment, in seconds.
+    /// The time of the events, in seconds.
     #[serde(rename = "ts_s")]
     pub(crate) now_s: f64,
     /// The number of the batch, which the reply repeats.
@@ -121,7 +121,7 @@
     TimerDue,
     /// A health check has ended.
     ProbeEnded,
-    /// A message of another instance; the decisions use none.
+    /// A message of another instance; the balancer uses none.
     PeerMessage,
 }
 
@@ -145,14 +145,14 @@
     }
 }
 
-/// How an instance learns of endpoints.
+/// Mode of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListMode {
     /// A complete list, fresh or stale.
     Snapshot,
     /// The changed entries.
     Delta,
-    /// Not at all: discovery failed.
+    /// No list: discovery failed.
     Failed,
 }
 
@@ -184,7 +184,7 @@
 }
 
 impl EventFields<'_> {
-    /// The cost hint, where the event says that it is known.
+    /// The cost hint, if the event has one.
     pub(crate) fn cost_hint(&self) -> Option<Duration> {
         if self.flags.unwrap_or(0) & FLAG_HAS_COST_HINT == 0 {
             return None;
