--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -7,7 +7,7 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 use std::time::Duration;
-use weldworks_config::{Bytes, Named, Table};
+use weldworks_config::{Bytes, Choice, Table};
 
 /// Maximum number of gateways in a fleet.
 pub const MAX_PEERS: usize = 1000;
@@ -36,8 +36,8 @@
     Reject,
 }
 
-impl Named for WithoutSessionPolicy {
-    const WORDS: &'static [(&'static str, WithoutSessionPolicy)] =
+impl Choice for WithoutSessionPolicy {
+    const CHOICES: &'static [(&'static str, WithoutSessionPolicy)] =
         &[("serve", WithoutSessionPolicy::Serve), ("refuse", WithoutSessionPolicy::Reject)];
 }
 
@@ -104,26 +104,26 @@
     /// Reads the table. Errors are reported to the table's document.
     pub fn read(table: &Table<'_, '_>) -> FleetSettings {
         let unset_address = SocketAddr::from(([127, 0, 0, 1], 0));
-        let name: String = table.need("name").unwrap_or_default();
-        let gateway: String = table.need("gateway").unwrap_or_default();
+        let name: String = table.require("name").unwrap_or_default();
+        let gateway: String = table.require("gateway").unwrap_or_default();
         let peers = read_peers(table, unset_address);
         let own_entry = peers.iter().find(|peer| peer.name == gateway);
         if own_entry.is_none() && !gateway.is_empty() {
-            table.wrong("gateway", "is not among the peers: add a [[fleet.peer]] with this name");
+            table.report("gateway", "is not among the peers: add a [[fleet.peer]] with this name");
         }
         let listen = table.get("listen").or(own_entry.map(|peer| peer.address)).unwrap_or(unset_address);
         check_peer_counts(table, &peers);
         if name.is_empty() || name.len() > MAX_FLEET_NAME_BYTES {
-            table.wrong("name", "has 1 to 64 letters");
+            table.report("name", "has 1 to 64 letters");
         }
         let settings = FleetSettings {
             listen,
             lineage: table.get("lineage"),
             lease: Lease {
-                length: table.within("lease", LEASE_LENGTH_RANGE, DEFAULT_LEASE.length),
-                margin: table.within("margin", LEASE_MARGIN_RANGE, DEFAULT_LEASE.margin),
+                length: table.get_in_range("lease", LEASE_LENGTH_RANGE, DEFAULT_LEASE.length),
+                margin: table.get_in_range("margin", LEASE_MARGIN_RANGE, DEFAULT_LEASE.margin),
             },
-            without_session: table.or("alone", WithoutSessionPolicy::default()),
+            without_session: table.get_or("alone", WithoutSessionPolicy::default()),
             lag_policy: read_lag_policy(table),
             audit_retention: read_retention(table),
             state_folder: table.get::<String>("state").map(PathBuf::from),
@@ -154,13 +154,13 @@
     let mut peers: Vec<Peer> = Vec::new();
     for entry in table.tables("peer") {
         let peer = Peer {
-            name: entry.need("name").unwrap_or_default(),
-            address: entry.need("address").unwrap_or(unset_address),
-            is_voter: entry.or("council", false),
+            name: entry.require("name").unwrap_or_default(),
+            address: entry.require("address").unwrap_or(unset_address),
+            is_voter: entry.get_or("council", false),
         };
         let is_duplicate = peers.iter().any(|known| known.name == peer.name);
         if is_duplicate && !peer.name.is_empty() {
-            entry.wrong("name", "is there twice: each gateway has one entry");
+            entry.report("name", "is there twice: each gateway has one entry");
         }
         entry.finish();
         peers.push(peer);
@@ -174,19 +174,19 @@
         let message = format!(
             "{voter_count} of them have council = true: a council has 3 or 5, so that a majority is left when 1 or 2 are lost"
         );
-        table.wrong("peer", message);
+        table.report("peer", message);
     }
     if peers.len() > MAX_PEERS {
-        table.wrong("peer", format!("{} gateways: a fleet has {MAX_PEERS} at most", peers.len()));
+        table.report("peer", format!("{} gateways: a fleet has {MAX_PEERS} at most", peers.len()));
     }
 }
 
 fn read_lag_policy(table: &Table<'_, '_>) -> LagPolicy {
     let default = DEFAULT_LAG_POLICY;
     LagPolicy {
-        max_list_lag: table.within("behind", LIST_LAG_RANGE, default.max_list_lag),
-        max_lag_duration: table.within("behind_for", LAG_DURATION_RANGE, default.max_lag_duration),
-        max_fenced_fraction: table.within(
+        max_list_lag: table.get_in_range("behind", LIST_LAG_RANGE, default.max_list_lag),
+        max_lag_duration: table.get_in_range("behind_for", LAG_DURATION_RANGE, default.max_lag_duration),
+        max_fenced_fraction: table.get_in_range(
             "shut_out_most",
             FENCED_FRACTION_RANGE,
             default.max_fenced_fraction,
@@ -196,9 +196,9 @@
 
 fn read_retention(table: &Table<'_, '_>) -> RetentionLimits {
     let default = RetentionLimits::default();
-    let max_size = table.within("audit_size", AUDIT_SIZE_RANGE, Bytes(default.max_bytes));
+    let max_size = table.get_in_range("audit_size", AUDIT_SIZE_RANGE, Bytes(default.max_bytes));
     RetentionLimits {
         max_bytes: max_size.0,
-        max_age: table.within("audit_age", AUDIT_AGE_RANGE, default.max_age),
+        max_age: table.get_in_range("audit_age", AUDIT_AGE_RANGE, default.max_age),
     }
 }
--- a/crates/gateway/src/engine/reconfiguration.rs
+++ b/crates/gateway/src/engine/reconfiguration.rs
@@ -22,7 +22,7 @@
     pub(super) fn reconfigure(&mut self, reconfiguration: Reconfiguration) {
         let Reconfiguration { mut settings, names, discovery, connections, digest } = reconfiguration;
         if let Some(fleet) = &self.fleet {
-            fleet.configured(digest, discovery);
+            fleet.apply_config(digest, discovery);
         }
         self.pool.reconfigure(connections);
         self.replace_names(names, &mut settings);
@@ -32,7 +32,7 @@
             // What the control has observed was under other quotas.
             self.enable_retry_storm_control(storm_settings);
         }
-        self.balancer.retune(settings);
+        self.balancer.apply_settings(settings);
         self.switch_discovery(discovery);
     }
 
