--- a/crates/fleet/src/audit/interval.rs
+++ b/crates/fleet/src/audit/interval.rs
@@ -68,7 +68,7 @@
 /// An interval during which one version was in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntervalReport {
-    /// The version.
+    /// Version in force.
     pub version: Version,
     /// Begin, in milliseconds of the process's clock.
     pub from_ms: u64,
@@ -160,16 +160,16 @@
 pub enum UnknownKind {
     /// Single requests; the counts are there.
     Requests,
-    /// Everything.
+    /// Intervals, exceptions and requests.
     All,
 }
 
 /// A time of which a part of the log is missing, in milliseconds of the process's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct UnknownSpan {
-    /// Begin.
+    /// Begin of the time.
     pub from_ms: u64,
-    /// End.
+    /// End of the time.
     pub to_ms: u64,
     /// What is missing.
     #[serde(rename = "what")]
--- a/crates/fleet/src/audit/query.rs
+++ b/crates/fleet/src/audit/query.rs
@@ -27,7 +27,7 @@
 /// What one process wrote, as far as its memory no longer holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessReport {
-    /// The process.
+    /// Process that wrote the segments.
     pub process: String,
     /// Its start, in milliseconds of its wall clock since the Unix epoch.
     pub began_unix_ms: u64,
@@ -89,7 +89,7 @@
 /// How far back the memory of this process goes. What is in memory is not read from disk again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemorySpan {
-    /// The process.
+    /// Process whose memory it is.
     pub process: Incarnation,
     /// Number of the first interval in memory.
     pub(super) first_interval: u64,
@@ -287,8 +287,8 @@
     /// Whether a segment may contain what the query asks for, by its header.
     fn may_match(&self, header: &SegmentHeader) -> bool {
         let AuditQuery::Lists(indices) = &self.query else { return true };
-        let Some((least, greatest)) = header.list_indices else { return true };
-        *indices.start() <= greatest && least <= *indices.end()
+        let Some(range) = header.list_indices else { return true };
+        *indices.start() <= range.greatest && range.least <= *indices.end()
     }
 
     /// Ends the query and reports what it has found.
--- a/crates/fleet/src/audit/retention.rs
+++ b/crates/fleet/src/audit/retention.rs
@@ -60,8 +60,11 @@
 impl RetentionIndex {
     /// Records that a segment was written, in place of the one with its number if there is one.
     pub fn insert(&mut self, number: u64, header: &SegmentHeader) {
-        let (segment_bytes, steps_bytes) = header.lengths;
-        let stored = StoredSegment { segment_bytes, steps_bytes, written_unix_ms: header.written_unix_ms };
+        let stored = StoredSegment {
+            segment_bytes: header.lengths.segment,
+            steps_bytes: header.lengths.steps,
+            written_unix_ms: header.written_unix_ms,
+        };
         self.remove(number);
         self.segments.insert(number, stored);
         self.total_bytes += stored.total_bytes();
--- a/crates/fleet/src/audit/retention/tests.rs
+++ b/crates/fleet/src/audit/retention/tests.rs
@@ -1,3 +1,4 @@
+use super::super::segment::EncodedLengths;
 use super::super::tests::at;
 use super::*;
 use crate::version::Incarnation;
@@ -14,7 +15,7 @@
         for (n, (segment_bytes, steps_bytes)) in sizes.iter().enumerate() {
             let header = SegmentHeader {
                 process: Incarnation(1), began_unix_ms: 0, opened_unix_ms: 0, written_unix_ms: n as u64 * 1000, from_ms: 0, to_ms: 0,
-                ended: false, list_indices: None, has_gaps: false, lengths: (*segment_bytes, *steps_bytes),
+                ended: false, list_indices: None, has_gaps: false, lengths: EncodedLengths { segment: *segment_bytes, steps: *steps_bytes },
             };
             index.insert(n as u64 + 1, &header);
             let evicted = index.evict(&limits, n as u64 * 1000);
--- a/crates/fleet/src/audit/segment.rs
+++ b/crates/fleet/src/audit/segment.rs
@@ -133,18 +133,41 @@
     pub(super) from_ms: u64,
     pub(super) to_ms: u64,
     pub(super) ended: bool,
-    /// Least and greatest index of the endpoint lists in the segment.
-    pub(super) list_indices: Option<(u64, u64)>,
+    /// Range of the indices of the endpoint lists in the segment.
+    pub(super) list_indices: Option<IndexRange>,
     /// Whether the segment has gaps.
     pub(super) has_gaps: bool,
-    /// Bytes of the encoded segment and of its encoded steps.
-    pub(super) lengths: (u32, u32),
+    pub(super) lengths: EncodedLengths,
+}
+
+/// Least and greatest index of some endpoint lists.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(super) struct IndexRange {
+    pub(super) least: u64,
+    pub(super) greatest: u64,
+}
+
+impl IndexRange {
+    /// Range of these indices; `None` if there are none.
+    fn of(indices: impl Iterator<Item = u64> + Clone) -> Option<IndexRange> {
+        let least = indices.clone().min()?;
+        let greatest = indices.max()?;
+        Some(IndexRange { least, greatest })
+    }
+}
+
+/// Lengths of the encoded parts of a segment, in bytes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub(super) struct EncodedLengths {
+    pub(super) segment: u32,
+    /// 0 where there are no steps.
+    pub(super) steps: u32,
 }
 
 /// Process that writes segments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentWriter {
-    /// The process.
+    /// Process that writes.
     pub process: Incarnation,
     /// Its start, in milliseconds of its wall clock since the Unix epoch.
     pub began_unix_ms: u64,
@@ -229,7 +252,10 @@
         let segment = compress(&self.segment);
         let steps = compress(&self.steps);
         let list_indices = self.segment.intervals.values().map(|interval| interval.version.list.index);
-        let steps_length = if self.steps.steps.is_empty() { 0 } else { steps.len() as u32 };
+        let lengths = EncodedLengths {
+            segment: segment.len() as u32,
+            steps: if self.steps.steps.is_empty() { 0 } else { steps.len() as u32 },
+        };
         let header = SegmentHeader {
             process: self.writer.process,
             began_unix_ms: self.writer.began_unix_ms,
@@ -238,9 +264,9 @@
             from_ms: self.segment.from_ms,
             to_ms: self.segment.to_ms,
             ended: self.segment.ended,
-            list_indices: list_indices.clone().min().zip(list_indices.max()),
+            list_indices: IndexRange::of(list_indices),
             has_gaps: !self.segment.gaps.is_empty(),
-            lengths: (segment.len() as u32, steps_length),
+            lengths,
         };
         EncodedSegment { number: self.number, header: compress(&header), segment, steps }
     }
--- a/crates/fleet/src/consensus/message.rs
+++ b/crates/fleet/src/consensus/message.rs
@@ -30,7 +30,7 @@
     Log {
         /// Configuration that the message belongs to.
         tag: ConfigTag,
-        /// The message.
+        /// Message of the library.
         message: Box<Message<Command>>,
     },
 }
@@ -38,18 +38,18 @@
 /// A message that is to be sent.
 #[derive(Clone, Debug)]
 pub struct OutgoingMessage {
-    /// Recipient.
+    /// Member that it is sent to.
     pub to: GatewayName,
-    /// The message.
+    /// Message to send.
     pub message: ConsensusMessage,
 }
 
 /// A command that was committed and applied.
 #[derive(Clone, Debug)]
 pub struct Committed {
-    /// The command.
+    /// Command that was applied.
     pub command: Command,
-    /// Its outcome.
+    /// Outcome of the command.
     pub outcome: CommandOutcome,
 }
 
@@ -105,7 +105,7 @@
     },
     /// A peer belongs to another consensus group of the same fleet.
     ForeignGroup {
-        /// The peer.
+        /// Name of the peer.
         peer: GatewayName,
     },
     /// The replication library panicked; this process does not vote any more.
--- a/crates/fleet/src/encoding.rs
+++ b/crates/fleet/src/encoding.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of an encoded value, in bytes. A state machine of 1,000 sessions takes about 400 KB.
+/// Maximum length of an encoded value, in bytes: well above that of a state machine with the maximum number of sessions.
 pub const MAX_ENCODED_BYTES: usize = 8 << 20;
 
 /// Why bytes could not be decoded.
--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -3,9 +3,11 @@
 mod rate_limit;
 mod session_client;
 mod session_manager;
+mod session_monitor;
+mod session_state;
 mod status;
 
-pub use session_client::SessionState;
+pub use session_state::SessionState;
 pub use status::{SessionRow, Status};
 
 use crate::consensus::{ConsensusGroup, StepOutput, StoredRecord};
@@ -29,9 +31,9 @@
     Store(Vec<StoredRecord>),
     /// Send a frame to a peer, if its link is up.
     Send {
-        /// Recipient.
+        /// Peer that it is sent to.
         to: GatewayName,
-        /// The frame.
+        /// Frame to send.
         frame: Frame,
     },
     /// Close the link to a peer, which is half open, and connect again.
@@ -66,7 +68,7 @@
 /// Process at the other end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerProcess {
-    /// The process.
+    /// Process that runs the peer.
     pub process: Incarnation,
     /// Process whose vote it holds: its own, or the earlier one whose stored state it restored.
     pub voter: Incarnation,
@@ -126,7 +128,7 @@
         &self.settings.gateway
     }
 
-    /// This process.
+    /// Identity of this process.
     pub fn process(&self) -> Incarnation {
         self.process
     }
--- a/crates/fleet/src/node/session_client.rs
+++ b/crates/fleet/src/node/session_client.rs
@@ -2,14 +2,13 @@
 //! that come with it.
 
 use super::rate_limit::RateLimit;
-use super::NodeAction;
+use super::{NodeAction, SessionState};
 use crate::lease::Lease;
 use crate::membership::{Membership, PeerView};
 use crate::protocol::{Frame, StateUpdate};
 use crate::state_machine::{DepartedEndpoint, FenceReason, ReplicaLag, SessionId};
 use crate::version::{GatewayName, Incarnation, ListVersion, Version};
 use std::collections::BTreeMap;
-use std::fmt;
 use std::time::Duration;
 
 /// Minimum interval between discovery polls that updates of the replicas trigger.
@@ -29,37 +28,6 @@
 /// Range of the random part of the time between two renewals, as a fraction of the renewal interval.
 const RENEWAL_JITTER_FRACTION: f64 = 0.2;
 
-/// Whether a gateway may act, and on what ground.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum SessionState {
-    /// It holds a session whose lease has not expired.
-    InSession(SessionId),
-    /// It holds none: no replica is reachable, or none grants one.
-    WithoutSession,
-    /// It is fenced and accepts no clients.
-    Fenced(FenceReason),
-}
-
-impl SessionState {
-    /// Whether both states permit the same, whatever the session.
-    pub fn is_same_kind(&self, other: &SessionState) -> bool {
-        match (self, other) {
-            (SessionState::InSession(_), SessionState::InSession(_)) => true,
-            _ => self == other,
-        }
-    }
-}
-
-impl fmt::Display for SessionState {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            SessionState::InSession(id) => write!(f, "in session {id}"),
-            SessionState::WithoutSession => write!(f, "alone"),
-            SessionState::Fenced(reason) => write!(f, "shut out: {reason}"),
-        }
-    }
-}
-
 /// A session and the time until which this gateway may rely on it.
 #[derive(Clone, Debug)]
 struct HeldSession {
--- a/crates/fleet/src/node/session_manager.rs
+++ b/crates/fleet/src/node/session_manager.rs
@@ -1,20 +1,20 @@
-//! A replica's side of the sessions: proposing what gateways request, answering once it is committed, and proposing the end of sessions
-//! that were not renewed in time and fences for those that lag.
+//! A replica's side of the sessions: proposing what gateways request, and answering once it is committed.
 
+use super::session_monitor::SessionMonitor;
 use super::NodeAction;
 use crate::consensus::{Committed, ConsensusGroup};
 use crate::lease::Lease;
 use crate::protocol::{Frame, StateUpdate};
 use crate::settings::LagPolicy;
-use crate::state_machine::{Command, CommandOutcome, DepartedEndpoint, Renewal, SessionId, StateMachine};
-use crate::version::{GatewayName, Incarnation, ListVersion, Version};
+use crate::state_machine::{
+    Command, CommandOutcome, DepartedEndpoint, DepartureKind, Renewal, SessionId, StateMachine,
+};
+use crate::version::{GatewayName, Incarnation, ListVersion};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Maximum number of departures in one update.
 const MAX_DEPARTURES_PER_UPDATE: usize = 256;
-/// Time after which a proposal that was not committed is proposed again.
-const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 /// A request of a gateway that is answered once its command is committed.
 #[derive(Clone, Copy, Debug)]
@@ -24,29 +24,9 @@
     session: Option<SessionId>,
 }
 
-/// What this replica has observed of a session's renewals.
-#[derive(Clone, Copy, Debug)]
-struct ObservedSession {
-    renewals: u64,
-    /// When this renewal count was first observed.
-    observed_at: Duration,
-    /// When its expiry was last proposed.
-    proposed_at: Option<Duration>,
-}
-
-/// What this replica has observed of a lagging session.
-#[derive(Clone, Copy, Debug)]
-struct ObservedLag {
-    since: Duration,
-    /// When a fence was last proposed.
-    proposed_at: Option<Duration>,
-}
-
 /// Manager of all sessions at one replica.
 #[derive(Clone, Debug)]
 pub(super) struct SessionManager {
-    lease: Lease,
-    lag_policy: LagPolicy,
     pending: BTreeMap<GatewayName, PendingRequest>,
     /// Renewals that are proposed together at the next tick.
     renewals: Vec<Renewal>,
@@ -54,43 +34,27 @@
     sent_updates: BTreeMap<GatewayName, StateUpdate>,
     /// Whether the state machine has changed since updates were last sent.
     state_changed: bool,
-    observed_sessions: BTreeMap<SessionId, ObservedSession>,
-    observed_lags: BTreeMap<SessionId, ObservedLag>,
-    was_leader: bool,
+    monitor: SessionMonitor,
 }
 
 impl SessionManager {
     pub(super) fn new(lease: Lease, lag_policy: LagPolicy) -> SessionManager {
         SessionManager {
-            lease,
-            lag_policy,
             pending: BTreeMap::new(),
             renewals: Vec::new(),
             sent_updates: BTreeMap::new(),
             state_changed: false,
-            observed_sessions: BTreeMap::new(),
-            observed_lags: BTreeMap::new(),
-            was_leader: false,
+            monitor: SessionMonitor::new(lease, lag_policy),
         }
     }
 
-    /// Discards all observations, because this process was paused or its state machine was replaced.
-    ///
-    /// Renewals may have arrived unobserved in the meantime. Counted from before, sessions would expire that were renewed in time.
+    /// Discards all observations and pending requests, because this process was paused or its state machine was replaced.
     pub(super) fn reset_observations(&mut self, now: Duration) {
-        self.restart_timers(now);
+        self.monitor.restart_timers(now);
         self.pending.clear();
         self.state_changed = true;
     }
 
-    /// Counts the time without renewal, and the time of each lag, from now on.
-    fn restart_timers(&mut self, now: Duration) {
-        for observed in self.observed_sessions.values_mut() {
-            observed.observed_at = now;
-        }
-        self.observed_lags.clear();
-    }
-
     pub(super) fn link_down(&mut self, peer: &str) {
         self.pending.remove(peer);
         self.sent_updates.remove(peer);
@@ -234,15 +198,7 @@
     /// Proposes what is due and sends updates. To be called every [`crate::consensus::TICK_INTERVAL`].
     pub(super) fn tick(&mut self, now: Duration, consensus: &mut ConsensusGroup, out: &mut Vec<NodeAction>) {
         self.propose_renewals(consensus, out);
-        self.observe_leadership(now, consensus.is_leader());
-        self.observe_sessions(now, consensus.state());
-        let lagging = self.observe_lags(now, consensus.state());
-        // Two replicas may both believe that they lead. That does no harm: a command names what was observed and has no effect where that
-        // has changed.
-        if self.was_leader {
-            self.propose_expiries(now, consensus);
-            self.propose_fences(now, &lagging, consensus);
-        }
+        self.monitor.tick(now, consensus);
         self.send_updates(consensus.state(), out);
     }
 
@@ -261,65 +217,6 @@
         }
     }
 
-    fn observe_leadership(&mut self, now: Duration, is_leader: bool) {
-        if is_leader && !self.was_leader {
-            // What this replica observed while another one led may have been observed late.
-            self.restart_timers(now);
-        }
-        self.was_leader = is_leader;
-    }
-
-    fn observe_sessions(&mut self, now: Duration, state: &StateMachine) {
-        self.observed_sessions.retain(|id, _| state.sessions().contains_key(id));
-        for (id, session) in state.sessions() {
-            let current = ObservedSession { renewals: session.renewals, observed_at: now, proposed_at: None };
-            let observed = self.observed_sessions.entry(*id).or_insert(current);
-            if observed.renewals != session.renewals {
-                *observed = current;
-            }
-        }
-    }
-
-    /// Updates which sessions lag since when; returns the version that each of them lags with.
-    fn observe_lags(&mut self, now: Duration, state: &StateMachine) -> BTreeMap<SessionId, Version> {
-        let lagging: BTreeMap<SessionId, Version> =
-            state.lagging_sessions().map(|lagging| (lagging.id, lagging.session.version.clone())).collect();
-        self.observed_lags.retain(|id, _| lagging.contains_key(id));
-        for id in lagging.keys() {
-            self.observed_lags.entry(*id).or_insert(ObservedLag { since: now, proposed_at: None });
-        }
-        lagging
-    }
-
-    fn propose_expiries(&mut self, now: Duration, consensus: &mut ConsensusGroup) {
-        for (id, observed) in &mut self.observed_sessions {
-            let is_expired = now >= self.lease.grantor_expiry(observed.observed_at);
-            if is_expired && is_proposal_due(now, observed.proposed_at) {
-                observed.proposed_at = Some(now);
-                consensus.propose(Command::ExpireSession { session: *id, renewals: observed.renewals });
-            }
-        }
-    }
-
-    fn propose_fences(
-        &mut self,
-        now: Duration,
-        lagging: &BTreeMap<SessionId, Version>,
-        consensus: &mut ConsensusGroup,
-    ) {
-        let mut capacity = consensus.state().fence_capacity();
-        for (id, observed) in &mut self.observed_lags {
-            let lags_too_long = now.saturating_sub(observed.since) >= self.lag_policy.max_lag_duration;
-            if !lags_too_long || capacity == 0 || !is_proposal_due(now, observed.proposed_at) {
-                continue;
-            }
-            let Some(version) = lagging.get(id) else { continue };
-            capacity -= 1;
-            observed.proposed_at = Some(now);
-            consensus.propose(Command::FenceLagging { session: *id, version: version.clone() });
-        }
-    }
-
     /// Sends an update to each gateway for which more than the log index has changed since the last one.
     fn send_updates(&mut self, state: &StateMachine, out: &mut Vec<NodeAction>) {
         if !self.state_changed {
@@ -342,10 +239,6 @@
     out.push(NodeAction::Send { to, frame });
 }
 
-fn is_proposal_due(now: Duration, proposed_at: Option<Duration>) -> bool {
-    proposed_at.is_none_or(|at| now.saturating_sub(at) >= PROPOSAL_RETRY_INTERVAL)
-}
-
 /// Proposes those departures that are not recorded yet.
 fn propose_departures(
     reported_by: GatewayName,
@@ -353,7 +246,9 @@
     mut endpoints: Vec<(String, bool)>,
     consensus: &mut ConsensusGroup,
 ) {
-    endpoints.retain(|(endpoint, removed)| !consensus.state().has_departure(&list, endpoint, *removed));
+    let state = consensus.state();
+    endpoints
+        .retain(|(endpoint, removed)| !state.has_departure(&list, endpoint, DepartureKind::from(*removed)));
     if !endpoints.is_empty() {
         consensus.propose(Command::RecordDepartures { list, endpoints, reported_by });
     }
--- a/crates/fleet/src/node/status.rs
+++ b/crates/fleet/src/node/status.rs
@@ -13,7 +13,7 @@
 pub struct Status {
     /// Name of this gateway.
     pub gateway: GatewayName,
-    /// Its process.
+    /// Process of this gateway.
     pub process: String,
     /// Its [`super::SessionState`], as text.
     #[serde(rename = "standing")]
--- a/crates/fleet/src/protocol.rs
+++ b/crates/fleet/src/protocol.rs
@@ -88,7 +88,7 @@
     },
     /// A gateway renews its session.
     RenewSession {
-        /// The session.
+        /// Session to renew.
         session: SessionId,
         /// Number of the request.
         request: u64,
@@ -97,7 +97,7 @@
     },
     /// The session is open or was renewed.
     SessionGranted {
-        /// The session.
+        /// Session that is granted.
         session: SessionId,
         /// Number of the request that this answers.
         request: u64,
@@ -127,7 +127,7 @@
     },
     /// A gateway ends its session.
     CloseSession {
-        /// The session.
+        /// Session to close.
         session: SessionId,
     },
     /// A query of an administrator.
--- a/crates/fleet/src/protocol/hello.rs
+++ b/crates/fleet/src/protocol/hello.rs
@@ -17,9 +17,9 @@
 pub enum Caller {
     /// A gateway of the fleet.
     Gateway {
-        /// Its name.
+        /// Name of the gateway.
         name: GatewayName,
-        /// Its process.
+        /// Process of the gateway.
         process: Incarnation,
         /// Process whose vote it holds: its own, or the earlier one whose stored state it restored.
         voter: Incarnation,
@@ -40,7 +40,7 @@
     pub version: u32,
     /// Name of the sender's fleet.
     pub fleet: String,
-    /// The sender.
+    /// Sender of the hello.
     pub caller: Caller,
     /// Name of the gateway that is addressed; empty if any will do.
     pub addressee: GatewayName,
@@ -87,8 +87,12 @@
     SettingsMismatch(GatewayName),
 }
 
-/// Magic bytes and version: the part of a hello that is the same in all versions.
-type HelloPrefix = ([u8; 4], u32);
+/// The part of a hello that is the same in all versions.
+#[derive(Deserialize)]
+struct HelloPrefix {
+    magic: [u8; 4],
+    version: u32,
+}
 
 /// Decodes a hello and checks that it is addressed to the gateway `own_name` of this fleet.
 ///
@@ -104,7 +108,7 @@
     is_peer: &dyn Fn(&str) -> bool,
 ) -> Result<Caller, ProtocolError> {
     // The version is read first, because what follows it may differ from version to version.
-    let (magic, version): HelloPrefix =
+    let HelloPrefix { magic, version } =
         encoding::decode_prefix(bytes).map_err(|error| ProtocolError::NotAFrame(error.to_string()))?;
     if magic != MAGIC {
         return Err(ProtocolError::NotAFrame("it does not begin with the link's mark".to_owned()));
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -44,7 +44,7 @@
 /// A gateway of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the gateway.
     pub name: GatewayName,
     /// Address on which its link listens.
     pub address: SocketAddr,
--- a/crates/fleet/src/state_machine/command.rs
+++ b/crates/fleet/src/state_machine/command.rs
@@ -13,7 +13,7 @@
     OpenSession {
         /// Gateway of the process.
         name: GatewayName,
-        /// The process.
+        /// Process that asks.
         process: Incarnation,
         /// Version that it acts on.
         version: Version,
@@ -24,26 +24,26 @@
     RenewSessions(Vec<Renewal>),
     /// A session was not renewed for a lease and its margin, as observed by the replica that proposes this.
     ExpireSession {
-        /// The session.
+        /// Session to expire.
         session: SessionId,
         /// Renewal count that the replica had observed. A later renewal makes the command obsolete.
         renewals: u64,
     },
     /// A process ends its own session while shutting down.
     CloseSession {
-        /// The session.
+        /// Session to close.
         session: SessionId,
     },
     /// A session is to be fenced because its gateway lagged for longer than the policy allows.
     FenceLagging {
-        /// The session.
+        /// Session to fence.
         session: SessionId,
         /// Version that it lagged with. A newer version of the session makes the command obsolete.
         version: Version,
     },
     /// An administrator fences a gateway or ends its fence.
     SetFenced {
-        /// The gateway.
+        /// Name of the gateway.
         name: GatewayName,
         /// Whether it is fenced from now on.
         fenced: bool,
@@ -64,7 +64,7 @@
 /// Renewal of one session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Renewal {
-    /// The session.
+    /// Session to renew.
     pub session: SessionId,
     /// Number of the request, counted over the lifetime of its process.
     pub count: u64,
--- a/crates/fleet/src/state_machine/departures.rs
+++ b/crates/fleet/src/state_machine/departures.rs
@@ -7,8 +7,32 @@
 /// Maximum number of departures that are retained; those recorded earliest are dropped first.
 const MAX_DEPARTURES: usize = 1024;
 
-/// Lineage of the list and name of the endpoint.
-pub(super) type DepartureKey = (String, String);
+/// Key of a departure. Departures are ordered by lineage, then by endpoint.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub(super) struct DepartureKey {
+    lineage: String,
+    endpoint: String,
+}
+
+/// How far an endpoint has departed, in ascending order.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum DepartureKind {
+    /// It gets no new requests.
+    Draining,
+    /// It is not in the list any more.
+    Removed,
+}
+
+impl From<bool> for DepartureKind {
+    /// Converts the `removed` flag of a command or frame.
+    fn from(removed: bool) -> DepartureKind {
+        if removed {
+            DepartureKind::Removed
+        } else {
+            DepartureKind::Draining
+        }
+    }
+}
 
 /// An endpoint that drains or was removed, as replicated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -42,19 +66,21 @@
         &'a self,
         list: &'a ListVersion,
     ) -> impl Iterator<Item = (&'a str, &'a Departure)> + 'a {
-        let first_of_lineage: DepartureKey = (list.lineage.clone(), String::new());
+        let first_of_lineage = DepartureKey { lineage: list.lineage.clone(), endpoint: String::new() };
         self.departures
             .range(first_of_lineage..)
-            .take_while(|((lineage, _), _)| *lineage == list.lineage)
+            .take_while(|(key, _)| key.lineage == list.lineage)
             .filter(|(_, departure)| departure.list_index > list.index)
-            .map(|((_, endpoint), departure)| (endpoint.as_str(), departure))
+            .map(|(key, departure)| (key.endpoint.as_str(), departure))
     }
 
-    /// Whether this departure is recorded already, by the same or a newer list. A removal says more than a drain.
-    pub fn has_departure(&self, list: &ListVersion, endpoint: &str, removed: bool) -> bool {
-        let key = (list.lineage.clone(), endpoint.to_owned());
+    /// Whether a departure is recorded already, by a newer list or by the same one. A removal says more than a drain.
+    pub fn has_departure(&self, list: &ListVersion, endpoint: &str, kind: DepartureKind) -> bool {
+        let key = DepartureKey { lineage: list.lineage.clone(), endpoint: endpoint.to_owned() };
         let Some(known) = self.departures.get(&key) else { return false };
-        known.list_index > list.index || (known.list_index == list.index && (known.removed || !removed))
+        let is_newer = known.list_index > list.index;
+        let is_same_list = known.list_index == list.index;
+        is_newer || (is_same_list && DepartureKind::from(known.removed) >= kind)
     }
 
     pub(super) fn record_departures(
@@ -65,7 +91,7 @@
     ) -> CommandOutcome {
         let mut outcome = CommandOutcome::Obsolete;
         for (endpoint, removed) in endpoints {
-            if self.has_departure(list, endpoint, *removed) {
+            if self.has_departure(list, endpoint, DepartureKind::from(*removed)) {
                 continue;
             }
             let departure = Departure {
@@ -74,7 +100,8 @@
                 reported_by: reported_by.clone(),
                 log_index: self.log_index,
             };
-            self.departures.insert((list.lineage.clone(), endpoint.clone()), departure);
+            let key = DepartureKey { lineage: list.lineage.clone(), endpoint: endpoint.clone() };
+            self.departures.insert(key, departure);
             outcome = CommandOutcome::Applied;
         }
         self.drop_oldest_departures();
--- a/crates/fleet/src/state_machine/mod.rs
+++ b/crates/fleet/src/state_machine/mod.rs
@@ -9,7 +9,7 @@
 mod sessions;
 
 pub use command::{Command, CommandOutcome, Renewal, Requirements};
-pub use departures::{DepartedEndpoint, Departure};
+pub use departures::{DepartedEndpoint, Departure, DepartureKind};
 pub use replica_lag::{FenceReason, LaggingSession, ReplicaLag};
 pub use sessions::{EndedSession, Session, SessionId};
 
--- a/crates/fleet/src/state_machine/replica_lag.rs
+++ b/crates/fleet/src/state_machine/replica_lag.rs
@@ -36,7 +36,7 @@
     },
     /// Its build is not the required one.
     Build {
-        /// Its build.
+        /// Build that it runs.
         own: String,
         /// Required build.
         required: String,
@@ -68,7 +68,7 @@
 pub struct LaggingSession<'a> {
     /// Its identifier.
     pub id: SessionId,
-    /// The session.
+    /// State of the session.
     pub session: &'a Session,
     /// What it lags with.
     pub lag: ReplicaLag,
