--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,5 +1,7 @@
-//! What the gateway is told: by the platform, and by its operators.
+//! The files that configure the gateway: the platform's and the operator's.
 
+pub mod config_error;
 pub mod operator_file;
 pub mod platform_file;
+mod platform_keys;
 mod reconciliation;
--- a/crates/gateway/src/config/reconciliation.rs
+++ b/crates/gateway/src/config/reconciliation.rs
@@ -1,32 +1,38 @@
-//! Whether a configuration may come into force: its figures, and what the one in force has that it lacks.
+//! Whether a platform's file may come into force: its values are checked, and it must have every key that the one in force has.
 
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 
-/// The most faults that are told of one file.
-const TOLD: usize = 8;
+/// Most faults that are reported of one file.
+const MAX_REPORTED_FAULTS: usize = 8;
 
-/// What only a start reads: a lack of it says nothing of the rest.
-const AT_START: [&str; 1] = ["known"];
+/// Most characters of an entry's name in a fault.
+const MAX_NAME_CHARACTERS: usize = 64;
 
-/// All that is wrong with the document, at most eight faults; with the running one, also what it lacks beside that.
-pub fn faults(running: Option<&Value>, new: &Value) -> Vec<String> {
+/// Keys that are read at the start alone, and may be missing later.
+const STARTUP_KEYS: [&str; 1] = ["known"];
+
+/// Keys whose changes take effect at the next start.
+const RESTART_KEYS: [&str; 5] = ["listen", "management", "limits", "seed", "name"];
+
+/// What is wrong with a document, up to [`MAX_REPORTED_FAULTS`]; with a running one also what it lacks beside that.
+pub(super) fn find_faults(running: Option<&Value>, new: &Value) -> Vec<String> {
     let mut faults = Vec::new();
     if let Some(running) = running {
-        lacks("", running, new, &mut faults);
+        find_missing_keys("", running, new, &mut faults);
     }
-    figures(new, &mut faults);
-    faults.truncate(TOLD);
+    check_values(new, &mut faults);
+    faults.truncate(MAX_REPORTED_FAULTS);
     faults
 }
 
-/// What the platform changes only with a new start, where it differs.
-pub fn left(running: &Value, new: &Value) -> Vec<&'static str> {
-    let names = ["listen", "management", "limits", "seed", "name"];
-    names.into_iter().filter(|name| running.get(name) != new.get(name)).collect()
+/// The changed keys that take effect at the next start.
+pub(super) fn changes_needing_restart(running: &Value, new: &Value) -> Vec<&'static str> {
+    RESTART_KEYS.into_iter().filter(|key| running.get(key) != new.get(key)).collect()
 }
 
-fn kind(value: &Value) -> &'static str {
+/// A value's type, as a fault names it.
+fn describe_type(value: &Value) -> &'static str {
     match value {
         Value::Null => "nothing",
         Value::Bool(_) => "true or false",
@@ -38,191 +44,131 @@
 }
 
 /// The keys that all objects of a list have.
-fn common(list: &[Value]) -> BTreeSet<&str> {
-    let keys =
-        |value: &'_ Value| -> Option<BTreeSet<String>> { Some(value.as_object()?.keys().cloned().collect()) };
-    let mut all = list.iter().filter_map(keys);
-    let Some(first) = all.next() else { return BTreeSet::new() };
-    let shared = all.fold(first, |shared, keys| shared.intersection(&keys).cloned().collect());
-    let Some(of_first) = list.iter().find_map(Value::as_object) else { return BTreeSet::new() };
-    of_first.keys().map(String::as_str).filter(|key| shared.contains(*key)).collect()
+fn shared_keys(list: &[Value]) -> BTreeSet<&str> {
+    let mut objects = list.iter().filter_map(Value::as_object);
+    let Some(first) = objects.next() else { return BTreeSet::new() };
+    let mut shared: BTreeSet<&str> = first.keys().map(String::as_str).collect();
+    for object in objects {
+        shared.retain(|key| object.contains_key(*key));
+    }
+    shared
 }
 
-fn lacks(place: &str, running: &Value, new: &Value, faults: &mut Vec<String>) {
+/// Adds a fault for each key of `running` that `new` lacks or has with another type. `path` is where both stand in their documents.
+fn find_missing_keys(path: &str, running: &Value, new: &Value, faults: &mut Vec<String>) {
     match (running, new) {
         (Value::Object(running), Value::Object(new)) => {
-            for (key, value) in running {
-                let place = if place.is_empty() { key.clone() } else { format!("{place}.{key}") };
-                match new.get(key) {
-                    _ if AT_START.contains(&place.as_str()) => {}
-                    Some(new) => lacks(&place, value, new, faults),
-                    None => faults.push(format!("{place} is missing; the file in force has it")),
-                }
-            }
+            find_missing_in_object(path, running, new, faults);
         }
         (Value::Array(running), Value::Array(new)) => {
-            let needed = common(running);
-            for (n, entry) in new.iter().enumerate().filter(|_| !needed.is_empty()) {
-                let Some(entry) = entry.as_object() else {
-                    faults.push(format!("{place}[{n}] is {}, and an object is wanted", kind(entry)));
-                    continue;
-                };
-                let missing = needed.iter().filter(|key| !entry.contains_key(**key));
-                faults.extend(missing.map(|key| format!("{place}[{n}]{}.{key} is missing", called(entry))));
-            }
+            find_missing_in_list(path, running, new, faults);
         }
-        // What may be there or not, as null, is of any kind.
+        // An optional value is null where it is not set, and may be of any type.
         (Value::Null, _) => {}
-        _ if kind(running) == kind(new) => {}
-        _ => faults.push(format!("{place} is {}, and {} is wanted", kind(new), kind(running))),
+        _ if describe_type(running) == describe_type(new) => {}
+        _ => {
+            let found = describe_type(new);
+            let expected = describe_type(running);
+            faults.push(format!("{path} is {found}, and {expected} is wanted"));
+        }
     }
 }
 
-fn called(entry: &Map<String, Value>) -> String {
-    let name = entry.get("name").and_then(Value::as_str);
-    name.map(|name| format!(" ({})", name.chars().take(64).collect::<String>())).unwrap_or_default()
-}
-
-fn positive(value: Option<&Value>) -> bool {
-    value.and_then(Value::as_f64).is_some_and(|number| number.is_finite() && number > 0.0)
+fn find_missing_in_object(
+    path: &str,
+    running: &Map<String, Value>,
+    new: &Map<String, Value>,
+    faults: &mut Vec<String>,
+) {
+    for (key, value) in running {
+        let path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+        if STARTUP_KEYS.contains(&path.as_str()) {
+            continue;
+        }
+        match new.get(key) {
+            Some(new) => find_missing_keys(&path, value, new, faults),
+            None => faults.push(format!("{path} is missing; the file in force has it")),
+        }
+    }
 }
 
-/// The figures without which no request can be served.
-fn figures(document: &Value, faults: &mut Vec<String>) {
-    let settings = document.get("settings");
-    let empty = Vec::new();
-    let classes = settings.and_then(|s| s.get("classes")).and_then(Value::as_array).unwrap_or(&empty);
-    if classes.is_empty() {
-        faults.push("settings.classes names no request class".into());
+/// Entries of lists come and go, so each new one must have the keys that all running ones share.
+fn find_missing_in_list(path: &str, running: &[Value], new: &[Value], faults: &mut Vec<String>) {
+    let expected_keys = shared_keys(running);
+    if expected_keys.is_empty() {
+        return;
     }
-    let mut names = BTreeSet::new();
-    for (n, class) in classes.iter().enumerate() {
-        let Some(class) = class.as_object() else {
-            faults.push(format!("settings.classes[{n}] is {}, and an object is wanted", kind(class)));
+    for (index, entry) in new.iter().enumerate() {
+        let Some(object) = entry.as_object() else {
+            let found = describe_type(entry);
+            faults.push(format!("{path}[{index}] is {found}, and an object is wanted"));
             continue;
         };
-        let place = format!("settings.classes[{n}]{}", called(class));
-        let text = |key: &str| class.get(key).and_then(Value::as_str).filter(|text| !text.is_empty());
-        match text("name") {
-            None => faults.push(format!("{place}.name is no name")),
-            Some(name) if !names.insert(name) => faults.push(format!("{place}: this name comes twice")),
-            Some(_) => {}
-        }
-        for key in ["deadline_s", "promise_s"] {
-            if !positive(class.get(key)) {
-                faults.push(format!("{place}.{key} is no number above 0 (seconds)"));
-            }
-        }
-        if text("effect").is_none() {
-            faults.push(format!("{place}.effect is missing: what a repeat of a request may do"));
+        for key in expected_keys.iter().filter(|key| !object.contains_key(**key)) {
+            faults.push(format!("{path}[{index}]{}.{key} is missing", quoted_name(object)));
         }
     }
-    let attempts = settings.and_then(|s| s.get("policy_limits")).and_then(|l| l.get("try_limit"));
-    let whole = attempts.and_then(Value::as_u64).is_some_and(|n| (1..=u64::from(u32::MAX)).contains(&n));
-    if !whole {
-        faults.push("settings.policy_limits.try_limit is no whole number above 0 (attempts)".into());
-    }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
-    use serde_json::json;
-
-    fn document() -> Value {
-        let class = |name: &str| json!({"name": name, "deadline_s": 1.2, "promise_s": 0.3, "effect": "free", "group": "all"});
-        json!({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "known": {"index": 1},
-            "settings": {"classes": [class("look"), class("pay")], "policy_limits": {"try_limit": 3, "note": null},
-                "accounts": [{"name": "acme", "quota_per_s": 1.0}], "azs": ["a"]}})
-    }
+/// The name of a list's entry for a fault, in parentheses, if it has one.
+fn quoted_name(entry: &Map<String, Value>) -> String {
+    let Some(name) = entry.get("name").and_then(Value::as_str) else { return String::new() };
+    format!(" ({})", name.chars().take(MAX_NAME_CHARACTERS).collect::<String>())
+}
 
-    #[test]
-    fn one_that_changes_what_may_change_is_taken() {
-        let running = document();
-        let mut new = document();
-        new["discovery"] = "127.0.0.1:3".into();
-        new["settings"]["classes"][1] = json!({"name": "book", "deadline_s": 2, "promise_s": 1, "effect": "single_shot", "group": "cell", "more": 1});
-        new["settings"]["policy_limits"]["note"] = 3.into();
-        new["settings"]["azs"] = json!([]);
-        new.as_object_mut().expect("an object").remove("known");
-        assert_eq!(faults(Some(&running), &new), Vec::<String>::new());
-        assert_eq!(left(&running, &new), Vec::<&str>::new());
-        new["listen"] = "127.0.0.1:9".into();
-        assert_eq!(left(&running, &new), ["listen"]);
+fn is_positive(value: Option<&Value>) -> bool {
+    value.and_then(Value::as_f64).is_some_and(|number| number.is_finite() && number > 0.0)
+}
+
+/// Adds a fault for each value without which no request can be served.
+fn check_values(document: &Value, faults: &mut Vec<String>) {
+    let settings = document.get("settings");
+    let classes = settings.and_then(|settings| settings.get("classes")).and_then(Value::as_array);
+    check_classes(classes.map_or(&[], Vec::as_slice), faults);
+    let max_attempts =
+        settings.and_then(|settings| settings.get("policy_limits")?.get("try_limit")?.as_u64());
+    if !max_attempts.is_some_and(|number| (1..=u64::from(u32::MAX)).contains(&number)) {
+        faults.push("settings.policy_limits.try_limit is no whole number above 0 (attempts)".into());
     }
+}
 
-    #[test]
-    fn each_fault_is_told_with_its_place() {
-        let running = document();
-        let with = |change: &dyn Fn(&mut Value)| {
-            let mut new = document();
-            change(&mut new);
-            faults(Some(&running), &new).join("; ")
-        };
-        let class = |key: &'static str, value: Value| {
-            move |new: &mut Value| new["settings"]["classes"][1][key] = value.clone()
+fn check_classes(classes: &[Value], faults: &mut Vec<String>) {
+    if classes.is_empty() {
+        faults.push("settings.classes names no request class".into());
+    }
+    let mut names = BTreeSet::new();
+    for (index, class) in classes.iter().enumerate() {
+        let Some(object) = class.as_object() else {
+            let found = describe_type(class);
+            faults.push(format!("settings.classes[{index}] is {found}, and an object is wanted"));
+            continue;
         };
-        for (value, of) in
-            [(json!(0), "zero"), (json!(-1.5), "negative"), (json!("1.2"), "text"), (Value::Null, "nothing")]
-        {
-            let told = with(&class("deadline_s", value));
-            assert!(told.contains("classes[1] (pay).deadline_s"), "{of}: {told}");
-        }
-        for attempts in [json!(0), json!(-3), json!(2.5), json!("three"), Value::Null, json!(1e300)] {
-            let told = with(&|new| new["settings"]["policy_limits"]["try_limit"] = attempts.clone());
-            assert!(told.contains("try_limit"), "{attempts}: {told}");
-        }
-        assert!(with(&class("name", "look".into())).contains("twice"));
-        assert!(with(&class("effect", "".into())).contains("effect"));
-        assert!(with(&|new| new["settings"]["classes"] = json!([])).contains("no request class"));
-        assert!(with(&|new| new["settings"]["classes"] = json!([3])).contains("object"));
-        assert!(with(&|new| new["discovery"] = json!(7)).contains("discovery is a number"));
+        let path = format!("settings.classes[{index}]{}", quoted_name(object));
+        check_class(&path, object, &mut names, faults);
     }
+}
 
-    /// Every key of the running file that could be taken away.
-    fn keys(place: &str, value: &Value, all: &mut Vec<String>) {
-        match value {
-            Value::Object(map) => map.iter().for_each(|(key, value)| {
-                let place = format!("{place}/{key}");
-                all.push(place.clone());
-                keys(&place, value, all);
-            }),
-            Value::Array(list) => {
-                list.iter().enumerate().for_each(|(n, value)| keys(&format!("{place}/{n}"), value, all));
-            }
-            _ => {}
-        }
+fn check_class<'a>(
+    path: &str,
+    class: &'a Map<String, Value>,
+    names: &mut BTreeSet<&'a str>,
+    faults: &mut Vec<String>,
+) {
+    let text = |key: &str| class.get(key).and_then(Value::as_str).filter(|text| !text.is_empty());
+    match text("name") {
+        None => faults.push(format!("{path}.name is no name")),
+        Some(name) if !names.insert(name) => faults.push(format!("{path}: this name comes twice")),
+        Some(_) => {}
     }
-
-    #[test]
-    fn a_lack_of_any_key_is_told() {
-        let running = document();
-        let mut all = Vec::new();
-        keys("", &running, &mut all);
-        for key in all.iter().filter(|key| !key.starts_with("/known")) {
-            let mut new = document();
-            let (parent, name) = key.rsplit_once('/').expect("a key below another");
-            let parent = new.pointer_mut(parent).expect("the parent");
-            parent.as_object_mut().expect("an object").remove(name);
-            assert!(!faults(Some(&running), &new).is_empty(), "{key} may be missing");
+    for key in ["deadline_s", "promise_s"] {
+        if !is_positive(class.get(key)) {
+            faults.push(format!("{path}.{key} is no number above 0 (seconds)"));
         }
     }
-
-    proptest! {
-        /// Whatever a file holds, it is told what is wrong, shortly, and nothing panics.
-        #[test]
-        fn no_document_makes_it_panic(text in "[\\[\\]{}\",:0-9a-z.]{0,60}", at in 0usize..9) {
-            let running = document();
-            let new = serde_json::from_str::<Value>(&text).unwrap_or(Value::Null);
-            let mut whole = document();
-            let mut places = Vec::new();
-            keys("", &whole, &mut places);
-            if let Some(place) = whole.pointer_mut(&places[at % places.len()]) {
-                *place = new.clone();
-            }
-            prop_assert!(faults(Some(&running), &new).len() <= TOLD);
-            prop_assert!(faults(Some(&running), &whole).iter().all(|f| f.len() < 300));
-        }
+    if text("effect").is_none() {
+        faults.push(format!("{path}.effect is missing: what a repeat of a request may do"));
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -14,8 +14,8 @@
 mod signals;
 mod startup;
 
+use crate::config::config_error::ConfigError;
 use crate::config::operator_file::OperatorFile;
-use crate::config::platform_file::ConfigError;
 use crate::fleet::StoreError;
 use listeners::{LinkListenError, ListenError};
 use signals::Signals;
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -1,7 +1,7 @@
 //! Reload of the platform's file on SIGHUP, complete or not at all.
 
 use super::service_state::ServiceState;
-use crate::config::platform_file::Config;
+use crate::config::platform_file::PlatformConfig;
 use crate::engine::message::{EngineHandle, Message, Reconfiguration};
 use crate::server::http::{RequestSettings, Server};
 use serde_json::Value;
@@ -27,7 +27,7 @@
     /// Reloads the file on each SIGHUP, until it is dropped.
     pub(super) async fn run(mut self, mut hang_up: Signal) {
         while hang_up.recv().await.is_some() {
-            let config = Config::reload(&self.document);
+            let config = PlatformConfig::reload(&self.document);
             self.service.metrics.record_reload(config.is_ok());
             match config {
                 Ok(config) => self.apply(config),
@@ -38,7 +38,7 @@
         }
     }
 
-    fn apply(&mut self, config: Config) {
+    fn apply(&mut self, config: PlatformConfig) {
         let digest = config.site_digest();
         self.classes.replace(self.engine.balancer_time(Instant::now()), config.named_classes());
         let settings = Settings { classes: self.classes.by_number(), ..config.settings };
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -5,8 +5,9 @@
 use super::running::Gateway;
 use super::service_state::ServiceState;
 use super::ServeError;
+use crate::config::config_error::ConfigError;
 use crate::config::operator_file::OperatorFile;
-use crate::config::platform_file::{Config, ConfigError};
+use crate::config::platform_file::PlatformConfig;
 use crate::engine::Engine;
 use crate::fleet::{ConfigVersion, Fleet};
 use crate::metrics::Metrics;
@@ -26,8 +27,8 @@
 use weldworks_control::drain::DrainSettings;
 
 /// Reads the platform's file and fits its descriptor limit to the system's and to the fleet's needs.
-pub(super) fn load_config(operator: &OperatorFile) -> Result<Config, ConfigError> {
-    let mut config = Config::at_start()?;
+pub(super) fn load_config(operator: &OperatorFile) -> Result<PlatformConfig, ConfigError> {
+    let mut config = PlatformConfig::at_start()?;
     if let Some(system_limit) = getrlimit(Resource::Nofile).current {
         config.limit_descriptors(usize::try_from(system_limit).unwrap_or(usize::MAX))?;
     }
@@ -38,7 +39,7 @@
 
 /// Creates the parts of a gateway and binds its addresses. The admin API answers from here on.
 pub(super) fn assemble(
-    config: Config,
+    config: PlatformConfig,
     operator: OperatorFile,
     inherited: Option<std::net::TcpListener>,
 ) -> Result<Gateway, ServeError> {
@@ -50,7 +51,7 @@
     });
     let mut classes = ClassRegistry::default();
     classes.replace(Duration::ZERO, config.named_classes());
-    let budget = DescriptorBudget::new(&config.limits, config.management.is_some());
+    let budget = DescriptorBudget::new(&config.limits, config.admin.is_some());
     let settings = Settings { classes: classes.by_number(), ..config.settings };
     let request_settings = RequestSettings::new(&classes, config.names.tenants.clone(), &settings);
     let metrics = Rc::new(Metrics::default());
@@ -74,12 +75,12 @@
         fleet = Some(joined);
     }
     let service = Rc::new(ServiceState::new(drain_settings, handle.clone(), metrics.clone(), fleet.clone()));
-    if let Some(address) = config.management {
+    if let Some(address) = config.admin {
         start_admin_api(address, &budget, &service)?;
         engine.attach_metrics(metrics);
     }
     let listener = client_listener(inherited, config.listen)?;
-    engine.apply_endpoint_list(config.known);
+    engine.apply_endpoint_list(config.known_endpoints);
     let server = Rc::new(Server::new(handle.clone(), request_settings, &budget, service.clone()));
     let reloader = ConfigReloader {
         document: config.document,
--- a/crates/gateway/tests/fleet_off.rs
+++ b/crates/gateway/tests/fleet_off.rs
@@ -46,7 +46,8 @@
     let example = example.replace("127.0.0.1:7070", "127.0.0.1:0").replace("127.0.0.1:8500", "127.0.0.1:1");
     let config = file(&format!("off-{}.json", settings.is_some()), &example);
     let mut command = Command::new(PROGRAM);
-    command.args(words).env("ROUTER_CONFIG", config).env_remove("OTTERVANE_SETTINGS").stderr(Stdio::piped());
+    command.args(words).env("ROUTER_CONFIG", config).stderr(Stdio::piped());
+    command.env_remove("WELDWORKS_SETTINGS").env_remove("OTTERVANE_SETTINGS");
     // Whatever else the environment says.
     command.envs(["FLEET", "OTTERVANE_FLEET", "ROUTER_FLEET"].map(|variable| (variable, "true")));
     if let Some(settings) = settings {
@@ -124,7 +125,7 @@
 fn the_deploy_file_does_not_turn_it_on() {
     let deploy = deploy();
     assert!(!run_words(&deploy).iter().any(|word| word.contains("fleet") || word.contains("settings")));
-    assert!(!deploy.contains("OTTERVANE_SETTINGS"));
+    assert!(!deploy.contains("OTTERVANE_SETTINGS") && !deploy.contains("WELDWORKS_SETTINGS"));
     let shipped = include_str!("../../../deploy/gateway.toml");
     assert!(
         !shipped.lines().any(|line| line.starts_with('[')),
@@ -137,7 +138,8 @@
     for settings in [None, Some(file("none.toml", "[log]\nformat = \"text\"\n"))] {
         let mut command = Command::new(PROGRAM);
         // No configuration either: the flag is looked at first.
-        command.args(["run", "--fleet"]).env_remove("ROUTER_CONFIG").env_remove("OTTERVANE_SETTINGS");
+        command.args(["run", "--fleet"]).env_remove("ROUTER_CONFIG");
+        command.env_remove("WELDWORKS_SETTINGS").env_remove("OTTERVANE_SETTINGS");
         if let Some(settings) = &settings {
             command.args(["--settings", settings]);
         }
@@ -170,3 +172,24 @@
         assert!(text.contains(part), "{part}: {text}");
     }
 }
+
+/// Operators who upgrade still set the variable of version 0.2.0, and may set the new one beside it. Either must be read, the new one
+/// first: a gateway that reads neither would start without its fleet, its storm control and its log settings.
+#[test]
+fn the_settings_variable_of_version_0_2_0_is_read_where_the_new_one_is_not_set() {
+    let new = file("new-variable.toml", "[log]\nformat = \"text\"\n");
+    let former = file("former-variable.toml", "[log]\nformat = \"text\"\n");
+    for (new_variable, former_variable, expected) in
+        [(Some(&new), None, &new), (None, Some(&former), &former), (Some(&new), Some(&former), &new)]
+    {
+        let mut command = Command::new(PROGRAM);
+        command.args(["fleet", "status"]);
+        command.env_remove("WELDWORKS_SETTINGS").env_remove("OTTERVANE_SETTINGS");
+        command.envs(new_variable.map(|path| ("WELDWORKS_SETTINGS", path)));
+        command.envs(former_variable.map(|path| ("OTTERVANE_SETTINGS", path)));
+        let output = command.output().expect("the built program");
+        let text = String::from_utf8_lossy(&output.stderr).into_owned();
+        assert_eq!(output.status.code(), Some(2), "{text}");
+        assert!(text.contains(&format!("{expected} has no table [fleet]")), "{text}");
+    }
+}
--- a/crates/testbed/src/live/gateways.rs
+++ b/crates/testbed/src/live/gateways.rs
@@ -112,6 +112,7 @@
         let mut command = Command::new(path);
         command.env("ROUTER_CONFIG", &file).env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY");
         command
+            .env_remove("WELDWORKS_SETTINGS")
             .env_remove("OTTERVANE_SETTINGS")
             .stdin(Stdio::null())
             .stderr(Stdio::piped())
