--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -14,15 +14,24 @@
 /// Maximum length of a fleet's name, in bytes.
 const MAX_FLEET_NAME_BYTES: usize = 64;
 
+/// Permitted lease lengths.
 const LEASE_LENGTH_RANGE: RangeInclusive<Duration> = Duration::from_millis(500)..=Duration::from_secs(600);
+/// Permitted clock drift margins, as fractions of the lease.
 const LEASE_MARGIN_RANGE: RangeInclusive<f64> = 0.001..=0.2;
+/// Permitted values of [`LagPolicy::max_list_lag`], in versions.
 const LIST_LAG_RANGE: RangeInclusive<u64> = 1..=1_000_000;
+/// Permitted values of [`LagPolicy::max_lag_duration`].
 const LAG_DURATION_RANGE: RangeInclusive<Duration> = Duration::from_millis(500)..=Duration::from_secs(600);
+/// Permitted values of [`LagPolicy::max_fenced_fraction`].
 const FENCED_FRACTION_RANGE: RangeInclusive<f64> = 0.0..=0.5;
+/// Permitted sizes of the audit log on disk.
 const AUDIT_SIZE_RANGE: RangeInclusive<Bytes> = Bytes(1 << 20)..=Bytes(64 << 30);
+/// Permitted ages of a segment of the audit log.
 const AUDIT_AGE_RANGE: RangeInclusive<Duration> = Duration::from_secs(60)..=Duration::from_secs(366 * 86_400);
 
+/// Lease where the operator sets none.
 const DEFAULT_LEASE: Lease = Lease { length: Duration::from_secs(3), margin: 0.02 };
+/// Lag policy where the operator sets none.
 const DEFAULT_LAG_POLICY: LagPolicy =
     LagPolicy { max_list_lag: 3, max_lag_duration: Duration::from_secs(5), max_fenced_fraction: 0.2 };
 
--- a/crates/fleet/tests/hostile.rs
+++ b/crates/fleet/tests/hostile.rs
@@ -15,7 +15,7 @@
 
 fn settings(own: &str) -> FleetSettings {
     let peers =
-        NAMES.map(|n| format!("[[peer]]\nname = \"{n}\"\naddress = \"127.0.0.1:1\"\ncouncil = true\n"));
+        NAMES.map(|name| format!("[[peer]]\nname = \"{name}\"\naddress = \"127.0.0.1:1\"\ncouncil = true\n"));
     let text = format!("name = \"f\"\ngateway = \"{own}\"\n{}", peers.concat());
     let document = weldworks_config::Document::parse("f", &text).expect("a file");
     FleetSettings::read(&document.root())
@@ -45,7 +45,7 @@
             library_failures: 0,
         };
         for one in 0..3 {
-            for other in (0..3).filter(|o| *o != one) {
+            for other in (0..3).filter(|other| *other != one) {
                 cluster.link(one, other);
             }
         }
@@ -57,7 +57,9 @@
         let mut queue: VecDeque<(usize, usize, Frame)> = VecDeque::new();
         let sends = |from: usize, out: Vec<NodeAction>| {
             out.into_iter().filter_map(move |action| match action {
-                NodeAction::Send { to, frame } => Some((from, NAMES.iter().position(|n| *n == to)?, frame)),
+                NodeAction::Send { to, frame } => {
+                    Some((from, NAMES.iter().position(|name| *name == to)?, frame))
+                }
                 _ => None,
             })
         };
