--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -92,7 +92,7 @@
         self.settings = settings;
     }
 
-    /// Takes an event at `now` and appends what is to be done to `actions`.
+    /// Handles an event at `now` and appends what is to be done to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         let now_s = now.as_secs_f64();
         if self.maintenance.is_due(now_s) {
@@ -126,7 +126,7 @@
                     state.open &= !request_ended;
                     let latency_s = latency.as_secs_f64();
                     balancer.on_attempt_ended(now_s, state, attempt, outcome, latency_s, actions);
-                    if state.open && state.in_flight() == 0 {
+                    if state.open && state.attempts_in_flight() == 0 {
                         balancer.advance(now_s, request, state, actions);
                     }
                 });
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Ends a request whose response is forwarded while it comes: the rest is between the endpoint and the client.
+    /// Ends a request whose response is being forwarded while it is received: the rest is between the endpoint and the client.
     fn on_response_started(
         &mut self,
         now_s: f64,
@@ -204,10 +204,10 @@
         update(self, &mut request, actions);
         if was_open && !request.open && request.limits.cancellation_allowed {
             let numbered = (0u32..).zip(&request.attempts);
-            let in_flight = numbered.filter(|(_, attempt)| attempt.in_flight);
+            let in_flight = numbered.filter(|(_, attempt)| attempt.is_in_flight);
             actions.extend(in_flight.map(|(attempt, _)| Action::Cancel { request: id, attempt }));
         }
-        if request.open || request.in_flight() > 0 {
+        if request.open || request.attempts_in_flight() > 0 {
             self.requests.insert(id.0, request);
             return None;
         }
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -31,7 +31,7 @@
 
 /// How an attempt ended.
 pub struct AttemptResult {
-    /// The outcome, as the balancer is told of it.
+    /// The outcome, as the balancer receives it.
     pub outcome: Outcome,
     /// The response, where the attempt was served and the response not streamed.
     pub response: Option<UpstreamResponse>,
@@ -41,7 +41,7 @@
     pub written_at: Option<Instant>,
 }
 
-/// A step of an attempt that the engine is told of while the attempt goes on.
+/// A step of an attempt that is reported to the engine while the attempt goes on.
 pub enum AttemptProgress {
     /// The first bytes of a streamed request body have been written.
     BodyForwardingStarted,
@@ -83,7 +83,7 @@
         self.write_by.is_some_and(|by| Instant::now() >= by)
     }
 
-    /// Whether the request may be written, asked once the connection is there: while it was opened, the client may have left, the
+    /// Whether the request may be written, checked once the connection is open: while it was opened, the client may have left, the
     /// endpoint begun to drain, or the time for writing passed.
     fn may_be_written(&self) -> bool {
         let has_client = match &self.request.body {
@@ -149,7 +149,7 @@
                 if !request_written {
                     return Err(AttemptEnd::ConnectionFailed);
                 }
-                let first_byte_at = connection.marks.read_since.get().unwrap_or_else(Instant::now);
+                let first_byte_at = connection.timestamps.read_since.get().unwrap_or_else(Instant::now);
                 let mut headers = head.headers;
                 strip_hop_by_hop(&mut headers);
                 return Ok(Exchanged::Streaming(Box::new(StreamingResponse {
@@ -201,8 +201,8 @@
         let informational = Arc::new(AtomicBool::new(false));
         let informational_flag = informational.clone();
         on_informational(&mut request, move |_| informational_flag.store(true, Ordering::Relaxed));
-        let timestamps = connection.marks.clone();
-        timestamps.begin(attempt.write_by);
+        let timestamps = connection.timestamps.clone();
+        timestamps.begin_request(attempt.write_by);
         progress.timestamps.replace(Some(timestamps.clone()));
         let started_at = Instant::now();
         let sending = connection.sender.send_request(request);
@@ -229,7 +229,7 @@
         let connection_closed = wait.connection_closed;
         let request_written = wait.request_written;
         let response = response.ok_or(AttemptEnd::ConnectionFailed)?.map_err(|_| {
-            if timestamps.is_late() {
+            if timestamps.is_past_write_deadline() {
                 AttemptEnd::Withheld
             } else {
                 AttemptEnd::ConnectionFailed
@@ -263,7 +263,7 @@
 impl ExchangeProgress {
     fn write_progress(&self) -> WriteProgress {
         let timestamps = self.timestamps.borrow();
-        timestamps.as_ref().map_or(WriteProgress::Nothing, |timestamps| timestamps.written.get())
+        timestamps.as_ref().map_or(WriteProgress::Nothing, |timestamps| timestamps.write_progress.get())
     }
 
     fn into_result(self, outcome: Outcome, response: Option<UpstreamResponse>) -> AttemptResult {
--- a/crates/gateway/src/upstream/response_wait.rs
+++ b/crates/gateway/src/upstream/response_wait.rs
@@ -69,11 +69,11 @@
 
     /// Reports once that the request's last byte has been written.
     fn report_written(&mut self) {
-        if self.request_written || self.timestamps.written.get() != WriteProgress::Complete {
+        if self.request_written || self.timestamps.write_progress.get() != WriteProgress::Complete {
             return;
         }
         self.request_written = true;
-        self.metrics.record_send();
+        self.metrics.record_written_attempt();
         if let RequestPayload::Streaming(upload) = self.body {
             let received_after = upload.last_byte_not_before();
             (self.report)(AttemptProgress::BodyForwarded { received_after });
@@ -111,6 +111,6 @@
 /// When an endpoint that takes no more of a streamed body counts as stalled. It has never had the complete request.
 fn body_stall_deadline(upload: &StreamingUpload) -> Option<Instant> {
     let endpoint_deadline = upload.endpoint_deadline()?;
-    // The client may have written the last byte long ago, and is owed an answer by then.
+    // The client may have written the last byte long ago, and its own timeout counts from then.
     Some(endpoint_deadline.min(upload.last_byte_not_before() + upload.client_timeout))
 }
