--- a/crates/gateway/src/server/http/accept.rs
+++ b/crates/gateway/src/server/http/accept.rs
@@ -133,7 +133,7 @@
         let (stream, framing) = stream.with_framing(MessageFraming::default());
         let probe = stream.probe();
         let idle_since = Some(Instant::now());
-        timestamps.read_since.set(idle_since); // the first head is awaited from now on
+        timestamps.first_read_at.set(idle_since); // the first head is awaited from now on
         let accepted_at = Instant::now();
         let connection = Rc::new(ClientConnection {
             probe,
--- a/crates/gateway/src/server/http/client_connection.rs
+++ b/crates/gateway/src/server/http/client_connection.rs
@@ -40,14 +40,14 @@
     /// connection. The poller may report the data of a new connection a turn later than the connection, hence the window.
     pub(super) fn data_queued_since(&self) -> Option<Instant> {
         let read_with_accept = |read_at: Instant| read_at <= self.accepted_at + READ_WITH_ACCEPT_WINDOW;
-        self.queued_since.filter(|_| self.timestamps.last_read.get().is_some_and(read_with_accept))
+        self.queued_since.filter(|_| self.timestamps.last_read_at.get().is_some_and(read_with_accept))
     }
 
     /// Starts the time of the next head: a request has arrived completely, so whatever was read beyond it belongs to the next. A head
     /// that has begun already arrived with the last read at the latest.
     pub(super) fn await_next_head(&self) {
         let has_begun = self.framing.borrow().is_inside();
-        self.timestamps.read_since.set(self.timestamps.last_read.get().filter(|_| has_begun));
+        self.timestamps.first_read_at.set(self.timestamps.last_read_at.get().filter(|_| has_begun));
     }
 
     /// Whether another complete request has been read behind the one in flight. It must be answered too, so the connection must not
@@ -80,11 +80,11 @@
 
     /// Whether a request head has begun to arrive, or the first one is awaited.
     pub(super) fn awaits_head(&self) -> bool {
-        self.timestamps.read_since.get().is_some()
+        self.timestamps.first_read_at.get().is_some()
     }
 
     /// Whether nothing has been read from it yet.
     pub(super) fn is_unused(&self) -> bool {
-        self.timestamps.last_read.get().is_none()
+        self.timestamps.last_read_at.get().is_none()
     }
 }
--- a/crates/gateway/src/server/http/client_table.rs
+++ b/crates/gateway/src/server/http/client_table.rs
@@ -194,7 +194,7 @@
         let (awaiting_head, mut between_requests): (Vec<_>, Vec<_>) =
             idle.partition(|connection| connection.awaits_head());
         for connection in awaiting_head {
-            let head_since = connection.timestamps.read_since.get();
+            let head_since = connection.timestamps.first_read_at.get();
             if head_since.is_some_and(|since| since.elapsed() >= HEAD_TIMEOUT) {
                 connection.request_abort();
             }
--- a/crates/gateway/src/server/http/connection.rs
+++ b/crates/gateway/src/server/http/connection.rs
@@ -174,7 +174,7 @@
         self.client.is_closing.set(false);
         // A head that has begun meanwhile keeps its start: its client gets no more time because an endpoint was slow.
         if !self.client.framing.borrow().is_inside() {
-            self.client.timestamps.read_since.set(None);
+            self.client.timestamps.first_read_at.set(None);
         }
     }
 }
--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -172,7 +172,7 @@
     /// The earliest moment at which a request that has just been read completely may have arrived. One behind another request has
     /// waited for that one's response, and its client with it.
     fn received_at(&self, connection: &ClientConnection) -> Instant {
-        let last_read = connection.timestamps.last_read.get().unwrap_or_else(Instant::now);
+        let last_read = connection.timestamps.last_read_at.get().unwrap_or_else(Instant::now);
         let read_at = last_read - self.event_loop_delay.current();
         connection.data_queued_since().map_or(read_at, |since| read_at.min(since))
     }
--- a/crates/gateway/src/server/http/request_head.rs
+++ b/crates/gateway/src/server/http/request_head.rs
@@ -147,7 +147,7 @@
         return Err(MalformedRequest::MissingLength);
     }
     let has_length = headers.contains_key(header::CONTENT_LENGTH);
-    if has_length || !connection.framing.borrow().is_plain(connection.request_count.get()) {
+    if has_length || !connection.framing.borrow().is_unambiguous(connection.request_count.get()) {
         return Err(MalformedRequest::AmbiguousLength);
     }
     Ok(())
--- a/crates/gateway/src/transport/instrumented_stream.rs
+++ b/crates/gateway/src/transport/instrumented_stream.rs
@@ -77,7 +77,7 @@
     fn has_input(&self) -> bool {
         let peeked = peek(&self.stream);
         if matches!(peeked, Ok(bytes) if bytes > 0) {
-            self.timestamps.last_read.set(Some(Instant::now()));
+            self.timestamps.last_read_at.set(Some(Instant::now()));
         }
         !matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
@@ -121,8 +121,8 @@
     fn record_read(&self) {
         let now = Some(Instant::now());
         self.timestamps.received_after.set(self.timestamps.last_empty.get());
-        self.timestamps.read_since.set(self.timestamps.read_since.get().or(now));
-        self.timestamps.last_read.set(now);
+        self.timestamps.first_read_at.set(self.timestamps.first_read_at.get().or(now));
+        self.timestamps.last_read_at.set(now);
     }
 }
 
--- a/crates/gateway/src/transport/io_timestamps.rs
+++ b/crates/gateway/src/transport/io_timestamps.rs
@@ -8,9 +8,9 @@
 #[derive(Debug, Default)]
 pub struct IoTimestamps {
     /// When the first byte was read.
-    pub read_since: Cell<Option<Instant>>,
+    pub first_read_at: Cell<Option<Instant>>,
     /// When anything was last read or seen waiting, on the connection as a whole.
-    pub last_read: Cell<Option<Instant>>,
+    pub last_read_at: Cell<Option<Instant>>,
     /// When there was last nothing to be read.
     pub(super) last_empty: Cell<Option<Instant>>,
     /// What was last read arrived after this moment: there was nothing to be read then.
@@ -31,7 +31,7 @@
         self.write_progress.set(WriteProgress::Nothing);
         self.written_at.set(None);
         self.write_by.set(write_by);
-        self.read_since.set(None);
+        self.first_read_at.set(None);
     }
 
     /// Whether it is too late to write any more of the request.
--- a/crates/gateway/src/transport/message_framing.rs
+++ b/crates/gateway/src/transport/message_framing.rs
@@ -125,7 +125,7 @@
 
     /// Whether the head of the request with this number, counted from 1, was seen completely and has at most one of `Content-Length`
     /// and `Transfer-Encoding`.
-    pub fn is_plain(&self, number: u64) -> bool {
+    pub fn is_unambiguous(&self, number: u64) -> bool {
         self.complete_heads >= number && self.ambiguous_request.is_none_or(|ambiguous| number < ambiguous)
     }
 
--- a/crates/gateway/src/transport/message_framing/tests.rs
+++ b/crates/gateway/src/transport/message_framing/tests.rs
@@ -17,7 +17,7 @@
     for both in AMBIGUOUS {
         let mut framing = MessageFraming::default();
         framing.strip_chunk_extensions(&mut [PLAIN, CHUNKED, NO_BODY, both, PLAIN].concat().into_bytes());
-        let plain: Vec<bool> = (1..=6).map(|n| framing.is_plain(n)).collect();
+        let plain: Vec<bool> = (1..=6).map(|n| framing.is_unambiguous(n)).collect();
         assert_eq!(plain, [true, true, true, false, false, false], "{both:?}");
     }
 }
@@ -31,9 +31,9 @@
     );
     assert_eq!(framing.complete_heads, 1);
     framing.strip_chunk_extensions(&mut b"GET /c HTTP/1.1\r\n".to_vec());
-    assert!(!framing.is_plain(2), "not complete");
+    assert!(!framing.is_unambiguous(2), "not complete");
     framing.strip_chunk_extensions(&mut b"\r\n".to_vec());
-    assert!(framing.is_plain(2));
+    assert!(framing.is_unambiguous(2));
 }
 
 const RESPONSES: [&str; 6] = [
@@ -84,7 +84,7 @@
         let passed = strip_in_pieces(&mut framing, &stream, &cuts);
         let plain_count = kinds.iter().position(|kind| *kind > 2).map_or(kinds.len(), |at| at);
         for number in 1..=kinds.len() {
-            prop_assert_eq!(framing.is_plain(number as u64), number <= plain_count, "{}", number);
+            prop_assert_eq!(framing.is_unambiguous(number as u64), number <= plain_count, "{}", number);
         }
         // All that is stripped is the extension, where messages can be followed.
         let (followed, lost) = messages.split_at(plain_count);
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -149,7 +149,7 @@
                 if !request_written {
                     return Err(AttemptEnd::ConnectionFailed);
                 }
-                let first_byte_at = connection.timestamps.read_since.get().unwrap_or_else(Instant::now);
+                let first_byte_at = connection.timestamps.first_read_at.get().unwrap_or_else(Instant::now);
                 let mut headers = head.headers;
                 strip_hop_by_hop(&mut headers);
                 return Ok(Exchanged::Streaming(Box::new(StreamingResponse {
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -46,6 +46,6 @@
     /// Whether nothing has been read since it was put into the pool. Then it ended by the endpoint's close, and not by stray bytes
     /// behind a response.
     pub(super) fn was_silent(&self) -> bool {
-        self.timestamps.last_read.get().is_none_or(|at| at <= self.idle_since)
+        self.timestamps.last_read_at.get().is_none_or(|at| at <= self.idle_since)
     }
 }
--- a/crates/gateway/src/upstream/response_wait.rs
+++ b/crates/gateway/src/upstream/response_wait.rs
@@ -84,7 +84,7 @@
     fn stall_deadline(&self) -> Option<Instant> {
         match self.body {
             RequestPayload::Streaming(upload)
-                if !self.request_written && self.timestamps.read_since.get().is_none() =>
+                if !self.request_written && self.timestamps.first_read_at.get().is_none() =>
             {
                 body_stall_deadline(upload)
             }
@@ -96,10 +96,10 @@
     fn response_stall_deadline(&self) -> Option<Instant> {
         if self.informational.swap(false, Ordering::Relaxed) {
             // What was read is a 1xx: the response itself has not begun.
-            self.timestamps.read_since.set(None);
+            self.timestamps.first_read_at.set(None);
         }
-        let first_read = self.timestamps.read_since.get()?;
-        let last_read = self.timestamps.last_read.get().unwrap_or(first_read);
+        let first_read = self.timestamps.first_read_at.get()?;
+        let last_read = self.timestamps.last_read_at.get().unwrap_or(first_read);
         let next_byte_deadline = ResponseBuffering::next_byte_deadline(
             first_read - self.started_at,
             last_read.saturating_duration_since(self.started_at),
