--- a/crates/gateway/src/fleet/admin.rs
+++ b/crates/gateway/src/fleet/admin.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{sleep, timeout, Instant};
-use weldworks_fleet::audit::AuditQuery;
+use weldworks_fleet::audit::{AuditQuery, RequestReport};
 use weldworks_fleet::protocol::{self, AdminQuery, Frame};
 use weldworks_fleet::state_machine::{Command, StateMachine};
 
@@ -62,8 +62,8 @@
                 self.with_history(report.unwrap_or_default(), AuditQuery::Lists(lists)).await
             }
             AdminQuery::Request { request_id } => {
-                let report = self.audit.borrow().report_request(&request_id);
-                let report = json!({ "since_ms": report.since_ms, "steps": report.steps });
+                let RequestReport { since_ms, steps } = self.audit.borrow().report_request(&request_id);
+                let report = json!({ "since_ms": since_ms, "steps": steps });
                 self.with_history(report, AuditQuery::Request(request_id)).await
             }
             AdminQuery::Propose(command) => match *command {
--- a/crates/gateway/src/fleet/audit_store.rs
+++ b/crates/gateway/src/fleet/audit_store.rs
@@ -17,7 +17,7 @@
 use tracing::{info, warn};
 use weldworks_fleet::audit::{
     decode_header, AuditLog, AuditQuery, HistoryQuery, HistoryReport, MemorySpan, ProcessState, Segment,
-    SegmentCursor, SegmentDelta, SegmentSteps,
+    SegmentCursor, SegmentSteps,
 };
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::Incarnation;
@@ -159,13 +159,12 @@
     ) -> Result<(), AuditStoreError> {
         let _lock = self.write_lock.lock().await;
         let state = if ended { ProcessState::Ended } else { ProcessState::Running };
-        let SegmentDelta { segment, steps, cursor } =
-            audit.borrow().segment_since(&self.cursor.get(), now(), state);
+        let delta = audit.borrow().segment_since(&self.cursor.get(), now(), state);
         let (done, result) = oneshot::channel();
-        let request = WriteRequest { segment, steps, done };
+        let request = WriteRequest { segment: delta.segment, steps: delta.steps, done };
         self.requests.send(request).map_err(|_| AuditStoreError::WriterEnded)?;
         result.await.map_err(|_| AuditStoreError::WriterEnded)??;
-        self.cursor.set(cursor);
+        self.cursor.set(delta.cursor);
         Ok(())
     }
 
