--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -75,7 +75,7 @@
 
     /// Continues under other settings. What is known of endpoints stays; open requests keep their class and limits; a class that is not
     /// the one of this number before starts without statistics.
-    pub fn retune(&mut self, settings: Settings) {
+    pub fn apply_settings(&mut self, settings: Settings) {
         self.fleet_terms = FleetTerms::new(&settings);
         self.traffic.class_latency_s.resize(settings.classes.len(), 0.0);
         for (index, (old, new)) in self.settings.classes.iter().zip(&settings.classes).enumerate() {
@@ -92,7 +92,7 @@
         self.settings = settings;
     }
 
-    /// Takes an event at `now` and appends what is to be done to `actions`.
+    /// Handles an event at `now` and appends what is to be done to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         let now_s = now.as_secs_f64();
         if self.maintenance.is_due(now_s) {
@@ -119,10 +119,7 @@
                 });
             }
             Event::BodyForwarded { request, client_deadline } => {
-                self.update_request_and_key(now_s, request, actions, |balancer, state, actions| {
-                    let client_deadline_s = client_deadline.as_secs_f64();
-                    balancer.on_body_forwarded(now_s, request, state, client_deadline_s, actions);
-                });
+                self.on_body_forwarded(now_s, request, client_deadline, actions);
             }
             Event::AttemptEnded { request, attempt, latency, outcome, request_ended } => {
                 self.update_request_and_key(now_s, request, actions, |balancer, state, actions| {
@@ -146,7 +143,7 @@
         }
     }
 
-    /// Ends a request whose response is forwarded while it comes: the rest is between the endpoint and the client.
+    /// Ends a request whose response is being forwarded while it is received: the rest is between the endpoint and the client.
     fn on_response_started(
         &mut self,
         now_s: f64,
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -16,22 +16,23 @@
 const MIN_WARM_UP_FRACTION: f64 = 0.01;
 /// Shortest slow start that the age of an endpoint is divided by, in seconds.
 const MIN_SLOW_START_S: f64 = 1e-3;
-/// Bounds of an endpoint's speed against the average that its budget is scaled by.
-const MIN_RELATIVE_SPEED: f64 = 0.5;
-const MAX_RELATIVE_SPEED: f64 = 2.0;
+/// Smallest speed of an endpoint against the average that its budget is scaled by.
+const MIN_SPEED_RATIO: f64 = 0.5;
+/// Largest speed of an endpoint against the average that its budget is scaled by.
+const MAX_SPEED_RATIO: f64 = 2.0;
 /// An answer within this many times the latency expected of the endpoint's kind shows that it has no queue.
 const UNQUEUED_LATENCY_RATIO: f64 = 3.0;
 /// Fraction of a cold endpoint's budget that a suspected one gets: gateways without a connection to it do not notice the restart.
 const SUSPECTED_BUDGET_FRACTION: f64 = 0.5;
 /// Largest starting capacity at which a single quick answer clears a suspected endpoint; above it a cold one is quick as well.
-const MAX_START_CAPACITY_FOR_QUICK_CLEARANCE: f64 = 0.5;
+const MAX_CLEARANCE_START_CAPACITY_FRACTION: f64 = 0.5;
 /// An endpoint whose reported rate falls below this fraction of its average may have restarted.
 const RESTART_RATE_FRACTION: f64 = 0.2;
 /// Lowest average rate at which that is judged, in requests a second.
 const MIN_RATE_TO_JUDGE_RESTART_PER_S: f64 = 1.0;
-/// An idle time is usual if it differs from the one before by at most this fraction of it ...
+/// Difference from the idle time before up to which an idle time is usual, as a fraction of it.
 const USUAL_IDLE_TOLERANCE_FRACTION: f64 = 0.1;
-/// ... and this many seconds; some endpoints close connections right after each answer.
+/// Difference from the idle time before that is allowed on top, in seconds; some endpoints close connections right after each answer.
 const USUAL_IDLE_TOLERANCE_S: f64 = 0.005;
 /// Idle connections of one endpoint that close within this time belong to one event, in seconds.
 const CLOSE_BURST_S: f64 = 0.1;
@@ -89,29 +90,22 @@
 }
 
 impl BudgetGrowth {
-    /// Lets the budget of an endpoint grow; `prior_s` is the latency in seconds that is expected of its kind. Returns whether it is warm.
+    /// Lets the budget of an endpoint grow; `prior_s` is the latency in seconds that is expected of its kind.
     ///
     /// A kind that is slower when warm is slower when cold. The settings' overload factor bounds what a cold endpoint is sent against
     /// what it can do; since a warm one is not full and the warm-up fraction is a lower bound, the budget stays below that.
-    pub(crate) fn apply(
-        self,
-        now_s: f64,
-        endpoint: &mut EndpointRecord,
-        prior_s: f64,
-        settings: &Settings,
-    ) -> bool {
+    pub(crate) fn apply(self, now_s: f64, endpoint: &mut EndpointRecord, prior_s: f64, settings: &Settings) {
         let warm_up = warm_up_fraction(now_s, endpoint.started_s, settings);
         if warm_up >= 1.0 {
             endpoint.tokens = f64::INFINITY;
             endpoint.restart_suspected = false;
-            return true;
+            return;
         }
-        let speed = (self.mean_latency_s / prior_s).clamp(MIN_RELATIVE_SPEED, MAX_RELATIVE_SPEED);
+        let speed = (self.mean_latency_s / prior_s).clamp(MIN_SPEED_RATIO, MAX_SPEED_RATIO);
         let suspicion = if endpoint.restart_suspected { SUSPECTED_BUDGET_FRACTION } else { 1.0 };
         let share = settings.overload_factor * suspicion;
         let growth = self.elapsed_s * share * speed * warm_up * self.warm_endpoint_requests_per_s;
         endpoint.tokens = (endpoint.tokens + growth).min(MAX_TOKENS);
-        false
     }
 }
 
@@ -139,7 +133,7 @@
     /// several times as long. Its own estimate alone may still be raised from before it ended.
     pub(crate) fn clear_suspicion_if_quick(&mut self, latency_s: f64, prior_s: f64, settings: &Settings) {
         let usual_s = self.detector.estimate().min(prior_s);
-        let is_telling = settings.slow_start_min_capacity <= MAX_START_CAPACITY_FOR_QUICK_CLEARANCE;
+        let is_telling = settings.slow_start_min_capacity <= MAX_CLEARANCE_START_CAPACITY_FRACTION;
         if self.restart_suspected && latency_s <= usual_s && is_telling {
             self.started_s = self.started_before_suspicion_s;
             self.tokens = f64::INFINITY;
@@ -169,8 +163,8 @@
 }
 
 impl Balancer {
-    /// Takes note that an endpoint has closed an idle connection. A process that ends closes its connections to all gateways at once,
-    /// long before discovery tells; a close after the usual idle time says nothing.
+    /// Handles an idle connection that an endpoint has closed. A process that ends closes its connections to all gateways at once,
+    /// long before discovery reports it; a close after the usual idle time is no sign of a restart.
     pub(crate) fn on_idle_connection_closed(
         &mut self,
         now_s: f64,
--- a/crates/balancer/src/traffic_stats.rs
+++ b/crates/balancer/src/traffic_stats.rs
@@ -7,7 +7,7 @@
 /// Time constant of the averages of listed load and of requests in flight, in seconds.
 const CONCURRENCY_TIME_CONSTANT_S: f64 = 2.5;
 /// Fewest requests that the rates of served and unserved requests average over.
-const MIN_REQUESTS_PER_RATE_AVERAGE: f64 = 20.0;
+const MIN_AVERAGED_REQUEST_COUNT: f64 = 20.0;
 /// Lowest request rate assumed when the time constant of those rates is chosen, in requests a second.
 const MIN_RATE_FOR_TIME_CONSTANT_PER_S: f64 = 0.1;
 /// Fraction of requests ending unserved at which admission is tightest.
@@ -34,7 +34,7 @@
         self.count += 1.0;
     }
 
-    /// Takes the events counted over the last `elapsed_s` seconds into the average.
+    /// Adds the events counted over the last `elapsed_s` seconds to the average.
     fn fold(&mut self, elapsed_s: f64, gain: f64) {
         let count = std::mem::take(&mut self.count);
         self.per_s += gain * (count / elapsed_s - self.per_s);
@@ -96,7 +96,7 @@
         TrafficStats { class_latency_s: vec![0.0; class_count], ..TrafficStats::default() }
     }
 
-    /// Takes the last interval into all rates and averages.
+    /// Adds the last interval to all rates and averages.
     pub(crate) fn fold(
         &mut self,
         interval: AveragingInterval,
@@ -123,7 +123,7 @@
     /// Time constant of the rates of served and unserved requests, in seconds: long enough to average over enough requests.
     fn outcome_time_constant_s(&self) -> f64 {
         let ended_per_s = self.served_in_time.per_s + self.unserved.per_s;
-        let enough_s = MIN_REQUESTS_PER_RATE_AVERAGE / ended_per_s.max(MIN_RATE_FOR_TIME_CONSTANT_PER_S);
+        let enough_s = MIN_AVERAGED_REQUEST_COUNT / ended_per_s.max(MIN_RATE_FOR_TIME_CONSTANT_PER_S);
         (RATE_TIME_CONSTANT_S / 2.0).max(enough_s)
     }
 
--- a/crates/gateway/src/config/operator_file/tests.rs
+++ b/crates/gateway/src/config/operator_file/tests.rs
@@ -11,15 +11,16 @@
         OperatorFile::default()
     );
     let on = OperatorFile::parse("g.toml", "[storm]\nbudget = 0.2\n").expect("a table for storms");
-    assert_eq!(on.storm, Some(StormSettings { budget: 0.2, ..StormSettings::default() }));
+    assert_eq!(on.storm, Some(StormSettings { retries_per_first_attempt: 0.2, ..StormSettings::default() }));
     let json = OperatorFile::parse("g.toml", "[log]\nformat = \"json\"\n").expect("a table for the log");
     assert_eq!(json.log, LogSettings { format: LogFormat::Json, level: LogLevel::Info });
     let all = OperatorFile::parse("g.toml", "[log]\nlevel = \"debug\"\n").expect("a table for the log");
     assert_eq!(all.log.level, LogLevel::Debug);
     assert!(OperatorFile::parse("g.toml", "[log]\nformat = \"xml\"\n").is_err());
     let problems = OperatorFile::parse("g.toml", "x = 1\n\n[tsl]\n").expect_err("two keys that nobody knows");
-    let places: Vec<_> = problems.list.iter().map(|p| (p.line, p.key.as_str())).collect();
-    assert_eq!(places, [(1, "x"), (3, "tsl")]);
+    let positions: Vec<_> =
+        problems.list.iter().map(|problem| (problem.line, problem.key.as_str())).collect();
+    assert_eq!(positions, [(1, "x"), (3, "tsl")]);
 }
 
 const EVERY_KEY: &str = include_str!("../../../tests/fixtures/operator-every-key.toml");
--- a/crates/gateway/src/fleet/audit_store.rs
+++ b/crates/gateway/src/fleet/audit_store.rs
@@ -16,8 +16,8 @@
 use tokio::time::sleep;
 use tracing::{info, warn};
 use weldworks_fleet::audit::{
-    decode_header, AuditLog, AuditQuery, HistoryQuery, HistoryReport, MemorySpan, Segment, SegmentCursor,
-    SegmentSteps,
+    decode_header, AuditLog, AuditQuery, HistoryQuery, HistoryReport, MemorySpan, ProcessState, Segment,
+    SegmentCursor, SegmentDelta, SegmentSteps,
 };
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::Incarnation;
@@ -158,12 +158,14 @@
         ended: bool,
     ) -> Result<(), AuditStoreError> {
         let _lock = self.write_lock.lock().await;
-        let (segment, steps, next) = audit.borrow().segment_since(&self.cursor.get(), now(), ended);
+        let state = if ended { ProcessState::Ended } else { ProcessState::Running };
+        let SegmentDelta { segment, steps, cursor } =
+            audit.borrow().segment_since(&self.cursor.get(), now(), state);
         let (done, result) = oneshot::channel();
         let request = WriteRequest { segment, steps, done };
         self.requests.send(request).map_err(|_| AuditStoreError::WriterEnded)?;
         result.await.map_err(|_| AuditStoreError::WriterEnded)??;
-        self.cursor.set(next);
+        self.cursor.set(cursor);
         Ok(())
     }
 
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -38,7 +38,7 @@
 use weldworks_fleet::audit::AuditLog;
 use weldworks_fleet::consensus::{StoredRecord, TICK_INTERVAL};
 use weldworks_fleet::departures::RemoteDepartures;
-use weldworks_fleet::node::{Node, NodeAction, SessionState};
+use weldworks_fleet::node::{Node, NodeAction, SessionState, StoredVote};
 use weldworks_fleet::protocol::Frame;
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::{GatewayName, Incarnation, ListVersion, Version};
@@ -110,8 +110,8 @@
             .map(|folder| AuditStore::open(folder, &settings, clock))
             .transpose()?;
         let voter = opened.voter;
-        let stored = (voter, opened.records);
-        let node = Node::new(settings.clone(), process, version.clone(), process.0, stored);
+        let vote = StoredVote { voter, records: opened.records };
+        let node = Node::new(settings.clone(), process, version.clone(), process.0, vote);
         info!(
             fleet = settings.name, gateway = settings.gateway, %process, peers = settings.peers.len(), build = version.build,
             "this gateway is in a fleet"
--- a/crates/gateway/src/fleet/peer_link.rs
+++ b/crates/gateway/src/fleet/peer_link.rs
@@ -17,6 +17,7 @@
 use tokio::time::{sleep, timeout, Instant};
 use tracing::info;
 use weldworks_fleet::membership::LinkFailure;
+use weldworks_fleet::node::PeerProcess;
 use weldworks_fleet::protocol::{self, Caller, Hello, ProtocolError};
 use weldworks_fleet::settings::Peer;
 use weldworks_fleet::version::Incarnation;
@@ -215,7 +216,8 @@
 ) -> Result<(), LinkError> {
     let queue = Rc::new(SendQueue::new(fleet.role_of(peer)));
     fleet.links.borrow_mut().insert(peer, queue.clone());
-    fleet.step(|node, now, actions| node.link_up(now, peer, (remote.process, remote.voter), actions));
+    let process = PeerProcess { process: remote.process, voter: remote.voter };
+    fleet.step(|node, now, actions| node.link_up(now, peer, process, actions));
     let result = tokio::select! {
         () = write_frames(&queue, &mut writer) => Ok(()),
         result = receive_frames(fleet, peer, &queue, &mut reader) => result,
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -3,6 +3,7 @@
 use super::service_state::ServiceState;
 use crate::config::platform_file::PlatformConfig;
 use crate::engine::message::{EngineHandle, Message, Reconfiguration};
+use crate::metrics::ReloadOutcome;
 use crate::server::http::{RequestSettings, Server};
 use serde_json::Value;
 use std::rc::Rc;
@@ -16,19 +17,30 @@
 /// What a changed file is compared with and applied to.
 pub(super) struct ConfigReloader {
     /// The file in force.
-    pub(super) document: Value,
-    pub(super) classes: ClassRegistry,
-    pub(super) engine: EngineHandle,
-    pub(super) server: Rc<Server>,
-    pub(super) service: Rc<ServiceState>,
+    document: Value,
+    classes: ClassRegistry,
+    engine: EngineHandle,
+    server: Rc<Server>,
+    service: Rc<ServiceState>,
 }
 
 impl ConfigReloader {
+    pub(super) fn new(
+        document: Value,
+        classes: ClassRegistry,
+        engine: EngineHandle,
+        server: Rc<Server>,
+        service: Rc<ServiceState>,
+    ) -> ConfigReloader {
+        ConfigReloader { document, classes, engine, server, service }
+    }
+
     /// Reloads the file on each SIGHUP, until it is dropped.
     pub(super) async fn run(mut self, mut hang_up: Signal) {
         while hang_up.recv().await.is_some() {
             let config = PlatformConfig::reload(&self.document);
-            self.service.metrics.record_reload(config.is_ok());
+            let outcome = if config.is_ok() { ReloadOutcome::Applied } else { ReloadOutcome::Rejected };
+            self.service.metrics.record_reload(outcome);
             match config {
                 Ok(config) => self.apply(config),
                 Err(error) => {
