--- a/crates/gateway/src/cli/cli_error.rs
+++ b/crates/gateway/src/cli/cli_error.rs
@@ -26,7 +26,7 @@
     /// The operator's file has no fleet.
     #[error("{path} has no table [fleet]")]
     NoFleetTable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
     },
     /// The listener that the platform hands on cannot be used.
--- a/crates/gateway/src/config/config_error.rs
+++ b/crates/gateway/src/config/config_error.rs
@@ -11,7 +11,7 @@
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The system's error.
         source: std::io::Error,
@@ -19,7 +19,7 @@
     /// The file cannot be parsed.
     #[error("{path}: {source}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The parser's error.
         source: serde_json::Error,
@@ -27,7 +27,7 @@
     /// The file can be parsed, but its values or keys are not valid.
     #[error("{path}: {}", faults.join("; "))]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// All that is wrong with it.
         faults: Vec<String>,
@@ -37,13 +37,13 @@
     InvalidAddress {
         /// The key or variable.
         name: &'static str,
-        /// Its value.
+        /// The value that is not valid.
         value: String,
     },
     /// A value is not a duration.
     #[error("{key}: {seconds} is not a time")]
     InvalidDuration {
-        /// The key.
+        /// Name of the key.
         key: &'static str,
         /// Its value, in seconds.
         seconds: f64,
@@ -51,7 +51,7 @@
     /// The file allows fewer descriptors than the gateway needs.
     #[error("{path}: {descriptors} descriptors, at least {needed} needed")]
     TooFewDescriptors {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// What it allows.
         descriptors: usize,
@@ -61,7 +61,7 @@
     /// The file allows less memory than the gateway needs.
     #[error("{path}: {memory_mb} MB, at least {needed_mb} needed")]
     TooLittleMemory {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// What it allows, in MB.
         memory_mb: usize,
--- a/crates/gateway/src/config/operator_file.rs
+++ b/crates/gateway/src/config/operator_file.rs
@@ -13,7 +13,7 @@
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
         /// The system's error.
         source: std::io::Error,
--- a/crates/gateway/src/config/platform_keys.rs
+++ b/crates/gateway/src/config/platform_keys.rs
@@ -5,7 +5,7 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// The file.
+/// The file as it is written.
 #[derive(Deserialize)]
 pub(super) struct PlatformKeys {
     pub(super) listen: String,
--- a/crates/gateway/src/fleet/audit_store.rs
+++ b/crates/gateway/src/fleet/audit_store.rs
@@ -44,7 +44,7 @@
 /// A process and its clocks.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
-    /// The process.
+    /// The incarnation of the process.
     pub process: Incarnation,
     /// Its start on the monotonic clock.
     pub start: Instant,
@@ -73,7 +73,7 @@
     /// The file is another process's, or its disk fails.
     #[error("{path} is another process's, or its disk fails: this gateway's log says which")]
     Unavailable {
-        /// The file.
+        /// Path of the file.
         path: String,
     },
     /// The database reports an error.
--- a/crates/gateway/src/fleet/link_codec.rs
+++ b/crates/gateway/src/fleet/link_codec.rs
@@ -14,9 +14,9 @@
 /// Time for a connection to be established, and for each side's hello.
 pub(super) const HELLO_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Reads frames.
+/// Reads length-delimited frames.
 pub(super) type FrameReader = FramedRead<ReadHalf<Stream>, LengthDelimitedCodec>;
-/// Writes frames.
+/// Writes length-delimited frames.
 pub(super) type FrameWriter = FramedWrite<WriteHalf<Stream>, LengthDelimitedCodec>;
 
 /// Both directions of a connection.
--- a/crates/gateway/src/fleet/store_file.rs
+++ b/crates/gateway/src/fleet/store_file.rs
@@ -15,15 +15,15 @@
     /// The folder or the disk is unusable.
     #[error("cannot use {path}, which is in `state` of [fleet] in the operator's file: {source}; mend that, or leave `state` out")]
     Unusable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The cause.
+        /// The cause, from the system or the database.
         source: OpenError,
     },
     /// The file belongs to another gateway.
     #[error("{path} is the state of gateway {gateway:?} of the fleet {fleet:?}: give each gateway a folder of its own")]
     OtherGateway {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The gateway that it belongs to.
         gateway: String,
--- a/crates/gateway/src/fleet/stored_files_tests.rs
+++ b/crates/gateway/src/fleet/stored_files_tests.rs
@@ -1,4 +1,4 @@
-//! Files that version 0.2.0 wrote are opened, told and written on by this build: a gateway that is upgraded must not lose its vote or its
+//! Files that version 0.2.0 wrote are opened, read and continued by this build: a gateway that is upgraded must not lose its vote or its
 //! audit. `cargo test -p <this package> --lib write_stored_files -- --ignored` writes the fixtures anew, with the code as it stands.
 
 use super::audit_store::{AuditStore, ProcessClock};
@@ -15,10 +15,10 @@
 use weldworks_fleet::version::{Incarnation, Version};
 
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/stored-files");
-const COUNCIL: &str = "council-a.redb";
-const AUDIT: &str = "audit-a.redb";
+const CONSENSUS_FILE: &str = "council-a.redb";
+const AUDIT_FILE: &str = "audit-a.redb";
 /// The folder of files that lack their last quarter, as a full disk leaves them.
-const TORN: &str = "torn";
+const TRUNCATED: &str = "torn";
 
 fn settings() -> FleetSettings {
     let peers = ["a", "b", "c"]
@@ -62,8 +62,8 @@
     builder.enable_time().build().expect("a runtime").block_on(future)
 }
 
-fn log() -> Vec<StoredRecord> {
-    let seats = ["a", "b", "c"]
+fn expected_records() -> Vec<StoredRecord> {
+    let replicas = ["a", "b", "c"]
         .map(|name| Replica { name: name.into(), process: Incarnation(7) })
         .into_iter()
         .collect();
@@ -76,7 +76,7 @@
     let renewals = vec![Renewal { session: 1, count: 2, version: Some(Version::default()) }];
     vec![
         StoredRecord::ConfigStarted {
-            config: GroupConfig { group_id: 1, generation: 2, replicas: seats },
+            config: GroupConfig { group_id: 1, generation: 2, replicas },
             base: Box::default(),
         },
         StoredRecord::StorageChanged(StorageChange::Log(0, vec![open("a"), open("b")])),
@@ -89,7 +89,7 @@
     ]
 }
 
-fn open_council(folder: &Path, process: u64) -> consensus_store::OpenedStore {
+fn open_consensus_store(folder: &Path, process: u64) -> consensus_store::OpenedStore {
     until(|| {
         let found =
             consensus_store::open(folder, &settings(), Incarnation(process)).expect("the folder can be used");
@@ -97,7 +97,7 @@
     })
 }
 
-fn write_council(found: &mut consensus_store::OpenedStore, batch: &[StoredRecord]) {
+fn write_records(found: &mut consensus_store::OpenedStore, batch: &[StoredRecord]) {
     let store = found.store.as_mut().expect("a store");
     let mut done = store.written.take().expect("what is written is told");
     let number = store.write(batch);
@@ -116,7 +116,7 @@
 
 /// A process that does something to each request, one segment a request.
 fn write_audit(folder: &Path, process: u64, requests: &[&str], ended: bool) {
-    let books = open_audit(folder, process);
+    let store = open_audit(folder, process);
     let audit = RefCell::new(AuditLog::new(Duration::ZERO, Version::default()));
     for (n, request) in requests.iter().enumerate() {
         let now = Duration::from_millis(n as u64 * 20);
@@ -126,16 +126,16 @@
                 .record_decision(now, Decision { kind, class: 1, request_id: request, endpoint: Some("n1") });
         }
         let is_last = n + 1 == requests.len();
-        let write = || block_on(books.write(&audit, || now, ended && is_last)).ok();
+        let write = || block_on(store.write(&audit, || now, ended && is_last)).ok();
         until(write);
     }
 }
 
-fn told(folder: &Path, wanted: &AuditQuery) -> HistoryReport {
+fn read_history(folder: &Path, wanted: &AuditQuery) -> HistoryReport {
     until(|| {
-        let books = open_audit(folder, 90);
+        let store = open_audit(folder, 90);
         let own = AuditLog::new(Duration::ZERO, Version::default()).memory_span(Incarnation(90));
-        block_on(books.read_history(wanted.clone(), own)).ok()
+        block_on(store.read_history(wanted.clone(), own)).ok()
     })
 }
 
@@ -149,46 +149,46 @@
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_stored_files() {
-    for name in ["complete", TORN] {
+    for name in ["complete", TRUNCATED] {
         std::fs::create_dir_all(Path::new(FIXTURES).join(name)).expect("a folder");
     }
     let folder = temporary_folder("write");
-    let mut found = open_council(&folder, 7);
-    write_council(&mut found, &log()[..3]);
-    write_council(&mut found, &log()[3..]);
+    let mut found = open_consensus_store(&folder, 7);
+    write_records(&mut found, &expected_records()[..3]);
+    write_records(&mut found, &expected_records()[3..]);
     drop(found);
     write_audit(&folder, 1, &["r-1", "r-2", "r-3"], true);
     write_audit(&folder, 2, &["r-4", "r-5"], false);
-    drop(open_council(&folder, 8));
+    drop(open_consensus_store(&folder, 8));
     std::thread::sleep(Duration::from_millis(300));
-    for name in [COUNCIL, AUDIT] {
+    for name in [CONSENSUS_FILE, AUDIT_FILE] {
         let complete = Path::new(FIXTURES).join("complete").join(name);
         std::fs::copy(folder.join(name), &complete).expect("a copy");
         let bytes = std::fs::read(&complete).expect("the copy");
-        let torn = Path::new(FIXTURES).join(TORN).join(name);
+        let torn = Path::new(FIXTURES).join(TRUNCATED).join(name);
         std::fs::write(torn, &bytes[..bytes.len() * 3 / 4]).expect("a torn copy");
     }
 }
 
 #[test]
-fn a_council_store_of_version_0_2_0_is_read_and_written_on() {
-    let folder = copy_of("complete", COUNCIL);
-    let mut found = open_council(&folder, 30);
+fn a_consensus_store_of_version_0_2_0_is_read_and_continued() {
+    let folder = copy_of("complete", CONSENSUS_FILE);
+    let mut found = open_consensus_store(&folder, 30);
     assert_eq!(found.voter, Incarnation(7), "it votes as the process before");
-    assert_eq!(found.records, log());
+    assert_eq!(found.records, expected_records());
     let next = StoredRecord::StorageChanged(StorageChange::Decided(5));
-    write_council(&mut found, std::slice::from_ref(&next));
+    write_records(&mut found, std::slice::from_ref(&next));
     drop(found);
-    let mut all = log();
+    let mut all = expected_records();
     all.push(next);
-    assert_eq!(open_council(&folder, 31).records, all);
+    assert_eq!(open_consensus_store(&folder, 31).records, all);
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn a_torn_council_store_of_version_0_2_0_is_set_aside() {
-    let folder = copy_of(TORN, COUNCIL);
-    let found = open_council(&folder, 30);
+fn a_truncated_consensus_store_of_version_0_2_0_is_set_aside() {
+    let folder = copy_of(TRUNCATED, CONSENSUS_FILE);
+    let found = open_consensus_store(&folder, 30);
     assert_eq!(found.voter, Incarnation(30), "it has no vote until it is seated");
     assert!(found.records.is_empty());
     assert!(folder.join("council-a.spoilt-0").exists());
@@ -196,26 +196,26 @@
 }
 
 #[test]
-fn an_audit_store_of_version_0_2_0_is_told_and_written_on() {
-    let folder = copy_of("complete", AUDIT);
+fn an_audit_store_of_version_0_2_0_is_read_and_continued() {
+    let folder = copy_of("complete", AUDIT_FILE);
     for (request, process, expected) in
         [("r-1", 1, (3, 0)), ("r-3", 1, (3, 0)), ("r-4", 2, (3, 1)), ("r-5", 2, (3, 1)), ("r-9", 1, (0, 0))]
     {
-        let past = told(&folder, &AuditQuery::Request(request.to_owned()));
+        let past = read_history(&folder, &AuditQuery::Request(request.to_owned()));
         assert_eq!(summary(&past, process), expected, "{request} of process {process}: {past:?}");
     }
     write_audit(&folder, 40, &["r-6"], true);
-    let past = told(&folder, &AuditQuery::Request("r-6".to_owned()));
+    let past = read_history(&folder, &AuditQuery::Request("r-6".to_owned()));
     assert_eq!(summary(&past, 40), (3, 0));
-    let past = told(&folder, &AuditQuery::Request("r-2".to_owned()));
+    let past = read_history(&folder, &AuditQuery::Request("r-2".to_owned()));
     assert_eq!(summary(&past, 1), (3, 0), "what was there stays");
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn a_torn_audit_store_of_version_0_2_0_is_set_aside() {
-    let folder = copy_of(TORN, AUDIT);
-    let past = told(&folder, &AuditQuery::Request("r-1".to_owned()));
+fn a_truncated_audit_store_of_version_0_2_0_is_set_aside() {
+    let folder = copy_of(TRUNCATED, AUDIT_FILE);
+    let past = read_history(&folder, &AuditQuery::Request("r-1".to_owned()));
     assert_eq!(summary(&past, 1), (0, 0));
     assert!(folder.join("audit-a.spoilt-0").exists());
     let _ = std::fs::remove_dir_all(&folder);
