--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -17,14 +17,24 @@
 /// What a changed file is compared with and applied to.
 pub(super) struct ConfigReloader {
     /// The file in force.
-    pub(super) document: Value,
-    pub(super) classes: ClassRegistry,
-    pub(super) engine: EngineHandle,
-    pub(super) server: Rc<Server>,
-    pub(super) service: Rc<ServiceState>,
+    document: Value,
+    classes: ClassRegistry,
+    engine: EngineHandle,
+    server: Rc<Server>,
+    service: Rc<ServiceState>,
 }
 
 impl ConfigReloader {
+    pub(super) fn new(
+        document: Value,
+        classes: ClassRegistry,
+        engine: EngineHandle,
+        server: Rc<Server>,
+        service: Rc<ServiceState>,
+    ) -> ConfigReloader {
+        ConfigReloader { document, classes, engine, server, service }
+    }
+
     /// Reloads the file on each SIGHUP, until it is dropped.
     pub(super) async fn run(mut self, mut hang_up: Signal) {
         while hang_up.recv().await.is_some() {
