--- a/crates/gateway/src/fleet/peer_link.rs
+++ b/crates/gateway/src/fleet/peer_link.rs
@@ -20,7 +20,6 @@
 use weldworks_fleet::node::PeerProcess;
 use weldworks_fleet::protocol::{self, Caller, Hello, ProtocolError};
 use weldworks_fleet::settings::Peer;
-use weldworks_fleet::version::Incarnation;
 
 /// Most connections of administrators at a time.
 pub(super) const MAX_ADMIN_CONNECTIONS: usize = 8;
@@ -33,13 +32,6 @@
 /// Length of the kernel's accept queue, in connections.
 const LINK_BACKLOG: u32 = 1024;
 
-/// The process at the other end of a link.
-struct LinkedProcess {
-    process: Incarnation,
-    /// The process whose vote it continues.
-    voter: Incarnation,
-}
-
 /// Why a link to a peer could not be established.
 struct DialError {
     failure: LinkFailure,
@@ -152,7 +144,7 @@
     sent.map_err(|_| LinkError::HelloNotAnswered)??;
     match caller {
         Caller::Gateway { name, process, voter, .. } => {
-            run_link(fleet, &name, LinkedProcess { process, voter }, reader, writer).await
+            run_link(fleet, &name, PeerProcess { process, voter }, reader, writer).await
         }
         Caller::Administrator => admin::serve(fleet, reader, writer).await,
     }
@@ -202,7 +194,7 @@
         return Err(LinkFailure::Broken.into());
     };
     // A link that was up reports its end to the node by itself.
-    let _ = run_link(fleet, &peer.name, LinkedProcess { process, voter }, reader, writer).await;
+    let _ = run_link(fleet, &peer.name, PeerProcess { process, voter }, reader, writer).await;
     Ok(())
 }
 
@@ -210,14 +202,13 @@
 async fn run_link(
     fleet: &Rc<Fleet>,
     peer: &str,
-    remote: LinkedProcess,
+    remote: PeerProcess,
     mut reader: FrameReader,
     mut writer: FrameWriter,
 ) -> Result<(), LinkError> {
     let queue = Rc::new(SendQueue::new(fleet.role_of(peer)));
     fleet.links.borrow_mut().insert(peer, queue.clone());
-    let process = PeerProcess { process: remote.process, voter: remote.voter };
-    fleet.step(|node, now, actions| node.link_up(now, peer, process, actions));
+    fleet.step(|node, now, actions| node.link_up(now, peer, remote, actions));
     let result = tokio::select! {
         () = write_frames(&queue, &mut writer) => Ok(()),
         result = receive_frames(fleet, peer, &queue, &mut reader) => result,
