--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -96,6 +96,10 @@
 
 /// The settings of one gateway's balancer. The default allows everything and has no class.
 #[derive(Clone, Debug)]
+#[expect(
+    clippy::struct_excessive_bools,
+    reason = "each is a permission of its own in the platform's settings"
+)]
 pub struct Settings {
     /// The number of gateways, this one included. Default 1.
     pub gateway_count: u32,
--- a/crates/balancer/src/settings_document.rs
+++ b/crates/balancer/src/settings_document.rs
@@ -73,6 +73,7 @@
 
 #[derive(Deserialize, Default)]
 #[serde(default)]
+#[expect(clippy::struct_excessive_bools, reason = "the document's form is the platform's")]
 struct LimitsDocument {
     #[serde(rename = "try_limit")]
     max_attempts: u32,
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -162,6 +162,7 @@
     messages
 }
 
+#[expect(clippy::too_many_lines, reason = "one entry for each kind of frame")]
 fn frames() -> Vec<(String, Frame)> {
     let news = StateUpdate {
         log_index: 12,
--- a/crates/gateway/src/fleet/audit_store/writer.rs
+++ b/crates/gateway/src/fleet/audit_store/writer.rs
@@ -170,7 +170,10 @@
         match decode_header(header.value()) {
             Some(header) => retained.insert(number.value(), &header),
             None => {
-                warn!(segment = number.value(), "fleet: audit segment damaged, reporting its time as unknown")
+                warn!(
+                    segment = number.value(),
+                    "fleet: audit segment damaged, reporting its time as unknown"
+                );
             }
         }
     }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -171,18 +171,18 @@
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             ticks.tick().await;
-            self.step(|node, now, actions| node.tick(now, actions));
+            self.step(weldworks_fleet::node::Node::tick);
         }
     }
 
     /// Ends this gateway's session, and its part of the audit log.
     pub async fn shut_down(&self) {
-        self.step(|node, now, actions| node.shut_down(now, actions));
+        self.step(weldworks_fleet::node::Node::shut_down);
         // A voting member's last proposal has to reach the others.
         let deadline = Instant::now() + SHUTDOWN_FLUSH_TIME;
         while Instant::now() < deadline {
             sleep(TICK_INTERVAL / 5).await;
-            self.step(|node, now, actions| node.tick(now, actions));
+            self.step(weldworks_fleet::node::Node::tick);
         }
         if let Some(audit_store) = &self.audit_store {
             // Without its last segment the process is reported as crashed: that says less, and nothing false.
--- a/crates/gateway/src/fleet/stored_files_tests.rs
+++ b/crates/gateway/src/fleet/stored_files_tests.rs
@@ -223,6 +223,7 @@
 
 /// Administrators' tools read the names in these answers.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one value for each name in the answers")]
 fn answers_to_administrators_have_the_names_of_version_0_2_0() {
     use weldworks_fleet::audit::Exception;
     use weldworks_fleet::audit::{ProcessReport, RequestReport, UnknownKind, UnknownSpan};
--- a/crates/gateway/tests/day_by_day/upgrade.rs
+++ b/crates/gateway/tests/day_by_day/upgrade.rs
@@ -191,7 +191,7 @@
     let (next, _discovery) = start("killed", &hosts);
     assert_eq!(next.ask("look").status(), 200);
     assert_eq!(next.figure("router_sends"), Some(1), "each process counts from 0");
-    held.iter_mut().for_each(|client| client.forget());
+    held.iter_mut().for_each(weldworks_testbed::scripted::Client::forget);
 }
 
 #[test]
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -5,6 +5,12 @@
 //! [`replay`] plays it on loopback sockets with real gateway processes. Both use the same node [`model`], the same
 //! [`plan`] of requests fixed ahead, and the same [`ledger`].
 
+#![allow(
+    clippy::too_many_lines,
+    clippy::redundant_closure_for_method_calls,
+    reason = "the test bed is split by concern in the second half of the standard terms"
+)]
+
 pub mod bulk;
 pub mod client;
 pub mod count;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -259,6 +259,7 @@
     }
 }
 
+#[expect(clippy::too_many_lines, reason = "one arm for each subcommand")]
 fn run(arguments: Arguments) -> Result<ExitCode, Box<dyn Error>> {
     match arguments.command {
         Sub::Check { script } => {
--- a/crates/testbed/src/plain.rs
+++ b/crates/testbed/src/plain.rs
@@ -47,7 +47,7 @@
         match event {
             Event::EndpointList { is_snapshot: full, endpoints: hosts } => self.learn(full, hosts, actions),
             Event::DiscoveryFailed { .. } | Event::DiscoveryChanged => {
-                actions.push(Action::SetTimer { after: ASK_AGAIN, token: ASK })
+                actions.push(Action::SetTimer { after: ASK_AGAIN, token: ASK });
             }
             Event::Timer { token: ASK } => actions.push(Action::PollDiscovery),
             Event::Request(r) if r.class < self.settings.classes.len() => {
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -153,7 +153,7 @@
         match gateway.ended() {
             Some(how) => troubles.push(format!("gateway {g} ended during the run: {how}")),
             None => {
-                troubles.extend(gateway.stop().await.err().map(|e| format!("gateway {g} did not stop: {e}")))
+                troubles.extend(gateway.stop().await.err().map(|e| format!("gateway {g} did not stop: {e}")));
             }
         }
     }
--- a/crates/testbed/src/whole/virtual_time.rs
+++ b/crates/testbed/src/whole/virtual_time.rs
@@ -319,7 +319,7 @@
                     self.link(from, to);
                 } else if self.alive(from, process) {
                     self.with(from, |agent, now, out| {
-                        agent.link_down(now, &name(to), LinkFailure::Broken, out)
+                        agent.link_down(now, &name(to), LinkFailure::Broken, out);
                     });
                     self.dial_again(from, to, process);
                 }
@@ -407,7 +407,7 @@
         for (one, other) in [(from, to), (to, from)] {
             if before[usize::from(one > other)] {
                 self.with(one, |agent, now, out| {
-                    agent.link_down(now, &name(other), LinkFailure::Broken, out)
+                    agent.link_down(now, &name(other), LinkFailure::Broken, out);
                 });
             }
         }
--- a/crates/testbed/tests/resends.rs
+++ b/crates/testbed/tests/resends.rs
@@ -71,6 +71,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one case for each broken rule")]
 fn each_broken_rule_is_reported() {
     let (here, other) = ((0, 3), (1, 4));
     let reset = ended(10, 0, "Reset", Some(900));
