--- a/crates/fleet/src/consensus/message.rs
+++ b/crates/fleet/src/consensus/message.rs
@@ -128,27 +128,27 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ConsensusNotice::Founded => {
-                f.write_str("the council is founded: every member is there, and none knew of one")
+                f.write_str("consensus group founded: every member is linked, and none knew of a group")
             }
             ConsensusNotice::ConfigStarted { tag: ConfigTag { group_id, generation }, votes } => {
                 let role = if *votes {
                     "this process votes"
                 } else {
-                    "this process has no vote until it is seated"
+                    "this process has no vote until the other members add it"
                 };
-                write!(f, "council {group_id:016x}, configuration {generation}: {role}")
+                write!(f, "consensus group {group_id:016x}, configuration {generation}: {role}")
             }
             ConsensusNotice::ReconfigurationProposed { generation, reason } => {
-                write!(f, "council: configuration {generation} is proposed, for {reason}")
+                write!(f, "consensus group: configuration {generation} proposed, because {reason}")
             }
             ConsensusNotice::ForeignGroup { peer } => write!(
                 f,
-                "{peer} belongs to another council: two were founded, or one was founded anew while this process was away; \
-                 end this process or that one, and start it again"
+                "{peer} belongs to another consensus group: two were founded, or one was founded again while this process was away. \
+                 End this process or that one, and start it again"
             ),
             ConsensusNotice::LibraryFailed { origin } => write!(
                 f,
-                "the council's library broke off on what {origin} said: this process votes no longer. See whether the members run one \
+                "consensus library panicked on a message of {origin}: this process votes no longer. See whether the members run one \
                  build (fleet status), end the odd one, then start this one again"
             ),
         }
@@ -158,8 +158,8 @@
 impl fmt::Display for ReconfigurationReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ReconfigurationReason::LogFull => "its log is long",
-            ReconfigurationReason::ReplicaReplaced => "a member has come back as another process",
+            ReconfigurationReason::LogFull => "the log has grown long",
+            ReconfigurationReason::ReplicaReplaced => "a member has restarted as another process",
         })
     }
 }
--- a/crates/fleet/src/consensus/mod.rs
+++ b/crates/fleet/src/consensus/mod.rs
@@ -184,7 +184,7 @@
     /// Proposes a command. Returns whether it is on its way; it may still be lost, so the caller repeats it until it is committed.
     pub fn propose(&mut self, command: Command) -> bool {
         let mut is_proposed = false;
-        self.run_guarded("staff or a gateway", |group, _| is_proposed = group.append(command));
+        self.run_guarded("an administrator or a gateway", |group, _| is_proposed = group.append(command));
         is_proposed
     }
 
--- a/crates/fleet/src/node/session_manager.rs
+++ b/crates/fleet/src/node/session_manager.rs
@@ -277,19 +277,22 @@
 pub(super) fn describe_committed(committed: &Committed) -> Option<String> {
     match (&committed.command, &committed.outcome) {
         (Command::ExpireSession { session, .. }, CommandOutcome::Applied) => {
-            Some(format!("session {session} is over: not renewed within its lease"))
+            Some(format!("session {session} expired: not renewed within its lease"))
         }
         (Command::FenceLagging { session, version }, CommandOutcome::Applied) => {
-            Some(format!("session {session} is shut out: it stayed behind on {version}"))
+            Some(format!("session {session} fenced: it lagged with {version}"))
         }
-        (Command::FenceLagging { session, .. }, CommandOutcome::FenceLimitReached) => Some(format!(
-            "session {session} stays behind and is not shut out: as many as may be are out already"
-        )),
-        (Command::SetFenced { name, fenced }, CommandOutcome::Applied) => {
-            Some(format!("{name} is {} by staff", if *fenced { "shut out" } else { "let in again" }))
+        (Command::FenceLagging { session, .. }, CommandOutcome::FenceLimitReached) => {
+            Some(format!("session {session} lags and is not fenced: as many as allowed are fenced already"))
+        }
+        (Command::SetFenced { name, fenced: true }, CommandOutcome::Applied) => {
+            Some(format!("{name} fenced by an administrator"))
+        }
+        (Command::SetFenced { name, fenced: false }, CommandOutcome::Applied) => {
+            Some(format!("fence of {name} ended by an administrator"))
         }
         (Command::SetRequirements(requirements), CommandOutcome::Applied) => {
-            Some(format!("staff require {requirements:?}"))
+            Some(format!("administrators require {requirements:?}"))
         }
         _ => None,
     }
--- a/crates/fleet/tests/hostile.rs
+++ b/crates/fleet/tests/hostile.rs
@@ -70,7 +70,7 @@
             }
             let mut out = Vec::new();
             self.nodes[to].receive(self.now, NAMES[from], frame, &mut out);
-            let is_library_failure = |action: &&NodeAction| matches!(action, NodeAction::Notice(text) if text.contains("broke off"));
+            let is_library_failure = |action: &&NodeAction| matches!(action, NodeAction::Notice(text) if text.contains("consensus library panicked"));
             self.library_failures += out.iter().filter(is_library_failure).count();
             queue.extend(sends(to, out));
         }
--- a/crates/testbed/src/whole/judge.rs
+++ b/crates/testbed/src/whole/judge.rs
@@ -28,7 +28,7 @@
                 None => breaches.push(format!("gateway {n} does not answer at the end")),
             }
         }
-        let founded = self.logs.borrow().iter().filter(|l| l.contains("the council is founded")).count();
+        let founded = self.logs.borrow().iter().filter(|l| l.contains("consensus group founded")).count();
         if founded != 1 {
             breaches.push(format!("{founded} councils were founded"));
         }
--- a/crates/testbed/src/whole/live.rs
+++ b/crates/testbed/src/whole/live.rs
@@ -287,9 +287,9 @@
                 self.figures.borrow_mut().to_let_in_s.push((at - since).as_secs_f64());
             }
             self.note(n, number, Seen::Stands(acting));
-        } else if let Some(id) = session_in(line, "is over") {
+        } else if let Some(id) = session_in(line, "expired") {
             self.note(n, number, Seen::Lapsed(id));
-        } else if let Some(id) = session_in(line, "is shut out") {
+        } else if let Some(id) = session_in(line, "fenced") {
             self.note(n, number, Seen::ShutOut(id));
         }
     }
