--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the decisions.
+//! Settings of the balancer.
 
 use super::Endpoint;
 use std::time::Duration;
@@ -10,16 +10,16 @@
     Idempotent,
     /// It carries an idempotency key: the endpoints of `scope` drop a repeat within `window` after an attempt that was possibly processed.
     IdempotencyKey {
-        /// The endpoints that know each other's keys.
+        /// The endpoints that share their keys.
         scope: KeyScope,
-        /// How long they know a key.
+        /// How long they store a key.
         window: Duration,
     },
     /// It must never be processed twice.
     NotIdempotent,
 }
 
-/// The endpoints that know each other's idempotency keys.
+/// The set of endpoints that share idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All endpoints.
@@ -31,7 +31,7 @@
 }
 
 impl KeyScope {
-    /// Whether the two endpoints know each other's idempotency keys.
+    /// Whether the two endpoints share idempotency keys.
     pub fn shares_keys(self, a: &Endpoint, b: &Endpoint) -> bool {
         self.partition_of(a) == self.partition_of(b)
     }
@@ -86,15 +86,15 @@
 /// What the `weight` of an endpoint means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointWeights {
-    /// Nothing.
+    /// It has no meaning.
     Off,
     /// Its size, exactly or roughly.
     Size,
-    /// Its size divided by 1 + requests in flight on a core, as it was some time ago.
+    /// Its size divided by 1 + requests in flight on a core, with a delay.
     Live,
 }
 
-/// The settings of one gateway's decisions. The default allows everything and has no class.
+/// The settings of one gateway's balancer. The default allows everything and has no class.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The number of gateways, this one included. Default 1.
@@ -103,13 +103,15 @@
     pub zone: u32,
     /// The request classes; a request names one by its index. Default none.
     pub classes: Vec<RequestClass>,
-    /// Each tenant's quota, in requests a second over all gateways; a request names its tenant by its index. Default none.
+    /// Each tenant's quota, in requests a second over all gateways; a request names its tenant by its index. The balancer does
+    /// not use them. Default none.
     pub tenant_quotas: Vec<f64>,
-    /// The value of a request beyond its tenant's quota, as a fraction of its class's. Default 1.
+    /// The value of a request beyond its tenant's quota, as a fraction of its class's. The balancer does not use it. Default 1.
     pub over_quota_weight: f64,
-    /// How often discovery must be polled, where changes are sent only to those who poll. Default none: changes are pushed.
+    /// Reference time for the backoff before discovery is asked again, where the gateway must open the watch itself. Default none: lists
+    /// are pushed.
     pub discovery_poll_interval: Option<Duration>,
-    /// The shortest time between two moments at which the gateway acts. Default 1 ms.
+    /// Resolution of the gateway's timers. Default 1 ms.
     pub timer_tick: Duration,
     /// The most attempts for one request. Default 3.
     pub max_attempts: u32,
@@ -117,17 +119,17 @@
     pub cancellation_allowed: bool,
     /// Whether two attempts of one request may be in flight at once. Default true.
     pub hedging_allowed: bool,
-    /// Whether endpoints may be sent health checks. Default true.
+    /// Whether endpoints may be sent health checks. The balancer sends none. Default true.
     pub probes_allowed: bool,
     /// The longest `Retry-After` that clients obey. Default zero: they are given none.
     pub max_retry_after: Duration,
-    /// The fraction of its full work that a starting endpoint can do at least. Default 0.1.
+    /// Fraction of its full capacity that a starting endpoint has at least. Default 0.1.
     pub slow_start_min_capacity: f64,
-    /// The time after its start at which an endpoint is warm. Default 30 s.
+    /// Time from its start until an endpoint is warm. Default 30 s.
     pub slow_start_duration: Duration,
-    /// A cold endpoint that is sent this many times what it can do collapses, if it lasts for `overload_duration`. Default 2.
+    /// Load, as a multiple of its capacity, at which a cold endpoint collapses if it lasts for `overload_duration`. Default 2.
     pub overload_factor: f64,
-    /// How long such an overload may last. Default 1 s.
+    /// How long such an overload may last. Read from the settings document; the balancer does not use it. Default 1 s.
     pub overload_duration: Duration,
     /// How long a key of a sequential class is kept quiet after an attempt that may still be running. Default zero.
     pub key_quiet_period: Duration,
@@ -141,7 +143,7 @@
     pub keep_alive: Duration,
     /// Whether an endpoint does less work for a key that it served lately. Default false.
     pub key_cache_affinity: bool,
-    /// What [`Endpoint::weight`] means. Default [`EndpointWeights::Off`].
+    /// Meaning of [`Endpoint::weight`]. Default [`EndpointWeights::Off`].
     pub endpoint_weights: EndpointWeights,
 }
 
--- a/crates/gateway/src/config/operator_file/tests.rs
+++ b/crates/gateway/src/config/operator_file/tests.rs
@@ -18,8 +18,9 @@
     assert_eq!(all.log.level, LogLevel::Debug);
     assert!(OperatorFile::parse("g.toml", "[log]\nformat = \"xml\"\n").is_err());
     let problems = OperatorFile::parse("g.toml", "x = 1\n\n[tsl]\n").expect_err("two keys that nobody knows");
-    let places: Vec<_> = problems.list.iter().map(|p| (p.line, p.key.as_str())).collect();
-    assert_eq!(places, [(1, "x"), (3, "tsl")]);
+    let positions: Vec<_> =
+        problems.list.iter().map(|problem| (problem.line, problem.key.as_str())).collect();
+    assert_eq!(positions, [(1, "x"), (3, "tsl")]);
 }
 
 const EVERY_KEY: &str = include_str!("../../../tests/fixtures/operator-every-key.toml");
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -71,6 +71,6 @@
     }
     let config = startup::load_config(&operator)?;
     let gateway = startup::assemble(config, operator, inherited)?;
-    info!(address = %gateway.listener.local_addr()?, "listening");
+    info!(address = %gateway.clients.listener.local_addr()?, "listening");
     gateway.run(signals).await
 }
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -2,12 +2,13 @@
 
 use super::listeners::{listen_for_admin, listen_for_clients, listen_for_peers, ListenerOwnership};
 use super::reload::{longest_deadline, ConfigReloader};
-use super::running::Gateway;
+use super::running::{ClientSide, Gateway};
 use super::service_state::ServiceState;
 use super::ServeError;
 use crate::config::config_error::ConfigError;
 use crate::config::operator_file::OperatorFile;
 use crate::config::platform_file::PlatformConfig;
+use crate::engine::message::EngineHandle;
 use crate::engine::Engine;
 use crate::fleet::{ConfigVersion, Fleet};
 use crate::metrics::Metrics;
@@ -25,6 +26,7 @@
 use weldworks_balancer::Settings;
 use weldworks_control::class_registry::ClassRegistry;
 use weldworks_control::drain::DrainSettings;
+use weldworks_fleet::settings::FleetSettings;
 
 /// Reads the platform's file and fits its descriptor limit to the system's and to the fleet's needs.
 pub(super) fn load_config(operator: &OperatorFile) -> Result<PlatformConfig, ConfigError> {
@@ -44,15 +46,10 @@
     inherited: Option<std::net::TcpListener>,
 ) -> Result<Gateway, ServeError> {
     let ownership = if inherited.is_some() { ListenerOwnership::Shared } else { ListenerOwnership::Own };
-    let config_version = operator.fleet.as_ref().map(|_| ConfigVersion {
-        config_digest: config.site_digest(),
-        operator_digest: operator.digest(),
-        discovery: config.discovery,
-    });
+    let config_version = operator.fleet.as_ref().map(|_| config_version(&config, &operator));
     let mut classes = ClassRegistry::default();
     classes.replace(Duration::ZERO, config.named_classes());
-    let admin_api = if config.admin.is_some() { AdminApi::Enabled } else { AdminApi::Disabled };
-    let budget = DescriptorBudget::new(&config.limits, admin_api);
+    let budget = descriptor_budget(&config);
     let settings = Settings { classes: classes.by_number(), ..config.settings };
     let request_settings = RequestSettings::new(&classes, config.names.tenants.clone(), &settings);
     let metrics = Rc::new(Metrics::default());
@@ -67,14 +64,8 @@
     if let Some(storm_settings) = operator.storm {
         engine.enable_retry_storm_control(storm_settings);
     }
-    let mut fleet = None;
-    let mut link_listener = None;
-    if let Some((settings, version)) = operator.fleet.zip(config_version) {
-        let joined = Fleet::new(settings.clone(), &version, handle.clone())?;
-        link_listener = listen_for_peers(&settings, ownership)?;
-        engine.join_fleet(joined.clone());
-        fleet = Some(joined);
-    }
+    let FleetParts { fleet, link_listener } =
+        join_fleet(operator.fleet.zip(config_version), &mut engine, &handle, ownership)?;
     let service = Rc::new(ServiceState::new(drain_settings, handle.clone(), metrics.clone(), fleet.clone()));
     if let Some(address) = config.admin {
         start_admin_api(address, &budget, &service)?;
@@ -83,26 +74,47 @@
     let listener = client_listener(inherited, config.listen)?;
     engine.apply_endpoint_list(config.known_endpoints);
     let server = Rc::new(Server::new(handle.clone(), request_settings, &budget, service.clone()));
-    let reloader = ConfigReloader {
-        document: config.document,
-        classes,
-        engine: handle.clone(),
-        server: server.clone(),
-        service: service.clone(),
+    let reloader =
+        ConfigReloader::new(config.document, classes, handle.clone(), server.clone(), service.clone());
+    let clients = ClientSide { handle, server, service, fleet, listener, ownership };
+    Ok(Gateway { engine, pool, clients, link_listener, budget, reloader })
+}
+
+/// What a fleet compares of this process's files.
+fn config_version(config: &PlatformConfig, operator: &OperatorFile) -> ConfigVersion {
+    ConfigVersion {
+        config_digest: config.site_digest(),
+        operator_digest: operator.digest(),
+        discovery: config.discovery,
+    }
+}
+
+fn descriptor_budget(config: &PlatformConfig) -> DescriptorBudget {
+    let admin_api = if config.admin.is_some() { AdminApi::Enabled } else { AdminApi::Disabled };
+    DescriptorBudget::new(&config.limits, admin_api)
+}
+
+/// This gateway's part in a fleet; nothing outside of one.
+struct FleetParts {
+    fleet: Option<Rc<Fleet>>,
+    /// None outside of a fleet, and while the process to be replaced has the address.
+    link_listener: Option<TcpListener>,
+}
+
+/// Creates this gateway's part in the fleet of the operator's file, if there is one, and connects the engine to it.
+fn join_fleet(
+    settings: Option<(FleetSettings, ConfigVersion)>,
+    engine: &mut Engine,
+    handle: &EngineHandle,
+    ownership: ListenerOwnership,
+) -> Result<FleetParts, ServeError> {
+    let Some((settings, version)) = settings else {
+        return Ok(FleetParts { fleet: None, link_listener: None });
     };
-    Ok(Gateway {
-        engine,
-        handle,
-        pool,
-        server,
-        service,
-        fleet,
-        link_listener,
-        listener,
-        ownership,
-        budget,
-        reloader,
-    })
+    let fleet = Fleet::new(settings.clone(), &version, handle.clone())?;
+    let link_listener = listen_for_peers(&settings, ownership)?;
+    engine.join_fleet(fleet.clone());
+    Ok(FleetParts { fleet: Some(fleet), link_listener })
 }
 
 /// Starts the admin API on its own address.
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -149,7 +149,7 @@
                 if !request_written {
                     return Err(AttemptEnd::ConnectionFailed);
                 }
-                let first_byte_at = connection.timestamps.read_since.get().unwrap_or_else(Instant::now);
+                let first_byte_at = connection.timestamps.first_read_at.get().unwrap_or_else(Instant::now);
                 let mut headers = head.headers;
                 strip_hop_by_hop(&mut headers);
                 return Ok(Exchanged::Streaming(Box::new(StreamingResponse {
@@ -221,7 +221,7 @@
             informational: &informational,
             stall_timer,
             started_at,
-            transfer_state: TransferState::Intact,
+            transfer_state: TransferState::NotForwarded,
             connection_closed: false,
             request_written: false,
         };
