--- a/crates/gateway/src/body/buffering.rs
+++ b/crates/gateway/src/body/buffering.rs
@@ -8,10 +8,10 @@
 
 /// A body as far as it has been read.
 pub struct BufferedBody {
-    /// What has been read.
+    /// The part of the body that has been read.
     pub buffered: Bytes,
-    /// The rest, where the body is longer than was to be buffered.
-    pub rest: Option<Incoming>,
+    /// The part that is still to be read, where the body is longer than was to be buffered.
+    pub unread: Option<Incoming>,
 }
 
 /// The data that has been read. The usual body is one frame, which is not copied.
@@ -58,11 +58,11 @@
         let deadline = start + transfer.client_deadline(start.elapsed());
         let frame = timeout_at(deadline, body.frame()).await.map_err(|_| BodyError::Incomplete)?;
         let Some(frame) = frame else {
-            return Ok(BufferedBody { buffered: buffer.into_bytes(), rest: None });
+            return Ok(BufferedBody { buffered: buffer.into_bytes(), unread: None });
         };
         let Ok(data) = frame.map_err(|_| BodyError::Incomplete)?.into_data() else { continue };
         transfer.record_received(start.elapsed(), data.len() as u64)?;
         buffer.push(data);
     }
-    Ok(BufferedBody { buffered: buffer.into_bytes(), rest: Some(body) })
+    Ok(BufferedBody { buffered: buffer.into_bytes(), unread: Some(body) })
 }
--- a/crates/gateway/src/body/request_body.rs
+++ b/crates/gateway/src/body/request_body.rs
@@ -21,20 +21,20 @@
 /// A client's request as it is forwarded to an endpoint.
 #[derive(Debug)]
 pub struct ForwardedRequest {
-    /// Its method.
+    /// The request's method.
     pub method: Method,
-    /// Its path and query.
+    /// The request's path and query.
     pub uri: Uri,
-    /// Its end-to-end headers.
+    /// The request's end-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The request's body.
     pub body: RequestPayload,
 }
 
 /// A request's body, from which each attempt takes its own.
 #[derive(Debug)]
 pub enum RequestPayload {
-    /// All of it.
+    /// The complete body.
     Buffered(Bytes),
     /// A body that is still arriving, for one attempt only.
     Streaming(Rc<StreamingUpload>),
@@ -48,7 +48,7 @@
 
 /// A request's body as one attempt writes it.
 pub enum RequestBody {
-    /// All of it; empty once it has been written.
+    /// The complete body; empty once it has been written.
     Buffered(Bytes),
     /// A body that is streamed while it arrives.
     Streaming(StreamingRequestBody),
--- a/crates/gateway/src/body/response_body.rs
+++ b/crates/gateway/src/body/response_body.rs
@@ -14,9 +14,9 @@
 /// An endpoint's response with status 200.
 #[derive(Debug)]
 pub struct UpstreamResponse {
-    /// Its end-to-end headers.
+    /// The response's end-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The response's body.
     pub body: ResponseBody,
 }
 
@@ -32,13 +32,13 @@
 /// A response's body.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All of it; empty once it has been written.
+    /// The complete body; empty once it has been written.
     Buffered(Bytes),
     /// A body that is streamed while it arrives.
     Streaming {
         /// How many bytes are to come, where the response states its length.
         remaining: Option<u64>,
-        /// The chunks.
+        /// The chunks, as the upstream side reads them.
         chunks: mpsc::Receiver<ResponseChunk>,
         /// Whether the end has been reached.
         is_over: bool,
--- a/crates/gateway/src/body/streaming_upload.rs
+++ b/crates/gateway/src/body/streaming_upload.rs
@@ -24,17 +24,17 @@
 
 /// What a streamed body is made of.
 pub struct UploadSource {
-    /// The part that has been read.
+    /// The part of the body that has been read.
     pub buffered: Bytes,
-    /// The rest.
-    pub rest: Incoming,
+    /// The part of the body that is still to be read.
+    pub unread: Incoming,
     /// The length of the complete body in bytes, where the request states it.
     pub length: Option<u64>,
     /// How long the client waits for an answer, from its last byte on.
     pub client_timeout: Duration,
     /// Counts the request as open from its last byte on.
     pub counted: CountedRequest,
-    /// The client.
+    /// Whether the client is still connected.
     pub client: Rc<ClientLiveness>,
     /// The I/O on the client's connection.
     pub timestamps: Rc<IoTimestamps>,
@@ -45,7 +45,7 @@
 pub struct StreamingUpload {
     /// What was read of it before it was forwarded.
     buffered: RefCell<Option<Bytes>>,
-    rest: RefCell<Incoming>,
+    unread: RefCell<Incoming>,
     pub(super) length: Option<u64>,
     /// The zero of the transfer's times.
     pub(super) start: Instant,
@@ -68,7 +68,7 @@
         StreamingUpload {
             transfer: RefCell::new(BodyTransfer::new(source.buffered.len() as u64)),
             buffered: RefCell::new(Some(source.buffered)),
-            rest: RefCell::new(source.rest),
+            unread: RefCell::new(source.unread),
             length: source.length,
             start: Instant::now(),
             client_timeout: source.client_timeout,
@@ -109,7 +109,7 @@
         }
         let rest = poll_fn(|cx| loop {
             // Each borrow ends before anything else runs.
-            match ready!(Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx)) {
+            match ready!(Pin::new(&mut *self.unread.borrow_mut()).poll_frame(cx)) {
                 Some(Ok(_)) => {}
                 _ => return Poll::Ready(()),
             }
@@ -147,7 +147,7 @@
             return Poll::Ready(Some(Ok(buffered)));
         }
         loop {
-            let frame = Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx);
+            let frame = Pin::new(&mut *self.unread.borrow_mut()).poll_frame(cx);
             self.record_wait(&frame);
             let data = match ready!(frame) {
                 None => {
@@ -178,7 +178,7 @@
 
     /// Records the end of the body where it has been reached. A body of known length ends with its last byte: nobody polls further.
     fn record_end_if_reached(&self, transfer: &mut BodyTransfer) {
-        if !self.rest.borrow().is_end_stream() || transfer.state() == TransferState::Complete {
+        if !self.unread.borrow().is_end_stream() || transfer.state() == TransferState::Complete {
             return;
         }
         transfer.record_end();
--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -35,7 +35,7 @@
     pub kind: String,
     /// The number of its cell, where it is in one.
     pub cell: Option<u32>,
-    /// Its state.
+    /// Its state in the registry.
     pub status: ListedStatus,
     /// Its weight; 1 by default.
     pub weight: f64,
@@ -84,7 +84,7 @@
     /// A name that is listed twice. The last entry counts.
     #[error("entry {name:?} is listed twice, the last one counts")]
     Duplicate {
-        /// The name.
+        /// The name that is listed twice.
         name: String,
     },
 }
--- a/crates/gateway/src/engine/message.rs
+++ b/crates/gateway/src/engine/message.rs
@@ -74,7 +74,7 @@
 
 /// The end of an attempt.
 pub struct AttemptReport {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
@@ -92,13 +92,13 @@
 
 /// The start of a response that is streamed to the client.
 pub struct ResponseStart {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
     /// Time from the send, or the last byte of a streamed body, to the response's first byte.
     pub latency: Duration,
-    /// The response.
+    /// The response, whose body still arrives.
     pub response: UpstreamResponse,
     /// The load report that came with it.
     pub load_report: Option<LoadReport>,
@@ -118,7 +118,7 @@
     BodyForwardingStarted(RequestId),
     /// The last byte of a streamed request body has been written to an endpoint.
     BodyForwarded {
-        /// The request.
+        /// The request that the body belongs to.
         request: RequestId,
         /// When its client gives up.
         client_deadline: Instant,
@@ -127,7 +127,7 @@
     ResponseStarted(ResponseStart),
     /// An endpoint has closed an idle connection.
     IdleConnectionClosed {
-        /// The endpoint.
+        /// The endpoint's id.
         endpoint: EndpointId,
         /// The address that the connection went to.
         address: SocketAddr,
@@ -140,7 +140,7 @@
     EndpointListReceived {
         /// Number of the watch, from 1.
         watch: u64,
-        /// The list.
+        /// The list or delta.
         list: EndpointList,
         /// When discovery sent the message before this one, if it had sent any.
         previous_message_at: Option<Instant>,
@@ -164,7 +164,7 @@
     DiscoveryFailed {
         /// Number of the watch, from 1.
         watch: u64,
-        /// Why it ended.
+        /// Why the watch ended.
         reason: String,
         /// Time since its last message, or since it was opened.
         silent_for: Duration,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -60,11 +60,11 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestEnding {
-    /// An endpoint served it.
+    /// The request was served by an endpoint.
     Served,
-    /// It was rejected, and may safely be retried.
+    /// The request was rejected, and may safely be retried.
     Rejected,
-    /// It failed.
+    /// The request failed.
     Failed,
 }
 
--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -128,13 +128,13 @@
         // Held to the end of the request: the table of classes keeps their numbers from being given to other classes.
         let settings = self.settings.borrow().clone();
         let head = self.check_head(&parts, &body, connection, &settings)?;
-        let BufferedBody { buffered, rest } = buffer_body(body, MAX_BUFFERED_BODY_BYTES).await?;
+        let BufferedBody { buffered, unread } = buffer_body(body, MAX_BUFFERED_BODY_BYTES).await?;
         if parts.method == Method::GET && !buffered.is_empty() {
             return Err(MalformedRequest::UnexpectedBody);
         }
         let mut counted = CountedRequest::new(self.service.metrics.clone(), head.class.clone());
         let client = Rc::new(ClientLiveness::new(connection.probe.clone()));
-        let received = match rest {
+        let received = match unread {
             None => {
                 let client_deadline = self.received_at(connection) + head.client_timeout;
                 connection.await_next_head();
@@ -146,7 +146,7 @@
                 let payload = RequestPayload::Buffered(buffered);
                 ReceivedRequest { payload, receipt: Receipt::Complete(counted), client_deadline }
             }
-            Some(rest) => start_upload(buffered, rest, &head, counted, &client, connection),
+            Some(unread) => start_upload(buffered, unread, &head, counted, &client, connection),
         };
         let ReceivedRequest { payload, receipt, client_deadline } = received;
         let request = self.balancer_request(&parts.headers, &head, &receipt, client_deadline);
@@ -267,7 +267,7 @@
 /// A request whose body is forwarded while it arrives.
 fn start_upload(
     buffered: Bytes,
-    rest: Incoming,
+    unread: Incoming,
     head: &RequestHead,
     counted: CountedRequest,
     client: &Rc<ClientLiveness>,
@@ -275,7 +275,7 @@
 ) -> ReceivedRequest {
     let upload = Rc::new(StreamingUpload::new(UploadSource {
         buffered,
-        rest,
+        unread,
         length: head.body_length,
         client_timeout: head.client_timeout,
         counted,
--- a/crates/gateway/src/string_interner.rs
+++ b/crates/gateway/src/string_interner.rs
@@ -6,11 +6,11 @@
 /// The names in the settings, and behind them those that endpoint lists have brought. A name's place is its number.
 #[derive(Debug, Default)]
 pub struct StringInterner {
-    /// The tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// The zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// The machine kinds.
+    /// Names of the machine kinds.
     pub kinds: Vec<String>,
 }
 
--- a/crates/gateway/src/transport/descriptor_budget.rs
+++ b/crates/gateway/src/transport/descriptor_budget.rs
@@ -40,9 +40,9 @@
 /// Whether the process serves the admin API, which takes descriptors of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminApi {
-    /// It does.
+    /// The admin API is served.
     Enabled,
-    /// It does not.
+    /// The admin API is not served.
     Disabled,
 }
 
--- a/crates/gateway/src/transport/socket_probe.rs
+++ b/crates/gateway/src/transport/socket_probe.rs
@@ -24,7 +24,7 @@
     /// that reads them may have no use for them yet.
     ///
     /// # Cancellation safety
-    /// Cancel safe.
+    /// Cancel safe: nothing is lost.
     pub async fn closed(&self) {
         // A stream becomes ready in this way only by its end.
         while let Ok(ready) = self.0.ready(Interest::PRIORITY).await {
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -52,7 +52,7 @@
     },
     /// A response has begun that is streamed to the client.
     ResponseStarted {
-        /// The response.
+        /// The response, whose body still arrives.
         response: Box<UpstreamResponse>,
         /// When its first byte was read.
         first_byte_at: Instant,
@@ -65,7 +65,7 @@
 pub struct Attempt {
     /// The endpoint that it goes to.
     pub endpoint: Rc<UpstreamEndpoint>,
-    /// What is sent.
+    /// The request that is sent.
     pub request: Rc<ForwardedRequest>,
     /// When it is given up.
     pub deadline: Rc<Deadline>,
--- a/crates/gateway/src/upstream/deadline.rs
+++ b/crates/gateway/src/upstream/deadline.rs
@@ -36,7 +36,7 @@
     /// Waits until the deadline has passed, wherever it moves. For one waiter.
     ///
     /// # Cancellation safety
-    /// Cancel safe.
+    /// Cancel safe: nothing is lost.
     pub(super) async fn passed(&self) {
         while Instant::now() < self.get() {
             tokio::select! {
--- a/crates/gateway/src/upstream/response_reader.rs
+++ b/crates/gateway/src/upstream/response_reader.rs
@@ -10,7 +10,7 @@
 
 /// A response body as far as it has been read.
 pub(super) enum ReadBody {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
     /// The start of a body that is to be streamed.
     Partial(PartialBody),
@@ -20,10 +20,10 @@
     Broken,
 }
 
-/// The start of a body that is too long to be buffered, and what is left of it.
+/// The start of a body that is too long to be buffered, and the part that is still to be read.
 pub(super) struct PartialBody {
     pub(super) buffered: Bytes,
-    pub(super) rest: Incoming,
+    pub(super) unread: Incoming,
     /// The length of the complete body in bytes, where the response states it.
     pub(super) length: Option<u64>,
 }
@@ -48,7 +48,7 @@
         match buffering.decide(start.elapsed()) {
             BufferingDecision::KeepBuffering => {}
             BufferingDecision::Stream => {
-                return ReadBody::Partial(PartialBody { buffered: buffered.freeze(), rest: body, length });
+                return ReadBody::Partial(PartialBody { buffered: buffered.freeze(), unread: body, length });
             }
             BufferingDecision::TooLong => return ReadBody::TooLong,
         }
--- a/crates/gateway/src/upstream/response_stream.rs
+++ b/crates/gateway/src/upstream/response_stream.rs
@@ -37,7 +37,7 @@
     ) -> Outcome {
         let StreamingResponse { mut connection, mut connection_closed, headers, first_byte_at, body } =
             response;
-        let PartialBody { buffered, mut rest, length } = body;
+        let PartialBody { buffered, mut unread, length } = body;
         let (chunks, receiver) = mpsc::channel(1);
         let mut received_bytes = buffered.len() as u64;
         let _ = chunks.try_send(ResponseChunk::Data(buffered)); // the channel has room for one
@@ -45,7 +45,7 @@
         let response = Box::new(UpstreamResponse { headers, body });
         report(AttemptProgress::ResponseStarted { response, first_byte_at, load_report });
         loop {
-            let frame = next_frame(&mut rest, &mut connection, &mut connection_closed);
+            let frame = next_frame(&mut unread, &mut connection, &mut connection_closed);
             let frame = tokio::select! {
                 biased;
                 () = chunks.closed() => return Outcome::Cancelled,
