--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -13,7 +13,7 @@
 
 /// Time after which a request with no eligible endpoint is tried again, in seconds.
 const NO_ELIGIBLE_ENDPOINT_RECHECK_S: f64 = 0.015;
-/// Fraction of the keep-alive time for which a connection is expected to be open: gateways close it half way.
+/// Fraction of the keep-alive time for which an idle connection is expected to stay open: gateways close it after half of that time.
 const IDLE_CONNECTION_KEEP_ALIVE_FRACTION: f64 = 0.5;
 
 /// An attempt that has ended, with the data that its outcome is recorded from. Times are in seconds.
@@ -48,7 +48,7 @@
     ) {
         let kind = AttemptKind::of_next(request);
         let idempotency = self.settings.classes[request.class].idempotency;
-        let is_allowed = is_attempt_allowed(request, idempotency, now_s) && self.attempt_budget.covers(kind);
+        let is_allowed = is_attempt_allowed(request, idempotency, now_s) && self.retry_budget.covers(kind);
         let is_expired = now_s >= request.wait_for_endpoint_until_s();
         if kind != AttemptKind::Hedge && (is_expired || !is_allowed) {
             return self.end_unserved(id, request, actions);
@@ -67,7 +67,7 @@
                 return;
             }
         }
-        self.attempt_budget.spend(kind);
+        self.retry_budget.spend(kind);
         self.send_attempt(now_s, id, request, endpoint, actions);
     }
 
@@ -258,8 +258,8 @@
         if endpoint.is_warm() {
             self.traffic.served_per_warm_endpoint.record();
         }
-        endpoint.refund_token_if_unqueued(ended.scaled_latency_s, prior_s, self.fleet_terms.dilution);
-        endpoint.clear_suspicion_if_quick(ended.scaled_latency_s, prior_s, &self.settings);
+        endpoint.refund_token_if_unqueued(ended.scaled_latency_s, prior_s, self.derived_settings.dilution);
+        endpoint.clear_suspicion_if_fast(ended.scaled_latency_s, prior_s, &self.settings);
         self.observe_latency(now_s, ended.endpoint, ended.scaled_latency_s);
         update_average(&mut self.traffic.class_latency_s[ended.class], ended.latency_s);
         update_average(&mut self.traffic.latency_s, ended.latency_s);
--- a/crates/balancer/src/traffic_stats.rs
+++ b/crates/balancer/src/traffic_stats.rs
@@ -1,7 +1,7 @@
 //! Rates and moving averages of the traffic of this gateway.
 
 /// Weight of a new sample in the averages of latency, cost hint and priority weight.
-pub(crate) const AVERAGE_GAIN: f64 = 0.1;
+const AVERAGE_GAIN: f64 = 0.1;
 /// Time constant of the measured request rates, in seconds.
 pub(crate) const RATE_TIME_CONSTANT_S: f64 = 3.0;
 /// Time constant of the averages of listed load and of requests in flight, in seconds.
@@ -16,7 +16,7 @@
 const MIN_DIVISOR_PER_S: f64 = 1e-9;
 /// Fraction of requests that are faster, measured by their cost hints, than the tracked quantile.
 const LATENCY_PER_HINT_QUANTILE: f64 = 0.4;
-/// Step of the tracked quantile, as a fraction; a larger one would follow momentary queues.
+/// Step of the tracked quantile, as a fraction; a larger one would follow short-lived queues.
 const LATENCY_PER_HINT_GAIN: f64 = 0.02;
 
 /// Events per second, as an exponentially weighted average.
--- a/crates/control/src/retry_storm/slot_table.rs
+++ b/crates/control/src/retry_storm/slot_table.rs
@@ -1,8 +1,8 @@
 //! A hash table of fixed size, so that its memory does not grow with the number of clients.
 //!
 //! A signed token that the client returns would need no table, but the platform's clients return nothing but their
-//! request. Two identities that share a slot displace each other: the displaced one is then treated as unknown, from
-//! which no client gains anything.
+//! request. Two identities that share a slot displace each other: the displaced one is then treated as unknown, which
+//! gives no client an advantage.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 pub(super) struct SlotTable(Vec<Slot>);
 
 impl SlotTable {
-    /// Creates a table of so many slots, at least one.
+    /// Creates a table of this many slots, at least one.
     pub(super) fn new(slots: usize) -> SlotTable {
         SlotTable(vec![Slot::default(); slots.max(1)])
     }
--- a/crates/control/tests/drain.rs
+++ b/crates/control/tests/drain.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 use weldworks_control::drain::{
-    Drain, DrainSettings, IDLE_CLOSE_END, LISTENER_CLOSE_EARLIEST, LISTENER_CLOSE_LATEST, NOT_READY_NOTICE,
-    SHARED_LISTENER_IDLE_CLOSE_LATEST,
+    Drain, DrainSettings, CONNECTION_CLOSE_START, IDLE_CLOSE_END, LISTENER_CLOSE_EARLIEST,
+    LISTENER_CLOSE_LATEST, SHARED_LISTENER_IDLE_CLOSE_LATEST,
 };
 
 const fn ms(count: u64) -> Duration {
@@ -86,7 +86,7 @@
         self.draining_since.is_some() || self.shutdown_since.is_some()
     }
 
-    /// Checks what is true at any time, whatever came before.
+    /// Checks what must hold at any time, after any events.
     fn check(&self) {
         let before = format!("{:?}", self.drain);
         let idle_limit = self.drain.idle_limit(self.now, self.now);
@@ -116,10 +116,10 @@
     fn check_draining(&self, since: Duration, idle_limit: Option<Duration>) {
         let now = self.now;
         assert!(
-            now < since + NOT_READY_NOTICE || self.drain.sends_connection_close(now),
+            now < since + CONNECTION_CLOSE_START || self.drain.sends_connection_close(now),
             "no `Connection: close` at {now:?}"
         );
-        // A request that comes now has 2 s until no request may be in flight any more.
+        // A request that arrives now has 2 s until no request may be in flight any more.
         assert!(
             now < since + ms(2000) || idle_limit.is_some_and(|limit| limit <= ms(200)),
             "{idle_limit:?} at {now:?}"
@@ -292,7 +292,7 @@
         }
     }
 
-    /// 4 s after the start of a drain no connection may be idle, and none may have a request that came less than 2 s ago:
+    /// 4 s after the start of a drain no connection may be idle, and none may have a request that arrived less than 2 s ago:
     /// it should have been closed before.
     fn check_drain_limit(&self) {
         let now = self.observed.now;
@@ -312,7 +312,7 @@
     }
 }
 
-/// Calls, requests, responses and closes come in any order, with one connection in use and one idle. Nothing is closed
+/// Calls, requests, responses and closes happen in any order, with one connection in use and one idle. Nothing is closed
 /// without cause, and 4 s after the start of a drain nothing is open that may not be.
 #[test]
 fn no_connection_is_closed_without_cause_or_open_too_long() {
--- a/crates/gateway/src/lifecycle/running.rs
+++ b/crates/gateway/src/lifecycle/running.rs
@@ -28,20 +28,15 @@
 /// The parts of a gateway.
 pub(super) struct Gateway {
     pub(super) engine: Engine,
-    pub(super) handle: EngineHandle,
     pub(super) pool: Rc<ConnectionPool>,
-    pub(super) server: Rc<Server>,
-    pub(super) service: Rc<ServiceState>,
-    pub(super) fleet: Option<Rc<Fleet>>,
+    pub(super) clients: ClientSide,
     /// None outside of a fleet, and while the process to be replaced has the address.
     pub(super) link_listener: Option<TcpListener>,
-    pub(super) listener: TcpListener,
-    pub(super) ownership: ListenerOwnership,
     pub(super) budget: DescriptorBudget,
     pub(super) reloader: ConfigReloader,
 }
 
-/// What the shutdown needs of a gateway.
+/// What accepts clients, and what has to end before the process does.
 pub(super) struct ClientSide {
     pub(super) handle: EngineHandle,
     pub(super) server: Rc<Server>,
@@ -57,10 +52,14 @@
     /// # Errors
     /// [`ServeError::Ended`] where a background task ends: the process would be half alive without it.
     pub(super) async fn run(self, signals: Signals) -> Result<(), ServeError> {
-        let Gateway { engine, handle, pool, server, service, fleet, budget, .. } = self;
+        let Gateway { engine, pool, clients, link_listener, budget, reloader } = self;
         let Signals { mut terminate, hang_up } = signals;
-        let reloading = self.reloader.run(hang_up);
-        let state_folder = shared_state_folder(self.ownership);
+        let handle = clients.handle.clone();
+        let server = clients.server.clone();
+        let service = clients.service.clone();
+        let fleet = clients.fleet.clone();
+        let reloading = reloader.run(hang_up);
+        let state_folder = shared_state_folder(clients.ownership);
         let snapshot = state_folder.as_deref().and_then(hot_restart::read_snapshot);
         let coordinating = async {
             if let Some(folder) = &state_folder {
@@ -69,7 +68,7 @@
         };
         let participating = async {
             if let Some(fleet) = &fleet {
-                fleet.clone().run(self.link_listener).await;
+                fleet.clone().run(link_listener).await;
             }
         };
         // A panic in one of these ends the process.
@@ -85,14 +84,6 @@
             )
         };
         tokio::pin!(background);
-        let clients = ClientSide {
-            handle: handle.clone(),
-            server: server.clone(),
-            service: service.clone(),
-            fleet: fleet.clone(),
-            listener: self.listener,
-            ownership: self.ownership,
-        };
         tokio::select! {
             _ = background.as_mut() => return Err(ServeError::Ended),
             () = clients.serve(snapshot) => {}
@@ -125,8 +116,8 @@
         }
         if self.ownership == ListenerOwnership::Shared && !self.handle.discovery_answered() {
             warn!(
-                "no answer from discovery, accepting clients with the endpoint list of the configuration; its address is \
-                 `discovery` in the file that ROUTER_CONFIG names, or ROUTER_DISCOVERY"
+                hint = "its address is `discovery` in the file that ROUTER_CONFIG names, or ROUTER_DISCOVERY",
+                "no answer from discovery, accepting clients with the endpoint list of the configuration"
             );
         }
         if let Some(snapshot) = snapshot {
