--- a/crates/gateway/src/body/streaming_upload.rs
+++ b/crates/gateway/src/body/streaming_upload.rs
@@ -30,8 +30,8 @@
     pub rest: Incoming,
     /// The length of the complete body in bytes, where the request states it.
     pub length: Option<u64>,
-    /// How long the client waits for an answer, from its last byte on.
-    pub client_timeout: Duration,
+    /// Time from the last byte by which the gateway answers.
+    pub answer_timeout: Duration,
     /// Counts the request as open from its last byte on.
     pub counted: CountedRequest,
     /// The client.
@@ -50,8 +50,8 @@
     /// The zero of the transfer's times.
     pub(super) start: Instant,
     pub(super) transfer: RefCell<BodyTransfer>,
-    /// How long the client waits for an answer, from its last byte on.
-    pub client_timeout: Duration,
+    /// Time from the last byte by which the gateway answers.
+    pub answer_timeout: Duration,
     pub(super) client: Rc<ClientLiveness>,
     timestamps: Rc<IoTimestamps>,
     /// Since when more data is waited for.
@@ -71,7 +71,7 @@
             rest: RefCell::new(source.rest),
             length: source.length,
             start: Instant::now(),
-            client_timeout: source.client_timeout,
+            answer_timeout: source.answer_timeout,
             client: source.client,
             timestamps: source.timestamps,
             waiting_since: Cell::new(None),
@@ -86,9 +86,9 @@
         known.into_iter().flatten().fold(self.start, Instant::max)
     }
 
-    /// How long the client still waits, at least.
+    /// What is left of the answer timeout, at least.
     pub fn time_left(&self) -> Duration {
-        self.client_timeout.saturating_sub(self.last_byte_not_before().elapsed())
+        self.answer_timeout.saturating_sub(self.last_byte_not_before().elapsed())
     }
 
     /// Whether the last byte may have waited so long that the client has disconnected since.
--- a/crates/gateway/src/engine/actions.rs
+++ b/crates/gateway/src/engine/actions.rs
@@ -118,9 +118,9 @@
             engine: self.handle.clone(),
             request: id,
             attempt: number,
-            sent_at: Cell::new(decided_at),
+            latency_since: Cell::new(decided_at),
             decided_at,
-            client_timeout: client_timeout(entry),
+            answer_timeout: answer_timeout(entry),
             result: AttemptResult {
                 outcome: Outcome::Reset,
                 response: None,
@@ -139,11 +139,11 @@
     }
 }
 
-/// How long the client waits after the last byte of a streamed body; zero for a buffered one.
-fn client_timeout(entry: &RequestEntry) -> Duration {
+/// Time from the last byte of a streamed body by which the gateway answers; zero for a buffered one.
+fn answer_timeout(entry: &RequestEntry) -> Duration {
     match &entry.forward.body {
         RequestPayload::Buffered(_) => Duration::ZERO,
-        RequestPayload::Streaming(upload) => upload.client_timeout,
+        RequestPayload::Streaming(upload) => upload.answer_timeout,
     }
 }
 
--- a/crates/gateway/src/engine/attempt_reporter.rs
+++ b/crates/gateway/src/engine/attempt_reporter.rs
@@ -9,34 +9,34 @@
 
 /// Reports how an attempt ended when it is dropped.
 ///
-/// The report is sent on drop so that the engine hears of the end also where the attempt's task panics: the endpoint may have
+/// The report is sent on drop so that the engine learns of the end also where the attempt's task panics: the endpoint may have
 /// processed the request by then, and without the report the request would stay open until its deadline.
 pub(super) struct AttemptReporter {
     pub(super) engine: EngineHandle,
     pub(super) request: RequestId,
     pub(super) attempt: u32,
-    /// When the attempt was sent, or the last byte of a streamed body.
-    pub(super) sent_at: Cell<Instant>,
+    /// Start of the latency: the balancer's decision, or the write of the last byte of a streamed body.
+    pub(super) latency_since: Cell<Instant>,
     /// When the balancer decided on the attempt.
     pub(super) decided_at: Instant,
-    /// How long the client waits after the last byte of a streamed body.
-    pub(super) client_timeout: Duration,
+    /// Time from the last byte of a streamed body by which the gateway answers.
+    pub(super) answer_timeout: Duration,
     pub(super) result: AttemptResult,
 }
 
 impl AttemptReporter {
-    /// Tells the engine how far the attempt has come.
+    /// Reports the attempt's progress to the engine.
     pub(super) fn report_progress(&self, progress: AttemptProgress) {
         let request = self.request;
         let attempt = self.attempt;
         self.engine.send(match progress {
             AttemptProgress::BodyForwardingStarted => Message::BodyForwardingStarted(request),
             AttemptProgress::BodyForwarded { received_after } => {
-                self.sent_at.set(Instant::now());
-                Message::BodyForwarded { request, client_deadline: received_after + self.client_timeout }
+                self.latency_since.set(Instant::now());
+                Message::BodyForwarded { request, client_deadline: received_after + self.answer_timeout }
             }
             AttemptProgress::ResponseStarted { response, first_byte_at, load_report } => {
-                let latency = first_byte_at.saturating_duration_since(self.sent_at.get());
+                let latency = first_byte_at.saturating_duration_since(self.latency_since.get());
                 Message::ResponseStarted(ResponseStart {
                     request,
                     attempt,
@@ -55,7 +55,7 @@
         self.engine.send(Message::AttemptEnded(AttemptReport {
             request: self.request,
             attempt: self.attempt,
-            sent_at: self.sent_at.get(),
+            latency_since: self.latency_since.get(),
             outcome: self.result.outcome,
             response: self.result.response.take(),
             load_report: self.result.load_report,
--- a/crates/gateway/src/engine/discovery_watch.rs
+++ b/crates/gateway/src/engine/discovery_watch.rs
@@ -107,8 +107,8 @@
         );
     }
 
-    /// Reopens the watch where other gateways have a newer endpoint list: an agent that is behind would otherwise keep this gateway
-    /// sending to drained endpoints for as long as the connection lives.
+    /// Asks discovery again, on a new connection, where other gateways have a newer endpoint list. The discovery server behind the
+    /// current watch may lag, and would keep this gateway sending to drained endpoints for as long as the connection lives.
     pub(super) fn refresh_lagging_list(&mut self, current_index: u64) {
         if current_index <= self.list_index {
             return;
--- a/crates/gateway/src/engine/endpoint_updates.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -24,7 +24,7 @@
     now: Duration,
     /// The newest start of any endpoint, in Unix milliseconds.
     newest_start_unix_ms: u64,
-    /// When discovery sent the message before this list.
+    /// When the previous message of discovery was received, keep-alives included.
     previous_message_at: Option<Duration>,
 }
 
@@ -34,7 +34,7 @@
         self.apply_received_list(None, list);
     }
 
-    /// Applies a list or delta; `previous_message_at` is when discovery sent the message before it.
+    /// Applies a list or delta; `previous_message_at` is when discovery's previous message was received.
     ///
     /// A faulty entry costs nothing but itself. Faults are logged once, until they change.
     pub(super) fn apply_received_list(&mut self, previous_message_at: Option<Instant>, list: EndpointList) {
@@ -60,7 +60,7 @@
         self.store_listed(&changed);
         self.report_starts_to_storm_control();
         log_list(&list);
-        self.apply_active_endpoints();
+        self.close_connections_to_unavailable();
         self.report_departures(&active_before);
         self.decide(Event::EndpointList { is_snapshot: list.is_snapshot, endpoints: &changed });
     }
@@ -100,7 +100,7 @@
     }
 
     /// Closes idle connections to endpoints that take nothing new, and publishes whether any does.
-    fn apply_active_endpoints(&self) {
+    fn close_connections_to_unavailable(&self) {
         let is_active = |id: EndpointId| {
             self.endpoints.get(id.0 as usize).is_some_and(|endpoint| endpoint.is_active.get())
         };
@@ -154,7 +154,7 @@
             own = self.list_index,
             "draining endpoints that departed by other gateways' newer lists"
         );
-        self.apply_active_endpoints();
+        self.close_connections_to_unavailable();
         self.decide(Event::EndpointList { is_snapshot: false, endpoints: &drained });
     }
 
--- a/crates/gateway/src/engine/message.rs
+++ b/crates/gateway/src/engine/message.rs
@@ -27,7 +27,8 @@
         /// `Retry-After` for the client; zero for none.
         retry_after: Duration,
     },
-    /// Failed, perhaps after it was processed, with this status.
+    /// Failed, with this status. It may have been processed, except with 409 (duplicate `X-Request-ID`) and with 504 of a request that
+    /// arrived after its deadline.
     Failed(StatusCode),
 }
 
@@ -78,8 +79,8 @@
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// When the attempt was sent, or the last byte of a streamed body.
-    pub sent_at: Instant,
+    /// Start of the latency: the balancer's decision, or the write of the last byte of a streamed body.
+    pub latency_since: Instant,
     /// How the attempt ended.
     pub outcome: Outcome,
     /// The response, where the attempt was served and its response not yet started.
@@ -96,7 +97,7 @@
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// Time from the send, or the last byte of a streamed body, to the response's first byte.
+    /// Time from the decision, or from the write of a streamed body's last byte, to the response's first byte.
     pub latency: Duration,
     /// The response.
     pub response: UpstreamResponse,
@@ -120,7 +121,7 @@
     BodyForwarded {
         /// The request.
         request: RequestId,
-        /// When its client gives up.
+        /// By when the gateway answers, a margin before its client gives up.
         client_deadline: Instant,
     },
     /// A response has begun that is streamed to the client.
@@ -142,7 +143,7 @@
         watch: u64,
         /// The list.
         list: EndpointList,
-        /// When discovery sent the message before this one, if it had sent any.
+        /// When the previous message of discovery was received, over any watch and keep-alives included.
         previous_message_at: Option<Instant>,
     },
     /// The learned state of the previous process is to be restored.
@@ -245,17 +246,17 @@
         self.shutdown_deadline.set(Some(at));
     }
 
-    /// Whether discovery has sent a list since the start of the process.
+    /// Whether discovery has answered, with a list or a keep-alive, since the start of the process.
     pub fn discovery_answered(&self) -> bool {
         self.discovery_answered.get()
     }
 
-    /// Notes that discovery has sent a list.
+    /// Records that discovery has answered.
     pub fn set_discovery_answered(&self) {
         self.discovery_answered.set(true);
     }
 
-    /// Notes that discovery sends a message now; returns when it sent the one before.
+    /// Records that a message of discovery is received now; returns when the previous one was.
     pub fn record_discovery_message(&self) -> Option<Instant> {
         self.last_discovery_message.replace(Some(Instant::now()))
     }
--- a/crates/gateway/src/engine/reconfiguration.rs
+++ b/crates/gateway/src/engine/reconfiguration.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Moves the deadlines of open requests forward to the shutdown deadline. That comes from the longest deadline of the file in
+    /// Shortens the deadlines of open requests to the shutdown deadline. That comes from the longest deadline of the file in
     /// force, and a request that arrived under an older file may have a longer one.
     pub(super) fn apply_shutdown_deadline(&mut self) {
         let Some(shutdown_deadline) = self.handle.shutdown_deadline() else { return };
@@ -62,7 +62,7 @@
                 }
             }
             entry.client_deadline = shutdown_deadline;
-            entry.attempts.iter().for_each(|attempt| attempt.deadline.bring_forward(shutdown_deadline));
+            entry.attempts.iter().for_each(|attempt| attempt.deadline.shorten_to(shutdown_deadline));
             self.timers.push(shutdown_deadline, Timer::RequestDeadline(*id));
         }
     }
--- a/crates/gateway/src/engine/request_events.rs
+++ b/crates/gateway/src/engine/request_events.rs
@@ -21,7 +21,8 @@
             return self.reject_arrival(arrival);
         }
         if !self.requests.reserve_request_id(&arrival.request_id) {
-            // An endpoint could not tell it from another attempt of the open request that has this id.
+            // An endpoint could not tell it from another attempt of the earlier request with this id, which may be answered already and
+            // have an attempt in flight. Nothing is logged: the client sees status 409.
             arrival.client.end();
             let _ = arrival.answer.send(FinalAnswer::Failed(StatusCode::CONFLICT)); // may have disconnected
             return;
@@ -104,7 +105,7 @@
 
     /// Records how an attempt ended, gives its answer to the client, and has the balancer decide what follows.
     pub(super) fn handle_attempt_end(&mut self, report: AttemptReport) {
-        let AttemptReport { request, attempt, sent_at, outcome, response, load_report, written_after } =
+        let AttemptReport { request, attempt, latency_since, outcome, response, load_report, written_after } =
             report;
         let Some(entry) = self.requests.get_mut(request) else { return };
         entry.attempts_in_flight -= 1;
@@ -115,7 +116,7 @@
             self.answer(request, FinalAnswer::Served(response));
         }
         let Some(entry) = self.requests.get(request) else { return };
-        let latency = sent_at.elapsed();
+        let latency = latency_since.elapsed();
         let request_ended = entry.answer.is_none();
         let address = entry.attempt_endpoint(attempt).and_then(|endpoint| endpoint.address.get());
         debug!(
--- a/crates/gateway/src/engine/request_table.rs
+++ b/crates/gateway/src/engine/request_table.rs
@@ -29,7 +29,7 @@
     pub(super) answer: Option<oneshot::Sender<FinalAnswer>>,
     pub(super) client: Rc<ClientLiveness>,
     pub(super) arrived_at: Instant,
-    /// The latest moment for any answer.
+    /// The latest moment for any answer, a margin before the client gives up.
     pub(super) client_deadline: Instant,
     /// All attempts, by their number.
     pub(super) attempts: Vec<AttemptEntry>,
@@ -67,7 +67,7 @@
 }
 
 impl RequestTable {
-    /// Reserves an `X-Request-ID`; false where an open request holds it already.
+    /// Reserves an `X-Request-ID`; false where another request has it: one that is open, or is answered with an attempt still in flight.
     pub(super) fn reserve_request_id(&mut self, request_id: &HeaderValue) -> bool {
         self.request_ids.insert(request_id.clone())
     }
--- a/crates/gateway/src/fleet/engine_interface.rs
+++ b/crates/gateway/src/fleet/engine_interface.rs
@@ -22,7 +22,7 @@
     }
 
     /// Why clients' requests are not accepted; none if they are.
-    pub fn not_ready_reason(&self) -> Option<&'static str> {
+    pub fn cannot_serve_reason(&self) -> Option<&'static str> {
         let node = self.node.borrow();
         match node.session_state(self.now()) {
             _ if node.accepts_clients(self.now()) => None,
--- a/crates/gateway/src/lifecycle/hot_restart.rs
+++ b/crates/gateway/src/lifecycle/hot_restart.rs
@@ -44,7 +44,7 @@
     };
     match hot_restart::decode_snapshot(&text, monotonic_now()) {
         Ok(snapshot) => Some(snapshot),
-        Err(SnapshotError::Expired(_)) => None, // no process serves beside this one
+        Err(SnapshotError::Expired(_)) => None, // of an earlier process that has ended: no warning
         Err(error) => {
             warn!(%error, "snapshot invalid, starting without it");
             None
@@ -85,7 +85,8 @@
 }
 
 /// Watches for another process of this gateway until this one shuts down. While there is one, each publishes how many descriptors it has
-/// open and leaves the other as many. The active process also writes the snapshot.
+/// open and leaves the other as many; a predecessor that already drains is no longer counted. The active process also writes the
+/// snapshot.
 pub async fn run(folder: &Path, engine: &EngineHandle, budget: &DescriptorBudget, service: &ServiceState) {
     let mut role = Role::Successor(None);
     let mut snapshot_written: Option<Instant> = None;
@@ -122,7 +123,8 @@
         }
         tokio::select! {
             () = tokio::time::sleep(peer_check_interval(peer)) => {}
-            // The lock is released here, so that the successor becomes active while this process drains.
+            // The lock is released here, so that the successor becomes active while this process drains. From then on the successor
+            // doesn't count the descriptors that this process still has open.
             () = service.shutdown_started.notified() => return drop(role),
         }
     }
--- a/crates/gateway/src/lifecycle/running.rs
+++ b/crates/gateway/src/lifecycle/running.rs
@@ -29,15 +29,15 @@
 pub(super) struct Gateway {
     pub(super) engine: Engine,
     pub(super) pool: Rc<ConnectionPool>,
-    pub(super) clients: ClientSide,
+    pub(super) clients: ClientService,
     /// None outside of a fleet, and while the process to be replaced has the address.
     pub(super) link_listener: Option<TcpListener>,
     pub(super) budget: DescriptorBudget,
     pub(super) reloader: ConfigReloader,
 }
 
-/// What accepts clients, and what has to end before the process does.
-pub(super) struct ClientSide {
+/// Serves clients, and is what is left to shut down after SIGTERM.
+pub(super) struct ClientService {
     pub(super) handle: EngineHandle,
     pub(super) server: Rc<Server>,
     pub(super) service: Rc<ServiceState>,
@@ -71,7 +71,8 @@
                 fleet.clone().run(link_listener).await;
             }
         };
-        // A panic in one of these ends the process.
+        // A panic in one of these ends the process. Tasks that they spawn, such as those of the fleet, are detached: a panic there ends
+        // only the task.
         let background = async {
             tokio::join!(
                 participating,
@@ -98,11 +99,11 @@
     }
 }
 
-impl ClientSide {
+impl ClientService {
     /// Accepts clients as soon as the process may serve.
     async fn serve(&self, snapshot: Option<Snapshot>) {
         self.wait_until_ready(snapshot).await;
-        if let Some(reason) = self.service.not_ready_reason() {
+        if let Some(reason) = self.service.cannot_serve_reason() {
             warn!(reason, "not ready, accepting clients and rejecting their requests");
         }
         self.server.clone().accept(&self.listener).await;
@@ -129,7 +130,8 @@
     }
 }
 
-/// The folder in which successive processes of one gateway meet, if the platform replaces them.
+/// The folder in which successive processes of one gateway meet, if the platform replaces them. Without `TMPDIR` there is none, and a
+/// hot restart goes without snapshot and without sharing of the descriptor limit.
 fn shared_state_folder(ownership: ListenerOwnership) -> Option<PathBuf> {
     match ownership {
         ListenerOwnership::Shared => env::var_os("TMPDIR").map(PathBuf::from),
--- a/crates/gateway/src/lifecycle/service_state.rs
+++ b/crates/gateway/src/lifecycle/service_state.rs
@@ -1,5 +1,5 @@
-//! Whether and how this process serves: start-up, drain and shutdown, with the clock that the drain machine wants. The servers read it
-//! and report to it.
+//! Start-up, drain and shutdown state of this process. The servers read it and report to it. Times given to [`Drain`] are durations
+//! since the creation of this state.
 
 use crate::engine::message::{EngineHandle, Message};
 use crate::fleet::Fleet;
@@ -12,7 +12,7 @@
 use weldworks_control::drain::{Drain, DrainSettings};
 use weldworks_control::hot_restart::{Startup, StartupProgress, StartupWait};
 
-/// The service state of this process. Its times are durations since its creation.
+/// The service state of this process.
 pub struct ServiceState {
     start: Instant,
     drain: RefCell<Drain>,
@@ -66,19 +66,20 @@
         self.startup.waiting_for(self.now(), progress)
     }
 
-    /// Why this process cannot serve, apart from a drain; none if it can.
-    pub fn not_ready_reason(&self) -> Option<&'static str> {
+    /// Why this process cannot serve; none if it can. A drain is no such reason: a drained gateway still serves its clients, and
+    /// `/_ready` of the admin API, which answers by this, says `yes`.
+    pub fn cannot_serve_reason(&self) -> Option<&'static str> {
         match self.waiting_for() {
             _ if self.is_shutting_down() => Some("stopping"),
             Some(StartupWait::Discovery) => Some("waiting for discovery's first word"),
             _ if !self.has_active_endpoint.get() => Some("no host in discovery's list takes work"),
-            _ => self.fleet.as_ref().and_then(|fleet| fleet.not_ready_reason()),
+            _ => self.fleet.as_ref().and_then(|fleet| fleet.cannot_serve_reason()),
         }
     }
 
-    /// Whether the platform may send clients here.
+    /// Whether `/health/ready` answers 200: the process can serve and is not draining. `/_ready` of the admin API ignores a drain.
     pub fn is_ready(&self) -> bool {
-        self.not_ready_reason().is_none() && self.drain.borrow().is_ready()
+        self.cannot_serve_reason().is_none() && self.drain.borrow().is_ready()
     }
 
     /// Starts a drain. Gives whether there was none.
@@ -131,12 +132,12 @@
         Some(self.start + self.drain.borrow().accept_deadline(self.last_accept.get())?)
     }
 
-    /// How long a connection may be idle; none while the drain sets no limit.
+    /// Idle time after which a client connection is closed during a drain or shutdown; none in normal service.
     pub fn idle_limit(&self) -> Option<Duration> {
         self.drain.borrow().idle_limit(self.now(), self.last_accept.get())
     }
 
-    /// Whether new connections keep their time for a first request.
+    /// Whether an unused connection is still exempt from [`ServiceState::idle_limit`], because its first request may be on its way.
     pub fn awaits_first_request(&self) -> bool {
         self.drain.borrow().awaits_first_request(self.now())
     }
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -1,14 +1,22 @@
 //! Graceful shutdown after SIGTERM.
 
 use super::listeners::ListenerOwnership;
-use super::running::ClientSide;
+use super::running::ClientService;
 use super::service_state::ServiceState;
 use tokio::time::{sleep_until, Instant};
 
-impl ClientSide {
-    /// Accepts connections while clients may still come, ends the open ones, and leaves the fleet.
+impl ClientService {
+    /// Ends the service, in four steps whose times are computed in `weldworks_control::drain`:
+    ///
+    /// 1. Accepts connections until the accept deadline, which moves with each accept.
+    /// 2. Own listener: accepts the rest of the kernel's queue, until the shutdown deadline at the latest. Shared listener: leaves
+    ///    the queue to the successor.
+    /// 3. Waits for all connections. Idle ones are closed within the idle limit, and open requests are answered by the shutdown
+    ///    deadline unless their body is still arriving. A streamed response ends only by its client or endpoint, so this step has no
+    ///    upper bound of its own.
+    /// 4. Ends the fleet session.
     pub(super) async fn shut_down(self) {
-        let ClientSide { handle, server, service, fleet, listener, ownership } = self;
+        let ClientService { handle, server, service, fleet, listener, ownership } = self;
         tokio::select! {
             biased; // the deadline first: once it has passed no connection may be accepted
             () = wait_for_accept_deadline(&service) => {}
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -2,7 +2,7 @@
 
 use super::listeners::{listen_for_admin, listen_for_clients, listen_for_peers, ListenerOwnership};
 use super::reload::{longest_deadline, ConfigReloader};
-use super::running::{ClientSide, Gateway};
+use super::running::{ClientService, Gateway};
 use super::service_state::ServiceState;
 use super::ServeError;
 use crate::config::config_error::ConfigError;
@@ -76,7 +76,7 @@
     let server = Rc::new(Server::new(handle.clone(), request_settings, &budget, service.clone()));
     let reloader =
         ConfigReloader::new(config.document, classes, handle.clone(), server.clone(), service.clone());
-    let clients = ClientSide { handle, server, service, fleet, listener, ownership };
+    let clients = ClientService { handle, server, service, fleet, listener, ownership };
     Ok(Gateway { engine, pool, clients, link_listener, budget, reloader })
 }
 
--- a/crates/gateway/src/server/admin.rs
+++ b/crates/gateway/src/server/admin.rs
@@ -158,7 +158,7 @@
     }
     match call {
         AdminCall::Metrics => text_response(StatusCode::OK, service.metrics.text()),
-        AdminCall::Readiness => match service.not_ready_reason() {
+        AdminCall::Readiness => match service.cannot_serve_reason() {
             None => text_response(StatusCode::OK, "yes\n".into()),
             Some(reason) => text_response(StatusCode::SERVICE_UNAVAILABLE, format!("no: {reason}\n")),
         },
--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -136,7 +136,7 @@
         let client = Rc::new(ClientLiveness::new(connection.probe.clone()));
         let received = match rest {
             None => {
-                let client_deadline = self.received_at(connection) + head.client_timeout;
+                let client_deadline = self.received_at(connection) + head.answer_timeout;
                 connection.await_next_head();
                 counted.mark_open();
                 if Instant::now() >= client_deadline {
@@ -277,7 +277,7 @@
         buffered,
         rest,
         length: head.body_length,
-        client_timeout: head.client_timeout,
+        answer_timeout: head.answer_timeout,
         counted,
         client: client.clone(),
         timestamps: connection.timestamps.clone(),
--- a/crates/gateway/src/server/http/request_head.rs
+++ b/crates/gateway/src/server/http/request_head.rs
@@ -92,8 +92,9 @@
     /// The client's identifier of the request, `X-Request-ID`.
     pub(super) request_id: HeaderValue,
     pub(super) class: Rc<RegisteredClass>,
-    /// Time from the request's last byte to the response, within the class's deadline.
-    pub(super) client_timeout: Duration,
+    /// Time from the request's last byte by which the gateway answers: the lesser of `X-Timeout` (a number with `m` for milliseconds or
+    /// `u` for microseconds) and the class's deadline, less [`RESPONSE_MARGIN`].
+    pub(super) answer_timeout: Duration,
     /// The client's estimate of the request's cost, `X-Cost`.
     pub(super) cost_hint: Option<Duration>,
     /// Length of the body in bytes, where the head says it.
@@ -126,7 +127,7 @@
             return Err(MalformedRequest::BodyTooLong); // before any of it is read
         }
         let class = classify(head, settings, now)?;
-        let client_timeout = header_text(headers, "x-timeout")
+        let answer_timeout = header_text(headers, "x-timeout")
             .and_then(parse_timeout)
             .ok_or(MalformedRequest::InvalidTimeout)?
             .min(class.class.deadline)
@@ -135,7 +136,7 @@
             return Err(MalformedRequest::UnexpectedBody);
         }
         let cost_hint = parse_cost(headers)?;
-        Ok(RequestHead { request_id, class, client_timeout, cost_hint, body_length })
+        Ok(RequestHead { request_id, class, answer_timeout, cost_hint, body_length })
     }
 }
 
--- a/crates/gateway/src/upstream/deadline.rs
+++ b/crates/gateway/src/upstream/deadline.rs
@@ -24,8 +24,8 @@
         self.moved.notify_one();
     }
 
-    /// Moves it to this instant, where that is earlier.
-    pub fn bring_forward(&self, at: Instant) {
+    /// Shortens it to this instant, where that is earlier.
+    pub fn shorten_to(&self, at: Instant) {
         self.set(self.get().min(at));
     }
 
--- a/crates/gateway/src/upstream/response_wait.rs
+++ b/crates/gateway/src/upstream/response_wait.rs
@@ -112,5 +112,5 @@
 fn body_stall_deadline(upload: &StreamingUpload) -> Option<Instant> {
     let endpoint_deadline = upload.endpoint_deadline()?;
     // The client may have written the last byte long ago, and its own timeout counts from then.
-    Some(endpoint_deadline.min(upload.last_byte_not_before() + upload.client_timeout))
+    Some(endpoint_deadline.min(upload.last_byte_not_before() + upload.answer_timeout))
 }
