--- a/crates/gateway/src/body/request_body.rs
+++ b/crates/gateway/src/body/request_body.rs
@@ -25,7 +25,7 @@
     pub method: Method,
     /// Its path and query.
     pub uri: Uri,
-    /// Its end-to-end headers.
+    /// Its headers of the protocol, an allow list. All others, `Content-Type` among them, are dropped.
     pub headers: HeaderMap,
     /// Its body.
     pub body: RequestPayload,
--- a/crates/gateway/src/body/response_body.rs
+++ b/crates/gateway/src/body/response_body.rs
@@ -1,7 +1,7 @@
 //! An endpoint's response, and its body as it is written to the client.
 
 use super::buffered_frame;
-use crate::metrics::{CountedRequest, RequestEnding};
+use crate::metrics::{RequestEnding, RequestMetricsGuard};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::header::HeaderMap;
@@ -43,7 +43,7 @@
         /// Whether the end has been reached.
         is_over: bool,
         /// Counts the request as open until then.
-        counted: Option<CountedRequest>,
+        metrics_guard: Option<RequestMetricsGuard>,
         /// Whatever has to last as long as the body does.
         guard: Option<Box<dyn Any>>,
     },
@@ -52,7 +52,13 @@
 impl ResponseBody {
     /// A body that is streamed, of this length in bytes where that is known.
     pub fn streaming(length: Option<u64>, chunks: mpsc::Receiver<ResponseChunk>) -> ResponseBody {
-        ResponseBody::Streaming { remaining: length, chunks, is_over: false, counted: None, guard: None }
+        ResponseBody::Streaming {
+            remaining: length,
+            chunks,
+            is_over: false,
+            metrics_guard: None,
+            guard: None,
+        }
     }
 }
 
@@ -67,12 +73,12 @@
         match &mut *self {
             ResponseBody::Buffered(bytes) => buffered_frame(bytes),
             ResponseBody::Streaming { is_over: true, .. } => Poll::Ready(None),
-            ResponseBody::Streaming { remaining, chunks, is_over, counted, .. } => {
+            ResponseBody::Streaming { remaining, chunks, is_over, metrics_guard, .. } => {
                 let chunk = ready!(chunks.poll_recv(cx));
                 if let Some(ending) = ending_with(chunk.as_ref(), remaining) {
                     *is_over = true;
-                    if let Some(counted) = counted.take() {
-                        counted.finish(ending);
+                    if let Some(metrics_guard) = metrics_guard.take() {
+                        metrics_guard.finish(ending);
                     }
                 }
                 Poll::Ready(match chunk {
--- a/crates/gateway/src/body/streaming_upload.rs
+++ b/crates/gateway/src/body/streaming_upload.rs
@@ -1,8 +1,8 @@
 //! A client's body that is streamed to an endpoint while it arrives.
 
-use crate::metrics::CountedRequest;
+use crate::metrics::RequestMetricsGuard;
 use crate::transport::client_liveness::ClientLiveness;
-use crate::transport::instrumented_stream::IoTimestamps;
+use crate::transport::instrumented_stream::IoState;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use std::cell::{Cell, RefCell};
@@ -16,7 +16,7 @@
 
 /// How long the last byte may have waited unread before the client has to be looked for: the unread bytes may be all that the client
 /// wrote before it disconnected. An attempt begins with the last byte, and none may begin more than 0.1 s after its client has
-/// disconnected.
+/// disconnected; this is half of that, as is `ASSUMED_CONNECTED_AFTER_READ` for buffered bodies.
 const MAX_UNREAD_BEFORE_CLIENT_CHECK: Duration = Duration::from_millis(50);
 
 /// A wait of at least this long shows that what ends it arrived just then. What is there sooner may have lain unread.
@@ -33,11 +33,11 @@
     /// Time from the last byte by which the gateway answers.
     pub answer_timeout: Duration,
     /// Counts the request as open from its last byte on.
-    pub counted: CountedRequest,
+    pub metrics_guard: RequestMetricsGuard,
     /// The client.
     pub client: Rc<ClientLiveness>,
     /// The I/O on the client's connection.
-    pub timestamps: Rc<IoTimestamps>,
+    pub io_state: Rc<IoState>,
 }
 
 /// A client's body that is streamed while it arrives.
@@ -53,13 +53,13 @@
     /// Time from the last byte by which the gateway answers.
     pub answer_timeout: Duration,
     pub(super) client: Rc<ClientLiveness>,
-    timestamps: Rc<IoTimestamps>,
+    io_state: Rc<IoState>,
     /// Since when more data is waited for.
     waiting_since: Cell<Option<Instant>>,
     /// When data last arrived after a wait.
     fresh_data_at: Cell<Option<Instant>>,
     /// Counts the request as open from its last byte on.
-    counted: RefCell<Option<CountedRequest>>,
+    metrics_guard: RefCell<Option<RequestMetricsGuard>>,
 }
 
 impl StreamingUpload {
@@ -73,32 +73,32 @@
             start: Instant::now(),
             answer_timeout: source.answer_timeout,
             client: source.client,
-            timestamps: source.timestamps,
+            io_state: source.io_state,
             waiting_since: Cell::new(None),
             fresh_data_at: Cell::new(None),
-            counted: RefCell::new(Some(source.counted)),
+            metrics_guard: RefCell::new(Some(source.metrics_guard)),
         }
     }
 
-    /// The data that was read last arrived after this moment, and with it perhaps the last byte: while nobody reads, nobody knows.
-    pub fn last_byte_not_before(&self) -> Instant {
-        let known = [self.timestamps.received_after.get(), self.fresh_data_at.get()];
+    /// Lower bound of when the body's last byte arrived: when the socket was last seen empty before the latest read.
+    pub fn earliest_last_byte_at(&self) -> Instant {
+        let known = [self.io_state.last_empty_before_read.get(), self.fresh_data_at.get()];
         known.into_iter().flatten().fold(self.start, Instant::max)
     }
 
     /// What is left of the answer timeout, at least.
     pub fn time_left(&self) -> Duration {
-        self.answer_timeout.saturating_sub(self.last_byte_not_before().elapsed())
+        self.answer_timeout.saturating_sub(self.earliest_last_byte_at().elapsed())
     }
 
     /// Whether the last byte may have waited so long that the client has disconnected since.
     pub(super) fn may_be_abandoned(&self) -> bool {
-        self.last_byte_not_before().elapsed() >= MAX_UNREAD_BEFORE_CLIENT_CHECK
+        self.earliest_last_byte_at().elapsed() >= MAX_UNREAD_BEFORE_CLIENT_CHECK
     }
 
-    /// Takes what counts the request, for whoever ends it.
-    pub fn take_counted_request(&self) -> Option<CountedRequest> {
-        self.counted.take()
+    /// Takes the guard that counts the request, for whoever ends it.
+    pub fn take_metrics_guard(&self) -> Option<RequestMetricsGuard> {
+        self.metrics_guard.take()
     }
 
     /// Reads and drops the rest for up to `limit`: a client that is still writing would otherwise be cut off before it has read that
@@ -182,8 +182,8 @@
             return;
         }
         transfer.record_end();
-        if let Some(counted) = &mut *self.counted.borrow_mut() {
-            counted.mark_open();
+        if let Some(metrics_guard) = &mut *self.metrics_guard.borrow_mut() {
+            metrics_guard.mark_open();
         }
     }
 }
--- a/crates/gateway/src/discovery/line_reader.rs
+++ b/crates/gateway/src/discovery/message_reader.rs
@@ -31,7 +31,7 @@
 /// Collects bytes and splits them into messages. Each byte is looked at once, so that a long list in many pieces costs no more than
 /// in one.
 #[derive(Debug, Default)]
-pub struct LineReader {
+pub struct WatchMessageReader {
     buffer: Vec<u8>,
     /// Where the next message begins in the buffer.
     message_start: usize,
@@ -44,7 +44,7 @@
     escaped: bool,
 }
 
-impl LineReader {
+impl WatchMessageReader {
     /// Appends bytes that have been received.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.message_start);
@@ -87,7 +87,10 @@
                 self.depth = 1;
                 Ok(false)
             }
-            _ => Err(serde_json::Error::custom(format!("byte {byte} in place of one")).into()),
+            _ => Err(serde_json::Error::custom(format!(
+                "expected a JSON object or an empty line, got byte {byte:#04x}"
+            ))
+            .into()),
         }
     }
 
--- a/crates/gateway/src/discovery/line_reader/tests.rs
+++ b/crates/gateway/src/discovery/message_reader/tests.rs
@@ -5,7 +5,7 @@
 
 /// Reads a text cut into pieces of these lengths by turns; returns the indexes of its lists, and how many keep-alives there were.
 fn read_all(text: &[u8], cuts: &[usize]) -> Result<(Vec<u64>, usize), ListError> {
-    let mut reader = LineReader::default();
+    let mut reader = WatchMessageReader::default();
     let mut rest = text;
     let mut cut = cuts.iter().cycle();
     let mut indexes = Vec::new();
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,5 +1,5 @@
 //! Service discovery: the endpoint lists that the registry sends, and the watch that receives them.
 
 pub mod endpoint_list;
-pub mod line_reader;
+pub mod message_reader;
 pub mod watch;
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! A watch on discovery: one connection over which lists, deltas and keep-alives arrive until it fails.
 
 use super::endpoint_list::EndpointList;
-use super::line_reader::{LineReader, ListError, WatchMessage};
+use super::message_reader::{ListError, WatchMessage, WatchMessageReader};
 use crate::engine::message::{EngineHandle, Message};
 use crate::transport::stream::Stream;
 use bytes::Bytes;
@@ -154,7 +154,7 @@
         reporter: &WatchEndReporter,
     ) -> Result<(), WatchError> {
         let mut body = response.into_body();
-        let mut reader = LineReader::default();
+        let mut reader = WatchMessageReader::default();
         let mut deadline = first_deadline;
         let mut is_first = true;
         loop {
--- a/crates/gateway/src/engine/attempt_reporter.rs
+++ b/crates/gateway/src/engine/attempt_reporter.rs
@@ -31,9 +31,12 @@
         let attempt = self.attempt;
         self.engine.send(match progress {
             AttemptProgress::BodyForwardingStarted => Message::BodyForwardingStarted(request),
-            AttemptProgress::BodyForwarded { received_after } => {
+            AttemptProgress::BodyForwarded { earliest_last_byte_at } => {
                 self.latency_since.set(Instant::now());
-                Message::BodyForwarded { request, client_deadline: received_after + self.answer_timeout }
+                Message::BodyForwarded {
+                    request,
+                    client_deadline: earliest_last_byte_at + self.answer_timeout,
+                }
             }
             AttemptProgress::ResponseStarted { response, first_byte_at, load_report } => {
                 let latency = first_byte_at.saturating_duration_since(self.latency_since.get());
--- a/crates/gateway/src/engine/endpoint_updates.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -99,7 +99,7 @@
         storm.set_endpoints(self.handle.balancer_time(Instant::now()), &started);
     }
 
-    /// Closes idle connections to endpoints that take nothing new, and publishes whether any does.
+    /// Closes idle connections to endpoints that accept no new requests, and publishes whether any endpoint does.
     fn close_connections_to_unavailable(&self) {
         let is_active = |id: EndpointId| {
             self.endpoints.get(id.0 as usize).is_some_and(|endpoint| endpoint.is_active.get())
--- a/crates/gateway/src/engine/message.rs
+++ b/crates/gateway/src/engine/message.rs
@@ -226,12 +226,12 @@
         RequestId(self.last_request.get())
     }
 
-    /// A shared flag: whether any endpoint takes new requests.
+    /// A shared flag: whether any endpoint accepts new requests.
     pub fn has_active_endpoint(&self) -> Rc<Cell<bool>> {
         self.has_active_endpoint.clone()
     }
 
-    /// Sets whether any endpoint takes new requests.
+    /// Sets whether any endpoint accepts new requests.
     pub fn set_has_active_endpoint(&self, has_active_endpoint: bool) {
         self.has_active_endpoint.set(has_active_endpoint);
     }
--- a/crates/gateway/src/lifecycle/running.rs
+++ b/crates/gateway/src/lifecycle/running.rs
@@ -77,9 +77,9 @@
             tokio::join!(
                 participating,
                 engine.run(),
-                pool.close_expired(idle_close_reporter(&handle)),
-                server.measure_accept_delay(),
-                server.close_expired(),
+                pool.run_expiry_loop(idle_close_reporter(&handle)),
+                server.measure_event_loop_delay(),
+                server.run_expiry_loop(),
                 reloading,
                 coordinating
             )
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -21,18 +21,19 @@
     }
 }
 
-/// A request that is counted, once, when it ends. One that is dropped before has lost its client, and is not counted.
+/// Counts a request once, by how it ends. Dropped before [`RequestMetricsGuard::finish`] it counts nothing, since the client has
+/// disconnected; dropped by a panic it counts a failed request.
 #[derive(Debug)]
-pub struct CountedRequest {
+pub struct RequestMetricsGuard {
     metrics: Rc<Metrics>,
     class: Rc<RegisteredClass>,
     open: Option<OpenRequest>,
 }
 
-impl CountedRequest {
+impl RequestMetricsGuard {
     /// A request of the class, which is not open yet.
-    pub fn new(metrics: Rc<Metrics>, class: Rc<RegisteredClass>) -> CountedRequest {
-        CountedRequest { metrics, class, open: None }
+    pub fn new(metrics: Rc<Metrics>, class: Rc<RegisteredClass>) -> RequestMetricsGuard {
+        RequestMetricsGuard { metrics, class, open: None }
     }
 
     /// Counts the request as open, once its last byte has arrived.
@@ -48,7 +49,7 @@
     }
 }
 
-impl Drop for CountedRequest {
+impl Drop for RequestMetricsGuard {
     fn drop(&mut self) {
         if std::thread::panicking() {
             // The client is answered with status 500.
--- a/crates/gateway/src/metrics/tests.rs
+++ b/crates/gateway/src/metrics/tests.rs
@@ -49,9 +49,9 @@
     let class = weldworks_balancer::RequestClass::new(std::time::Duration::ZERO, std::time::Duration::ZERO);
     let class = Rc::new(RegisteredClass { name: "look".into(), number: 0, class });
     let open_request = || {
-        let mut counted = CountedRequest::new(metrics.clone(), class.clone());
-        counted.mark_open();
-        counted
+        let mut metrics_guard = RequestMetricsGuard::new(metrics.clone(), class.clone());
+        metrics_guard.mark_open();
+        metrics_guard
     };
     let panics = std::panic::AssertUnwindSafe(|| {
         let _counted = open_request();
--- a/crates/gateway/src/server/http/accept.rs
+++ b/crates/gateway/src/server/http/accept.rs
@@ -63,7 +63,7 @@
                 Err(error) => {
                     self.accept_queue.record_waiting();
                     let failure = accept_failure(&error);
-                    if failure == AcceptFailure::OneConnection {
+                    if failure == AcceptFailure::ConnectionFailed {
                         yield_now().await;
                         continue;
                     }
@@ -99,7 +99,7 @@
             };
             match accept_failure(&error) {
                 _ if error.kind() == io::ErrorKind::WouldBlock => return,
-                AcceptFailure::OneConnection => yield_now().await,
+                AcceptFailure::ConnectionFailed => yield_now().await,
                 failure => {
                     warn!(%error, retry_delay = ?ACCEPT_RETRY_DELAY, "accept failed during shutdown, retrying");
                     self.recover_from(failure).await;
@@ -118,7 +118,7 @@
 
     /// Waits before the next accept, with one connection closed if the system lacks descriptors or memory.
     async fn recover_from(&self, failure: AcceptFailure) {
-        if failure == AcceptFailure::NoRoom {
+        if failure == AcceptFailure::ResourcesExhausted {
             self.clients.close_longest_idle();
         }
         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -129,11 +129,11 @@
         self.service.record_accept();
         self.engine.record_connection();
         let _ = stream.set_nodelay(true);
-        let (stream, timestamps) = InstrumentedStream::new(stream);
+        let (stream, io_state) = InstrumentedStream::new(stream);
         let (stream, framing) = stream.with_framing(MessageFraming::default());
         let probe = stream.probe();
         let idle_since = Some(Instant::now());
-        timestamps.first_read_at.set(idle_since); // the first head is awaited from now on
+        io_state.first_read_at.set(idle_since); // the first head is awaited from now on
         let accepted_at = Instant::now();
         let connection = Rc::new(ClientConnection {
             probe,
@@ -146,7 +146,7 @@
             is_closing: Cell::new(false),
             close_requested: Notify::new(),
             abort_requested: Notify::new(),
-            timestamps,
+            io_state,
             framing,
         });
         self.clients.insert(connection.clone());
--- a/crates/gateway/src/server/http/client_connection.rs
+++ b/crates/gateway/src/server/http/client_connection.rs
@@ -1,7 +1,7 @@
 //! What the server knows of one connection from a client.
 
 use crate::transport::descriptor_budget::DescriptorPermit;
-use crate::transport::instrumented_stream::{IoTimestamps, SocketProbe};
+use crate::transport::instrumented_stream::{IoState, SocketProbe};
 use crate::transport::message_framing::MessageFraming;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -31,7 +31,7 @@
     pub(super) close_requested: Notify,
     /// Asks for an immediate close if no request has arrived completely.
     pub(super) abort_requested: Notify,
-    pub(super) timestamps: Rc<IoTimestamps>,
+    pub(super) io_state: Rc<IoState>,
     pub(super) framing: Rc<RefCell<MessageFraming>>,
 }
 
@@ -40,20 +40,20 @@
     /// connection. The poller may report the data of a new connection a turn later than the connection, hence the window.
     pub(super) fn data_queued_since(&self) -> Option<Instant> {
         let read_with_accept = |read_at: Instant| read_at <= self.accepted_at + READ_WITH_ACCEPT_WINDOW;
-        self.queued_since.filter(|_| self.timestamps.last_read_at.get().is_some_and(read_with_accept))
+        self.queued_since.filter(|_| self.io_state.last_read_at.get().is_some_and(read_with_accept))
     }
 
     /// Starts the time of the next head: a request has arrived completely, so whatever was read beyond it belongs to the next. A head
     /// that has begun already arrived with the last read at the latest.
     pub(super) fn await_next_head(&self) {
         let has_begun = self.framing.borrow().is_inside();
-        self.timestamps.first_read_at.set(self.timestamps.last_read_at.get().filter(|_| has_begun));
+        self.io_state.first_read_at.set(self.io_state.last_read_at.get().filter(|_| has_begun));
     }
 
     /// Whether another complete request has been read behind the one in flight. It must be answered too, so the connection must not
     /// end with the current response.
     pub(super) fn has_pipelined_request(&self) -> bool {
-        self.framing.borrow().is_ahead_of(self.request_count.get())
+        self.framing.borrow().has_message_after(self.request_count.get())
     }
 
     /// Asks the connection's task to close it gracefully.
@@ -80,11 +80,11 @@
 
     /// Whether a request head has begun to arrive, or the first one is awaited.
     pub(super) fn awaits_head(&self) -> bool {
-        self.timestamps.first_read_at.get().is_some()
+        self.io_state.first_read_at.get().is_some()
     }
 
     /// Whether nothing has been read from it yet.
     pub(super) fn is_unused(&self) -> bool {
-        self.timestamps.last_read_at.get().is_none()
+        self.io_state.last_read_at.get().is_none()
     }
 }
--- a/crates/gateway/src/server/http/client_table.rs
+++ b/crates/gateway/src/server/http/client_table.rs
@@ -160,18 +160,18 @@
     }
 
     /// Closes connections whose time is over, until it is dropped.
-    pub(super) async fn close_expired(&self, service: &ServiceState) {
+    pub(super) async fn run_expiry_loop(&self, service: &ServiceState) {
         loop {
             let is_draining = service.idle_limit().is_some();
             let interval = if is_draining { SWEEP_INTERVAL_WHILE_DRAINING } else { SWEEP_INTERVAL };
             tokio::time::sleep(interval).await;
-            self.close_idle_while_draining(service);
-            self.close_overdue();
+            self.close_idle_for_drain(service);
+            self.close_timed_out();
         }
     }
 
     /// Closes connections that are idle for longer than a draining gateway allows.
-    fn close_idle_while_draining(&self, service: &ServiceState) {
+    fn close_idle_for_drain(&self, service: &ServiceState) {
         let Some(idle_limit) = service.idle_limit() else { return };
         let awaits_first_request = service.awaits_first_request();
         let connections = self.connections.borrow();
@@ -188,13 +188,13 @@
     }
 
     /// Aborts connections whose head is overdue and closes those that are idle for too long.
-    fn close_overdue(&self) {
+    fn close_timed_out(&self) {
         let connections = self.connections.borrow();
         let idle = connections.iter().filter(|connection| connection.is_open_and_idle());
         let (awaiting_head, mut between_requests): (Vec<_>, Vec<_>) =
             idle.partition(|connection| connection.awaits_head());
         for connection in awaiting_head {
-            let head_since = connection.timestamps.first_read_at.get();
+            let head_since = connection.io_state.first_read_at.get();
             if head_since.is_some_and(|since| since.elapsed() >= HEAD_TIMEOUT) {
                 connection.request_abort();
             }
--- a/crates/gateway/src/server/http/connection.rs
+++ b/crates/gateway/src/server/http/connection.rs
@@ -22,7 +22,8 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// Time that a connection to be closed has for a message under way.
+/// Time that a connection has after a graceful close to write a response or to complete a head. It starts again while a request is in
+/// flight.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How a connection leaves normal service.
@@ -44,7 +45,7 @@
         let service = service_fn(|request| {
             let server = self.clone();
             let client = client.clone();
-            async move { Ok::<_, Infallible>(server.answer_on_connection(request, &client).await) }
+            async move { Ok::<_, Infallible>(server.respond_on_connection(request, &client).await) }
         });
         let connection = http1::Builder::new()
             .max_buf_size(MAX_READ_AHEAD_BYTES)
@@ -73,7 +74,7 @@
     }
 
     /// Answers a request and decides whether the connection is kept alive after it.
-    async fn answer_on_connection(
+    async fn respond_on_connection(
         self: &Rc<Self>,
         request: Request<Incoming>,
         client: &Rc<ClientConnection>,
@@ -82,7 +83,7 @@
         client.request_count.set(client.request_count.get() + 1);
         self.clients.set_keep_alive(client, KeepAlive::NotIdle);
         let slot = self.clients.claim_client_slot(client);
-        let mut response = respond_despite_panic(self.answer(request, slot, client)).await;
+        let mut response = respond_despite_panic(self.respond(request, slot, client)).await;
         if self.closes_after_response(slot, client) {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
@@ -91,7 +92,7 @@
         } else {
             KeepAlive::Idle
         };
-        let in_use = InUse { server: self.clone(), client: client.clone(), keep_alive };
+        let in_use = InUseGuard { server: self.clone(), client: client.clone(), keep_alive };
         // A streamed response keeps its connection in use until its body ends; any other is complete already.
         if let ResponseBody::Streaming { guard, .. } = response.body_mut() {
             *guard = Some(Box::new(in_use));
@@ -159,14 +160,15 @@
     .await
 }
 
-/// Marks a connection idle when dropped: its response, or the body of it, is complete.
-struct InUse {
+/// Marks a connection idle when dropped: a buffered response has been handed to the HTTP library, which may not have written it yet, or
+/// a streamed one has ended.
+struct InUseGuard {
     server: Rc<Server>,
     client: Rc<ClientConnection>,
     keep_alive: KeepAlive,
 }
 
-impl Drop for InUse {
+impl Drop for InUseGuard {
     fn drop(&mut self) {
         self.client.idle_since.set(Some(Instant::now()));
         self.server.clients.set_keep_alive(&self.client, self.keep_alive);
@@ -174,7 +176,7 @@
         self.client.is_closing.set(false);
         // A head that has begun meanwhile keeps its start: its client gets no more time because an endpoint was slow.
         if !self.client.framing.borrow().is_inside() {
-            self.client.timestamps.first_read_at.set(None);
+            self.client.io_state.first_read_at.set(None);
         }
     }
 }
--- a/crates/gateway/src/server/http/mod.rs
+++ b/crates/gateway/src/server/http/mod.rs
@@ -57,17 +57,17 @@
         self.settings.replace(Rc::new(settings));
     }
 
-    /// Closes idle connections and connections whose request head is overdue, until it is dropped.
-    pub async fn close_expired(&self) {
-        self.clients.close_expired(&self.service).await;
+    /// Runs until it is dropped, and closes idle connections and connections whose request head is overdue.
+    pub async fn run_expiry_loop(&self) {
+        self.clients.run_expiry_loop(&self.service).await;
     }
 
     /// Measures how late the event loop runs, until it is dropped.
-    pub async fn measure_accept_delay(&self) {
+    pub async fn measure_event_loop_delay(&self) {
         self.event_loop_delay.measure().await;
     }
 
-    /// Waits until the last connection has ended. Idle ones are closed by [`Self::close_expired`].
+    /// Waits until the last connection has ended. Idle ones are closed by [`Self::run_expiry_loop`].
     pub async fn finish_connections(&self) {
         self.clients.wait_until_empty().await;
     }
--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -4,16 +4,14 @@
 use super::client_table::ConnectionSlot;
 use super::request_head::{header_text, MalformedRequest, RequestHead};
 use super::request_settings::RequestSettings;
-use super::response::{
-    answer_response, plain_response, with_connection_close, AnsweredRequest, ConnectionUse,
-};
+use super::response::{plain_response, response_for, with_connection_close, AnsweredRequest, ConnectionUse};
 use super::Server;
 use crate::body::{
     buffer_body, BufferedBody, ForwardedRequest, RequestPayload, ResponseBody, StreamingUpload, UploadSource,
 };
 use crate::engine::message::{Arrival, EngineHandle, FinalAnswer, Message};
 use crate::limits::MAX_BUFFERED_BODY_BYTES;
-use crate::metrics::{CountedRequest, RequestEnding};
+use crate::metrics::{RequestEnding, RequestMetricsGuard};
 use crate::transport::client_liveness::ClientLiveness;
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -50,7 +48,7 @@
 /// How far the body of a request has been received when the engine gets the request.
 enum Receipt {
     /// Completely; the request is counted with its answer.
-    Complete(CountedRequest),
+    Complete(RequestMetricsGuard),
     /// In part; the rest is streamed.
     Streaming(Rc<StreamingUpload>),
 }
@@ -80,7 +78,7 @@
 
 impl Server {
     /// The response to a request.
-    pub(super) async fn answer(
+    pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
         slot: ConnectionSlot,
@@ -115,7 +113,7 @@
             self.service.metrics.record_ending(class, RequestEnding::Rejected);
         }
         let retry_after = self.settings.borrow().overflow_retry_after;
-        answer_response(FinalAnswer::Rejected { retry_after })
+        response_for(FinalAnswer::Rejected { retry_after })
     }
 
     /// Receives a request and has the engine answer it.
@@ -132,27 +130,27 @@
         if parts.method == Method::GET && !buffered.is_empty() {
             return Err(MalformedRequest::UnexpectedBody);
         }
-        let mut counted = CountedRequest::new(self.service.metrics.clone(), head.class.clone());
+        let mut metrics_guard = RequestMetricsGuard::new(self.service.metrics.clone(), head.class.clone());
         let client = Rc::new(ClientLiveness::new(connection.probe.clone()));
         let received = match rest {
             None => {
                 let client_deadline = self.received_at(connection) + head.answer_timeout;
                 connection.await_next_head();
-                counted.mark_open();
+                metrics_guard.mark_open();
                 if Instant::now() >= client_deadline {
                     let timeout = FinalAnswer::Failed(StatusCode::GATEWAY_TIMEOUT);
-                    return Ok(AnsweredRequest::new(timeout, counted, ConnectionUse::KeepAlive));
+                    return Ok(AnsweredRequest::new(timeout, metrics_guard, ConnectionUse::KeepAlive));
                 }
                 let payload = RequestPayload::Buffered(buffered);
-                ReceivedRequest { payload, receipt: Receipt::Complete(counted), client_deadline }
+                ReceivedRequest { payload, receipt: Receipt::Complete(metrics_guard), client_deadline }
             }
-            Some(rest) => start_upload(buffered, rest, &head, counted, &client, connection),
+            Some(rest) => start_upload(buffered, rest, &head, metrics_guard, &client, connection),
         };
         let ReceivedRequest { payload, receipt, client_deadline } = received;
         let request = self.balancer_request(&parts.headers, &head, &receipt, client_deadline);
         let forward = forwarded_request(parts, payload);
         let RequestHead { request_id, class, .. } = head;
-        let answer = self.request_answer(request, request_id, class.clone(), forward, client).await;
+        let answer = self.ask_engine(request, request_id, class.clone(), forward, client).await;
         self.finish(answer, receipt, class, connection)
     }
 
@@ -172,7 +170,7 @@
     /// The earliest moment at which a request that has just been read completely may have arrived. One behind another request has
     /// waited for that one's response, and its client with it.
     fn received_at(&self, connection: &ClientConnection) -> Instant {
-        let last_read = connection.timestamps.last_read_at.get().unwrap_or_else(Instant::now);
+        let last_read = connection.io_state.last_read_at.get().unwrap_or_else(Instant::now);
         let read_at = last_read - self.event_loop_delay.current();
         connection.data_queued_since().map_or(read_at, |since| read_at.min(since))
     }
@@ -207,7 +205,7 @@
 
     /// Hands a request to the engine and waits for its answer. If dropped before that, the engine learns that the client has
     /// disconnected.
-    async fn request_answer(
+    async fn ask_engine(
         &self,
         request: weldworks_balancer::Request,
         request_id: HeaderValue,
@@ -242,25 +240,25 @@
         connection: &ClientConnection,
     ) -> Result<AnsweredRequest, MalformedRequest> {
         let upload = match receipt {
-            Receipt::Complete(counted) => {
-                return Ok(AnsweredRequest::new(answer, counted, ConnectionUse::KeepAlive));
+            Receipt::Complete(metrics_guard) => {
+                return Ok(AnsweredRequest::new(answer, metrics_guard, ConnectionUse::KeepAlive));
             }
             Receipt::Streaming(upload) => upload,
         };
         let state = upload.state();
-        let counted = upload
-            .take_counted_request()
-            .unwrap_or_else(|| CountedRequest::new(self.service.metrics.clone(), class));
+        let metrics_guard = upload
+            .take_metrics_guard()
+            .unwrap_or_else(|| RequestMetricsGuard::new(self.service.metrics.clone(), class));
         if state == TransferState::Complete {
             connection.await_next_head();
-            return Ok(AnsweredRequest::new(answer, counted, ConnectionUse::KeepAlive));
+            return Ok(AnsweredRequest::new(answer, metrics_guard, ConnectionUse::KeepAlive));
         }
         // A client that is still writing reads its response only once it has finished or can write no more.
         spawn_local(async move { upload.discard(DISCARD_TIMEOUT).await });
         if let TransferState::Failed(error) = state {
             return Err(error.into());
         }
-        Ok(AnsweredRequest::new(answer, counted, ConnectionUse::Close))
+        Ok(AnsweredRequest::new(answer, metrics_guard, ConnectionUse::Close))
     }
 }
 
@@ -269,7 +267,7 @@
     buffered: Bytes,
     rest: Incoming,
     head: &RequestHead,
-    counted: CountedRequest,
+    metrics_guard: RequestMetricsGuard,
     client: &Rc<ClientLiveness>,
     connection: &ClientConnection,
 ) -> ReceivedRequest {
@@ -278,9 +276,9 @@
         rest,
         length: head.body_length,
         answer_timeout: head.answer_timeout,
-        counted,
+        metrics_guard,
         client: client.clone(),
-        timestamps: connection.timestamps.clone(),
+        io_state: connection.io_state.clone(),
     }));
     ReceivedRequest {
         payload: RequestPayload::Streaming(upload.clone()),
--- a/crates/gateway/src/server/http/response.rs
+++ b/crates/gateway/src/server/http/response.rs
@@ -2,7 +2,7 @@
 
 use crate::body::{ResponseBody, UpstreamResponse};
 use crate::engine::message::FinalAnswer;
-use crate::metrics::{CountedRequest, RequestEnding};
+use crate::metrics::{RequestEnding, RequestMetricsGuard};
 use bytes::Bytes;
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
@@ -25,26 +25,26 @@
     /// Counts the request by its answer; a streamed response counts it when its body ends.
     pub(super) fn new(
         mut answer: FinalAnswer,
-        counted: CountedRequest,
+        metrics_guard: RequestMetricsGuard,
         connection: ConnectionUse,
     ) -> AnsweredRequest {
         match &mut answer {
             FinalAnswer::Served(UpstreamResponse {
-                body: ResponseBody::Streaming { counted: slot, .. },
+                body: ResponseBody::Streaming { metrics_guard: slot, .. },
                 ..
             }) => {
-                *slot = Some(counted);
+                *slot = Some(metrics_guard);
             }
-            FinalAnswer::Served(_) => counted.finish(RequestEnding::Served),
-            FinalAnswer::Rejected { .. } => counted.finish(RequestEnding::Rejected),
-            FinalAnswer::Failed(_) => counted.finish(RequestEnding::Failed),
+            FinalAnswer::Served(_) => metrics_guard.finish(RequestEnding::Served),
+            FinalAnswer::Rejected { .. } => metrics_guard.finish(RequestEnding::Rejected),
+            FinalAnswer::Failed(_) => metrics_guard.finish(RequestEnding::Failed),
         }
         AnsweredRequest { answer, connection }
     }
 
     /// The response to the client.
     pub(super) fn into_response(self) -> Response<ResponseBody> {
-        let response = answer_response(self.answer);
+        let response = response_for(self.answer);
         match self.connection {
             ConnectionUse::KeepAlive => response,
             ConnectionUse::Close => with_connection_close(response),
@@ -53,7 +53,7 @@
 }
 
 /// The response to a client for the engine's answer.
-pub(super) fn answer_response(answer: FinalAnswer) -> Response<ResponseBody> {
+pub(super) fn response_for(answer: FinalAnswer) -> Response<ResponseBody> {
     match answer {
         FinalAnswer::Served(served) => {
             let mut response = Response::new(served.body);
--- a/crates/gateway/src/transport/client_liveness.rs
+++ b/crates/gateway/src/transport/client_liveness.rs
@@ -6,7 +6,7 @@
 use tokio::time::Instant;
 
 /// How long after its request was read a client counts as connected without a look at its socket. No attempt may begin more than
-/// 0.1 s after its client has disconnected; this is half of that.
+/// 0.1 s after its client has disconnected; this is half of that, as is `MAX_UNREAD_BEFORE_CLIENT_CHECK` for streamed bodies.
 const ASSUMED_CONNECTED_AFTER_READ: Duration = Duration::from_millis(50);
 
 /// The client of one request.
--- a/crates/gateway/src/transport/descriptor_budget.rs
+++ b/crates/gateway/src/transport/descriptor_budget.rs
@@ -33,8 +33,8 @@
 /// Clients that are only rejected get at most one in this many of the connections that fit into the memory.
 const OVERFLOW_MEMORY_DIVISOR: usize = 5;
 
-/// Idle connections of clients may take one in this many of all descriptors. Clients have a third of all; if idle connections took
-/// that third, too little would be left for active ones.
+/// Idle connections of clients may take one in this many of all descriptors. Clients have at most half of the descriptors for
+/// connections; if idle connections took all of those, too little would be left for active ones.
 const IDLE_CLIENT_DIVISOR: usize = 5;
 
 /// Whether the process serves the admin API, which takes descriptors of its own.
@@ -106,7 +106,9 @@
 }
 
 impl DescriptorBudget {
-    /// Divides what the limits allow. Clients together may fill three quarters of the memory.
+    /// Divides what the limits allow: first the process's own descriptors and those of the admin API are taken off, then clients get
+    /// half of the rest, and endpoints the other half less the overflow. Clients together may fill three quarters of the memory,
+    /// which may leave them fewer.
     pub fn new(limits: &Limits, admin_api: AdminApi) -> DescriptorBudget {
         let admin = match admin_api {
             AdminApi::Enabled => {
--- a/crates/gateway/src/transport/instrumented_stream.rs
+++ b/crates/gateway/src/transport/instrumented_stream.rs
@@ -1,6 +1,6 @@
 //! A TCP stream that records when bytes pass over it: the HTTP library above does not say which bytes were read or written when.
 
-pub use super::io_timestamps::IoTimestamps;
+pub use super::io_state::IoState;
 pub use super::socket_probe::SocketProbe;
 
 use super::socket_probe::peek;
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub struct InstrumentedStream {
     stream: Rc<TcpStream>,
-    timestamps: Rc<IoTimestamps>,
+    io_state: Rc<IoState>,
     /// Follows the messages that are read.
     read_framing: Option<Rc<RefCell<MessageFraming>>>,
     /// Follows the requests that are written, to find their ends.
@@ -44,16 +44,16 @@
 
 impl InstrumentedStream {
     /// Wraps a stream; returns it with the record that it keeps.
-    pub fn new(stream: TcpStream) -> (InstrumentedStream, Rc<IoTimestamps>) {
-        let timestamps = Rc::<IoTimestamps>::default();
+    pub fn new(stream: TcpStream) -> (InstrumentedStream, Rc<IoState>) {
+        let io_state = Rc::<IoState>::default();
         let instrumented = InstrumentedStream {
             stream: Rc::new(stream),
-            timestamps: timestamps.clone(),
+            io_state: io_state.clone(),
             read_framing: None,
             write_framing: None,
             linger_timer: None,
         };
-        (instrumented, timestamps)
+        (instrumented, io_state)
     }
 
     /// A view of the connection for others than the one that reads it.
@@ -77,7 +77,7 @@
     fn has_input(&self) -> bool {
         let peeked = peek(&self.stream);
         if matches!(peeked, Ok(bytes) if bytes > 0) {
-            self.timestamps.last_read_at.set(Some(Instant::now()));
+            self.io_state.last_read_at.set(Some(Instant::now()));
         }
         !matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
@@ -89,7 +89,7 @@
         write: impl Fn(&TcpStream) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         stream::poll_write(&self.stream, cx, |stream| {
-            if self.timestamps.is_past_write_deadline() {
+            if self.io_state.is_past_write_deadline() {
                 return Err(io::ErrorKind::TimedOut.into());
             }
             write(stream)
@@ -103,26 +103,26 @@
         }
         let Some(framing) = &self.write_framing else { return };
         let mut framing = framing.borrow_mut();
-        let messages_before = framing.messages();
+        let messages_before = framing.complete_messages();
         for piece in pieces {
             let written_part = piece.get(..written).unwrap_or(piece);
             framing.follow(written_part);
             written -= written_part.len();
         }
         // A request that can't be followed may be complete, so it counts as that.
-        if framing.messages().is_none() || framing.messages() > messages_before {
-            self.timestamps.write_progress.set(WriteProgress::Complete);
-            self.timestamps.written_at.set(Some(Instant::now()));
-        } else if self.timestamps.write_progress.get() == WriteProgress::Nothing {
-            self.timestamps.write_progress.set(WriteProgress::Partial);
+        if framing.complete_messages().is_none() || framing.complete_messages() > messages_before {
+            self.io_state.write_progress.set(WriteProgress::Complete);
+            self.io_state.written_at.set(Some(Instant::now()));
+        } else if self.io_state.write_progress.get() == WriteProgress::Nothing {
+            self.io_state.write_progress.set(WriteProgress::Partial);
         }
     }
 
     fn record_read(&self) {
         let now = Some(Instant::now());
-        self.timestamps.received_after.set(self.timestamps.last_empty.get());
-        self.timestamps.first_read_at.set(self.timestamps.first_read_at.get().or(now));
-        self.timestamps.last_read_at.set(now);
+        self.io_state.last_empty_before_read.set(self.io_state.last_empty.get());
+        self.io_state.first_read_at.set(self.io_state.first_read_at.get().or(now));
+        self.io_state.last_read_at.set(now);
     }
 }
 
@@ -149,11 +149,11 @@
             // An empty read would mean the end of the stream.
             read = stream::poll_read(&self.stream, cx, buffer);
         }
-        if read.is_pending() && self.timestamps.is_idle.get() && self.has_input() {
+        if read.is_pending() && self.io_state.is_idle.get() && self.has_input() {
             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
         }
         if read.is_pending() {
-            self.timestamps.last_empty.set(Some(Instant::now()));
+            self.io_state.last_empty.set(Some(Instant::now()));
         }
         if buffer.filled().len() > before {
             self.record_read();
--- a/crates/gateway/src/transport/instrumented_stream/tests.rs
+++ b/crates/gateway/src/transport/instrumented_stream/tests.rs
@@ -15,12 +15,12 @@
     "POST /once HTTP/1.1\r\ncontent-length: 0\r\nhost: a\r\n\r\n",
 ];
 
-async fn connected_stream() -> (InstrumentedStream, Rc<IoTimestamps>, TcpStream) {
+async fn connected_stream() -> (InstrumentedStream, Rc<IoState>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     let (near, far) = tokio::join!(TcpStream::connect(address), listener.accept());
-    let (stream, timestamps) = InstrumentedStream::new(near.expect("a connection"));
-    (stream.tracking_requests(), timestamps, far.expect("a connection").0)
+    let (stream, io_state) = InstrumentedStream::new(near.expect("a connection"));
+    (stream.tracking_requests(), io_state, far.expect("a connection").0)
 }
 
 /// Writes a piece, as one buffer or as several.
@@ -48,32 +48,32 @@
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async {
-            let (mut stream, timestamps, _far) = connected_stream().await;
+            let (mut stream, io_state, _far) = connected_stream().await;
             let mut cuts = cuts.iter().cycle();
             for kind in kinds {
                 let text = REQUESTS[kind].as_bytes();
-                timestamps.begin_request(None);
+                io_state.begin_request(None);
                 let mut written = 0;
                 while written < text.len() {
                     let wanted = match written {
                         0 => WriteProgress::Nothing,
                         _ => WriteProgress::Partial,
                     };
-                    prop_assert_eq!(timestamps.write_progress.get(), wanted, "{} of {:?}", written, REQUESTS[kind]);
+                    prop_assert_eq!(io_state.write_progress.get(), wanted, "{} of {:?}", written, REQUESTS[kind]);
                     for ended in [AttemptEnd::Withheld, AttemptEnd::ConnectionFailed, AttemptEnd::TimedOut, AttemptEnd::Answered(ResponseVerdict::Served)] {
-                        prop_assert!(classify_attempt(timestamps.write_progress.get(), ended).proves_not_processed());
+                        prop_assert!(classify_attempt(io_state.write_progress.get(), ended).proves_not_processed());
                     }
                     let (cut, buffers) = *cuts.next().expect("endless");
                     let piece = &text[written..text.len().min(written + cut)];
                     written += write(&mut stream, piece, buffers).await.expect("written");
                 }
-                prop_assert_eq!(timestamps.write_progress.get(), WriteProgress::Complete, "{:?}", REQUESTS[kind]);
-                prop_assert!(timestamps.written_at.get().is_some());
+                prop_assert_eq!(io_state.write_progress.get(), WriteProgress::Complete, "{:?}", REQUESTS[kind]);
+                prop_assert!(io_state.written_at.get().is_some());
                 for ended in [
                     AttemptEnd::Withheld, AttemptEnd::ConnectionFailed, AttemptEnd::TimedOut, AttemptEnd::Cancelled,
                     AttemptEnd::Answered(ResponseVerdict::Served), AttemptEnd::Answered(ResponseVerdict::Error),
                 ] {
-                    prop_assert!(!classify_attempt(timestamps.write_progress.get(), ended).proves_not_processed(), "{:?}", ended);
+                    prop_assert!(!classify_attempt(io_state.write_progress.get(), ended).proves_not_processed(), "{:?}", ended);
                 }
             }
             Ok(())
@@ -86,27 +86,25 @@
 async fn nothing_is_written_after_the_write_deadline() {
     let text = REQUESTS[1].as_bytes();
     for already in [0, 20, text.len() - 1] {
-        let (mut stream, timestamps, mut far) = connected_stream().await;
-        timestamps.begin_request(Some(Instant::now() + Duration::from_secs(3600)));
+        let (mut stream, io_state, mut far) = connected_stream().await;
+        io_state.begin_request(Some(Instant::now() + Duration::from_secs(3600)));
         let mut written = 0;
         while written < already {
             written += write(&mut stream, &text[written..already], 1).await.expect("in time");
         }
-        timestamps.write_by.set(Some(Instant::now()));
-        assert!(timestamps.is_past_write_deadline());
+        io_state.write_by.set(Some(Instant::now()));
+        assert!(io_state.is_past_write_deadline());
         let late = write(&mut stream, &text[already..], 1 + already % 2).await;
         assert_eq!(late.map_err(|error| error.kind()), Err(io::ErrorKind::TimedOut), "after {already}");
-        assert!(
-            classify_attempt(timestamps.write_progress.get(), AttemptEnd::Withheld).proves_not_processed()
-        );
+        assert!(classify_attempt(io_state.write_progress.get(), AttemptEnd::Withheld).proves_not_processed());
         drop(stream);
         let mut received = Vec::new();
         far.read_to_end(&mut received).await.expect("its end");
         assert_eq!(received, &text[..already]);
     }
-    let (mut stream, timestamps, _far) = connected_stream().await;
-    timestamps.begin_request(Some(Instant::now() + Duration::from_secs(3600)));
+    let (mut stream, io_state, _far) = connected_stream().await;
+    io_state.begin_request(Some(Instant::now() + Duration::from_secs(3600)));
     assert_eq!(write(&mut stream, text, 1).await.expect("in time"), text.len());
-    timestamps.write_by.set(Some(Instant::now()));
-    assert!(!timestamps.is_past_write_deadline(), "it is complete");
+    io_state.write_by.set(Some(Instant::now()));
+    assert!(!io_state.is_past_write_deadline(), "it is complete");
 }
--- a/crates/gateway/src/transport/message_framing.rs
+++ b/crates/gateway/src/transport/message_framing.rs
@@ -61,7 +61,7 @@
     /// In a line of the trailer section that is not empty.
     TrailerLine,
     /// The messages can't be followed from here on.
-    Lost,
+    Untracked,
 }
 
 const START_OF_HEADER: State = State::HeaderName { length: 0 };
@@ -130,18 +130,18 @@
     }
 
     /// How many messages have ended; none where they can't be followed any more.
-    pub fn messages(&self) -> Option<u64> {
-        (self.state != State::Lost).then_some(self.complete_messages)
+    pub fn complete_messages(&self) -> Option<u64> {
+        (self.state != State::Untracked).then_some(self.complete_messages)
     }
 
     /// Whether a message has begun and not ended, as far as messages can be followed.
     pub fn is_inside(&self) -> bool {
-        !matches!(self.state, State::BetweenMessages | State::Lost)
+        !matches!(self.state, State::BetweenMessages | State::Untracked)
     }
 
     /// Whether a complete message has arrived behind the one with this number, counted from 1.
-    pub fn is_ahead_of(&self, number: u64) -> bool {
-        self.messages().is_some_and(|messages| messages > number)
+    pub fn has_message_after(&self, number: u64) -> bool {
+        self.complete_messages().is_some_and(|messages| messages > number)
     }
 
     /// Follows bytes that have been read, and removes the extensions of chunks from them; returns how many bytes are left.
@@ -173,7 +173,7 @@
     fn advance(&mut self, bytes: &[u8]) -> Step {
         let byte = bytes.first().copied().unwrap_or_default();
         match self.state {
-            State::Lost => Step { bytes: bytes.len(), is_extension: false },
+            State::Untracked => Step { bytes: bytes.len(), is_extension: false },
             State::Body { remaining } => {
                 let skipped = remaining.min(bytes.len() as u64);
                 let remaining = remaining - skipped;
@@ -223,7 +223,7 @@
             State::TrailerLineStart if byte == b'\r' => State::TrailerLineStart,
             State::TrailerLine if byte == b'\n' => State::TrailerLineStart,
             State::TrailerLineStart | State::TrailerLine => State::TrailerLine,
-            State::Body { .. } | State::Chunk { .. } | State::Lost => State::Lost,
+            State::Body { .. } | State::Chunk { .. } | State::Untracked => State::Untracked,
         }
     }
 
@@ -298,15 +298,15 @@
                 // Another response follows, or this one has no body.
                 100 | 102..=199 | 204 | 304 => return self.end_message(),
                 // The body goes on to the connection's end, or this is no response at all.
-                _ if !self.has_transfer_encoding && self.content_length.is_none() => return State::Lost,
+                _ if !self.has_transfer_encoding && self.content_length.is_none() => return State::Untracked,
                 200..=599 => {}
-                _ => return State::Lost,
+                _ => return State::Untracked,
             }
         }
         match (self.has_transfer_encoding, self.content_length) {
             (true, Some(_)) => {
                 self.ambiguous_request = Some(self.complete_heads);
-                State::Lost
+                State::Untracked
             }
             (true, None) => START_OF_CHUNK_SIZE,
             (false, Some(length)) if length > 0 => State::Body { remaining: length },
@@ -324,7 +324,7 @@
             State::ChunkSize { size: size * 16 + u64::from(digit), digits: digits + 1 }
         }
         None if digits > 0 && matches!(byte, b'\r' | b';' | b' ' | b'\t') => State::ChunkExtension { size },
-        _ => State::Lost,
+        _ => State::Untracked,
     }
 }
 
--- a/crates/gateway/src/transport/message_framing/tests.rs
+++ b/crates/gateway/src/transport/message_framing/tests.rs
@@ -105,13 +105,13 @@
             framing.follow(&stream.as_bytes()[at..to]);
             at = to;
             let ended = ends.iter().filter(|end| **end <= at).count() as u64;
-            prop_assert_eq!(framing.messages(), Some(ended), "at {}", at);
+            prop_assert_eq!(framing.complete_messages(), Some(ended), "at {}", at);
             if at == stream.len() {
                 break;
             }
         }
         framing.follow(AMBIGUOUS[0].as_bytes());
-        prop_assert_eq!(framing.messages(), None, "it can't be followed");
+        prop_assert_eq!(framing.complete_messages(), None, "it can't be followed");
     }
 
     /// No input causes a panic.
--- a/crates/gateway/src/transport/mod.rs
+++ b/crates/gateway/src/transport/mod.rs
@@ -3,7 +3,7 @@
 pub mod client_liveness;
 pub mod descriptor_budget;
 pub mod instrumented_stream;
-mod io_timestamps;
+mod io_state;
 pub mod message_framing;
 mod socket_probe;
 pub mod stream;
--- a/crates/gateway/src/transport/system_errors.rs
+++ b/crates/gateway/src/transport/system_errors.rs
@@ -7,11 +7,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
     /// The call was interrupted, or the one connection that it would have returned is broken: accept again at once.
-    OneConnection,
+    ConnectionFailed,
     /// This process or machine has no descriptor or memory for another connection: close idle ones.
-    NoRoom,
-    /// Any other failure: accept again a little later.
-    Passing,
+    ResourcesExhausted,
+    /// Any other failure, temporary or not: accept again a little later.
+    Other,
 }
 
 /// Classifies an error of accept. accept(2) also returns errors of the new connection's network as its own.
@@ -29,15 +29,15 @@
             | Errno::OPNOTSUPP
             | Errno::NONET
             | Errno::TIMEDOUT,
-        ) => AcceptFailure::OneConnection,
-        Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => AcceptFailure::NoRoom,
-        _ => AcceptFailure::Passing,
+        ) => AcceptFailure::ConnectionFailed,
+        Some(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => AcceptFailure::ResourcesExhausted,
+        _ => AcceptFailure::Other,
     }
 }
 
 /// Whether an error of socket or connect is this machine's and not the endpoint's: no descriptor, port, memory or route. Nothing
 /// has been sent then, and connects to all endpoints would fail alike.
-pub fn is_own_connect_failure(error: &io::Error) -> bool {
+pub fn is_local_connect_failure(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
         Some(
--- a/crates/gateway/src/transport/system_errors/tests.rs
+++ b/crates/gateway/src/transport/system_errors/tests.rs
@@ -9,21 +9,21 @@
 #[test]
 fn only_a_lack_of_resources_closes_idle_connections_after_an_accept() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
-        assert_eq!(accept_failure(&error(errno)), AcceptFailure::NoRoom, "{errno}");
+        assert_eq!(accept_failure(&error(errno)), AcceptFailure::ResourcesExhausted, "{errno}");
     }
     for errno in [Errno::CONNABORTED, Errno::INTR, Errno::PROTO, Errno::HOSTUNREACH, Errno::TIMEDOUT] {
-        assert_eq!(accept_failure(&error(errno)), AcceptFailure::OneConnection, "{errno}");
+        assert_eq!(accept_failure(&error(errno)), AcceptFailure::ConnectionFailed, "{errno}");
     }
-    assert_eq!(accept_failure(&error(Errno::PERM)), AcceptFailure::Passing);
-    assert_eq!(accept_failure(&io::Error::other("no number")), AcceptFailure::Passing);
+    assert_eq!(accept_failure(&error(Errno::PERM)), AcceptFailure::Other);
+    assert_eq!(accept_failure(&io::Error::other("no number")), AcceptFailure::Other);
 }
 
 #[test]
 fn only_the_endpoints_own_failures_count_against_it() {
     for errno in [Errno::CONNREFUSED, Errno::CONNRESET, Errno::TIMEDOUT, Errno::HOSTUNREACH] {
-        assert!(!is_own_connect_failure(&error(errno)), "{errno}");
+        assert!(!is_local_connect_failure(&error(errno)), "{errno}");
     }
     for errno in [Errno::NETUNREACH, Errno::ADDRNOTAVAIL, Errno::NFILE, Errno::NOBUFS, Errno::CONNABORTED] {
-        assert!(is_own_connect_failure(&error(errno)), "{errno}");
+        assert!(is_local_connect_failure(&error(errno)), "{errno}");
     }
 }
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -10,7 +10,7 @@
 use super::UpstreamEndpoint;
 use crate::body::{ForwardedRequest, RequestPayload, ResponseBody, UpstreamResponse};
 use crate::transport::client_liveness::ClientLiveness;
-use crate::transport::instrumented_stream::IoTimestamps;
+use crate::transport::instrumented_stream::IoState;
 use bytes::Bytes;
 use hyper::ext::on_informational;
 use hyper::header::HeaderValue;
@@ -48,7 +48,7 @@
     /// The last byte of a streamed request body has been written.
     BodyForwarded {
         /// The body's last byte arrived from the client after this moment.
-        received_after: Instant,
+        earliest_last_byte_at: Instant,
     },
     /// A response has begun that is streamed to the client.
     ResponseStarted {
@@ -85,6 +85,9 @@
 
     /// Whether the request may be written, checked once the connection is open: while it was opened, the client may have left, the
     /// endpoint begun to drain, or the time for writing passed.
+    ///
+    /// This is the check before the first byte. Two more come after it: [`IoState::is_past_write_deadline`] ahead of each write to the
+    /// socket, and for a streamed body `StreamingRequestBody`, which holds back the end until the client has been looked for.
     fn may_be_written(&self) -> bool {
         let has_client = match &self.request.body {
             RequestPayload::Buffered(_) => self.liveness.may_begin(),
@@ -149,7 +152,7 @@
                 if !request_written {
                     return Err(AttemptEnd::ConnectionFailed);
                 }
-                let first_byte_at = connection.timestamps.first_read_at.get().unwrap_or_else(Instant::now);
+                let first_byte_at = connection.io_state.first_read_at.get().unwrap_or_else(Instant::now);
                 let mut headers = head.headers;
                 strip_hop_by_hop(&mut headers);
                 return Ok(Exchanged::Streaming(Box::new(StreamingResponse {
@@ -201,9 +204,9 @@
         let informational = Arc::new(AtomicBool::new(false));
         let informational_flag = informational.clone();
         on_informational(&mut request, move |_| informational_flag.store(true, Ordering::Relaxed));
-        let timestamps = connection.timestamps.clone();
-        timestamps.begin_request(attempt.write_by);
-        progress.timestamps.replace(Some(timestamps.clone()));
+        let io_state = connection.io_state.clone();
+        io_state.begin_request(attempt.write_by);
+        progress.io_state.replace(Some(io_state.clone()));
         let started_at = Instant::now();
         let sending = connection.sender.send_request(request);
         let receiving = async {
@@ -214,7 +217,7 @@
         tokio::pin!(receiving, stall_timer);
         let mut wait = ResponseWait {
             connection,
-            timestamps: &timestamps,
+            io_state: &io_state,
             body: &attempt.request.body,
             metrics: &self.metrics,
             report,
@@ -229,7 +232,7 @@
         let connection_closed = wait.connection_closed;
         let request_written = wait.request_written;
         let response = response.ok_or(AttemptEnd::ConnectionFailed)?.map_err(|_| {
-            if timestamps.is_past_write_deadline() {
+            if io_state.is_past_write_deadline() {
                 AttemptEnd::Withheld
             } else {
                 AttemptEnd::ConnectionFailed
@@ -255,19 +258,19 @@
 /// What is known of an exchange while it goes on, and stays known where it is cancelled.
 #[derive(Default)]
 struct ExchangeProgress {
-    /// The I/O timestamps of the connection that the request is written to.
-    timestamps: RefCell<Option<Rc<IoTimestamps>>>,
+    /// The I/O state of the connection that the request is written to.
+    io_state: RefCell<Option<Rc<IoState>>>,
     load_report: Cell<Option<LoadReport>>,
 }
 
 impl ExchangeProgress {
     fn write_progress(&self) -> WriteProgress {
-        let timestamps = self.timestamps.borrow();
-        timestamps.as_ref().map_or(WriteProgress::Nothing, |timestamps| timestamps.write_progress.get())
+        let io_state = self.io_state.borrow();
+        io_state.as_ref().map_or(WriteProgress::Nothing, |io_state| io_state.write_progress.get())
     }
 
     fn into_result(self, outcome: Outcome, response: Option<UpstreamResponse>) -> AttemptResult {
-        let written_at = self.timestamps.borrow().as_ref().and_then(|timestamps| timestamps.written_at.get());
+        let written_at = self.io_state.borrow().as_ref().and_then(|io_state| io_state.written_at.get());
         AttemptResult { outcome, response, load_report: self.load_report.get(), written_at }
     }
 }
--- a/crates/gateway/src/upstream/connect.rs
+++ b/crates/gateway/src/upstream/connect.rs
@@ -6,7 +6,7 @@
 use crate::limits::MAX_READ_AHEAD_BYTES;
 use crate::transport::instrumented_stream::InstrumentedStream;
 use crate::transport::message_framing::MessageFraming;
-use crate::transport::system_errors::is_own_connect_failure;
+use crate::transport::system_errors::is_local_connect_failure;
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use std::future::Future;
@@ -34,7 +34,7 @@
         loop {
             match connect().await {
                 Ok(stream) => return Ok(stream),
-                Err(error) if is_own_connect_failure(&error) => failed_locally = true,
+                Err(error) if is_local_connect_failure(&error) => failed_locally = true,
                 Err(_) => return Err(AttemptEnd::ConnectionFailed),
             }
             sleep(LOCAL_FAILURE_RETRY_DELAY).await;
@@ -64,7 +64,7 @@
         let deadline = deadline.min(Instant::now() + self.settings.borrow().dial_timeout);
         let stream = connect_with_retry(|| TcpStream::connect(address), deadline).await?;
         let _ = stream.set_nodelay(true);
-        let (stream, timestamps) = InstrumentedStream::new(stream);
+        let (stream, io_state) = InstrumentedStream::new(stream);
         let (stream, _) = stream.tracking_requests().with_framing(MessageFraming::for_responses());
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_READ_AHEAD_BYTES);
@@ -75,7 +75,7 @@
             address,
             sender,
             driver: Box::pin(driver),
-            timestamps,
+            io_state,
             idle_since: Instant::now(),
             _permit: permit,
         })
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -3,7 +3,7 @@
 use super::UpstreamEndpoint;
 use crate::body::RequestBody;
 use crate::transport::descriptor_budget::DescriptorPermit;
-use crate::transport::instrumented_stream::{InstrumentedStream, IoTimestamps};
+use crate::transport::instrumented_stream::{InstrumentedStream, IoState};
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
 use std::future::{poll_fn, Future};
@@ -23,7 +23,7 @@
     pub(super) address: SocketAddr,
     pub(super) sender: SendRequest<RequestBody>,
     pub(super) driver: Pin<Box<http1::Connection<TokioIo<InstrumentedStream>, RequestBody>>>,
-    pub(super) timestamps: Rc<IoTimestamps>,
+    pub(super) io_state: Rc<IoState>,
     /// When the connection was put into the pool, or opened.
     pub(super) idle_since: Instant,
     pub(super) _permit: DescriptorPermit,
@@ -37,15 +37,15 @@
 
     /// Whether the endpoint has left it open and sent nothing beyond its responses, as far as the kernel knows now.
     pub(super) async fn is_open(&mut self) -> bool {
-        self.timestamps.is_idle.set(true);
+        self.io_state.is_idle.set(true);
         let is_closed = poll_fn(|cx| Poll::Ready(self.driver.as_mut().poll(cx).is_ready())).await;
-        self.timestamps.is_idle.set(false);
+        self.io_state.is_idle.set(false);
         !is_closed && self.sender.is_ready()
     }
 
     /// Whether nothing has been read since it was put into the pool. Then it ended by the endpoint's close, and not by stray bytes
     /// behind a response.
     pub(super) fn was_silent(&self) -> bool {
-        self.timestamps.last_read_at.get().is_none_or(|at| at <= self.idle_since)
+        self.io_state.last_read_at.get().is_none_or(|at| at <= self.idle_since)
     }
 }
--- a/crates/gateway/src/upstream/headers.rs
+++ b/crates/gateway/src/upstream/headers.rs
@@ -16,7 +16,8 @@
 /// The request header that tells the endpoint how long its answer is waited for, in microseconds with the suffix `u`.
 const TIMEOUT_HEADER: &str = "x-timeout";
 
-/// Headers that belong to one connection, or that this gateway writes anew on each side.
+/// Headers that belong to one connection, or that this gateway writes anew on each side. They are removed from responses; requests
+/// need no such list, since only the headers of an allow list are forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -28,7 +29,7 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// Removes the headers that belong to one connection, those that `Connection` names included.
+/// Removes from a response the headers that belong to one connection, those that `Connection` names included.
 pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -15,7 +15,7 @@
 use weldworks_balancer::load_report::LoadReportFields;
 use weldworks_balancer::EndpointId;
 
-/// How long a connection rests between two requests, 6 ms: stray bytes that an endpoint sends behind a response arrive within
+/// Time that a connection is idle between two requests, 6 ms: stray bytes that an endpoint sends behind a response arrive within
 /// milliseconds, and must not be read as the response to the next request.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(6);
 
@@ -68,10 +68,15 @@
 }
 
 /// All idle connections to endpoints.
+///
+/// A connection that has carried a request is put back only if the request was written completely, the response was read completely,
+/// the endpoint still accepts requests, and the socket is open with nothing to read. It is reused only after
+/// `MIN_IDLE_BEFORE_REUSE`, before half of `keep_alive`, to the endpoint's current address, and if the socket is still
+/// open with nothing to read; the one used last comes first.
 pub struct ConnectionPool {
     /// The connection used last is at the end.
     pub(super) idle: RefCell<VecDeque<Connection>>,
-    /// Closes that were found on reuse, reported with the others by [`ConnectionPool::close_expired`].
+    /// Closes that were found on reuse, reported with the others by [`ConnectionPool::run_expiry_loop`].
     unreported_closes: RefCell<Vec<UnreportedClose>>,
     pub(super) settings: RefCell<ConnectionSettings>,
     descriptors: DescriptorQuota,
@@ -109,13 +114,13 @@
         self.idle.borrow_mut().retain(|connection| keep(connection.endpoint));
     }
 
-    /// Closes, for as long as it is polled, idle connections that are expired or were closed by their endpoint: either takes up a
+    /// Runs for as long as it is polled and closes idle connections that are expired or were closed by their endpoint: either takes up a
     /// descriptor here and a place at the endpoint. Reports those that their endpoint closed early, at once where the connection has
     /// been idle for `IDLE_CHECK_INTERVAL`, else within that.
     ///
     /// # Cancellation safety
     /// Cancel safe: only the wish to be woken is lost.
-    pub async fn close_expired(&self, report: impl Fn(ClosedIdleConnection)) {
+    pub async fn run_expiry_loop(&self, report: impl Fn(ClosedIdleConnection)) {
         loop {
             let mut checked = false;
             // The check leaves this task's waker with every idle connection; the wake by any of them ends the wait.
@@ -154,7 +159,7 @@
     /// Takes the idle connection to the endpoint that was used last and is still open.
     pub(super) async fn reuse(&self, endpoint: &UpstreamEndpoint) -> Option<Connection> {
         loop {
-            let mut connection = self.take_rested(endpoint.id)?;
+            let mut connection = self.take_reusable(endpoint.id)?;
             let idle_for = connection.idle_since.elapsed();
             if idle_for >= self.settings.borrow().max_idle() || !connection.leads_to(endpoint) {
                 continue;
@@ -169,8 +174,8 @@
         }
     }
 
-    /// Takes the connection to the endpoint that was used last, of those that have rested.
-    fn take_rested(&self, endpoint: EndpointId) -> Option<Connection> {
+    /// Takes the connection to the endpoint that was used last, of those idle for at least [`MIN_IDLE_BEFORE_REUSE`].
+    fn take_reusable(&self, endpoint: EndpointId) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let position = idle.iter().rposition(|connection| {
             connection.endpoint == endpoint && connection.idle_since.elapsed() >= MIN_IDLE_BEFORE_REUSE
--- a/crates/gateway/src/upstream/response_wait.rs
+++ b/crates/gateway/src/upstream/response_wait.rs
@@ -4,7 +4,7 @@
 use super::connection::Connection;
 use crate::body::{RequestPayload, StreamingUpload};
 use crate::metrics::Metrics;
-use crate::transport::instrumented_stream::IoTimestamps;
+use crate::transport::instrumented_stream::IoState;
 use std::future::Future;
 use std::pin::Pin;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,7 +16,7 @@
 /// The state of one request and response on a connection.
 pub(super) struct ResponseWait<'a> {
     pub(super) connection: &'a mut Connection,
-    pub(super) timestamps: &'a IoTimestamps,
+    pub(super) io_state: &'a IoState,
     pub(super) body: &'a RequestPayload,
     pub(super) metrics: &'a Metrics,
     pub(super) report: &'a dyn Fn(AttemptProgress),
@@ -69,14 +69,14 @@
 
     /// Reports once that the request's last byte has been written.
     fn report_written(&mut self) {
-        if self.request_written || self.timestamps.write_progress.get() != WriteProgress::Complete {
+        if self.request_written || self.io_state.write_progress.get() != WriteProgress::Complete {
             return;
         }
         self.request_written = true;
         self.metrics.record_written_attempt();
         if let RequestPayload::Streaming(upload) = self.body {
-            let received_after = upload.last_byte_not_before();
-            (self.report)(AttemptProgress::BodyForwarded { received_after });
+            let earliest_last_byte_at = upload.earliest_last_byte_at();
+            (self.report)(AttemptProgress::BodyForwarded { earliest_last_byte_at });
         }
     }
 
@@ -84,7 +84,7 @@
     fn stall_deadline(&self) -> Option<Instant> {
         match self.body {
             RequestPayload::Streaming(upload)
-                if !self.request_written && self.timestamps.first_read_at.get().is_none() =>
+                if !self.request_written && self.io_state.first_read_at.get().is_none() =>
             {
                 body_stall_deadline(upload)
             }
@@ -92,14 +92,15 @@
         }
     }
 
-    /// When a response that has begun counts as stalled; none before it has begun.
+    /// When a response that has begun counts as stalled; none before it has begun. Where a 1xx has arrived, this first clears the record
+    /// of its first byte; a start of the final head that was read together with it counts with the next read.
     fn response_stall_deadline(&self) -> Option<Instant> {
         if self.informational.swap(false, Ordering::Relaxed) {
             // What was read is a 1xx: the response itself has not begun.
-            self.timestamps.first_read_at.set(None);
+            self.io_state.first_read_at.set(None);
         }
-        let first_read = self.timestamps.first_read_at.get()?;
-        let last_read = self.timestamps.last_read_at.get().unwrap_or(first_read);
+        let first_read = self.io_state.first_read_at.get()?;
+        let last_read = self.io_state.last_read_at.get().unwrap_or(first_read);
         let next_byte_deadline = ResponseBuffering::next_byte_deadline(
             first_read - self.started_at,
             last_read.saturating_duration_since(self.started_at),
@@ -112,5 +113,5 @@
 fn body_stall_deadline(upload: &StreamingUpload) -> Option<Instant> {
     let endpoint_deadline = upload.endpoint_deadline()?;
     // The client may have written the last byte long ago, and its own timeout counts from then.
-    Some(endpoint_deadline.min(upload.last_byte_not_before() + upload.answer_timeout))
+    Some(endpoint_deadline.min(upload.earliest_last_byte_at() + upload.answer_timeout))
 }
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -90,7 +90,7 @@
     assert_eq!(result.outcome, Outcome::Served);
     let reported = Cell::new(None);
     tokio::select! {
-        () = pool.close_expired(|closed| reported.set(Some(closed))) => {}
+        () = pool.run_expiry_loop(|closed| reported.set(Some(closed))) => {}
         () = async {
             tokio::time::sleep(4 * IDLE_CHECK_INTERVAL).await; // it is watched by now
             then(&pool, &mut stream).await;
