--- a/crates/gateway/src/engine/discovery_watch.rs
+++ b/crates/gateway/src/engine/discovery_watch.rs
@@ -28,7 +28,7 @@
 
     /// Opens a watch from the list in force on, in place of the one before.
     pub(super) fn open_watch(&mut self) {
-        debug!(version = self.list_index, "watch opened");
+        debug!(list_index = self.list_index, "watch opened");
         self.watch_id += 1;
         self.watch_backoff.record_open(self.handle.balancer_time(Instant::now()));
         let watch = Watch {
@@ -81,7 +81,7 @@
         self.end_watch();
         if self.list_delivery() == ListDelivery::Poll {
             warn!(
-                address = %self.discovery_address, version = self.list_index, reason,
+                address = %self.discovery_address, list_index = self.list_index, reason,
                 "discovery poll failed, polling again within seconds"
             );
             return self.decide(Event::DiscoveryFailed { silent_for });
@@ -97,12 +97,12 @@
     fn log_watch_loss(&self, reason: &str, loss: WatchLoss) {
         warn!(
             address = %self.discovery_address,
-            version = self.list_index,
+            list_index = self.list_index,
             reason,
             consecutive_failures = loss.consecutive_failures,
             stable_watch_age = ?STABLE_WATCH_AGE,
             max_retry_delay = ?MAX_RETRY_DELAY,
-            hint = "check `discovery` in the file that ROUTER_CONFIG names, and send SIGHUP after a change there",
+            hint = "check `discovery` in the file that ROUTER_CONFIG names (ROUTER_DISCOVERY takes its place only at the start), then send SIGHUP",
             "endpoint list watch lost, retrying with the current list"
         );
     }
@@ -114,8 +114,8 @@
             return;
         }
         info!(
-            own = self.list_index,
-            current = current_index,
+            list_index = self.list_index,
+            newest_index = current_index,
             "other gateways have a newer endpoint list, polling discovery again"
         );
         let was_watching = self.end_watch();
--- a/crates/gateway/src/engine/endpoint_updates.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -65,12 +65,12 @@
         self.decide(Event::EndpointList { is_snapshot: list.is_snapshot, endpoints: &changed });
     }
 
-    fn log_list_faults(&self, version: u64, faults: &[ListFault]) {
+    fn log_list_faults(&self, received_index: u64, faults: &[ListFault]) {
         let logged: Vec<_> = faults.iter().take(MAX_LOGGED_LIST_FAULTS).map(ListFault::to_string).collect();
         let more = faults.len() > MAX_LOGGED_LIST_FAULTS;
         warn!(
             address = %self.discovery_address,
-            version,
+            received_index,
             faults = logged.join("; "),
             more,
             "endpoint list has faults"
@@ -112,7 +112,7 @@
     /// In a fleet, the endpoints that are up and that the list may change, by name.
     fn active_endpoints_named_in(&self, list: &EndpointList) -> Vec<(String, EndpointId)> {
         let Some(fleet) = &self.fleet else { return Vec::new() };
-        fleet.begin_endpoint_list(list.index);
+        fleet.record_list_received(list.index);
         let if_up = |(name, id): (&String, &EndpointId)| {
             let is_up = self.listed_state(*id) == Some(EndpointState::Up);
             is_up.then(|| (name.clone(), *id))
@@ -136,7 +136,7 @@
             let has_departed = state != EndpointState::Up;
             has_departed.then(|| (name.clone(), state == EndpointState::Removed))
         });
-        fleet.apply_endpoint_list(self.list_index, departed.collect());
+        fleet.record_applied_list(self.list_index, departed.collect());
     }
 
     /// Drains endpoints that newer lists of other gateways say to drain or to be removed.
@@ -151,7 +151,7 @@
         }
         info!(
             endpoints = drained.len(),
-            own = self.list_index,
+            list_index = self.list_index,
             "draining endpoints that departed by other gateways' newer lists"
         );
         self.close_connections_to_unavailable();
@@ -312,7 +312,7 @@
         );
     }
     debug!(
-        index = list.index,
+        list_index = list.index,
         snapshot = list.is_snapshot,
         entries = list.endpoints.len(),
         "endpoint list received"
--- a/crates/gateway/src/engine/reconfiguration.rs
+++ b/crates/gateway/src/engine/reconfiguration.rs
@@ -22,7 +22,7 @@
     pub(super) fn reconfigure(&mut self, reconfiguration: Reconfiguration) {
         let Reconfiguration { mut settings, names, discovery, connections, digest } = reconfiguration;
         if let Some(fleet) = &self.fleet {
-            fleet.apply_config(digest, discovery);
+            fleet.record_applied_config(digest, discovery);
         }
         self.pool.reconfigure(connections);
         self.replace_names(names, &mut settings);
--- a/crates/gateway/src/fleet/audit_store.rs
+++ b/crates/gateway/src/fleet/audit_store.rs
@@ -240,7 +240,7 @@
             let _ = done.send(writer.write(segment, steps)); // nobody receives in a process that ends
         }
     };
-    std::thread::Builder::new().name("audit-books".to_owned()).spawn(write_all)?;
+    std::thread::Builder::new().name("audit-writer".to_owned()).spawn(write_all)?;
     Ok(requests)
 }
 
--- a/crates/gateway/src/fleet/consensus_store.rs
+++ b/crates/gateway/src/fleet/consensus_store.rs
@@ -37,7 +37,7 @@
 
 /// What was found on opening.
 pub struct OpenedStore {
-    /// The process whose vote this one continues.
+    /// The incarnation under which this gateway votes: that of the process that created the store.
     pub voter: Incarnation,
     /// The stored records, in order.
     pub records: Vec<StoredRecord>,
@@ -218,7 +218,7 @@
     let (batches, pending) = threads::channel();
     let (results, written) = mpsc::unbounded_channel();
     std::thread::Builder::new()
-        .name("council-state".to_owned())
+        .name("consensus-store".to_owned())
         .spawn(move || write_batches(&database, next_key, &pending, &results))?;
     Ok(ConsensusStore { batches, last_number: 0, written: Some(written) })
 }
--- a/crates/gateway/src/fleet/engine_interface.rs
+++ b/crates/gateway/src/fleet/engine_interface.rs
@@ -54,13 +54,13 @@
         self.departures.borrow_mut().record_remote(own_index, departed)
     }
 
-    /// Records that the list of this index is about to be applied.
-    pub fn begin_endpoint_list(&self, index: u64) {
+    /// Records that the list of this index has been received and is about to be applied.
+    pub fn record_list_received(&self, index: u64) {
         self.departures.borrow_mut().record_own_list(index);
     }
 
     /// Records that a list is in force, and which endpoints drain (false) or are removed (true) by it that did not before.
-    pub fn apply_endpoint_list(&self, index: u64, departed: Vec<(String, bool)>) {
+    pub fn record_applied_list(&self, index: u64, departed: Vec<(String, bool)>) {
         let list = ListVersion { index, ..self.version.borrow().list.clone() };
         self.update_version(|version| version.list = list.clone());
         for (endpoint, _) in &departed {
@@ -74,7 +74,7 @@
     }
 
     /// Records that another configuration is in force.
-    pub fn apply_config(&self, config_digest: u64, discovery: SocketAddr) {
+    pub fn record_applied_config(&self, config_digest: u64, discovery: SocketAddr) {
         let lineage = self.settings.lineage.clone().unwrap_or_else(|| discovery.to_string());
         self.update_version(|version| {
             version.config = config_digest;
@@ -127,9 +127,9 @@
     fn record_endpoint_exceptions(&self, now: Duration, request_id: &str, endpoint: Option<&str>) {
         let mut audit = self.audit.borrow_mut();
         let own = self.version.borrow().list.index;
-        let told = self.current_list_index.get();
-        if told > own {
-            audit.record_exception(now, Exception::StaleList { own, newest_known: told }, request_id);
+        let newest_known = self.current_list_index.get();
+        if newest_known > own {
+            audit.record_exception(now, Exception::StaleList { own, newest_known }, request_id);
         }
         if let Some(endpoint) = endpoint.filter(|endpoint| self.is_endpoint_overridden(endpoint)) {
             audit.record_exception(
--- a/crates/gateway/src/fleet/link_codec.rs
+++ b/crates/gateway/src/fleet/link_codec.rs
@@ -46,7 +46,7 @@
     HelloTimeout,
     #[error("its hello can't be answered")]
     HelloNotAnswered,
-    #[error("staff may only ask")]
+    #[error("administrators may only send queries")]
     NotAnAdminQuery,
     #[error(transparent)]
     Io(#[from] io::Error),
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -68,7 +68,7 @@
     start: Instant,
     /// The start by the wall clock, in Unix milliseconds.
     began_unix_ms: u64,
-    /// The process whose vote this one continues.
+    /// The incarnation under which this gateway votes: that of the process that created the consensus store.
     voter: Incarnation,
     node: RefCell<Node>,
     audit: RefCell<AuditLog>,
@@ -152,6 +152,9 @@
     }
 
     /// Runs this gateway's part until dropped. Without a listener the link's address is bound once it is free.
+    ///
+    /// It starts detached tasks for the links, the held-back frames and the audit log. They live as long as the process, and a panic in one
+    /// of them ends only that task, without notice.
     pub async fn run(self: Rc<Self>, listener: Option<TcpListener>) {
         let own_name = self.settings.gateway.clone();
         let is_voter = is_voter(&self.settings);
@@ -315,8 +318,7 @@
 
 /// Opens a voting member's state, if it has a folder for it. Without one, its vote ends with the process.
 fn open_consensus_store(settings: &FleetSettings, process: Incarnation) -> Result<OpenedStore, StoreError> {
-    let is_voter = settings.voters().iter().any(|peer| peer.name == settings.gateway);
-    match settings.state_folder.as_deref().filter(|_| is_voter) {
+    match settings.state_folder.as_deref().filter(|_| is_voter(settings)) {
         Some(folder) => consensus_store::open(folder, settings, process),
         None => Ok(OpenedStore { voter: process, records: Vec::new(), store: None }),
     }
--- a/crates/gateway/src/fleet/peer_link.rs
+++ b/crates/gateway/src/fleet/peer_link.rs
@@ -24,7 +24,9 @@
 
 /// Most connections of administrators at a time.
 pub(super) const MAX_ADMIN_CONNECTIONS: usize = 8;
-/// Delay before the first reconnect. It doubles with each failure.
+/// Base of the delays before reconnects. It doubles ahead of each one, the first included, and a random half of the result is taken off:
+/// the reconnect after a link that was up comes within 50 to 100 ms, the one after
+/// a first failed dial within 100 to 200 ms.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// Longest delay before a reconnect.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(1600);
@@ -36,7 +38,7 @@
 /// The process at the other end of a link.
 struct LinkedProcess {
     process: Incarnation,
-    /// The process whose vote it continues.
+    /// The incarnation under which it votes: that of the process that created its consensus store.
     voter: Incarnation,
 }
 
@@ -61,7 +63,8 @@
     socket.listen(LINK_BACKLOG)
 }
 
-/// Accepts links as soon as the process that is replaced has released the address, until dropped.
+/// Accepts links as soon as the process that is replaced has released the address, until dropped. Any other error of binding is also
+/// retried, and not logged.
 pub(super) async fn bind_and_accept(fleet: Rc<Fleet>) {
     info!(address = %fleet.settings.listen, "fleet: link address in use by another process, waiting for it");
     loop {
@@ -116,8 +119,8 @@
         };
         // More than that come from an unknown caller, or from one that reconnects without end.
         if open_connections.get() >= fleet.settings.peers.len() + MAX_ADMIN_CONNECTIONS {
-            let error = "more connections to the link than there are peers; the newest is closed";
-            fleet.log_link_failure("anyone", error);
+            let error = "more connections to the link than peers and administrators, closing the newest";
+            fleet.log_link_failure("unknown", error);
             continue;
         }
         open_connections.set(open_connections.get() + 1);
--- a/crates/gateway/src/fleet/store_file.rs
+++ b/crates/gateway/src/fleet/store_file.rs
@@ -49,10 +49,10 @@
     #[error(transparent)]
     Database(Box<redb::Error>),
     /// The database panicked on it.
-    #[error("the library broke off reading it")]
+    #[error("the database library panicked while reading it")]
     Panicked,
     /// It does not say which gateway it belongs to.
-    #[error("it has no head")]
+    #[error("the owner record is missing")]
     OwnerMissing,
     /// What it says of the gateway that it belongs to cannot be decoded.
     #[error(transparent)]
@@ -60,8 +60,9 @@
     /// A record differs from what was written.
     #[error("record {0} is not as it was written")]
     RecordMismatch(u64),
-    /// It has another version of the format.
-    #[error("its form is {0}, this build writes {FORMAT_VERSION}")]
+    /// It has another version of the format. It is set aside like a damaged file, so that a gateway also starts after a rollback across a
+    /// change of the format, without that state: a voting member loses its vote until the other members add it.
+    #[error("format version {0}, this build reads {FORMAT_VERSION}")]
     OtherFormat(u32),
 }
 
