--- a/crates/gateway/src/engine/message.rs
+++ b/crates/gateway/src/engine/message.rs
@@ -75,7 +75,7 @@
 
 /// The end of an attempt.
 pub struct AttemptReport {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
@@ -93,13 +93,13 @@
 
 /// The start of a response that is streamed to the client.
 pub struct ResponseStart {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
     /// Time from the decision, or from the write of a streamed body's last byte, to the response's first byte.
     pub latency: Duration,
-    /// The response.
+    /// The response, whose body still arrives.
     pub response: UpstreamResponse,
     /// The load report that came with it.
     pub load_report: Option<LoadReport>,
@@ -119,7 +119,7 @@
     BodyForwardingStarted(RequestId),
     /// The last byte of a streamed request body has been written to an endpoint.
     BodyForwarded {
-        /// The request.
+        /// The request that the body belongs to.
         request: RequestId,
         /// By when the gateway answers, a margin before its client gives up.
         client_deadline: Instant,
@@ -128,7 +128,7 @@
     ResponseStarted(ResponseStart),
     /// An endpoint has closed an idle connection.
     IdleConnectionClosed {
-        /// The endpoint.
+        /// The endpoint's id.
         endpoint: EndpointId,
         /// The address that the connection went to.
         address: SocketAddr,
@@ -141,7 +141,7 @@
     EndpointListReceived {
         /// Number of the watch, from 1.
         watch: u64,
-        /// The list.
+        /// The list or delta.
         list: EndpointList,
         /// When the previous message of discovery was received, over any watch and keep-alives included.
         previous_message_at: Option<Instant>,
@@ -165,7 +165,7 @@
     DiscoveryFailed {
         /// Number of the watch, from 1.
         watch: u64,
-        /// Why it ended.
+        /// Why the watch ended.
         reason: String,
         /// Time since its last message, or since it was opened.
         silent_for: Duration,
--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -126,13 +126,13 @@
         // Held to the end of the request: the table of classes keeps their numbers from being given to other classes.
         let settings = self.settings.borrow().clone();
         let head = self.check_head(&parts, &body, connection, &settings)?;
-        let BufferedBody { buffered, rest } = buffer_body(body, MAX_BUFFERED_BODY_BYTES).await?;
+        let BufferedBody { buffered, unread } = buffer_body(body, MAX_BUFFERED_BODY_BYTES).await?;
         if parts.method == Method::GET && !buffered.is_empty() {
             return Err(MalformedRequest::UnexpectedBody);
         }
         let mut metrics_guard = RequestMetricsGuard::new(self.service.metrics.clone(), head.class.clone());
         let client = Rc::new(ClientLiveness::new(connection.probe.clone()));
-        let received = match rest {
+        let received = match unread {
             None => {
                 let client_deadline = self.received_at(connection) + head.answer_timeout;
                 connection.await_next_head();
@@ -144,7 +144,7 @@
                 let payload = RequestPayload::Buffered(buffered);
                 ReceivedRequest { payload, receipt: Receipt::Complete(metrics_guard), client_deadline }
             }
-            Some(rest) => start_upload(buffered, rest, &head, metrics_guard, &client, connection),
+            Some(unread) => start_upload(buffered, unread, &head, metrics_guard, &client, connection),
         };
         let ReceivedRequest { payload, receipt, client_deadline } = received;
         let request = self.balancer_request(&parts.headers, &head, &receipt, client_deadline);
@@ -265,7 +265,7 @@
 /// A request whose body is forwarded while it arrives.
 fn start_upload(
     buffered: Bytes,
-    rest: Incoming,
+    unread: Incoming,
     head: &RequestHead,
     metrics_guard: RequestMetricsGuard,
     client: &Rc<ClientLiveness>,
@@ -273,7 +273,7 @@
 ) -> ReceivedRequest {
     let upload = Rc::new(StreamingUpload::new(UploadSource {
         buffered,
-        rest,
+        unread,
         length: head.body_length,
         answer_timeout: head.answer_timeout,
         metrics_guard,
