--- a/crates/gateway/src/body/request_body.rs
+++ b/crates/gateway/src/body/request_body.rs
@@ -25,7 +25,7 @@
     pub method: Method,
     /// The request's path and query.
     pub uri: Uri,
-    /// The request's end-to-end headers.
+    /// The request's headers of the protocol, an allow list. All others, `Content-Type` among them, are dropped.
     pub headers: HeaderMap,
     /// The request's body.
     pub body: RequestPayload,
--- a/crates/gateway/src/engine/endpoint_updates.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -24,7 +24,7 @@
     now: Duration,
     /// The newest start of any endpoint, in Unix milliseconds.
     newest_start_unix_ms: u64,
-    /// When discovery sent the message before this list.
+    /// When the previous message of discovery was received, keep-alives included.
     previous_message_at: Option<Duration>,
 }
 
@@ -34,7 +34,7 @@
         self.apply_received_list(None, list);
     }
 
-    /// Applies a list or delta; `previous_message_at` is when discovery sent the message before it.
+    /// Applies a list or delta; `previous_message_at` is when discovery's previous message was received.
     ///
     /// A faulty entry costs nothing but itself. Faults are logged once, until they change.
     pub(super) fn apply_received_list(&mut self, previous_message_at: Option<Instant>, list: EndpointList) {
@@ -60,17 +60,17 @@
         self.store_listed(&changed);
         self.report_starts_to_storm_control();
         log_list(&list);
-        self.apply_active_endpoints();
+        self.close_connections_to_unavailable();
         self.report_departures(&active_before);
         self.decide(Event::EndpointList { is_snapshot: list.is_snapshot, endpoints: &changed });
     }
 
-    fn log_list_faults(&self, version: u64, faults: &[ListFault]) {
+    fn log_list_faults(&self, received_index: u64, faults: &[ListFault]) {
         let logged: Vec<_> = faults.iter().take(MAX_LOGGED_LIST_FAULTS).map(ListFault::to_string).collect();
         let more = faults.len() > MAX_LOGGED_LIST_FAULTS;
         warn!(
             address = %self.discovery_address,
-            version,
+            received_index,
             faults = logged.join("; "),
             more,
             "endpoint list has faults"
@@ -99,8 +99,8 @@
         storm.set_endpoints(self.handle.balancer_time(Instant::now()), &started);
     }
 
-    /// Closes idle connections to endpoints that take nothing new, and publishes whether any does.
-    fn apply_active_endpoints(&self) {
+    /// Closes idle connections to endpoints that accept no new requests, and publishes whether any endpoint does.
+    fn close_connections_to_unavailable(&self) {
         let is_active = |id: EndpointId| {
             self.endpoints.get(id.0 as usize).is_some_and(|endpoint| endpoint.is_active.get())
         };
@@ -112,7 +112,7 @@
     /// In a fleet, the endpoints that are up and that the list may change, by name.
     fn active_endpoints_named_in(&self, list: &EndpointList) -> Vec<(String, EndpointId)> {
         let Some(fleet) = &self.fleet else { return Vec::new() };
-        fleet.begin_endpoint_list(list.index);
+        fleet.record_list_received(list.index);
         let if_up = |(name, id): (&String, &EndpointId)| {
             let is_up = self.listed_state(*id) == Some(EndpointState::Up);
             is_up.then(|| (name.clone(), *id))
@@ -136,7 +136,7 @@
             let has_departed = state != EndpointState::Up;
             has_departed.then(|| (name.clone(), state == EndpointState::Removed))
         });
-        fleet.apply_endpoint_list(self.list_index, departed.collect());
+        fleet.record_applied_list(self.list_index, departed.collect());
     }
 
     /// Drains endpoints that newer lists of other gateways say to drain or to be removed.
@@ -151,10 +151,10 @@
         }
         info!(
             endpoints = drained.len(),
-            own = self.list_index,
+            list_index = self.list_index,
             "draining endpoints that departed by other gateways' newer lists"
         );
-        self.apply_active_endpoints();
+        self.close_connections_to_unavailable();
         self.decide(Event::EndpointList { is_snapshot: false, endpoints: &drained });
     }
 
@@ -312,7 +312,7 @@
         );
     }
     debug!(
-        index = list.index,
+        list_index = list.index,
         snapshot = list.is_snapshot,
         entries = list.endpoints.len(),
         "endpoint list received"
