--- a/crates/fleet/src/consensus/reconfiguration.rs
+++ b/crates/fleet/src/consensus/reconfiguration.rs
@@ -1,8 +1,10 @@
 //! Founding a consensus group and changing its configuration.
 //!
-//! *Founding*: the member with the first name founds the group, once every other member has announced that it knows of no group and
-//! follows this very process ([`ConsensusMessage::Holds`]). A member that knows of a group announces it, and then none is founded. A
-//! group that has lost its majority for good founds nothing by itself; an administrator has to restart all members.
+//! *Founding*: the member whose name sorts first is the founder. It founds a group when it knows of none, is linked to every other
+//! member, and each of them has announced that it knows of none and that the founder process it was last linked to is this one
+//! ([`ConsensusMessage::Holds`]). Configuration 1 then contains exactly these processes. All members have to be up; a majority is not
+//! enough. A member that knows of a group announces it, and then none is founded. A group that has lost its majority for good is not
+//! replaced automatically: stop all members and start them again.
 //!
 //! *Reconfiguration*: the leader ends the log of a configuration at one entry, the same for all replicas, and the next configuration
 //! starts from the state machine at that entry. It replaces restarted processes and truncates a log that has grown long. A member that
--- a/crates/fleet/src/consensus/storage.rs
+++ b/crates/fleet/src/consensus/storage.rs
@@ -165,6 +165,7 @@
         Ok(self.stop_sign.clone())
     }
 
+    // Never called: a log is shortened by a new configuration. Not journaled.
     fn trim(&mut self, index: usize) -> StorageResult<()> {
         let position = self.position(index);
         self.log.drain(..position);
--- a/crates/fleet/src/encoding.rs
+++ b/crates/fleet/src/encoding.rs
@@ -1,7 +1,8 @@
 //! Binary encoding of frames and stored records: `postcard`, with a limit on the length.
 //!
 //! `postcard` writes the variants of an enum by their position and the fields of a struct in their order. Reordering either changes the
-//! format of the link and of the stored files.
+//! format of the link and of the stored files. This holds for every type of this crate that derives `Serialize` and is reachable from a
+//! frame, a hello or a stored record, also where its own documentation does not repeat it.
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,13 +1,9 @@
 //! Lease arithmetic: how long the holder of a lease may rely on it, and when its grantors may count on its end. Every margin is
 //! computed here.
 //!
-//! The clocks of two processes are never compared; a lease is a length. The holder counts it from the moment at which it *sent the
-//! request*, and shortens it by the margin. The grantors count it from the moment at which the grant *took effect*, which is later, and
-//! lengthen it by the margin. While the rates of any two clocks differ by less than twice the margin, the holder stops before any
-//! grantor counts on the end:
-//!
-//! `requested_at + length (1 - margin)` on the holder's clock `<=` `granted_at + length (1 + margin)` on the grantor's, for
-//! `requested_at <= granted_at`.
+//! No two clocks are compared, only durations. The holder relies on the lease for `length (1 - margin)` after it *sent the request*; the
+//! grantors wait for `length (1 + margin)` after the grant *took effect*, which is later. As long as the rate of every clock is within
+//! `margin` of true time, the holder stops, in true time, before any grantor counts on the end.
 
 use std::time::Duration;
 
--- a/crates/fleet/src/node/session_client.rs
+++ b/crates/fleet/src/node/session_client.rs
@@ -6,7 +6,7 @@
 use crate::lease::Lease;
 use crate::membership::{Membership, PeerView};
 use crate::protocol::{Frame, StateUpdate};
-use crate::state_machine::{DepartedEndpoint, FenceReason, ReplicaLag, SessionId};
+use crate::state_machine::{DepartedEndpoint, FenceReason, SessionId, VersionLag};
 use crate::version::{GatewayName, Incarnation, ListVersion, Version};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -141,13 +141,15 @@
         }
     }
 
-    /// Whether a fence still applies by what this gateway knows itself, without reaching a replica.
+    /// Whether a fence still applies judging by this gateway's current version. It is evaluated locally, so that a gateway without a
+    /// session stays fenced, and one that has caught up serves again before its next renewal. The replicas decide by
+    /// [`crate::state_machine::StateMachine::lag_of`], which tolerates a number of versions; this check does not, and compares no lineage.
     fn still_applies(&self, reason: &FenceReason) -> bool {
         match reason {
             FenceReason::Administrator => true,
-            FenceReason::Lagging(ReplicaLag::List { current, .. }) => self.version.list.index < *current,
-            FenceReason::Lagging(ReplicaLag::Config { required, .. }) => self.version.config != *required,
-            FenceReason::Lagging(ReplicaLag::Build { required, .. }) => self.version.build != *required,
+            FenceReason::Lagging(VersionLag::List { current, .. }) => self.version.list.index < *current,
+            FenceReason::Lagging(VersionLag::Config { required, .. }) => self.version.config != *required,
+            FenceReason::Lagging(VersionLag::Build { required, .. }) => self.version.build != *required,
         }
     }
 
@@ -271,7 +273,7 @@
         }
     }
 
-    /// Picks a replica at random among those that are reachable. A replica may pick itself.
+    /// Picks a replica at random among the reachable ones, this gateway itself included if it is one.
     fn choose_replica(&mut self, now: Duration, membership: &Membership) -> Option<GatewayName> {
         let is_reachable =
             |name: &&GatewayName| **name == self.gateway || membership.view(now, name) == PeerView::Reachable;
@@ -322,7 +324,8 @@
         }
     }
 
-    /// Extends the session by the grant of a request that was sent at `sent_at`.
+    /// Extends the session by the grant of a request that was sent at `sent_at`. The grant's update is not compared with the last log
+    /// index: it answers an outstanding request, and a newly founded group has smaller indices.
     fn record_grant(&mut self, id: SessionId, request: u64, sent_at: Duration) {
         // The grant answers the older requests too.
         self.sent_at.retain(|number, _| *number > request);
--- a/crates/fleet/src/state_machine/mod.rs
+++ b/crates/fleet/src/state_machine/mod.rs
@@ -5,13 +5,13 @@
 
 mod command;
 mod departures;
-mod replica_lag;
 mod sessions;
+mod version_lag;
 
 pub use command::{Command, CommandOutcome, Renewal, Requirements};
 pub use departures::{DepartedEndpoint, Departure, DepartureKind};
-pub use replica_lag::{FenceReason, LaggingSession, ReplicaLag};
 pub use sessions::{EndedSession, Session, SessionId};
+pub use version_lag::{FenceReason, LaggingSession, VersionLag};
 
 use crate::settings::LagPolicy;
 use crate::version::GatewayName;
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Number of commands that have been applied.
+    /// Number of commands applied since the group was founded, across all configurations. Not an index of the library's log, which
+    /// starts anew with each configuration.
     pub fn log_index(&self) -> u64 {
         self.log_index
     }
--- a/crates/fleet/src/state_machine/sessions.rs
+++ b/crates/fleet/src/state_machine/sessions.rs
@@ -1,4 +1,11 @@
 //! Sessions: opening, renewing and ending them, and fences set by administrators.
+//!
+//! *Opening*: a gateway sends an open request; the replica that receives it proposes the command; it succeeds if no other process holds
+//! the name. *Renewal*: any replica gathers renewals and proposes them once a tick; the holder's lease counts from the moment at which it
+//! sent the request (`Lease::holder_expiry`). *Expiry*: the leader starts a timer when it sees a session's request number change, and
+//! proposes the expiry after `Lease::grantor_expiry`; its timers restart when it becomes leader, after a pause, and when its state was
+//! replaced. A renewal that is committed first makes the command obsolete. *Fencing*: a session that [`StateMachine::lag_of`] reports for
+//! the lag policy's duration at the leader is fenced, within [`StateMachine::fence_capacity`], until it has caught up.
 
 use super::{CommandOutcome, FenceReason, Renewal, Requirements, StateMachine};
 use crate::version::{GatewayName, Incarnation, Version};
@@ -6,7 +13,8 @@
 
 /// Identifier of a session: the log index at which it was opened.
 ///
-/// It is never used again and grows with each session, so a recipient can use it as a fencing token.
+/// Within one consensus group it is never reused and grows with each session, so a recipient can use it as a fencing token. A group
+/// that is founded anew counts from 1 again.
 pub type SessionId = u64;
 
 /// Maximum number of ended sessions that are retained for queries.
@@ -130,6 +138,7 @@
         CommandOutcome::Applied
     }
 
+    /// Ends every fence of the gateway, a lag fence included; a gateway that still lags is fenced again after the policy's duration.
     pub(super) fn unfence_gateway(&mut self, name: &GatewayName) -> CommandOutcome {
         let was_fenced = self.fenced_gateways.remove(name).is_some();
         self.set_fence_reason(name, None);
--- a/crates/fleet/src/state_machine/replica_lag.rs
+++ b/crates/fleet/src/state_machine/version_lag.rs
@@ -14,12 +14,12 @@
     /// An administrator fenced the gateway.
     Administrator,
     /// The gateway lagged for too long.
-    Lagging(ReplicaLag),
+    Lagging(VersionLag),
 }
 
 /// What a gateway lags with.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum ReplicaLag {
+pub enum VersionLag {
     /// Its endpoint list is too old.
     List {
         /// Index of its list.
@@ -43,14 +43,14 @@
     },
 }
 
-impl fmt::Display for ReplicaLag {
+impl fmt::Display for VersionLag {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ReplicaLag::List { own, current } => write!(f, "list {own} where {current} is current"),
-            ReplicaLag::Config { own, required } => {
+            VersionLag::List { own, current } => write!(f, "list {own} where {current} is current"),
+            VersionLag::Config { own, required } => {
                 write!(f, "configuration {own:016x} where {required:016x} is required")
             }
-            ReplicaLag::Build { own, required } => write!(f, "build {own} where {required} is required"),
+            VersionLag::Build { own, required } => write!(f, "build {own} where {required} is required"),
         }
     }
 }
@@ -71,7 +71,7 @@
     /// State of the session.
     pub session: &'a Session,
     /// What it lags with.
-    pub lag: ReplicaLag,
+    pub lag: VersionLag,
 }
 
 impl StateMachine {
@@ -97,27 +97,27 @@
     }
 
     /// What a gateway that acts on `version` lags with, if anything.
-    pub fn lag_of(&self, version: &Version) -> Option<ReplicaLag> {
+    pub fn lag_of(&self, version: &Version) -> Option<VersionLag> {
         self.list_lag(&version.list).or_else(|| self.config_lag(version)).or_else(|| self.build_lag(version))
     }
 
-    fn list_lag(&self, list: &ListVersion) -> Option<ReplicaLag> {
+    fn list_lag(&self, list: &ListVersion) -> Option<VersionLag> {
         let current = self.current_list_index(&list.lineage)?;
         // A required index has to be reached exactly; behind the majority, the allowed distance applies.
         let below_required =
             self.required_list_index(&list.lineage).is_some_and(|required| list.index < required);
         let too_far_behind = list.index.saturating_add(self.max_list_lag) <= current;
-        (below_required || too_far_behind).then_some(ReplicaLag::List { own: list.index, current })
+        (below_required || too_far_behind).then_some(VersionLag::List { own: list.index, current })
     }
 
-    fn config_lag(&self, version: &Version) -> Option<ReplicaLag> {
+    fn config_lag(&self, version: &Version) -> Option<VersionLag> {
         let required = self.requirements.config.filter(|required| *required != version.config)?;
-        Some(ReplicaLag::Config { own: version.config, required })
+        Some(VersionLag::Config { own: version.config, required })
     }
 
-    fn build_lag(&self, version: &Version) -> Option<ReplicaLag> {
+    fn build_lag(&self, version: &Version) -> Option<VersionLag> {
         let required = self.requirements.build.as_ref().filter(|required| **required != version.build)?;
-        Some(ReplicaLag::Build { own: version.build.clone(), required: required.clone() })
+        Some(VersionLag::Build { own: version.build.clone(), required: required.clone() })
     }
 
     /// How many more sessions may be fenced for lagging.
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -22,7 +22,7 @@
 use weldworks_fleet::membership::PeerView;
 use weldworks_fleet::protocol::{self, AdminQuery, Caller, DepartedEndpoint, Frame, Hello, StateUpdate};
 use weldworks_fleet::settings::LagPolicy;
-use weldworks_fleet::state_machine::{Command, FenceReason, Renewal, ReplicaLag, Requirements, StateMachine};
+use weldworks_fleet::state_machine::{Command, FenceReason, Renewal, Requirements, StateMachine, VersionLag};
 use weldworks_fleet::version::{Incarnation, ListVersion, Version};
 
 const FIXTURE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/formats.txt");
@@ -166,7 +166,7 @@
 fn frames() -> Vec<(String, Frame)> {
     let news = StateUpdate {
         log_index: 12,
-        fence_reason: Some(FenceReason::Lagging(ReplicaLag::List { own: 1, current: 300 })),
+        fence_reason: Some(FenceReason::Lagging(VersionLag::List { own: 1, current: 300 })),
         current_list_index: Some(300),
         required_config: Some(3),
         departures: vec![DepartedEndpoint {
@@ -210,14 +210,14 @@
     add(
         "told-config",
         Frame::StateUpdate(StateUpdate {
-            fence_reason: Some(FenceReason::Lagging(ReplicaLag::Config { own: 1, required: 2 })),
+            fence_reason: Some(FenceReason::Lagging(VersionLag::Config { own: 1, required: 2 })),
             ..StateUpdate::default()
         }),
     );
     add(
         "told-build",
         Frame::StateUpdate(StateUpdate {
-            fence_reason: Some(FenceReason::Lagging(ReplicaLag::Build {
+            fence_reason: Some(FenceReason::Lagging(VersionLag::Build {
                 own: "a".into(),
                 required: "b".into(),
             })),
--- a/crates/fleet/tests/state_machine.rs
+++ b/crates/fleet/tests/state_machine.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use weldworks_fleet::settings::LagPolicy;
 use weldworks_fleet::state_machine::{
-    Command, CommandOutcome, FenceReason, Renewal, ReplicaLag, Requirements, StateMachine,
+    Command, CommandOutcome, FenceReason, Renewal, Requirements, StateMachine, VersionLag,
 };
 use weldworks_fleet::version::{Incarnation, ListVersion, Version};
 
@@ -101,7 +101,7 @@
         state.apply(&Command::FenceLagging { session: 5, version: version(7) }),
         CommandOutcome::Applied
     );
-    assert_eq!(fence_reason(&state), Some(FenceReason::Lagging(ReplicaLag::List { own: 7, current: 10 })));
+    assert_eq!(fence_reason(&state), Some(FenceReason::Lagging(VersionLag::List { own: 7, current: 10 })));
     state.apply(&renew(5, 2, Some(8)));
     assert_eq!(fence_reason(&state), None, "two versions behind is within the allowed three");
 }
--- a/crates/testbed/src/whole/live.rs
+++ b/crates/testbed/src/whole/live.rs
@@ -27,7 +27,7 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 use weldworks_fleet::node::SessionState;
 use weldworks_fleet::protocol::{self, AdminQuery, Caller, Frame, Hello, MAX_FRAME_BYTES};
-use weldworks_fleet::state_machine::{FenceReason, ReplicaLag};
+use weldworks_fleet::state_machine::{FenceReason, VersionLag};
 
 const FLEET: &str = "whole";
 pub(super) const NODES: usize = 4;
@@ -274,7 +274,7 @@
             let acting = match standing.strip_prefix("in session ") {
                 Some(id) => SessionState::InSession(id.parse().unwrap_or_default()),
                 None if standing == "alone" => SessionState::WithoutSession,
-                None => SessionState::Fenced(FenceReason::Lagging(ReplicaLag::Build {
+                None => SessionState::Fenced(FenceReason::Lagging(VersionLag::Build {
                     own: String::new(),
                     required: standing.to_owned(),
                 })),
