--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -35,7 +35,7 @@
     Version { list: list(index), config: 0xc0ff, generation: 2, operator: 77, build: "0.2.0+00ab".to_owned() }
 }
 
-fn entries() -> Vec<(&'static str, Command)> {
+fn commands() -> Vec<(&'static str, Command)> {
     vec![
         (
             "open",
@@ -76,8 +76,8 @@
     ]
 }
 
-fn register() -> StateMachine {
-    let mut register = StateMachine::new(&LagPolicy {
+fn state_machine() -> StateMachine {
+    let mut state = StateMachine::new(&LagPolicy {
         max_fenced_fraction: 0.5,
         max_list_lag: 3,
         max_lag_duration: Duration::from_secs(5),
@@ -85,23 +85,23 @@
     for gateway in ["g0", "g1", "g2", "g3"] {
         let index = if gateway == "g3" { 1 } else { 300 };
         let process = Incarnation(u64::from(gateway.as_bytes()[1]));
-        register.apply(&Command::OpenSession {
+        state.apply(&Command::OpenSession {
             name: gateway.into(),
             process,
             version: version(index),
             request: 1,
         });
     }
-    for (_, entry) in entries() {
-        register.apply(&entry);
+    for (_, command) in commands() {
+        state.apply(&command);
     }
-    register.apply(&Command::FenceLagging { session: 4, version: version(1) });
-    register
+    state.apply(&Command::FenceLagging { session: 4, version: version(1) });
+    state
 }
 
 fn config() -> GroupConfig {
-    let seats = ["g0", "g1", "g2"].map(|name| Replica { name: name.into(), process: Incarnation(7) });
-    GroupConfig { group_id: 99, generation: 3, replicas: seats.into() }
+    let replicas = ["g0", "g1", "g2"].map(|name| Replica { name: name.into(), process: Incarnation(7) });
+    GroupConfig { group_id: 99, generation: 3, replicas: replicas.into() }
 }
 
 fn ballot(n: u32) -> Ballot {
@@ -163,7 +163,7 @@
 }
 
 fn frames() -> Vec<(String, Frame)> {
-    let news = StateUpdate {
+    let update = StateUpdate {
         log_index: 12,
         fence_reason: Some(FenceReason::Lagging(ReplicaLag::List { own: 1, current: 300 })),
         current_list_index: Some(300),
@@ -193,7 +193,7 @@
     add("council-holds", Frame::Consensus(ConsensusMessage::Holds { tag: Some(tag), follows: None }));
     add(
         "council-formed",
-        Frame::Consensus(ConsensusMessage::Formed { config: config(), base: Box::new(register()) }),
+        Frame::Consensus(ConsensusMessage::Formed { config: config(), base: Box::new(state_machine()) }),
     );
     for (name, message) in messages() {
         add(
@@ -203,9 +203,9 @@
     }
     add("open", Frame::OpenSession { request: 4, version: version(300) });
     add("renew", Frame::RenewSession { session: 1, request: 5, version: version(300) });
-    add("granted", Frame::SessionGranted { session: 1, request: 5, update: news.clone() });
+    add("granted", Frame::SessionGranted { session: 1, request: 5, update: update.clone() });
     add("granted-plain", Frame::SessionGranted { session: 1, request: 6, update: StateUpdate::default() });
-    add("told", Frame::StateUpdate(news));
+    add("told", Frame::StateUpdate(update));
     add(
         "told-config",
         Frame::StateUpdate(StateUpdate {
@@ -237,22 +237,22 @@
     add("ask-status", Frame::AdminQuery(AdminQuery::Status));
     add("ask-audit", Frame::AdminQuery(AdminQuery::Audit { from_index: 1, to_index: 300 }));
     add("ask-request", Frame::AdminQuery(AdminQuery::Request { request_id: "r-1".into() }));
-    for (name, entry) in entries() {
-        add(&format!("ask-decide-{name}"), Frame::AdminQuery(AdminQuery::Propose(Box::new(entry))));
+    for (name, command) in commands() {
+        add(&format!("ask-decide-{name}"), Frame::AdminQuery(AdminQuery::Propose(Box::new(command))));
     }
     add("answer", Frame::AdminAnswer("{\"a\":1}".into()));
-    add("whole", Frame::StateSnapshot(Box::new(register())));
+    add("whole", Frame::StateSnapshot(Box::new(state_machine())));
     frames
 }
 
 fn records() -> Vec<(String, Vec<u8>)> {
     let stored = [
-        ("began", StoredRecord::ConfigStarted { config: config(), base: Box::new(register()) }),
+        ("began", StoredRecord::ConfigStarted { config: config(), base: Box::new(state_machine()) }),
         (
             "log",
             StoredRecord::StorageChanged(StorageChange::Log(
                 4,
-                entries().into_iter().map(|(_, entry)| entry).collect(),
+                commands().into_iter().map(|(_, command)| command).collect(),
             )),
         ),
         ("promise", StoredRecord::StorageChanged(StorageChange::Promise(ballot(2)))),
@@ -313,9 +313,9 @@
     }
     let fixtures = fixtures();
     assert_eq!(records.len(), fixtures.len(), "each fixture has its value here");
-    for ((name, bytes), (kept_name, kept)) in records.iter().zip(&fixtures) {
-        assert_eq!(name, kept_name);
-        assert_eq!(hex(bytes), hex(kept), "{name}");
+    for ((name, bytes), (fixture_name, fixture)) in records.iter().zip(&fixtures) {
+        assert_eq!(name, fixture_name);
+        assert_eq!(hex(bytes), hex(fixture), "{name}");
     }
 }
 
@@ -353,21 +353,21 @@
         ConsensusGroup::new(name.clone(), process(name), names.to_vec(), StateMachine::default())
     };
     let mut members: Vec<ConsensusGroup> = names.iter().map(member).collect();
-    let mut on_the_way: Vec<(usize, OutgoingMessage)> = Vec::new();
+    let mut in_flight: Vec<(usize, OutgoingMessage)> = Vec::new();
     for (n, member) in members.iter_mut().enumerate() {
         for other in names.iter().filter(|other| **other != names[n]) {
-            on_the_way
-                .extend(member.link_up(other, process(other)).messages.into_iter().map(|said| (n, said)));
+            in_flight
+                .extend(member.link_up(other, process(other)).messages.into_iter().map(|sent| (n, sent)));
         }
     }
     for _ in 0..400 {
-        for (from, said) in std::mem::take(&mut on_the_way) {
-            let to = names.iter().position(|name| *name == said.to).expect("a member");
-            let done = members[to].receive(&names[from], said.message);
-            on_the_way.extend(done.messages.into_iter().map(|said| (to, said)));
+        for (from, sent) in std::mem::take(&mut in_flight) {
+            let to = names.iter().position(|name| *name == sent.to).expect("a member");
+            let done = members[to].receive(&names[from], sent.message);
+            in_flight.extend(done.messages.into_iter().map(|sent| (to, sent)));
         }
         for (n, member) in members.iter_mut().enumerate() {
-            on_the_way.extend(member.tick().messages.into_iter().map(|said| (n, said)));
+            in_flight.extend(member.tick().messages.into_iter().map(|sent| (n, sent)));
         }
     }
     let config = members[0].config().expect("three of three found it");
