--- a/crates/gateway/src/engine/endpoint_updates.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -79,7 +79,7 @@
 
     /// Marks all endpoints removed: those that a snapshot lacks are.
     fn mark_all_removed(&mut self) {
-        self.endpoints.iter().for_each(|endpoint| endpoint.is_active.set(false));
+        self.endpoints.iter().for_each(|endpoint| endpoint.accepts_requests.set(false));
         self.listed_endpoints.iter_mut().for_each(|listed| listed.state = EndpointState::Removed);
     }
 
@@ -101,12 +101,12 @@
 
     /// Closes idle connections to endpoints that accept no new requests, and publishes whether any endpoint does.
     fn close_connections_to_unavailable(&self) {
-        let is_active = |id: EndpointId| {
-            self.endpoints.get(id.0 as usize).is_some_and(|endpoint| endpoint.is_active.get())
+        let accepts_requests = |id: EndpointId| {
+            self.endpoints.get(id.0 as usize).is_some_and(|endpoint| endpoint.accepts_requests.get())
         };
-        self.pool.retain(is_active);
-        let has_active = self.endpoints.iter().any(|endpoint| endpoint.is_active.get());
-        self.handle.set_has_active_endpoint(has_active);
+        self.pool.retain(accepts_requests);
+        let any_endpoint_accepts = self.endpoints.iter().any(|endpoint| endpoint.accepts_requests.get());
+        self.handle.set_any_endpoint_accepts(any_endpoint_accepts);
     }
 
     /// In a fleet, the endpoints that are up and that the list may change, by name.
@@ -167,7 +167,7 @@
         }
         listed.state = EndpointState::Draining;
         if let Some(endpoint) = self.endpoints.get(id.0 as usize) {
-            endpoint.is_active.set(false);
+            endpoint.accepts_requests.set(false);
         }
         Some(listed.clone())
     }
@@ -250,7 +250,7 @@
             fleet.set_endpoint_name(id, &entry.name);
         }
         let state = self.endpoint_state(entry, endpoint);
-        endpoint.is_active.set(state == EndpointState::Up);
+        endpoint.accepts_requests.set(state == EndpointState::Up);
         Endpoint {
             state,
             zone: self.names.zone(&entry.zone, id.0),
@@ -274,7 +274,7 @@
             *started_unix_ms = 0; // that of the id's previous endpoint
         }
         let endpoint =
-            Rc::new(UpstreamEndpoint { id, address: Cell::new(None), is_active: Cell::new(false) });
+            Rc::new(UpstreamEndpoint { id, address: Cell::new(None), accepts_requests: Cell::new(false) });
         match self.endpoints.get_mut(id.0 as usize) {
             Some(previous) => *previous = endpoint,
             None => self.endpoints.push(endpoint),
--- a/crates/gateway/src/engine/message.rs
+++ b/crates/gateway/src/engine/message.rs
@@ -178,7 +178,7 @@
     messages: mpsc::UnboundedSender<Message>,
     /// Number of the newest request.
     last_request: Rc<Cell<u64>>,
-    has_active_endpoint: Rc<Cell<bool>>,
+    any_endpoint_accepts: Rc<Cell<bool>>,
     reports_connections: Rc<Cell<bool>>,
     discovery_answered: Rc<Cell<bool>>,
     last_discovery_message: Rc<Cell<Option<Instant>>>,
@@ -193,7 +193,7 @@
         let handle = EngineHandle {
             messages: sender,
             last_request: Rc::default(),
-            has_active_endpoint: Rc::default(),
+            any_endpoint_accepts: Rc::default(),
             reports_connections: Rc::default(),
             discovery_answered: Rc::default(),
             last_discovery_message: Rc::default(),
@@ -227,13 +227,13 @@
     }
 
     /// A shared flag: whether any endpoint accepts new requests.
-    pub fn has_active_endpoint(&self) -> Rc<Cell<bool>> {
-        self.has_active_endpoint.clone()
+    pub fn any_endpoint_accepts(&self) -> Rc<Cell<bool>> {
+        self.any_endpoint_accepts.clone()
     }
 
     /// Sets whether any endpoint accepts new requests.
-    pub fn set_has_active_endpoint(&self, has_active_endpoint: bool) {
-        self.has_active_endpoint.set(has_active_endpoint);
+    pub fn set_any_endpoint_accepts(&self, any_endpoint_accepts: bool) {
+        self.any_endpoint_accepts.set(any_endpoint_accepts);
     }
 
     /// The latest moment for any answer, where the process is shutting down.
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,7 +1,8 @@
 //! This gateway's part in its fleet, on sockets and disk. Off, and none of it built, without `[fleet]` in the operator's file and
 //! `--fleet`.
 //!
-//! A [`Node`] decides. `peer_link` connects it to the other gateways and `consensus_store` keeps a voting member's state on disk;
+//! A [`Node`] decides. `peer_link` connects it to the other gateways, `links` has the send queue of each and `consensus_store` keeps a
+//! voting member's state on disk;
 //! `held_frames` are those that must not leave before that state is written. `audit_store` keeps the audit log, `admin` answers
 //! administrators. The engine asks whether this process accepts clients, and reports endpoint lists and decisions (`engine_interface`).
 
@@ -11,6 +12,7 @@
 mod engine_interface;
 mod held_frames;
 mod link_codec;
+mod links;
 mod peer_link;
 mod process_identity;
 mod send_queue;
@@ -24,8 +26,8 @@
 use audit_store::{AuditStore, ProcessClock};
 use consensus_store::{ConsensusStore, OpenedStore, WriteResult};
 use held_frames::{HeldFrames, OutgoingFrame};
+use links::Links;
 use process_identity::{build_version, new_incarnation};
-use send_queue::Links;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/crates/gateway/src/lifecycle/service_state.rs
+++ b/crates/gateway/src/lifecycle/service_state.rs
@@ -18,7 +18,7 @@
     drain: RefCell<Drain>,
     last_accept: Cell<Duration>,
     engine: EngineHandle,
-    has_active_endpoint: Rc<Cell<bool>>,
+    any_endpoint_accepts: Rc<Cell<bool>>,
     startup: Startup,
     /// Notified at each change of the drain.
     pub drain_changed: Notify,
@@ -37,14 +37,14 @@
         metrics: Rc<Metrics>,
         fleet: Option<Rc<Fleet>>,
     ) -> ServiceState {
-        let has_active_endpoint = engine.has_active_endpoint();
+        let any_endpoint_accepts = engine.any_endpoint_accepts();
         let shared_listener = drain_settings.shared_listener;
         ServiceState {
             start: Instant::now(),
             drain: RefCell::new(Drain::new(drain_settings)),
             last_accept: Cell::default(),
             engine,
-            has_active_endpoint,
+            any_endpoint_accepts,
             startup: Startup { shared_listener, started_at: Duration::ZERO },
             drain_changed: Notify::new(),
             shutdown_started: Notify::new(),
@@ -61,7 +61,7 @@
     pub fn waiting_for(&self) -> Option<StartupWait> {
         let progress = StartupProgress {
             discovery_answered: self.engine.discovery_answered(),
-            has_active_endpoint: self.has_active_endpoint.get(),
+            has_active_endpoint: self.any_endpoint_accepts.get(),
         };
         self.startup.waiting_for(self.now(), progress)
     }
@@ -72,7 +72,7 @@
         match self.waiting_for() {
             _ if self.is_shutting_down() => Some("stopping"),
             Some(StartupWait::Discovery) => Some("waiting for discovery's first word"),
-            _ if !self.has_active_endpoint.get() => Some("no host in discovery's list takes work"),
+            _ if !self.any_endpoint_accepts.get() => Some("no host in discovery's list takes work"),
             _ => self.fleet.as_ref().and_then(|fleet| fleet.cannot_serve_reason()),
         }
     }
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -95,7 +95,7 @@
             RequestPayload::Streaming(upload) => self.liveness.is_wanted() && !upload.time_left().is_zero(),
         };
         has_client
-            && self.endpoint.is_active.get()
+            && self.endpoint.accepts_requests.get()
             && !self.is_past_write_deadline()
             && Instant::now() < self.deadline.get()
     }
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -26,7 +26,7 @@
     /// The address that it listens at, where it has one.
     pub address: Cell<Option<SocketAddr>>,
     /// Whether new requests may be sent to it.
-    pub is_active: Cell<bool>,
+    pub accepts_requests: Cell<bool>,
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -193,7 +193,7 @@
 
     /// Puts a connection back, unless its endpoint takes nothing new or has closed it.
     pub(super) async fn put_back(&self, mut connection: Connection, endpoint: &UpstreamEndpoint) {
-        if endpoint.is_active.get() && connection.is_open().await {
+        if endpoint.accepts_requests.get() && connection.is_open().await {
             connection.idle_since = Instant::now();
             self.idle.borrow_mut().push_back(connection);
         }
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -22,7 +22,7 @@
 }
 
 fn endpoint(id: EndpointId, address: Option<SocketAddr>) -> UpstreamEndpoint {
-    UpstreamEndpoint { id, address: Cell::new(address), is_active: Cell::new(true) }
+    UpstreamEndpoint { id, address: Cell::new(address), accepts_requests: Cell::new(true) }
 }
 
 fn attempt(endpoint: UpstreamEndpoint) -> Attempt {
