--- a/crates/gateway/tests/fleet_off.rs
+++ b/crates/gateway/tests/fleet_off.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_weldworks-gateway");
@@ -44,7 +45,9 @@
 fn start(settings: Option<&str>, words: &[String]) -> (Running, String) {
     let example = include_str!("../../../deploy/platform.example.json");
     let example = example.replace("127.0.0.1:7070", "127.0.0.1:0").replace("127.0.0.1:8500", "127.0.0.1:1");
-    let config = file(&format!("off-{}.json", settings.is_some()), &example);
+    // A file for each call: tests of one process run side by side, and a program that reads a file half written does not start.
+    static STARTED: AtomicU32 = AtomicU32::new(0);
+    let config = file(&format!("off-{}.json", STARTED.fetch_add(1, Ordering::Relaxed)), &example);
     let mut command = Command::new(PROGRAM);
     command.args(words).env("ROUTER_CONFIG", config).stderr(Stdio::piped());
     command.env_remove("WELDWORKS_SETTINGS").env_remove("OTTERVANE_SETTINGS");
