--- a/crates/gateway/src/engine/discovery_watch.rs
+++ b/crates/gateway/src/engine/discovery_watch.rs
@@ -126,7 +126,9 @@
         }
     }
 
-    /// Switches to another discovery address, from its first list on: indexes of two discoveries can't be compared.
+    /// Switches to another discovery address, from its first list on: indexes of two discoveries can't be compared. The same address
+    /// changes nothing, also where discovery is now polled instead of watched or the other way round. The time of the last message is
+    /// kept, so the first list of the new discovery comes with that of the old one.
     pub(super) fn switch_discovery(&mut self, address: SocketAddr) {
         if address == self.discovery_address {
             return;
--- a/crates/gateway/src/engine/endpoint_updates.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -283,7 +283,7 @@
     }
 
     /// The state of an endpoint by its entry. One without an address can't be sent anything. One that drains by other gateways'
-    /// newer lists stays draining.
+    /// newer lists stays draining. One of a status that this build does not know drains, and is not logged as a fault of the list.
     fn endpoint_state(&self, entry: &ListedEndpoint, endpoint: &UpstreamEndpoint) -> EndpointState {
         match entry.status {
             ListedStatus::Active if endpoint.address.get().is_none() => EndpointState::Removed,
--- a/crates/gateway/src/engine/request_events.rs
+++ b/crates/gateway/src/engine/request_events.rs
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Answers a request that the balancer has left open until the client's deadline.
+    /// Answers a request that the balancer has left open until its deadline. The first deadline of a streamed upload, `UPLOAD_TIMEOUT` from its
+    /// arrival, also ends it where the deadline has moved since: its timer stays queued.
     pub(super) fn enforce_request_deadline(&mut self, id: RequestId) {
         if self.requests.get(id).is_some_and(|entry| entry.answer.is_some()) {
             self.answer(id, FinalAnswer::Failed(StatusCode::GATEWAY_TIMEOUT));
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -2,9 +2,9 @@
 //! `--fleet`.
 //!
 //! A [`Node`] decides. `peer_link` connects it to the other gateways, `links` has the send queue of each and `consensus_store` keeps a
-//! voting member's state on disk;
-//! `held_frames` are those that must not leave before that state is written. `audit_store` keeps the audit log, `admin` answers
-//! administrators. The engine asks whether this process accepts clients, and reports endpoint lists and decisions (`engine_interface`).
+//! voting member's state on disk; `held_frames` are those that must not leave before that state is written. `audit_store` keeps the
+//! audit log, `admin` answers administrators. The engine asks whether this process accepts clients, and reports endpoint lists and
+//! decisions (`engine_interface`).
 
 mod admin;
 mod audit_store;
--- a/crates/gateway/src/fleet/peer_link.rs
+++ b/crates/gateway/src/fleet/peer_link.rs
@@ -24,9 +24,8 @@
 
 /// Most connections of administrators at a time.
 pub(super) const MAX_ADMIN_CONNECTIONS: usize = 8;
-/// Base of the delays before reconnects. It doubles ahead of each one, the first included, and a random half of the result is taken off:
-/// the reconnect after a link that was up comes within 50 to 100 ms, the one after
-/// a first failed dial within 100 to 200 ms.
+/// Base of the delays before reconnects. It doubles ahead of each one, the first included, and up to half of the result is taken off at
+/// random: the reconnect after a link that was up comes after 50 to 100 ms, the one after a first failed dial after 100 to 200 ms.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// Longest delay before a reconnect.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(1600);
@@ -180,7 +179,7 @@
     }
 }
 
-/// Connects to a peer and runs the link until it ends.
+/// Connects to a peer and runs the link until it ends. A refused or timed-out dial is reported to the node and not logged here.
 async fn dial(fleet: &Rc<Fleet>, peer: &Peer) -> Result<(), DialError> {
     let stream = match timeout(HELLO_TIMEOUT, TcpStream::connect(peer.address)).await {
         Ok(Ok(stream)) => stream,
--- a/crates/gateway/src/fleet/send_queue.rs
+++ b/crates/gateway/src/fleet/send_queue.rs
@@ -41,7 +41,7 @@
         SendQueue { max_bytes, ..SendQueue::default() }
     }
 
-    /// Queues a frame. A queue without room for it is closed.
+    /// Queues a frame. A queue without room for it is closed, and with it the link; that is not logged here.
     pub(super) fn push(&self, frame: Vec<u8>) {
         let queued_bytes = self.queued_bytes.get() + frame.len();
         let mut frames = self.frames.borrow_mut();
--- a/crates/gateway/src/server/http/accept.rs
+++ b/crates/gateway/src/server/http/accept.rs
@@ -84,6 +84,7 @@
     }
 
     /// Accepts what still waits in the accept queue until the deadline, then closes the listener; the kernel resets what is left.
+    /// Each failed accept is logged, also where it repeats.
     pub async fn drain_backlog(self: &Rc<Self>, listener: TcpListener, deadline: Instant) {
         while Instant::now() < deadline {
             let Some(permit) = self.clients.acquire_permit() else {
