--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -78,7 +78,7 @@
 }
 
 /// The factor on the concurrency limit for a class of this weight: classes of little weight are shed somewhat earlier.
-fn priority_weight(class_weight: f64, mean_weight: f64) -> f64 {
+fn concurrency_limit_factor(class_weight: f64, mean_weight: f64) -> f64 {
     (class_weight / mean_weight).powf(PRIORITY_EXPONENT)
 }
 
@@ -187,9 +187,9 @@
         if is_hopeless(cost_hint_s, traffic.latency_per_hint, times.deadline_s - now_s, overload_level) {
             return false;
         }
-        let weight = priority_weight(class.priority_weight, traffic.priority_weight);
+        let limit_factor = concurrency_limit_factor(class.priority_weight, traffic.priority_weight);
         // In a retry storm control::retry_storm applies the class weight once more, through admission_share.
-        let request_limit = concurrency_limit * weight * request.admission_share;
+        let request_limit = concurrency_limit * limit_factor * request.admission_share;
         // Not `<=`: a limit that is NaN, as without any class weight, admits.
         let exceeds_limit = traffic.requests_in_flight > request_limit;
         !exceeds_limit
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -112,7 +112,7 @@
     pub tenant_quotas: Vec<f64>,
     /// The value of a request beyond its tenant's quota, as a fraction of its class's. The balancer does not use it. Default 1.
     pub over_quota_weight: f64,
-    /// Reference time for the backoff before discovery is asked again, where the gateway must open the watch itself. Default none: lists
+    /// Reference time for the backoff before discovery is polled again, where the gateway must open the watch itself. Default none: lists
     /// are pushed.
     pub discovery_poll_interval: Option<Duration>,
     /// Resolution of the gateway's timers. Default 1 ms.
--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -1,13 +1,12 @@
 //! Sends attempts and handles their outcomes. [`crate::retry`] decides whether another attempt is allowed, [`crate::selection`] where it
-//! goes, and [`crate::failure_tracking`] what a failure counts against.
+//! goes, and [`crate::outlier_detection`] what a failure counts against.
 
 use crate::api::{Action, EndpointId, EndpointState, Idempotency, Outcome, RequestId};
 use crate::balancer::{set_timer, Balancer};
-use crate::failure_tracking::ClassFailures;
+use crate::outlier_detection::ClassFailures;
 use crate::request::{AttemptState, RequestState};
-use crate::retry::{
-    final_answer, hedge_delay_s, is_attempt_allowed, is_hedge_in_time, latest_write_s, AttemptKind,
-};
+use crate::retry::{final_answer, hedge_delay_s, is_attempt_allowed, is_hedge_in_time, latest_write_s};
+use crate::retry_budget::AttemptKind;
 use crate::traffic_stats::update_average;
 use std::time::Duration;
 
--- a/crates/balancer/src/endpoint_state.rs
+++ b/crates/balancer/src/endpoint_state.rs
@@ -1,8 +1,8 @@
 //! The state of one endpoint at this gateway, and the latency expected of endpoints without samples.
 
 use crate::api::{Endpoint, EndpointState, LoadReport};
-use crate::failure_tracking::{retained_fraction, ClassFailures};
 use crate::latency_detector::Cusum;
+use crate::outlier_detection::{retained_fraction, ClassFailures};
 use rustc_hash::FxHashMap;
 
 /// Latency expected of an endpoint before any sample, as a fraction of the shortest latency objective.
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -9,7 +9,7 @@
 //! - `admission`: whether a request is admitted or shed; `load_signals`: what endpoints report of their load
 //! - `selection`: which endpoint an attempt goes to; `slow_start`: how many attempts a cold endpoint gets
 //! - `attempt`: sending attempts and handling their outcomes; `retry`: whether another one is allowed, hedges, final answers
-//! - `latency_detector`, `failure_tracking`, `endpoint_state`: the state of an endpoint as learned from outcomes
+//! - `latency_detector`, `outlier_detection`, `endpoint_state`: the state of an endpoint as learned from outcomes
 //! - `traffic_stats`, `maintenance`: rates and averages, and what changes with time
 //! - `endpoint_list`, `discovery_polling`, `endpoint_draining`: endpoints according to discovery, and when it is polled
 //! - `key_sequencing`: one request of a key at a time
@@ -40,14 +40,15 @@
 mod endpoint_draining;
 mod endpoint_list;
 mod endpoint_state;
-mod failure_tracking;
 mod key_sequencing;
 mod latency_detector;
 pub mod load_report;
 mod load_signals;
 mod maintenance;
+mod outlier_detection;
 mod request;
 mod retry;
+mod retry_budget;
 mod selection;
 mod settings_document;
 mod slow_start;
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -6,7 +6,7 @@
 use crate::api::{EndpointId, LoadReport, Settings};
 use crate::balancer::Balancer;
 use crate::endpoint_state::EndpointRecord;
-use crate::failure_tracking::recent_activity_window_s;
+use crate::outlier_detection::recent_activity_window_s;
 
 /// Most tokens that a cold endpoint can save up.
 const MAX_TOKENS: f64 = 1.0;
--- a/crates/control/src/execution.rs
+++ b/crates/control/src/execution.rs
@@ -44,7 +44,7 @@
     Answered(ResponseVerdict),
 }
 
-/// The outcome of an attempt that was answered or whose connection is closed.
+/// The outcome of an attempt, by how much of its request was written and by what ended it.
 pub fn classify_attempt(written: WriteProgress, ended: AttemptEnd) -> Outcome {
     let possibly_processed = written == WriteProgress::Complete;
     match ended {
--- a/crates/control/src/retry_storm/retry_budget.rs
+++ b/crates/control/src/retry_storm/client_retry_budget.rs
@@ -5,16 +5,16 @@
 
 /// Budget of retries by clients, counted in retries.
 #[derive(Clone, Debug)]
-pub struct RetryBudget {
+pub struct ClientRetryBudget {
     earned_per_first_attempt: f64,
     max_balance: f64,
     balance: f64,
 }
 
-impl RetryBudget {
+impl ClientRetryBudget {
     /// Creates a full budget: each first attempt earns `earned_per_first_attempt` retries, up to `max_balance`.
-    pub fn new(earned_per_first_attempt: f64, max_balance: f64) -> RetryBudget {
-        RetryBudget { earned_per_first_attempt, max_balance, balance: max_balance }
+    pub fn new(earned_per_first_attempt: f64, max_balance: f64) -> ClientRetryBudget {
+        ClientRetryBudget { earned_per_first_attempt, max_balance, balance: max_balance }
     }
 
     /// Adds what a first attempt earns.
--- a/crates/control/src/retry_storm/mod.rs
+++ b/crates/control/src/retry_storm/mod.rs
@@ -9,25 +9,25 @@
 //! per client).
 
 mod allowance;
+mod client_retry_budget;
 mod decaying_counter;
 mod detector;
 mod fair_share;
 mod repeat_cache;
 mod reservation_cache;
 mod retry_after;
-mod retry_budget;
 mod settings;
 mod slot_table;
 mod storm_control;
 mod wilson_interval;
 
 pub use allowance::{Allowance, AllowanceCounts, AllowanceReason};
+pub use client_retry_budget::ClientRetryBudget;
 pub use detector::{RetrySigns, Signals, StateChange, StormDetector, StormState};
 pub use fair_share::FairShare;
 pub use repeat_cache::RepeatCache;
 pub use reservation_cache::ReservationCache;
 pub use retry_after::{Reservation, RetryAfterSchedule};
-pub use retry_budget::RetryBudget;
 pub use settings::StormSettings;
 pub use storm_control::{
     ArrivingRequest, PlatformTerms, RequestResult, RetryStormControl, RetryStormStatus, StartedEndpoint,
--- a/crates/control/src/retry_storm/storm_control.rs
+++ b/crates/control/src/retry_storm/storm_control.rs
@@ -1,12 +1,12 @@
 //! Storm control of one gateway: combines the detector with budget, reservations and tenant shares.
 
 use super::allowance::{retry_factor, weight_factor, Allowance, AllowanceCounts, AllowanceReason};
+use super::client_retry_budget::ClientRetryBudget;
 use super::detector::{RetrySigns, Signals, StateChange, StormDetector, StormState};
 use super::fair_share::FairShare;
 use super::repeat_cache::RepeatCache;
 use super::reservation_cache::ReservationCache;
 use super::retry_after::RetryAfterSchedule;
-use super::retry_budget::RetryBudget;
 use super::settings::StormSettings;
 use std::time::Duration;
 
@@ -76,7 +76,7 @@
 pub struct RetryStormControl {
     settings: StormSettings,
     detector: StormDetector,
-    budget: RetryBudget,
+    budget: ClientRetryBudget,
     schedule: RetryAfterSchedule,
     repeats: RepeatCache,
     reservations: ReservationCache,
@@ -90,7 +90,7 @@
     pub fn new(settings: StormSettings, terms: PlatformTerms<'_>, seed: u64) -> RetryStormControl {
         RetryStormControl {
             detector: StormDetector::new(&settings),
-            budget: RetryBudget::new(settings.retries_per_first_attempt, settings.max_saved_retries),
+            budget: ClientRetryBudget::new(settings.retries_per_first_attempt, settings.max_saved_retries),
             schedule: RetryAfterSchedule::new(
                 terms.slow_start_min_capacity,
                 terms.slow_start_duration,
--- a/crates/control/tests/retry_storm.rs
+++ b/crates/control/tests/retry_storm.rs
@@ -3,9 +3,9 @@
 use proptest::prelude::*;
 use std::time::Duration;
 use weldworks_control::retry_storm::{
-    wilson_lower_bound, Allowance, AllowanceReason, ArrivingRequest, FairShare, PlatformTerms, RepeatCache,
-    RequestResult, Reservation, ReservationCache, RetryAfterSchedule, RetryBudget, RetryStormControl,
-    StartedEndpoint, StormSettings, StormState,
+    wilson_lower_bound, Allowance, AllowanceReason, ArrivingRequest, ClientRetryBudget, FairShare,
+    PlatformTerms, RepeatCache, RequestResult, Reservation, ReservationCache, RetryAfterSchedule,
+    RetryStormControl, StartedEndpoint, StormSettings, StormState,
 };
 
 const fn ms(count: u64) -> Duration {
@@ -321,7 +321,7 @@
     /// No order of attempts spends what was not earned.
     #[test]
     fn a_budget_is_never_negative(attempts in proptest::collection::vec(any::<bool>(), 0..2000), earned_each in 0.0..2.0f64) {
-        let mut budget = RetryBudget::new(earned_each, 10.0);
+        let mut budget = ClientRetryBudget::new(earned_each, 10.0);
         let mut earned = 10.0;
         let mut spent = 0.0;
         for is_first_attempt in attempts {
--- a/crates/gateway/src/engine/actions.rs
+++ b/crates/gateway/src/engine/actions.rs
@@ -49,7 +49,7 @@
             Action::SetTimer { after, token } => {
                 self.timers.push(Instant::now() + after, Timer::Balancer(token));
             }
-            // The balancer asks for none: it judges endpoints by the requests that they serve.
+            // The balancer requests no probes: it judges endpoints by the requests that they serve.
             Action::Probe { endpoint } => {
                 self.decide(Event::ProbeEnded {
                     endpoint,
--- a/crates/gateway/src/fleet/held_frames.rs
+++ b/crates/gateway/src/fleet/held_frames.rs
@@ -1,6 +1,6 @@
 //! Frames that must not leave before records are on disk.
 //!
-//! A member that has told others of a promise and then forgets it in a crash could make the group decide twice. So a frame waits for
+//! A member that has sent others a promise and then forgets it in a crash could make the group decide twice. So a frame waits for
 //! the batch of records that was last handed to the store before it.
 
 use std::collections::VecDeque;
