--- a/crates/gateway/src/engine/attempt_reporter.rs
+++ b/crates/gateway/src/engine/attempt_reporter.rs
@@ -35,7 +35,7 @@
                 self.latency_since.set(Instant::now());
                 Message::BodyForwarded {
                     request,
-                    client_deadline: earliest_last_byte_at + self.answer_timeout,
+                    answer_deadline: earliest_last_byte_at + self.answer_timeout,
                 }
             }
             AttemptProgress::ResponseStarted { response, first_byte_at, load_report } => {
--- a/crates/gateway/src/engine/discovery_watch.rs
+++ b/crates/gateway/src/engine/discovery_watch.rs
@@ -102,7 +102,7 @@
             consecutive_failures = loss.consecutive_failures,
             stable_watch_age = ?STABLE_WATCH_AGE,
             max_retry_delay = ?MAX_RETRY_DELAY,
-            hint = "check `discovery` in the file that ROUTER_CONFIG names (ROUTER_DISCOVERY takes its place only at the start), then send SIGHUP",
+            hint = "check `discovery` in the file that ROUTER_CONFIG names (or ROUTER_DISCOVERY, read at the start only), then send SIGHUP",
             "endpoint list watch lost, retrying with the current list"
         );
     }
--- a/crates/gateway/src/engine/driver.rs
+++ b/crates/gateway/src/engine/driver.rs
@@ -64,8 +64,8 @@
             Message::ClientDisconnected(id) => self.handle_client_disconnect(id),
             Message::AttemptEnded(report) => self.handle_attempt_end(report),
             Message::BodyForwardingStarted(request) => self.decide(Event::BodyForwardingStarted { request }),
-            Message::BodyForwarded { request, client_deadline } => {
-                self.handle_body_forwarded(request, client_deadline);
+            Message::BodyForwarded { request, answer_deadline } => {
+                self.handle_body_forwarded(request, answer_deadline);
             }
             Message::ResponseStarted(start) => self.handle_response_start(start),
             Message::IdleConnectionClosed { endpoint, address, idle, remaining } => {
--- a/crates/gateway/src/engine/message.rs
+++ b/crates/gateway/src/engine/message.rs
@@ -122,7 +122,7 @@
         /// The request that the body belongs to.
         request: RequestId,
         /// By when the gateway answers, a margin before its client gives up.
-        client_deadline: Instant,
+        answer_deadline: Instant,
     },
     /// A response has begun that is streamed to the client.
     ResponseStarted(ResponseStart),
--- a/crates/gateway/src/engine/reconfiguration.rs
+++ b/crates/gateway/src/engine/reconfiguration.rs
@@ -52,7 +52,7 @@
     pub(super) fn apply_shutdown_deadline(&mut self) {
         let Some(shutdown_deadline) = self.handle.shutdown_deadline() else { return };
         for (id, entry) in self.requests.iter_mut() {
-            if entry.client_deadline <= shutdown_deadline {
+            if entry.answer_deadline <= shutdown_deadline {
                 continue;
             }
             // A body that is still arriving gets its deadline with its last byte.
@@ -61,7 +61,7 @@
                     continue;
                 }
             }
-            entry.client_deadline = shutdown_deadline;
+            entry.answer_deadline = shutdown_deadline;
             entry.attempts.iter().for_each(|attempt| attempt.deadline.shorten_to(shutdown_deadline));
             self.timers.push(shutdown_deadline, Timer::RequestDeadline(*id));
         }
--- a/crates/gateway/src/engine/request_events.rs
+++ b/crates/gateway/src/engine/request_events.rs
@@ -32,7 +32,7 @@
 
     fn admit_arrival(&mut self, arrival: Arrival) {
         let Arrival { mut request, request_id, forward, class, answer, client } = arrival;
-        let client_deadline = self.handle.instant(request.client_deadline);
+        let answer_deadline = self.handle.instant(request.client_deadline);
         request.admission_share = self.admission_share(&request);
         debug!(
             request = request.id.0,
@@ -49,7 +49,7 @@
             answer: Some(answer),
             client,
             arrived_at: Instant::now(),
-            client_deadline,
+            answer_deadline,
             attempts: Vec::new(),
             attempts_in_flight: 0,
             last_outcome: Outcome::NotSent,
@@ -57,7 +57,7 @@
             _class: class,
         };
         let id = request.id;
-        self.timers.push(client_deadline, Timer::RequestDeadline(id));
+        self.timers.push(answer_deadline, Timer::RequestDeadline(id));
         self.requests.insert(id, entry);
         self.decide(Event::Request(request));
         self.requests.remove_if_done(id);
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Answers a request that the balancer has left open until its deadline. The first deadline of a streamed upload, `UPLOAD_TIMEOUT` from its
-    /// arrival, also ends it where the deadline has moved since: its timer stays queued.
+    /// Answers a request that the balancer has left open until its deadline. The first deadline of a streamed upload,
+    /// `UPLOAD_TIMEOUT` from its arrival, also ends it where the deadline has moved since: its timer stays queued.
     pub(super) fn enforce_request_deadline(&mut self, id: RequestId) {
         if self.requests.get(id).is_some_and(|entry| entry.answer.is_some()) {
             self.answer(id, FinalAnswer::Failed(StatusCode::GATEWAY_TIMEOUT));
@@ -134,15 +134,15 @@
     }
 
     /// Moves a request's deadline once the last byte of its streamed body is on its way.
-    pub(super) fn handle_body_forwarded(&mut self, request: RequestId, client_deadline: Instant) {
+    pub(super) fn handle_body_forwarded(&mut self, request: RequestId, answer_deadline: Instant) {
         let Some(entry) = self.requests.get_mut(request) else { return };
         // A shutdown that has started meanwhile sets its own end.
         let shutdown_deadline = self.handle.shutdown_deadline();
-        let client_deadline = shutdown_deadline.map_or(client_deadline, |at| client_deadline.min(at));
-        entry.client_deadline = client_deadline;
-        self.timers.push(client_deadline, Timer::RequestDeadline(request));
-        let client_deadline = self.handle.balancer_time(client_deadline);
-        self.decide(Event::BodyForwarded { request, client_deadline });
+        let answer_deadline = shutdown_deadline.map_or(answer_deadline, |at| answer_deadline.min(at));
+        entry.answer_deadline = answer_deadline;
+        self.timers.push(answer_deadline, Timer::RequestDeadline(request));
+        let answer_deadline = self.handle.balancer_time(answer_deadline);
+        self.decide(Event::BodyForwarded { request, client_deadline: answer_deadline });
     }
 
     /// Gives the client an answer whose body still arrives.
--- a/crates/gateway/src/engine/request_table.rs
+++ b/crates/gateway/src/engine/request_table.rs
@@ -30,7 +30,7 @@
     pub(super) client: Rc<ClientLiveness>,
     pub(super) arrived_at: Instant,
     /// The latest moment for any answer, a margin before the client gives up.
-    pub(super) client_deadline: Instant,
+    pub(super) answer_deadline: Instant,
     /// All attempts, by their number.
     pub(super) attempts: Vec<AttemptEntry>,
     pub(super) attempts_in_flight: u32,
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -141,12 +141,12 @@
     let id = arrived.request.id;
     engine.apply_message(Message::RequestArrived(arrived));
     let late = Instant::now() + Duration::from_secs(20);
-    engine.apply_message(Message::BodyForwarded { request: id, client_deadline: late });
-    assert_eq!(engine.requests.get(id).map(|entry| entry.client_deadline), Some(late));
+    engine.apply_message(Message::BodyForwarded { request: id, answer_deadline: late });
+    assert_eq!(engine.requests.get(id).map(|entry| entry.answer_deadline), Some(late));
     let by = Instant::now() + Duration::from_secs(1);
     handle.set_shutdown_deadline(by);
-    engine.apply_message(Message::BodyForwarded { request: id, client_deadline: late });
-    assert_eq!(engine.requests.get(id).map(|entry| entry.client_deadline), Some(by));
+    engine.apply_message(Message::BodyForwarded { request: id, answer_deadline: late });
+    assert_eq!(engine.requests.get(id).map(|entry| entry.answer_deadline), Some(by));
 }
 
 /// A list of one endpoint of this name, with a start time in seconds from now by this machine's wall clock.
--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -57,7 +57,7 @@
 struct ReceivedRequest {
     payload: RequestPayload,
     receipt: Receipt,
-    client_deadline: Instant,
+    answer_deadline: Instant,
 }
 
 /// A request that the engine has not answered yet. Dropped before that, because its client has disconnected, it says so to the engine.
@@ -134,20 +134,20 @@
         let client = Rc::new(ClientLiveness::new(connection.probe.clone()));
         let received = match unread {
             None => {
-                let client_deadline = self.received_at(connection) + head.answer_timeout;
+                let answer_deadline = self.received_at(connection) + head.answer_timeout;
                 connection.await_next_head();
                 metrics_guard.mark_open();
-                if Instant::now() >= client_deadline {
+                if Instant::now() >= answer_deadline {
                     let timeout = FinalAnswer::Failed(StatusCode::GATEWAY_TIMEOUT);
                     return Ok(AnsweredRequest::new(timeout, metrics_guard, ConnectionUse::KeepAlive));
                 }
                 let payload = RequestPayload::Buffered(buffered);
-                ReceivedRequest { payload, receipt: Receipt::Complete(metrics_guard), client_deadline }
+                ReceivedRequest { payload, receipt: Receipt::Complete(metrics_guard), answer_deadline }
             }
             Some(unread) => start_upload(buffered, unread, &head, metrics_guard, &client, connection),
         };
-        let ReceivedRequest { payload, receipt, client_deadline } = received;
-        let request = self.balancer_request(&parts.headers, &head, &receipt, client_deadline);
+        let ReceivedRequest { payload, receipt, answer_deadline } = received;
+        let request = self.balancer_request(&parts.headers, &head, &receipt, answer_deadline);
         let forward = forwarded_request(parts, payload);
         let RequestHead { request_id, class, .. } = head;
         let answer = self.ask_engine(request, request_id, class.clone(), forward, client).await;
@@ -181,11 +181,11 @@
         headers: &HeaderMap,
         head: &RequestHead,
         receipt: &Receipt,
-        client_deadline: Instant,
+        answer_deadline: Instant,
     ) -> weldworks_balancer::Request {
         let shutdown_deadline = self.engine.shutdown_deadline();
-        let client_deadline =
-            shutdown_deadline.map_or(client_deadline, |deadline| client_deadline.min(deadline));
+        let answer_deadline =
+            shutdown_deadline.map_or(answer_deadline, |deadline| answer_deadline.min(deadline));
         let id = self.engine.next_request();
         // By the settings in force now, which the engine goes by: the index that a tenant had before may be another's. A tenant that
         // is not in the settings has an index that is nobody's.
@@ -198,7 +198,7 @@
             cost_hint: head.cost_hint,
             is_client_retry: header_text(headers, "x-retried") == Some("1"),
             admission_share: 1.0,
-            client_deadline: self.engine.balancer_time(client_deadline),
+            client_deadline: self.engine.balancer_time(answer_deadline),
             body_streaming: matches!(receipt, Receipt::Streaming(_)),
         }
     }
@@ -283,7 +283,7 @@
     ReceivedRequest {
         payload: RequestPayload::Streaming(upload.clone()),
         receipt: Receipt::Streaming(upload),
-        client_deadline: Instant::now() + UPLOAD_TIMEOUT,
+        answer_deadline: Instant::now() + UPLOAD_TIMEOUT,
     }
 }
 
