--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -3,65 +3,66 @@
 use super::{EndpointId, RequestId};
 use std::time::Duration;
 
-/// An action for the gateway to carry out, in the order given.
+/// An action for the gateway to carry out. The gateway carries out actions in the order in which the balancer returns them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt of the request to the endpoint and time it out at `deadline`.
+    /// Send an attempt of the request to the endpoint; the attempt times out at `deadline`.
     Send {
-        /// The request.
+        /// The request to send.
         request: RequestId,
-        /// The endpoint.
+        /// The endpoint that the attempt is sent to.
         endpoint: EndpointId,
-        /// When the attempt times out.
+        /// Time on the gateway's clock at which the attempt times out.
         deadline: Duration,
-        /// The latest time for its last byte to be written, where an earlier attempt was possibly processed: endpoints recognize a
-        /// repeat until then. An attempt not written by then ends as [`Outcome::NotSent`](super::Outcome::NotSent).
+        /// Latest time at which the last byte of the request may be written.
+        /// The time is set where an earlier attempt was possibly processed, because endpoints recognize a repeated request only until then.
+        /// An attempt not written by then ends as [`Outcome::NotSent`](super::Outcome::NotSent).
         write_by: Option<Duration>,
     },
     /// Change the deadline of the request's attempts in flight.
     SetAttemptDeadline {
-        /// The request.
+        /// The request whose attempts get the new deadline.
         request: RequestId,
-        /// When the attempts time out.
+        /// Time on the gateway's clock at which the attempts in flight time out.
         deadline: Duration,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt of a request.
     Cancel {
-        /// The request.
+        /// The request whose attempt is cancelled.
         request: RequestId,
-        /// The attempt, numbered from 0 in the order sent.
+        /// The attempt to cancel, numbered from 0 in the order in which the request's attempts were sent.
         attempt: u32,
     },
-    /// Final answer: rejected. The client may safely try again.
+    /// Final answer to the client: the request is rejected, and the client may safely retry it.
     Reject {
-        /// The request.
+        /// The rejected request.
         request: RequestId,
-        /// How long the client should wait before that; zero for no advice.
+        /// How long the client should wait before it retries the request (`Retry-After`); zero for no `Retry-After`.
         retry_after: Duration,
     },
-    /// Final answer: failed. The request was possibly processed.
+    /// Final answer to the client: the request failed and was possibly processed.
     Fail {
-        /// The request.
+        /// The failed request.
         request: RequestId,
     },
-    /// Send an [`Event::Timer`](super::Event::Timer) after this time.
+    /// Set a timer that sends an [`Event::Timer`](super::Event::Timer) when it is due.
     SetTimer {
-        /// The time from now.
+        /// Time from now until the timer is due.
         after: Duration,
-        /// Given back with the event.
+        /// Token that the timer event carries, so that the balancer recognizes the timer.
         token: u64,
     },
-    /// Send a health check to the endpoint. The balancer sends none at present.
+    /// Send a health check to the endpoint. The balancer sends no health checks at present.
     Probe {
-        /// The endpoint.
+        /// The endpoint to check.
         endpoint: EndpointId,
     },
     /// Close the idle connections to the endpoint.
     CloseIdleConnections {
-        /// The endpoint.
+        /// The endpoint whose idle connections are closed.
         endpoint: EndpointId,
     },
-    /// Ask discovery for all changes from now on; answered by [`Event::EndpointList`](super::Event::EndpointList) or
+    /// Poll discovery and subscribe to its changes from now on; answered by [`Event::EndpointList`](super::Event::EndpointList) or
     /// [`Event::DiscoveryFailed`](super::Event::DiscoveryFailed).
     PollDiscovery,
 }
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -6,90 +6,94 @@
 /// An event at the gateway.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// Discovery has sent an endpoint list.
+    /// Discovery has sent an endpoint list, complete or as a delta.
     EndpointList {
-        /// Whether the list is complete, so that an endpoint missing from it is removed; otherwise it holds changes.
+        /// Whether the list is a snapshot, so that an endpoint missing from it is removed; otherwise the list is a delta.
         is_snapshot: bool,
-        /// The entries.
+        /// The entries of the endpoint list.
         endpoints: &'a [Endpoint],
     },
     /// An [`Action::PollDiscovery`](super::Action::PollDiscovery) failed, or its subscription broke.
     DiscoveryFailed {
-        /// How long a broken subscription had been silent; ignored where a poll failed, whose duration is known.
+        /// How long a broken subscription had been silent. Ignored after a failed poll, whose duration the balancer knows.
         silent_for: Duration,
     },
-    /// Another discovery service is used from now on and has not answered yet: it is polled soon, even if a later poll was scheduled.
+    /// The gateway uses another discovery service from now on, which has not answered yet:
+    /// that service is polled soon, even if a later poll was scheduled.
     DiscoveryChanged,
-    /// A client has sent a request; one final answer is owed from here on.
+    /// A client has sent a request. From here on the client is owed exactly one final answer.
     Request(Request),
-    /// The first byte of a [streamed body](Request::body_streaming) was forwarded: no other attempt can follow.
+    /// The first byte of a [streamed body](Request::body_streaming) was forwarded: the request can have no further attempt.
     BodyForwardingStarted {
-        /// The request.
+        /// The request whose body is forwarded.
         request: RequestId,
     },
-    /// The last byte of a [streamed body](Request::body_streaming) was forwarded: the clock of the request and of its attempt starts.
+    /// The last byte of a [streamed body](Request::body_streaming) was forwarded:
+    /// the latency objective of the request and the latency of its attempt count from now.
     BodyForwarded {
-        /// The request.
+        /// The request whose body is complete.
         request: RequestId,
         /// Time until which the client waits for an answer.
         client_deadline: Duration,
     },
-    /// A response is being forwarded while it is received. The choice of endpoint is final, its deadlines no longer apply, and the duration
-    /// of the rest is no latency sample. No outcome of the attempt follows.
+    /// A response is being forwarded while it is received. The endpoint of the request can no longer change,
+    /// the request's deadlines no longer apply, and the time that the rest of the response takes is not a latency sample.
+    /// No [`Event::AttemptEnded`] follows for this attempt.
     ResponseStarted {
-        /// The request.
+        /// The request that the response answers.
         request: RequestId,
-        /// The attempt, numbered from 0 in the order sent.
+        /// The attempt that is answered, numbered from 0 in the order in which the request's attempts were sent.
         attempt: u32,
-        /// The time since the send.
+        /// Time from the send of the attempt to the start of its response.
         latency: Duration,
     },
-    /// An attempt has ended. Follows each [`Action::Send`](super::Action::Send), unless [`Event::ResponseStarted`] did.
+    /// An attempt has ended. Reported once for each [`Action::Send`](super::Action::Send),
+    /// unless [`Event::ResponseStarted`] was reported for the attempt.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// The attempt, numbered from 0 in the order sent.
+        /// The attempt that has ended, numbered from 0 in the order in which the request's attempts were sent.
         attempt: u32,
-        /// The time since the send.
+        /// Time from the send of the attempt to its end.
         latency: Duration,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Whether a final answer has been given. Must be true with [`Outcome::Served`]; otherwise the request is retried.
+        /// Whether the client has its final answer. Must be true with [`Outcome::Served`]; where it is false the request is retried.
         request_ended: bool,
     },
-    /// A response carried a load report; sent ahead of the [`Event::AttemptEnded`] of its attempt.
+    /// A response carried a load report. The gateway reports this before the [`Event::AttemptEnded`] of the attempt.
     LoadReport {
-        /// The endpoint.
+        /// The endpoint that reports its load.
         endpoint: EndpointId,
-        /// The report.
+        /// The load that the endpoint reports.
         report: LoadReport,
     },
-    /// The endpoint closed an idle connection that the gateway would have retained.
+    /// An endpoint closed an idle connection that the gateway would have kept open.
     IdleConnectionClosed {
-        /// The endpoint.
+        /// The endpoint that closed the connection.
         endpoint: EndpointId,
         /// How long the connection had been idle.
         idle: Duration,
         /// The number of idle connections to the endpoint that remain.
         remaining: usize,
     },
-    /// The client has disconnected: the request is over.
+    /// The client has disconnected: its request has ended.
     ClientDisconnected {
-        /// The request.
+        /// The request whose client has disconnected.
         request: RequestId,
     },
     /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) is due.
     Timer {
-        /// The token given there.
+        /// The token of the [`Action::SetTimer`](super::Action::SetTimer) that set the timer.
         token: u64,
     },
-    /// A health check has ended.
+    /// A health check of an endpoint has ended.
     ProbeEnded {
-        /// The endpoint.
+        /// The endpoint that was checked.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the health check ended.
         outcome: Outcome,
-        /// The time since the send.
+        /// Time from the send of the health check to its end.
         latency: Duration,
     },
 }
--- a/crates/balancer/src/api/mod.rs
+++ b/crates/balancer/src/api/mod.rs
@@ -1,8 +1,8 @@
 //! The interface of the balancer: settings and events in, actions out.
 //!
-//! Times are [`Duration`](std::time::Duration)s on the clock of the embedding gateway, which may start anywhere and never runs back.
-//! The gateway chooses the numbers: endpoints are numbered densely from 0, requests by any number not used before. An event about an
-//! endpoint or a request that is unknown or has ended is ignored.
+//! Times are [`Duration`](std::time::Duration)s on the clock of the embedding gateway, which may start at any value and
+//! never runs backwards. The gateway chooses the numbers: endpoints are numbered densely from 0, requests by any number not used before.
+//! An event about an endpoint or a request that is unknown or has ended is ignored.
 
 mod action;
 mod endpoint;
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,19 +1,19 @@
-//! A load balancer for HTTP gateways that run as a fleet. It decides and does no I/O.
+//! A load balancer for HTTP gateways that run as a fleet. The package makes decisions and does no I/O.
 //!
-//! A gateway owns the sockets and the clock. It hands what happens to its [`Balancer`] as [`Event`]s and carries out the [`Action`]s that
-//! are returned: where each request is sent, and when it is retried, rejected or failed. Instances share no state; each gateway decides
-//! alone.
+//! A gateway owns the sockets and the clock. The gateway reports what happens to its [`Balancer`] as [`Event`]s and
+//! carries out the [`Action`]s that the balancer returns: where each request is sent, and when a request is retried, rejected or failed.
+//! Balancers share no state: each gateway decides without the others.
 //!
 //! The modules in the order in which a request passes through them:
 //!
 //! - `admission`: whether a request is admitted or shed; `load_signals`: what endpoints report of their load
 //! - `selection`: which endpoint an attempt goes to; `slow_start`: how many attempts a cold endpoint gets
-//! - `attempt`: sending attempts and handling their outcomes; `retry`: whether another one is allowed, hedges, final answers
+//! - `attempt`: sending attempts and handling their outcomes; `retry`: whether another attempt is allowed, hedges, final answers
 //! - `latency_detector`, `outlier_detection`, `endpoint_state`: the state of an endpoint as learned from outcomes
-//! - `traffic_stats`, `maintenance`: rates and averages, and what changes with time
-//! - `endpoint_list`, `discovery_polling`, `endpoint_draining`: endpoints according to discovery, and when it is polled
-//! - `key_sequencing`: one request of a key at a time
-//! - `snapshot`: learned state for a successor process
+//! - `traffic_stats`, `maintenance`: rates and averages of the traffic, and the periodic update of values that change with time
+//! - `endpoint_list`, `discovery_polling`, `endpoint_draining`: endpoints and their drains according to discovery, and its polling
+//! - `key_sequencing`: requests of one key that run one at a time
+//! - `snapshot`: learned state that is passed to a successor process
 //!
 //! ```
 //! use weldworks_balancer::{Action, Balancer, Endpoint, EndpointId, Event, Request, RequestClass, RequestId, Settings};
