--- a/crates/balancer/src/admission.rs
+++ b/crates/balancer/src/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: whether an arriving request is admitted or shed. What is in flight must still be served within its latency objective.
+//! Admission: whether an arriving request is admitted or shed.
+//! Requests are shed so that those in flight are still served within their latency objectives.
 
 use crate::api::{Action, Request, RequestClass};
 use crate::balancer::Balancer;
@@ -7,45 +8,47 @@
 use crate::traffic_stats::{update_average, TrafficStats};
 use std::time::Duration;
 
-/// Fraction of the concurrency limit that is left once requests end unserved and the served ones are slow.
+/// Fraction of the concurrency limit that remains when requests end unserved and served requests are slow.
 const TIGHTEST_LIMIT_FRACTION: f64 = 0.3;
 /// Mean latency, as a fraction of the shortest objective, above which served requests count as slow.
 const SLOW_LATENCY_FRACTION: f64 = 0.4;
-/// Standard deviations of the number in flight added to the limit, without admission headroom.
+/// Standard deviations of the number of requests in flight that are added to the concurrency limit without admission headroom.
 const HEADROOM_DEVIATIONS_MIN: f64 = 0.5;
-/// The same with full admission headroom.
+/// Standard deviations of the number of requests in flight that are added to the concurrency limit with full admission headroom.
 const HEADROOM_DEVIATIONS_MAX: f64 = 2.0;
-/// Exponent of a class's weight relative to the mean weight; below 1, so that weights only moderately change who is shed.
+/// Exponent of a class's priority weight relative to the mean weight.
+/// Below 1, so that weights only moderately change which requests are shed.
 const PRIORITY_EXPONENT: f64 = 0.25;
-/// Overload level above which hopeless requests are shed; 1 is the load at which admission is tightest.
+/// Overload level above which requests are shed that are expected to end after their deadlines.
+/// An overload level of 1 is the load at which admission is tightest.
 const HOPELESS_SHEDDING_OVERLOAD_LEVEL: f64 = 0.3;
-/// Smallest expected work of a request, against the mean.
+/// Smallest expected work of a request, relative to the mean work.
 const MIN_WORK_RATIO: f64 = 0.25;
-/// Largest expected work of a request, against the mean.
+/// Largest expected work of a request, relative to the mean work.
 const MAX_WORK_RATIO: f64 = 4.0;
-/// Fraction of the expected work that does not depend on the cost hint.
+/// Fraction of a request's expected work that does not depend on its cost hint.
 const FIXED_WORK_FRACTION: f64 = 0.5;
 
 /// Inputs of the estimate of this gateway's concurrency limit.
 #[derive(Clone, Copy, Debug)]
 struct ConcurrencyLimitInputs {
-    /// Requests served in time, a second.
+    /// Requests served in time, in requests a second.
     served_per_s: f64,
-    /// Mean latency of served requests, in seconds; 0 before the first.
+    /// Mean latency of served requests, in seconds; 0 before the first request is served.
     latency_s: f64,
     /// The shortest latency objective, in seconds.
     shortest_objective_s: f64,
-    /// Pressure by requests that end unserved, 0 to 1: see [`TrafficStats`].
+    /// Unserved pressure, from 0 to 1: see [`TrafficStats`].
     unserved_pressure: f64,
-    /// How far load reports allow the limit to be raised, 0 to 1.
+    /// How far load reports allow the concurrency limit to be raised, from 0 to 1.
     admission_headroom: f64,
-    /// Ready endpoints for each gateway: the least that the limit allows in flight.
+    /// Ready endpoints divided by gateways: the lower bound of the estimated concurrency limit.
     endpoints_per_gateway: f64,
 }
 
-/// The number of requests in flight that could be served within the shortest objective: by Little's law on this gateway's own rate, with
-/// an allowance for random variation. Failures lower it only as far as served requests are slow as well: a few failing endpoints are no
-/// overload.
+/// The number of requests in flight that could be served within the shortest objective:
+/// by Little's law on this gateway's own rate, with an allowance for random variation.
+/// Requests that end unserved lower the limit only as far as served requests are slow as well: a few failing endpoints are no overload.
 fn estimated_concurrency_limit(inputs: &ConcurrencyLimitInputs) -> f64 {
     let slow_latency_s = SLOW_LATENCY_FRACTION * inputs.shortest_objective_s;
     let slowness = (inputs.latency_s / slow_latency_s).powi(2).min(1.0);
@@ -56,8 +59,8 @@
     served_in_objective + deviations * served_in_objective.sqrt() + inputs.endpoints_per_gateway
 }
 
-/// The number of requests in flight that recent live weights allow, at least this gateway's share of the endpoints. With many gateways
-/// (`dilution` near 1) each has few requests in flight, so half a standard deviation is added to the mean.
+/// The number of requests in flight that recent live weights allow; at least this gateway's fraction of the endpoints.
+/// With many gateways (`dilution` near 1) each gateway has few requests in flight, so up to half a standard deviation is added to the mean.
 fn concurrency_limit_by_listed_load(
     traffic: &TrafficStats,
     endpoints_per_gateway: f64,
@@ -71,23 +74,23 @@
     (mean + dilution.powi(2) * HEADROOM_DEVIATIONS_MIN * mean.sqrt()).max(endpoints_per_gateway)
 }
 
-/// Whether the request, by its cost hint, would end after its deadline while endpoints are loaded. An `overload_level` of 1 is the load
-/// at which admission is tightest.
+/// Whether a request, by its cost hint, would end after its deadline while endpoints are loaded.
+/// At an `overload_level` of 1 admission is tightest.
 fn is_hopeless(cost_hint_s: f64, latency_per_hint: f64, remaining_s: f64, overload_level: f64) -> bool {
     cost_hint_s * latency_per_hint > remaining_s && overload_level > HOPELESS_SHEDDING_OVERLOAD_LEVEL
 }
 
-/// The factor on the concurrency limit for a class of this weight: classes of little weight are shed somewhat earlier.
+/// The factor on the concurrency limit for a class of this priority weight: classes with a low weight are shed somewhat earlier.
 fn concurrency_limit_factor(class_weight: f64, mean_weight: f64) -> f64 {
     (class_weight / mean_weight).powf(PRIORITY_EXPONENT)
 }
 
-/// Expected work of a request against the mean, by its cost hint (0 for none) or else by its class's latency.
+/// Expected work of a request relative to the mean work, by its cost hint (0 for none) or else by the latency of its class.
 fn expected_relative_work(traffic: &TrafficStats, class: usize, cost_hint_s: f64) -> f64 {
     let work = if cost_hint_s > 0.0 {
         FIXED_WORK_FRACTION + (1.0 - FIXED_WORK_FRACTION) * cost_hint_s / traffic.cost_hint_s
     } else {
-        // NaN before any request was served.
+        // The ratio is NaN before any request was served.
         let by_class = traffic.class_latency_s[class] / traffic.latency_s;
         if by_class > 0.0 {
             by_class
@@ -98,7 +101,7 @@
     work.clamp(MIN_WORK_RATIO, MAX_WORK_RATIO)
 }
 
-/// The deadlines and the objective of a request. All in seconds.
+/// The deadlines and the latency objective of a request, in seconds.
 struct RequestTimes {
     deadline_s: f64,
     objective_s: f64,
@@ -106,8 +109,8 @@
 }
 
 impl RequestTimes {
-    /// A request with a streamed body has the client's deadline until the body is complete; a class whose late answers have value has no
-    /// objective.
+    /// The times of an arriving request. With a streamed body its deadline is the client's until the body is complete.
+    /// A class whose late answers have value has no latency objective.
     fn new(now_s: f64, request: &Request, class: &RequestClass, cost_hint_s: f64, timer_tick_s: f64) -> Self {
         let client_deadline_s = request.client_deadline.as_secs_f64();
         let full_value_s =
@@ -123,12 +126,12 @@
 }
 
 impl Balancer {
-    /// Admits an arriving request and performs its first step, or sheds it. A number that is in use is ignored.
+    /// Admits an arriving request and takes its first step, or sheds the request. A request whose number is in use is ignored.
     pub(crate) fn on_request(&mut self, now_s: f64, request: &Request, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&request.id.0) {
             return;
         }
-        // The caller resolves classes; an unknown one is a bug of the caller.
+        // The caller resolves request classes; an unknown class is a bug of the caller.
         let Some(class) = self.settings.classes.get(request.class) else {
             return actions.push(Action::Reject { request: request.id, retry_after: Duration::ZERO });
         };
@@ -153,7 +156,7 @@
         });
     }
 
-    /// Whether the request is admitted, by the concurrency limit, its priority and the time that it needs.
+    /// Whether the request is admitted, by the concurrency limit, the priority weight of its class and the time that it needs.
     fn is_admitted(
         &self,
         now_s: f64,
@@ -188,9 +191,10 @@
             return false;
         }
         let limit_factor = concurrency_limit_factor(class.priority_weight, traffic.priority_weight);
-        // In a retry storm control::retry_storm applies the class weight once more, through admission_share.
+        // In a retry storm, `control::retry_storm` applies the class weight a second time, through `admission_share`.
         let request_limit = concurrency_limit * limit_factor * request.admission_share;
-        // Not `<=`: a limit that is NaN, as without any class weight, admits.
+        // The comparison is not `requests_in_flight <= request_limit`:
+        // without any class weight the limit is NaN, with which every comparison is false, and the request must be admitted.
         let exceeds_limit = traffic.requests_in_flight > request_limit;
         !exceeds_limit
     }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The state of one gateway's balancer. Dispatches events to the modules that decide.
+//! The state of one gateway's balancer, and the dispatch of events to the modules that make the decisions.
 
 use crate::api::{Action, Event, Outcome, RequestClass, RequestId, Settings};
 use crate::derived_settings::DerivedSettings;
@@ -16,25 +16,25 @@
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
-/// Timer token of the next discovery poll; other tokens are numbers of requests.
+/// Timer token of the next discovery poll; all tokens but this and [`ENDPOINT_DRAIN_TIMER_TOKEN`] are request numbers.
 pub(crate) const DISCOVERY_POLL_TIMER_TOKEN: u64 = 0;
 /// Timer token of the next round of closing connections to draining endpoints.
 pub(crate) const ENDPOINT_DRAIN_TIMER_TOKEN: u64 = 1 << 62;
 
-/// The load balancer of one gateway: it is fed events and returns actions for the gateway to carry out.
+/// The load balancer of one gateway: it takes events and returns actions for the gateway to carry out.
 #[derive(Clone, Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) derived_settings: DerivedSettings,
     pub(crate) rng: fastrand::Rng,
-    /// State of the endpoints, by their numbers.
+    /// State of the endpoints, indexed by endpoint number.
     pub(crate) endpoints: Vec<EndpointRecord>,
-    /// Numbers of the endpoints that take new work.
+    /// Numbers of the endpoints that take new attempts.
     pub(crate) ready: Vec<usize>,
     pub(crate) fleet_latency: FleetLatency,
-    /// Requests that are open or have attempts in flight, by their numbers.
+    /// Requests that are open or have attempts in flight, by request number.
     pub(crate) requests: FxHashMap<u64, RequestState>,
-    /// Requests of sequential classes, by their keys.
+    /// Queues of the requests of sequential classes, by request key.
     pub(crate) key_queues: FxHashMap<u64, KeyQueue>,
     pub(crate) traffic: TrafficStats,
     pub(crate) retry_budget: RetryBudget,
@@ -73,9 +73,9 @@
         }
     }
 
-    /// Continues under other settings. The state of endpoints stays; open requests keep their class and limits; a class that differs from
-    /// the previous one of its number starts without statistics. Class numbers must stay valid: keep removed classes in the list with
-    /// `retired = true`.
+    /// Replaces the settings. The learned state of endpoints stays.
+    /// Open requests keep their class and limits. A class that differs from the previous class at its index starts without statistics.
+    /// Class indices must stay valid: keep removed classes in the list with `retired = true`.
     pub fn apply_settings(&mut self, settings: Settings) {
         self.derived_settings = DerivedSettings::new(&settings);
         self.traffic.class_latency_s.resize(settings.classes.len(), 0.0);
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Ends a request whose response is being forwarded while it is received: its attempt counts as served, and no outcome follows.
+    /// Ends a request whose response is being forwarded while it is received:
+    /// its attempt counts as served, and no outcome of the attempt follows.
     fn on_response_started(
         &mut self,
         now_s: f64,
@@ -175,7 +176,8 @@
         }
     }
 
-    /// Runs `update` on a request, if it is known, and advances the requests of its key that this releases.
+    /// Runs `update` on a request, if the request is known.
+    /// Then takes the next step of the requests with the same key that the update has released.
     pub(crate) fn update_request_and_key(
         &mut self,
         now_s: f64,
@@ -192,8 +194,8 @@
         }
     }
 
-    /// Runs `update` on a request, if it is known. If that closes it, its attempts in flight are cancelled. Once it is closed and has no
-    /// attempts in flight it is removed, and its key is returned if its class is sequential.
+    /// Runs `update` on a request, if the request is known. If the update closes the request, its attempts in flight are cancelled.
+    /// A closed request without attempts in flight is removed, and its key is returned if its class is sequential.
     fn update_request(
         &mut self,
         id: RequestId,
@@ -216,7 +218,7 @@
     }
 }
 
-/// Whether two classes are equal except for `retired`.
+/// Whether two request classes are equal except for `retired`.
 fn is_same_class(old: &RequestClass, new: &RequestClass) -> bool {
     *old == RequestClass { retired: old.retired, ..new.clone() }
 }
