--- a/crates/balancer/src/attempt.rs
+++ b/crates/balancer/src/attempt.rs
@@ -1,5 +1,5 @@
-//! Sends attempts and handles their outcomes. [`crate::retry`] decides whether another attempt is allowed, [`crate::selection`] where it
-//! goes, and [`crate::outlier_detection`] what a failure counts against.
+//! Sends attempts and handles their outcomes. Whether another attempt is allowed is decided in [`crate::retry`],
+//! the endpoint that it goes to in [`crate::selection`], and what a failure counts against in [`crate::outlier_detection`].
 
 use crate::api::{Action, EndpointId, EndpointState, Idempotency, Outcome, RequestId};
 use crate::balancer::{set_timer, Balancer};
@@ -10,34 +10,35 @@
 use crate::traffic_stats::update_average;
 use std::time::Duration;
 
-/// Time after which a request with no eligible endpoint is tried again, in seconds.
+/// Time after which endpoint selection is repeated for a request that had no eligible endpoint, in seconds.
 const NO_ELIGIBLE_ENDPOINT_RECHECK_S: f64 = 0.015;
-/// Fraction of the keep-alive time for which an idle connection is expected to stay open: gateways close it after half of that time.
+/// Fraction of the keep-alive time for which an idle connection is expected to stay open:
+/// gateways close a connection after half of that time.
 const IDLE_CONNECTION_KEEP_ALIVE_FRACTION: f64 = 0.5;
 
-/// An attempt that has ended, with the data that its outcome is recorded from. Times are in seconds.
+/// An attempt that has ended, with the data needed to record its outcome. Times are in seconds.
 #[derive(Clone, Copy)]
 pub(crate) struct EndedAttempt {
-    /// The endpoint's number.
+    /// The number of the endpoint that the attempt was sent to.
     pub(crate) endpoint: usize,
-    /// The request's class, as an index into the settings.
+    /// The request's class, as an index into [`crate::Settings::classes`].
     pub(crate) class: usize,
-    /// How it ended.
+    /// How the attempt ended.
     pub(crate) outcome: Outcome,
-    /// From the send to the outcome.
+    /// Time from the send of the attempt to its outcome.
     pub(crate) latency_s: f64,
-    /// The same, scaled to a request of mean work.
+    /// The latency of the attempt, scaled to a request of mean work.
     scaled_latency_s: f64,
     cost_hint_s: f64,
     deadline_s: f64,
 }
 
 impl Balancer {
-    /// Takes the next step of an open request. Called on arrival, after each outcome, when its key is released and on each of its timers;
-    /// a timer carries the request only, so it may belong to an earlier attempt.
+    /// Takes the next step of an open request. Called on arrival, after each outcome, when the request's key is released and on each of the
+    /// request's timers. A timer carries only the request's number, so it may have been set for an earlier attempt.
     ///
-    /// A retry that is not allowed, also for lack of budget, ends the request at once; a hedge that is not allowed is dropped and not
-    /// tried again.
+    /// A retry that is not allowed, for instance for lack of budget, ends the request at once.
+    /// A hedge that is not allowed is dropped and not tried again.
     pub(crate) fn advance(
         &mut self,
         now_s: f64,
@@ -70,7 +71,7 @@
         self.send_attempt(now_s, id, request, endpoint, actions);
     }
 
-    /// Sends an attempt of the request to an endpoint and sets the timer of its hedge.
+    /// Sends an attempt of the request to an endpoint and sets the timer for its hedge.
     fn send_attempt(
         &mut self,
         now_s: f64,
@@ -99,8 +100,9 @@
         self.schedule_hedge(now_s, id, request, index, actions);
     }
 
-    /// Counts a new attempt as in flight at its endpoint and returns the time at which it was sent, in seconds. An attempt whose body is
-    /// still arriving does not occupy the endpoint: it counts once the body is complete, and its time of sending is infinite until then.
+    /// Counts a new attempt as in flight at its endpoint and returns the time at which the attempt was sent, in seconds.
+    /// An attempt whose body is still arriving does not occupy the endpoint:
+    /// the attempt is counted once its body is complete, and its send time is infinite until then.
     fn track_in_flight(&mut self, now_s: f64, request: &RequestState, index: usize) -> f64 {
         if request.body_streaming {
             return f64::INFINITY;
@@ -112,8 +114,8 @@
         now_s
     }
 
-    /// Sets the timer of a hedge for the attempt just sent, if the request may have another attempt and the hedge is due before the
-    /// deadline.
+    /// Sets the hedge timer for the attempt just sent. No timer is set if the request may have no further attempt,
+    /// or if the hedge would be due only at or after the deadline.
     fn schedule_hedge(
         &self,
         now_s: f64,
@@ -125,7 +127,7 @@
         let expected_latency_s = if self.traffic.latency_s > 0.0 {
             self.endpoints[index].latency_estimate_s * request.relative_work
         } else {
-            // No request was served yet, so no latency can be expected: no hedge.
+            // No request was served yet, so there is no expected latency and no hedge.
             request.deadline_s - now_s
         };
         let hedge_delay_s = hedge_delay_s(expected_latency_s, self.settings.timer_tick.as_secs_f64());
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Handles the last byte of a streamed body: the clock of the request and of its attempt starts now.
+    /// Handles the last byte of a streamed body: the request's latency objective and its attempt's latency count from now.
     pub(crate) fn on_body_forwarded(
         &mut self,
         now_s: f64,
@@ -149,7 +151,7 @@
         });
     }
 
-    /// Starts the objective and the attempt's latency once the streamed body is complete.
+    /// Starts the request's latency objective and its attempt's latency once the streamed body is complete.
     fn start_request_clock(
         &mut self,
         now_s: f64,
@@ -162,7 +164,7 @@
             return;
         }
         request.deadline_s = client_deadline_s.min(now_s + request.objective_s);
-        // There is one at most: a body that is still arriving has no hedge.
+        // There is at most one attempt in flight: a request whose body is still arriving is not hedged.
         for attempt in request.attempts.iter_mut().filter(|attempt| attempt.is_in_flight) {
             self.endpoints[attempt.endpoint].in_flight_since_s.push(now_s);
             self.traffic.requests_in_flight += 1.0;
@@ -172,8 +174,8 @@
         actions.push(Action::SetAttemptDeadline { request: id, deadline });
     }
 
-    /// Records the outcome of an attempt: whether the request may have been processed, and how the endpoint performed. An attempt that is
-    /// not in flight is ignored.
+    /// Records the outcome of an attempt: whether the request was possibly processed,
+    /// and how the endpoint performed. An attempt that is not in flight is ignored.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now_s: f64,
@@ -218,8 +220,8 @@
         }
     }
 
-    /// Removes an attempt from those in flight at its endpoint. The connection that it used is idle now, and must not stay open to a
-    /// draining endpoint.
+    /// Removes an attempt from the attempts in flight at its endpoint.
+    /// The connection that the attempt used is idle now; if the endpoint is draining, the connection must be closed.
     fn release_endpoint(&mut self, index: usize, sent_at_s: f64, actions: &mut Vec<Action>) {
         let endpoint = &mut self.endpoints[index];
         if let Some(position) = endpoint.in_flight_since_s.iter().position(|&since_s| since_s == sent_at_s) {
@@ -231,7 +233,7 @@
         }
     }
 
-    /// Keeps the key of a sequential request quiet after an attempt that may still be running.
+    /// Starts the quiet period of a sequential request's key after an attempt that may still be running.
     fn begin_quiet_period_if_running(&mut self, now_s: f64, request: &RequestState, outcome: Outcome) {
         let is_possibly_running = matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled);
         if !is_possibly_running || !self.settings.classes[request.class].sequential {
@@ -267,14 +269,16 @@
         }
     }
 
-    /// A cancelled attempt is a sample only if it took longer than expected: its latency would have been at least this.
+    /// Records a cancelled attempt. Its time in flight is a latency sample only if it is longer than the expected latency:
+    /// the answer would have taken at least that long.
     fn record_cancelled(&mut self, now_s: f64, ended: EndedAttempt) {
         if ended.scaled_latency_s > self.endpoints[ended.endpoint].latency_estimate_s {
             self.observe_latency(now_s, ended.endpoint, ended.scaled_latency_s);
         }
     }
 
-    /// Adds a latency sample of an endpoint, in seconds. Until a request was served, it also sets the latency expected of all.
+    /// Adds a latency sample of an endpoint, in seconds.
+    /// Until a request was served, the sample also sets the latency expected of all endpoints.
     pub(crate) fn observe_latency(&mut self, now_s: f64, index: usize, latency_s: f64) {
         let endpoint = &mut self.endpoints[index];
         if self.traffic.latency_s <= 0.0 {
@@ -293,7 +297,7 @@
     }
 }
 
-/// Sets a timer to try the request again once its key is released, or after [`NO_ELIGIBLE_ENDPOINT_RECHECK_S`].
+/// Sets a timer for the request's next step: when the quiet period of its key ends, or after [`NO_ELIGIBLE_ENDPOINT_RECHECK_S`].
 fn wait_for_endpoint(now_s: f64, id: RequestId, request: &RequestState, actions: &mut Vec<Action>) {
     let wait_s = if now_s < request.earliest_send_s {
         request.earliest_send_s - now_s
--- a/crates/balancer/src/retry.rs
+++ b/crates/balancer/src/retry.rs
@@ -1,17 +1,17 @@
-//! Retries, hedged requests and giving up: whether a request may have another attempt, when a hedge is due, and how a request ends
-//! without an answer. How many retries and hedges all requests together may have: [`crate::retry_budget`].
+//! Retries, hedged requests and final answers: whether a request may have another attempt, when a hedge is due,
+//! and how a request ends that was not served. How many retries and hedges all requests together may have: [`crate::retry_budget`].
 
 use crate::api::{Action, Idempotency, KeyScope, RequestId};
 use crate::request::RequestState;
 
-/// Time after a send at which a hedge is due, as a multiple of the expected latency.
+/// Time from a send until its hedge is due, as a multiple of the expected latency.
 const HEDGE_LATENCY_RATIO: f64 = 3.0;
-/// Longest time that the process may be suspended between reading the clock and the end of the write, in seconds. An idempotency window
-/// is shortened by it; otherwise a late write could arrive after the endpoint has dropped the key, and be processed twice.
+/// Longest time that the process may be suspended between reading the clock and the end of the write, in seconds. Idempotency windows are
+/// shortened by this time; otherwise a late write could arrive after the endpoint has dropped the key, and the request be processed twice.
 const MAX_WRITE_DELAY_S: f64 = 0.15;
 
-/// Whether the request may have another attempt at all, by its body, its limits and the idempotency window. The caller also
-/// checks the budget and whether an endpoint is eligible ([`crate::selection`]).
+/// Whether the request may have another attempt at all, by its body, its limits and its idempotency window.
+/// The caller also checks the retry budget and whether an endpoint is eligible ([`crate::selection`]).
 pub(crate) fn is_attempt_allowed(request: &RequestState, idempotency: Idempotency, now_s: f64) -> bool {
     if request.body_forwarding_started {
         return false;
@@ -29,9 +29,9 @@
     latest_write_s(request, idempotency).is_none_or(|latest_s| now_s < latest_s)
 }
 
-/// Until when the next attempt must be written, in seconds; `None` for any time. Where an earlier attempt may have been processed, that
-/// is as long as its endpoints know the key, less [`MAX_WRITE_DELAY_S`]. A window of at most `MAX_WRITE_DELAY_S` allows no further
-/// attempt.
+/// Time until which the next attempt must be written, in seconds; `None` for any time.
+/// Where an earlier attempt was possibly processed, that is as long as its endpoints store the idempotency key, less [`MAX_WRITE_DELAY_S`].
+/// A window of at most `MAX_WRITE_DELAY_S` allows no further attempt.
 pub(crate) fn latest_write_s(request: &RequestState, idempotency: Idempotency) -> Option<f64> {
     let window_s = match idempotency {
         Idempotency::Idempotent => return None,
@@ -42,17 +42,17 @@
     possibly_processed.map(|attempt| attempt.decided_at_s + window_s).min_by(f64::total_cmp)
 }
 
-/// Time after a send at which a hedge is due if there is no answer, in seconds.
+/// Time from a send until its hedge is due if there is no answer by then, in seconds.
 pub(crate) fn hedge_delay_s(expected_latency_s: f64, timer_tick_s: f64) -> f64 {
     (HEDGE_LATENCY_RATIO * expected_latency_s).max(timer_tick_s)
 }
 
-/// Whether a hedge sent now is likely to be answered in time.
+/// Whether a hedge that is sent now is expected to be answered before the deadline.
 pub(crate) fn is_hedge_in_time(now_s: f64, expected_latency_s: f64, deadline_s: f64) -> bool {
     now_s + expected_latency_s < deadline_s
 }
 
-/// The final answer to a request that was not served: a rejection where the client may safely try again, a failure otherwise.
+/// The final answer to a request that was not served: a rejection where the client may safely retry the request, a failure otherwise.
 pub(crate) fn final_answer(id: RequestId, request: &RequestState, idempotency: Idempotency) -> Action {
     let is_retry_safe = match idempotency {
         Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. } => true,
