--- a/crates/balancer/src/selection.rs
+++ b/crates/balancer/src/selection.rs
@@ -1,33 +1,35 @@
-//! Which endpoint an attempt goes to: of the eligible ones, the one with the lowest score. A score is the product of the terms of
-//! [`ScoreTerms`], in the main attempts in flight times expected latency.
+//! Selects the endpoint of an attempt: the eligible endpoint with the lowest score.
+//! A score is the product of the terms of [`ScoreTerms`], mainly attempts in flight times expected latency.
 
 use crate::api::{self, EndpointState, Idempotency};
 use crate::balancer::Balancer;
 use crate::endpoint_state::EndpointRecord;
 use crate::request::{AttemptState, RequestState};
 
-/// Zone term of another zone: 1 + this x [`crate::Settings::cross_zone_cost`], less [`WAIVED_COST_FRACTION`] under unserved pressure.
+/// Weight of the cross-zone cost: the zone term of an endpoint in another zone is 1 + this × [`crate::Settings::cross_zone_cost`].
+/// Under full unserved pressure [`WAIVED_COST_FRACTION`] of the cost is waived.
 const CROSS_ZONE_PENALTY_PER_COST: f64 = 30.0;
-/// Handshake term without an idle connection: 1 + this x [`crate::Settings::handshake_cost`], less [`WAIVED_COST_FRACTION`] under unserved
-/// pressure. With many gateways an idle connection would mostly expire before its next use; with this term each gateway prefers the
-/// endpoints that it used last.
+/// Weight of the handshake cost: the handshake term of an endpoint without an idle connection is 1 + this ×
+/// [`crate::Settings::handshake_cost`]. Under full unserved pressure [`WAIVED_COST_FRACTION`] of the cost is waived. With many gateways an
+/// idle connection would mostly expire before its next use; with this weight each gateway prefers the endpoints that it used last.
 const HANDSHAKE_PENALTY_PER_COST: f64 = 20.0;
-/// Fraction of both costs that is waived at full unserved pressure, so that requests leave a zone in which they fail.
+/// Fraction of the cross-zone and handshake costs that is waived at full unserved pressure,
+/// so that requests leave a zone in which they fail.
 const WAIVED_COST_FRACTION: f64 = 0.85;
-/// Score of a key's preferred endpoints, relative to the best score, from which the best endpoint is used instead.
+/// Score of a key's preferred endpoint, relative to the best score, from which the best endpoint is selected instead.
 const MAX_AFFINITY_SCORE_RATIO: f64 = 3.0;
-/// Attempts in flight above the mean up to which an endpoint does not count as avoided, for the metric only.
+/// Attempts in flight above the mean up to which an endpoint does not count as avoided. Used only for the metric.
 const AVOIDED_EXCESS_IN_FLIGHT_COUNT: f64 = 2.0;
 
-/// The factors of an endpoint's score for a request; lower is better.
+/// The factors of an endpoint's score for a request; a lower score is better.
 struct ScoreTerms {
-    /// Attempts in flight from this gateway, the new one included.
+    /// This gateway's attempts in flight at the endpoint, the new attempt included.
     in_flight: f64,
-    /// Expected latency in seconds, with overdue attempts and failures of the class.
+    /// Expected latency in seconds, raised by overdue attempts and by failures of the request's class.
     latency_s: f64,
-    /// 1 in the gateway's zone, more in another one.
+    /// 1 for an endpoint in the gateway's zone, more for one in another zone.
     zone: f64,
-    /// 1 with an idle connection, more without.
+    /// 1 for an endpoint with an idle connection, more for one without.
     handshake: f64,
 }
 
@@ -37,7 +39,7 @@
     }
 }
 
-/// Inputs that the scores of all endpoints for one request share.
+/// Inputs that are the same for the scores of all endpoints for one request.
 struct ScoreContext {
     now_s: f64,
     class: usize,
@@ -74,7 +76,8 @@
         }
     }
 
-    /// A cold endpoint has few connections because it gets few attempts; its tokens alone limit its attempts.
+    /// The handshake term of a cold endpoint is 1: such an endpoint has few connections because it gets few attempts.
+    /// Only its slow-start tokens limit the attempts to a cold endpoint.
     fn handshake_term(&self, endpoint: &EndpointRecord) -> f64 {
         let has_idle_connection =
             self.now_s < endpoint.idle_connection_until_s && endpoint.in_flight_since_s.is_empty();
@@ -86,14 +89,14 @@
     }
 }
 
-/// An endpoint and its score.
+/// An endpoint's number and its score for a request.
 #[derive(Clone, Copy)]
 struct Candidate {
     score: f64,
     endpoint: usize,
 }
 
-/// The two endpoints that a key prefers: those of the highest rank by rendezvous hashing, which is the same at every gateway.
+/// The two endpoints that a key prefers: those with the highest rank by rendezvous hashing, whose ranks are the same at every gateway.
 struct PreferredEndpoints {
     by_rank: [(u64, Candidate); 2],
 }
@@ -111,7 +114,7 @@
         }
     }
 
-    /// The better one of the two.
+    /// The preferred endpoint with the lower score.
     fn best(&self) -> Candidate {
         let [first, second] = [self.by_rank[0].1, self.by_rank[1].1];
         if second.score.total_cmp(&first.score).is_lt() {
@@ -122,8 +125,9 @@
     }
 }
 
-/// Whether the next attempt of the request may go to the endpoint: slow start allows it, no earlier attempt went there, and the endpoint
-/// would recognize a repeat of each attempt that may have been processed. Whether the request may be sent at all is decided before.
+/// Whether the next attempt of the request may go to the endpoint: slow start allows an attempt, no earlier
+/// attempt of the request went to the endpoint, and the endpoint would recognize a repetition of each attempt that was possibly processed.
+/// Whether the request may be sent at all is decided by the caller.
 fn is_eligible(
     request: &RequestState,
     idempotency: Idempotency,
@@ -144,8 +148,8 @@
 }
 
 impl Balancer {
-    /// Number of listed endpoints that get almost no traffic now, a metric: those that drain, and those that would be selected only once
-    /// every other one had two attempts in flight above the mean.
+    /// Number of listed endpoints that get almost no traffic now, a metric:
+    /// draining endpoints, and endpoints that would be selected only once every other endpoint had two attempts in flight above the mean.
     pub fn avoided_endpoint_count(&self, now: std::time::Duration) -> usize {
         let now_s = now.as_secs_f64();
         let scaled_latency_s =
@@ -164,8 +168,8 @@
         self.endpoints.iter().filter(is_avoided).count()
     }
 
-    /// The ready endpoint for the request's next attempt, if any is eligible. A key's preferred endpoints have priority, unless their scores
-    /// are much worse than the best one.
+    /// The ready endpoint for the request's next attempt, if any is eligible.
+    /// A key's preferred endpoints have priority, unless their scores are much worse than the best score.
     pub(crate) fn select_endpoint(&mut self, now_s: f64, request: &RequestState) -> Option<usize> {
         let idempotency = self.settings.classes[request.class].idempotency;
         let context = self.score_context(now_s, request.class);
@@ -173,7 +177,7 @@
         let mut preferred = PreferredEndpoints::none();
         let mut best_score = f64::INFINITY;
         let mut best = None;
-        // The first one of equal scores is taken, so the search starts at a random place.
+        // Of endpoints with equal scores the first is selected, so the search starts at a random endpoint.
         let start = self.rng.usize(0..=self.ready.len());
         for &index in self.ready[start..].iter().chain(&self.ready[..start]) {
             let endpoint = &self.endpoints[index];
