--- a/crates/balancer/src/endpoint_draining.rs
+++ b/crates/balancer/src/endpoint_draining.rs
@@ -1,14 +1,14 @@
-//! Connections to draining endpoints: idle ones are closed at once, and again while the drain lasts.
+//! Connections to draining endpoints: idle connections are closed at once, and again in rounds while the drain lasts.
 
 use crate::api::{Action, EndpointState};
 use crate::balancer::{set_timer, Balancer, ENDPOINT_DRAIN_TIMER_TOKEN};
 
-/// Rounds in each `drain_close_within`; they go on while an endpoint is draining.
+/// Rounds of closing idle connections in each `drain_close_within`; rounds repeat while any endpoint is draining.
 const CLOSE_ROUNDS_PER_LIMIT: f64 = 3.0;
 
 impl Balancer {
-    /// Closes the idle connections to draining endpoints and sets a timer for the next round. One round is not enough: the balancer gets
-    /// no event when the connection of a cancelled attempt becomes idle.
+    /// Closes the idle connections to draining endpoints and sets a timer for the next round of closing.
+    /// One round is not enough: the balancer gets no event when the connection of a cancelled attempt becomes idle.
     pub(crate) fn close_idle_connections_to_draining(&mut self, actions: &mut Vec<Action>) {
         let Some(close_within) = self.settings.drain_close_within else { return };
         let actions_before = actions.len();
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Runs the next round.
+    /// Runs the next round of closing idle connections to draining endpoints.
     pub(crate) fn on_drain_timer(&mut self, actions: &mut Vec<Action>) {
         self.drain_timer_set = false;
         self.close_idle_connections_to_draining(actions);
--- a/crates/balancer/src/endpoint_list.rs
+++ b/crates/balancer/src/endpoint_list.rs
@@ -1,26 +1,26 @@
-//! Handles endpoint lists from discovery: adds and removes endpoints, detects new processes and sets sizes.
+//! Handles endpoint lists from discovery: adds and removes endpoints, detects new processes and sets endpoint sizes.
 
 use crate::api::{Action, Endpoint, EndpointId, EndpointState, EndpointWeights};
 use crate::balancer::Balancer;
 use crate::endpoint_state::EndpointRecord;
 use crate::load_signals::{listed_in_flight_per_core, ListedLoad};
 
-/// Smallest size of an endpoint, against the mean.
+/// Smallest size of an endpoint, relative to the mean size.
 const MIN_SIZE_RATIO: f64 = 0.1;
-/// Largest size of an endpoint, against the mean.
+/// Largest size of an endpoint, relative to the mean size.
 const MAX_SIZE_RATIO: f64 = 10.0;
 
-/// Whether a list names all endpoints or only those that changed.
+/// Whether an endpoint list contains all endpoints or only those that changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListKind {
-    /// All endpoints; a missing one is removed.
+    /// The endpoint list contains all endpoints; an endpoint missing from the list is removed.
     Snapshot,
-    /// The changed ones.
+    /// The endpoint list contains only the endpoints that changed.
     Delta,
 }
 
 impl Balancer {
-    /// Handles an endpoint list.
+    /// Handles an endpoint list from discovery.
     pub(crate) fn on_endpoint_list(
         &mut self,
         now_s: f64,
@@ -51,8 +51,9 @@
         self.run_maintenance(now_s);
     }
 
-    /// Applies an entry. A later start or another name under the number is a new process, which starts without learned state. Its first
-    /// attempt under slow start is sent at a random time; otherwise those of all gateways would arrive together.
+    /// Applies an entry of an endpoint list.
+    /// A later start, or another name under the same number, means a new process, which starts without learned state.
+    /// Its first attempt under slow start is sent at a random time; otherwise the first attempts of all gateways would arrive together.
     fn update_entry(&mut self, entry: &Endpoint) {
         let index = entry.id.0 as usize;
         let is_known = index < self.endpoints.len();
@@ -67,7 +68,7 @@
         endpoint.entry = entry.clone();
     }
 
-    /// Sets sizes from weights that stand for sizes.
+    /// Sets the relative sizes of ready endpoints from their weights, where weights are sizes.
     fn update_relative_sizes(&mut self) {
         let total: f64 = self.ready.iter().map(|&index| self.endpoints[index].entry.weight).sum();
         if total <= 0.0 || total.is_nan() {
--- a/crates/balancer/src/latency_detector.rs
+++ b/crates/balancer/src/latency_detector.rs
@@ -1,55 +1,55 @@
 //! Detection of shifts in the latency of one endpoint: a filtered mean and a two-sided Cusum over it.
 
-/// Weight of a new sample in the tracking mean (α of the method).
+/// Weight of a new sample in the tracking mean (α of the Cusum method).
 const TRACKING_MEAN_GAIN: f64 = 0.15;
-/// Weight of a new sample in the mean absolute deviation.
+/// Weight of a new latency sample in the mean absolute deviation.
 const DEVIATION_GAIN: f64 = 0.1;
-/// Smallest shift to be detected (K of the method), as a fraction of the mean of the first epoch.
+/// Smallest latency shift to be detected (K of the Cusum method), as a fraction of the mean of the first epoch.
 const MIN_SHIFT_FRACTION: f64 = 0.25;
-/// Mean number of samples between false alarms that the threshold H is chosen for.
+/// Mean number of samples between false alarms for which the threshold H is chosen.
 const FALSE_ALARM_RUN_LENGTH_COUNT: f64 = 40.0;
-/// Smallest fraction of the mean to which one detected fall lowers the epoch estimate.
+/// Lower bound of the epoch estimate after a detected fall, as a fraction of the tracking mean.
 const MIN_EPOCH_AFTER_FALL_FRACTION: f64 = 0.2;
-/// Change of K/σ, as a fraction, above which the threshold is computed again; the bisection takes 40 steps.
+/// Relative change of K/σ above which the threshold is computed again; the computation is a bisection of 40 steps.
 const THRESHOLD_REFRESH_FRACTION: f64 = 0.1;
-/// Smallest deviation that K is divided by, in seconds.
+/// Smallest mean absolute deviation σ that K is divided by, in seconds.
 const MIN_DEVIATION_S: f64 = 1e-9;
-/// Steps of the bisection for the threshold.
+/// Number of steps of the bisection that computes the threshold.
 const THRESHOLD_BISECTION_STEPS: u32 = 40;
-/// Siegmund's correction of the threshold for discrete samples.
+/// Siegmund's correction of the Cusum threshold for discrete samples.
 const SIEGMUND_CORRECTION: f64 = 1.166;
 
 /// The latency detector of one endpoint. Samples and estimates are in seconds.
 #[derive(Clone, Debug, Default)]
 pub struct Cusum {
-    /// Filtered mean of the samples.
+    /// Filtered mean of the latency samples.
     tracking_mean_s: f64,
-    /// Smallest shift that counts (K of the method).
+    /// Smallest latency shift to be detected (K of the Cusum method).
     min_shift_s: f64,
-    /// Mean absolute deviation from the tracking mean.
+    /// Mean absolute deviation of the samples from the tracking mean (σ).
     deviation_s: f64,
     rise_sum_s: f64,
     fall_sum_s: f64,
     samples_since_rise: u32,
     samples_since_fall: u32,
     threshold: CachedThreshold,
-    /// Estimate of the current epoch (E of the method).
+    /// Latency estimate of the current epoch (E of the Cusum method).
     epoch_estimate_s: f64,
     shift_detected: bool,
     samples: u32,
 }
 
-/// The last computed threshold H/σ and the ratio K/σ that it was computed for; a ratio of 0 means that there is none.
+/// The last computed threshold H/σ and the ratio K/σ for which it was computed; a ratio of 0 means that no threshold was computed yet.
 #[derive(Clone, Copy, Debug, Default)]
 struct CachedThreshold {
-    /// Shift in standard deviations, K/σ.
+    /// Smallest shift to be detected, in standard deviations (K/σ).
     shift_in_deviations: f64,
-    /// Threshold in standard deviations, H/σ.
+    /// Detection threshold, in standard deviations (H/σ).
     threshold_in_deviations: f64,
 }
 
 impl Cusum {
-    /// A detector that starts at `prior` seconds, or at its first sample where that is 0.
+    /// A detector whose mean starts at `prior` seconds, or at the first sample where `prior` is 0.
     pub fn new(prior: f64) -> Self {
         Cusum {
             tracking_mean_s: prior,
@@ -60,17 +60,17 @@
         }
     }
 
-    /// The estimate of the current epoch (E of the method), in seconds.
+    /// The latency estimate of the current epoch (E of the Cusum method), in seconds.
     pub fn estimate(&self) -> f64 {
         self.epoch_estimate_s
     }
 
-    /// Whether the detector has had any sample.
+    /// Whether the detector has received any sample.
     pub(crate) fn has_samples(&self) -> bool {
         self.samples > 0
     }
 
-    /// Adds a sample in seconds and returns whether it starts a new epoch.
+    /// Adds a latency sample in seconds and returns whether it starts a new epoch.
     pub fn add(&mut self, sample: f64) -> bool {
         if self.tracking_mean_s <= 0.0 {
             *self = Cusum::new(sample);
@@ -110,7 +110,7 @@
         self.fall_sum_s = 0.0;
     }
 
-    /// The threshold H/σ for the present K/σ.
+    /// The detection threshold H/σ for the current K/σ.
     fn current_threshold(&mut self) -> f64 {
         let ratio = self.min_shift_s / self.deviation_s.max(MIN_DEVIATION_S);
         let cached_ratio = self.threshold.shift_in_deviations;
@@ -122,7 +122,7 @@
         self.threshold.threshold_in_deviations
     }
 
-    /// The threshold H/σ at which Siegmund's approximation of the run length reaches `target` samples, for K/σ = `ratio`.
+    /// The detection threshold H/σ at which Siegmund's approximation of the run length reaches `target` samples, for K/σ = `ratio`.
     pub fn threshold(ratio: f64, target: f64) -> f64 {
         let run_length = |threshold: f64| {
             let exponent = 2.0 * ratio * (threshold + SIEGMUND_CORRECTION);
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -1,27 +1,27 @@
-//! Outlier detection by failures: whether a failure counts against an endpoint or only against one request class at it, and how long a
-//! failure or a raised latency estimate counts. Detection by latency: [`crate::latency_detector`].
+//! Outlier detection by failures: whether a failure counts against an endpoint or only against one request class at the endpoint,
+//! and how long a failure or a raised latency estimate counts. Detection by latency: [`crate::latency_detector`].
 
 use crate::attempt::EndedAttempt;
 use crate::balancer::Balancer;
 
-/// Time without a sample in which half of the excess of a raised estimate remains, in units of the longest latency objective.
+/// Time without a latency sample after which half of the excess of a raised estimate remains, in units of the longest latency objective.
 const HALF_DECAY_OBJECTIVE_FACTOR: f64 = 6.0;
-/// Failures in a row, each of which doubles the decay time, up to this many.
+/// Maximum number of failures in a row that each double the decay time.
 const MAX_DECAY_DOUBLINGS: i32 = 4;
 
 /// Failures in a row of one class at one endpoint. Times are in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ClassFailures {
-    /// Failures in a row that counted against this class alone.
+    /// Number of failures in a row that counted against this class alone.
     pub(crate) consecutive: i32,
     /// When the endpoint last served this class.
     pub(crate) last_served_s: f64,
-    /// When the last counted failure was.
+    /// When the last failure that counted against this class alone was recorded.
     pub(crate) last_failure_s: f64,
 }
 
 impl ClassFailures {
-    /// The state after a served request.
+    /// The failures of a class after the endpoint has served a request of the class.
     pub(crate) fn served(now_s: f64) -> Self {
         ClassFailures { last_served_s: now_s, ..ClassFailures::default() }
     }
@@ -32,7 +32,7 @@
         self.last_failure_s = now_s;
     }
 
-    /// Latency penalty of this class for its failures, in seconds: one latency objective for each, decaying with time.
+    /// Latency penalty of this class for its failures, in seconds: one latency objective for each failure, decaying with time.
     pub(crate) fn latency_penalty_s(
         &self,
         now_s: f64,
@@ -46,10 +46,11 @@
 }
 
 impl Balancer {
-    /// Records a failed attempt as a latency sample of at least the latency objective; otherwise fast failures would attract traffic.
+    /// Records a failed attempt as a latency sample of at least the latency objective;
+    /// otherwise an endpoint that fails fast would attract traffic.
     ///
-    /// A possibly processed failure counts against its class alone if the endpoint has served another class since it last served this
-    /// one. All other failures count against the endpoint.
+    /// A failure of a possibly processed attempt counts against its class alone if the endpoint has served another class since it last
+    /// served this class. All other failures count against the endpoint.
     pub(crate) fn record_failed(&mut self, now_s: f64, ended: EndedAttempt) {
         let endpoint = &mut self.endpoints[ended.endpoint];
         let class_failures = &mut endpoint.class_failures[ended.class];
@@ -64,13 +65,13 @@
     }
 }
 
-/// Time that counts as recent when an endpoint is judged, in seconds.
+/// Time within which activity of an endpoint counts as recent, in seconds.
 pub(crate) fn recent_activity_window_s(longest_objective_s: f64) -> f64 {
     longest_objective_s * HALF_DECAY_OBJECTIVE_FACTOR
 }
 
-/// The fraction of a raised estimate's excess that still counts after `silent_s` seconds without a sample. An avoided endpoint gets no
-/// sample that could clear it, so the excess decays until it is tried again; each failure in a row doubles the decay time.
+/// The fraction of a raised latency estimate's excess that still counts after `silent_s` seconds without a sample. An avoided endpoint gets
+/// no sample that could clear it, so the excess decays until the endpoint is selected again. Each failure in a row doubles the decay time.
 pub(crate) fn retained_fraction(silent_s: f64, longest_objective_s: f64, consecutive_failures: i32) -> f64 {
     let doublings = consecutive_failures.min(MAX_DECAY_DOUBLINGS);
     let half_decays = silent_s / (HALF_DECAY_OBJECTIVE_FACTOR * longest_objective_s * 2f64.powi(doublings));
