--- a/crates/balancer/src/maintenance.rs
+++ b/crates/balancer/src/maintenance.rs
@@ -6,31 +6,31 @@
 use crate::slow_start::BudgetGrowth;
 use crate::traffic_stats::AveragingInterval;
 
-/// Time between two runs, in seconds.
+/// Time between two maintenance runs, in seconds.
 const MAINTENANCE_INTERVAL_S: f64 = 0.03;
-/// Longest time since the last run that counts, in seconds.
+/// Longest time since the last maintenance run that is counted, in seconds.
 const MAX_ELAPSED_S: f64 = 1.0;
 
-/// Time of the last maintenance run and the time covered by all runs, in seconds.
+/// Time of the last maintenance run, and the time covered by all runs, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MaintenanceClock {
     last_run_s: f64,
-    /// Time covered since the first event.
+    /// Time covered by maintenance runs since the first event, in seconds.
     pub(crate) observed_s: f64,
 }
 
 impl MaintenanceClock {
-    /// The state before the first run.
+    /// The state before the first maintenance run.
     pub(crate) fn new() -> Self {
         MaintenanceClock { last_run_s: f64::NEG_INFINITY, observed_s: 0.0 }
     }
 
-    /// Whether the next run is due.
+    /// Whether the next maintenance run is due.
     pub(crate) fn is_due(&self, now_s: f64) -> bool {
         now_s - self.last_run_s >= MAINTENANCE_INTERVAL_S
     }
 
-    /// Begins a run and returns the time since the last one; 0 at the first.
+    /// Begins a maintenance run and returns the time since the last run in seconds, at most [`MAX_ELAPSED_S`]; 0 at the first run.
     fn advance(&mut self, now_s: f64) -> f64 {
         let elapsed_s =
             if self.last_run_s.is_finite() { (now_s - self.last_run_s).min(MAX_ELAPSED_S) } else { 0.0 };
@@ -40,10 +40,10 @@
     }
 }
 
-/// Sums over the ready endpoints.
+/// Sums of figures over the ready endpoints.
 #[derive(Default)]
 struct ReadyEndpointSums {
-    /// The number of them that are past slow start.
+    /// The number of ready endpoints that are past slow start.
     warm: f64,
     latency: FleetLatencySums,
     reported_load: ReportedLoad,
@@ -60,13 +60,13 @@
 }
 
 impl Balancer {
-    /// Recomputes the values that change with time.
+    /// Recomputes the slow-start budgets, expected latencies, rates and averages, which change with time.
     pub(crate) fn run_maintenance(&mut self, now_s: f64) {
         let elapsed_s = self.maintenance.advance(now_s);
         let sums = self.refresh_ready_endpoints(now_s, elapsed_s);
-        let terms = &self.derived_settings;
+        let derived = &self.derived_settings;
         self.traffic.admission_headroom =
-            sums.reported_load.admission_headroom(terms.shortest_objective_s, terms.dilution);
+            sums.reported_load.admission_headroom(derived.shortest_objective_s, derived.dilution);
         self.fleet_latency.update(sums.latency);
         self.key_queues.retain(|_, queue| queue.is_in_use(now_s));
         if elapsed_s > 0.0 {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Refreshes the budget and the expected latency of each ready endpoint, and sums up their figures.
+    /// Refreshes the slow-start budget and the expected latency of each ready endpoint, and returns sums of their figures.
     fn refresh_ready_endpoints(&mut self, now_s: f64, elapsed_s: f64) -> ReadyEndpointSums {
         let growth = BudgetGrowth {
             elapsed_s,
@@ -94,8 +94,8 @@
         sums
     }
 
-    /// Requests a second that one warm endpoint serves. Where none has served yet, as after a start of everything together, each endpoint
-    /// counts with an equal part of the arriving requests.
+    /// Requests a second that one warm endpoint serves. Where no endpoint has served yet, as when all endpoints start at once,
+    /// each endpoint is assumed to serve an equal part of the arriving requests.
     fn warm_endpoint_requests_per_s(&self) -> f64 {
         let served_per_s = self.traffic.served_per_warm_endpoint.per_s;
         if served_per_s > 0.0 {
