--- a/crates/balancer/src/discovery_polling.rs
+++ b/crates/balancer/src/discovery_polling.rs
@@ -1,42 +1,42 @@
-//! When discovery is polled in pull mode: backoff after failures, within a limit, with jitter so that many gateways do not poll
-//! together. Push mode: `watch_backoff` of the control package.
+//! When discovery is polled in pull mode: backoff after failures, within a limit, with jitter so that many gateways do not poll together.
+//! The backoff in push mode is `watch_backoff` of the control package.
 
 use crate::api::{Action, Settings};
 use crate::balancer::{set_timer, DISCOVERY_POLL_TIMER_TOKEN};
 use std::time::Duration;
 
-/// Time within which a gateway must learn of a change while discovery is reachable, in seconds.
+/// Time within which a gateway must receive a change while discovery is reachable, in seconds.
 const NOTIFICATION_DEADLINE_S: f64 = 6.0;
-/// Longest time until a poll is answered, including the wait for a connection, in seconds.
+/// Longest time until discovery answers a poll, including the wait for a connection, in seconds.
 const MAX_POLL_DURATION_S: f64 = 2.4;
 /// Shortest jitter window before a poll, in seconds.
 const MIN_JITTER_WINDOW_S: f64 = 0.3;
-/// Jitter window after a change to another discovery service, in seconds: its first answer is due 4 s after the change, and drains have
-/// 2 s of grace.
+/// Jitter window after a change to another discovery service, in seconds:
+/// the first answer of the new service is due 4 s after the change, and drains have 2 s of grace.
 const NEW_SERVICE_JITTER_WINDOW_S: f64 = 3.0;
-/// Backoff window before any doubling, as a fraction of the poll interval; it is doubled at least twice.
+/// Backoff window before it is doubled, as a fraction of the poll interval. The window is doubled at least twice.
 const BACKOFF_WINDOW_FRACTION: f64 = 0.1;
-/// Failures in a row, each of which doubles the backoff window, up to this many.
+/// Maximum number of failed polls in a row that each double the backoff window.
 const MAX_BACKOFF_DOUBLINGS: i32 = 3;
 /// Largest backoff window, as a fraction of the poll interval.
 const MAX_BACKOFF_WINDOW_FRACTION: f64 = 0.8;
 /// Time by which a timer may fire early because of rounding, in seconds.
 const TIMER_TOLERANCE_S: f64 = 1e-3;
 
-/// Whether polling has started, and how it went.
+/// Whether polling of discovery has started, and how many polls failed in a row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum PollHistory {
-    /// There was no endpoint list and no failure yet.
+    /// There was no endpoint list and no failure of discovery yet.
     NotStarted,
-    /// The first poll was scheduled.
+    /// The first poll of discovery was scheduled.
     Started {
-        /// Polls that failed in a row.
+        /// Number of polls that failed in a row.
         consecutive_failures: i32,
     },
 }
 
 impl PollHistory {
-    /// The history after another failure; the first list or failure of all only starts polling.
+    /// The history after another failure. The very first endpoint list or failure only starts polling and does not count as a failure.
     fn after_failure(self) -> Self {
         let consecutive_failures = match self {
             PollHistory::NotStarted => 0,
@@ -46,7 +46,7 @@
     }
 }
 
-/// The state of polling. Times are in seconds.
+/// The state of discovery polling. Times are in seconds.
 #[derive(Clone, Debug)]
 pub(crate) struct DiscoveryPolling {
     awaiting_answer: bool,
@@ -57,7 +57,7 @@
 }
 
 impl DiscoveryPolling {
-    /// The state at the start: nothing is scheduled before the first list.
+    /// The state at the start: no poll is scheduled before the first endpoint list.
     pub(crate) fn new() -> Self {
         DiscoveryPolling {
             awaiting_answer: false,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Handles an endpoint list. The first one schedules the first poll, at a random time that spreads the polls of the gateways.
+    /// Handles an endpoint list. The first list schedules the first poll, at a random time that spreads the polls of the gateways.
     pub(crate) fn on_endpoint_list(
         &mut self,
         now_s: f64,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Schedules another poll after one that failed, or after a subscription that broke and had been silent for this long.
+    /// Schedules another poll after a poll that failed, or after a subscription that broke and had been silent for `silent_for`.
     pub(crate) fn on_failure(
         &mut self,
         now_s: f64,
@@ -95,7 +95,7 @@
         self.poll_with_backoff(now_s, silent_s, settings, rng, actions);
     }
 
-    /// Schedules a poll of another discovery service than before.
+    /// Schedules a poll after a change to another discovery service.
     pub(crate) fn on_service_changed(
         &mut self,
         now_s: f64,
@@ -106,7 +106,7 @@
         self.poll_within(now_s, NEW_SERVICE_JITTER_WINDOW_S, settings, rng, actions);
     }
 
-    /// Polls, unless an earlier poll has replaced the one that the timer was set for.
+    /// Polls discovery, unless the poll that the timer was set for was replaced by an earlier poll.
     pub(crate) fn on_timer(&mut self, now_s: f64, actions: &mut Vec<Action>) {
         if now_s + TIMER_TOLERANCE_S < self.next_poll_s {
             return;
@@ -117,7 +117,7 @@
         actions.push(Action::PollDiscovery);
     }
 
-    /// Schedules the first poll at a random time of the initial window.
+    /// Schedules the first poll at a random time in the initial backoff window.
     fn schedule_first_poll(
         &mut self,
         now_s: f64,
@@ -128,7 +128,7 @@
         self.poll_with_backoff(now_s, 0.0, settings, rng, actions);
     }
 
-    /// Schedules a poll after a backoff that grows with each failure in a row. The first list or failure starts polling.
+    /// Schedules a poll after a backoff that grows with each failure in a row. The first endpoint list or failure starts polling.
     fn poll_with_backoff(
         &mut self,
         now_s: f64,
@@ -144,7 +144,7 @@
         self.poll_within(now_s, window_s, settings, rng, actions);
     }
 
-    /// Schedules a poll at a random time within the next `window_s` seconds, unless one is due before.
+    /// Schedules a poll at a random time within the next `window_s` seconds, unless a poll is already due before that time.
     fn poll_within(
         &mut self,
         now_s: f64,
@@ -162,8 +162,8 @@
     }
 }
 
-/// Longest time until the next poll, in seconds. It grows with each failure in a row. Once polling has started it is limited so that
-/// changes since discovery became silent, `silent_s` seconds ago, are known before the notification deadline.
+/// Longest time until the next poll, in seconds. The time grows with each failure in a row. Once polling has started, the time is limited
+/// so that the gateway receives changes of the last `silent_s` seconds, in which discovery was silent, before the notification deadline.
 fn backoff_window_s(interval_s: f64, history: PollHistory, silent_s: f64) -> f64 {
     let consecutive_failures = match history {
         PollHistory::NotStarted => 0,
--- a/crates/balancer/src/load_report.rs
+++ b/crates/balancer/src/load_report.rs
@@ -1,33 +1,33 @@
-//! Load reports that endpoints send with their responses: parses them by the field names in the settings and checks their values.
+//! Load reports that endpoints send with their responses: parses reports by the field names in the settings and checks their values.
 
 use crate::api::LoadReport;
 use serde::Deserialize;
 
-/// Longest header value that is read, in bytes.
+/// Longest header value that is parsed as a load report, in bytes.
 const MAX_HEADER_BYTES: usize = 512;
-/// Highest figure that counts as a load, in requests or requests a second.
+/// Highest figure that is accepted in a load report, in requests or requests a second.
 const MAX_LOAD_FIGURE: f64 = 1e6;
-/// Start of a header value with a report.
+/// Prefix of a header value that contains a load report.
 const HEADER_PREFIX: &str = "TEXT ";
 
-/// Names and positions of the figures of a report, from the settings (`stats.fields`).
+/// Names and positions of the figures of a load report, from the settings (`stats.fields`).
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LoadReportFields {
     requests_per_second: Option<ReportField>,
     in_flight: Option<ReportField>,
 }
 
-/// One figure of a report.
+/// The name and position of one figure of a load report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct ReportField {
-    /// Its index in a row of figures.
+    /// The figure's index in a row of figures.
     index: usize,
-    /// Its name in a header.
+    /// The figure's name in a header.
     name: String,
 }
 
 impl ReportField {
-    /// The first of `fields` that has one of these names.
+    /// The first of `fields` that has one of the names in `names`.
     fn find(fields: &[String], names: [&str; 2]) -> Option<ReportField> {
         let index = fields.iter().position(|field| names.contains(&field.as_str()))?;
         Some(ReportField { index, name: fields[index].clone() })
@@ -49,11 +49,11 @@
 }
 
 impl LoadReportFields {
-    /// Reads the names from the settings object, as JSON text. Settings whose responses carry no report, or one that lacks either
-    /// figure, result in fields that match nothing.
+    /// Reads the field names from the settings object, as JSON text.
+    /// Settings whose responses carry no load report, or a report that lacks either figure, result in fields that match nothing.
     ///
     /// # Errors
-    /// If the text is not a settings object.
+    /// Returns an error if the text is not a settings object.
     pub fn parse(settings: &str) -> Result<LoadReportFields, serde_json::Error> {
         let RawSettings { stats } = serde_json::from_str(settings)?;
         if !matches!(stats.transport.as_str(), "inline" | "answers") {
@@ -65,7 +65,7 @@
         })
     }
 
-    /// The report in a row of figures; `None` if a figure is missing or no load.
+    /// The load report in a row of figures; `None` if a figure is missing or is not a possible load.
     pub fn parse_row(&self, row: &[f64]) -> Option<LoadReport> {
         let figure = |field: &Option<ReportField>| row.get(field.as_ref()?.index).copied();
         let requests_per_second = figure(&self.requests_per_second)?;
@@ -73,8 +73,8 @@
         LoadReport { requests_per_second, in_flight }.checked()
     }
 
-    /// The report in the text of a header: `TEXT qps=27.1, inflight=7`. `None` for another form, and if a figure is missing, repeated or no
-    /// load.
+    /// The load report in the text of a header, such as `TEXT qps=27.1, inflight=7`.
+    /// `None` for text in another form, and if a figure is missing, repeated or not a possible load.
     pub fn parse_header(&self, text: &str) -> Option<LoadReport> {
         if text.len() > MAX_HEADER_BYTES {
             return None;
@@ -102,7 +102,7 @@
 }
 
 impl LoadReport {
-    /// The report, if both figures can be the load of an endpoint.
+    /// The load report itself, if both figures are possible loads of an endpoint: from 0 to 1 million.
     pub fn checked(self) -> Option<LoadReport> {
         let is_load = |figure: f64| (0.0..=MAX_LOAD_FIGURE).contains(&figure);
         (is_load(self.requests_per_second) && is_load(self.in_flight)).then_some(self)
--- a/crates/balancer/src/load_report/tests.rs
+++ b/crates/balancer/src/load_report/tests.rs
@@ -1,14 +1,14 @@
-//! Which texts and rows are read as load reports.
+//! Tests of which header texts and rows of figures are read as load reports.
 
 use super::*;
 
 fn fields(transport: &str, names: &str) -> LoadReportFields {
     LoadReportFields::parse(&format!(r#"{{"stats":{{"how":"{transport}","fields":[{names}]}}}}"#))
-        .expect("settings")
+        .expect("the settings object parses")
 }
 
 #[test]
-fn report_is_read_by_the_field_names_of_the_settings() {
+fn report_is_read_by_the_field_names_in_the_settings() {
     let report_fields = fields("inline", r#""throughput","outstanding""#);
     let report = LoadReport { requests_per_second: 27.5, in_flight: 7.0 };
     assert_eq!(report_fields.parse_header("TEXT outstanding=7, util=0.6, throughput=27.5"), Some(report));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn malformed_or_impossible_figures_are_not_read() {
+fn malformed_or_impossible_reports_are_not_read() {
     let report_fields = fields("answers", r#""qps","inflight""#);
     let malformed = [
         "",
--- a/crates/balancer/src/settings_document.rs
+++ b/crates/balancer/src/settings_document.rs
@@ -1,5 +1,5 @@
-//! The platform's settings object, as the simulator's wire and the gateway's configuration file carry it. The protocol's field names are
-//! mapped to [`Settings`] only here.
+//! The platform's settings object, as it is sent by the simulator and contained in the gateway's configuration file.
+//! The protocol's field names are mapped to [`Settings`] only in this module.
 
 use crate::api::{EndpointWeights, Idempotency, KeyScope, RequestClass, Settings};
 use rustc_hash::FxHashMap;
@@ -8,7 +8,7 @@
 
 /// Microseconds in a second.
 const MICROS_PER_S: f64 = 1e6;
-/// Longest time that is read, in microseconds.
+/// Longest time that is read from the settings object, in microseconds.
 const MAX_MICROS: f64 = 1e15;
 
 #[derive(Deserialize, Default)]
@@ -108,16 +108,16 @@
     drain_close_within_s: Option<f64>,
 }
 
-/// Converts seconds of the platform's documents to a [`Duration`], to the microsecond; 0 for a negative value or NaN.
+/// Converts seconds in the platform's documents to a [`Duration`], rounded to the microsecond; 0 for a negative value or NaN.
 pub fn duration_from_seconds(seconds: f64) -> Duration {
     Duration::from_micros((seconds * MICROS_PER_S).round().clamp(0.0, MAX_MICROS) as u64)
 }
 
-/// Reads the settings object that an instance is given at its start, from its JSON text. Unknown names are ignored, absent ones are 0,
-/// false or empty.
+/// Reads the settings object that a gateway gets at its start, from its JSON text.
+/// Unknown names are ignored; values whose names are absent are 0, false or empty.
 ///
 /// # Errors
-/// If the text is not a settings object.
+/// Returns an error if the text is not a settings object.
 pub fn parse_settings(json: &str) -> Result<Settings, serde_json::Error> {
     serde_json::from_str::<SettingsDocument>(json).map(Settings::from)
 }
@@ -157,7 +157,7 @@
 }
 
 impl LimitsDocument {
-    /// The longest `Retry-After`; zero where clients do not obey any.
+    /// The longest `Retry-After` of answers; zero where clients do not obey `Retry-After`.
     fn max_retry_after(&self) -> Duration {
         if self.retry_after_obeyed {
             duration_from_seconds(self.max_retry_after_s)
@@ -183,7 +183,7 @@
 }
 
 impl ClassDocument {
-    /// Whether it may be sent again; an unknown value means that it may not.
+    /// Whether a request of the class may be sent again. It may not where the document has an unknown value.
     fn idempotency(&self) -> Idempotency {
         match self.idempotency.as_str() {
             "free" => Idempotency::Idempotent,
--- a/crates/balancer/src/snapshot.rs
+++ b/crates/balancer/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Learned state that one process hands to its successor: the latency of each endpoint, and the rates of requests and of served ones.
+//! Learned state that a process passes to its successor: the latency of each endpoint, and the rates of requests and of served requests.
 
 use crate::balancer::Balancer;
 use crate::endpoint_state::EndpointRecord;
@@ -6,39 +6,39 @@
 use crate::traffic_stats::{EventRate, RATE_TIME_CONSTANT_S};
 use std::time::Duration;
 
-/// Longest latency that a snapshot may hold, in seconds.
+/// Longest latency that a snapshot may contain, in seconds.
 const MAX_LATENCY_S: f64 = 600.0;
-/// Shortest latency estimate that is written, in seconds: 0 would read as no estimate.
+/// Shortest latency estimate that is written to a snapshot, in seconds: 0 would be read as no estimate.
 const MIN_LATENCY_ESTIMATE_S: f64 = 1e-6;
-/// Highest request rate that a snapshot may hold, in requests a second.
+/// Highest request rate that a snapshot may contain, in requests a second.
 const MAX_REQUESTS_PER_S: f64 = 1e7;
 
 /// Learned state of one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointSnapshot {
-    /// The hash of its name: see [`crate::stable_hash`].
+    /// The hash of the endpoint's name: see [`crate::stable_hash`].
     pub name_hash: u64,
-    /// Its expected latency, in seconds.
+    /// The endpoint's expected latency, in seconds.
     pub latency_estimate_s: f64,
 }
 
 /// Learned state of one gateway.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Snapshot {
-    /// The endpoints that have samples.
+    /// The endpoints that have latency samples.
     pub endpoints: Vec<EndpointSnapshot>,
     /// Requests a second that were served within their latency objective.
     pub served_per_s: f64,
-    /// First attempts of clients a second.
+    /// Requests a second that clients do not mark as retries.
     pub first_attempts_per_s: f64,
     /// Requests a second that one warm endpoint served.
     pub served_per_warm_endpoint_per_s: f64,
-    /// Mean latency in seconds; 0 before any.
+    /// Mean latency of served requests in seconds; 0 before the first.
     pub mean_latency_s: f64,
 }
 
 impl Snapshot {
-    /// Whether every value is within the range that a gateway can measure.
+    /// Whether every value of the snapshot is within the range that a gateway can measure.
     pub fn is_valid(&self) -> bool {
         let is_within = |value: f64, max: f64| (0.0..=max).contains(&value);
         let rates = [self.served_per_s, self.first_attempts_per_s, self.served_per_warm_endpoint_per_s];
@@ -52,7 +52,7 @@
 }
 
 impl Balancer {
-    /// The learned state for a successor process.
+    /// The balancer's learned state, for a successor process.
     pub fn snapshot(&self) -> Snapshot {
         let learned =
             self.endpoints.iter().filter(|endpoint| endpoint.is_ready() && endpoint.detector.has_samples());
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Starts from another process's snapshot: its estimates are used for endpoints without samples here, and its traffic figures if no
-    /// request was served here. An invalid snapshot is ignored; returns whether it was applied.
+    /// Starts from another process's snapshot. Its latency estimates are used for endpoints without samples here, and its request rates and
+    /// mean latency if no request was served here. An invalid snapshot is ignored; returns whether the snapshot was applied.
     pub fn restore(&mut self, now: Duration, snapshot: &Snapshot) -> bool {
         if !snapshot.is_valid() {
             return false;
@@ -97,7 +97,7 @@
         endpoint.latency_estimate_s = learned.latency_estimate_s;
         endpoint.last_sample_s = now_s;
         if !endpoint.is_warm() {
-            // The predecessor may just have spent its own tokens: both budgets together would overload a cold endpoint.
+            // The predecessor may just have spent its own slow-start tokens: both token budgets together would overload a cold endpoint.
             endpoint.slow_start_tokens = 0.0;
         }
     }
@@ -111,7 +111,7 @@
         traffic.served_in_time.per_s = snapshot.served_per_s;
         traffic.first_attempts.per_s = snapshot.first_attempts_per_s;
         traffic.served_per_warm_endpoint.per_s = snapshot.served_per_warm_endpoint_per_s;
-        // Without this the first interval would outweigh everything that the predecessor measured.
+        // Without this minimum the first averaging interval would outweigh everything that the predecessor measured.
         self.maintenance.observed_s = self.maintenance.observed_s.max(RATE_TIME_CONSTANT_S);
     }
 }
