--- a/crates/balancer/tests/behaviour/admission.rs
+++ b/crates/balancer/tests/behaviour/admission.rs
@@ -1,38 +1,38 @@
-//! Which requests are admitted.
+//! Tests of which requests are admitted.
 
 use crate::common::gateway::TestGateway;
 use crate::common::{local_endpoint, settings, IDEMPOTENT_CLASS, NOT_IDEMPOTENT_CLASS};
 use std::time::Duration;
 use weldworks_balancer::*;
 
-/// The number of 200 requests at once that are sent.
+/// The number of requests that are sent, of 200 simultaneous requests.
 fn sent_of_200(gateway: &mut TestGateway) -> usize {
     (0..200).filter(|_| gateway.request(IDEMPOTENT_CLASS, None).is_some()).count()
 }
 
-/// The number of requests at once that are admitted before one is shed.
+/// The number of simultaneous requests that are admitted before one is shed.
 fn admitted_at_once(mut gateway: TestGateway) -> usize {
     (0..100).take_while(|_| gateway.request(IDEMPOTENT_CLASS, None).is_some()).count()
 }
 
-/// On overloaded days throughput collapsed: endpoints were full of work that nobody waited for any more.
+/// Guards against a collapse of throughput under overload, in which endpoints were busy with requests that no client waited for any more.
 #[test]
-fn what_cannot_be_served_in_time_is_shed_at_once() {
+fn requests_that_cannot_be_served_in_time_are_shed_at_once() {
     let mut gateway = TestGateway::new(settings(), 2);
     for _ in 0..2000 {
         gateway.serve(1, |_| 10);
     }
     let sent = sent_of_200(&mut gateway);
-    assert!((3..80).contains(&sent), "{sent} of 200 at once were admitted");
+    assert!((3..80).contains(&sent), "{sent} of 200 simultaneous requests were admitted");
     assert!(
         matches!(gateway.actions[0], Action::Reject { retry_after, .. } if retry_after.is_zero()),
-        "clients obey no Retry-After here"
+        "no Retry-After where clients do not obey it"
     );
 }
 
-/// Some endpoints fail while the others are as fast as ever. That is no overload, and admission must not tighten.
+/// Some endpoints fail while the others are as fast as before. That is no overload, and admission must not tighten.
 #[test]
-fn what_is_served_fast_is_admitted_though_some_requests_end_unserved() {
+fn admission_does_not_tighten_while_served_requests_are_fast_though_some_end_unserved() {
     let mut gateway = TestGateway::new(settings(), 10);
     for round in 0..2000 {
         gateway.serve(1, |_| 10);
@@ -41,12 +41,12 @@
         }
     }
     let sent = sent_of_200(&mut gateway);
-    assert!((20..80).contains(&sent), "{sent} of 200 at once were admitted");
+    assert!((20..80).contains(&sent), "{sent} of 200 simultaneous requests were admitted");
 }
 
-/// Clients that are rejected retry at once and add to the overload, unless they are asked to wait.
+/// Clients that are rejected retry at once and add to the overload, unless they get a `Retry-After`.
 #[test]
-fn rejection_at_capacity_has_retry_after_where_clients_obey_it() {
+fn rejection_has_retry_after_where_clients_obey_it() {
     let max_retry_after = Duration::from_secs(2);
     let mut gateway = TestGateway::new(Settings { max_retry_after, ..settings() }, 2);
     sent_of_200(&mut gateway);
@@ -54,40 +54,43 @@
     assert_eq!(gateway.actions, [Action::Reject { request, retry_after: max_retry_after }]);
 }
 
-/// A start that admitted everything overloaded every endpoint for the rest of the day (issue 6).
+/// Guards against admitting every request after a start, which overloaded every endpoint for the rest of the day (issue 6).
 #[test]
 fn admission_is_bounded_before_the_first_answers() {
     let mut gateway = TestGateway::new(settings(), 12);
     let sent = sent_of_200(&mut gateway);
-    assert!((3..8).contains(&sent), "{sent} of 200 at once were sent to 12 endpoints by one of 4 gateways");
-    // Nothing was answered within an objective: fewer still.
+    assert!(
+        (3..8).contains(&sent),
+        "{sent} of 200 simultaneous requests were sent to 12 endpoints by one of 4 gateways"
+    );
+    // No request was answered within its objective, so even fewer requests are admitted.
     gateway.now += Duration::from_millis(250);
     gateway.handle(Event::Timer { token: 999_999 });
     gateway.now += Duration::from_millis(250);
     assert_eq!(gateway.request(IDEMPOTENT_CLASS, None), None);
 }
 
-/// One of 45 gateways, whose own few requests say little of the endpoints' load.
+/// One of 45 gateways, whose own few requests show little of the load of the endpoints.
 pub fn one_of_many_gateways() -> TestGateway {
     let mut gateway = TestGateway::new(Settings { gateway_count: 45, ..settings() }, 4);
     gateway.serve(40, |_| 20);
     gateway
 }
 
-/// The same after each endpoint has reported this load.
+/// One of 45 gateways, after each endpoint has reported this load.
 fn with_reported_load(requests_per_second: f64, in_flight: f64) -> TestGateway {
     let mut gateway = one_of_many_gateways();
     for endpoint in (0..4).map(EndpointId) {
         let report = LoadReport { requests_per_second, in_flight };
         gateway.handle(Event::LoadReport { endpoint, report });
     }
-    // Long enough for the next maintenance run.
+    // The clock advances far enough for the next maintenance run.
     gateway.now += Duration::from_millis(100);
     gateway
 }
 
 #[test]
-fn more_is_admitted_at_once_while_endpoints_report_little_load() {
+fn more_simultaneous_requests_are_admitted_while_endpoints_report_little_load() {
     let mut without_reports = one_of_many_gateways();
     without_reports.now += Duration::from_millis(100);
     let without_reports = admitted_at_once(without_reports);
@@ -103,7 +106,7 @@
         let weight = 6.0 / (1.0 + in_flight_per_core);
         (0..4).map(|number| Endpoint { weight, ..local_endpoint(number, None) }).collect()
     };
-    // Each endpoint is seen idle once.
+    // Each endpoint is listed idle once, so that its size is known.
     gateway.list_snapshot(&list(0.0));
     for _ in 0..20 {
         gateway.list_delta(&list(in_flight_per_core));
@@ -113,19 +116,20 @@
 }
 
 #[test]
-fn fewer_are_admitted_at_once_where_live_weights_show_high_load() {
+fn fewer_simultaneous_requests_are_admitted_where_live_weights_show_high_load() {
     let idle = admitted_at_once(with_listed_load(0.1));
     let loaded = admitted_at_once(with_listed_load(4.0));
-    assert!(loaded < idle, "{loaded} in place of {idle}");
-    // An endpoint's share is always admitted: a gateway that starts among loaded endpoints must be able to grow.
+    assert!(loaded < idle, "{loaded} requests admitted under high load, {idle} under low load");
+    // At least this gateway's fraction of the endpoints is always admitted in flight:
+    // a gateway that starts among loaded endpoints must be able to increase its rate.
     assert!(loaded >= 1);
 }
 
 #[test]
-fn live_weights_of_old_lists_are_ignored() {
+fn live_weights_of_outdated_lists_are_ignored() {
     let mut without_lists = with_listed_load(4.0);
     let loaded = admitted_at_once(with_listed_load(4.0));
-    // Four seconds without a list.
+    // No endpoint list arrives for four seconds.
     for _ in 0..200 {
         without_lists.serve(1, |_| 20);
     }
@@ -144,7 +148,7 @@
         }
         assert!(
             admitted_at_once(gateway) >= admitted_at_once(with_listed_load(0.1)),
-            "with a weight of {weight}"
+            "fewer requests were admitted with a live weight of {weight}"
         );
     }
 }
@@ -157,7 +161,7 @@
     gateway.handle(Event::Request(Request { cost_hint, ..request }));
 }
 
-/// Whether a request with this cost hint is sent at this listed load, where endpoints take as long as hints say.
+/// Whether a request with this cost hint is sent at this listed load, where latencies equal the cost hints.
 fn is_hinted_request_sent(in_flight_per_core: f64, cost_hint_ms: u64) -> bool {
     let mut gateway = with_listed_load(in_flight_per_core);
     for _ in 0..100 {
@@ -170,8 +174,8 @@
 }
 
 #[test]
-fn request_that_by_its_hint_cannot_be_served_in_time_is_shed_under_load() {
-    assert!(is_hinted_request_sent(4.0, 150), "half of its objective of 300 ms");
-    assert!(!is_hinted_request_sent(4.0, 900), "three times its objective");
-    assert!(is_hinted_request_sent(0.1, 900), "no load");
+fn request_that_by_its_cost_hint_would_miss_its_deadline_is_shed_under_load() {
+    assert!(is_hinted_request_sent(4.0, 150), "the hint is half of the objective of 300 ms");
+    assert!(!is_hinted_request_sent(4.0, 900), "the hint is three times the objective");
+    assert!(is_hinted_request_sent(0.1, 900), "the endpoints have no load");
 }
--- a/crates/balancer/tests/behaviour/discovery_polling.rs
+++ b/crates/balancer/tests/behaviour/discovery_polling.rs
@@ -1,4 +1,4 @@
-//! When discovery is polled.
+//! Tests of when discovery is polled.
 
 use crate::common::gateway::TestGateway;
 use crate::common::settings;
@@ -17,9 +17,9 @@
         gateway.list_snapshot(&[]);
         for failure in 0..8 {
             let Some(Action::SetTimer { after, token }) = gateway.actions.first().cloned() else {
-                panic!("a timer for the next poll")
+                panic!("no timer for the next poll was set")
             };
-            assert!(after < interval, "seed {seed}, failure {failure}: {after:?}");
+            assert!(after < interval, "seed {seed}, failure {failure}: the poll is due after {after:?}");
             if failure == 0 {
                 first_polls.insert(after);
             }
@@ -29,5 +29,5 @@
             gateway.handle(Event::DiscoveryFailed { silent_for: Duration::ZERO });
         }
     }
-    assert!(first_polls.len() == 20, "spread over the instances");
+    assert!(first_polls.len() == 20, "each gateway polls first at a time of its own");
 }
--- a/crates/balancer/tests/behaviour/main.rs
+++ b/crates/balancer/tests/behaviour/main.rs
@@ -1,4 +1,4 @@
-//! Behaviour of the balancer, one situation in each test.
+//! Tests of the balancer's behaviour, each in one situation.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -15,6 +15,6 @@
 mod by_hand;
 
 #[test]
-fn example_runs() {
+fn example_runs_without_panic() {
     by_hand::main();
 }
--- a/crates/balancer/tests/behaviour/retry.rs
+++ b/crates/balancer/tests/behaviour/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and hedged requests.
+//! Tests of retries and hedged requests.
 
 use crate::common::gateway::TestGateway;
 use crate::common::{settings, IDEMPOTENT_CLASS, NOT_IDEMPOTENT_CLASS};
@@ -6,26 +6,26 @@
 use weldworks_balancer::*;
 
 #[test]
-fn slow_attempt_is_hedged_where_the_class_allows_and_the_loser_is_cancelled() {
+fn slow_attempt_is_hedged_where_the_class_allows_and_cancelled_once_the_hedge_is_served() {
     let mut gateway = TestGateway::new(settings(), 4);
     gateway.serve(40, |_| 20);
     let first = gateway.request(IDEMPOTENT_CLASS, None).unwrap();
     let request = gateway.last_request;
-    gateway.now += gateway.timer().expect("a timer for the hedge");
+    gateway.now += gateway.timer().expect("the request sets a timer for its hedge");
     gateway.handle(Event::Timer { token: request });
-    let second = gateway.sent_endpoint().expect("a hedge");
+    let second = gateway.sent_endpoint().expect("the timer sends a hedge");
     assert_ne!(first, second);
     gateway.now += Duration::from_millis(20);
     gateway.end_attempt(request, 1, Duration::from_millis(20), Outcome::Served);
     assert_eq!(gateway.actions, [Action::Cancel { request: RequestId(request), attempt: 0 }]);
     gateway.request(NOT_IDEMPOTENT_CLASS, None);
-    assert!(gateway.timer().is_none(), "no hedge for what must not be processed twice");
+    assert!(gateway.timer().is_none(), "a request that must not be processed twice is not hedged");
 }
 
-/// Under overload nothing is answered in time, and hedges would add to the load. They must stay a small part of the requests, with nothing
-/// saved up from before.
+/// Under overload no request is answered in time, and hedges would add to the load.
+/// Hedges must stay a small fraction of the requests, without a budget accumulated from before.
 #[test]
-fn hedges_are_a_small_part_of_first_attempts() {
+fn hedges_are_a_small_fraction_of_first_attempts() {
     let mut gateway = TestGateway::new(settings(), 10);
     gateway.serve(100, |_| 20);
     let mut hedges = 0;
@@ -42,8 +42,8 @@
     assert!((1..=4).contains(&hedges), "{hedges} hedges for 30 first attempts");
 }
 
-/// Where endpoints or the network reset connections, requests must not be rejected for want of a retry; where everything fails, retries
-/// must be bounded.
+/// Where endpoints or the network reset connections, requests must not be rejected for lack of a retry budget.
+/// Where every attempt fails, retries must be limited.
 #[test]
 fn a_fifth_of_first_attempts_may_be_followed_by_a_retry() {
     let mut gateway = TestGateway::new(settings(), 10);
--- a/crates/balancer/tests/behaviour/selection.rs
+++ b/crates/balancer/tests/behaviour/selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoint an attempt goes to.
+//! Tests of which endpoint an attempt goes to.
 
 use crate::common::gateway::TestGateway;
 use crate::common::{endpoint, local_endpoint, settings, IDEMPOTENT_CLASS, NOT_IDEMPOTENT_CLASS};
@@ -10,32 +10,36 @@
 fn endpoint_with_lowest_in_flight_times_latency_is_selected() {
     let mut gateway = TestGateway::new(Settings { gateway_count: 1, ..settings() }, 2);
     gateway.serve(40, |endpoint| if endpoint == 0 { 10 } else { 25 });
-    // Latencies are near 10 and 25 ms: two go to endpoint 0 (10, 20 against 25), the third to endpoint 1 (30 against 25).
+    // Latencies are near 10 and 25 ms. Two requests go to endpoint 0 (scores 10 and 20 against 25).
+    // The third goes to endpoint 1 (score 25 against 30).
     let selected: Vec<_> = (0..3).map(|_| gateway.request(IDEMPOTENT_CLASS, None).unwrap()).collect();
     assert_eq!(selected, [0, 0, 1]);
 }
 
 #[test]
-fn endpoint_that_fails_fast_does_not_attract_work() {
+fn endpoint_that_fails_fast_does_not_attract_requests() {
     let mut gateway = TestGateway::new(Settings { hedging_allowed: false, ..settings() }, 6);
     gateway.serve(60, |_| 20);
     let mut sent_to_failing = 0;
     for _ in 0..200 {
-        let endpoint = gateway.request(IDEMPOTENT_CLASS, None).expect("sent");
+        let endpoint = gateway.request(IDEMPOTENT_CLASS, None).expect("the request is sent to an endpoint");
         if endpoint != 0 {
             gateway.end_last_after(Duration::from_millis(20), Outcome::Served);
             continue;
         }
         sent_to_failing += 1;
         gateway.end_last_after(Duration::from_millis(1), Outcome::Error);
-        assert!(matches!(gateway.sent_endpoint(), Some(other) if other != 0), "retried elsewhere");
+        assert!(
+            matches!(gateway.sent_endpoint(), Some(other) if other != 0),
+            "the request is retried at another endpoint"
+        );
         gateway.now += Duration::from_millis(20);
         gateway.end_attempt(gateway.last_request, 1, Duration::from_millis(20), Outcome::Served);
     }
     assert!(sent_to_failing < 12, "{sent_to_failing} of 200 went to the failing endpoint");
 }
 
-/// A hung endpoint gives no latency sample until a time-out. If only samples counted, it would look idle and attract all requests.
+/// A hung endpoint gives no latency sample until a timeout. If only samples counted, the endpoint would look idle and attract all requests.
 #[test]
 fn endpoint_that_does_not_answer_gets_no_further_requests() {
     let mut gateway = TestGateway::new(settings(), 4);
@@ -47,7 +51,7 @@
 }
 
 #[test]
-fn key_goes_to_its_preferred_endpoints_at_every_gateway_and_leaves_them_when_they_fail() {
+fn key_is_sent_to_its_preferred_endpoints_by_every_gateway_unless_they_fail() {
     let affinity = Settings { key_cache_affinity: true, hedging_allowed: false, ..settings() };
     let mut first = TestGateway::new(affinity.clone(), 12);
     let mut second = TestGateway::with_seed(affinity, 12, 99);
@@ -59,7 +63,7 @@
             gateway.end_last_after(Duration::from_millis(20), Outcome::Served);
         }
     }
-    assert!(preferred.len() <= 2, "two endpoints for a key: {preferred:?}");
+    assert!(preferred.len() <= 2, "a key has at most two preferred endpoints: {preferred:?}");
     for _ in 0..4 {
         let endpoint = first.request(NOT_IDEMPOTENT_CLASS, Some(1234)).unwrap();
         first.end_last_after(Duration::from_millis(1), Outcome::Error);
@@ -67,12 +71,13 @@
             return;
         }
     }
-    panic!("the key stayed with endpoints that fail");
+    panic!("requests of the key went only to preferred endpoints that fail");
 }
 
-/// Before any sample all endpoints look alike. If sizes did not count then, a start would send small endpoints as much as large ones.
+/// Before any latency sample all endpoints have the same expected latency.
+/// If sizes did not count, small endpoints would get as many requests as large ones after a start.
 #[test]
-fn without_samples_attempts_follow_sizes_where_weights_are_sizes() {
+fn attempts_before_any_sample_follow_endpoint_sizes_where_weights_are_sizes() {
     for (endpoint_weights, expected) in [(EndpointWeights::Size, 7..9), (EndpointWeights::Off, 2..7)] {
         let mut gateway = TestGateway::new(Settings { endpoint_weights, gateway_count: 1, ..settings() }, 0);
         let sized = |number| {
@@ -86,14 +91,14 @@
             .count();
         assert!(
             expected.contains(&large),
-            "{endpoint_weights:?}: {large} of 8 went to the half with three times the size"
+            "{endpoint_weights:?}: {large} of 8 requests went to the large endpoints"
         );
     }
 }
 
-/// In a large fleet a gateway seldom sees one endpoint. What others of its machine kind show must hold for it.
+/// In a large fleet a gateway rarely has samples of one endpoint, so samples of other endpoints of the same machine kind must count for it.
 #[test]
-fn endpoint_without_samples_is_judged_by_its_kind() {
+fn endpoint_without_samples_has_the_expected_latency_of_its_kind() {
     let settings = Settings { hedging_allowed: false, gateway_count: 1, ..settings() };
     let mut gateway = TestGateway::new(settings, 0);
     let of_kind = |number| Endpoint { kind: number % 2, ..local_endpoint(number, None) };
@@ -111,15 +116,16 @@
     let to_fast_kind = (0..5)
         .filter(|_| gateway.request(IDEMPOTENT_CLASS, None).is_some_and(|endpoint| endpoint % 2 == 1))
         .count();
-    assert_eq!(to_fast_kind, 5, "new endpoints of the fast kind first");
+    assert_eq!(to_fast_kind, 5, "all requests go to new endpoints of the fast kind");
 }
 
-/// Numbers of removed endpoints are used again. A new endpoint must not be avoided, or overloaded, for what the number's last owner did.
+/// Numbers of removed endpoints are reused.
+/// A new endpoint must not be avoided or overloaded because of samples of the previous endpoint with its number.
 #[test]
-fn number_that_passes_to_another_endpoint_starts_without_history() {
+fn reused_endpoint_number_starts_without_history() {
     let mut gateway = TestGateway::new(settings(), 2);
     let requests = gateway.serve(200, |endpoint| if endpoint == 0 { 200 } else { 20 });
-    assert!(requests[0] < 40, "{requests:?}: the slow one is avoided");
+    assert!(requests[0] < 40, "the slow endpoint 0 is avoided: {requests:?}");
     gateway.list_delta(&[Endpoint { state: EndpointState::Removed, ..endpoint(0, None) }]);
     let other = Endpoint { zone: 0, ..Endpoint::new(EndpointId(0), "another") };
     gateway.list_delta(&[other]);
@@ -132,19 +138,20 @@
     assert_eq!(requests, [4, 4]);
 }
 
-/// An endpoint may fail one class only, for instance where one dependency is down. It must lose that class and keep the others.
+/// An endpoint may fail only one request class, for instance where one of its dependencies is down.
+/// It must get fewer requests of that class and keep getting those of other classes.
 #[test]
-fn endpoint_that_fails_one_class_keeps_the_others() {
+fn endpoint_that_fails_one_class_still_gets_the_others() {
     let settings = Settings { hedging_allowed: false, gateway_count: 1, ..settings() };
     let mut gateway = TestGateway::new(settings, 6);
     let latency = Duration::from_millis(20);
-    // Sends to endpoint 0 in the second half, of the class that it fails and of the other.
+    // Sends to endpoint 0 in the second half of the rounds, counted for the class that it fails and for the other class.
     let mut failing_class_sends = 0;
     let mut other_class_sends = 0;
     for round in 0..100 {
         let classes = [4, 0, 0, 4, 0, 0];
         let sent = classes.map(|class| {
-            let endpoint = gateway.request(class, None).expect("sent");
+            let endpoint = gateway.request(class, None).expect("the request is sent to an endpoint");
             (class, endpoint, gateway.last_request)
         });
         gateway.now += latency;
@@ -164,13 +171,14 @@
     }
     assert!(
         failing_class_sends <= 10 && other_class_sends >= 30,
-        "{failing_class_sends} of 100 and {other_class_sends} of 200 went to the endpoint that fails one class"
+        "{failing_class_sends} of 100 and {other_class_sends} of 200 requests went to the endpoint that fails one class"
     );
 }
 
-/// Crossing zones costs more than a somewhat slower endpoint at home; but a zone whose requests end unserved must not keep them all.
+/// Crossing zones costs more than using a somewhat slower endpoint in the gateway's own zone.
+/// But a zone whose requests end unserved must not keep them all.
 #[test]
-fn zone_keeps_its_requests_until_they_end_unserved() {
+fn requests_stay_in_their_zone_until_requests_end_unserved() {
     let settings = Settings { hedging_allowed: false, cross_zone_cost: 0.05, gateway_count: 1, ..settings() };
     let mut gateway = TestGateway::new(settings, 0);
     let list: Vec<Endpoint> = (0..8).map(|number| endpoint(number, None)).collect();
@@ -181,8 +189,12 @@
     let latency_ms = |endpoint: u32| if endpoint.is_multiple_of(2) { 40 } else { 20 };
     gateway.serve(100, latency_ms);
     let requests = gateway.serve(50, latency_ms);
-    assert_eq!(requests.iter().skip(1).step_by(2).sum::<u32>(), 0, "twice as slow, but at home");
-    // Requests end unserved without a sample of any endpoint: the estimates stay.
+    assert_eq!(
+        requests.iter().skip(1).step_by(2).sum::<u32>(),
+        0,
+        "endpoints in the own zone are preferred though they are twice as slow"
+    );
+    // These requests end unserved without a latency sample of any endpoint, so the latency estimates stay.
     for _ in 0..60 {
         gateway.request(IDEMPOTENT_CLASS, None);
         let mut attempt = 0;
@@ -196,11 +208,11 @@
     let crossed = (0..4)
         .filter(|_| gateway.request(IDEMPOTENT_CLASS, None).is_some_and(|endpoint| endpoint % 2 == 1))
         .count();
-    assert!(crossed >= 2, "{crossed} of 4 went to the other zone");
+    assert!(crossed >= 2, "{crossed} of 4 requests went to the other zone");
 }
 
-/// The number of 60 requests, one every 100 ms to 12 equally fast endpoints, that need a new connection, where gateways close connections
-/// that have been idle for a second.
+/// The number of requests that need a new connection, of 60 requests sent every 100 ms to 12 equally fast endpoints,
+/// where gateways close connections that have been idle for a second.
 fn new_connections(handshake_cost: f64) -> usize {
     let keep_alive = Duration::from_secs(2);
     let mut gateway = TestGateway::new(Settings { handshake_cost, keep_alive, ..settings() }, 12);
@@ -208,7 +220,8 @@
     let mut new_connections = 0;
     for _ in 0..60 {
         gateway.now += Duration::from_millis(80);
-        let endpoint = gateway.request(IDEMPOTENT_CLASS, None).expect("an endpoint is ready") as usize;
+        let endpoint =
+            gateway.request(IDEMPOTENT_CLASS, None).expect("the request is sent to an endpoint") as usize;
         let is_open = last_used[endpoint].is_some_and(|used| gateway.now - used < Duration::from_secs(1));
         gateway.end_last_after(Duration::from_millis(20), Outcome::Served);
         last_used[endpoint] = Some(gateway.now);
@@ -223,20 +236,20 @@
 fn endpoints_with_idle_connections_are_preferred_where_handshakes_have_a_cost() {
     let without_cost = new_connections(0.0);
     let with_cost = new_connections(0.1);
-    assert!(without_cost >= 20, "{without_cost} of 60 new without a cost");
-    assert!(with_cost <= 4, "{with_cost} of 60 new with one");
+    assert!(without_cost >= 20, "{without_cost} of 60 connections were new without a handshake cost");
+    assert!(with_cost <= 4, "{with_cost} of 60 connections were new with a handshake cost");
 }
 
 #[test]
-fn slow_endpoint_is_left_for_a_new_connection_to_a_faster_one() {
+fn new_connection_to_a_fast_endpoint_is_preferred_to_an_idle_one_to_a_slow_endpoint() {
     let settings = Settings { handshake_cost: 0.1, gateway_count: 1, ..settings() };
     let mut gateway = TestGateway::new(settings.clone(), 2);
     gateway.serve(40, |_| 20);
     let requests = gateway.serve(40, |endpoint| if endpoint == 0 { 200 } else { 20 });
     assert!(requests[1] >= 35, "{requests:?}");
-    // The only idle connection is to the one that is slow now.
+    // The only idle connection is to the endpoint that is slow from now on.
     let mut gateway = TestGateway::new(settings, 2);
-    let first = gateway.request(IDEMPOTENT_CLASS, None).expect("an endpoint is ready");
+    let first = gateway.request(IDEMPOTENT_CLASS, None).expect("the request is sent to an endpoint");
     gateway.end_last_after(Duration::from_millis(20), Outcome::Served);
     let requests = gateway.serve(60, |endpoint| if endpoint == first { 200 } else { 20 });
     assert!(requests[1 - first as usize] >= 40, "{requests:?}");
