--- a/crates/balancer/tests/common/checker.rs
+++ b/crates/balancer/tests/common/checker.rs
@@ -1,11 +1,12 @@
-//! An independent checker of the rules for attempts, answers, sequencing and draining. It knows nothing of how actions are chosen.
+//! An independent checker of the rules for attempts, answers, key order and draining.
+//! The checker does not know how the balancer chooses its actions.
 
 use super::MAX_WRITE_DELAY;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use weldworks_balancer::*;
 
-/// A rule that was broken.
+/// The rule that an action violated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
     AnsweredTwice,
@@ -25,15 +26,15 @@
     DrainingConnectionsLeftOpen,
 }
 
-/// An attempt as the checker saw it.
+/// An attempt as the checker has observed it.
 #[derive(Clone)]
 pub struct TrackedAttempt {
-    /// The endpoint as it was listed then.
+    /// The entry of the endpoint when the attempt was sent.
     pub entry: Endpoint,
     pub endpoint: u32,
     pub sent_at: Duration,
     pub outcome: Option<Outcome>,
-    /// When the outcome was reported.
+    /// When the outcome was reported to the balancer.
     pub ended_at: Duration,
 }
 
@@ -43,7 +44,7 @@
     }
 }
 
-/// A request as the checker saw it.
+/// A request as the checker has observed it.
 pub struct TrackedRequest {
     pub class: usize,
     pub key: Option<u64>,
@@ -53,29 +54,29 @@
     pub answers: u32,
 }
 
-/// What a run did.
+/// Violations, counts and actions that a run produced.
 #[derive(Default)]
 pub struct Observations {
     pub violations: BTreeSet<Violation>,
     pub sends: u64,
-    /// Sends after the first of a request.
+    /// Number of sends of requests that had been sent before.
     pub repeats: u64,
     pub rejected: u64,
     pub failed: u64,
-    /// Sends to endpoints in slow start.
+    /// Number of sends to endpoints in slow start.
     pub cold_sends: u64,
     pub connection_closes: u64,
     pub log: Vec<(Duration, Action)>,
 }
 
-/// Checks actions against the rules.
+/// Checks the balancer's actions against the rules.
 pub struct Checker {
     pub settings: Settings,
     pub endpoints: BTreeMap<u32, Endpoint>,
     pub requests: BTreeMap<u64, TrackedRequest>,
     /// For each draining endpoint, when its idle connections became due for closing.
     pub close_due_since: BTreeMap<u32, Duration>,
-    /// Timers set: when they are due, and their tokens.
+    /// Timers that the balancer has set: when each is due, and its token.
     pub timers: Vec<(Duration, u64)>,
     pub observed: Observations,
 }
@@ -92,7 +93,8 @@
         }
     }
 
-    /// Takes an entry of a list. A drain starts the time for closing; an endpoint that is up or removed has none.
+    /// Observes an entry of an endpoint list. A drain starts the time in which connections must be closed;
+    /// an endpoint that is up or removed has no such time.
     pub fn observe_endpoint(&mut self, now: Duration, endpoint: &Endpoint) {
         let previous = self.endpoints.insert(endpoint.id.0, endpoint.clone());
         let was_draining = previous.is_some_and(|previous| previous.state == EndpointState::Draining);
@@ -103,14 +105,15 @@
         }
     }
 
-    /// Takes a send or an outcome. While the endpoint drains, its connections are due for closing anew.
+    /// Observes a send to an endpoint or an outcome from it.
+    /// While the endpoint drains, the time in which its connections must be closed starts again.
     pub fn observe_connection_use(&mut self, now: Duration, endpoint: u32) {
         if self.endpoints[&endpoint].state == EndpointState::Draining {
             self.close_due_since.insert(endpoint, now);
         }
     }
 
-    /// Checks what is broken by time alone.
+    /// Checks the rules that are violated by the passing of time alone.
     pub fn check_time(&mut self, now: Duration) {
         for request in self.requests.values() {
             if !request.ended && now > request.client_deadline + Duration::from_millis(20) {
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Checks the actions of an event.
+    /// Checks the actions that the balancer returned for an event.
     pub fn check_actions(&mut self, now: Duration, actions: &[Action]) {
         for action in actions {
             self.observed.log.push((now, action.clone()));
@@ -151,7 +154,7 @@
     }
 
     fn check_rejection(&mut self, id: u64) {
-        let request = self.requests.get_mut(&id).expect("rejected a known request");
+        let request = self.requests.get_mut(&id).expect("the rejected request is known");
         let is_retry_safe = matches!(
             self.settings.classes[request.class].idempotency,
             Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
@@ -164,7 +167,7 @@
     }
 
     fn check_answer(&mut self, id: u64) {
-        let request = self.requests.get_mut(&id).expect("answered a known request");
+        let request = self.requests.get_mut(&id).expect("the answered request is known");
         if request.ended {
             self.observed.violations.insert(Violation::AnsweredTwice);
         }
@@ -180,11 +183,11 @@
         deadline: Duration,
         write_by: Option<Duration>,
     ) {
-        let entry = self.endpoints.get(&endpoint).expect("sent to a listed endpoint").clone();
+        let entry = self.endpoints.get(&endpoint).expect("the endpoint of the send is listed").clone();
         self.check_limits(now, id, &entry, deadline);
         self.check_idempotency(now, id, &entry, write_by);
         self.observe_connection_use(now, endpoint);
-        let request = self.requests.get_mut(&id).expect("sent a known request");
+        let request = self.requests.get_mut(&id).expect("the request that is sent is known");
         if !request.attempts.is_empty() {
             self.observed.repeats += 1;
         }
@@ -210,8 +213,8 @@
         self.observed.record(checks);
     }
 
-    /// Checks a send against each earlier attempt that was possibly processed. An endpoint's zone and cell are those of its entry then: it
-    /// shared the key with that set.
+    /// Checks a send against each earlier attempt that was possibly processed. The zone and cell of an earlier attempt are those of its
+    /// endpoint's entry when it was sent: the endpoint shared the key with that zone or cell.
     fn check_idempotency(&mut self, now: Duration, id: u64, entry: &Endpoint, write_by: Option<Duration>) {
         let request = &self.requests[&id];
         let mut key_known_until: Option<Duration> = None;
@@ -241,7 +244,7 @@
         self.observed.record([(is_wrong_write_deadline, Violation::WriteDeadlineDiffersFromKeyWindow)]);
     }
 
-    /// Whether an earlier request of the same key is still open, has an attempt in flight, or keeps the key quiet.
+    /// Whether an earlier request of the same key is still open, has an attempt in flight, or has started a quiet period that is not over.
     fn is_out_of_key_order(&self, now: Duration, id: u64) -> bool {
         let sequential_key = |request: &TrackedRequest| {
             request.key.filter(|_| self.settings.classes[request.class].sequential)
@@ -266,7 +269,7 @@
 }
 
 impl Observations {
-    /// Records the violations whose condition holds.
+    /// Records each violation whose condition is true.
     fn record<const COUNT: usize>(&mut self, checks: [(bool, Violation); COUNT]) {
         for (is_violated, violation) in checks {
             if is_violated {
--- a/crates/balancer/tests/common/gateway.rs
+++ b/crates/balancer/tests/common/gateway.rs
@@ -1,21 +1,21 @@
-//! A balancer that a test feeds one event after another.
+//! A balancer to which a test reports one event after another.
 
 use super::local_endpoint;
 use std::time::Duration;
 use weldworks_balancer::*;
 
-/// A balancer with its clock and the actions of its last event.
+/// A balancer with a clock and the actions that its last event resulted in.
 pub struct TestGateway {
     pub balancer: Balancer,
     pub now: Duration,
     /// The number of the last request.
     pub last_request: u64,
-    /// The actions of the last event.
+    /// The actions that the last event resulted in.
     pub actions: Vec<Action>,
 }
 
 impl TestGateway {
-    /// A gateway at 5 s with warm endpoints of its own zone.
+    /// A gateway whose clock is at 5 s, with warm endpoints in its own zone.
     pub fn new(settings: Settings, endpoint_count: u32) -> Self {
         TestGateway::with_seed(settings, endpoint_count, 1)
     }
@@ -50,7 +50,7 @@
         self.handle(Event::IdleConnectionClosed { endpoint: EndpointId(endpoint), idle, remaining });
     }
 
-    /// Sends a new request; the endpoint that it was sent to, if any.
+    /// Sends a new request and returns the endpoint that it was sent to, if any.
     pub fn request(&mut self, class: usize, key: Option<u64>) -> Option<u32> {
         self.last_request += 1;
         let client_deadline = self.now + Duration::from_secs(1);
@@ -82,18 +82,18 @@
         self.handle(Event::AttemptEnded { request, attempt, latency, outcome, request_ended });
     }
 
-    /// Lets this time pass and ends the first attempt of the last request with it as the latency.
+    /// Advances the clock by `latency` and ends the first attempt of the last request with that latency.
     pub fn end_last_after(&mut self, latency: Duration, outcome: Outcome) {
         self.now += latency;
         self.end_attempt(self.last_request, 0, latency, outcome);
     }
 
-    /// Serves `count` requests one after another, each endpoint with its own latency in milliseconds. Returns the requests of each
-    /// endpoint.
+    /// Serves `count` requests one after another, with a latency in milliseconds for each endpoint.
+    /// Returns the number of requests that each endpoint got.
     pub fn serve(&mut self, count: u32, latency_ms: impl Fn(u32) -> u64) -> Vec<u32> {
         let mut requests_by_endpoint = vec![0; 64];
         for _ in 0..count {
-            let endpoint = self.request(0, None).expect("an endpoint is ready");
+            let endpoint = self.request(0, None).expect("the request is sent to an endpoint");
             requests_by_endpoint[endpoint as usize] += 1;
             self.end_last_after(Duration::from_millis(latency_ms(endpoint)), Outcome::Served);
         }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, endpoints and drivers that the tests share.
+//! Settings, endpoints, gateways and checks that the tests have in common.
 #![allow(dead_code)]
 
 pub mod checker;
@@ -8,21 +8,21 @@
 use std::time::Duration;
 use weldworks_balancer::*;
 
-/// The longest time that a gateway may stand still between reading its clock and writing.
+/// The longest time for which a gateway may be suspended between reading its clock and writing.
 pub const MAX_WRITE_DELAY: Duration = Duration::from_millis(150);
-/// Endpoints of a random run.
+/// Number of endpoints in a random run.
 pub const ENDPOINT_COUNT: u32 = 12;
-/// Slow start in the settings of the tests, in seconds.
+/// Duration of slow start in the settings of the tests, in seconds.
 pub const SLOW_START_S: f64 = 20.0;
 
-/// The class of [`settings`] that is idempotent.
+/// Index of the class of [`settings`] that is idempotent.
 pub const IDEMPOTENT_CLASS: usize = 0;
-/// The class of [`settings`] whose idempotency keys all endpoints know.
+/// Index of the class of [`settings`] whose idempotency keys all endpoints share.
 pub const KEYED_CLASS: usize = 1;
-/// The class of [`settings`] that must not be processed twice.
+/// Index of the class of [`settings`] whose requests must not be processed twice.
 pub const NOT_IDEMPOTENT_CLASS: usize = 4;
 
-/// Settings with a class of each idempotency.
+/// Settings with a request class for each kind of idempotency.
 pub fn settings() -> Settings {
     let ms = Duration::from_millis;
     let class = |idempotency| RequestClass { idempotency, ..RequestClass::new(ms(300), ms(1200)) };
@@ -44,7 +44,8 @@
     }
 }
 
-/// The same with one sequential class of each idempotency, and with connections to draining endpoints that must be closed.
+/// The settings of [`settings`] with sequential classes, one for each kind of idempotency,
+/// and with connections to draining endpoints that must be closed.
 pub fn settings_with_sequencing_and_draining() -> Settings {
     let mut settings = settings();
     for class in [0, 2, 4] {
@@ -57,13 +58,13 @@
     }
 }
 
-/// An endpoint with zone and cell by its number.
+/// An endpoint whose zone and cell follow from its number.
 pub fn endpoint(number: u32, started: Option<Duration>) -> Endpoint {
     let name = format!("10.0.0.{number}:80");
     Endpoint { zone: number % 2, cell: number / 3, started, ..Endpoint::new(EndpointId(number), &name) }
 }
 
-/// The same in the gateway's own zone.
+/// An endpoint whose cell follows from its number, in the gateway's own zone.
 pub fn local_endpoint(number: u32, started: Option<Duration>) -> Endpoint {
     Endpoint { zone: 0, ..endpoint(number, started) }
 }
--- a/crates/balancer/tests/common/random_run.rs
+++ b/crates/balancer/tests/common/random_run.rs
@@ -1,11 +1,12 @@
-//! Random legal event sequences from fixed seeds, checked as they run. No endpoint is modelled: outcomes are drawn from what could happen.
+//! Random valid event sequences from fixed seeds, checked while they run.
+//! Endpoints are not modelled: the outcome of an attempt is drawn at random from the possible ones.
 
 use super::checker::{Checker, TrackedRequest};
 use super::{endpoint, ENDPOINT_COUNT};
 use std::time::Duration;
 use weldworks_balancer::*;
 
-/// An attempt without an outcome yet.
+/// An attempt whose outcome is not yet due.
 #[derive(Clone, Copy)]
 struct PendingOutcome {
     due: Duration,
@@ -13,7 +14,7 @@
     attempt: u32,
 }
 
-/// A balancer under random events.
+/// A balancer that gets random events, and the checker that observes it.
 pub struct RandomRun {
     pub rng: fastrand::Rng,
     pub checker: Checker,
@@ -67,7 +68,7 @@
             let sends = actions
                 .iter()
                 .filter(|other| matches!(other, Action::Send { request: sent, .. } if sent == request));
-            assert_eq!(sends.count(), 1, "one send of a request at a time");
+            assert_eq!(sends.count(), 1, "an event sends a request at most once");
             self.pending.push(PendingOutcome { due: ends_at.min(*deadline), request: request.0, attempt });
         }
         self.checker.check_actions(self.now, &actions);
@@ -133,7 +134,8 @@
         });
     }
 
-    /// Runs this many ticks of random traffic of all classes, with endpoints that drain, leave and return cold, then lets all requests end.
+    /// Runs this many ticks of random traffic of all classes, with endpoints that drain, are removed and return cold.
+    /// Then advances the clock until all requests have ended.
     pub fn run_random_events(&mut self, ticks: u32) {
         for _ in 0..ticks {
             self.tick();
