--- a/crates/balancer/tests/invariants.rs
+++ b/crates/balancer/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! The rules for attempts, answers, sequencing and draining, on random event sequences and by an independent checker.
+//! Tests of the rules for attempts, answers, key order and draining:
+//! an independent checker observes the balancer under random event sequences. The checker itself is tested as well.
 
 mod common;
 
@@ -15,7 +16,7 @@
 const SEC: fn(u64) -> Duration = Duration::from_secs;
 
 #[test]
-fn no_rule_is_broken_on_random_events() {
+fn random_events_violate_no_rule() {
     for seed in 0..12 {
         for settings in [settings(), settings_with_sequencing_and_draining()] {
             for hedging_allowed in [true, false] {
@@ -34,7 +35,7 @@
     assert_eq!(
         observed.connection_closes > 0,
         must_close,
-        "connections are closed where settings ask for it"
+        "idle connections are closed only with drain_close_within"
     );
     assert!(
         observed.sends > 300 && observed.repeats > 10 && observed.failed > 5,
@@ -43,22 +44,25 @@
         observed.repeats,
         observed.failed
     );
-    assert!(run.checker.requests.values().all(|request| request.answers == 1), "one answer each");
+    assert!(
+        run.checker.requests.values().all(|request| request.answers == 1),
+        "each request gets one answer"
+    );
 }
 
-/// A checker that knows all endpoints as up.
+/// A checker for which all endpoints are up.
 fn checker(settings: Settings) -> Checker {
     let mut checker = Checker::new(settings);
     checker.endpoints.extend((0..ENDPOINT_COUNT).map(|number| (number, endpoint(number, None))));
     checker
 }
 
-/// An open request of a key, with the attempts that it had.
+/// An open request with key 7, with the attempts that it has had.
 fn open_request(class: usize, attempts: Vec<TrackedAttempt>) -> TrackedRequest {
     TrackedRequest { class, key: Some(7), client_deadline: SEC(11), attempts, ended: false, answers: 0 }
 }
 
-/// One attempt at endpoint 0, sent and ended at 10 s; `None` for one in flight.
+/// One attempt at endpoint 0, sent and ended at 10 s; an outcome of `None` means that the attempt is in flight.
 fn attempted(outcome: Option<Outcome>) -> Vec<TrackedAttempt> {
     let entry = endpoint(0, None);
     vec![TrackedAttempt { endpoint: 0, entry, sent_at: SEC(10), outcome, ended_at: SEC(10) }]
@@ -69,7 +73,7 @@
     Action::Send { request: RequestId(1), endpoint, deadline: SEC(11), write_by }
 }
 
-/// The checker after the action at 10 s, for a request of number 1.
+/// The checker after it has checked the action at 10 s, for a request with number 1.
 fn checked(mut checker: Checker, request: TrackedRequest, action: Action) -> Checker {
     checker.requests.insert(1, request);
     checker.check_actions(SEC(10), &[action]);
@@ -82,7 +86,7 @@
 }
 
 #[test]
-fn checker_finds_what_breaks_each_rule_of_repeats() {
+fn checker_reports_sends_and_rejections_that_break_a_rule() {
     let reset = || attempted(Some(Outcome::Reset));
     let timed_out = || attempted(Some(Outcome::TimedOut));
     let error = || attempted(Some(Outcome::Error));
@@ -105,7 +109,7 @@
     assert_finds(fresh(), open_request(1, rejected()), send(1, key_known_until), wrong_deadline);
 
     let mut zone_changed = fresh();
-    zone_changed.endpoints.get_mut(&0).expect("a listed endpoint").zone = 1;
+    zone_changed.endpoints.get_mut(&0).expect("the endpoint is listed").zone = 1;
     let outside_zone = Violation::KeyRepeatedOutsideZone;
     assert_finds(zone_changed, open_request(2, reset()), send(1, key_known_until), outside_zone);
 
@@ -113,27 +117,30 @@
     assert_finds(fresh(), open_request(3, error()), reject, Violation::RejectedThoughPossiblyProcessed);
 
     let mut draining = fresh();
-    draining.endpoints.get_mut(&1).expect("a listed endpoint").state = EndpointState::Draining;
+    draining.endpoints.get_mut(&1).expect("the endpoint is listed").state = EndpointState::Draining;
     assert_finds(draining, open_request(0, vec![]), send(1, None), Violation::SentToUnavailableEndpoint);
 }
 
 #[test]
-fn checker_accepts_repeats_that_the_rules_allow() {
+fn checker_accepts_repeated_sends_that_idempotency_allows() {
     let rejected = open_request(NOT_IDEMPOTENT_CLASS, attempted(Some(Outcome::Rejected)));
     let violations = checked(checker(settings()), rejected, send(1, None)).observed.violations;
-    assert!(violations.is_empty(), "proof that it was not processed allows another send: {violations:?}");
+    assert!(
+        violations.is_empty(),
+        "a request that was provably not processed may be sent again: {violations:?}"
+    );
     let reset = open_request(1, attempted(Some(Outcome::Reset)));
     let violations = checked(checker(settings()), reset, send(1, Some(MS(10_350)))).observed.violations;
-    assert!(violations.is_empty(), "{violations:?}");
+    assert!(violations.is_empty(), "a repeat within the key window is allowed: {violations:?}");
 }
 
-/// An earlier request of key 7 and class 0: the outcome of its attempt at 10 s, and whether it was answered.
+/// An earlier request with key 7 and class 0: the outcome of its attempt, which ended at 10 s, and whether the request was answered.
 struct EarlierRequest {
     outcome: Option<Outcome>,
     ended: bool,
 }
 
-/// Whether the checker objects to a request of this class and key that is sent `after` 10 s.
+/// Whether the checker reports that a request of this class and key, sent `after` 10 s, violates the order of its key.
 fn is_out_of_key_order(earlier: EarlierRequest, after: Duration, class: usize, key: u64) -> bool {
     let mut checker = checker(settings_with_sequencing_and_draining());
     let attempts = vec![TrackedAttempt {
@@ -154,37 +161,40 @@
 }
 
 #[test]
-fn checker_finds_requests_that_are_sent_out_of_key_order() {
+fn checker_reports_requests_that_are_sent_out_of_key_order() {
     let in_flight = || EarlierRequest { outcome: None, ended: false };
     let ended_in_flight = || EarlierRequest { outcome: None, ended: true };
     let timed_out = || EarlierRequest { outcome: Some(Outcome::TimedOut), ended: true };
     let served = || EarlierRequest { outcome: Some(Outcome::Served), ended: true };
-    assert!(is_out_of_key_order(in_flight(), MS(5), 0, 7), "the first is still in flight");
-    assert!(is_out_of_key_order(ended_in_flight(), MS(5), 2, 7), "it has ended, but its hedge is in flight");
-    assert!(is_out_of_key_order(timed_out(), MS(49), 0, 7), "its key is kept quiet");
-    assert!(!is_out_of_key_order(timed_out(), MS(50), 0, 7), "its quiet period is over");
-    assert!(!is_out_of_key_order(served(), MS(0), 0, 7), "served: no quiet period");
-    assert!(!is_out_of_key_order(in_flight(), MS(5), 0, 8), "another key");
-    assert!(!is_out_of_key_order(in_flight(), MS(5), 1, 7), "a class that is not sequential");
+    assert!(is_out_of_key_order(in_flight(), MS(5), 0, 7), "the earlier request is in flight");
+    assert!(
+        is_out_of_key_order(ended_in_flight(), MS(5), 2, 7),
+        "the earlier request has ended, but its hedge is in flight"
+    );
+    assert!(is_out_of_key_order(timed_out(), MS(49), 0, 7), "the quiet period of the key is not over");
+    assert!(!is_out_of_key_order(timed_out(), MS(50), 0, 7), "the quiet period of the key is over");
+    assert!(!is_out_of_key_order(served(), MS(0), 0, 7), "no quiet period after a served request");
+    assert!(!is_out_of_key_order(in_flight(), MS(5), 0, 8), "the requests have different keys");
+    assert!(!is_out_of_key_order(in_flight(), MS(5), 1, 7), "the class is not sequential");
 }
 
 #[test]
-fn checker_finds_connections_to_draining_endpoints_that_stay_open() {
+fn checker_reports_connections_to_draining_endpoints_that_stay_open() {
     let mut checker = checker(settings_with_sequencing_and_draining());
     let draining = Endpoint { state: EndpointState::Draining, ..endpoint(3, None) };
     checker.observe_endpoint(SEC(10), &draining);
     checker.check_time(SEC(10) + MS(400));
-    assert!(checker.observed.violations.is_empty(), "there is time yet");
+    assert!(checker.observed.violations.is_empty(), "the limit has not passed");
     let close = Action::CloseIdleConnections { endpoint: EndpointId(3) };
     checker.check_actions(SEC(10) + MS(400), &[close]);
     checker.check_time(SEC(12));
-    assert!(checker.observed.violations.is_empty(), "closed");
+    assert!(checker.observed.violations.is_empty(), "the connections were closed in time");
     checker.observe_connection_use(SEC(12), 3);
     checker.check_time(SEC(12) + MS(401));
     assert!(checker.observed.violations.contains(&Violation::DrainingConnectionsLeftOpen));
 }
 
-/// The requests that these actions send, in order.
+/// The numbers of the requests that these actions send, in order.
 fn sent_requests(actions: &[Action]) -> Vec<u64> {
     let sent = |action: &Action| match action {
         Action::Send { request, .. } => Some(request.0),
@@ -193,7 +203,8 @@
     actions.iter().filter_map(sent).collect()
 }
 
-/// Many requests of one hot key queued up, and each event walked the whole queue: the gateway stood still the longer the queue grew.
+/// Guards against event handling that visits all requests queued for one hot key:
+/// the longer the queue grew, the longer each event blocked the gateway.
 #[test]
 fn hot_key_is_served_in_order_and_its_waiting_requests_end_in_time() {
     let settings = Settings { gateway_count: 1, ..settings_with_sequencing_and_draining() };
@@ -216,20 +227,24 @@
         Event::AttemptEnded { request, attempt: 0, latency: MS(9), outcome, request_ended: true }
     };
     let actions = handle(10, ended(1, Outcome::Served));
-    assert_eq!(sent_requests(&actions), [2], "served: the next at once");
+    assert_eq!(sent_requests(&actions), [2], "the next request is sent once the first is served");
     let actions = handle(15, Event::ClientDisconnected { request: RequestId(2) });
     assert_eq!(actions, [Action::Cancel { request: RequestId(2), attempt: 0 }]);
     let actions = handle(20, ended(2, Outcome::Cancelled));
-    assert_eq!(actions, [Action::SetTimer { after: MS(50), token: 3 }], "cancelled: the key is kept quiet");
+    assert_eq!(
+        actions,
+        [Action::SetTimer { after: MS(50), token: 3 }],
+        "a cancelled attempt starts the quiet period of the key"
+    );
     let actions = handle(70, Event::Timer { token: 3 });
     assert_eq!(sent_requests(&actions), [3]);
-    // The others are not released within their objective: each is rejected at its timer, none is sent.
+    // The other requests are not released within their objective: each is rejected at its timer, and none is sent.
     let actions: Vec<Action> = (4..=4000).flat_map(|token| handle(310, Event::Timer { token })).collect();
     assert_eq!(actions.len(), 3997);
     assert!(actions.iter().all(|action| matches!(action, Action::Reject { .. })));
 }
 
-/// Sends to cold endpoints and in all over some ticks with one request each.
+/// The numbers of sends to cold endpoints and to all endpoints over some ticks with one request each.
 struct TickedSends {
     cold: u64,
     all: u64,
@@ -248,9 +263,10 @@
     }
 }
 
-/// The first sends of many gateways met at an endpoint that had just started, and overloaded it.
+/// Guards against the first attempts of many gateways arriving together at an endpoint that
+/// has just started, which overloaded the endpoint.
 #[test]
-fn cold_endpoint_gets_a_small_share_that_grows() {
+fn cold_endpoint_gets_few_requests_and_more_as_it_warms_up() {
     const TICKS_PER_S: u32 = 200;
     let mut early = 0;
     let mut late = 0;
@@ -266,9 +282,9 @@
         late += sends.cold;
         warm += sends.all / u64::from(ENDPOINT_COUNT);
     }
-    assert!(early > 0, "it is used at all");
-    assert!(early * 3 < warm, "just started: {early} sends where a warm endpoint gets {warm}");
-    assert!(late > early, "nearly warm: {late}, just started: {early}");
+    assert!(early > 0, "the cold endpoint gets requests");
+    assert!(early * 3 < warm, "an endpoint that has just started got {early} sends, a warm one {warm}");
+    assert!(late > early, "a nearly warm endpoint got {late} sends, one that had just started {early}");
 }
 
 #[test]
@@ -278,7 +294,7 @@
     let list: Vec<Endpoint> = (0..ENDPOINT_COUNT).map(|number| endpoint(number, Some(run.now))).collect();
     run.list_snapshot(&list);
     let sent = request_each_tick(&mut run, 200).all;
-    assert!(sent < 70, "{sent} of 200 requests went to a fleet that can do 0.15 of its work");
+    assert!(sent < 70, "{sent} of 200 requests were sent to a fleet with 0.15 of its capacity");
     assert!(run.checker.requests.values().filter(|request| request.ended).count() > 600);
 }
 
@@ -311,15 +327,15 @@
 }
 
 #[test]
-fn same_events_give_the_same_actions_alone_and_beside_other_instances() {
+fn same_events_give_the_same_actions_with_and_without_another_instance() {
     let mut alone = RandomRun::new(settings(), 21);
     alone.run_random_events(800);
-    let mut beside_other = RandomRun::new(settings(), 21);
+    let mut with_other = RandomRun::new(settings(), 21);
     let mut other = RandomRun::new(settings(), 22);
     for _ in 0..8 {
         other.run_random_events(20);
     }
-    beside_other.run_random_events(800);
-    assert_eq!(alone.checker.observed.log, beside_other.checker.observed.log);
-    assert_ne!(beside_other.checker.observed.log, other.checker.observed.log);
+    with_other.run_random_events(800);
+    assert_eq!(alone.checker.observed.log, with_other.checker.observed.log);
+    assert_ne!(with_other.checker.observed.log, other.checker.observed.log);
 }
--- a/crates/balancer/tests/streaming.rs
+++ b/crates/balancer/tests/streaming.rs
@@ -1,4 +1,4 @@
-//! Streamed bodies, responses that are forwarded while they are received, and settings that change meanwhile.
+//! Tests of streamed bodies, of responses that are forwarded while they are received, and of settings that change while requests are open.
 
 mod common;
 
@@ -10,24 +10,24 @@
 use weldworks_balancer::*;
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
-/// A deadline that does not matter.
+/// Time until a client deadline that is too far away to matter.
 const FAR: Duration = Duration::from_secs(1000);
 
 impl TestGateway {
-    /// Sends a request of this number whose body is complete; the endpoint that it was sent to, if any.
+    /// Sends a request with this number whose body is complete, and returns the endpoint that it was sent to, if any.
     fn request_numbered(&mut self, id: u64, class: usize) -> Option<u32> {
         self.handle(Event::Request(Request::new(RequestId(id), class, self.now + MS(1200))));
         self.sent_endpoint()
     }
 
-    /// The same with a streamed body.
+    /// Sends a request with this number and a streamed body, and returns the endpoint that it was sent to, if any.
     fn request_streamed(&mut self, id: u64, class: usize) -> Option<u32> {
         let request = Request::new(RequestId(id), class, self.now + FAR);
         self.handle(Event::Request(Request { body_streaming: true, ..request }));
         self.sent_endpoint()
     }
 
-    /// The first rejection or failure among the last actions.
+    /// The first rejection or failure among the actions of the last event.
     fn negative_answer(&self) -> Option<&Action> {
         self.actions.iter().find(|action| matches!(action, Action::Reject { .. } | Action::Fail { .. }))
     }
@@ -37,24 +37,26 @@
     }
 }
 
-/// A body that arrives slowly looked like a slow endpoint, which then got no requests.
+/// Guards against counting the time in which a streamed body arrives as latency: its endpoint looked slow and got no requests.
 #[test]
-fn streamed_body_has_no_deadline_and_its_endpoint_is_not_blamed_for_it() {
+fn streamed_body_has_no_deadline_and_does_not_make_its_endpoint_look_slow() {
     let mut gateway = TestGateway::new(settings(), 2);
     gateway.serve(19, |_| 20);
-    let streaming_endpoint = gateway.request_streamed(100, NOT_IDEMPOTENT_CLASS).expect("an endpoint");
-    // It arrives for ten seconds. All the while its endpoint is as good as the other one.
+    let streaming_endpoint =
+        gateway.request_streamed(100, NOT_IDEMPOTENT_CLASS).expect("the request is sent to an endpoint");
+    // The body arrives for ten seconds, in which its endpoint must get as many requests as the other endpoint.
     let mut requests = [0; 2];
     for id in 200..300 {
         gateway.now += MS(80);
-        let endpoint = gateway.request_numbered(id, IDEMPOTENT_CLASS).expect("an endpoint");
+        let endpoint =
+            gateway.request_numbered(id, IDEMPOTENT_CLASS).expect("the request is sent to an endpoint");
         requests[endpoint as usize] += 1;
         gateway.now += MS(20);
         gateway.end_attempt(id, 0, MS(20), Outcome::Served);
     }
     assert!(
         requests.iter().all(|count| *count > 20),
-        "{requests:?}, and endpoint {streaming_endpoint} has the body"
+        "requests by endpoint: {requests:?}; endpoint {streaming_endpoint} receives the body"
     );
     assert!(gateway.negative_answer().is_none());
     let request = RequestId(100);
@@ -65,17 +67,17 @@
         Action::SetAttemptDeadline { deadline, .. } => Some(*deadline),
         _ => None,
     });
-    let remaining = deadline.expect("its time begins") - gateway.now;
-    assert!(remaining > MS(250) && remaining <= MS(300), "{remaining:?}, of an objective of 300 ms");
+    let remaining = deadline.expect("the complete body sets the deadline of its attempt") - gateway.now;
+    assert!(remaining > MS(250) && remaining <= MS(300), "{remaining:?} remain of an objective of 300 ms");
     gateway.handle(Event::BodyForwarded { request, client_deadline: gateway.now + FAR });
-    assert!(gateway.actions.is_empty(), "it begins once");
+    assert!(gateway.actions.is_empty(), "the deadline is set only once");
 }
 
-/// Sends a request with a streamed body, of which a part may have been forwarded, and ends its attempt.
+/// Sends a request with a streamed body, begins to forward the body if `forwarding_started`, and ends the attempt with the outcome.
 fn end_streamed_attempt(class: usize, outcome: Outcome, forwarding_started: bool) -> TestGateway {
     let mut gateway = TestGateway::new(settings(), 5);
     gateway.serve(39, |_| 20);
-    gateway.request_streamed(100, class).expect("an endpoint");
+    gateway.request_streamed(100, class).expect("the request is sent to an endpoint");
     if forwarding_started {
         gateway.handle(Event::BodyForwardingStarted { request: RequestId(100) });
     }
@@ -83,7 +85,8 @@
     gateway
 }
 
-/// A streamed body is not buffered: once a part of it was forwarded, another endpoint would get an incomplete request.
+/// Guards against a retry after a part of a streamed body was forwarded:
+/// the body is not buffered, so another endpoint would get an incomplete request.
 #[test]
 fn streamed_request_is_retried_only_before_its_body_is_forwarded() {
     let gateway = end_streamed_attempt(IDEMPOTENT_CLASS, Outcome::NoConnection, false);
@@ -98,35 +101,37 @@
         let answer = gateway.negative_answer();
         assert!(matches!(answer, Some(Action::Reject { .. })), "{:?}", gateway.actions);
     }
-    // The client must not get an answer that makes a retry look safe: it was possibly processed.
+    // The request was possibly processed, so the client must not get an answer that makes a retry look safe.
     let gateway = end_streamed_attempt(NOT_IDEMPOTENT_CLASS, Outcome::Reset, true);
     assert!(matches!(gateway.negative_answer(), Some(Action::Fail { .. })), "{:?}", gateway.actions);
 }
 
-/// A response that is forwarded for half a minute must neither be hedged nor make its endpoint look slow.
+/// Guards against treating the time in which a response is forwarded as latency:
+/// a response that is forwarded for half a minute must neither be hedged nor make its endpoint look slow.
 #[test]
-fn forwarded_response_counts_from_its_first_byte() {
+fn latency_of_a_forwarded_response_ends_at_its_first_byte() {
     let mut gateway = TestGateway::new(Settings { hedging_allowed: true, ..settings() }, 2);
     gateway.serve(39, |_| 20);
-    gateway.request_numbered(100, IDEMPOTENT_CLASS).expect("an endpoint");
+    gateway.request_numbered(100, IDEMPOTENT_CLASS).expect("the request is sent to an endpoint");
     gateway.now += MS(25);
     gateway.handle(Event::ResponseStarted { request: RequestId(100), attempt: 0, latency: MS(20) });
     assert!(gateway.actions.is_empty(), "{:?}", gateway.actions);
     let mut requests = [0; 2];
     for id in 200..240 {
         gateway.now += MS(700);
-        let endpoint = gateway.request_numbered(id, IDEMPOTENT_CLASS).expect("an endpoint");
+        let endpoint =
+            gateway.request_numbered(id, IDEMPOTENT_CLASS).expect("the request is sent to an endpoint");
         requests[endpoint as usize] += 1;
         gateway.now += MS(20);
         gateway.end_attempt(id, 0, MS(20), Outcome::Served);
     }
     assert!(requests.iter().all(|count| *count > 8), "{requests:?}");
     gateway.end_attempt(100, 0, Duration::from_secs(28), Outcome::Reset);
-    assert!(gateway.actions.is_empty(), "the request was over");
+    assert!(gateway.actions.is_empty(), "the request had ended");
 }
 
 #[test]
-fn avoided_endpoints_are_those_that_get_next_to_nothing() {
+fn avoided_endpoint_count_covers_slow_and_draining_endpoints() {
     let mut gateway = TestGateway::new(settings(), 6);
     let with_one_slow = |endpoint: u32| if endpoint == 3 { 1000 } else { 20 };
     let mut id = 0;
@@ -134,7 +139,8 @@
         let mut requests = [0u32; 6];
         for _ in 0..count {
             id += 1;
-            let endpoint = gateway.request_numbered(id, IDEMPOTENT_CLASS).expect("an endpoint");
+            let endpoint =
+                gateway.request_numbered(id, IDEMPOTENT_CLASS).expect("the request is sent to an endpoint");
             requests[endpoint as usize] += 1;
             gateway.now += MS(latency_ms(endpoint));
             gateway.end_attempt(id, 0, MS(latency_ms(endpoint)), Outcome::Served);
@@ -146,21 +152,21 @@
     serve(&mut gateway, 60, &with_one_slow);
     let avoided = gateway.avoided();
     let requests = serve(&mut gateway, 100, &with_one_slow);
-    // The metric shows how many endpoints are avoided, and the requests show which.
+    // The metric counts the avoided endpoints, and the requests show which endpoint is avoided.
     assert_eq!(avoided, 1);
     assert!(requests[3] * 10 < requests[0].max(requests[1]), "{requests:?}");
     gateway.balancer.apply_settings(settings());
-    assert_eq!(gateway.avoided(), 1, "other settings leave what is known of endpoints");
+    assert_eq!(gateway.avoided(), 1, "new settings keep what was learned about endpoints");
     gateway.list_delta(&[Endpoint { state: EndpointState::Draining, ..local_endpoint(0, None) }]);
-    assert!(gateway.avoided() >= 1, "a draining endpoint gets nothing");
+    assert!(gateway.avoided() >= 1, "a draining endpoint counts as avoided");
 }
 
 #[test]
-fn new_settings_leave_open_requests_their_rules_and_endpoints_their_history() {
+fn new_settings_keep_the_rules_of_open_requests_and_the_history_of_endpoints() {
     let old = Settings { max_attempts: 3, hedging_allowed: false, ..settings() };
     let mut gateway = TestGateway::new(old.clone(), 4);
     gateway.serve(79, |_| 20);
-    gateway.request_numbered(100, KEYED_CLASS).expect("an endpoint");
+    gateway.request_numbered(100, KEYED_CLASS).expect("the request is sent to an endpoint");
     let mut new = old;
     new.classes[KEYED_CLASS].retired = true;
     let not_idempotent =
@@ -168,18 +174,18 @@
     new.classes.push(not_idempotent);
     new.max_attempts = 1;
     gateway.balancer.apply_settings(new);
-    // The open one may be retried, as a request with a key and with attempts left.
+    // The open request may be retried, as a request with an idempotency key and with attempts left.
     gateway.end_attempt(100, 0, MS(20), Outcome::Reset);
     assert!(gateway.sent_endpoint().is_some(), "{:?}", gateway.actions);
-    gateway.request_numbered(101, 6).expect("an endpoint");
+    gateway.request_numbered(101, 6).expect("the request is sent to an endpoint");
     gateway.end_attempt(101, 0, MS(20), Outcome::NoConnection);
-    assert!(gateway.sent_endpoint().is_none(), "one attempt by the new settings");
+    assert!(gateway.sent_endpoint().is_none(), "the new settings allow one attempt");
 }
 
-/// Settings changed while requests were open. Whether these may be cancelled, how long their keys are kept quiet and how long their clients
-/// are asked to wait must stay as they were when the requests arrived.
+/// Guards against new settings that apply to requests that are already open. Whether an open request may be cancelled,
+/// the quiet period of its key and its `Retry-After` must stay as they were when the request arrived.
 #[test]
-fn new_settings_leave_open_requests_their_limits() {
+fn new_settings_keep_the_limits_of_open_requests() {
     let mut old = Settings {
         cancellation_allowed: true,
         max_retry_after: MS(700),
@@ -200,9 +206,9 @@
         gateway.handle(Event::Request(Request { key: Some(5), ..request }));
     };
     request_with_key(&mut gateway, 100);
-    gateway.sent_endpoint().expect("an endpoint");
+    gateway.sent_endpoint().expect("the request is sent to an endpoint");
     request_with_key(&mut gateway, 101);
-    gateway.request_numbered(102, IDEMPOTENT_CLASS).expect("an endpoint");
+    gateway.request_numbered(102, IDEMPOTENT_CLASS).expect("the request is sent to an endpoint");
     gateway.balancer.apply_settings(new);
 
     gateway.handle(Event::ClientDisconnected { request: RequestId(102) });
@@ -211,7 +217,7 @@
 
     gateway.handle(Event::ClientDisconnected { request: RequestId(100) });
     gateway.end_attempt(100, 0, MS(20), Outcome::Cancelled);
-    // Its key is kept quiet for 100 ms, not for 3 s.
+    // The quiet period of the key is 100 ms by the old settings, not 3 s by the new ones.
     assert_eq!(gateway.sent_endpoint(), None);
     for (after_ms, is_sent) in [(90, false), (20, true)] {
         gateway.now += MS(after_ms);
@@ -232,7 +238,7 @@
     assert_eq!(retry_after, Some(MS(700)), "{:?}", gateway.actions);
 }
 
-/// What was seen of a request in [`any_order_of_events_keeps_the_rules`].
+/// The state of a request as [`any_order_of_events_keeps_the_rules`] has observed it.
 #[derive(Default)]
 struct TrackedRequest {
     is_known: bool,
@@ -242,7 +248,7 @@
     in_flight: u32,
 }
 
-/// Checks the actions of an event against what was seen before.
+/// Checks the actions of an event against the observed state of their requests.
 fn check_actions(
     actions: &[Action],
     requests: &mut BTreeMap<u64, TrackedRequest>,
@@ -270,8 +276,8 @@
     Ok(())
 }
 
-/// Hands the gateway the event of this step, if it makes sense for the request.
-fn take_step(gateway: &mut TestGateway, tracked: &mut TrackedRequest, step: u8, id: u64, ms: u64) {
+/// Feeds the balancer the event that this step stands for, if the event is possible for the request.
+fn apply_step(gateway: &mut TestGateway, tracked: &mut TrackedRequest, step: u8, id: u64, ms: u64) {
     let request = RequestId(id);
     let attempt = tracked.sends.saturating_sub(1);
     gateway.actions.clear();
@@ -319,8 +325,8 @@
 }
 
 proptest! {
-    /// For any events in any order, a request gets at most one answer, nothing is sent for it after that, and there is never a second
-    /// attempt once some of its body was forwarded.
+    /// For any events in any order, a request gets at most one answer, and no attempt is sent after the answer.
+    /// No second attempt is sent once a part of the request's body was forwarded.
     #[test]
     fn any_order_of_events_keeps_the_rules(steps in prop::collection::vec((0u8..9, 0u64..6, 0u64..900), 1..120)) {
         let mut gateway = TestGateway::new(Settings { hedging_allowed: false, ..settings() }, 4);
@@ -328,7 +334,7 @@
         for (step, number, ms) in steps {
             gateway.now += MS(ms);
             let id = number + 1;
-            take_step(&mut gateway, requests.entry(id).or_default(), step, id, ms);
+            apply_step(&mut gateway, requests.entry(id).or_default(), step, id, ms);
             check_actions(&gateway.actions, &mut requests)?;
         }
     }
