--- a/crates/balancer/examples/by_hand.rs
+++ b/crates/balancer/examples/by_hand.rs
@@ -1,11 +1,11 @@
-//! Drives the decisions by hand: two endpoints, a slow response, a hedged request.
+//! Feeds a balancer events by hand: two endpoints, a slow response and a hedged request.
 
 use std::time::Duration;
 use weldworks_balancer::{
     Action, Balancer, Endpoint, EndpointId, Event, Outcome, Request, RequestClass, RequestId, Settings,
 };
 
-/// Prints each event and the actions that follow.
+/// Runs the example and prints each event with the actions that the balancer returns for it.
 pub fn main() {
     let ms = Duration::from_millis;
     let settings = Settings { classes: vec![RequestClass::new(ms(200), ms(1000))], ..Settings::default() };
@@ -28,21 +28,21 @@
         Event::AttemptEnded { request, attempt, latency, outcome, request_ended: true }
     };
 
-    // The first request gives a latency sample.
+    // The first request gives the balancer a latency sample.
     handle(ms(10), Event::Request(Request::new(RequestId(1), 0, ms(1010))));
     handle(ms(30), served(RequestId(1), 0, ms(20)));
 
-    // The next one is not answered: at the timer a hedge goes to the other endpoint.
+    // The second request is not answered: when its timer is due, a hedge goes to the other endpoint.
     let actions = handle(ms(140), Event::Request(Request::new(RequestId(2), 0, ms(1140))));
     let hedge_delay = actions.iter().find_map(|action| match action {
         Action::SetTimer { after, .. } => Some(*after),
         _ => None,
     });
-    let hedged_at = ms(140) + hedge_delay.expect("a timer for an idempotent class");
+    let hedged_at = ms(140) + hedge_delay.expect("a request of an idempotent class sets a hedge timer");
     let actions = handle(hedged_at, Event::Timer { token: 2 });
-    assert!(actions.iter().any(|action| matches!(action, Action::Send { .. })), "a hedge");
+    assert!(actions.iter().any(|action| matches!(action, Action::Send { .. })), "the timer sends a hedge");
 
-    // Its answer ends the request, and the first attempt is cancelled.
+    // The answer to the hedge ends the request, and the first attempt is cancelled.
     let actions = handle(hedged_at + ms(20), served(RequestId(2), 1, ms(20)));
     assert_eq!(actions, [Action::Cancel { request: RequestId(2), attempt: 0 }]);
 }
--- a/crates/balancer/tests/load_reports.rs
+++ b/crates/balancer/tests/load_reports.rs
@@ -1,5 +1,5 @@
-//! No load report and no closed connection, however wrong, may break the balancer: every request gets its one answer, and no endpoint is
-//! lost for good.
+//! Tests that no load report and no closed connection, however wrong, breaks the balancer:
+//! every request gets its one answer, and every endpoint is used again afterwards.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use weldworks_balancer::*;
 
-/// Figures of a report, possible and impossible ones.
+/// Figures of a load report, both possible and impossible loads.
 fn figure() -> impl Strategy<Value = f64> {
     prop_oneof![
         any::<f64>(),
@@ -21,7 +21,7 @@
     ]
 }
 
-/// What an endpoint may say: a load report, and an idle connection that is closed.
+/// Signals of endpoints: one endpoint sends a load report, and one closes an idle connection.
 #[derive(Clone, Copy)]
 struct EndpointSignals {
     reporting: EndpointId,
@@ -31,14 +31,14 @@
     remaining: usize,
 }
 
-/// What became of a request.
+/// Whether a request was sent to an endpoint and whether it was rejected.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct RequestResult {
     is_sent: bool,
     is_rejected: bool,
 }
 
-/// Four endpoints that answer each request after 20 ms.
+/// A balancer with four endpoints that answer each request after 20 ms.
 struct Fleet {
     balancer: Balancer,
     now: Duration,
@@ -66,17 +66,17 @@
         actions
     }
 
-    /// Hands the signals to the balancer; the actions that follow.
-    fn take_signals(&mut self, signals: EndpointSignals) -> Vec<Action> {
+    /// Reports the signals to the balancer and returns the resulting actions.
+    fn report_signals(&mut self, signals: EndpointSignals) -> Vec<Action> {
         let EndpointSignals { reporting, report, closing, idle, remaining } = signals;
         let mut actions = self.handle(Event::LoadReport { endpoint: reporting, report });
         actions.extend(self.handle(Event::IdleConnectionClosed { endpoint: closing, idle, remaining }));
         actions
     }
 
-    /// Serves a request after these signals, if any. The result covers the actions of both.
+    /// Reports the signals, if any, and then serves a request. The result covers the actions of both.
     fn serve_one(&mut self, signals: Option<EndpointSignals>) -> RequestResult {
-        let mut actions = signals.map_or_else(Vec::new, |signals| self.take_signals(signals));
+        let mut actions = signals.map_or_else(Vec::new, |signals| self.report_signals(signals));
         self.last_request += 1;
         let request = RequestId(self.last_request);
         let client_deadline = self.now + Duration::from_secs(1);
@@ -118,23 +118,23 @@
                 remaining,
             };
             let result = fleet.serve_one(Some(signals));
-            prop_assert!(!(result.is_sent && result.is_rejected), "a request was sent and rejected");
+            prop_assert!(!(result.is_sent && result.is_rejected), "a request was both sent and rejected");
         }
-        // Once the signals are over and any slow start that they suggested has passed, all is as before.
+        // A minute after the last signal, any slow start that the signals caused is over, and every endpoint gets requests as before.
         fleet.now += Duration::from_secs(60);
         fleet.requests_by_endpoint = [0; 4];
         for _ in 0..400 {
             let result = fleet.serve_one(None);
-            prop_assert!(result.is_sent && !result.is_rejected, "an idle fleet rejects or waits");
+            prop_assert!(result.is_sent && !result.is_rejected, "an idle fleet did not send a request at once");
         }
         let requests = fleet.requests_by_endpoint;
-        prop_assert!(requests.iter().all(|&count| count > 0), "an endpoint is not used: {requests:?}");
+        prop_assert!(requests.iter().all(|&count| count > 0), "an endpoint got no requests: {requests:?}");
     }
 
     #[test]
     fn any_text_and_row_are_read_without_panic(text in ".{0,200}", row in prop::collection::vec(any::<f64>(), 0..4)) {
         let json = r#"{"stats":{"how":"inline","fields":["qps","inflight"]}}"#;
-        let fields = load_report::LoadReportFields::parse(json).expect("settings");
+        let fields = load_report::LoadReportFields::parse(json).expect("the settings object parses");
         let reports =
             [fields.parse_header(&text), fields.parse_header(&format!("TEXT {text}")), fields.parse_row(&row)];
         for report in reports.into_iter().flatten() {
--- a/crates/balancer/tests/settings_document.rs
+++ b/crates/balancer/tests/settings_document.rs
@@ -1,5 +1,5 @@
-//! Every key of the platform's settings object arrives in the field that it stands for, in its unit: a key that a rename lost would leave
-//! its default in force without a word.
+//! Tests that every key of the platform's settings object is read into its field and in its unit.
+//! A key that is lost in a rename would silently leave its default in force.
 
 use std::time::Duration;
 use weldworks_balancer::{parse_settings, EndpointWeights, Idempotency, KeyScope};
@@ -12,7 +12,7 @@
 
 #[test]
 fn every_key_of_the_settings_object_is_read() {
-    let settings = parse_settings(EVERY_KEY).expect("a settings object");
+    let settings = parse_settings(EVERY_KEY).expect("the settings object parses");
     assert_eq!(settings.gateway_count, 45);
     assert_eq!(settings.zone, 2);
     assert_eq!(settings.tenant_quotas, [99.0, 53.5]);
@@ -47,12 +47,12 @@
 }
 
 #[test]
-fn switches_that_are_off_leave_their_figures_unused() {
+fn figures_are_ignored_where_their_switches_are_off() {
     let off = EVERY_KEY
         .replace("\"retry_after\": true", "\"retry_after\": false")
         .replace("\"discovery\": \"ask\"", "\"discovery\": \"push\"")
         .replace("\"weight_source\": \"live\"", "\"weight_source\": \"rough\"");
-    let settings = parse_settings(&off).expect("a settings object");
+    let settings = parse_settings(&off).expect("the settings object parses");
     assert_eq!(settings.max_retry_after, Duration::ZERO);
     assert_eq!(settings.discovery_poll_interval, None);
     assert_eq!(settings.endpoint_weights, EndpointWeights::Size);
