--- a/crates/simhost/src/instance.rs
+++ b/crates/simhost/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance of the balancer, and the names that the simulator gives its endpoints and requests.
+//! One instance of the balancer, and the names by which the simulator identifies its endpoints and requests.
 
 use crate::error::EventError;
 use crate::protocol::{outcome_from_wire_name, EventFields, ListEntry, ListMode, ReplyWriter};
@@ -10,32 +10,32 @@
     RequestId, Settings,
 };
 
-/// Time and instance of an event, and the buffers for its results.
+/// The time and the instance of an event, and the buffers for its results.
 pub(crate) struct EventContext<'a> {
     pub(crate) now: Duration,
     /// The number of the instance on the wire.
     pub(crate) gateway: u64,
-    /// Reused from event to event.
+    /// Buffer for the actions of the event, reused for the next event.
     pub(crate) actions: &'a mut Vec<Action>,
     pub(crate) reply: &'a mut ReplyWriter,
 }
 
-/// A request that the simulator may still name.
+/// A request that later events of the simulator may still name.
 struct NamedRequest {
     name: Box<str>,
-    /// The name as a JSON string.
+    /// The name of the request as a JSON string.
     name_json: Box<str>,
     attempts_in_flight: u32,
-    /// A final answer was given or the client has disconnected.
+    /// Whether the request has its final answer or its client has disconnected.
     ended: bool,
 }
 
-/// One gateway: its balancer, and the names of its endpoints and requests.
+/// One simulated gateway: its balancer, and the names of its endpoints and requests.
 pub(crate) struct Instance {
     balancer: Balancer,
     load_report_fields: LoadReportFields,
     endpoint_ids: FxHashMap<Box<str>, EndpointId>,
-    /// The names of the endpoints as JSON strings, by their numbers.
+    /// The names of the endpoints as JSON strings, indexed by endpoint number.
     endpoint_names_json: Vec<String>,
     request_ids: FxHashMap<Box<str>, u64>,
     requests: FxHashMap<u64, NamedRequest>,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Handles an endpoint list, or a failure of discovery.
+    /// Handles an event with an endpoint list or a failure of discovery.
     pub(crate) fn on_endpoints_changed(
         &mut self,
         fields: &EventFields<'_>,
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// Handles a request.
+    /// Handles a request that a client has sent.
     pub(crate) fn on_request(
         &mut self,
         fields: &EventFields<'_>,
@@ -115,7 +115,7 @@
         self.handle(Event::ResponseStarted { request, attempt, latency: fields.latency() }, context);
     }
 
-    /// Handles the outcome of an attempt, and the load report in the same event.
+    /// Handles the outcome of an attempt, and the load report in the same event if there is one.
     pub(crate) fn on_attempt_ended(
         &mut self,
         fields: &EventFields<'_>,
@@ -132,7 +132,7 @@
         let attempt = fields.attempt.unwrap_or(0);
         let latency = fields.latency();
         self.handle(Event::AttemptEnded { request, attempt, latency, outcome, request_ended }, context);
-        self.forget_if_complete(request.0);
+        self.remove_if_complete(request.0);
         Ok(())
     }
 
@@ -145,7 +145,7 @@
         let Some(request) = self.request_id(fields) else { return };
         self.mark_ended(request.0);
         self.handle(Event::ClientDisconnected { request }, context);
-        self.forget_if_complete(request.0);
+        self.remove_if_complete(request.0);
     }
 
     /// Handles a timer that is due.
@@ -191,7 +191,7 @@
 
     fn write_action(&mut self, action: &Action, gateway: u64, now: Duration, reply: &mut ReplyWriter) {
         match action {
-            // The wire has no write limit.
+            // The simulator's protocol has no write deadline.
             Action::Send { request, endpoint, deadline, write_by: _ } => {
                 let endpoint = self.endpoint_json(*endpoint);
                 reply.send(gateway, self.request_json(*request), endpoint, *deadline.max(&now));
@@ -205,15 +205,15 @@
             Action::Reject { request, retry_after } => {
                 reply.reject(gateway, self.request_json(*request), *retry_after);
                 self.mark_ended(request.0);
-                self.forget_if_complete(request.0);
+                self.remove_if_complete(request.0);
             }
             Action::Fail { request } => {
                 reply.fail(gateway, self.request_json(*request));
                 self.mark_ended(request.0);
-                self.forget_if_complete(request.0);
+                self.remove_if_complete(request.0);
             }
             Action::SetTimer { after, token } => reply.set_timer(gateway, *after, *token),
-            // The simulator's requests have no streamed bodies.
+            // Requests of the simulator have no streamed bodies, so their deadlines do not change.
             Action::SetAttemptDeadline { .. } => {}
             Action::Probe { endpoint } => reply.probe(gateway, self.endpoint_json(*endpoint)),
             Action::CloseIdleConnections { endpoint } => {
@@ -223,7 +223,7 @@
         }
     }
 
-    /// The number of an endpoint, which it gets when it is first named.
+    /// The number of an endpoint. An endpoint gets its number when an event first names it.
     fn endpoint_id(&mut self, name: &str) -> EndpointId {
         if let Some(&id) = self.endpoint_ids.get(name) {
             return id;
@@ -266,8 +266,8 @@
         }
     }
 
-    /// Forgets a request that has ended and has no attempts in flight.
-    fn forget_if_complete(&mut self, request: u64) {
+    /// Removes a request that has ended and has no attempts in flight.
+    fn remove_if_complete(&mut self, request: u64) {
         let Some(named) = self.requests.get(&request) else { return };
         if named.ended && named.attempts_in_flight == 0 {
             self.request_ids.remove(&named.name);
--- a/crates/simhost/src/lib.rs
+++ b/crates/simhost/src/lib.rs
@@ -1,5 +1,5 @@
-//! Runs many instances of the load balancer on the simulator's protocol: one JSON batch a line in, one JSON reply a line out. This
-//! package only translates; all decisions are the balancer's.
+//! Runs many instances of the load balancer on the simulator's protocol: each line of input is a batch of events as JSON,
+//! and each line of output the JSON reply to a batch. This package only translates the protocol; the balancer makes all decisions.
 
 mod error;
 mod instance;
@@ -14,23 +14,24 @@
 use weldworks_balancer::load_report::LoadReportFields;
 use weldworks_balancer::{duration_from_seconds, parse_settings, Action};
 
-/// All instances of this process, by the numbers that the wire gives them.
+/// All balancer instances of this process, by their numbers in the simulator's protocol.
 #[derive(Default)]
 pub struct Adapter {
     instances: FxHashMap<u64, Instance>,
-    /// Endpoint lists by their numbers.
+    /// Endpoint lists that the simulator has defined, by their numbers.
     lists: FxHashMap<u64, Vec<ListEntry>>,
-    /// Reused from event to event.
+    /// Buffer for the actions of one event, reused for the next event.
     actions: Vec<Action>,
-    /// Lines of input so far.
+    /// Number of input lines so far.
     lines: u64,
 }
 
 impl Adapter {
-    /// Answers one line of input with one line of output, without its line end.
+    /// Answers one line of input with one line of output, which has no line end.
     ///
     /// # Errors
-    /// If the line is not a batch, or holds an event that cannot be handled. The events before it have taken effect.
+    /// Returns an error if the line is not a batch, or contains an event that cannot be handled.
+    /// The events before that event have taken effect.
     pub fn answer(&mut self, line: &str) -> Result<String, InputError> {
         self.lines += 1;
         let batch: Batch<'_> = serde_json::from_str(line)
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,10 +1,10 @@
-//! The simulator's program: batches on standard input, replies on standard output.
+//! The program that the simulator runs: it reads batches of events from standard input and writes replies to standard output.
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 use weldworks_simhost::{Adapter, InputError};
 
-/// Capacity of the input buffer: batches of a large simulation are long lines.
+/// Capacity of the input buffer, in bytes: batches of a large simulation are long lines.
 const INPUT_BUFFER_BYTES: usize = 1 << 20;
 
 /// Reason why the program ends before the end of its input.
--- a/crates/simhost/src/protocol.rs
+++ b/crates/simhost/src/protocol.rs
@@ -1,5 +1,5 @@
-//! The simulator's protocol: JSON batches of events in, JSON replies with commands out. Its names are mapped to the domain's
-//! only here.
+//! The simulator's protocol: JSON batches of events in, JSON replies with commands out.
+//! The protocol's names are mapped to the balancer's names only in this module.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -8,30 +8,30 @@
 use std::time::Duration;
 use weldworks_balancer::{duration_from_seconds, Endpoint, EndpointId, EndpointState, Outcome};
 
-/// Bit of [`EventFields::flags`]: the cost hint is known.
+/// Bit of [`EventFields::flags`]: the request has a cost hint.
 const FLAG_HAS_COST_HINT: u64 = 1;
-/// Bit of [`EventFields::flags`]: the client has sent the request before.
+/// Bit of [`EventFields::flags`]: the request is a retry by the client.
 const FLAG_CLIENT_RETRY: u64 = 2;
 
-/// One line of input: events of many instances at one time.
+/// One line of input: events of many instances that happen at the same time.
 #[derive(Deserialize)]
 pub(crate) struct Batch<'a> {
     /// The time of the events, in seconds.
     #[serde(rename = "ts_s")]
     pub(crate) now_s: f64,
-    /// The number of the batch, which the reply repeats.
+    /// The number of the batch, which is repeated in the reply.
     #[serde(rename = "serial")]
     pub(crate) number: u64,
     #[serde(borrow)]
     pub(crate) events: Vec<EventFields<'a>>,
 }
 
-/// An event, with the fields of all kinds of events: one pass reads any of them, and those that a kind lacks stay absent.
+/// An event, with the fields of all kinds of events, so that one pass parses any event. Fields that a kind of event lacks are `None`.
 #[derive(Deserialize)]
 pub(crate) struct EventFields<'a> {
     #[serde(borrow, rename = "type")]
     pub(crate) kind: Cow<'a, str>,
-    /// The number of the instance.
+    /// The number of the instance that the event is for.
     pub(crate) gateway: Option<u64>,
     #[serde(borrow, rename = "ref")]
     pub(crate) request: Option<Cow<'a, str>>,
@@ -73,7 +73,7 @@
     pub(crate) timer_token: Option<u64>,
 }
 
-/// An endpoint of a list.
+/// An entry of an endpoint list.
 #[derive(Deserialize)]
 pub(crate) struct EndpointFields<'a> {
     #[serde(borrow, rename = "host")]
@@ -92,41 +92,41 @@
     weight: Option<f64>,
 }
 
-/// An endpoint of a list with its name; its number is that of each instance.
+/// An entry of an endpoint list, with the endpoint's name. The endpoint's number in the entry is 0: each instance assigns its own number.
 pub(crate) struct ListEntry {
     pub(crate) name: String,
     pub(crate) endpoint: Endpoint,
 }
 
-/// The kinds of events.
+/// The kinds of events that the simulator sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EventKind {
-    /// A list of endpoints, which later events name by its number.
+    /// The simulator defines a list of endpoints, which later events refer to by its number.
     ListDefined,
-    /// An instance starts.
+    /// An instance of the balancer starts.
     InstanceStarted,
-    /// An instance ends.
+    /// An instance of the balancer ends.
     InstanceEnded,
-    /// An instance gets an endpoint list, or its discovery failed.
+    /// An instance gets an endpoint list, or discovery failed for the instance.
     EndpointsChanged,
     /// A client has sent a request.
     RequestReceived,
     /// A response is being forwarded while it is received.
     ResponseStarted,
-    /// An attempt has ended.
+    /// An attempt of a request has ended.
     AttemptEnded,
     /// The client of a request has disconnected.
     ClientDisconnected,
-    /// A timer is due.
+    /// A timer that the instance has set is due.
     TimerDue,
-    /// A health check has ended.
+    /// A health check of an endpoint has ended.
     ProbeEnded,
-    /// A message of another instance; the balancer uses none.
+    /// Another instance has sent a message; the balancer uses no such messages.
     PeerMessage,
 }
 
 impl EventKind {
-    /// The kind of this name on the wire.
+    /// The kind of event that has this name on the wire.
     pub(crate) fn from_wire_name(name: &str) -> Option<Self> {
         match name {
             "Inventory" => Some(EventKind::ListDefined),
@@ -145,19 +145,19 @@
     }
 }
 
-/// Mode of an endpoint list.
+/// Mode of an endpoint list: snapshot, delta or none at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListMode {
-    /// A complete list, fresh or stale.
+    /// The endpoint list is a snapshot, fresh or stale.
     Snapshot,
-    /// The changed entries.
+    /// The endpoint list is a delta with the changed entries.
     Delta,
-    /// No list: discovery failed.
+    /// There is no endpoint list: discovery failed.
     Failed,
 }
 
 impl ListMode {
-    /// The mode of this name on the wire.
+    /// The mode of an endpoint list that has this name on the wire.
     pub(crate) fn from_wire_name(name: &str) -> Option<Self> {
         match name {
             "whole" | "stale_copy" => Some(ListMode::Snapshot),
@@ -168,7 +168,7 @@
     }
 }
 
-/// The outcome of this name on the wire.
+/// The outcome of an attempt or a health check that has this name on the wire.
 pub(crate) fn outcome_from_wire_name(name: &str) -> Option<Outcome> {
     match name {
         "GOOD" => Some(Outcome::Served),
@@ -184,7 +184,7 @@
 }
 
 impl EventFields<'_> {
-    /// The cost hint, if the event has one.
+    /// The cost hint of the request, if the event has one.
     pub(crate) fn cost_hint(&self) -> Option<Duration> {
         if self.flags.unwrap_or(0) & FLAG_HAS_COST_HINT == 0 {
             return None;
@@ -192,12 +192,12 @@
         self.cost_hint_s.map(duration_from_seconds)
     }
 
-    /// Whether the client has sent the request before.
+    /// Whether the request is a retry by the client.
     pub(crate) fn is_client_retry(&self) -> bool {
         self.flags.unwrap_or(0) & FLAG_CLIENT_RETRY != 0
     }
 
-    /// The time since the send; 0 where the event has none.
+    /// The time since the send of the attempt or health check; 0 where the event has no latency.
     pub(crate) fn latency(&self) -> Duration {
         duration_from_seconds(self.latency_s.unwrap_or(0.0))
     }
@@ -223,26 +223,26 @@
     }
 }
 
-/// A reply under construction: commands are appended one after another, and the fields of a command after its beginning.
+/// A reply under construction. Commands are appended one after another, and the fields of a command after its beginning.
 pub(crate) struct ReplyWriter {
     text: String,
-    /// Nothing follows the opening bracket yet.
+    /// Whether the reply has no command yet, so that the next command needs no comma.
     is_empty: bool,
 }
 
 impl ReplyWriter {
-    /// The reply to the batch of this number.
+    /// Begins the reply to the batch with this number.
     pub(crate) fn new(batch_number: u64) -> Self {
         ReplyWriter { text: format!(r#"{{"serial":{batch_number},"cmds":["#), is_empty: true }
     }
 
-    /// The complete reply, without a line end.
+    /// Completes the reply and returns its text, without a line end.
     pub(crate) fn finish(mut self) -> String {
         self.text.push_str("]}");
         self.text
     }
 
-    /// Begins a command of an instance.
+    /// Appends the beginning of a command of an instance.
     fn begin(&mut self, kind: &str, gateway: u64) {
         if !self.is_empty {
             self.text.push(',');
@@ -255,7 +255,7 @@
         self.text.push('}');
     }
 
-    /// Adds a field whose value is JSON already, if there is one.
+    /// Appends a field whose value is JSON text already. Without a value the field is left out.
     fn json_field(&mut self, name: &str, value: Option<&str>) {
         if let Some(value) = value {
             let _ = write!(self.text, r#","{name}":{value}"#);
@@ -270,7 +270,7 @@
         let _ = write!(self.text, r#","{name}":{value}"#);
     }
 
-    /// Sends an attempt. Names are JSON strings; an unknown one is left out.
+    /// Appends the command to send an attempt. Names are JSON strings; an unknown name is left out.
     pub(crate) fn send(
         &mut self,
         gateway: u64,
@@ -285,7 +285,7 @@
         self.end();
     }
 
-    /// Cancels an attempt.
+    /// Appends the command to cancel an attempt.
     pub(crate) fn cancel(&mut self, gateway: u64, request: Option<&str>, attempt: u32) {
         self.begin("DropAttempt", gateway);
         self.json_field("ref", request);
@@ -293,7 +293,7 @@
         self.end();
     }
 
-    /// Rejects a request, with `Retry-After` unless that is zero.
+    /// Appends the command to reject a request, with `Retry-After` unless that is zero.
     pub(crate) fn reject(&mut self, gateway: u64, request: Option<&str>, retry_after: Duration) {
         self.begin("Busy", gateway);
         self.json_field("ref", request);
@@ -303,14 +303,14 @@
         self.end();
     }
 
-    /// Fails a request.
+    /// Appends the command to fail a request.
     pub(crate) fn fail(&mut self, gateway: u64, request: Option<&str>) {
         self.begin("ReportFailure", gateway);
         self.json_field("ref", request);
         self.end();
     }
 
-    /// Sets a timer.
+    /// Appends the command to set a timer.
     pub(crate) fn set_timer(&mut self, gateway: u64, after: Duration, token: u64) {
         self.begin("WakeMe", gateway);
         self.seconds_field("delay_s", after);
@@ -318,21 +318,21 @@
         self.end();
     }
 
-    /// Sends a health check.
+    /// Appends the command to send a health check.
     pub(crate) fn probe(&mut self, gateway: u64, endpoint: Option<&str>) {
         self.begin("Check", gateway);
         self.json_field("host", endpoint);
         self.end();
     }
 
-    /// Closes the idle connections to an endpoint.
+    /// Appends the command to close the idle connections to an endpoint.
     pub(crate) fn close_idle_connections(&mut self, gateway: u64, endpoint: Option<&str>) {
         self.begin("Disconnect", gateway);
         self.json_field("host", endpoint);
         self.end();
     }
 
-    /// Asks discovery for all changes.
+    /// Appends the command to poll discovery and subscribe to its changes.
     pub(crate) fn poll_discovery(&mut self, gateway: u64) {
         self.begin("StreamChanges", gateway);
         self.json_field("on", Some("true"));
--- a/crates/simhost/tests/recorded_exchange.rs
+++ b/crates/simhost/tests/recorded_exchange.rs
@@ -1,7 +1,8 @@
-//! Replies on the simulator's wire, byte for byte, to what the simulator sent on three days (a quiet one, one with faults and an overload).
+//! Tests that the replies to recorded batches of the simulator match the recorded replies byte for byte.
+//! The batches are from three simulated days: a quiet day, a day with faults and a day with an overload.
 //!
-//! The replies were written by version 0.2.0. They hold the order of draws, of floating-point operations and of iteration: a change that
-//! means to leave the decisions alone must not move one byte.
+//! The expected replies were written by version 0.2.0. They depend on the order of random draws,
+//! of floating-point operations and of iteration: a change that is not meant to alter decisions must not alter one byte.
 
 use weldworks_simhost::Adapter;
 
@@ -9,10 +10,10 @@
     let mut adapter = Adapter::default();
     let mut expected = output.lines();
     for (index, line) in input.lines().enumerate() {
-        let reply = adapter.answer(line).expect("a valid batch");
+        let reply = adapter.answer(line).expect("the recorded batch is valid");
         assert_eq!(Some(reply.as_str()), expected.next(), "reply to line {}", index + 1);
     }
-    assert_eq!(expected.next(), None, "one reply a line");
+    assert_eq!(expected.next(), None, "there is one reply for each line of input");
 }
 
 #[test]
--- a/crates/simhost/tests/wire.rs
+++ b/crates/simhost/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Replies of the adapter, unknown fields, and errors on invalid input.
+//! Tests of the adapter's replies, of unknown fields in its input, and of errors on invalid input.
 
 use weldworks_simhost::Adapter;
 
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn request_is_sent_to_listed_endpoint_and_unknown_fields_are_ignored() {
+fn request_is_sent_to_a_listed_endpoint_and_unknown_fields_are_ignored() {
     let mut adapter = Adapter::default();
     let reply =
         adapter.answer(&batch(7, &[INSTANCE_STARTED, LIST_DEFINED, ENDPOINTS_CHANGED, REQUEST])).unwrap();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn invalid_input_gives_a_one_line_error_that_says_where() {
+fn invalid_input_causes_a_one_line_error_with_its_position() {
     for (events, expected) in [
         (vec![r#"{"type":"Comet","gateway":3}"#], r#"batch 5: unknown event "Comet""#),
         (vec![r#"{"type":"Reminder","gateway":4,"label":1}"#], "batch 5: Reminder for unknown instance 4"),
