--- a/crates/balancer/src/load_signals.rs
+++ b/crates/balancer/src/load_signals.rs
@@ -59,8 +59,9 @@
         + GROWTH_ALLOWANCE_FRACTION * endpoints_per_gateway
 }
 
-/// Requests in flight on a core over the ready endpoints, by their live weights. A live weight is the size of the endpoint divided by 1 +
-/// requests in flight on a core. Endpoints of one kind have one size, so an endpoint that was never listed idle has the size of its kind.
+/// Requests in flight on a core over the ready endpoints, by their live weights.
+/// A live weight is the endpoint's size divided by `1 + n` for `n` requests in flight on a core.
+/// Endpoints of one kind have one size, so an endpoint that was never listed idle has the size of its kind.
 pub(crate) fn listed_in_flight_per_core(endpoints: &mut [EndpointRecord], ready: &[usize]) -> f64 {
     let mut size_by_kind: FxHashMap<u32, f64> = FxHashMap::default();
     for endpoint in endpoints.iter_mut() {
--- a/crates/balancer/src/outlier_detection.rs
+++ b/crates/balancer/src/outlier_detection.rs
@@ -49,8 +49,8 @@
     /// Records a failed attempt as a latency sample of at least the latency objective;
     /// otherwise an endpoint that fails fast would attract traffic.
     ///
-    /// A failure of a possibly processed attempt counts against its class alone if the endpoint has served another class since it last
-    /// served this class. All other failures count against the endpoint.
+    /// A failure of a possibly processed attempt counts against its class alone if the endpoint has served another class more recently.
+    /// All other failures count against the endpoint.
     pub(crate) fn record_failed(&mut self, now_s: f64, ended: EndedAttempt) {
         let endpoint = &mut self.endpoints[ended.endpoint];
         let class_failures = &mut endpoint.class_failures[ended.class];
--- a/crates/balancer/src/slow_start.rs
+++ b/crates/balancer/src/slow_start.rs
@@ -198,8 +198,8 @@
 
     /// Treats an endpoint as restarted although discovery has not reported a restart.
     /// The endpoint starts with a random part of a cold endpoint's token budget; otherwise the first attempts
-    /// of all gateways would arrive together. An endpoint with attempts in flight is left as it is, since a restart would have ended them.
-    /// Nothing changes either if more than half of the endpoints would then be in slow start, which would leave too little capacity.
+    /// of all gateways would arrive together. An endpoint with attempts in flight is not treated so, since a restart would have ended them.
+    /// No endpoint is treated so if more than half of the endpoints would then be in slow start, which would leave too little capacity.
     fn suspect_restart(&mut self, now_s: f64, index: usize) {
         let cold = self.ready.iter().filter(|&&ready| !self.endpoints[ready].is_warm()).count();
         let leaves_enough_warm = 2 * (cold + 1) <= self.ready.len();
