--- a/crates/control/src/hot_restart/descriptor_usage.rs
+++ b/crates/control/src/hot_restart/descriptor_usage.rs
@@ -2,14 +2,15 @@
 
 use std::time::Duration;
 
-/// Interval between checks for another process while there is one. The process that stays must have all descriptors
-/// before clients that the other one disconnects reconnect to it, which takes them a few milliseconds.
+/// Interval between checks for the gateway's other process while there is one. Clients that an ending process
+/// disconnects reconnect to the remaining process within a few milliseconds, and the remaining process must have all
+/// descriptors before that.
 const PEER_PRESENT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Interval between checks for another process while there is none.
+/// Interval between checks for another process of the gateway while there is none.
 const PEER_ABSENT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Interval after which a process checks for another one again. `peer` is the usage of the other process, `None` where
-/// there is none.
+/// Interval after which a process checks again for the gateway's other process. `peer` is the descriptor usage of the
+/// other process, `None` where there is no other process.
 pub fn peer_check_interval(peer: Option<DescriptorUsage>) -> Duration {
     match peer {
         Some(_) => PEER_PRESENT_CHECK_INTERVAL,
@@ -37,7 +38,7 @@
     /// Encodes the counts as text of fixed length.
     ///
     /// The writer overwrites the previous text in place. With texts of different lengths a reader could see a new text
-    /// followed by the tail of an old one.
+    /// followed by the end of an old text.
     pub fn encode(self) -> String {
         let clients = self.clients.min(MAX_ENCODED_COUNT);
         let overflow = self.overflow.min(MAX_ENCODED_COUNT);
@@ -45,7 +46,7 @@
         format!("{clients:0COUNT_DIGITS$} {overflow:0COUNT_DIGITS$} {endpoints:0COUNT_DIGITS$}\n")
     }
 
-    /// Decodes the text of [`Self::encode`]; `None` where it is incomplete or anything else.
+    /// Decodes the text of [`Self::encode`]; `None` if the text is incomplete or has another format.
     pub fn decode(text: &str) -> Option<DescriptorUsage> {
         let mut counts = text.strip_suffix('\n')?.split(' ');
         let usage = DescriptorUsage {
@@ -66,8 +67,8 @@
 
 /// Number of descriptors that one process may open under a limit shared with another process that uses `peer_usage`.
 ///
-/// The split is not fixed: with a fixed half, one process would reject clients while the other has descriptors to
-/// spare.
+/// The limit is not split in fixed halves, with which one process would reject clients while the other has unused
+/// descriptors.
 pub fn remaining_descriptors(limit: usize, peer_usage: usize) -> usize {
     limit.saturating_sub(peer_usage)
 }
--- a/crates/control/src/hot_restart/snapshot_format.rs
+++ b/crates/control/src/hot_restart/snapshot_format.rs
@@ -5,26 +5,26 @@
 //! written MILLISECONDS
 //! traffic SERVED_PER_S FIRST_ATTEMPTS_PER_S SERVED_PER_WARM_ENDPOINT_PER_S MEAN_LATENCY_S
 //! host NAME_HASH LATENCY_ESTIMATE_S
-//! end NUMBER_OF_HOSTS
+//! end NUMBER_OF_ENDPOINTS
 //! ```
 //!
-//! There is one `host` line for each endpoint. The text is accepted as a whole or not at all; without it the successor
-//! starts with no learned state.
+//! There is one `host` line for each endpoint. The text is accepted as a whole or not at all; without a valid snapshot
+//! the successor starts with no learned state.
 
 use std::fmt::Write as _;
 use std::time::Duration;
 use weldworks_balancer::{EndpointSnapshot, Snapshot};
 
-/// First line of the text: the format and its version. It keeps a former name of this program, because processes
+/// First line of the text: the format and its version. The line keeps a former name of this program, because processes
 /// before and after the renaming read each other's snapshots during a hot restart.
 const FORMAT_LINE: &str = "ottervane-handover 2";
-/// Longest text that is decoded, in bytes.
+/// Longest snapshot text that is decoded, in bytes.
 pub const MAX_SNAPSHOT_BYTES: usize = 1 << 20;
-/// Largest number of endpoints that are encoded.
+/// Largest number of endpoints that are encoded in a snapshot.
 const MAX_SNAPSHOT_ENDPOINTS: usize = 10_000;
-/// Oldest snapshot that is accepted: an older one was not written by a process that still serves.
+/// Greatest age of a snapshot that is accepted: an older snapshot was not written by a process that is still active.
 pub const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(5);
-/// Interval at which the serving process writes its snapshot.
+/// Interval at which the active process writes its snapshot.
 pub const SNAPSHOT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Reason why a snapshot is rejected.
@@ -36,13 +36,14 @@
     /// The first line names another format or another version.
     #[error("the first line of the snapshot is not {FORMAT_LINE:?}")]
     UnknownFormat,
-    /// The snapshot is older than [`MAX_SNAPSHOT_AGE`], or its time lies in the future; the age in milliseconds.
+    /// The snapshot is older than [`MAX_SNAPSHOT_AGE`], or its time lies in the future. The value is the age in
+    /// milliseconds.
     #[error("the snapshot was written {0} ms before now; at most {max} ms are accepted", max = MAX_SNAPSHOT_AGE.as_millis())]
     Expired(i128),
     /// A line or the end of the text is missing.
     #[error("the snapshot is truncated")]
     Truncated,
-    /// A line, counted from 1, can't be parsed or has a value out of range.
+    /// A line can't be parsed or has a value out of range. The value is the number of the line, counted from 1.
     #[error("line {0} of the snapshot is invalid")]
     InvalidLine(usize),
 }
@@ -91,7 +92,7 @@
     }
 }
 
-/// One line of the text.
+/// One line of a snapshot text.
 #[derive(Clone, Copy)]
 struct Line<'a> {
     /// Number of the line, counted from 1.
@@ -106,7 +107,7 @@
     }
 }
 
-/// The lines of the text that have not been read yet.
+/// The lines of a snapshot text that have not been read yet.
 struct Lines<'a> {
     remaining: std::str::SplitInclusive<'a, char>,
     read_count: usize,
@@ -117,7 +118,7 @@
         Lines { remaining: text.split_inclusive('\n'), read_count: 0 }
     }
 
-    /// The next line. A line without a line break was cut off in the middle of a write.
+    /// The next line of the snapshot. A line without a line break was cut off in the middle of a write.
     fn next_line(&mut self) -> Result<Line<'a>, SnapshotError> {
         let line = self.remaining.next().ok_or(SnapshotError::Truncated)?;
         let text = line.strip_suffix('\n').ok_or(SnapshotError::Truncated)?;
@@ -126,7 +127,7 @@
     }
 }
 
-/// Checks the `written` line: the age is from 0 to [`MAX_SNAPSHOT_AGE`].
+/// Checks the `written` line: the age of the snapshot must be from 0 to [`MAX_SNAPSHOT_AGE`].
 fn check_age(line: Line<'_>, now: Duration) -> Result<(), SnapshotError> {
     let written_ms: Option<i128> = line.text.strip_prefix("written ").and_then(|ms| ms.parse().ok());
     let written_ms = written_ms.ok_or(line.invalid())?;
@@ -160,7 +161,7 @@
     Ok(snapshot)
 }
 
-/// Decodes a `host` line.
+/// Decodes a `host` line, which describes one endpoint.
 fn decode_endpoint(line: Line<'_>) -> Result<EndpointSnapshot, SnapshotError> {
     let values = line.text.strip_prefix("host ").and_then(|values| values.split_once(' '));
     let (name_hash, latency_estimate_s) = values.ok_or(line.invalid())?;
--- a/crates/control/src/hot_restart/startup.rs
+++ b/crates/control/src/hot_restart/startup.rs
@@ -1,21 +1,22 @@
-//! When a new process begins to accept clients.
+//! When a starting process begins to accept clients.
 
 use std::time::Duration;
 
-/// Longest wait for the first endpoint list while another process may serve. The process must be ready within 6 s of
-/// its start.
+/// Longest wait for the first endpoint list while another process may be active. A starting process must be ready
+/// within 6 s of its start.
 const DISCOVERY_WAIT_LIMIT: Duration = Duration::from_millis(2500);
-/// Longest wait for an active endpoint while another process may serve. After that clients are accepted and
-/// answered that there is no endpoint.
+/// Longest wait for an active endpoint while another process may be active. After this wait clients are accepted, and
+/// are answered that no endpoint is available.
 const ACTIVE_ENDPOINT_WAIT_LIMIT: Duration = Duration::from_secs(6);
 
 /// What a process waits for before it accepts clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupWait {
-    /// The first endpoint list of discovery. The other process may have a newer list; without the wait requests would be
-    /// sent to endpoints that drain.
+    /// The first endpoint list of discovery. The active process may have a newer list; without the wait this process
+    /// would send requests to endpoints that drain.
     Discovery,
-    /// An active endpoint. Without the wait this process would take clients away from one that can serve them.
+    /// An endpoint that accepts requests. Without the wait this process would take clients away from a process that can
+    /// serve them.
     Endpoints,
 }
 
@@ -28,18 +29,18 @@
     pub has_active_endpoint: bool,
 }
 
-/// How a process starts to serve.
+/// Decides when a starting process may accept clients.
 #[derive(Clone, Copy, Debug)]
 pub struct Startup {
-    /// Whether another process may serve on the same listener.
+    /// Whether another process may accept clients on the same listener.
     pub shared_listener: bool,
     /// Time at which this process started.
     pub started_at: Duration,
 }
 
 impl Startup {
-    /// What the process waits for now; `None` once it may accept clients. A process with a listener of its own never
-    /// waits: no other process could serve its clients.
+    /// What the process waits for now; `None` once the process may accept clients. A process with a listener of its own
+    /// never waits: no other process could serve its clients.
     pub fn waiting_for(&self, now: Duration, progress: StartupProgress) -> Option<StartupWait> {
         if !self.shared_listener {
             return None;
