--- a/crates/control/src/body_streaming.rs
+++ b/crates/control/src/body_streaming.rs
@@ -1,34 +1,35 @@
 //! Which bodies are buffered and which are streamed, and when a streamed body times out.
 //!
-//! Limits apply to progress and never to the whole: a long body may take as long as its slower side needs. Times are on
-//! any clock of the caller that does not run backwards.
+//! Time limits apply to progress and never to the whole transfer: a long body may take as long as its slower side
+//! needs. Times are on any clock of the caller that does not run backwards.
 
 use std::time::Duration;
 
-/// Longest body that is buffered as a whole, in bytes. A buffered request can be retried, and a broken response is
-/// noticed before any of it is forwarded.
+/// Longest body that is buffered as a whole, in bytes. A request whose body is buffered can be retried, and a broken
+/// response that is buffered is noticed before any part of it is forwarded.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
 /// Longest body that either side may send, in bytes.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
 
-/// Rate that a client's body has to reach, in bytes per second, once [`CLIENT_BODY_GRACE`] has passed: half of what
-/// slow clients are promised.
+/// Rate that a client's body has to reach, in bytes per second, once [`CLIENT_BODY_GRACE`] has passed: half of 64 kB/s,
+/// the rate at which slow clients are guaranteed to be served.
 const MIN_CLIENT_BODY_BYTES_PER_S: f64 = 32e3;
-/// Total time that a client may pause without any credit earned by [`MIN_CLIENT_BODY_BYTES_PER_S`].
+/// Total time that the gateway waits for body data of a client beside the time that received bytes earn at
+/// [`MIN_CLIENT_BODY_BYTES_PER_S`].
 const CLIENT_BODY_GRACE: Duration = Duration::from_millis(1500);
-/// Time without data after which a client counts as stopped, regardless of how much it sent before. Its error response
-/// is due within 3 s.
+/// Time without body data after which a client counts as stopped, regardless of how much it sent before. The error
+/// response to a stopped client is due within 3 s.
 pub const CLIENT_BODY_IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time for which one side of a streamed body may make no progress while the other side waits for it.
+/// Longest time that one side of a streamed body may make no progress while the other side waits.
 pub const PEER_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time without data after which a buffered response is abandoned. An endpoint that keeps the connection open after too
-/// few bytes would otherwise hold its request until the attempt times out, too late for a retry.
+/// few bytes would otherwise hold the request until the attempt times out, too late for a retry.
 const BUFFERED_RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Time after the first byte from which a response is streamed if its announced length exceeds
 /// [`MAX_BUFFERED_BODY_BYTES`].
 const STREAM_ANNOUNCED_AFTER: Duration = Duration::from_millis(40);
 /// Time after the first byte from which a response without an announced length is streamed if
-/// [`STREAM_UNANNOUNCED_MIN_BYTES`] were received. A short one would be complete by then.
+/// [`STREAM_UNANNOUNCED_MIN_BYTES`] were received. A short response would be complete by then.
 const STREAM_UNANNOUNCED_AFTER: Duration = Duration::from_millis(60);
 /// Least number of bytes received before a response without an announced length is streamed.
 const STREAM_UNANNOUNCED_MIN_BYTES: u64 = 4 << 10;
@@ -47,12 +48,12 @@
 /// Progress of a streamed body.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransferState {
-    /// Nothing has been handed to the writer of an endpoint's connection.
+    /// Nothing of the body has been handed to the writer of an endpoint's connection.
     #[default]
     NotForwarded,
-    /// Part of the body has been handed to the writer.
+    /// Part of the body has been handed to the writer of an endpoint's connection.
     PartlyForwarded,
-    /// The whole body was received and has been handed to the writer.
+    /// The whole body was received and has been handed to the writer of an endpoint's connection.
     Complete,
     /// The body did not complete.
     Failed(BodyError),
@@ -72,7 +73,7 @@
 }
 
 impl BodyTransfer {
-    /// Creates a transfer of which `received_bytes` were received already.
+    /// Creates the transfer of a body of which `received_bytes` were received already.
     pub fn new(received_bytes: u64) -> BodyTransfer {
         BodyTransfer { received_bytes, ..BodyTransfer::default() }
     }
@@ -82,7 +83,7 @@
         self.state
     }
 
-    /// Records that the endpoint has accepted all that it was given and asks for more.
+    /// Records that the endpoint has accepted all data that was forwarded to it and is ready for more.
     pub fn record_endpoint_ready(&mut self, now: Duration) {
         if self.state == TransferState::NotForwarded {
             self.state = TransferState::PartlyForwarded;
@@ -90,10 +91,10 @@
         self.endpoint_progress_at = now;
     }
 
-    /// Records that `bytes` were received from the client, which ends the wait for it.
+    /// Records that `bytes` were received from the client, which ends the wait for the client.
     ///
     /// # Errors
-    /// [`BodyError::TooLong`] where the body exceeds [`MAX_BODY_BYTES`]; the transfer has failed then.
+    /// [`BodyError::TooLong`] if the body exceeds [`MAX_BODY_BYTES`]; the transfer has failed then.
     pub fn record_received(&mut self, now: Duration, bytes: u64) -> Result<(), BodyError> {
         if let Some(since) = self.waiting_for_client_since.take() {
             self.client_waited += now.saturating_sub(since);
@@ -105,8 +106,8 @@
         Ok(())
     }
 
-    /// Starts the wait for the client, unless it runs already, and returns when it ends. Time in which the endpoint is
-    /// slow does not count against the client.
+    /// Starts the wait for data from the client, unless it has already started, and returns the time at which the wait
+    /// ends. Time during which the endpoint is slow does not count against the client.
     pub fn next_client_data_deadline(&mut self, now: Duration) -> Duration {
         let since = *self.waiting_for_client_since.get_or_insert(now);
         let earned = Duration::from_secs_f64(self.received_bytes as f64 / MIN_CLIENT_BODY_BYTES_PER_S);
@@ -114,7 +115,7 @@
         since + remaining.min(CLIENT_BODY_IDLE_TIMEOUT)
     }
 
-    /// Records the end of the body.
+    /// Records that the body is complete.
     pub fn record_end(&mut self) {
         self.waiting_for_client_since = None;
         self.state = TransferState::Complete;
@@ -126,7 +127,8 @@
         error
     }
 
-    /// Time by which the endpoint must accept more of the body; `None` while it has nothing to accept.
+    /// Time by which the endpoint must accept more of the body; `None` while there is nothing for the endpoint to
+    /// accept.
     pub fn endpoint_deadline(&self) -> Option<Duration> {
         let has_data = matches!(self.state, TransferState::PartlyForwarded | TransferState::Complete);
         if !has_data || self.waiting_for_client_since.is_some() {
@@ -139,11 +141,11 @@
 /// What to do with a response while it is received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BufferingDecision {
-    /// Buffer it further: it may be complete soon.
+    /// Buffer the response further: it may be complete soon.
     KeepBuffering,
-    /// Stream it from now on. This decision is final.
+    /// Stream the response from now on. This decision is final.
     Stream,
-    /// Abandon it: it is longer than [`MAX_BODY_BYTES`].
+    /// Abandon the response: it is longer than [`MAX_BODY_BYTES`].
     TooLong,
 }
 
@@ -156,18 +158,19 @@
 }
 
 impl ResponseBuffering {
-    /// Creates the state of a response with this `Content-Length`, or without one.
+    /// Creates the state of a response whose `Content-Length` is `announced_bytes`; `None` for a response without that
+    /// header.
     pub fn new(announced_bytes: Option<u64>) -> ResponseBuffering {
         ResponseBuffering { announced_bytes, received_bytes: 0, first_byte_at: None }
     }
 
-    /// Records that `bytes` more were received.
+    /// Records that `bytes` more of the response body were received.
     pub fn record_received(&mut self, now: Duration, bytes: u64) {
         self.first_byte_at.get_or_insert(now);
         self.received_bytes = self.received_bytes.saturating_add(bytes);
     }
 
-    /// What to do with the response now. One that never proves to be long stays buffered until it is complete.
+    /// What to do with the response now. A response that never proves to be long stays buffered until it is complete.
     pub fn decide(&self, now: Duration) -> BufferingDecision {
         if self.exceeds(MAX_BODY_BYTES) {
             return BufferingDecision::TooLong;
@@ -198,8 +201,8 @@
         }
     }
 
-    /// Time by which the next byte of a buffered response must arrive. `response_start` is when its first byte arrived;
-    /// `last_read` is when the connection was last read, possibly for an earlier response.
+    /// Time by which the next byte of a buffered response must arrive. `response_start` is when the response's first
+    /// byte arrived; `last_read` is when the connection was last read, possibly for an earlier response.
     pub fn next_byte_deadline(response_start: Duration, last_read: Duration) -> Duration {
         response_start.max(last_read) + BUFFERED_RESPONSE_IDLE_TIMEOUT
     }
--- a/crates/control/src/class_registry.rs
+++ b/crates/control/src/class_registry.rs
@@ -1,17 +1,19 @@
 //! The request classes of a gateway whose configuration changes while it runs.
 //!
 //! The balancer identifies a class by its number. A number is reused for another class only once nothing refers to the
-//! old one: a request keeps the rules under which it arrived, and the end of an attempt is counted for its class.
+//! old class: a request keeps the rules under which it arrived, and the end of an attempt is counted for the class of
+//! its request.
 
 use std::rc::Rc;
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, RequestClass};
 
 /// Time for which clients may still use a class that the configuration has dropped or changed. Clients follow a new
-/// configuration after 1.2 s, and requests sent just before may still be in transit.
+/// configuration after 1.2 s, and requests that they sent just before that may still be in transit.
 pub const RETIRED_CLASS_GRACE: Duration = Duration::from_millis(2000);
 
-/// A class as it was when a request arrived; kept as long as anything about the request may still happen.
+/// A request class with its number, as it was when a request arrived. The request refers to the class as long as
+/// anything about the request may still happen.
 #[derive(Clone, Debug)]
 pub struct RegisteredClass {
     /// Name of the class in the configuration.
@@ -45,9 +47,9 @@
 /// Reason why a request matches no class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClassError {
-    /// No class has the name.
+    /// No class has the name that the request gives.
     Unknown,
-    /// The class of that name reads and the request writes, or the reverse.
+    /// The class of that name is for reads and the request is a write, or the reverse.
     MethodMismatch,
     /// The class of that name requires an idempotency key, or forbids one.
     KeyMismatch,
@@ -70,7 +72,7 @@
 #[derive(Clone, Debug)]
 pub struct ClassTable {
     active: Vec<Rc<RegisteredClass>>,
-    /// In the order in which they were retired.
+    /// Retired classes, in the order in which they were retired.
     retired: Vec<RetiredClass>,
 }
 
@@ -93,7 +95,7 @@
         matching.next().ok_or_else(|| self.mismatch(name, form))
     }
 
-    /// Why no class matches a request of this name and form.
+    /// Returns why no class matches a request of this name and form.
     fn mismatch(&self, name: &str, form: RequestForm) -> ClassError {
         let Some(named) = self.active.iter().find(|candidate| candidate.name == name) else {
             return ClassError::Unknown;
@@ -106,7 +108,7 @@
     }
 }
 
-/// A numbered place of the registry; its index is the number of its class.
+/// A slot of the registry; the index of the slot is the number of its class.
 #[derive(Debug)]
 struct Slot {
     class: Rc<RegisteredClass>,
@@ -115,27 +117,29 @@
 }
 
 impl Slot {
-    /// Whether another class may take the number: this one is not active and nothing else refers to it.
+    /// Whether another class may take the number of this slot: its class is not active and nothing else refers to the
+    /// class.
     fn is_free(&self) -> bool {
         !self.is_active && Rc::strong_count(&self.class) == 1
     }
 }
 
-/// All classes that are in the configuration or still referred to.
+/// All request classes that are in the configuration or that something still refers to.
 #[derive(Debug, Default)]
 pub struct ClassRegistry {
     slots: Vec<Slot>,
-    /// In the order in which they were retired.
+    /// Retired classes, in the order in which they were retired.
     retired: Vec<RetiredClass>,
 }
 
 impl ClassRegistry {
-    /// Applies the classes of a new configuration. An unchanged class keeps its number; any other gets a free one.
+    /// Applies the classes of a new configuration. An unchanged class keeps its number; any other class gets a free
+    /// number.
     pub fn replace(&mut self, now: Duration, classes: impl IntoIterator<Item = (String, RequestClass)>) {
         let mut added: Vec<(String, RequestClass)> = classes.into_iter().collect();
         self.retired.retain(|retired| retired.is_usable(now));
         for slot in &mut self.slots {
-            // An inactive class that returns unchanged while something refers to it is the same class.
+            // An inactive class that is configured again unchanged before its slot is reused is the same class.
             let unchanged =
                 added.iter().position(|(name, class)| *name == slot.class.name && *class == slot.class.class);
             if slot.is_active && unchanged.is_none() {
@@ -167,13 +171,13 @@
         self.slots.iter().filter(|slot| slot.is_active).map(|slot| &slot.class)
     }
 
-    /// The classes that requests may name from now on.
+    /// The table of the classes that requests may name from now on.
     pub fn table(&self) -> ClassTable {
         ClassTable { active: self.active().cloned().collect(), retired: self.retired.clone() }
     }
 
-    /// The rules of all classes by number, as the balancer reads them; those not in the configuration are marked as
-    /// retired.
+    /// The rules of all classes by number, as the balancer reads them; classes that are not in the configuration are
+    /// marked as retired.
     pub fn by_number(&self) -> Vec<RequestClass> {
         self.slots
             .iter()
