--- a/crates/control/src/execution.rs
+++ b/crates/control/src/execution.rs
@@ -1,20 +1,21 @@
 //! Classifies how an attempt ended: its request was certainly not processed, was served, or was possibly processed.
 //!
-//! An endpoint begins to process a request once it has received the last byte. So the proof rests on whether that byte
-//! was handed to the kernel, as recorded where bytes are written and not where they are framed. In doubt the request
-//! was possibly processed. [`classify_attempt`] is the only table of outcomes.
+//! An endpoint begins to process a request once it has received the last byte. So the proof that a request was not
+//! processed rests on whether its last byte was handed to the kernel, as recorded where bytes are written and not where
+//! they are framed. In doubt the request counts as possibly processed. [`classify_attempt`] is the only table of
+//! outcomes.
 
 use weldworks_balancer::Outcome;
 
 /// How much of a request has been handed to the kernel.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteProgress {
-    /// Not one byte of the request.
+    /// No byte of the request.
     #[default]
     Nothing,
-    /// Some bytes, and certainly not the last one.
+    /// Some bytes of the request, and certainly not the last one.
     Partial,
-    /// All of it, or so much that the last byte may be included.
+    /// The whole request, or so much of it that the last byte may be included.
     Complete,
 }
 
@@ -25,14 +26,14 @@
     Served,
     /// The endpoint rejected the request and marked it, exactly once, as not processed.
     NotProcessed,
-    /// Any other response.
+    /// Any other response: the request was possibly processed.
     Error,
 }
 
 /// What ended an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The gateway decided not to write the request, or not all of it.
+    /// The gateway decided not to write the request, or not to write all of it.
     Withheld,
     /// No connection was established, the connection broke, or the response is incomplete.
     ConnectionFailed,
@@ -57,7 +58,7 @@
         AttemptEnd::Answered(ResponseVerdict::Error) => Outcome::Error,
         AttemptEnd::Answered(ResponseVerdict::NotProcessed) => Outcome::Rejected,
         AttemptEnd::Answered(ResponseVerdict::Served) if possibly_processed => Outcome::Served,
-        // The endpoint has not received the whole request, so this response belongs to something else.
+        // The endpoint has not received the whole request, so this response does not belong to the request.
         AttemptEnd::Answered(ResponseVerdict::Served) => Outcome::NoConnection,
     }
 }
@@ -66,13 +67,14 @@
 const STATUS_OK: u16 = 200;
 /// Statuses with which an endpoint may reject a request without processing it.
 const REJECTION_STATUSES: [u16; 2] = [503, 504];
-/// Value of the header that marks a request as not processed.
+/// Value of the not-processed header that marks a request as not processed.
 const NOT_PROCESSED_VALUE: &[u8] = b"1";
 
 /// Classifies a response by its status and the values of its not-processed header, one for each occurrence of the
 /// header.
 ///
-/// A repeated header or another value has no defined meaning, so the request counts as possibly processed.
+/// A repeated not-processed header, or one with another value, has no defined meaning, so the request counts as
+/// possibly processed.
 pub fn classify_response<'a>(
     status: u16,
     mut not_processed: impl Iterator<Item = &'a [u8]>,
--- a/crates/control/src/watch_backoff.rs
+++ b/crates/control/src/watch_backoff.rs
@@ -1,51 +1,51 @@
-//! Push mode of discovery: when a watch is opened again after it ended, and how often its loss is reported. Pull mode:
-//! `discovery_polling` of the balancer.
+//! Push mode of discovery: when the next watch is opened after the loss of a watch, and how often such losses are
+//! reported. Pull mode: the module `discovery_polling` of the balancer.
 //!
 //! Where endpoint lists are pushed, an agent on the gateway's own machine answers at once and at no cost, and the
-//! gateway is responsible for a change as soon as the agent has been sent it. So the retry delay is short and bounded.
+//! gateway must follow a delta from the moment at which the agent receives it. So the retry delay is short and bounded.
 //! An agent that accepts connections and ends them at once must neither keep a core busy nor flood the log.
 
 use std::time::Duration;
 
-/// Timeout of the first list of a poll of discovery. A live discovery answers within 2 or 3 s; a poll that stays open
-/// longer was accepted by a process that has ended.
+/// Timeout for the first endpoint list of a poll of discovery. A live discovery answers within 2 or 3 s; a poll that is
+/// open for longer without an answer was accepted by a process that has ended.
 pub const POLL_FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(3200);
-/// Timeout of the first list of a watch on pushed lists. A restarted agent has lost the watch, so the next one must be
-/// open within the strictest limit for observing a drain (300 ms), [`MAX_RETRY_DELAY`] included.
+/// Timeout for the first endpoint list of a watch in push mode. A restarted agent has lost the watch, so the next watch
+/// must be open within the strictest limit for observing a drain (300 ms), [`MAX_RETRY_DELAY`] included.
 pub const PUSH_FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(200);
-/// Time without any data after which a watch is dead. A live watch sends an empty line every 2 s.
+/// Time without any data after which a watch counts as lost. A live watch sends an empty line every 2 s.
 pub const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2700);
 
-/// Retry delay after a watch that was stable; it doubles with each consecutive failure.
+/// Delay before the next watch is opened after the loss of a stable watch; it doubles with each consecutive failure.
 pub const FIRST_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Longest retry delay: under a third of the strictest limit for observing a drain (300 ms), which also covers the
-/// connection and the reading of the list.
+/// Longest delay before the next watch is opened: under a third of the strictest limit for observing a drain (300 ms),
+/// since this limit also covers connecting and reading the endpoint list.
 pub const MAX_RETRY_DELAY: Duration = Duration::from_millis(80);
-/// Age at which a watch counts as stable. One that ended earlier is a failure, even if it sent lists.
+/// Age at which a watch counts as stable. A watch that ended earlier is a failure, even if it sent endpoint lists.
 pub const STABLE_WATCH_AGE: Duration = Duration::from_secs(1);
-/// Time within which at most one loss and one recovery are reported.
+/// Time within which at most one loss and one recovery of the watch are reported.
 pub const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 /// Largest number of doublings of [`FIRST_RETRY_DELAY`]; keeps the product from overflowing.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Consequences of the loss of a watch.
+/// What follows from the loss of a watch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchLoss {
     /// Delay before the next watch is opened.
     pub retry_delay: Duration,
     /// Whether the loss should be reported to an operator.
     pub should_report: bool,
-    /// Number of consecutive watches that were not stable, this one included.
+    /// Number of consecutive watches that were not stable, including the watch that was just lost.
     pub consecutive_failures: u32,
 }
 
-/// Backoff and reports of the consecutive watches of one gateway.
+/// Backoff and loss reports of the consecutive watches of one gateway.
 #[derive(Clone, Debug, Default)]
 pub struct WatchBackoff {
     opened_at: Duration,
     consecutive_failures: u32,
     last_reported_at: Option<Duration>,
-    /// Start of an outage that was reported and whose recovery was not.
+    /// Start of an outage that was reported, until its recovery is reported.
     outage_since: Option<Duration>,
 }
 
@@ -55,14 +55,14 @@
         self.opened_at = now;
     }
 
-    /// Records a message from discovery. Returns the length of the outage where its loss was reported and its recovery
+    /// Records a message from discovery. Returns the length of the outage if the outage was reported and its recovery
     /// was not.
     pub fn record_message(&mut self, now: Duration) -> Option<Duration> {
         let since = self.outage_since.take()?;
         Some(now.saturating_sub(since))
     }
 
-    /// Records that the watch ended.
+    /// Records that the watch was lost, and returns what follows from the loss.
     pub fn record_loss(&mut self, now: Duration) -> WatchLoss {
         let was_stable = now.saturating_sub(self.opened_at) >= STABLE_WATCH_AGE;
         self.consecutive_failures = if was_stable { 0 } else { self.consecutive_failures.saturating_add(1) };
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Forgets the failures of the previous agent when the gateway switches to another one.
+    /// Forgets the failures of the previous agent when the gateway switches to another agent.
     pub fn reset(&mut self) {
         self.consecutive_failures = 0;
     }
