--- a/crates/control/src/retry_storm/detector.rs
+++ b/crates/control/src/retry_storm/detector.rs
@@ -1,8 +1,8 @@
 //! Detects retry storms from the traffic of one gateway alone.
 //!
 //! High load alone is no storm: in a peak many first attempts arrive and are served. In a storm clients retry because
-//! their requests were not served, so both signals are required. Each state is left at other limits than those at which
-//! it was entered, so that a signal at a limit does not make the state oscillate.
+//! their requests were not served, so both signals are required. A state is left at other limits than those at which it
+//! was entered, so that a signal at a limit does not make the state oscillate.
 
 use super::decaying_counter::DecayingCounter;
 use super::settings::StormSettings;
@@ -17,7 +17,7 @@
     /// Normal operation.
     Calm,
     /// The signals exceed their limits, possibly by chance. Rejections carry a computed `Retry-After` if enabled;
-    /// nothing is damped yet.
+    /// retries are not damped yet.
     Suspected,
     /// Retries are damped, and rejections carry a computed `Retry-After` if enabled.
     Storm,
@@ -29,19 +29,19 @@
 /// [`Self::unserved_ratio`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
-    /// Fraction of arrivals that their client marks as retries.
+    /// Fraction of arriving requests that their clients mark as retries.
     pub client_retry_ratio: f64,
-    /// Fraction of arrivals whose identity was seen within [`StormSettings::repeat_window`].
+    /// Fraction of arriving requests whose identity was seen within [`StormSettings::repeat_window`].
     pub repeated_key_ratio: f64,
     /// Fraction of responses that are rejections or failures.
     pub unserved_ratio: f64,
     /// Accepted connections per second.
     pub connections_per_s: f64,
-    /// Arrivals per second.
+    /// Arriving requests per second.
     pub arrivals_per_s: f64,
 }
 
-/// A change of the state.
+/// A change of the detector's state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StateChange {
     /// State before the change.
@@ -57,8 +57,8 @@
         let signals = &self.signals;
         write!(
             f,
-            "storm control: {:?} to {:?}: {:.0}% marked repeats, {:.0}% keys seen a moment ago, {:.0}% unserved, \
-             {:.0} arrivals and {:.0} new connections a second",
+            "storm control: {:?} to {:?}: {:.0}% client retries, {:.0}% repeated keys, {:.0}% unserved, \
+             {:.0} arrivals and {:.0} new connections per second",
             self.from,
             self.to,
             100.0 * signals.client_retry_ratio,
@@ -73,9 +73,9 @@
 /// Signs that an arriving request is a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetrySigns {
-    /// Whether its client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_client_retry: bool,
-    /// Whether its identity was seen within [`StormSettings::repeat_window`].
+    /// Whether the identity of the request was seen within [`StormSettings::repeat_window`].
     pub is_repeated_key: bool,
 }
 
@@ -86,11 +86,12 @@
     }
 }
 
-/// Least decayed number of arrivals with which a storm may be suspected.
+/// Least decayed number of arriving requests with which a storm may be suspected.
 const MIN_ARRIVALS: f64 = 8.0;
-/// Fraction of a limit below which a suspicion is dropped. Near the limit the ratio changes with every arrival.
+/// Fraction of a ratio's limit below which the suspicion of a storm is dropped. Nearer to the limit, every arriving
+/// request could change the state.
 const SUSPICION_EXIT_FRACTION: f64 = 0.75;
-/// Fraction of both limits below which a storm is over.
+/// Fraction of their limits below which both ratios must be for a storm to be over.
 const STORM_EXIT_FRACTION: f64 = 0.5;
 
 /// Detector of retry storms.
@@ -124,12 +125,12 @@
         }
     }
 
-    /// The state.
+    /// The current state.
     pub fn state(&self) -> StormState {
         self.state
     }
 
-    /// Time at which the state was entered.
+    /// Time at which the current state was entered.
     pub fn since(&self) -> Duration {
         Duration::from_secs_f64(self.state_since_s)
     }
@@ -154,7 +155,7 @@
         self.connections.add(now.as_secs_f64(), 1.0);
     }
 
-    /// The signals at a time.
+    /// The signals at the time `now`.
     pub fn signals(&self, now: Duration) -> Signals {
         let now_s = now.as_secs_f64();
         let arrivals = self.arrivals.value_at(now_s);
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Enters the state that follows from the signals and returns the change, if there is one.
+    /// Enters the state that follows from the signals, and returns the change if the state changed.
     pub fn update_state(&mut self, now: Duration) -> Option<StateChange> {
         let now_s = now.as_secs_f64();
         let next = self.next_state(now_s);
@@ -181,8 +182,8 @@
         Some(change)
     }
 
-    /// The state that follows now: Calm -> Suspected -> Storm -> Recovering -> Calm; Suspected -> Calm on refutation;
-    /// Recovering -> Storm on new signs.
+    /// The state that follows from the signals now. The order is Calm -> Suspected -> Storm -> Recovering -> Calm, with
+    /// Suspected -> Calm when the suspicion is refuted and Recovering -> Storm when the limits are exceeded again.
     fn next_state(&self, now_s: f64) -> StormState {
         let settings = &self.settings;
         let evidence = self.evidence(now_s);
@@ -214,7 +215,7 @@
     }
 }
 
-/// Evidence from which the state follows; ratios are the lower bounds of their confidence intervals.
+/// Evidence from which the state of the detector follows; ratios are the lower bounds of their confidence intervals.
 struct Evidence {
     has_enough_arrivals: bool,
     client_retry_ratio: f64,
@@ -222,27 +223,27 @@
 }
 
 impl Evidence {
-    /// Both ratios exceed their limits.
+    /// Whether both ratios exceed their limits, with enough arriving requests.
     fn indicates_storm(&self, settings: &StormSettings) -> bool {
         self.has_enough_arrivals
             && self.client_retry_ratio > settings.client_retry_ratio_limit
             && self.unserved_ratio > settings.unserved_ratio_limit
     }
 
-    /// One ratio is clearly below its limit.
+    /// Whether a ratio is clearly below its limit.
     fn refutes_suspicion(&self, settings: &StormSettings) -> bool {
         self.client_retry_ratio < SUSPICION_EXIT_FRACTION * settings.client_retry_ratio_limit
             || self.unserved_ratio < SUSPICION_EXIT_FRACTION * settings.unserved_ratio_limit
     }
 
-    /// Both ratios are far below their limits.
+    /// Whether both ratios are far below their limits.
     fn indicates_end_of_storm(&self, settings: &StormSettings) -> bool {
         self.client_retry_ratio < STORM_EXIT_FRACTION * settings.client_retry_ratio_limit
             && self.unserved_ratio < STORM_EXIT_FRACTION * settings.unserved_ratio_limit
     }
 }
 
-/// The ratio of two decayed counts; 0 where there are none.
+/// The ratio of two decayed counts; 0 where `total` is 0.
 fn ratio(part: f64, total: f64) -> f64 {
     if total > 0.0 {
         part / total
--- a/crates/control/src/retry_storm/wilson_interval.rs
+++ b/crates/control/src/retry_storm/wilson_interval.rs
@@ -1,7 +1,7 @@
 //! Confidence interval of a ratio that is estimated from few observations.
 //!
-//! One gateway of many handles few requests in a window, and of ten responses two may be rejections by chance. So
-//! a ratio counts as exceeding a limit only where the lower end of its confidence interval does (E. B. Wilson,
+//! One gateway of many handles few requests in a window, and of ten responses two may be rejections by chance. So a
+//! ratio counts as exceeding a limit only if the lower end of its confidence interval exceeds the limit (E. B. Wilson,
 //! "Probable inference, the law of succession, and statistical inference", 1927).
 
 /// Quantile of the normal distribution at 97.5 %, for a two-sided 95 % interval.
