--- a/crates/control/src/retry_storm/allowance.rs
+++ b/crates/control/src/retry_storm/allowance.rs
@@ -20,16 +20,17 @@
 /// Allowance of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Share of the admission limits that the request may use; see [`weldworks_balancer::Request`]. 1 is all.
+    /// Factor on the admission limits for the request; 1 leaves the limits unchanged. See
+    /// [`weldworks_balancer::Request`].
     pub admission_share: f64,
-    /// Why the request got this share.
+    /// Why the request got this admission share.
     pub reason: AllowanceReason,
 }
 
-/// Number of requests by the reason of their allowance, since the start of the process.
+/// Number of requests by the reason of their allowance, since storm control was created.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AllowanceCounts {
-    /// Requests while there was no storm or damping was off.
+    /// Requests that arrived while there was no storm or damping was off.
     pub calm: u64,
     /// First attempts in a storm.
     pub first_attempts: u64,
@@ -39,7 +40,8 @@
     pub budgeted: u64,
     /// Retries without a reservation for which the budget was empty.
     pub unbudgeted: u64,
-    /// Requests in a storm of tenants that exceed their share; each is also counted above.
+    /// Requests that arrived in a storm from tenants that exceed their share; each request is also counted by its
+    /// reason.
     pub over_share: u64,
 }
 
@@ -56,8 +58,8 @@
     }
 }
 
-/// Factor on the admission share of a request in a storm by whether it is a retry that neither a reservation nor
-/// the budget covers.
+/// Factor on the admission share of a request in a storm: the configured one for a retry that neither a reservation nor
+/// the budget covers, and 1 for any other request.
 pub(super) fn retry_factor(reason: AllowanceReason, settings: &StormSettings) -> f64 {
     match reason {
         AllowanceReason::Unbudgeted => settings.unbudgeted_admission_share,
@@ -68,7 +70,7 @@
     }
 }
 
-/// Factor on the admission share of a request in a storm by the weight of its class, relative to the mean of all
+/// Factor on the admission share of a request in a storm by the weight of its class, relative to the mean weight of all
 /// classes.
 pub(super) fn weight_factor(relative_weight: f64, settings: &StormSettings) -> f64 {
     relative_weight.max(0.0).powf(settings.weight_exponent)
--- a/crates/control/src/retry_storm/client_retry_budget.rs
+++ b/crates/control/src/retry_storm/client_retry_budget.rs
@@ -1,7 +1,7 @@
 //! A budget of client retries: earned by first attempts, spent by retries, never below zero.
 //!
-//! It limits retries by clients. Retries and hedges by the gateway itself have a budget of their own: the module `retry`
-//! of [`weldworks_balancer`].
+//! The budget limits retries by clients. Retries and hedges by the gateway itself have a budget of their own, in the
+//! module `retry_budget` of [`weldworks_balancer`].
 
 /// Budget of retries by clients, counted in retries.
 #[derive(Clone, Debug)]
@@ -17,12 +17,12 @@
         ClientRetryBudget { earned_per_first_attempt, max_balance, balance: max_balance }
     }
 
-    /// Adds what a first attempt earns.
+    /// Adds the fraction of a retry that a first attempt earns.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + self.earned_per_first_attempt).min(self.max_balance);
     }
 
-    /// Spends one retry and returns whether the budget covered it.
+    /// Spends one retry if the budget covers it, and returns whether it did.
     pub fn withdraw(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
--- a/crates/control/src/retry_storm/fair_share.rs
+++ b/crates/control/src/retry_storm/fair_share.rs
@@ -4,18 +4,20 @@
 use super::wilson_interval::wilson_lower_bound;
 use std::time::Duration;
 
-/// Time constant of the tenants' request rates, in seconds. It is longer than that of the storm's signals, because
-/// each tenant sends only a part of the requests.
+/// Time constant of the tenants' request rates, in seconds. It is longer than the time constant of the storm signals,
+/// because each tenant sends only a part of the requests.
 const RATE_WINDOW_S: f64 = 10.0;
-/// Multiple of its share beyond which a tenant counts as exceeding it.
+/// Multiple of its share above which a tenant counts as exceeding the share.
 const SHARE_TOLERANCE: f64 = 1.1;
 
 /// Compares the traffic of each tenant at this gateway with its quota.
 ///
-/// A tenant exceeds its share if both of two estimates say so, because either alone can be wrong: its part of this
-/// gateway's traffic, wrong where the other tenants are quiet or a front balancer sends a tenant to few gateways; and
-/// its rate at this gateway times the number of gateways, wrong where a front balancer distributes unevenly or the
-/// number is out of date.
+/// A tenant counts as exceeding its share only if two estimates agree, because either alone can be wrong:
+///
+/// - the tenant's fraction of this gateway's traffic is wrong where the other tenants send little or a front balancer
+///   sends a tenant to few gateways;
+/// - the tenant's rate at this gateway times the number of gateways is wrong where a front balancer distributes
+///   unevenly or the number of gateways is out of date.
 #[derive(Clone, Debug)]
 pub struct FairShare {
     tenants: Vec<Tenant>,
@@ -25,16 +27,16 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Tenant {
-    /// Requests per second over all gateways; 0 for no quota.
+    /// The tenant's quota in requests per second over all gateways; 0 for no quota.
     quota_per_s: f64,
-    /// The quota as a fraction of all quotas.
+    /// The tenant's quota as a fraction of the sum of all quotas.
     share: f64,
     requests: DecayingCounter,
 }
 
 impl FairShare {
     /// Creates the state from each tenant's quota, in requests per second over all gateways. A quota that is not a
-    /// positive number is no quota, and its tenant never exceeds it.
+    /// positive number counts as no quota, and a tenant without a quota never exceeds its share.
     pub fn new(quotas_per_s: &[f64], gateway_count: u32) -> FairShare {
         let total_per_s: f64 = quotas_per_s.iter().map(|quota| sanitize_quota(*quota)).sum();
         let tenants =
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Records a request of a tenant and returns whether the tenant is within its share. An unknown tenant is.
+    /// Records a request of a tenant and returns whether the tenant is within its share. An unknown tenant is always
+    /// within its share.
     pub fn record_request(&mut self, now: Duration, tenant: usize) -> bool {
         let now_s = now.as_secs_f64();
         self.all_requests.add(now_s, 1.0);
@@ -64,7 +67,7 @@
 
 impl Tenant {
     fn new(quota_per_s: f64, total_per_s: f64) -> Tenant {
-        // Without any quota the total is 0, and the share is then 0 and not NaN.
+        // Without any quota the total is 0; the lower bound of the divisor makes the share 0 and not NaN.
         let share = quota_per_s / total_per_s.max(f64::MIN_POSITIVE);
         Tenant { quota_per_s, share, requests: DecayingCounter::new(RATE_WINDOW_S) }
     }
--- a/crates/control/src/retry_storm/repeat_cache.rs
+++ b/crates/control/src/retry_storm/repeat_cache.rs
@@ -11,12 +11,12 @@
 }
 
 impl RepeatCache {
-    /// Creates a cache that retains an identity for `retention`, in a table of `slots`.
+    /// Creates a cache that retains each identity for the time `retention`, in a table of `slots` slots.
     pub fn new(retention: Duration, slots: usize) -> RepeatCache {
         RepeatCache { table: SlotTable::new(slots), retention }
     }
 
-    /// Records an identity and returns whether it was already recorded within the retention time.
+    /// Records the identity of a request and returns whether it was already recorded within the retention time.
     pub fn insert(&mut self, now: Duration, identity: u64) -> bool {
         let slot = self.table.slot_mut(identity);
         let is_recorded = slot.identity == identity && !slot.time.is_zero();
