--- a/crates/control/src/retry_storm/retry_after.rs
+++ b/crates/control/src/retry_storm/retry_after.rs
@@ -1,8 +1,8 @@
-//! When rejected clients should retry: spread so that their retries never exceed what endpoints will be able to
-//! serve.
+//! Schedules when rejected clients should retry, spread so that their retries never exceed what endpoints will be able
+//! to serve.
 //!
 //! The schedule is a virtual clock of the generic cell rate algorithm (ITU-T I.371) whose rate changes: each
-//! reservation moves it by the time that one retry takes up.
+//! reservation advances the clock by the time that one retry takes up.
 
 use super::decaying_counter::DecayingCounter;
 use super::{RequestResult, StartedEndpoint};
@@ -11,10 +11,10 @@
 /// A time at which a rejected client should retry.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Reservation {
-    /// Time from now.
+    /// Delay from now until the client should retry.
     pub after: Duration,
-    /// Whether capacity is reserved for the retry. It is not where all capacity within the longest `Retry-After` is
-    /// reserved for others.
+    /// Whether capacity is reserved for the retry. False where all capacity within the longest `Retry-After` is
+    /// reserved for other retries.
     pub is_reserved: bool,
 }
 
@@ -22,12 +22,12 @@
 const RATE_WINDOW_S: f64 = 2.0;
 /// Fraction of the expected capacity that first attempts and reserved retries may use together.
 const USABLE_CAPACITY_RATIO: f64 = 0.9;
-/// Fraction of the capacity that retries may use where first attempts take all of it. Without any retries the end of
-/// the overload would not be noticed.
+/// Fraction of the capacity that retries may use even where first attempts take all of it. Without any retries the end
+/// of the overload would not be noticed.
 const MIN_RETRY_CAPACITY_RATIO: f64 = 0.05;
-/// Largest relative jitter of a delay, so that consecutive clients do not retry in step.
+/// Largest jitter of a `Retry-After`, as a fraction of it, so that consecutive clients do not retry in step.
 const JITTER_RATIO: f64 = 0.1;
-/// Shortest delay, in seconds: the response takes time to reach the client.
+/// Shortest `Retry-After`, in seconds: the rejection takes time to reach the client.
 const MIN_RETRY_AFTER_S: f64 = 0.02;
 /// Weight of a new sample in the average of the capacity of one endpoint.
 const CAPACITY_SAMPLE_WEIGHT: f64 = 0.05;
@@ -46,15 +46,15 @@
     endpoints: Vec<StartedEndpoint>,
     served: DecayingCounter,
     first_attempts: DecayingCounter,
-    /// Requests per second that one warm endpoint can serve; 0 while unknown.
+    /// Requests per second that one endpoint past its slow start can serve; 0 while unknown.
     capacity_per_endpoint: f64,
     /// Earliest time that is not reserved yet, in seconds.
     next_free_s: f64,
 }
 
 impl RetryAfterSchedule {
-    /// Creates an empty schedule. Endpoints start at `slow_start_min_capacity` of their full capacity and reach it after
-    /// `slow_start_duration`; clients respect a `Retry-After` of at most `max_retry_after`.
+    /// Creates an empty schedule. Endpoints start at `slow_start_min_capacity` of their full capacity and reach full
+    /// capacity after `slow_start_duration`; clients respect a `Retry-After` of at most `max_retry_after`.
     pub fn new(
         slow_start_min_capacity: f64,
         slow_start_duration: Duration,
@@ -85,7 +85,8 @@
         self.first_attempts.add(now.as_secs_f64(), 1.0);
     }
 
-    /// Records how a request was answered. The rate served while others are rejected is what endpoints can serve.
+    /// Records how a request was answered. The rate of served requests while others are rejected is the rate that
+    /// endpoints can serve.
     pub fn record_result(&mut self, now: Duration, result: RequestResult) {
         let now_s = now.as_secs_f64();
         match result {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Records the rate served now as a sample of the capacity of one endpoint.
+    /// Records the rate of served requests for each endpoint as a sample of the capacity of one endpoint.
     fn sample_capacity(&mut self, now_s: f64) {
         let warm_endpoints = self.warm_endpoints(now_s);
         if warm_endpoints <= 0.0 {
@@ -112,13 +113,13 @@
         }
     }
 
-    /// Number of endpoints, each counted by the fraction of its full capacity that it has at a time.
+    /// Number of endpoints, each counted by the fraction of its full capacity that it has at the time `at_s`.
     fn warm_endpoints(&self, at_s: f64) -> f64 {
         self.endpoints.iter().map(|endpoint| self.warm_up_fraction(endpoint, at_s)).sum()
     }
 
-    /// Fraction of its full capacity that an endpoint has at a time. Same curve as the warm-up fraction in
-    /// `balancer::slow_start`, clamped to `slow_start_min_capacity`.
+    /// Fraction of its full capacity that an endpoint has at the time `at_s`. The curve is that of the warm-up fraction
+    /// in `balancer::slow_start`, with `slow_start_min_capacity` as its lower bound.
     fn warm_up_fraction(&self, endpoint: &StartedEndpoint, at_s: f64) -> f64 {
         let Some(started_at) = endpoint.started_at else { return 1.0 };
         let elapsed_fraction =
@@ -126,19 +127,20 @@
         self.slow_start_min_capacity + (1.0 - self.slow_start_min_capacity) * elapsed_fraction
     }
 
-    /// Requests per second that endpoints can serve at a time; 0 while unknown.
+    /// Requests per second that all endpoints together can serve at the time `at`; 0 while unknown.
     pub fn capacity(&self, at: Duration) -> f64 {
         self.capacity_per_endpoint * self.warm_endpoints(at.as_secs_f64())
     }
 
-    /// Retries per second that endpoints can serve at a time, beside the first attempts at their present rate.
+    /// Retries per second that endpoints can serve at the time `at`, in addition to first attempts at their rate of
+    /// `now`.
     fn spare_rate(&self, now: Duration, at: Duration) -> f64 {
         let first_attempts_per_s = self.first_attempts.rate_at(now.as_secs_f64());
         let capacity = self.capacity(at);
         (USABLE_CAPACITY_RATIO * capacity - first_attempts_per_s).max(MIN_RETRY_CAPACITY_RATIO * capacity)
     }
 
-    /// Restarts the schedule at now, when a storm begins. Times already handed out stay valid.
+    /// Restarts the schedule at `now`, which is when a storm begins. Times that clients were already given stay valid.
     pub fn reset(&mut self, now: Duration) {
         self.next_free_s = now.as_secs_f64();
     }
@@ -159,7 +161,8 @@
         Reservation { after: Duration::from_secs_f64(after_s), is_reserved: true }
     }
 
-    /// A time for a client for which no capacity is left, spread over the later half of the longest `Retry-After`.
+    /// A retry time for a client for which no capacity is left, spread over the later half of the longest
+    /// `Retry-After`.
     fn unreserved(&mut self) -> Reservation {
         let after_s = self.max_retry_after_s * (0.5 + 0.5 * self.rng.f64());
         Reservation { after: Duration::from_secs_f64(after_s), is_reserved: false }
--- a/crates/control/src/retry_storm/settings.rs
+++ b/crates/control/src/retry_storm/settings.rs
@@ -3,19 +3,19 @@
 use std::time::Duration;
 use weldworks_config::Table;
 
-/// Shortest time that the table accepts, except for keys where zero is allowed.
+/// Shortest time that the table `[storm]` accepts, except for keys where zero is allowed.
 const MIN_TIME: Duration = Duration::from_millis(50);
-/// Longest time that the table accepts.
+/// Longest time that the table `[storm]` accepts.
 const MAX_TIME: Duration = Duration::from_secs(600);
 
 /// Settings of storm control. The defaults are those of `docs/operate/storms.md`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StormSettings {
-    /// Whether in a storm retries are limited by a budget and class weights and tenant shares apply. Key `damping`,
-    /// default on.
+    /// Whether a budget limits retries in a storm, and class weights and tenant shares change admission limits then.
+    /// Key `damping`, default on.
     pub damping_enabled: bool,
-    /// Whether in a storm rejections carry a `Retry-After` computed from the expected capacity, in place of the
-    /// balancer's own. Key `advice`, default off.
+    /// Whether rejections in a storm carry a `Retry-After` computed from the expected capacity, in place of the
+    /// `Retry-After` of the balancer. Key `advice`, default off.
     pub retry_after_enabled: bool,
     /// Time constant of the signals' averages. Key `window`, default 1.5 s.
     pub signal_window: Duration,
@@ -27,8 +27,8 @@
     pub unserved_ratio_limit: f64,
     /// Time after which a suspicion that is not refuted becomes a storm. Key `confirm`, default 0.6 s.
     pub confirmation_time: Duration,
-    /// Least time in a storm before the recovery begins, which needs both ratios under half of their limits. Key
-    /// `calm_after`, default 1.5 s.
+    /// Least time in a storm before the recovery begins, which also requires both ratios to be below half of their
+    /// limits. Key `calm_after`, default 1.5 s.
     pub min_storm_time: Duration,
     /// Time without a new storm after which a recovery ends. Key `recover`, default 10 s.
     pub recovery_time: Duration,
@@ -48,7 +48,7 @@
     /// Time within which a second request of the same identity counts as a repeat. Repeats are reported and may redeem
     /// a reservation; they do not affect the state or the budget. Key `remembers`, default 2 s.
     pub repeat_window: Duration,
-    /// Number of identities that are remembered, and of reservations. Key `memory`, default 4096.
+    /// Number of slots in the table of recent identities, and in that of reservations. Key `memory`, default 4096.
     pub cache_slots: usize,
 }
 
@@ -76,8 +76,8 @@
 }
 
 impl StormSettings {
-    /// The text of which the operator file's digest is taken. Gateways of other builds compare that digest, so the text
-    /// keeps the field names and the format of version 0.2.0.
+    /// The text from which the digest of the operator's file is computed. Gateways of other builds compare that digest,
+    /// so the text keeps the field names and the format of version 0.2.0.
     pub fn digest_text(&self) -> String {
         let StormSettings {
             damping_enabled,
@@ -109,7 +109,8 @@
         )
     }
 
-    /// Reads the table `[storm]`. Problems are reported to its document, and their keys get the default.
+    /// Reads the table `[storm]`. Problems are reported to the table's document, and a key with a problem gets its
+    /// default.
     pub fn read(table: &Table<'_, '_>) -> StormSettings {
         let default = StormSettings::default();
         let settings = StormSettings {
@@ -149,7 +150,7 @@
         if !settings.damping_enabled && !settings.retry_after_enabled {
             table.report(
                 "damping",
-                "and advice are both off, so that a detected storm has no effect: leave the table out",
+                "is off and advice is off too, so that a detected storm has no effect: remove the table",
             );
         }
         table.finish();
--- a/crates/control/src/retry_storm/storm_control.rs
+++ b/crates/control/src/retry_storm/storm_control.rs
@@ -10,7 +10,7 @@
 use super::settings::StormSettings;
 use std::time::Duration;
 
-/// How a request was answered, as far as storm control distinguishes.
+/// How a request ended, in the kinds that storm control distinguishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestResult {
     /// An endpoint served the request.
@@ -21,16 +21,16 @@
     Failed,
 }
 
-/// An arriving request, as far as storm control distinguishes.
+/// The properties of an arriving request that storm control uses.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ArrivingRequest {
-    /// Whether its client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_client_retry: bool,
     /// Hash of subject, class and tenant, which repeats of a request have in common; `None` without a subject.
     pub identity: Option<u64>,
-    /// Weight of its class divided by the mean weight of all classes.
+    /// Weight of the request's class divided by the mean weight of all classes.
     pub relative_weight: f64,
-    /// Index of its tenant in [`PlatformTerms::tenant_quotas`].
+    /// Index of the request's tenant in [`PlatformTerms::tenant_quotas`].
     pub tenant: usize,
 }
 
@@ -41,7 +41,7 @@
     pub slow_start_min_capacity: f64,
     /// Time after which a started endpoint has its full capacity.
     pub slow_start_duration: Duration,
-    /// Longest `Retry-After` that clients respect; zero where rejections carry none.
+    /// Longest `Retry-After` that clients respect; zero where rejections carry no `Retry-After`.
     pub max_retry_after: Duration,
     /// Quota of each tenant, in requests per second over all gateways.
     pub tenant_quotas: &'a [f64],
@@ -49,25 +49,25 @@
     pub gateway_count: u32,
 }
 
-/// An endpoint that accepts requests, as far as its capacity is concerned.
+/// The start of an endpoint that accepts requests, from which its capacity is estimated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StartedEndpoint {
-    /// Time at which it started; `None` if it started before records began.
+    /// Time at which the endpoint started; `None` if it started before records of starts began.
     pub started_at: Option<Duration>,
 }
 
-/// State of storm control, for an operator.
+/// State of storm control, as operators see it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryStormStatus {
     /// State of the detector.
     pub state: StormState,
     /// Time at which the state was entered.
     pub since: Duration,
-    /// Current signals.
+    /// Current values of the signals.
     pub signals: Signals,
     /// Number of retries that the budget covers.
     pub budget_balance: f64,
-    /// Number of requests by the reason of their allowance.
+    /// Number of requests by the reason of their allowance, since storm control was created.
     pub allowances: AllowanceCounts,
 }
 
@@ -130,7 +130,7 @@
         Allowance { admission_share: admission_share.clamp(0.0, self.settings.max_admission_share), reason }
     }
 
-    /// Records an arrival with the detector and, for a first attempt, with budget and schedule.
+    /// Records an arriving request with the detector and, for a first attempt, with budget and schedule.
     fn record_arrival(&mut self, now: Duration, request: &ArrivingRequest) -> RetrySigns {
         let is_repeated_key = request.identity.is_some_and(|identity| self.repeats.insert(now, identity));
         let signs = RetrySigns { is_client_retry: request.is_client_retry, is_repeated_key };
@@ -143,7 +143,8 @@
         signs
     }
 
-    /// Classifies a request. Redeems its reservation or withdraws from the budget where it needs that.
+    /// Determines the reason of a request's allowance. Redeems the reservation of a retry; a marked retry without one
+    /// withdraws from the budget.
     fn allowance_reason(
         &mut self,
         now: Duration,
@@ -186,8 +187,8 @@
         self.update_state(now);
     }
 
-    /// The `Retry-After` of a rejected request. It is `default`, the balancer's own, while there is no storm, where the
-    /// settings disable a computed one, and where clients are sent none (zero).
+    /// The `Retry-After` of a rejected request. It is `default`, as the balancer chose it, while the state is calm,
+    /// where the settings disable a computed `Retry-After`, and where `default` is zero because rejections carry none.
     pub fn retry_after(&mut self, now: Duration, identity: Option<u64>, default: Duration) -> Duration {
         let is_calm = self.detector.state() == StormState::Calm;
         if default.is_zero() || !self.settings.retry_after_enabled || is_calm {
@@ -205,7 +206,7 @@
         self.detector.state()
     }
 
-    /// State of storm control, for an operator.
+    /// State of storm control, as operators see it.
     pub fn status(&self, now: Duration) -> RetryStormStatus {
         RetryStormStatus {
             state: self.detector.state(),
@@ -216,7 +217,8 @@
         }
     }
 
-    /// Returns the last change of state that was not reported yet, with the signals that caused it, and marks it reported.
+    /// Returns the last change of state that was not reported yet, with the signals that caused the change, and marks
+    /// it as reported.
     pub fn take_change(&mut self) -> Option<StateChange> {
         self.unreported_change.take()
     }
