--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -15,15 +15,15 @@
     text: &'t str,
     root: Spanned<DeTable<'t>>,
     problems: RefCell<Vec<Problem>>,
-    /// Paths of all keys that have been read.
+    /// Paths of all keys of the document that have been read.
     read_keys: RefCell<BTreeSet<String>>,
 }
 
 impl<'t> Document<'t> {
-    /// Parses a text; `file` is the name under which problems are reported.
+    /// Parses the text of a document; `file` is the name under which problems are reported.
     ///
     /// # Errors
-    /// The text is not valid TOML; every syntax error is reported.
+    /// The text is not valid TOML. Every syntax error is reported.
     pub fn parse(file: &str, text: &'t str) -> Result<Document<'t>, Problems> {
         let (root, errors) = DeTable::parse_recoverable(text);
         if !errors.is_empty() {
@@ -39,12 +39,12 @@
         })
     }
 
-    /// The top-level table.
+    /// The top-level table of the document.
     pub fn root(&self) -> Table<'_, 't> {
         Table::root(self, self.root.get_ref())
     }
 
-    /// Returns `value` if no problem was found so far.
+    /// Returns `value` if no problem was found so far in the document.
     ///
     /// # Errors
     /// All problems found while the tables were read.
@@ -58,23 +58,24 @@
         Err(Problems { file: self.file.clone(), list })
     }
 
-    /// Records a problem with the key of this path at this position of the text.
+    /// Records a problem with the key of the path `key` at the position `span` of the text.
     pub(crate) fn add_problem(&self, span: &Range<usize>, key: String, text: String) {
         let line = line_of(self.text, span.start);
         self.problems.borrow_mut().push(Problem { line, key, text });
     }
 
-    /// Records that the key of this path was read.
+    /// Records that the key of the path `key` was read.
     pub(crate) fn record_read(&self, key: String) {
         self.read_keys.borrow_mut().insert(key);
     }
 
-    /// Whether the key of this path was read.
+    /// Whether the key of the path `key` was read.
     pub(crate) fn was_read(&self, key: &str) -> bool {
         self.read_keys.borrow().contains(key)
     }
 
-    /// Names of the keys read so far directly in the table whose paths begin with `prefix`, in alphabetical order.
+    /// Names of the keys that have been read directly in the table whose paths begin with `prefix`, in alphabetical
+    /// order.
     pub(crate) fn keys_read_below(&self, prefix: &str) -> Vec<String> {
         let read_keys = self.read_keys.borrow();
         let names = read_keys.iter().filter_map(|path| path.strip_prefix(prefix));
@@ -87,7 +88,7 @@
     Problem { line: line_of(text, start), key: String::new(), text: error.message().to_owned() }
 }
 
-/// The line of a byte of the text, counted from 1.
+/// The number of the line that contains the byte at `offset` of the text, counted from 1.
 fn line_of(text: &str, offset: usize) -> usize {
     text.bytes().take(offset).filter(|byte| *byte == b'\n').count() + 1
 }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -5,9 +5,10 @@
 /// One problem of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// Line of the problem, counted from 1.
+    /// Number of the problem's line, counted from 1.
     pub line: usize,
-    /// Path of the key: its tables and itself, joined by dots. Empty where the document can't be parsed.
+    /// Path of the key: the names of its tables and its own name, joined by dots. Empty if the document can't be
+    /// parsed.
     pub key: String,
     /// Description of the problem and of a valid value.
     pub text: String,
@@ -23,12 +24,12 @@
     }
 }
 
-/// All problems of a document, ordered by line. Displayed with one problem a line.
+/// All problems of a document, ordered by line. Displayed as one line for each problem.
 #[derive(Clone, Debug, thiserror::Error)]
 pub struct Problems {
     /// Name of the document's file.
     pub file: String,
-    /// The problems; never empty.
+    /// The problems of the document; never empty.
     pub list: Vec<Problem>,
 }
 
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -12,7 +12,7 @@
 pub struct Table<'d, 't> {
     document: &'d Document<'t>,
     table: &'d DeTable<'t>,
-    /// Path of the table; empty for the top level.
+    /// Path of the table: its name and those of the tables around it, joined by dots; empty for the top level.
     path: String,
     span: Range<usize>,
 }
@@ -22,12 +22,12 @@
         Table { document, table, path: String::new(), span: 0..0 }
     }
 
-    /// Whether the document has the key.
+    /// Whether the table has the key.
     pub fn contains(&self, key: &str) -> bool {
         self.table.contains_key(key)
     }
 
-    /// The value of an optional key; `None` also where it is invalid, which is reported.
+    /// The value of an optional key; `None` if the key is missing, or if its value is invalid, which is reported.
     pub fn get<T: FromValue>(&self, key: &str) -> Option<T> {
         let value = self.value(key)?;
         match T::from_value(value.get_ref()) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The value of a required key; `None` where it is missing or invalid, which is reported.
+    /// The value of a required key; `None` if the key is missing or its value is invalid, either of which is reported.
     pub fn require<T: FromValue>(&self, key: &str) -> Option<T> {
         if !self.contains(key) {
             let path = self.path_of(key);
@@ -49,12 +49,13 @@
         self.get(key)
     }
 
-    /// The value of an optional key, or a default where it is missing or invalid.
+    /// The value of an optional key, or `default` if the key is missing or its value is invalid, which is reported.
     pub fn get_or<T: FromValue>(&self, key: &str, default: T) -> T {
         self.get(key).unwrap_or(default)
     }
 
-    /// The value of an optional key, or a default. A value out of range is reported and replaced by the default.
+    /// The value of an optional key, or `default` if the key is missing. An invalid value or one out of range is
+    /// reported and replaced by `default`.
     pub fn get_in_range<T>(&self, key: &str, range: RangeInclusive<T>, default: T) -> T
     where
         T: FromValue + PartialOrd + fmt::Debug + Copy,
@@ -68,7 +69,7 @@
         value
     }
 
-    /// An optional table.
+    /// An optional table in this table; a value that is no table is reported.
     pub fn table(&self, key: &str) -> Option<Table<'d, 't>> {
         let value = self.value(key)?;
         let path = self.path_of(key);
@@ -79,7 +80,7 @@
         Some(Table { document: self.document, table, path, span: value.span() })
     }
 
-    /// An array of tables; empty where the key is missing.
+    /// An optional array of tables in this table; empty if the key is missing. An entry that is no table is reported.
     pub fn tables(&self, key: &str) -> Vec<Table<'d, 't>> {
         let Some(value) = self.value(key) else { return Vec::new() };
         let array_path = self.path_of(key);
@@ -108,18 +109,18 @@
         self.document.add_problem(&span, self.path_of(key), text.into());
     }
 
-    /// Reports every unknown key, which is one that was not read. Must be called after all known keys have been read.
+    /// Reports every unknown key: every key that was not read. Must be called after all known keys have been read.
     pub fn finish(&self) {
         for key in self.table.keys() {
             let path = self.path_of(key.get_ref());
             if !self.document.was_read(&path) {
-                let text = format!("no such key here; known are {}", self.known_keys());
+                let text = format!("unknown key; known keys: {}", self.known_keys());
                 self.document.add_problem(&key.span(), path, text);
             }
         }
     }
 
-    /// The keys of the table that have been read, for messages.
+    /// The names of the table's keys that have been read, as text for messages.
     fn known_keys(&self) -> String {
         let prefix = if self.path.is_empty() { String::new() } else { format!("{}.", self.path) };
         let known = self.document.keys_read_below(&prefix);
@@ -129,7 +130,7 @@
         known.join(", ")
     }
 
-    /// The path of one of the table's keys.
+    /// The path of a key of the table.
     fn path_of(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_owned()
@@ -138,7 +139,7 @@
         }
     }
 
-    /// The raw value of a key. The key counts as read from now on.
+    /// The unparsed value of a key of the table. The key counts as read from now on.
     fn value(&self, key: &str) -> Option<&'d Spanned<DeValue<'t>>> {
         self.document.record_read(self.path_of(key));
         self.table.get(key)
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -1,4 +1,4 @@
-//! Types that the values of a document can be read as.
+//! Types as which the values of a document can be read.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
         /// Description of the expected value, with an example.
         expected: &'static str,
     },
-    /// The value is none of the names that the key accepts.
+    /// The value is not one of the names that the key accepts.
     #[error("{found} must be one of {}", quoted_list(.choices))]
     UnknownChoice {
         /// The value as written in the document.
@@ -23,8 +23,8 @@
         /// The names that the key accepts.
         choices: Vec<&'static str>,
     },
-    /// The value is not a range, or its greater end is first.
-    #[error("{found} is not {expected}, the lesser one first")]
+    /// The value is not a range, or the greater end of the range comes first.
+    #[error("{found} is not {expected}, the lesser value first")]
     InvalidRange {
         /// The value as written in the document.
         found: String,
@@ -44,7 +44,7 @@
     quoted.join(", ")
 }
 
-/// Number of characters after which messages truncate a text.
+/// Number of characters after which a text is truncated in messages.
 const MAX_DISPLAYED_CHARS: usize = 40;
 
 /// The value as written in the document; a long text is truncated.
@@ -62,21 +62,21 @@
     }
 }
 
-/// A type that a value of a document can be read as.
+/// A type as which a value of a document can be read.
 pub trait FromValue: Sized {
     /// Description of the expected value, with an example.
     const EXPECTED: &'static str;
 
-    /// Reads a value.
+    /// Reads a value of a document as this type.
     ///
     /// # Errors
-    /// The value has another type, another format or is out of range.
+    /// The value has another type or format, or is out of range.
     fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError>;
 }
 
 /// An enumeration whose values have names in documents.
 pub trait Choice: Copy + 'static {
-    /// Each name with its value.
+    /// Each name in documents, with the value that it stands for.
     const CHOICES: &'static [(&'static str, Self)];
 }
 
@@ -112,7 +112,7 @@
 }
 
 impl FromValue for u64 {
-    const EXPECTED: &'static str = "a whole number from 0 on";
+    const EXPECTED: &'static str = "a whole number, 0 or more";
 
     fn from_value(value: &DeValue<'_>) -> Result<Self, ValueError> {
         let integer = value.as_integer();
@@ -150,7 +150,7 @@
     }
 }
 
-/// Length of a unit of time, in seconds.
+/// Length of a unit of time, in seconds; `None` for an unknown unit.
 fn time_unit_s(unit: &str) -> Option<f64> {
     match unit {
         "us" => Some(1e-6),
@@ -179,10 +179,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Bytes(pub u64);
 
-/// Largest size that can be read, in bytes: half of what a `u64` holds, so that the rounded product always fits.
+/// Largest size that can be read, in bytes: half of the largest `u64`, so that the rounded product of number and unit
+/// always fits.
 const MAX_BYTES: f64 = u64::MAX as f64 / 2.0;
 
-/// Size of a unit, in bytes.
+/// Size of a unit of data, in bytes; `None` for an unknown unit.
 fn size_unit_bytes(unit: &str) -> Option<u64> {
     match unit {
         "B" => Some(1),
--- a/crates/config/tests/documents.rs
+++ b/crates/config/tests/documents.rs
@@ -27,7 +27,7 @@
         one = 2
         list = ["a", "b"]
     "#;
-    let document = Document::parse("f", text).expect("valid TOML");
+    let document = Document::parse("f", text).expect("the document is valid TOML");
     let root = document.root();
     assert_eq!(root.get("wait"), Some(Duration::from_secs(90)));
     assert_eq!(root.get("size"), Some(Bytes(65536)));
@@ -45,10 +45,10 @@
 #[test]
 fn every_problem_is_reported_with_its_line_and_key() {
     let text = "wait = \"2\"\nextra = 1\n[load]\nrate = -1.0\n[[event]]\nat = 5\n[[event]]\nlasts = \"1s\"\n";
-    let document = Document::parse("s.toml", text).expect("valid TOML");
+    let document = Document::parse("s.toml", text).expect("the document is valid TOML");
     let root = document.root();
     let _ = root.get::<Duration>("wait");
-    let load = root.table("load").expect("a table");
+    let load = root.table("load").expect("the document has a table [load]");
     let _ = load.get_in_range("rate", 0.0..=1e6, 1.0);
     load.finish();
     for event in root.tables("event") {
@@ -57,7 +57,7 @@
         event.finish();
     }
     root.finish();
-    let problems = document.check(()).expect_err("five problems");
+    let problems = document.check(()).expect_err("the document has five problems");
     let lines: Vec<_> = problems.list.iter().map(|problem| (problem.line, problem.key.as_str())).collect();
     let expected = [(1, "wait"), (2, "extra"), (4, "load.rate"), (6, "event[0].at"), (7, "event[1].at")];
     assert_eq!(lines, expected, "{problems}");
@@ -66,15 +66,15 @@
 
 #[test]
 fn invalid_toml_is_reported_with_its_line() {
-    let problems = Document::parse("s.toml", "a = 1\nb = = 2\n").expect_err("invalid TOML");
+    let problems = Document::parse("s.toml", "a = 1\nb = = 2\n").expect_err("the document is not valid TOML");
     assert_eq!(problems.list[0].line, 2, "{problems}");
 }
 
 proptest! {
-    /// An operator may write anything into the file. A panic would end a gateway on reload, so it is read or rejected, and
-    /// every reported line lies in the file.
+    /// An operator may write anything into the file. A panic would end a gateway on reload, so the text must be read or
+    /// rejected, and every reported line must lie in the file.
     #[test]
-    fn reading_never_panics(text in "\\PC{0,200}", value in "[\\[\\]a-z0-9.\"=\\- \\n]{0,40}") {
+    fn reading_any_text_never_panics(text in "\\PC{0,200}", value in "[\\[\\]a-z0-9.\"=\\- \\n]{0,40}") {
         for text in [text, format!("a = {value}")] {
             let lines = text.lines().count().max(1) + 1;
             match Document::parse("f", &text) {
@@ -97,9 +97,9 @@
     }
 
     #[test]
-    fn times_in_milliseconds_are_exact(ms in 0u64..10_000_000) {
+    fn times_in_milliseconds_are_read_exactly(ms in 0u64..10_000_000) {
         let text = format!("t = \"{ms}ms\"");
-        let document = Document::parse("f", &text).expect("valid TOML");
+        let document = Document::parse("f", &text).expect("the document is valid TOML");
         prop_assert_eq!(document.root().get("t"), Some(Duration::from_millis(ms)));
     }
 }
