--- a/crates/control/tests/retry_storm.rs
+++ b/crates/control/tests/retry_storm.rs
@@ -1,4 +1,5 @@
-//! Storm control in virtual time: when it detects a storm, what it allows, and which times it reserves.
+//! Storm control in virtual time: when a storm is detected, which allowances requests get, and which times are reserved
+//! for retries.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -12,7 +13,7 @@
     Duration::from_millis(count)
 }
 
-/// Longest `Retry-After` that clients respect, and the balancer's own.
+/// Longest `Retry-After` that clients respect; also the `Retry-After` that the balancer chooses.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(1200);
 
 fn computed_retry_after() -> StormSettings {
@@ -40,19 +41,19 @@
     ArrivingRequest { is_client_retry, identity: Some(identity), relative_weight: 1.0, tenant: 0 }
 }
 
-/// Traffic of 200 requests a second.
+/// Traffic of 200 requests per second.
 #[derive(Clone, Copy)]
 struct Traffic {
     /// Number of client retries among ten arrivals.
     retries_of_ten: u64,
-    /// Number of rejected requests among ten.
+    /// Number of rejected requests among ten arrivals.
     rejected_of_ten: u64,
 }
 
 const CALM_TRAFFIC: Traffic = Traffic { retries_of_ten: 0, rejected_of_ten: 0 };
 const STORM_TRAFFIC: Traffic = Traffic { retries_of_ten: 5, rejected_of_ten: 5 };
 
-/// Runs traffic from one time to another, in milliseconds, and returns the states in their order.
+/// Runs traffic for a period, in milliseconds, and returns the states of storm control in their order.
 fn run_traffic(
     storm: &mut RetryStormControl,
     period_ms: std::ops::Range<u64>,
@@ -75,7 +76,7 @@
     states
 }
 
-/// Storm control in a storm, at 8 s.
+/// Storm control that is in the storm state after 8 s of traffic.
 fn control_in_storm(settings: StormSettings) -> RetryStormControl {
     let mut storm = storm_control_with(settings);
     run_traffic(&mut storm, 0..3000, CALM_TRAFFIC);
@@ -84,7 +85,7 @@
     storm
 }
 
-/// Spends what is left of the budget at 8 s.
+/// Spends the remaining retry budget at 8 s.
 fn spend_budget(storm: &mut RetryStormControl) {
     while storm.admit(ms(8000), arriving(true, 2)).reason == AllowanceReason::Budgeted {}
 }
@@ -111,7 +112,7 @@
     assert_eq!(
         storm.retry_after(ms(20_000), Some(1), MAX_RETRY_AFTER),
         MAX_RETRY_AFTER,
-        "the balancer's own"
+        "without a storm the balancer's `Retry-After` is sent"
     );
 }
 
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn all_states_are_passed_in_order_also_in_a_second_outage() {
+fn the_states_follow_in_order_also_in_a_second_outage() {
     let mut storm = storm_control();
     assert_eq!(run_traffic(&mut storm, 0..5000, CALM_TRAFFIC), [StormState::Calm]);
     assert_eq!(
@@ -139,7 +140,7 @@
         run_traffic(&mut storm, 12_000..20_000, CALM_TRAFFIC),
         [StormState::Storm, StormState::Recovering]
     );
-    // A second outage during the recovery is a storm at once, without the confirmation time.
+    // A second outage during the recovery is a storm at once, without waiting for the confirmation time.
     assert_eq!(
         run_traffic(&mut storm, 20_000..24_000, STORM_TRAFFIC),
         [StormState::Recovering, StormState::Storm]
@@ -154,13 +155,16 @@
     run_traffic(&mut storm, 0..5000, CALM_TRAFFIC);
     let states = run_traffic(&mut storm, 5000..5300, STORM_TRAFFIC);
     assert!(!states.contains(&StormState::Storm), "{states:?}");
-    assert_eq!(*run_traffic(&mut storm, 5300..8000, CALM_TRAFFIC).last().expect("a state"), StormState::Calm);
+    assert_eq!(
+        *run_traffic(&mut storm, 5300..8000, CALM_TRAFFIC).last().expect("the run has at least one state"),
+        StormState::Calm
+    );
 }
 
 #[test]
 fn signals_near_their_limits_do_not_make_the_state_oscillate() {
     let mut storm = control_in_storm(computed_retry_after());
-    // A tenth of retries lies under the limit that begins a storm and over the one that ends it.
+    // A tenth of retries lies below the limit at which a storm begins and above the limit at which it ends.
     assert_eq!(
         run_traffic(&mut storm, 8000..30_000, Traffic { retries_of_ten: 1, rejected_of_ten: 1 }),
         [StormState::Storm]
@@ -170,7 +174,7 @@
 #[test]
 fn each_change_of_state_is_reported_once_with_its_signals() {
     let mut storm = control_in_storm(computed_retry_after());
-    let change = storm.take_change().expect("the last change");
+    let change = storm.take_change().expect("the change to the storm state was not reported yet");
     assert_eq!((change.from, change.to), (StormState::Suspected, StormState::Storm));
     assert!(change.signals.client_retry_ratio > 0.12 && change.signals.unserved_ratio > 0.12);
     assert!(change.to_string().contains("Suspected to Storm"), "{change}");
@@ -178,32 +182,39 @@
 }
 
 #[test]
-fn an_allowance_follows_from_attempt_reservation_budget_weight_and_share() {
+fn an_allowance_depends_on_attempt_reservation_budget_weight_and_tenant_share() {
     let mut storm = control_in_storm(computed_retry_after());
     assert_eq!(storm.admit(ms(8000), arriving(false, 1)).reason, AllowanceReason::FirstAttempt);
     spend_budget(&mut storm);
     let unbudgeted = storm.admit(ms(8000), arriving(true, 3));
     assert_eq!(unbudgeted, Allowance { admission_share: 0.5, reason: AllowanceReason::Unbudgeted });
-    // Two seconds later all reserved times are in the past, and new ones are reserved.
+    // Two seconds later all reserved times are in the past, and new times are reserved.
     let after = (0..40)
         .map(|n| storm.retry_after(ms(10_000), Some(70 + n), MAX_RETRY_AFTER))
         .nth(7)
-        .expect("an eighth");
+        .expect("40 retries were scheduled");
     assert!(after > ms(60) && after <= MAX_RETRY_AFTER, "{after:?}");
     let early = storm.admit(ms(10_000) + after / 3, arriving(true, 77));
-    assert_eq!(early.reason, AllowanceReason::Unbudgeted, "its reservation is in {after:?}");
+    assert_eq!(
+        early.reason,
+        AllowanceReason::Unbudgeted,
+        "the retry arrives before its reserved time, in {after:?}"
+    );
     assert_eq!(storm.admit(ms(10_000) + after, arriving(true, 77)).reason, AllowanceReason::Reserved);
     assert_eq!(
         storm.admit(ms(10_001) + after, arriving(true, 77)).reason,
         AllowanceReason::Unbudgeted,
-        "a reservation is good once"
+        "a reservation can be redeemed only once"
+    );
+    let high_weight = ArrivingRequest { relative_weight: 4.0, ..arriving(false, 5) };
+    let low_weight = ArrivingRequest { relative_weight: 0.5, ..arriving(false, 6) };
+    let high_weight_share = storm.admit(ms(12_000), high_weight).admission_share;
+    let low_weight_share = storm.admit(ms(12_000), low_weight).admission_share;
+    assert!(
+        high_weight_share > low_weight_share && high_weight_share <= 1.5,
+        "{high_weight_share} against {low_weight_share}"
     );
-    let heavy = ArrivingRequest { relative_weight: 4.0, ..arriving(false, 5) };
-    let light = ArrivingRequest { relative_weight: 0.5, ..arriving(false, 6) };
-    let heavy_share = storm.admit(ms(12_000), heavy).admission_share;
-    let light_share = storm.admit(ms(12_000), light).admission_share;
-    assert!(heavy_share > light_share && heavy_share <= 1.5, "{heavy_share} against {light_share}");
-    // A tenant with a fortieth of the quotas that sends most of the requests.
+    // A tenant with a fortieth of all quotas sends most of the requests.
     let from_small_tenant = |identity| ArrivingRequest { tenant: 1, ..arriving(false, identity) };
     let shares: Vec<f64> = (100..4000)
         .map(|identity| storm.admit(ms(12_000), from_small_tenant(identity)).admission_share)
@@ -222,7 +233,7 @@
 
 #[test]
 fn damping_and_computed_retry_after_are_enabled_independently() {
-    // Damping, computed `Retry-After`, admission share of an unbudgeted retry.
+    // Whether damping is enabled; whether `Retry-After` is computed; the admission share of an unbudgeted retry.
     for (damping_enabled, retry_after_enabled, expected_share) in
         [(true, false, 0.5), (false, true, 1.0), (true, true, 0.5)]
     {
@@ -241,8 +252,8 @@
     }
 }
 
-/// One gateway of 45 on a normal day: eight requests a second, of which a tenth is rejected and retried by chance. A
-/// storm detected here would limit requests without cause.
+/// One gateway of 45 on a normal day receives eight requests per second, of which a tenth is rejected and retried by
+/// chance. Detecting a storm in this traffic would limit requests without cause.
 #[test]
 fn a_few_rejections_among_few_requests_are_no_storm() {
     let mut rng = fastrand::Rng::with_seed(3);
@@ -253,7 +264,8 @@
         storm.record_result(now, rejected_with(0.1, &mut rng));
         assert!(!matches!(storm.state(), StormState::Storm), "at {now:?}: {:?}", storm.status(now));
     }
-    // With most requests rejected and retried it is a storm, detected within seconds also at this rate.
+    // With 60 % of requests rejected and retried there is a storm, which is detected within 6 s also at eight requests
+    // per second.
     let mut index = 8 * 600;
     while storm.state() != StormState::Storm {
         let now = ms(index * 125);
@@ -273,54 +285,59 @@
 }
 
 #[test]
-fn a_tenant_exceeds_its_share_only_with_enough_evidence() {
+fn a_tenant_exceeds_its_share_only_with_clear_evidence_in_both_estimates() {
     assert_eq!(wilson_lower_bound(0.0, 0.0), 0.0);
     // Wilson's interval for 4 of 10 begins at 0.1682.
     assert!((wilson_lower_bound(4.0, 10.0) - 0.1682).abs() < 1e-4, "{}", wilson_lower_bound(4.0, 10.0));
     assert!(wilson_lower_bound(2.0, 10.0) < 0.12 && wilson_lower_bound(200.0, 1000.0) > 0.17);
-    // Half of the requests are from a tenant whose quota is a tenth of all: it exceeds its share at 40 a second, not at 4
-    // while all others are quiet, and at 4 where ten such gateways make 40.
+    // Half of the requests are from a tenant whose quota is a tenth of all quotas. The tenant exceeds its share at 40
+    // requests per second, but not at 4 while all other tenants send little; at 4 it does with ten such gateways, which
+    // make 40.
     for (gateway_count, interval_ms, exceeds_share) in [(1, 25, true), (1, 250, false), (10, 250, true)] {
         let mut fair_share = FairShare::new(&[10.0, 90.0], gateway_count);
         let record =
             |index: u64| fair_share.record_request(ms(index * interval_ms / 2), (index % 2) as usize);
         let within_share: Vec<bool> = (0..4000).map(record).collect();
-        assert_eq!(!within_share[3998], exceeds_share, "{gateway_count} gateways, one in {interval_ms} ms");
-        assert!(within_share[3999], "the other tenant sends less than its share");
+        assert_eq!(
+            !within_share[3998], exceeds_share,
+            "{gateway_count} gateways, one request of the tenant every {interval_ms} ms"
+        );
+        assert!(within_share[3999], "the other tenant is within its share");
     }
     let mut fair_share = FairShare::new(&[f64::NAN, -1.0, 0.0], 45);
     let mut record = |index: u64| fair_share.record_request(ms(index), index as usize % 5);
-    assert!((0..5000).all(&mut record), "no quota is never exceeded");
+    assert!((0..5000).all(&mut record), "a tenant without a quota never exceeds its share");
 }
 
 #[test]
 fn the_expected_capacity_follows_the_slow_start_of_endpoints() {
     let mut schedule = RetryAfterSchedule::new(0.2, ms(10_000), Duration::from_secs(60), 1);
-    // Four warm endpoints serve 40 requests a second while others are rejected.
+    // Four endpoints past their slow start serve 40 requests per second while other requests are rejected.
     schedule.set_endpoints(ms(0), &[StartedEndpoint { started_at: None }; 4]);
     for now_ms in (0..20_000).step_by(25) {
         schedule.record_result(ms(now_ms), RequestResult::Served);
         schedule.record_result(ms(now_ms), RequestResult::Rejected);
     }
     let now = ms(20_000);
-    let warm_capacity = schedule.capacity(now);
-    assert!((36.0..44.0).contains(&warm_capacity), "{warm_capacity} a second");
-    // Four more have just started.
-    let cold = StartedEndpoint { started_at: Some(now) };
-    let warm = StartedEndpoint { started_at: None };
-    schedule.set_endpoints(now, &[warm, warm, warm, warm, cold, cold, cold, cold]);
+    let initial_capacity = schedule.capacity(now);
+    assert!((36.0..44.0).contains(&initial_capacity), "{initial_capacity} requests per second");
+    // Four more endpoints have just started.
+    let starting = StartedEndpoint { started_at: Some(now) };
+    let started = StartedEndpoint { started_at: None };
+    schedule
+        .set_endpoints(now, &[started, started, started, started, starting, starting, starting, starting]);
     let capacity_now = schedule.capacity(now);
     let capacity_later = schedule.capacity(now + ms(10_000));
-    assert!((capacity_now / warm_capacity - 1.2).abs() < 1e-6, "{capacity_now}");
-    assert!((capacity_later / warm_capacity - 2.0).abs() < 1e-6, "{capacity_later}");
+    assert!((capacity_now / initial_capacity - 1.2).abs() < 1e-6, "{capacity_now}");
+    assert!((capacity_later / initial_capacity - 2.0).abs() < 1e-6, "{capacity_later}");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// No order of attempts spends what was not earned.
+    /// No order of first attempts and retries spends more of the budget than was earned.
     #[test]
-    fn a_budget_is_never_negative(attempts in proptest::collection::vec(any::<bool>(), 0..2000), earned_each in 0.0..2.0f64) {
+    fn a_retry_budget_is_never_negative(attempts in proptest::collection::vec(any::<bool>(), 0..2000), earned_each in 0.0..2.0f64) {
         let mut budget = ClientRetryBudget::new(earned_each, 10.0);
         let mut earned = 10.0;
         let mut spent = 0.0;
@@ -336,10 +353,10 @@
         }
     }
 
-    /// Rejections occur in bursts. If more retries were reserved for one second than endpoints can serve then, they would
-    /// be rejected again and the storm would go on.
+    /// Rejections occur in bursts. If more retries were reserved for one second than endpoints can serve in it, they
+    /// would be rejected again and the storm would continue.
     #[test]
-    fn reservations_stay_under_the_capacity(
+    fn reserved_retries_stay_below_the_capacity(
         rejection_gaps_ms in proptest::collection::vec(0u64..40, 1..600),
         endpoints in 1usize..12,
         rate in 5u64..200,
@@ -364,14 +381,15 @@
         reserved_s.sort_by(f64::total_cmp);
         for (index, start_s) in reserved_s.iter().enumerate() {
             let in_second = reserved_s[index..].iter().take_while(|time_s| **time_s < start_s + 1.0).count() as f64;
-            // Jitter moves a reservation by a tenth of its delay, so some of the next second's may fall into this one.
+            // Jitter moves a reservation by up to a tenth of its delay, so some reservations of the next second may
+            // fall into this second.
             let limit = capacity * 1.3 + 2.0 + 0.1 * capacity * (start_s - 10.0).max(0.0);
-            prop_assert!(in_second <= limit, "{in_second} reserved within a second where {capacity} fit");
+            prop_assert!(in_second <= limit, "{in_second} retries reserved within a second at a capacity of {capacity} per second");
         }
     }
 
-    /// Events arrive in any order, also if the clock seems to run backwards. An allowance or a `Retry-After` out of bounds
-    /// would admit everything or nothing.
+    /// Events arrive in any order, and the clock may seem to run backwards. An allowance or a `Retry-After` out of
+    /// bounds would admit everything or nothing.
     #[test]
     fn allowances_and_retry_after_stay_in_bounds(steps in proptest::collection::vec(
         (0u64..3000, 0u8..6, any::<u64>(), 0.0..20.0f64, any::<bool>()), 1..400)) {
@@ -403,7 +421,7 @@
     }
 }
 
-/// A storm of a million clients must not exhaust the memory: the tables have their size from the start.
+/// A retry storm of a million clients must not exhaust the memory: the tables have a fixed size.
 #[test]
 fn a_million_identities_leave_the_caches_at_their_size() {
     let mut repeats = RepeatCache::new(ms(2000), 4096);
@@ -414,7 +432,7 @@
     let initial_slots = count_slots(&repeats, &reservations);
     assert_eq!(initial_slots, 2 * 4096);
     for identity in 1..=1_000_000u64 {
-        assert!(!repeats.insert(ms(identity / 100), identity), "{identity} was never seen");
+        assert!(!repeats.insert(ms(identity / 100), identity), "identity {identity} was not recorded before");
         reservations.insert(identity, ms(identity / 100));
     }
     assert!(repeats.insert(ms(10_000), 1_000_000));
