--- a/crates/control/src/watch_backoff/tests.rs
+++ b/crates/control/src/watch_backoff/tests.rs
@@ -27,7 +27,11 @@
     assert_eq!(delays, [ms(10), ms(20), ms(40), MAX_RETRY_DELAY, MAX_RETRY_DELAY, MAX_RETRY_DELAY]);
     backoff.reset();
     backoff.record_open(now);
-    assert_eq!(backoff.record_loss(now).retry_delay, ms(10), "another agent has not failed yet");
+    assert_eq!(
+        backoff.record_loss(now).retry_delay,
+        ms(10),
+        "failures of the previous agent do not count for the next one"
+    );
 }
 
 #[test]
@@ -37,16 +41,17 @@
     assert_eq!(backoff.record_message(ms(1)), None);
     assert!(backoff.record_loss(ms(5000)).should_report);
     backoff.record_open(ms(5005));
-    assert!(!backoff.record_loss(ms(5006)).should_report, "the same outage");
+    assert!(!backoff.record_loss(ms(5006)).should_report, "a second loss in one outage is not reported");
     assert_eq!(backoff.record_message(ms(9000)), Some(ms(4000)));
     assert_eq!(backoff.record_message(ms(9001)), None);
     assert!(!backoff.record_loss(ms(9002)).should_report);
-    assert_eq!(backoff.record_message(ms(9010)), None, "its loss was not reported");
+    assert_eq!(backoff.record_message(ms(9010)), None, "the loss was not reported");
 }
 
 proptest! {
-    /// An agent accepts every connection, sends a message or none and closes it, at any moment. Without the bounds it
-    /// would flood the log or keep a core busy with reconnecting.
+    /// An agent accepts every connection, sends a message or none and closes the connection, at any moment. Without
+    /// bounds on reports and retry delays, such an agent would make the gateway flood the log or keep a core busy with
+    /// reconnecting.
     #[test]
     fn reports_and_retries_stay_bounded_whatever_the_agent_does(
         watches in prop::collection::vec((0u64..3000, any::<bool>()), 1..400),
--- a/crates/control/tests/endpoint_start.rs
+++ b/crates/control/tests/endpoint_start.rs
@@ -1,4 +1,4 @@
-//! Estimated starts of endpoints under a wall clock that is right, ahead or behind.
+//! Estimates of endpoint starts with a wall clock that is right, ahead or behind.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 /// Current time, on a clock that began a day ago.
 const NOW: Duration = Duration::from_secs(86_400);
 
-/// Evidence of an endpoint that started `age` ago and is listed at once, to a process whose last discovery message
-/// before was `silent_for` ago. The newest endpoint started `newest_age` ago.
+/// Evidence of an endpoint that started `age` ago and is first listed now, for a process that received its previous
+/// discovery message `silent_for` ago. The newest endpoint started `newest_age` ago.
 fn evidence(age: Duration, silent_for: Option<Duration>, newest_age: Duration) -> StartEvidence {
     StartEvidence {
         now: NOW,
@@ -24,11 +24,11 @@
 }
 
 #[test]
-fn a_right_clock_is_trusted_within_the_bound_of_the_last_discovery_message() {
+fn a_correct_wall_clock_is_used_within_the_bound_of_the_last_discovery_message() {
     assert_eq!(estimate_start(evidence(seconds(1), Some(seconds(2)), seconds(1))), NOW - seconds(1));
     // Discovery was down for half a minute, and the endpoint started twenty seconds ago.
     assert_eq!(estimate_start(evidence(seconds(20), Some(seconds(30)), seconds(20))), NOW - seconds(20));
-    // It is listed so late that it is taken for younger than it is.
+    // An endpoint is listed so late that its start is estimated later than it was.
     assert_eq!(
         estimate_start(evidence(seconds(9), Some(seconds(1)), seconds(9))),
         NOW - seconds(1) - MAX_START_REPORT_DELAY
@@ -36,30 +36,30 @@
 }
 
 #[test]
-fn in_the_first_list_a_start_is_as_late_as_the_newest_allows() {
+fn a_start_in_the_first_list_is_estimated_as_late_as_the_newest_start_allows() {
     assert_eq!(
         estimate_start(evidence(seconds(5), None, seconds(1))),
         NOW - seconds(4),
-        "the newest may have started just now"
+        "the newest endpoint may have started just now"
     );
     assert_eq!(
         estimate_start(evidence(seconds(600), None, seconds(1))),
         NOW - seconds(599),
-        "long before the newest is long ago"
+        "a start long before the newest one was long ago"
     );
     assert_eq!(
         estimate_start(evidence(seconds(600), None, seconds(600))),
         NOW,
-        "it is the newest, and nothing else dates it"
+        "the endpoint is the newest, and nothing else dates its start"
     );
 }
 
 proptest! {
-    /// A wall clock was stepped by up to an hour. A cold endpoint that is taken for a warm one gets more requests than it
-    /// can serve; so none is taken for older than it can be, nor for one of the future, and with a right clock none is
-    /// taken for older than it is.
+    /// A wall clock was stepped by up to an hour. An endpoint in slow start that is taken for an older one gets more
+    /// requests than it can serve. So no endpoint is taken for older than it can be, nor for one that starts in the
+    /// future, and with a right clock no endpoint is taken for older than it is.
     #[test]
-    fn no_wall_clock_makes_a_cold_endpoint_old(
+    fn no_wall_clock_error_makes_an_endpoint_in_slow_start_seem_older(
         age_ms in 0u64..200_000, newest_ms in 0u64..200_000, silent_ms in prop::option::of(0u64..60_000),
         clock_error_ms in -3_700_000i64..3_700_000,
     ) {
@@ -76,10 +76,10 @@
             None => NOW - right.offset_before_newest,
         };
         prop_assert!(start >= bound, "{start:?} is before {bound:?}");
-        prop_assert!(estimate_start(right) >= right.wall_clock_start.expect("a time"), "a right clock bounds the age");
+        prop_assert!(estimate_start(right) >= right.wall_clock_start.expect("the evidence has a wall-clock start"), "a right clock bounds the age");
     }
 
-    /// An endpoint whose start the wall clock can't date has a bound all the same.
+    /// The estimated start has a bound even if the wall clock can't date it.
     #[test]
     fn a_start_without_a_wall_clock_date_is_bounded_too(silent_ms in 0u64..60_000) {
         let message_at = NOW - Duration::from_millis(silent_ms);
