--- a/crates/control/tests/body_streaming.rs
+++ b/crates/control/tests/body_streaming.rs
@@ -1,4 +1,4 @@
-//! What is buffered, what is streamed, and which side is waited for.
+//! Which bodies are buffered, which are streamed, and for which side of a transfer the gateway waits.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 #[test]
 fn a_response_is_buffered_until_it_proves_to_be_long() {
-    // Announced length, bytes received and when, the time of the decision, and the decision.
+    // Announced length in bytes; bytes received, each with its time in ms; time of the decision in ms; the decision.
     let limit = MAX_BUFFERED_BODY_BYTES as u64;
     let cases = [
         (Some(200), &[(0, 200)][..], 500, BufferingDecision::KeepBuffering),
@@ -40,7 +40,7 @@
     assert_eq!(
         ResponseBuffering::next_byte_deadline(ms(10), ms(5)),
         ms(110),
-        "a read before its first byte belongs to an earlier response"
+        "a read before the response's first byte belongs to an earlier response"
     );
     assert_eq!(ResponseBuffering::next_byte_deadline(ms(10), ms(90)), ms(190));
 }
@@ -50,19 +50,27 @@
     let mut transfer = BodyTransfer::new(0);
     assert_eq!((transfer.state(), transfer.endpoint_deadline()), (TransferState::NotForwarded, None));
     transfer.record_endpoint_ready(ms(0));
-    assert_eq!(transfer.endpoint_deadline(), Some(PEER_STALL_TIMEOUT), "it has to accept the first piece");
+    assert_eq!(
+        transfer.endpoint_deadline(),
+        Some(PEER_STALL_TIMEOUT),
+        "the endpoint has to accept the first piece"
+    );
     assert_eq!(transfer.next_client_data_deadline(ms(100)), ms(1600));
-    assert_eq!(transfer.next_client_data_deadline(ms(900)), ms(1600), "a second call gives no more time");
-    assert_eq!(transfer.endpoint_deadline(), None, "the client is waited for");
-    transfer.record_received(ms(1100), 32_000).expect("short enough");
-    // One second used, and one second earned.
+    assert_eq!(
+        transfer.next_client_data_deadline(ms(900)),
+        ms(1600),
+        "a second call does not extend the deadline"
+    );
+    assert_eq!(transfer.endpoint_deadline(), None, "the gateway waits for the client, not for the endpoint");
+    transfer.record_received(ms(1100), 32_000).expect("the body is within the size limit");
+    // One second of waiting was used, and the 32,000 bytes earned one second.
     assert_eq!(transfer.next_client_data_deadline(ms(1100)), ms(1100 + 1500));
-    transfer.record_received(ms(1200), 32_000).expect("short enough");
+    transfer.record_received(ms(1200), 32_000).expect("the body is within the size limit");
     transfer.record_endpoint_ready(ms(1200));
-    // The endpoint takes nine seconds over it, which does not count against the client.
+    // The endpoint takes nine seconds to accept the data, which does not count against the client.
     transfer.record_endpoint_ready(ms(10_200));
     assert_eq!(transfer.next_client_data_deadline(ms(10_200)), ms(10_200 + 1500 + 2000 - 1100));
-    transfer.record_received(ms(10_300), MAX_BODY_BYTES).expect_err("too long");
+    transfer.record_received(ms(10_300), MAX_BODY_BYTES).expect_err("the body exceeds the size limit");
     assert_eq!(
         (transfer.state(), transfer.endpoint_deadline()),
         (TransferState::Failed(BodyError::TooLong), None)
@@ -70,10 +78,10 @@
 }
 
 proptest! {
-    /// Slow clients are promised 64 kB/s. One that keeps this rate must never be cut off, however slow the endpoint is
-    /// within its own time.
+    /// Slow clients are guaranteed service at 64 kB/s. A client that keeps this rate must never be cut off, however
+    /// slow the endpoint is within its own time limit.
     #[test]
-    fn a_client_at_the_promised_rate_is_never_cut_off(pieces in prop::collection::vec((1u64..40_000, 0u64..9000), 1..60)) {
+    fn a_client_at_the_guaranteed_rate_is_never_cut_off(pieces in prop::collection::vec((1u64..40_000, 0u64..9000), 1..60)) {
         let mut transfer = BodyTransfer::new(0);
         let mut now = ms(0);
         for (bytes, endpoint_ms) in pieces {
@@ -89,7 +97,7 @@
             prop_assert!(transfer.endpoint_deadline().is_some_and(|due| due >= now.saturating_sub(ms(9000))));
             now += ms(endpoint_ms);
         }
-        // The client has sent everything; the endpoint still has to accept the rest, in its time.
+        // The client has sent everything; the endpoint still has to accept the rest within its time limit.
         transfer.record_endpoint_ready(now);
         transfer.record_end();
         prop_assert_eq!((transfer.state(), transfer.endpoint_deadline()), (TransferState::Complete, Some(now + PEER_STALL_TIMEOUT)));
@@ -111,10 +119,10 @@
     }
 }
 
-/// A client sends most of a long body quickly and stops. Its error response is due within 3 s, so what it sent before
-/// must not earn it more time than that; one that keeps its rate is not cut off.
+/// A client sends most of a long body quickly and stops. The error response is due within 3 s, so bytes that the client
+/// sent before must not earn it more time than that. A client that keeps the required rate is not cut off.
 #[test]
-fn a_client_that_stops_gets_no_more_time_for_what_it_sent() {
+fn a_client_that_stops_gets_no_more_time_for_bytes_sent_before() {
     for received in [0, 100, 64 << 10, 1 << 20, 31 << 20] {
         let mut transfer = BodyTransfer::new(received);
         let stopped_at = Duration::from_secs(7);
@@ -125,18 +133,20 @@
         );
         assert!(
             CLIENT_BODY_IDLE_TIMEOUT + Duration::from_millis(400) < Duration::from_secs(3),
-            "with a busy machine's delay"
+            "the error response is in time, with 400 ms for a busy machine"
         );
         assert!(
             deadline >= stopped_at + Duration::from_millis(1500),
             "{received} bytes: {deadline:?} is too early"
         );
     }
-    // A piece of 64 kB every second goes on for as long as it likes.
+    // A client that sends 64 kB every second is never cut off.
     let mut transfer = BodyTransfer::default();
     for second in 0..60 {
         let now = Duration::from_secs(second);
         assert!(transfer.next_client_data_deadline(now) > now + Duration::from_secs(1), "{second} s");
-        transfer.record_received(now + Duration::from_secs(1), 64_000).expect("not too long");
+        transfer
+            .record_received(now + Duration::from_secs(1), 64_000)
+            .expect("the body is within the size limit");
     }
 }
--- a/crates/control/tests/class_registry.rs
+++ b/crates/control/tests/class_registry.rs
@@ -1,4 +1,4 @@
-//! Classes change while requests and attempts still refer to theirs.
+//! Classes change while requests and attempts still refer to the classes under which they started.
 
 use proptest::prelude::*;
 use std::rc::Rc;
@@ -31,8 +31,8 @@
             ("look".to_owned(), class(100, Idempotency::Idempotent)),
         ],
     );
-    let old_pay = active_class(&registry, "pay").expect("pay");
-    let look_number = active_class(&registry, "look").expect("look").number;
+    let old_pay = active_class(&registry, "pay").expect("the class `pay` is active");
+    let look_number = active_class(&registry, "look").expect("the class `look` is active").number;
     registry.replace(
         NOW,
         [
@@ -40,28 +40,29 @@
             ("pay".to_owned(), class(300, Idempotency::NotIdempotent)),
         ],
     );
-    let new_pay = active_class(&registry, "pay").expect("pay");
-    assert_ne!(new_pay.number, old_pay.number, "the old one is still referred to");
+    let new_pay = active_class(&registry, "pay").expect("the class `pay` is active");
+    assert_ne!(new_pay.number, old_pay.number, "the old class is still referred to");
     assert_eq!(
         (old_pay.class.idempotency, new_pay.class.idempotency),
         (Idempotency::Idempotent, Idempotency::NotIdempotent)
     );
     assert_eq!(
-        active_class(&registry, "look").expect("look").number,
+        active_class(&registry, "look").expect("the class `look` is active").number,
         look_number,
         "an unchanged class keeps its number"
     );
     let rules = registry.by_number();
     assert!(
         rules[old_pay.number].retired && rules[old_pay.number].idempotency == Idempotency::Idempotent,
-        "its requests keep their rules"
+        "requests of the old class keep their rules"
     );
     assert!(!rules[new_pay.number].retired);
 }
 
 proptest! {
-    /// Classes change with every configuration while requests still refer to old ones. If a number passed to another class
-    /// too early, the end of an attempt would be counted for the wrong class; if it never did, numbers would run out.
+    /// Classes change with every configuration while requests still refer to old ones. If a number were reused for
+    /// another class too early, the end of an attempt would be counted for the wrong class; if numbers were never
+    /// reused, they would run out.
     #[test]
     fn a_number_is_reused_only_once_nothing_refers_to_its_class(
         configurations in prop::collection::vec(prop::collection::btree_map("[a-d]", 1u64..4, 1..4), 1..40),
@@ -76,7 +77,7 @@
             registry.replace(now, classes);
             prop_assert_eq!(registry.active().count(), configuration.len());
             for (name, objective_ms) in configuration {
-                let active = active_class(&registry, name).expect("every class of the configuration");
+                let active = active_class(&registry, name).expect("every class of the configuration is active");
                 prop_assert_eq!(active.class.latency_objective, Duration::from_millis(*objective_ms));
             }
             let rules = registry.by_number();
@@ -86,12 +87,14 @@
             referenced.extend(registry.active().take(*count).cloned());
             let excess = referenced.len().saturating_sub(6);
             referenced.drain(..excess);
-            // Four active, six referred to, and those of three configurations that clients may still use.
+            // Up to 4 active classes, 6 that are referred to, and 4 from each of 3 configurations that clients may
+            // still use; the limit allows for a fourth configuration.
             prop_assert!(rules.len() <= 4 + 6 + 4 * 4, "{} numbers", rules.len());
-            // A class of the previous configuration is usable with its old rules for a while, and not after that.
+            // A class of the previous configuration is usable with its old rules during the grace time, and not after
+            // that.
             let table = registry.table();
             for (name, objective_ms) in previous.iter().filter(|(name, _)| !configuration.contains_key(name.as_str())) {
-                let retired = table.resolve(now, name, READ).expect("clients may still use it");
+                let retired = table.resolve(now, name, READ).expect("clients may still use the retired class");
                 prop_assert_eq!(retired.class.latency_objective, Duration::from_millis(*objective_ms));
                 prop_assert_eq!(&rules[retired.number].latency_objective, &retired.class.latency_objective, "{:?} has lost its number", retired);
                 prop_assert_eq!(table.resolve(now + RETIRED_CLASS_GRACE, name, READ).err(), Some(ClassError::Unknown));
@@ -102,7 +105,7 @@
 }
 
 #[test]
-fn a_request_gets_the_class_of_its_form_also_shortly_after_a_change() {
+fn a_request_resolves_to_the_class_of_its_form_also_shortly_after_a_change() {
     let mut registry = ClassRegistry::default();
     registry.replace(
         NOW,
@@ -124,7 +127,7 @@
     assert_eq!(
         idempotency(changed_at, "pay", READ),
         Ok(Idempotency::Idempotent),
-        "the old ones apply for a while"
+        "the old rules still apply during the grace time"
     );
     assert_eq!(idempotency(changed_at, "look", READ), Ok(Idempotency::Idempotent));
     assert_eq!(idempotency(grace_end, "pay", READ), Err(ClassError::MethodMismatch));
@@ -134,7 +137,7 @@
         Err(ClassError::KeyMismatch)
     );
     assert_eq!(idempotency(changed_at, "nobody", READ), Err(ClassError::Unknown));
-    // A configuration that changes nothing more does not shorten the grace.
+    // A further configuration without changes does not shorten the grace time.
     registry.replace(
         changed_at + RETIRED_CLASS_GRACE / 2,
         [("pay".to_owned(), class(300, Idempotency::NotIdempotent))],
--- a/crates/control/tests/drain.rs
+++ b/crates/control/tests/drain.rs
@@ -1,4 +1,5 @@
-//! Drain and shutdown: every order of calls and times to a fixed depth, against what the front balancer and clients observe.
+//! Drain and shutdown: runs every sequence of calls and waits up to a fixed length, and checks what the front balancer
+//! and clients observe.
 
 use std::time::Duration;
 use weldworks_control::drain::{
@@ -22,11 +23,11 @@
     StartDraining,
     CancelDraining,
     Shutdown,
-    /// Advances the time by so many milliseconds.
+    /// Advances the time by this number of milliseconds.
     Wait(u64),
 }
 
-/// The steps of which every sequence of length [`DEPTH`] is run: 46,656 sequences for each kind of listener.
+/// The steps of a sequence. Every sequence of [`DEPTH`] steps is run: 46,656 sequences for each kind of listener.
 const STEPS: [Step; 6] = [
     Step::StartDraining,
     Step::CancelDraining,
@@ -38,7 +39,7 @@
 /// Number of steps in a sequence.
 const DEPTH: u32 = 6;
 
-/// The sequence of this number among all sequences of [`DEPTH`] steps.
+/// The sequence with the number `number` among all sequences of [`DEPTH`] steps.
 fn sequence<T: Copy>(steps: &[T], number: usize) -> Vec<T> {
     let mut remaining = number;
     let mut sequence = Vec::new();
@@ -49,7 +50,7 @@
     sequence
 }
 
-/// A gateway's drain, with the calls that were made and are in effect.
+/// A gateway's drain state, with the start times of the drain and the shutdown that are in effect.
 struct Observed {
     drain: Drain,
     shared_listener: bool,
@@ -86,7 +87,7 @@
         self.draining_since.is_some() || self.shutdown_since.is_some()
     }
 
-    /// Checks what must hold at any time, after any events.
+    /// Checks the conditions that must hold at any time, after any calls.
     fn check(&self) {
         let before = format!("{:?}", self.drain);
         let idle_limit = self.drain.idle_limit(self.now, self.now);
@@ -103,7 +104,7 @@
         if let Some(idle_limit) = idle_limit {
             self.check_limit_shrinks(idle_limit);
         }
-        assert_eq!(before, format!("{:?}", self.drain), "a query changes nothing");
+        assert_eq!(before, format!("{:?}", self.drain), "a query has changed the state");
     }
 
     fn check_in_service(&self, idle_limit: Option<Duration>) {
@@ -119,7 +120,8 @@
             now < since + CONNECTION_CLOSE_START || self.drain.sends_connection_close(now),
             "no `Connection: close` at {now:?}"
         );
-        // A request that arrives now has 2 s until no request may be in flight any more.
+        // 2 s after the start of a drain, connections must close soon: a request that arrives then has 2 s until no
+        // request may be in flight any more.
         assert!(
             now < since + ms(2000) || idle_limit.is_some_and(|limit| limit <= ms(200)),
             "{idle_limit:?} at {now:?}"
@@ -149,8 +151,8 @@
     }
 }
 
-/// Operators start and cancel drains while a restart begins, in any order. A wrong order must not leave a gateway that
-/// accepts clients and drops them.
+/// Operators start and cancel drains while a restart begins, in any order. No order of these calls may leave a gateway
+/// that accepts clients and drops them.
 #[test]
 fn invariants_hold_after_every_sequence_of_calls() {
     for shared_listener in [false, true] {
@@ -175,7 +177,7 @@
 fn closes_are_spread_and_the_longest_idle_connection_closes_first() {
     let mut drain = in_service(false);
     drain.start_draining(ms(10_000));
-    // A hundred connections, idle for 0 to 1.3 s when the closing begins.
+    // A hundred connections that have been idle for 0 to 1.3 s when the gateway begins to close idle connections.
     let idle_since: Vec<Duration> = (0..100).map(|index| ms(10_500 - index * 13)).collect();
     let mut closed_at = vec![None; idle_since.len()];
     for now_ms in (10_000..12_000).step_by(50) {
@@ -191,10 +193,13 @@
         assert!(closed_now <= 20, "{closed_now} closes at {now:?}");
     }
     assert!(closed_at.iter().all(|closed_at| closed_at.is_some_and(|time| time <= ms(11_850))));
-    assert!(closed_at.windows(2).all(|pair| pair[0] >= pair[1]), "the longest idle first");
+    assert!(
+        closed_at.windows(2).all(|pair| pair[0] >= pair[1]),
+        "the longest idle connection is closed first"
+    );
 }
 
-/// A client's connection, as the listener sees it.
+/// The state of a client's connection at the listener.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Connection {
     IdleSince(Duration),
@@ -202,7 +207,7 @@
     Closed,
 }
 
-/// A step of the gateway or of the client whose connection is in use.
+/// A step of the gateway, or of the client whose connection is in use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum ConnectionStep {
     Drain(Step),
@@ -220,7 +225,7 @@
     ConnectionStep::Response,
 ];
 
-/// Interval at which the listener looks for idle connections.
+/// Interval at which the listener checks for idle connections to close.
 const IDLE_CHECK_INTERVAL: Duration = ms(25);
 
 /// A gateway with two connections: one in use, one idle.
@@ -238,7 +243,7 @@
         }
     }
 
-    /// Carries a step out, and returns the time that it takes.
+    /// Performs a step and returns the time that the step takes.
     fn apply(&mut self, step: ConnectionStep) -> Duration {
         match step {
             ConnectionStep::Drain(Step::StartDraining) => self.observed.start_draining(),
@@ -267,7 +272,7 @@
         self.connections[0] = if closes { Connection::Closed } else { Connection::IdleSince(now) };
     }
 
-    /// Advances the time, checking at each interval.
+    /// Advances the time, and closes and checks connections at each [`IDLE_CHECK_INTERVAL`].
     fn advance(&mut self, duration: Duration) {
         let end = self.observed.now + duration;
         loop {
@@ -292,8 +297,8 @@
         }
     }
 
-    /// 4 s after the start of a drain no connection may be idle, and none may have a request that arrived less than 2 s ago:
-    /// it should have been closed before.
+    /// 4 s after the start of a drain no connection may be idle, and no connection may have a request that arrived less
+    /// than 2 s ago: such a connection should have been closed before.
     fn check_drain_limit(&self) {
         let now = self.observed.now;
         let Some(since) = self.observed.draining_since.filter(|since| now >= *since + ms(4000)) else {
@@ -312,10 +317,10 @@
     }
 }
 
-/// Calls, requests, responses and closes happen in any order, with one connection in use and one idle. Nothing is closed
-/// without cause, and 4 s after the start of a drain nothing is open that may not be.
+/// Calls, requests, responses and closes happen in any order, with one connection in use and one idle. No connection is
+/// closed without cause, and 4 s after the start of a drain no connection is open that should be closed.
 #[test]
-fn no_connection_is_closed_without_cause_or_open_too_long() {
+fn no_connection_is_closed_without_cause_or_stays_open_too_long() {
     for shared_listener in [false, true] {
         for number in 0..CONNECTION_STEPS.len().pow(DEPTH) {
             let mut listener = Listener::new(shared_listener);
@@ -330,26 +335,29 @@
 /// A client connects just before the listener closes. If its connection was closed before its first request, the client
 /// would not know that it may send the request again.
 #[test]
-fn a_new_connection_may_bring_its_first_request_shortly_after_sigterm() {
+fn a_new_connection_stays_open_for_its_first_request_shortly_after_sigterm() {
     let mut drain = in_service(false);
     assert!(!drain.awaits_first_request(ms(100)));
     drain.start_draining(ms(200));
-    assert!(!drain.awaits_first_request(ms(300)), "a drain alone does not delay its close");
+    assert!(!drain.awaits_first_request(ms(300)), "a drain without a shutdown does not delay the close");
     drain.begin_shutdown(ms(1000));
-    assert_eq!(drain.idle_limit(ms(1650), ms(0)), Some(Duration::ZERO), "others may not be idle");
+    assert_eq!(drain.idle_limit(ms(1650), ms(0)), Some(Duration::ZERO), "other connections may not be idle");
     assert!(drain.awaits_first_request(ms(1650)) && drain.awaits_first_request(ms(1740)));
-    assert!(!drain.awaits_first_request(ms(1750)), "0.7 s and the protocol's slack");
+    assert!(
+        !drain.awaits_first_request(ms(1750)),
+        "first requests may arrive for 0.7 s and the protocol's slack of 50 ms"
+    );
 }
 
-/// The process is killed 0.7 s after the longest deadline, and may be paused for 0.15 s between its last look at the clock
-/// and its write. A response that is due later than 0.15 s before the kill could be lost.
+/// The process is killed 0.7 s after the longest deadline, and may be paused for 0.15 s between reading the clock and
+/// writing a response. A response that is due later than 0.15 s before the kill could be lost.
 #[test]
 fn responses_are_due_early_enough_before_the_kill_for_a_paused_process() {
     for longest_deadline in [ms(50), ms(300), ms(1200), ms(3000)] {
         let mut drain = Drain::new(DrainSettings { longest_deadline, shared_listener: false });
         drain.begin_shutdown(ms(1000));
         let kill_at = ms(1000) + longest_deadline + ms(700);
-        let due = drain.answer_deadline().expect("a shutdown has an end");
+        let due = drain.answer_deadline().expect("a shutdown has an answer deadline");
         assert!(due + ms(150) < kill_at, "{longest_deadline:?}: due at {due:?}, killed at {kill_at:?}");
     }
 }
--- a/crates/control/tests/execution.rs
+++ b/crates/control/tests/execution.rs
@@ -5,8 +5,8 @@
     classify_attempt, classify_response, AttemptEnd, ResponseVerdict, WriteProgress,
 };
 
-/// A request that was possibly processed must not be retried as if it had not been: a write could happen twice. The
-/// table lists every end of an attempt with every progress of its write.
+/// A request that was possibly processed must not be retried as if it had not been processed: a write could happen
+/// twice. The table lists every way in which an attempt ends with every progress of writing its request.
 #[test]
 fn each_end_of_an_attempt_has_its_outcome() {
     use AttemptEnd::*;
@@ -22,8 +22,8 @@
     ];
     for (ended, outcomes) in table {
         assert_eq!(progress.map(|written| classify_attempt(written, ended)), outcomes, "{ended:?}");
-        // The rule behind the table: unless the endpoint says so itself, a request whose last byte was written is never
-        // proven to be unprocessed.
+        // The rule behind the table: a request whose last byte was written is never proven to be unprocessed, unless
+        // the endpoint itself says so.
         let said_by_endpoint = ended == Answered(ResponseVerdict::NotProcessed);
         let after_last_byte = classify_attempt(WriteProgress::Complete, ended);
         assert!(said_by_endpoint || !after_last_byte.proves_not_processed(), "{ended:?}");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn only_a_single_plain_mark_on_a_rejection_says_not_processed() {
+fn only_a_rejection_with_a_single_valid_mark_is_not_processed() {
     let cases: [(u16, &[&[u8]], ResponseVerdict); 12] = [
         (200, &[], ResponseVerdict::Served),
         (200, &[b"1"], ResponseVerdict::Served),
--- a/crates/control/tests/hot_restart.rs
+++ b/crates/control/tests/hot_restart.rs
@@ -1,4 +1,4 @@
-//! What one process writes is read back by its successor, completely or not at all.
+//! A successor reads what the active process wrote, completely or not at all.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -25,13 +25,13 @@
 
 proptest! {
     #[test]
-    fn a_snapshot_is_decoded_to_the_last_digit(snapshot in any_snapshot(), age_ms in 0u64..5000) {
+    fn a_snapshot_is_decoded_exactly(snapshot in any_snapshot(), age_ms in 0u64..5000) {
         let text = encode_snapshot(&snapshot, NOW - Duration::from_millis(age_ms));
         prop_assert_eq!(decode_snapshot(&text, NOW), Ok(snapshot));
     }
 
-    /// A process is killed while it writes, or a byte of the file is damaged. The successor then starts without learned
-    /// state; values out of range must never reach the balancer.
+    /// A process is killed while it writes its snapshot, or a byte of the file is damaged. The successor then starts
+    /// without learned state; values out of range must never reach the balancer.
     #[test]
     fn a_truncated_or_damaged_text_is_rejected_or_valid(snapshot in any_snapshot(), position in any::<prop::sample::Index>(), byte in any::<u8>()) {
         let text = encode_snapshot(&snapshot, NOW);
@@ -39,7 +39,7 @@
         prop_assert!(decode_snapshot(truncated, NOW).is_err(), "{:?}", truncated);
         let mut damaged = text.clone().into_bytes();
         damaged[position.index(text.len())] = byte;
-        // A digit may have become another one, which can't be noticed.
+        // A digit may have become another digit, which can't be noticed.
         if let Ok(snapshot) = decode_snapshot(&String::from_utf8_lossy(&damaged), NOW) {
             prop_assert!(snapshot.is_valid());
         }
@@ -68,7 +68,7 @@
     assert_eq!(
         decode_snapshot(&text, NOW - Duration::from_secs(1)),
         Err(SnapshotError::Expired(-1000)),
-        "from the future"
+        "a snapshot from the future is rejected"
     );
     for estimate in ["NaN", "inf", "-0.05", "0", "1e300", "soon"] {
         assert_eq!(
@@ -104,8 +104,8 @@
             expected,
             "{after_ms} ms, {progress:?}"
         );
-        let alone = Startup { shared_listener: false, ..startup };
-        assert_eq!(alone.waiting_for(NOW + ms(after_ms), progress), None);
+        let sole_process = Startup { shared_listener: false, ..startup };
+        assert_eq!(sole_process.waiting_for(NOW + ms(after_ms), progress), None);
     }
 }
 
@@ -119,10 +119,10 @@
         let _ = DescriptorUsage::decode(&noise);
     }
 
-    /// Two processes open and close descriptors in any order. If they exceeded the limit together, accepting and connecting
-    /// would fail in both.
+    /// Two processes open and close descriptors in any order. If they exceeded the limit together, accepting and
+    /// connecting would fail in both processes.
     #[test]
-    fn two_processes_that_know_of_each_other_stay_within_one_limit(limit in 1usize..200, steps in prop::collection::vec((0usize..2, any::<bool>()), 0..400)) {
+    fn two_processes_that_know_each_others_usage_stay_within_one_limit(limit in 1usize..200, steps in prop::collection::vec((0usize..2, any::<bool>()), 0..400)) {
         let mut open = [0usize; 2];
         for (process, opens) in steps {
             let own_usage = open[process];
@@ -137,11 +137,12 @@
     }
 }
 
-/// A process of version 0.2.0 is replaced by this one, and this one by it, so the text stays the same to the byte.
+/// Processes of version 0.2.0 and of this version succeed each other in both directions, so the text of a snapshot
+/// stays the same to the byte.
 #[test]
-fn the_text_is_that_of_version_0_2_0() {
+fn the_snapshot_text_is_that_of_version_0_2_0() {
     let text = include_str!("fixtures/hot-restart-snapshot.txt");
-    let decoded = decode_snapshot(text, NOW).expect("it is valid");
+    let decoded = decode_snapshot(text, NOW).expect("the snapshot of version 0.2.0 is valid");
     let endpoints =
         [(0x00ff_1234_5678_9abc, 0.05), (u64::MAX, 1e-6), (7, 0.123_456_789_012_345_68), (9, 600.0)];
     let endpoints = endpoints
