--- a/crates/control/src/retry_storm/mod.rs
+++ b/crates/control/src/retry_storm/mod.rs
@@ -30,6 +30,6 @@
 pub use retry_after::{Reservation, RetryAfterSchedule};
 pub use settings::StormSettings;
 pub use storm_control::{
-    ArrivingRequest, PlatformTerms, RequestResult, RetryStormControl, RetryStormStatus, StartedEndpoint,
+    ArrivingRequest, PlatformSettings, RequestResult, RetryStormControl, RetryStormStatus, StartedEndpoint,
 };
 pub use wilson_interval::wilson_lower_bound;
--- a/crates/control/src/retry_storm/storm_control.rs
+++ b/crates/control/src/retry_storm/storm_control.rs
@@ -30,13 +30,13 @@
     pub identity: Option<u64>,
     /// Weight of the request's class divided by the mean weight of all classes.
     pub relative_weight: f64,
-    /// Index of the request's tenant in [`PlatformTerms::tenant_quotas`].
+    /// Index of the request's tenant in [`PlatformSettings::tenant_quotas`].
     pub tenant: usize,
 }
 
 /// The part of the platform's configuration that storm control depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct PlatformTerms<'a> {
+pub struct PlatformSettings<'a> {
     /// Least fraction of its full capacity that a starting endpoint has.
     pub slow_start_min_capacity: f64,
     /// Time after which a started endpoint has its full capacity.
@@ -87,7 +87,7 @@
 
 impl RetryStormControl {
     /// Creates storm control in the calm state. The seed determines the jitter of `Retry-After`.
-    pub fn new(settings: StormSettings, terms: PlatformTerms<'_>, seed: u64) -> RetryStormControl {
+    pub fn new(settings: StormSettings, terms: PlatformSettings<'_>, seed: u64) -> RetryStormControl {
         RetryStormControl {
             detector: StormDetector::new(&settings),
             budget: ClientRetryBudget::new(settings.retries_per_first_attempt, settings.max_saved_retries),
--- a/crates/control/tests/retry_storm.rs
+++ b/crates/control/tests/retry_storm.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use weldworks_control::retry_storm::{
     wilson_lower_bound, Allowance, AllowanceReason, ArrivingRequest, ClientRetryBudget, FairShare,
-    PlatformTerms, RepeatCache, RequestResult, Reservation, ReservationCache, RetryAfterSchedule,
+    PlatformSettings, RepeatCache, RequestResult, Reservation, ReservationCache, RetryAfterSchedule,
     RetryStormControl, StartedEndpoint, StormSettings, StormState,
 };
 
@@ -25,7 +25,7 @@
 }
 
 fn storm_control_with(settings: StormSettings) -> RetryStormControl {
-    let terms = PlatformTerms {
+    let terms = PlatformSettings {
         slow_start_min_capacity: 0.2,
         slow_start_duration: ms(10_000),
         max_retry_after: MAX_RETRY_AFTER,
--- a/crates/gateway/src/engine/retry_storm.rs
+++ b/crates/gateway/src/engine/retry_storm.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 use tracing::info;
 use weldworks_control::retry_storm::{
-    ArrivingRequest, PlatformTerms, RequestResult, RetryStormControl, StormSettings,
+    ArrivingRequest, PlatformSettings, RequestResult, RetryStormControl, StormSettings,
 };
 
 /// Lower bound of the mean priority weight, so that classes without any weight don't divide by zero.
@@ -21,7 +21,7 @@
     /// Switches retry-storm control on, or restarts it with other settings.
     pub fn enable_retry_storm_control(&mut self, storm_settings: StormSettings) {
         let settings = &self.settings;
-        let terms = PlatformTerms {
+        let terms = PlatformSettings {
             slow_start_min_capacity: settings.slow_start_min_capacity,
             slow_start_duration: settings.slow_start_duration,
             max_retry_after: settings.max_retry_after,
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -25,7 +25,7 @@
     Settings,
 };
 use weldworks_control::retry_storm::{
-    ArrivingRequest, PlatformTerms, RequestResult, RetryStormControl, StormSettings,
+    ArrivingRequest, PlatformSettings, RequestResult, RetryStormControl, StormSettings,
 };
 
 /// A gateway's clock starts so long before the day, so that what started before it has a time.
@@ -308,7 +308,7 @@
             let settings: Settings = parse_settings(&script.settings(g, of).to_string())?;
             gateways.push(Gateway {
                 storm: storm.map(|s| {
-                    let terms = PlatformTerms {
+                    let terms = PlatformSettings {
                         slow_start_min_capacity: settings.slow_start_min_capacity,
                         slow_start_duration: settings.slow_start_duration,
                         max_retry_after: settings.max_retry_after,
