--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -74,8 +74,8 @@
         self.read_keys.borrow().contains(key)
     }
 
-    /// Names of the keys that have been read directly in the table whose paths begin with `prefix`, in alphabetical
-    /// order.
+    /// Names of the keys that have been read directly in the table
+    /// whose paths begin with `prefix`, in alphabetical order.
     pub(crate) fn keys_read_below(&self, prefix: &str) -> Vec<String> {
         let read_keys = self.read_keys.borrow();
         let names = read_keys.iter().filter_map(|path| path.strip_prefix(prefix));
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -7,8 +7,8 @@
 pub struct Problem {
     /// Number of the problem's line, counted from 1.
     pub line: usize,
-    /// Path of the key: the names of its tables and its own name, joined by dots. Empty if the document can't be
-    /// parsed.
+    /// Path of the key: the names of its tables and its own name,
+    /// joined by dots. Empty if the document can't be parsed.
     pub key: String,
     /// Description of the problem and of a valid value.
     pub text: String,
--- a/crates/config/src/table.rs
+++ b/crates/config/src/table.rs
@@ -54,8 +54,8 @@
         self.get(key).unwrap_or(default)
     }
 
-    /// The value of an optional key, or `default` if the key is missing. An invalid value or one out of range is
-    /// reported and replaced by `default`.
+    /// The value of an optional key, or `default` if the key is missing. An
+    /// invalid value or one out of range is reported and replaced by `default`.
     pub fn get_in_range<T>(&self, key: &str, range: RangeInclusive<T>, default: T) -> T
     where
         T: FromValue + PartialOrd + fmt::Debug + Copy,
--- a/crates/config/src/value.rs
+++ b/crates/config/src/value.rs
@@ -179,8 +179,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Bytes(pub u64);
 
-/// Largest size that can be read, in bytes: half of the largest `u64`, so that the rounded product of number and unit
-/// always fits.
+/// Largest size that can be read, in bytes: half of the largest
+/// `u64`, so that the rounded product of number and unit always fits.
 const MAX_BYTES: f64 = u64::MAX as f64 / 2.0;
 
 /// Size of a unit of data, in bytes; `None` for an unknown unit.
--- a/crates/control/src/body_streaming.rs
+++ b/crates/control/src/body_streaming.rs
@@ -14,8 +14,8 @@
 /// Rate that a client's body has to reach, in bytes per second, once [`CLIENT_BODY_GRACE`] has passed: half of 64 kB/s,
 /// the rate at which slow clients are guaranteed to be served.
 const MIN_CLIENT_BODY_BYTES_PER_S: f64 = 32e3;
-/// Total time that the gateway waits for body data of a client beside the time that received bytes earn at
-/// [`MIN_CLIENT_BODY_BYTES_PER_S`].
+/// Total time that the gateway waits for body data of a client beside
+/// the time that received bytes earn at [`MIN_CLIENT_BODY_BYTES_PER_S`].
 const CLIENT_BODY_GRACE: Duration = Duration::from_millis(1500);
 /// Time without body data after which a client counts as stopped, regardless of how much it sent before. The error
 /// response to a stopped client is due within 3 s.
@@ -25,8 +25,8 @@
 /// Time without data after which a buffered response is abandoned. An endpoint that keeps the connection open after too
 /// few bytes would otherwise hold the request until the attempt times out, too late for a retry.
 const BUFFERED_RESPONSE_IDLE_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time after the first byte from which a response is streamed if its announced length exceeds
-/// [`MAX_BUFFERED_BODY_BYTES`].
+/// Time after the first byte from which a response is streamed
+/// if its announced length exceeds [`MAX_BUFFERED_BODY_BYTES`].
 const STREAM_ANNOUNCED_AFTER: Duration = Duration::from_millis(40);
 /// Time after the first byte from which a response without an announced length is streamed if
 /// [`STREAM_UNANNOUNCED_MIN_BYTES`] were received. A short response would be complete by then.
@@ -127,8 +127,8 @@
         error
     }
 
-    /// Time by which the endpoint must accept more of the body; `None` while there is nothing for the endpoint to
-    /// accept.
+    /// Time by which the endpoint must accept more of the body;
+    /// `None` while there is nothing for the endpoint to accept.
     pub fn endpoint_deadline(&self) -> Option<Duration> {
         let has_data = matches!(self.state, TransferState::PartlyForwarded | TransferState::Complete);
         if !has_data || self.waiting_for_client_since.is_some() {
@@ -158,8 +158,8 @@
 }
 
 impl ResponseBuffering {
-    /// Creates the state of a response whose `Content-Length` is `announced_bytes`; `None` for a response without that
-    /// header.
+    /// Creates the state of a response whose `Content-Length` is
+    /// `announced_bytes`; `None` for a response without that header.
     pub fn new(announced_bytes: Option<u64>) -> ResponseBuffering {
         ResponseBuffering { announced_bytes, received_bytes: 0, first_byte_at: None }
     }
--- a/crates/control/src/class_registry.rs
+++ b/crates/control/src/class_registry.rs
@@ -1,8 +1,8 @@
 //! The request classes of a gateway whose configuration changes while it runs.
 //!
-//! The balancer identifies a class by its number. A number is reused for another class only once nothing refers to the
-//! old class: a request keeps the rules under which it arrived, and the end of an attempt is counted for the class of
-//! its request.
+//! The balancer identifies a class by its number. A number is reused for another class
+//! only once nothing refers to the old class: a request keeps the rules under which it
+//! arrived, and the end of an attempt is counted for the class of its request.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -117,8 +117,8 @@
 }
 
 impl Slot {
-    /// Whether another class may take the number of this slot: its class is not active and nothing else refers to the
-    /// class.
+    /// Whether another class may take the number of this slot: its
+    /// class is not active and nothing else refers to the class.
     fn is_free(&self) -> bool {
         !self.is_active && Rc::strong_count(&self.class) == 1
     }
@@ -133,8 +133,8 @@
 }
 
 impl ClassRegistry {
-    /// Applies the classes of a new configuration. An unchanged class keeps its number; any other class gets a free
-    /// number.
+    /// Applies the classes of a new configuration. An unchanged
+    /// class keeps its number; any other class gets a free number.
     pub fn replace(&mut self, now: Duration, classes: impl IntoIterator<Item = (String, RequestClass)>) {
         let mut added: Vec<(String, RequestClass)> = classes.into_iter().collect();
         self.retired.retain(|retired| retired.is_usable(now));
@@ -176,8 +176,8 @@
         ClassTable { active: self.active().cloned().collect(), retired: self.retired.clone() }
     }
 
-    /// The rules of all classes by number, as the balancer reads them; classes that are not in the configuration are
-    /// marked as retired.
+    /// The rules of all classes by number, as the balancer reads them;
+    /// classes that are not in the configuration are marked as retired.
     pub fn by_number(&self) -> Vec<RequestClass> {
         self.slots
             .iter()
--- a/crates/control/src/drain.rs
+++ b/crates/control/src/drain.rs
@@ -18,24 +18,24 @@
 pub const CONNECTION_CLOSE_START: Duration = Duration::from_millis(350);
 /// Time after the start of a drain at which idle connections begin to be closed, the longest idle ones first.
 pub const IDLE_CLOSE_START: Duration = Duration::from_millis(500);
-/// Time after the start of a drain by which every idle connection is closed. A request that arrives just before its
-/// connection would be closed has 2 s left to be answered: 4 s after the start of the drain no request may be in
-/// flight.
+/// Time after the start of a drain by which every idle connection is closed. A
+/// request that arrives just before its connection would be closed has 2 s left
+/// to be answered: 4 s after the start of the drain no request may be in flight.
 pub const IDLE_CLOSE_END: Duration = Duration::from_millis(1800);
 /// Idle limit of connections that arrive after [`IDLE_CLOSE_END`], from clients that bypass the front balancer.
 pub const LATE_CONNECTION_IDLE_LIMIT: Duration = Duration::from_millis(150);
 
-/// Earliest time after SIGTERM at which the listener closes. The front balancer sends new connections for up to 0.4 s
-/// after SIGTERM.
+/// Earliest time after SIGTERM at which the listener closes. The front
+/// balancer sends new connections for up to 0.4 s after SIGTERM.
 pub const LISTENER_CLOSE_EARLIEST: Duration = Duration::from_millis(450);
-/// Latest time after SIGTERM at which the listener closes. Requests that arrive more than 0.7 s after SIGTERM need not
-/// be answered.
+/// Latest time after SIGTERM at which the listener closes. Requests
+/// that arrive more than 0.7 s after SIGTERM need not be answered.
 pub const LISTENER_CLOSE_LATEST: Duration = Duration::from_millis(650);
-/// Time without a new connection after which the listener closes, between [`LISTENER_CLOSE_EARLIEST`] and
-/// [`LISTENER_CLOSE_LATEST`].
+/// Time without a new connection after which the listener closes,
+/// between [`LISTENER_CLOSE_EARLIEST`] and [`LISTENER_CLOSE_LATEST`].
 pub const ACCEPT_QUIET_PERIOD: Duration = Duration::from_millis(200);
-/// Time after SIGTERM until which the first request of a new connection may still arrive: the 0.7 s that the shutdown
-/// protocol allows, plus a margin of 50 ms.
+/// Time after SIGTERM until which the first request of a new connection may still
+/// arrive: the 0.7 s that the shutdown protocol allows, plus a margin of 50 ms.
 pub const FIRST_REQUEST_LIMIT: Duration = Duration::from_millis(750);
 /// Time from the longest client deadline, counted from SIGTERM, to the kill of the process.
 pub const KILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
@@ -115,8 +115,8 @@
         self.is_shutting_down() || now.saturating_sub(since) >= CONNECTION_CLOSE_START
     }
 
-    /// Time until which the listener accepts connections; `None` while no shutdown has started. `last_accepted` is the
-    /// time of the last accepted connection.
+    /// Time until which the listener accepts connections; `None` while no shutdown
+    /// has started. `last_accepted` is the time of the last accepted connection.
     pub fn accept_deadline(&self, last_accepted: Duration) -> Option<Duration> {
         let since = self.shutdown_since?;
         if self.settings.shared_listener {
@@ -133,8 +133,8 @@
         limits.into_iter().flatten().min()
     }
 
-    /// The idle limit that a drain sets: it shrinks to zero at [`IDLE_CLOSE_END`] and is [`LATE_CONNECTION_IDLE_LIMIT`]
-    /// from then on.
+    /// The idle limit that a drain sets: it shrinks to zero at
+    /// [`IDLE_CLOSE_END`] and is [`LATE_CONNECTION_IDLE_LIMIT`] from then on.
     fn draining_idle_limit(&self, now: Duration) -> Option<Duration> {
         let since = self.draining_since?;
         if now < since + IDLE_CLOSE_START {
@@ -144,9 +144,9 @@
         Some(if remaining.is_zero() { LATE_CONNECTION_IDLE_LIMIT } else { remaining })
     }
 
-    /// The idle limit that a shutdown sets: zero once the listener is closed. With a shared listener, clients that
-    /// reconnect reach the other process, and idle connections stay open until the longest client deadline after
-    /// SIGTERM.
+    /// The idle limit that a shutdown sets: zero once the listener is closed. With
+    /// a shared listener, clients that reconnect reach the other process, and idle
+    /// connections stay open until the longest client deadline after SIGTERM.
     fn shutdown_idle_limit(&self, now: Duration, last_accepted: Duration) -> Option<Duration> {
         let since = self.shutdown_since?;
         if self.settings.shared_listener {
--- a/crates/control/src/endpoint_start.rs
+++ b/crates/control/src/endpoint_start.rs
@@ -5,8 +5,8 @@
 //! date of a start is therefore clamped between two bounds that use no wall clock:
 //!
 //! - starts in one endpoint list are as far apart as their dates, and no start lies in the future;
-//! - a start that is first reported while this process watches discovery lies at most [`MAX_START_REPORT_DELAY`] before
-//!   the previous discovery message.
+//! - a start that is first reported while this process watches discovery lies
+//!   at most [`MAX_START_REPORT_DELAY`] before the previous discovery message.
 //!
 //! Where neither bound helps, the later start is assumed: an endpoint past its slow start may then get too few requests
 //! for a while, but an endpoint in slow start never gets too many.
@@ -16,14 +16,14 @@
 /// Longest usual delay between a start and the discovery message that reports it.
 pub const MAX_START_REPORT_DELAY: Duration = Duration::from_secs(2);
 
-/// Evidence of an endpoint's start when an endpoint list first reports it. All times are on this process's monotonic
-/// clock.
+/// Evidence of an endpoint's start when an endpoint list first
+/// reports it. All times are on this process's monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct StartEvidence {
     /// Current time.
     pub now: Duration,
-    /// Start of the endpoint by the wall clock, possibly in the future; `None` where it is too long ago to be converted
-    /// to the monotonic clock.
+    /// Start of the endpoint by the wall clock, possibly in the future; `None`
+    /// where it is too long ago to be converted to the monotonic clock.
     pub wall_clock_start: Option<Duration>,
     /// Time between this start and the newest start in the list.
     pub offset_before_newest: Duration,
--- a/crates/control/src/execution.rs
+++ b/crates/control/src/execution.rs
@@ -1,9 +1,9 @@
 //! Classifies how an attempt ended: its request was certainly not processed, was served, or was possibly processed.
 //!
-//! An endpoint begins to process a request once it has received the last byte. So the proof that a request was not
-//! processed rests on whether its last byte was handed to the kernel, as recorded where bytes are written and not where
-//! they are framed. In doubt the request counts as possibly processed. [`classify_attempt`] is the only table of
-//! outcomes.
+//! An endpoint begins to process a request once it has received the last byte. So the proof
+//! that a request was not processed rests on whether its last byte was handed to the kernel,
+//! as recorded where bytes are written and not where they are framed. In doubt the request
+//! counts as possibly processed. [`classify_attempt`] is the only table of outcomes.
 
 use weldworks_balancer::Outcome;
 
@@ -70,11 +70,11 @@
 /// Value of the not-processed header that marks a request as not processed.
 const NOT_PROCESSED_VALUE: &[u8] = b"1";
 
-/// Classifies a response by its status and the values of its not-processed header, one for each occurrence of the
-/// header.
+/// Classifies a response by its status and the values of its
+/// not-processed header, one for each occurrence of the header.
 ///
-/// A repeated not-processed header, or one with another value, has no defined meaning, so the request counts as
-/// possibly processed.
+/// A repeated not-processed header, or one with another value, has
+/// no defined meaning, so the request counts as possibly processed.
 pub fn classify_response<'a>(
     status: u16,
     mut not_processed: impl Iterator<Item = &'a [u8]>,
--- a/crates/control/src/hot_restart/descriptor_usage.rs
+++ b/crates/control/src/hot_restart/descriptor_usage.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-/// Interval between checks for the gateway's other process while there is one. Clients that an ending process
-/// disconnects reconnect to the remaining process within a few milliseconds, and the remaining process must have all
-/// descriptors before that.
+/// Interval between checks for the gateway's other process while there is one. Clients
+/// that an ending process disconnects reconnect to the remaining process within a few
+/// milliseconds, and the remaining process must have all descriptors before that.
 const PEER_PRESENT_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Interval between checks for another process of the gateway while there is none.
 const PEER_ABSENT_CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -18,7 +18,7 @@
     }
 }
 
-/// Digits of each count in the text of a [`DescriptorUsage`].
+/// Number of digits of each count in the text of a [`DescriptorUsage`].
 const COUNT_DIGITS: usize = 6;
 /// Largest count that the text of a [`DescriptorUsage`] can hold.
 const MAX_ENCODED_COUNT: usize = 999_999;
@@ -30,15 +30,15 @@
     pub clients: usize,
     /// Client connections that are accepted only to be rejected for lack of capacity.
     pub overflow: usize,
-    /// Connections to endpoints.
+    /// Connections from the gateway to endpoints.
     pub endpoints: usize,
 }
 
 impl DescriptorUsage {
     /// Encodes the counts as text of fixed length.
     ///
-    /// The writer overwrites the previous text in place. With texts of different lengths a reader could see a new text
-    /// followed by the end of an old text.
+    /// The writer overwrites the previous text in place. With texts of different
+    /// lengths a reader could see a new text followed by the end of an old text.
     pub fn encode(self) -> String {
         let clients = self.clients.min(MAX_ENCODED_COUNT);
         let overflow = self.overflow.min(MAX_ENCODED_COUNT);
@@ -67,8 +67,8 @@
 
 /// Number of descriptors that one process may open under a limit shared with another process that uses `peer_usage`.
 ///
-/// The limit is not split in fixed halves, with which one process would reject clients while the other has unused
-/// descriptors.
+/// The limit is not split in fixed halves, with which one process
+/// would reject clients while the other has unused descriptors.
 pub fn remaining_descriptors(limit: usize, peer_usage: usize) -> usize {
     limit.saturating_sub(peer_usage)
 }
--- a/crates/control/src/hot_restart/snapshot_format.rs
+++ b/crates/control/src/hot_restart/snapshot_format.rs
@@ -36,8 +36,8 @@
     /// The first line names another format or another version.
     #[error("the first line of the snapshot is not {FORMAT_LINE:?}")]
     UnknownFormat,
-    /// The snapshot is older than [`MAX_SNAPSHOT_AGE`], or its time lies in the future. The value is the age in
-    /// milliseconds.
+    /// The snapshot is older than [`MAX_SNAPSHOT_AGE`], or its time
+    /// lies in the future. The value is the age in milliseconds.
     #[error("the snapshot was written {0} ms before now; at most {max} ms are accepted", max = MAX_SNAPSHOT_AGE.as_millis())]
     Expired(i128),
     /// A line or the end of the text is missing.
--- a/crates/control/src/hot_restart/startup.rs
+++ b/crates/control/src/hot_restart/startup.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-/// Longest wait for the first endpoint list while another process may be active. A starting process must be ready
-/// within 6 s of its start.
+/// Longest wait for the first endpoint list while another process may
+/// be active. A starting process must be ready within 6 s of its start.
 const DISCOVERY_WAIT_LIMIT: Duration = Duration::from_millis(2500);
 /// Longest wait for an active endpoint while another process may be active. After this wait clients are accepted, and
 /// are answered that no endpoint is available.
@@ -15,17 +15,17 @@
     /// The first endpoint list of discovery. The active process may have a newer list; without the wait this process
     /// would send requests to endpoints that drain.
     Discovery,
-    /// An endpoint that accepts requests. Without the wait this process would take clients away from a process that can
-    /// serve them.
+    /// An endpoint that accepts requests. Without the wait this process
+    /// would take clients away from a process that can serve them.
     Endpoints,
 }
 
-/// Progress of a starting process.
+/// Progress of a starting process towards accepting clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartupProgress {
     /// Whether discovery has sent an endpoint list.
     pub discovery_answered: bool,
-    /// Whether an endpoint accepts requests.
+    /// Whether at least one endpoint accepts requests.
     pub has_active_endpoint: bool,
 }
 
--- a/crates/control/src/retry_storm/allowance.rs
+++ b/crates/control/src/retry_storm/allowance.rs
@@ -20,8 +20,8 @@
 /// Allowance of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Factor on the admission limits for the request; 1 leaves the limits unchanged. See
-    /// [`weldworks_balancer::Request`].
+    /// Factor on the admission limits for the request; 1 leaves
+    /// the limits unchanged. See [`weldworks_balancer::Request`].
     pub admission_share: f64,
     /// Why the request got this admission share.
     pub reason: AllowanceReason,
@@ -32,16 +32,16 @@
 pub struct AllowanceCounts {
     /// Requests that arrived while there was no storm or damping was off.
     pub calm: u64,
-    /// First attempts in a storm.
+    /// First attempts that arrived in a storm.
     pub first_attempts: u64,
-    /// Retries that arrived at their reserved time.
+    /// Retries in a storm that arrived at their reserved time.
     pub reserved: u64,
-    /// Retries that the budget covered.
+    /// Retries in a storm that the retry budget covered.
     pub budgeted: u64,
-    /// Retries without a reservation for which the budget was empty.
+    /// Retries in a storm without a reservation, for which the retry budget was empty.
     pub unbudgeted: u64,
-    /// Requests that arrived in a storm from tenants that exceed their share; each request is also counted by its
-    /// reason.
+    /// Requests that arrived in a storm from tenants that exceed
+    /// their share; each request is also counted by its reason.
     pub over_share: u64,
 }
 
@@ -70,8 +70,8 @@
     }
 }
 
-/// Factor on the admission share of a request in a storm by the weight of its class, relative to the mean weight of all
-/// classes.
+/// Factor on the admission share of a request in a storm by the
+/// weight of its class, relative to the mean weight of all classes.
 pub(super) fn weight_factor(relative_weight: f64, settings: &StormSettings) -> f64 {
     relative_weight.max(0.0).powf(settings.weight_exponent)
 }
--- a/crates/control/src/retry_storm/decaying_counter.rs
+++ b/crates/control/src/retry_storm/decaying_counter.rs
@@ -13,8 +13,8 @@
         DecayingCounter { time_constant_s, value: 0.0, updated_at_s: 0.0 }
     }
 
-    /// Adds an amount; 0 only brings the value up to date. A time before the last update is treated as the time of that
-    /// update.
+    /// Adds an amount; 0 only brings the value up to date. A time
+    /// before the last update is treated as the time of that update.
     pub(super) fn add(&mut self, now_s: f64, amount: f64) {
         self.value = self.value_at(now_s) + amount;
         self.updated_at_s = now_s.max(self.updated_at_s);
--- a/crates/control/src/retry_storm/detector.rs
+++ b/crates/control/src/retry_storm/detector.rs
@@ -14,10 +14,10 @@
 /// State of the detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StormState {
-    /// Normal operation.
+    /// Normal operation without a retry storm.
     Calm,
-    /// The signals exceed their limits, possibly by chance. Rejections carry a computed `Retry-After` if enabled;
-    /// retries are not damped yet.
+    /// The signals exceed their limits, possibly by chance. Rejections carry
+    /// a computed `Retry-After` if enabled; retries are not damped yet.
     Suspected,
     /// Retries are damped, and rejections carry a computed `Retry-After` if enabled.
     Storm,
@@ -25,8 +25,8 @@
     Recovering,
 }
 
-/// Signals for operators. The state follows from the lower confidence bounds of [`Self::client_retry_ratio`] and
-/// [`Self::unserved_ratio`].
+/// Signals for operators. The state follows from the lower confidence
+/// bounds of [`Self::client_retry_ratio`] and [`Self::unserved_ratio`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Signals {
     /// Fraction of arriving requests that their clients mark as retries.
@@ -44,11 +44,11 @@
 /// A change of the detector's state.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StateChange {
-    /// State before the change.
+    /// State of the detector before the change.
     pub from: StormState,
-    /// State after the change.
+    /// State of the detector after the change.
     pub to: StormState,
-    /// Signals that caused the change.
+    /// Signals that caused the change of state.
     pub signals: Signals,
 }
 
@@ -88,10 +88,10 @@
 
 /// Least decayed number of arriving requests with which a storm may be suspected.
 const MIN_ARRIVALS: f64 = 8.0;
-/// Fraction of a ratio's limit below which the suspicion of a storm is dropped. Nearer to the limit, every arriving
-/// request could change the state.
+/// Fraction of a ratio's limit below which the suspicion of a storm is dropped.
+/// Nearer to the limit, every arriving request could change the state.
 const SUSPICION_EXIT_FRACTION: f64 = 0.75;
-/// Fraction of their limits below which both ratios must be for a storm to be over.
+/// A storm is over once both ratios are below this fraction of their limits.
 const STORM_EXIT_FRACTION: f64 = 0.5;
 
 /// Detector of retry storms.
@@ -125,12 +125,12 @@
         }
     }
 
-    /// The current state.
+    /// The current state of the detector.
     pub fn state(&self) -> StormState {
         self.state
     }
 
-    /// Time at which the current state was entered.
+    /// Time at which the detector entered its current state.
     pub fn since(&self) -> Duration {
         Duration::from_secs_f64(self.state_since_s)
     }
@@ -230,13 +230,13 @@
             && self.unserved_ratio > settings.unserved_ratio_limit
     }
 
-    /// Whether a ratio is clearly below its limit.
+    /// Whether one of the two ratios is clearly below its limit.
     fn refutes_suspicion(&self, settings: &StormSettings) -> bool {
         self.client_retry_ratio < SUSPICION_EXIT_FRACTION * settings.client_retry_ratio_limit
             || self.unserved_ratio < SUSPICION_EXIT_FRACTION * settings.unserved_ratio_limit
     }
 
-    /// Whether both ratios are far below their limits.
+    /// Whether both ratios are far enough below their limits for a storm to be over.
     fn indicates_end_of_storm(&self, settings: &StormSettings) -> bool {
         self.client_retry_ratio < STORM_EXIT_FRACTION * settings.client_retry_ratio_limit
             && self.unserved_ratio < STORM_EXIT_FRACTION * settings.unserved_ratio_limit
--- a/crates/control/src/retry_storm/fair_share.rs
+++ b/crates/control/src/retry_storm/fair_share.rs
@@ -1,4 +1,4 @@
-//! Which tenants send more than their share of the traffic.
+//! Determines which tenants send more than their share of the traffic.
 
 use super::decaying_counter::DecayingCounter;
 use super::wilson_interval::wilson_lower_bound;
@@ -7,15 +7,15 @@
 /// Time constant of the tenants' request rates, in seconds. It is longer than the time constant of the storm signals,
 /// because each tenant sends only a part of the requests.
 const RATE_WINDOW_S: f64 = 10.0;
-/// Multiple of its share above which a tenant counts as exceeding the share.
+/// Multiple of a tenant's share above which the tenant counts as exceeding it.
 const SHARE_TOLERANCE: f64 = 1.1;
 
 /// Compares the traffic of each tenant at this gateway with its quota.
 ///
 /// A tenant counts as exceeding its share only if two estimates agree, because either alone can be wrong:
 ///
-/// - the tenant's fraction of this gateway's traffic is wrong where the other tenants send little or a front balancer
-///   sends a tenant to few gateways;
+/// - the tenant's fraction of this gateway's traffic is wrong where the other
+///   tenants send little or a front balancer sends a tenant to few gateways;
 /// - the tenant's rate at this gateway times the number of gateways is wrong where a front balancer distributes
 ///   unevenly or the number of gateways is out of date.
 #[derive(Clone, Debug)]
@@ -48,8 +48,8 @@
         }
     }
 
-    /// Records a request of a tenant and returns whether the tenant is within its share. An unknown tenant is always
-    /// within its share.
+    /// Records a request of a tenant and returns whether the tenant is
+    /// within its share. An unknown tenant is always within its share.
     pub fn record_request(&mut self, now: Duration, tenant: usize) -> bool {
         let now_s = now.as_secs_f64();
         self.all_requests.add(now_s, 1.0);
--- a/crates/control/src/retry_storm/mod.rs
+++ b/crates/control/src/retry_storm/mod.rs
@@ -1,12 +1,12 @@
 //! Retry storms: detected from the traffic of one gateway, damped by lower admission limits in the balancer, and ended by
 //! a `Retry-After` that spreads the retries.
 //!
-//! [`RetryStormControl`] rejects nothing itself. It gives each request an allowance, which scales the balancer's
-//! admission limits for the request, and each rejection a `Retry-After`. Without a storm the allowance is 1, and only
-//! counters change.
+//! [`RetryStormControl`] rejects nothing itself. It gives each request an allowance,
+//! which scales the balancer's admission limits for the request, and each rejection
+//! a `Retry-After`. Without a storm the allowance is 1, and only counters change.
 //!
-//! The retry budget follows Google's Site Reliability Engineering book (chapter "Handling Overload", ratio of retries
-//! per client).
+//! The retry budget follows Google's Site Reliability Engineering
+//! book (chapter "Handling Overload", ratio of retries per client).
 
 mod allowance;
 mod client_retry_budget;
--- a/crates/control/src/retry_storm/retry_after.rs
+++ b/crates/control/src/retry_storm/retry_after.rs
@@ -1,5 +1,5 @@
-//! Schedules when rejected clients should retry, spread so that their retries never exceed what endpoints will be able
-//! to serve.
+//! Schedules when rejected clients should retry, spread so that
+//! their retries never exceed what endpoints will be able to serve.
 //!
 //! The schedule is a virtual clock of the generic cell rate algorithm (ITU-T I.371) whose rate changes: each
 //! reservation advances the clock by the time that one retry takes up.
@@ -13,8 +13,8 @@
 pub struct Reservation {
     /// Delay from now until the client should retry.
     pub after: Duration,
-    /// Whether capacity is reserved for the retry. False where all capacity within the longest `Retry-After` is
-    /// reserved for other retries.
+    /// Whether capacity is reserved for the retry. False where all capacity
+    /// within the longest `Retry-After` is reserved for other retries.
     pub is_reserved: bool,
 }
 
@@ -22,8 +22,8 @@
 const RATE_WINDOW_S: f64 = 2.0;
 /// Fraction of the expected capacity that first attempts and reserved retries may use together.
 const USABLE_CAPACITY_RATIO: f64 = 0.9;
-/// Fraction of the capacity that retries may use even where first attempts take all of it. Without any retries the end
-/// of the overload would not be noticed.
+/// Fraction of the capacity that retries may use even where first attempts take
+/// all of it. Without any retries the end of the overload would not be noticed.
 const MIN_RETRY_CAPACITY_RATIO: f64 = 0.05;
 /// Largest jitter of a `Retry-After`, as a fraction of it, so that consecutive clients do not retry in step.
 const JITTER_RATIO: f64 = 0.1;
@@ -48,7 +48,7 @@
     first_attempts: DecayingCounter,
     /// Requests per second that one endpoint past its slow start can serve; 0 while unknown.
     capacity_per_endpoint: f64,
-    /// Earliest time that is not reserved yet, in seconds.
+    /// Earliest time that is not reserved for a retry yet, in seconds.
     next_free_s: f64,
 }
 
@@ -85,8 +85,8 @@
         self.first_attempts.add(now.as_secs_f64(), 1.0);
     }
 
-    /// Records how a request was answered. The rate of served requests while others are rejected is the rate that
-    /// endpoints can serve.
+    /// Records how a request was answered. The rate of served requests
+    /// while others are rejected is the rate that endpoints can serve.
     pub fn record_result(&mut self, now: Duration, result: RequestResult) {
         let now_s = now.as_secs_f64();
         match result {
@@ -132,8 +132,8 @@
         self.capacity_per_endpoint * self.warm_endpoints(at.as_secs_f64())
     }
 
-    /// Retries per second that endpoints can serve at the time `at`, in addition to first attempts at their rate of
-    /// `now`.
+    /// Retries per second that endpoints can serve at the time
+    /// `at`, in addition to first attempts at their rate of `now`.
     fn spare_rate(&self, now: Duration, at: Duration) -> f64 {
         let first_attempts_per_s = self.first_attempts.rate_at(now.as_secs_f64());
         let capacity = self.capacity(at);
@@ -145,7 +145,7 @@
         self.next_free_s = now.as_secs_f64();
     }
 
-    /// Reserves the next free time for a rejected client.
+    /// Reserves the next free time for the retry of a rejected client.
     pub fn reserve(&mut self, now: Duration) -> Reservation {
         let now_s = now.as_secs_f64();
         let min_retry_after_s = MIN_RETRY_AFTER_S.min(self.max_retry_after_s);
@@ -161,8 +161,8 @@
         Reservation { after: Duration::from_secs_f64(after_s), is_reserved: true }
     }
 
-    /// A retry time for a client for which no capacity is left, spread over the later half of the longest
-    /// `Retry-After`.
+    /// A retry time for a client for which no capacity is left,
+    /// spread over the later half of the longest `Retry-After`.
     fn unreserved(&mut self) -> Reservation {
         let after_s = self.max_retry_after_s * (0.5 + 0.5 * self.rng.f64());
         Reservation { after: Duration::from_secs_f64(after_s), is_reserved: false }
--- a/crates/control/src/retry_storm/settings.rs
+++ b/crates/control/src/retry_storm/settings.rs
@@ -11,8 +11,8 @@
 /// Settings of storm control. The defaults are those of `docs/operate/storms.md`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StormSettings {
-    /// Whether a budget limits retries in a storm, and class weights and tenant shares change admission limits then.
-    /// Key `damping`, default on.
+    /// Whether a budget limits retries in a storm, and class weights and
+    /// tenant shares change admission limits then. Key `damping`, default on.
     pub damping_enabled: bool,
     /// Whether rejections in a storm carry a `Retry-After` computed from the expected capacity, in place of the
     /// `Retry-After` of the balancer. Key `advice`, default off.
@@ -27,8 +27,8 @@
     pub unserved_ratio_limit: f64,
     /// Time after which a suspicion that is not refuted becomes a storm. Key `confirm`, default 0.6 s.
     pub confirmation_time: Duration,
-    /// Least time in a storm before the recovery begins, which also requires both ratios to be below half of their
-    /// limits. Key `calm_after`, default 1.5 s.
+    /// Least time in a storm before the recovery begins, which also requires both
+    /// ratios to be below half of their limits. Key `calm_after`, default 1.5 s.
     pub min_storm_time: Duration,
     /// Time without a new storm after which a recovery ends. Key `recover`, default 10 s.
     pub recovery_time: Duration,
@@ -38,8 +38,8 @@
     pub max_saved_retries: f64,
     /// Admission share of a retry that the budget does not cover. Key `unpaid`, default 0.5.
     pub unbudgeted_admission_share: f64,
-    /// Factor on the admission share of a tenant that exceeds its share of the traffic. Key `beyond_share`, default
-    /// 0.7.
+    /// Factor on the admission share of a tenant that exceeds its
+    /// share of the traffic. Key `beyond_share`, default 0.7.
     pub over_share_factor: f64,
     /// Exponent of a class's relative weight in the admission share. Key `worth_power`, default 0.5.
     pub weight_exponent: f64,
@@ -109,8 +109,8 @@
         )
     }
 
-    /// Reads the table `[storm]`. Problems are reported to the table's document, and a key with a problem gets its
-    /// default.
+    /// Reads the table `[storm]`. Problems are reported to the
+    /// table's document, and a key with a problem gets its default.
     pub fn read(table: &Table<'_, '_>) -> StormSettings {
         let default = StormSettings::default();
         let settings = StormSettings {
--- a/crates/control/src/retry_storm/slot_table.rs
+++ b/crates/control/src/retry_storm/slot_table.rs
@@ -1,8 +1,8 @@
 //! A hash table of fixed size, so that its memory does not grow with the number of clients.
 //!
-//! A signed token that the client returns would need no table, but the platform's clients send back nothing but their
-//! request. Two identities that share a slot displace each other: the displaced identity is then treated as unknown,
-//! which gives no client an advantage.
+//! A signed token that the client returns would need no table, but the platform's clients
+//! send back nothing but their request. Two identities that share a slot displace each other:
+//! the displaced identity is then treated as unknown, which gives no client an advantage.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 pub(super) struct Slot {
     /// Hash that identifies a request.
     pub(super) identity: u64,
-    /// Time stored with the identity.
+    /// Time stored with the identity of the request.
     pub(super) time: Duration,
 }
 
--- a/crates/control/src/retry_storm/storm_control.rs
+++ b/crates/control/src/retry_storm/storm_control.rs
@@ -26,7 +26,7 @@
 pub struct ArrivingRequest {
     /// Whether the client marks the request as a retry.
     pub is_client_retry: bool,
-    /// Hash of subject, class and tenant, which repeats of a request have in common; `None` without a subject.
+    /// Hash of affinity key, class and tenant, which repeats of a request have in common; `None` without the key.
     pub identity: Option<u64>,
     /// Weight of the request's class divided by the mean weight of all classes.
     pub relative_weight: f64,
@@ -61,7 +61,7 @@
 pub struct RetryStormStatus {
     /// State of the detector.
     pub state: StormState,
-    /// Time at which the state was entered.
+    /// Time at which the detector entered its state.
     pub since: Duration,
     /// Current values of the signals.
     pub signals: Signals,
@@ -87,19 +87,19 @@
 
 impl RetryStormControl {
     /// Creates storm control in the calm state. The seed determines the jitter of `Retry-After`.
-    pub fn new(settings: StormSettings, terms: PlatformSettings<'_>, seed: u64) -> RetryStormControl {
+    pub fn new(settings: StormSettings, platform: PlatformSettings<'_>, seed: u64) -> RetryStormControl {
         RetryStormControl {
             detector: StormDetector::new(&settings),
             budget: ClientRetryBudget::new(settings.retries_per_first_attempt, settings.max_saved_retries),
             schedule: RetryAfterSchedule::new(
-                terms.slow_start_min_capacity,
-                terms.slow_start_duration,
-                terms.max_retry_after,
+                platform.slow_start_min_capacity,
+                platform.slow_start_duration,
+                platform.max_retry_after,
                 seed,
             ),
             repeats: RepeatCache::new(settings.repeat_window, settings.cache_slots),
             reservations: ReservationCache::new(settings.cache_slots),
-            fair_share: FairShare::new(terms.tenant_quotas, terms.gateway_count),
+            fair_share: FairShare::new(platform.tenant_quotas, platform.gateway_count),
             allowances: AllowanceCounts::default(),
             unreported_change: None,
             settings,
@@ -143,8 +143,8 @@
         signs
     }
 
-    /// Determines the reason of a request's allowance. Redeems the reservation of a retry; a marked retry without one
-    /// withdraws from the budget.
+    /// Determines the reason of a request's allowance. Redeems the reservation
+    /// of a retry; a marked retry without one withdraws from the budget.
     fn allowance_reason(
         &mut self,
         now: Duration,
@@ -217,8 +217,8 @@
         }
     }
 
-    /// Returns the last change of state that was not reported yet, with the signals that caused the change, and marks
-    /// it as reported.
+    /// Returns the last change of state that was not reported yet, with
+    /// the signals that caused the change, and marks it as reported.
     pub fn take_change(&mut self) -> Option<StateChange> {
         self.unreported_change.take()
     }
--- a/crates/control/src/watch_backoff.rs
+++ b/crates/control/src/watch_backoff.rs
@@ -33,7 +33,7 @@
 pub struct WatchLoss {
     /// Delay before the next watch is opened.
     pub retry_delay: Duration,
-    /// Whether the loss should be reported to an operator.
+    /// Whether the loss of the watch should be reported to an operator.
     pub should_report: bool,
     /// Number of consecutive watches that were not stable, including the watch that was just lost.
     pub consecutive_failures: u32,
@@ -55,8 +55,8 @@
         self.opened_at = now;
     }
 
-    /// Records a message from discovery. Returns the length of the outage if the outage was reported and its recovery
-    /// was not.
+    /// Records a message from discovery. Returns the length of the
+    /// outage if the outage was reported and its recovery was not.
     pub fn record_message(&mut self, now: Duration) -> Option<Duration> {
         let since = self.outage_since.take()?;
         Some(now.saturating_sub(since))
--- a/crates/control/src/watch_backoff/tests.rs
+++ b/crates/control/src/watch_backoff/tests.rs
@@ -49,9 +49,9 @@
 }
 
 proptest! {
-    /// An agent accepts every connection, sends a message or none and closes the connection, at any moment. Without
-    /// bounds on reports and retry delays, such an agent would make the gateway flood the log or keep a core busy with
-    /// reconnecting.
+    /// An agent accepts every connection, sends a message or none and closes the
+    /// connection, at any moment. Without bounds on reports and retry delays, such an
+    /// agent would make the gateway flood the log or keep a core busy with reconnecting.
     #[test]
     fn reports_and_retries_stay_bounded_whatever_the_agent_does(
         watches in prop::collection::vec((0u64..3000, any::<bool>()), 1..400),
--- a/crates/control/tests/class_registry.rs
+++ b/crates/control/tests/class_registry.rs
@@ -60,9 +60,9 @@
 }
 
 proptest! {
-    /// Classes change with every configuration while requests still refer to old ones. If a number were reused for
-    /// another class too early, the end of an attempt would be counted for the wrong class; if numbers were never
-    /// reused, they would run out.
+    /// Classes change with every configuration while requests still refer to old ones.
+    /// If a number were reused for another class too early, the end of an attempt would
+    /// be counted for the wrong class; if numbers were never reused, they would run out.
     #[test]
     fn a_number_is_reused_only_once_nothing_refers_to_its_class(
         configurations in prop::collection::vec(prop::collection::btree_map("[a-d]", 1u64..4, 1..4), 1..40),
@@ -90,8 +90,8 @@
             // Up to 4 active classes, 6 that are referred to, and 4 from each of 3 configurations that clients may
             // still use; the limit allows for a fourth configuration.
             prop_assert!(rules.len() <= 4 + 6 + 4 * 4, "{} numbers", rules.len());
-            // A class of the previous configuration is usable with its old rules during the grace time, and not after
-            // that.
+            // A class of the previous configuration is usable with its
+            // old rules during the grace time, and not after that.
             let table = registry.table();
             for (name, objective_ms) in previous.iter().filter(|(name, _)| !configuration.contains_key(name.as_str())) {
                 let retired = table.resolve(now, name, READ).expect("clients may still use the retired class");
--- a/crates/control/tests/discovery_polling.rs
+++ b/crates/control/tests/discovery_polling.rs
@@ -1,8 +1,8 @@
-//! Where discovery is polled, a gateway knows a change at most 6 s after discovery had it and could be reached, however
-//! watches and polls fail before.
+//! Where discovery is polled, a gateway knows a change at most 6 s after
+//! discovery had it and could be reached, however watches and polls fail before.
 //!
-//! The tests run in virtual time with the balancer, and with the timeouts after which the gateway abandons a watch or a
-//! poll.
+//! The tests run in virtual time with the balancer, and with the
+//! timeouts after which the gateway abandons a watch or a poll.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -90,8 +90,8 @@
         self.polls += 1;
     }
 
-    /// Lets a poll fail. Returns the earliest time of a change that the poll did not report: right after the poll, or
-    /// after the last message of its watch.
+    /// Lets a poll fail. Returns the earliest time of a change that the poll did
+    /// not report: right after the poll, or after the last message of its watch.
     fn fail_poll(&mut self, failure: PollFailure) -> Duration {
         match failure {
             PollFailure::Unanswered => {
@@ -121,7 +121,7 @@
     }
 }
 
-/// A sequence of polls that all failed.
+/// The result of a sequence of polls that all failed.
 struct Outage {
     /// Longest time from a change until the gateway knew it, if discovery came back right after any of the polls.
     longest_delay: Duration,
--- a/crates/control/tests/drain.rs
+++ b/crates/control/tests/drain.rs
@@ -1,5 +1,5 @@
-//! Drain and shutdown: runs every sequence of calls and waits up to a fixed length, and checks what the front balancer
-//! and clients observe.
+//! Drain and shutdown: runs every sequence of calls and waits up to a
+//! fixed length, and checks what the front balancer and clients observe.
 
 use std::time::Duration;
 use weldworks_control::drain::{
@@ -120,8 +120,8 @@
             now < since + CONNECTION_CLOSE_START || self.drain.sends_connection_close(now),
             "no `Connection: close` at {now:?}"
         );
-        // 2 s after the start of a drain, connections must close soon: a request that arrives then has 2 s until no
-        // request may be in flight any more.
+        // 2 s after the start of a drain, connections must close soon: a request
+        // that arrives then has 2 s until no request may be in flight any more.
         assert!(
             now < since + ms(2000) || idle_limit.is_some_and(|limit| limit <= ms(200)),
             "{idle_limit:?} at {now:?}"
@@ -151,8 +151,8 @@
     }
 }
 
-/// Operators start and cancel drains while a restart begins, in any order. No order of these calls may leave a gateway
-/// that accepts clients and drops them.
+/// Operators start and cancel drains while a restart begins, in any order. No
+/// order of these calls may leave a gateway that accepts clients and drops them.
 #[test]
 fn invariants_hold_after_every_sequence_of_calls() {
     for shared_listener in [false, true] {
@@ -171,8 +171,8 @@
     }
 }
 
-/// All idle connections closing at once would make all clients reconnect at once. The shrinking idle limit spreads the
-/// closes over the time of the drain.
+/// All idle connections closing at once would make all clients reconnect at
+/// once. The shrinking idle limit spreads the closes over the time of the drain.
 #[test]
 fn closes_are_spread_and_the_longest_idle_connection_closes_first() {
     let mut drain = in_service(false);
--- a/crates/control/tests/execution.rs
+++ b/crates/control/tests/execution.rs
@@ -22,8 +22,8 @@
     ];
     for (ended, outcomes) in table {
         assert_eq!(progress.map(|written| classify_attempt(written, ended)), outcomes, "{ended:?}");
-        // The rule behind the table: a request whose last byte was written is never proven to be unprocessed, unless
-        // the endpoint itself says so.
+        // The rule behind the table: a request whose last byte was written is
+        // never proven to be unprocessed, unless the endpoint itself says so.
         let said_by_endpoint = ended == Answered(ResponseVerdict::NotProcessed);
         let after_last_byte = classify_attempt(WriteProgress::Complete, ended);
         assert!(said_by_endpoint || !after_last_byte.proves_not_processed(), "{ended:?}");
--- a/crates/control/tests/hot_restart.rs
+++ b/crates/control/tests/hot_restart.rs
@@ -119,8 +119,8 @@
         let _ = DescriptorUsage::decode(&noise);
     }
 
-    /// Two processes open and close descriptors in any order. If they exceeded the limit together, accepting and
-    /// connecting would fail in both processes.
+    /// Two processes open and close descriptors in any order. If they exceeded
+    /// the limit together, accepting and connecting would fail in both processes.
     #[test]
     fn two_processes_that_know_each_others_usage_stay_within_one_limit(limit in 1usize..200, steps in prop::collection::vec((0usize..2, any::<bool>()), 0..400)) {
         let mut open = [0usize; 2];
@@ -137,8 +137,8 @@
     }
 }
 
-/// Processes of version 0.2.0 and of this version succeed each other in both directions, so the text of a snapshot
-/// stays the same to the byte.
+/// Processes of version 0.2.0 and of this version succeed each other in
+/// both directions, so the text of a snapshot stays the same to the byte.
 #[test]
 fn the_snapshot_text_is_that_of_version_0_2_0() {
     let text = include_str!("fixtures/hot-restart-snapshot.txt");
--- a/crates/control/tests/retry_storm.rs
+++ b/crates/control/tests/retry_storm.rs
@@ -1,5 +1,5 @@
-//! Storm control in virtual time: when a storm is detected, which allowances requests get, and which times are reserved
-//! for retries.
+//! Storm control in virtual time: when a storm is detected, which
+//! allowances requests get, and which times are reserved for retries.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -25,14 +25,14 @@
 }
 
 fn storm_control_with(settings: StormSettings) -> RetryStormControl {
-    let terms = PlatformSettings {
+    let platform = PlatformSettings {
         slow_start_min_capacity: 0.2,
         slow_start_duration: ms(10_000),
         max_retry_after: MAX_RETRY_AFTER,
         tenant_quotas: &[390.0, 10.0],
         gateway_count: 1,
     };
-    let mut storm = RetryStormControl::new(settings, terms, 1);
+    let mut storm = RetryStormControl::new(settings, platform, 1);
     storm.set_endpoints(ms(0), &[StartedEndpoint { started_at: None }; 10]);
     storm
 }
@@ -264,8 +264,8 @@
         storm.record_result(now, rejected_with(0.1, &mut rng));
         assert!(!matches!(storm.state(), StormState::Storm), "at {now:?}: {:?}", storm.status(now));
     }
-    // With 60 % of requests rejected and retried there is a storm, which is detected within 6 s also at eight requests
-    // per second.
+    // With 60 % of requests rejected and retried there is a storm,
+    // which is detected within 6 s also at eight requests per second.
     let mut index = 8 * 600;
     while storm.state() != StormState::Storm {
         let now = ms(index * 125);
@@ -290,9 +290,9 @@
     // Wilson's interval for 4 of 10 begins at 0.1682.
     assert!((wilson_lower_bound(4.0, 10.0) - 0.1682).abs() < 1e-4, "{}", wilson_lower_bound(4.0, 10.0));
     assert!(wilson_lower_bound(2.0, 10.0) < 0.12 && wilson_lower_bound(200.0, 1000.0) > 0.17);
-    // Half of the requests are from a tenant whose quota is a tenth of all quotas. The tenant exceeds its share at 40
-    // requests per second, but not at 4 while all other tenants send little; at 4 it does with ten such gateways, which
-    // make 40.
+    // Half of the requests are from a tenant whose quota is a tenth of all quotas.
+    // The tenant exceeds its share at 40 requests per second, but not at 4 while all
+    // other tenants send little; at 4 it does with ten such gateways, which make 40.
     for (gateway_count, interval_ms, exceeds_share) in [(1, 25, true), (1, 250, false), (10, 250, true)] {
         let mut fair_share = FairShare::new(&[10.0, 90.0], gateway_count);
         let record =
@@ -381,8 +381,8 @@
         reserved_s.sort_by(f64::total_cmp);
         for (index, start_s) in reserved_s.iter().enumerate() {
             let in_second = reserved_s[index..].iter().take_while(|time_s| **time_s < start_s + 1.0).count() as f64;
-            // Jitter moves a reservation by up to a tenth of its delay, so some reservations of the next second may
-            // fall into this second.
+            // Jitter moves a reservation by up to a tenth of its delay, so
+            // some reservations of the next second may fall into this second.
             let limit = capacity * 1.3 + 2.0 + 0.1 * capacity * (start_s - 10.0).max(0.0);
             prop_assert!(in_second <= limit, "{in_second} retries reserved within a second at a capacity of {capacity} per second");
         }
