--- a/crates/control/src/retry_storm/mod.rs
+++ b/crates/control/src/retry_storm/mod.rs
@@ -1,12 +1,12 @@
 //! Retry storms: detected from the traffic of one gateway, damped by lower admission limits in the balancer, and ended by
 //! a `Retry-After` that spreads the retries.
 //!
-//! [`RetryStormControl`] rejects nothing itself. It gives each request an allowance, the share of the balancer's
-//! admission limits that the request may use, and each rejection a `Retry-After`. Without a storm the allowance is 1 and
-//! only counters change.
+//! [`RetryStormControl`] rejects nothing itself. It gives each request an allowance,
+//! which scales the balancer's admission limits for the request, and each rejection
+//! a `Retry-After`. Without a storm the allowance is 1, and only counters change.
 //!
-//! The retry budget is that of Google's Site Reliability Engineering book (chapter "Handling Overload", ratio of retries
-//! per client).
+//! The retry budget follows Google's Site Reliability Engineering
+//! book (chapter "Handling Overload", ratio of retries per client).
 
 mod allowance;
 mod client_retry_budget;
@@ -30,6 +30,6 @@
 pub use retry_after::{Reservation, RetryAfterSchedule};
 pub use settings::StormSettings;
 pub use storm_control::{
-    ArrivingRequest, PlatformTerms, RequestResult, RetryStormControl, RetryStormStatus, StartedEndpoint,
+    ArrivingRequest, PlatformSettings, RequestResult, RetryStormControl, RetryStormStatus, StartedEndpoint,
 };
 pub use wilson_interval::wilson_lower_bound;
