--- a/crates/gateway/src/limits.rs
+++ b/crates/gateway/src/limits.rs
@@ -1,19 +1,19 @@
-//! The limits of this process, and of the sizes of what it forwards.
+//! The resource limits of this process, and the size limits of the messages that it forwards.
 
 use serde::Deserialize;
 
 pub use weldworks_control::body_streaming::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 
-/// Most that is read ahead of a head or body on one connection, in bytes.
+/// Largest number of bytes that are read ahead of a message head or body on one connection.
 pub const MAX_READ_AHEAD_BYTES: usize = 32 << 10;
 
-/// The limits that the platform sets this process.
+/// The resource limits that the platform sets for this process.
 #[derive(Deserialize)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory, in mebibytes; 192 by default.
+    /// Memory limit, in mebibytes; 192 by default.
     pub memory_mb: usize,
-    /// File descriptors; 1024 by default.
+    /// Number of file descriptors; 1024 by default.
     pub sockets: usize,
 }
 
--- a/crates/gateway/src/string_interner.rs
+++ b/crates/gateway/src/string_interner.rs
@@ -1,9 +1,10 @@
 //! The names behind the numbers by which the balancer knows tenants, zones and machine kinds.
 
-/// How many zones, and how many machine kinds, get numbers of their own. A name beyond shares its number with no other endpoint's.
+/// Largest number of zones, and of machine kinds, that are numbered by name.
+/// An endpoint whose zone or machine kind exceeds this limit gets a number that no other endpoint has.
 const MAX_INTERNED_NAMES: usize = 4096;
 
-/// The names in the settings, and behind them those that endpoint lists have brought. A name's place is its number.
+/// The names from the settings, followed by the names from endpoint lists. The number of a name is its index.
 #[derive(Debug, Default)]
 pub struct StringInterner {
     /// Names of the tenants.
@@ -15,7 +16,7 @@
 }
 
 impl StringInterner {
-    /// Replaces the names. Zones and machine kinds keep their numbers, by which endpoints are known; new ones are appended.
+    /// Replaces the names. Zones and machine kinds keep their numbers, which endpoints refer to; new names are appended.
     pub fn replace_keeping_numbers(&mut self, new: StringInterner) {
         append_missing(&mut self.zones, new.zones);
         append_missing(&mut self.kinds, new.kinds);
@@ -24,8 +25,9 @@
 
     /// The number of an endpoint's zone.
     ///
-    /// Two zones that the settings don't name get two numbers: endpoints of one zone may share idempotency keys. An endpoint without
-    /// a zone shares one with nobody, unless there are no zones at all. `endpoint` is the number of the endpoint itself.
+    /// Zones that the settings don't name get different numbers too, because endpoints of one zone may share idempotency keys.
+    /// An endpoint without a zone shares its zone number with no other endpoint, unless there are no zones at all.
+    /// The parameter `endpoint` is the endpoint's id.
     pub fn zone(&mut self, name: &str, endpoint: u32) -> u32 {
         if name.is_empty() && !self.zones.is_empty() {
             return unshared_number(endpoint);
@@ -33,7 +35,7 @@
         intern(&mut self.zones, name, endpoint)
     }
 
-    /// The number of an endpoint's machine kind. `endpoint` is the number of the endpoint itself.
+    /// The number of an endpoint's machine kind. The parameter `endpoint` is the endpoint's id.
     pub fn kind(&mut self, name: &str, endpoint: u32) -> u32 {
         intern(&mut self.kinds, name, endpoint)
     }
@@ -47,12 +49,12 @@
     }
 }
 
-/// A number that belongs to this endpoint alone.
+/// A number that belongs to the endpoint with this id alone.
 fn unshared_number(endpoint: u32) -> u32 {
     u32::MAX - endpoint
 }
 
-/// The number of a name, which is appended where it is new and there is room.
+/// The number of a name. A new name is appended, unless there are [`MAX_INTERNED_NAMES`] names already.
 fn intern(known: &mut Vec<String>, name: &str, endpoint: u32) -> u32 {
     if let Some(number) = known.iter().position(|other| other == name) {
         return number as u32;
