--- a/crates/gateway/src/body/buffering.rs
+++ b/crates/gateway/src/body/buffering.rs
@@ -10,11 +10,11 @@
 pub struct BufferedBody {
     /// The part of the body that has been read.
     pub buffered: Bytes,
-    /// The part that is still to be read, where the body is longer than was to be buffered.
+    /// The unread rest of a body that is too long to be buffered; `None` where the body has been read completely.
     pub unread: Option<Incoming>,
 }
 
-/// The data that has been read. The usual body is one frame, which is not copied.
+/// The body data that has been read. A usual body is one frame, which is not copied.
 #[derive(Default)]
 struct Buffer {
     first_frame: Bytes,
@@ -48,8 +48,8 @@
 /// Reads a body until it is complete, or longer than `max_bytes`.
 ///
 /// # Errors
-/// [`BodyError::Incomplete`] where it does not arrive in time or its connection breaks, [`BodyError::TooLong`] where it is longer than
-/// any may be.
+/// [`BodyError::Incomplete`] where the body does not arrive in time or its connection breaks.
+/// [`BodyError::TooLong`] where the body is longer than any body may be.
 pub async fn buffer_body(mut body: Incoming, max_bytes: usize) -> Result<BufferedBody, BodyError> {
     let start = Instant::now();
     let mut transfer = BodyTransfer::default();
--- a/crates/gateway/src/body/mod.rs
+++ b/crates/gateway/src/body/mod.rs
@@ -1,8 +1,7 @@
 //! Bodies of requests on their way to an endpoint, and of responses on their way back.
 //!
-//! Bodies up to [`MAX_BUFFERED_BODY_BYTES`](crate::limits::MAX_BUFFERED_BODY_BYTES) are buffered. Larger ones are streamed one chunk
-//! at a time, so that the slower side sets the pace. Neither the server nor the upstream side needs to know which it is: both have a
-//! body to poll.
+//! Bodies up to [`MAX_BUFFERED_BODY_BYTES`](crate::limits::MAX_BUFFERED_BODY_BYTES) are buffered. Larger bodies are streamed one
+//! chunk at a time, so that the slower side sets the pace. The server and the upstream side poll a buffered and a streamed body alike.
 
 mod buffering;
 mod request_body;
@@ -18,7 +17,7 @@
 use hyper::body::Frame;
 use std::task::Poll;
 
-/// The next frame of a buffered body: all of it, then none.
+/// The next frame of a buffered body: first the whole body, then `None`.
 fn buffered_frame<E>(buffered: &mut Bytes) -> Poll<Option<Result<Frame<Bytes>, E>>> {
     let data = std::mem::take(buffered);
     if data.is_empty() {
--- a/crates/gateway/src/body/request_body.rs
+++ b/crates/gateway/src/body/request_body.rs
@@ -14,8 +14,8 @@
 use tokio::time::{sleep, Instant, Sleep};
 use weldworks_control::body_streaming::{BodyError, TransferState};
 
-/// How long the end of a body is held back where the client may have disconnected: the kernel reports a close only once all bytes
-/// before it have been read.
+/// How long the end of a streamed body is delayed where the client may have disconnected.
+/// The kernel reports the client's close only once all bytes before the close have been read.
 const CLOSE_DETECTION_DELAY: Duration = Duration::from_millis(5);
 
 /// A client's request as it is forwarded to an endpoint.
@@ -25,18 +25,18 @@
     pub method: Method,
     /// The request's path and query.
     pub uri: Uri,
-    /// The request's headers of the protocol, an allow list. All others, `Content-Type` among them, are dropped.
+    /// The request's headers that are on the allow list of the protocol. All other headers, such as `Content-Type`, are dropped.
     pub headers: HeaderMap,
     /// The request's body.
     pub body: RequestPayload,
 }
 
-/// A request's body, from which each attempt takes its own.
+/// A request's body, from which each attempt creates its own [`RequestBody`].
 #[derive(Debug)]
 pub enum RequestPayload {
     /// The complete body.
     Buffered(Bytes),
-    /// A body that is still arriving, for one attempt only.
+    /// A body that is still arriving, which can be forwarded in one attempt only.
     Streaming(Rc<StreamingUpload>),
 }
 
@@ -57,27 +57,27 @@
 /// A streamed request body as it is written to an endpoint.
 pub struct StreamingRequestBody {
     upload: Rc<StreamingUpload>,
-    /// Fires when the next piece is overdue, or a held-back end may go on.
+    /// Fires when the client's next data is overdue, or when the delayed end of the body may be forwarded.
     timer: Pin<Box<Sleep>>,
-    held_back: Option<HeldBackEnd>,
-    /// Whether the client was seen to be connected after the complete body was read.
+    delayed_end: Option<DelayedEnd>,
+    /// Whether the client was found connected after the complete body was read.
     client_confirmed: bool,
 }
 
-/// The end of a body, held back until the client has been looked for.
-struct HeldBackEnd {
-    last_piece: Option<Bytes>,
+/// The end of a body, delayed until it is known whether the client is still connected.
+struct DelayedEnd {
+    last_chunk: Option<Bytes>,
 }
 
 impl RequestBody {
-    /// The body for one attempt.
+    /// Creates the body for one attempt.
     pub fn new(payload: &RequestPayload) -> RequestBody {
         match payload {
             RequestPayload::Buffered(bytes) => RequestBody::Buffered(bytes.clone()),
             RequestPayload::Streaming(upload) => RequestBody::Streaming(StreamingRequestBody {
                 upload: upload.clone(),
                 timer: Box::pin(sleep(Duration::ZERO)),
-                held_back: None,
+                delayed_end: None,
                 client_confirmed: false,
             }),
         }
@@ -86,45 +86,45 @@
 
 impl StreamingRequestBody {
     fn poll_frame(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        if self.held_back.is_none() {
-            if let Poll::Ready(piece) = self.upload.poll_data(cx) {
-                let piece = match piece.transpose() {
+        if self.delayed_end.is_none() {
+            if let Poll::Ready(chunk) = self.upload.poll_data(cx) {
+                let chunk = match chunk.transpose() {
                     Err(error) => return Poll::Ready(Some(Err(error))),
-                    Ok(piece) => piece,
+                    Ok(chunk) => chunk,
                 };
                 if !self.must_confirm_client() {
-                    return Poll::Ready(data_frame(piece));
+                    return Poll::Ready(data_frame(chunk));
                 }
                 self.timer.as_mut().reset(Instant::now() + CLOSE_DETECTION_DELAY);
-                self.held_back = Some(HeldBackEnd { last_piece: piece });
+                self.delayed_end = Some(DelayedEnd { last_chunk: chunk });
             }
         }
-        if self.held_back.is_some() {
-            self.poll_held_back(cx)
+        if self.delayed_end.is_some() {
+            self.poll_body_end(cx)
         } else {
-            self.poll_overdue(cx)
+            self.poll_timeout(cx)
         }
     }
 
-    /// Whether the body is complete and its client may have disconnected before it was read.
+    /// Whether the body is complete and its client may have disconnected before the body's last byte was read.
     fn must_confirm_client(&self) -> bool {
         let is_complete = self.upload.state() == TransferState::Complete;
-        !self.client_confirmed && is_complete && self.upload.may_be_abandoned()
+        !self.client_confirmed && is_complete && self.upload.client_may_have_disconnected()
     }
 
-    /// Lets the end go on after its delay, where the client is still connected.
-    fn poll_held_back(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    /// Forwards the body's end after the delay, or fails the body where the client has disconnected.
+    fn poll_body_end(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         ready!(self.timer.as_mut().poll(cx));
         if !self.upload.client.is_connected() {
             return Poll::Ready(Some(Err(self.upload.fail_incomplete())));
         }
         self.client_confirmed = true;
-        let last_piece = self.held_back.take().and_then(|end| end.last_piece);
-        Poll::Ready(data_frame(last_piece))
+        let last_chunk = self.delayed_end.take().and_then(|end| end.last_chunk);
+        Poll::Ready(data_frame(last_chunk))
     }
 
-    /// Fails the body once the client takes too long to send more of it.
-    fn poll_overdue(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    /// Fails the body once the client takes too long to send more data.
+    fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let deadline = self.upload.client_deadline();
         if self.timer.deadline() != deadline {
             self.timer.as_mut().reset(deadline);
--- a/crates/gateway/src/body/response_body.rs
+++ b/crates/gateway/src/body/response_body.rs
@@ -20,10 +20,10 @@
     pub body: ResponseBody,
 }
 
-/// A part of a streamed response. One that stops without [`ResponseChunk::End`] is broken off.
+/// A part of a streamed response body. A body whose chunks stop without [`ResponseChunk::End`] is incomplete.
 #[derive(Debug)]
 pub enum ResponseChunk {
-    /// Some of the body.
+    /// Data of the body.
     Data(Bytes),
     /// The body is complete.
     End,
@@ -36,21 +36,21 @@
     Buffered(Bytes),
     /// A body that is streamed while it arrives.
     Streaming {
-        /// How many bytes are to come, where the response states its length.
+        /// How many bytes of the body are to come; `None` where the response does not state its length.
         remaining: Option<u64>,
-        /// The chunks, as the upstream side reads them.
+        /// The chunks that the upstream side reads from the endpoint.
         chunks: mpsc::Receiver<ResponseChunk>,
-        /// Whether the end has been reached.
+        /// Whether the body has ended, complete or incomplete.
         is_over: bool,
-        /// Counts the request as open until then.
+        /// Counts the request as open until the body has ended.
         metrics_guard: Option<RequestMetricsGuard>,
-        /// Whatever has to last as long as the body does.
+        /// Any value that must live as long as the body, and is dropped with it.
         guard: Option<Box<dyn Any>>,
     },
 }
 
 impl ResponseBody {
-    /// A body that is streamed, of this length in bytes where that is known.
+    /// Creates a streamed body of this length in bytes; `None` where the length is not known.
     pub fn streaming(length: Option<u64>, chunks: mpsc::Receiver<ResponseChunk>) -> ResponseBody {
         ResponseBody::Streaming {
             remaining: length,
@@ -75,7 +75,7 @@
             ResponseBody::Streaming { is_over: true, .. } => Poll::Ready(None),
             ResponseBody::Streaming { remaining, chunks, is_over, metrics_guard, .. } => {
                 let chunk = ready!(chunks.poll_recv(cx));
-                if let Some(ending) = ending_with(chunk.as_ref(), remaining) {
+                if let Some(ending) = ending_after(chunk.as_ref(), remaining) {
                     *is_over = true;
                     if let Some(metrics_guard) = metrics_guard.take() {
                         metrics_guard.finish(ending);
@@ -107,12 +107,12 @@
     }
 }
 
-/// How the request ends with this chunk, where it does; takes the chunk off the bytes that are to come.
-fn ending_with(chunk: Option<&ResponseChunk>, remaining: &mut Option<u64>) -> Option<RequestEnding> {
+/// How the request ends with this chunk, or `None` where more chunks follow. Subtracts the chunk's bytes from `remaining`.
+fn ending_after(chunk: Option<&ResponseChunk>, remaining: &mut Option<u64>) -> Option<RequestEnding> {
     match chunk {
         Some(ResponseChunk::Data(data)) => {
             *remaining = remaining.map(|remaining| remaining.saturating_sub(data.len() as u64));
-            // Where the length is known, nobody asks for the end behind the last byte.
+            // A body of known length is not polled beyond its last byte, so its end is counted here.
             (*remaining == Some(0)).then_some(RequestEnding::Served)
         }
         Some(ResponseChunk::End) => Some(RequestEnding::Served),
--- a/crates/gateway/src/body/streaming_upload.rs
+++ b/crates/gateway/src/body/streaming_upload.rs
@@ -14,15 +14,17 @@
 use tokio::time::{timeout, Instant};
 use weldworks_control::body_streaming::{BodyError, BodyTransfer, TransferState};
 
-/// How long the last byte may have waited unread before the client has to be looked for: the unread bytes may be all that the client
-/// wrote before it disconnected. An attempt begins with the last byte, and none may begin more than 0.1 s after its client has
-/// disconnected; this is half of that, as is `ASSUMED_CONNECTED_AFTER_READ` for buffered bodies.
+/// How long the body's last byte may have waited unread before the client's connection must be checked.
+/// The unread bytes may be all that the client wrote before it disconnected.
+///
+/// An attempt begins with the body's last byte, and no attempt may begin more than 0.1 s after its client has disconnected.
+/// This limit is half of 0.1 s, as is `ASSUMED_CONNECTED_AFTER_READ` for buffered bodies.
 const MAX_UNREAD_BEFORE_CLIENT_CHECK: Duration = Duration::from_millis(50);
 
-/// A wait of at least this long shows that what ends it arrived just then. What is there sooner may have lain unread.
+/// Data that ends a wait of at least this long arrived just then. Data that is there sooner may have waited unread in the socket.
 const MIN_WAIT_FOR_FRESH_DATA: Duration = Duration::from_millis(20);
 
-/// What a streamed body is made of.
+/// The values from which a [`StreamingUpload`] is created.
 pub struct UploadSource {
     /// The part of the body that has been read.
     pub buffered: Bytes,
@@ -30,40 +32,40 @@
     pub unread: Incoming,
     /// The length of the complete body in bytes, where the request states it.
     pub length: Option<u64>,
-    /// Time from the last byte by which the gateway answers.
+    /// Time limit for the gateway's answer, counted from the body's last byte.
     pub answer_timeout: Duration,
-    /// Counts the request as open from its last byte on.
+    /// Counts the request as open from the body's last byte on.
     pub metrics_guard: RequestMetricsGuard,
     /// Whether the client is still connected.
     pub client: Rc<ClientLiveness>,
-    /// The I/O on the client's connection.
+    /// The I/O state of the client's connection.
     pub io_state: Rc<IoState>,
 }
 
 /// A client's body that is streamed while it arrives.
 #[derive(Debug)]
 pub struct StreamingUpload {
-    /// What was read of it before it was forwarded.
+    /// The part of the body that was read before the upload was created; `None` once it has been forwarded.
     buffered: RefCell<Option<Bytes>>,
     unread: RefCell<Incoming>,
     pub(super) length: Option<u64>,
-    /// The zero of the transfer's times.
+    /// Start of the upload, from which `transfer` counts its times.
     pub(super) start: Instant,
     pub(super) transfer: RefCell<BodyTransfer>,
-    /// Time from the last byte by which the gateway answers.
+    /// Time limit for the gateway's answer, counted from the body's last byte.
     pub answer_timeout: Duration,
     pub(super) client: Rc<ClientLiveness>,
     io_state: Rc<IoState>,
-    /// Since when more data is waited for.
+    /// Start of the current wait for the client's data; `None` while nothing is waited for.
     waiting_since: Cell<Option<Instant>>,
-    /// When data last arrived after a wait.
+    /// When the client's data last arrived after a wait of at least `MIN_WAIT_FOR_FRESH_DATA`.
     fresh_data_at: Cell<Option<Instant>>,
-    /// Counts the request as open from its last byte on.
+    /// Counts the request as open from the body's last byte on.
     metrics_guard: RefCell<Option<RequestMetricsGuard>>,
 }
 
 impl StreamingUpload {
-    /// A body of which the first part has been read.
+    /// Creates the upload of a body whose first part has been read.
     pub fn new(source: UploadSource) -> StreamingUpload {
         StreamingUpload {
             transfer: RefCell::new(BodyTransfer::new(source.buffered.len() as u64)),
@@ -80,35 +82,36 @@
         }
     }
 
-    /// Lower bound of when the body's last byte arrived: when the socket was last seen empty before the latest read.
+    /// Lower bound of when the body's last byte arrived: when the client's socket was last seen empty before the latest read.
+    /// The bound is raised to when data last arrived after a wait, and to the start of the upload.
     pub fn earliest_last_byte_at(&self) -> Instant {
         let known = [self.io_state.last_empty_before_read.get(), self.fresh_data_at.get()];
         known.into_iter().flatten().fold(self.start, Instant::max)
     }
 
-    /// What is left of the answer timeout, at least.
+    /// Time that is left of the answer timeout, at least.
     pub fn time_left(&self) -> Duration {
         self.answer_timeout.saturating_sub(self.earliest_last_byte_at().elapsed())
     }
 
-    /// Whether the last byte may have waited so long that the client has disconnected since.
-    pub(super) fn may_be_abandoned(&self) -> bool {
+    /// Whether the body's last byte may have waited unread for so long that the client has disconnected since.
+    pub(super) fn client_may_have_disconnected(&self) -> bool {
         self.earliest_last_byte_at().elapsed() >= MAX_UNREAD_BEFORE_CLIENT_CHECK
     }
 
-    /// Takes the guard that counts the request, for whoever ends it.
+    /// Takes the guard that counts the request, so that the caller can count how the request ends.
     pub fn take_metrics_guard(&self) -> Option<RequestMetricsGuard> {
         self.metrics_guard.take()
     }
 
-    /// Reads and drops the rest for up to `limit`: a client that is still writing would otherwise be cut off before it has read that
-    /// its request is over.
+    /// Reads and drops the rest of the body for up to `limit`.
+    /// Otherwise a client that is still writing would be disconnected before it has read that its request has ended.
     pub async fn discard(&self, limit: Duration) {
         if self.state() == TransferState::Complete {
             return;
         }
         let rest = poll_fn(|cx| loop {
-            // Each borrow ends before anything else runs.
+            // The borrow of the unread body ends before any other code runs.
             match ready!(Pin::new(&mut *self.unread.borrow_mut()).poll_frame(cx)) {
                 Some(Ok(_)) => {}
                 _ => return Poll::Ready(()),
@@ -122,12 +125,12 @@
         self.transfer.borrow().state()
     }
 
-    /// By when the endpoint must take more of the body, where it is the endpoint that is waited for.
+    /// Deadline for the endpoint to accept more of the body; `None` while the transfer does not wait for the endpoint.
     pub fn endpoint_deadline(&self) -> Option<Instant> {
         Some(self.start + self.transfer.borrow().endpoint_deadline()?)
     }
 
-    /// By when the client must send more of the body.
+    /// Deadline for the client to send more of the body.
     pub(super) fn client_deadline(&self) -> Instant {
         self.start + self.transfer.borrow_mut().next_client_data_deadline(self.start.elapsed())
     }
@@ -137,7 +140,7 @@
         self.transfer.borrow_mut().fail(BodyError::Incomplete)
     }
 
-    /// The next piece of the body; none at its end.
+    /// Polls for the next chunk of the body; resolves to `None` at the body's end.
     pub(super) fn poll_data(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
         let now = self.start.elapsed();
         let mut transfer = self.transfer.borrow_mut();
@@ -157,7 +160,7 @@
                 Some(Err(_)) => return Poll::Ready(Some(Err(transfer.fail(BodyError::Incomplete)))),
                 Some(Ok(frame)) => frame.into_data(),
             };
-            let Ok(data) = data else { continue }; // trailers belong to the client's connection
+            let Ok(data) = data else { continue }; // trailers are not forwarded: they belong to the client's connection
             let received = transfer.record_received(now, data.len() as u64).map(|()| data);
             if received.is_ok() {
                 self.record_end_if_reached(&mut transfer);
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Records how long data has been waited for, and when it arrived after a wait. Data that is there at once may have lain unread.
+    /// Records the start of a wait for data, and when data arrived after a wait. Data that is there at once may have waited unread.
     fn record_wait<T>(&self, frame: &Poll<T>) {
         let now = Instant::now();
         if frame.is_pending() {
@@ -176,7 +179,7 @@
         }
     }
 
-    /// Records the end of the body where it has been reached. A body of known length ends with its last byte: nobody polls further.
+    /// Records the end of the body where it has been reached. A body of known length ends with its last byte, and is not polled further.
     fn record_end_if_reached(&self, transfer: &mut BodyTransfer) {
         if !self.unread.borrow().is_end_stream() || transfer.state() == TransferState::Complete {
             return;
