--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request written to an endpoint, and what its end proves of whether the endpoint has processed it.
+//! One attempt: writes a request to an endpoint, and derives from the attempt's end whether the endpoint may have processed the request.
 
 use super::connection::Connection;
 use super::deadline::Deadline;
@@ -33,44 +33,44 @@
 pub struct AttemptResult {
     /// The outcome, as the balancer receives it.
     pub outcome: Outcome,
-    /// The response, where the attempt was served and the response not streamed.
+    /// The response of a served attempt; `None` where the response was streamed.
     pub response: Option<UpstreamResponse>,
-    /// The load report that came with a response of any kind.
+    /// The load report that came with the endpoint's response, whatever its status.
     pub load_report: Option<LoadReport>,
-    /// When the request's last byte was written to the kernel, where it was.
+    /// When the request's last byte was written to the kernel; `None` where that byte was not written.
     pub written_at: Option<Instant>,
 }
 
-/// A step of an attempt that is reported to the engine while the attempt goes on.
+/// Progress of an attempt that is reported to the engine while the attempt is in flight.
 pub enum AttemptProgress {
     /// The first bytes of a streamed request body have been written.
     BodyForwardingStarted,
     /// The last byte of a streamed request body has been written.
     BodyForwarded {
-        /// The body's last byte arrived from the client after this moment.
+        /// Lower bound of the time at which the body's last byte arrived from the client.
         earliest_last_byte_at: Instant,
     },
-    /// A response has begun that is streamed to the client.
+    /// A response that is streamed to the client has begun.
     ResponseStarted {
-        /// The response, whose body still arrives.
+        /// The response, whose body is still arriving.
         response: Box<UpstreamResponse>,
-        /// When its first byte was read.
+        /// When the response's first byte was read.
         first_byte_at: Instant,
-        /// The load report that came with it.
+        /// The load report that came with the response.
         load_report: Option<LoadReport>,
     },
 }
 
 /// One attempt to have a request served.
 pub struct Attempt {
-    /// The endpoint that it goes to.
+    /// The endpoint to which the request is sent.
     pub endpoint: Rc<UpstreamEndpoint>,
     /// The request that is sent.
     pub request: Rc<ForwardedRequest>,
-    /// When it is given up.
+    /// When the attempt times out.
     pub deadline: Rc<Deadline>,
-    /// The latest moment for the request's last byte, where an earlier attempt may have been processed: endpoints recognize the
-    /// idempotency key only up to then.
+    /// Latest time at which the request's last byte may be written, set where an earlier attempt was possibly processed.
+    /// Endpoints recognize the request's idempotency key only until this time.
     pub write_by: Option<Instant>,
     /// Whether the client still waits for an answer.
     pub liveness: Rc<ClientLiveness>,
@@ -83,18 +83,20 @@
         self.write_by.is_some_and(|by| Instant::now() >= by)
     }
 
-    /// Whether the request may be written, checked once the connection is open: while it was opened, the client may have left, the
-    /// endpoint begun to drain, or the time for writing passed.
+    /// Whether the request may be written, checked once the connection is open.
+    /// While the connection was being opened, the client may have disconnected, the endpoint begun to drain, or a deadline passed.
     ///
-    /// This is the check before the first byte. Two more come after it: [`IoState::is_past_write_deadline`] ahead of each write to the
-    /// socket, and for a streamed body `StreamingRequestBody`, which holds back the end until the client has been looked for.
+    /// This check is made before the request's first byte. Two checks follow it:
+    ///
+    /// - [`IoState::is_past_write_deadline`] before each write of the request to the socket;
+    /// - for a streamed body `StreamingRequestBody`, which delays the body's end until the client's connection was checked.
     fn may_be_written(&self) -> bool {
-        let has_client = match &self.request.body {
+        let is_client_waiting = match &self.request.body {
             RequestPayload::Buffered(_) => self.liveness.may_begin(),
-            // Unread bytes behind the head are the body's own, and say nothing of the client.
+            // Unread bytes behind the request head belong to the body, and don't show whether the client has disconnected.
             RequestPayload::Streaming(upload) => self.liveness.is_wanted() && !upload.time_left().is_zero(),
         };
-        has_client
+        is_client_waiting
             && self.endpoint.accepts_requests.get()
             && !self.is_past_write_deadline()
             && Instant::now() < self.deadline.get()
@@ -102,7 +104,7 @@
 }
 
 impl ConnectionPool {
-    /// Makes the attempt. Its connection is closed by the end, or idle in the pool.
+    /// Makes the attempt. When the attempt has ended, its connection is closed, or idle in the pool.
     pub async fn attempt(&self, attempt: &Attempt, report: &dyn Fn(AttemptProgress)) -> AttemptResult {
         let progress = ExchangeProgress::default();
         let exchanged = tokio::select! {
@@ -111,7 +113,7 @@
             exchanged = self.exchange(attempt, &progress, report) => match exchanged {
                 Ok(Exchanged::Buffered(response)) => Ok(response),
                 Ok(Exchanged::Streaming(response)) => {
-                    // From here on only the client and the endpoint end it.
+                    // While its response is streamed, only the client or the endpoint ends the attempt, not its deadline or a cancel.
                     let load_report = progress.load_report.get();
                     let outcome =
                         self.stream_response(*response, &attempt.endpoint, load_report, report).await;
@@ -130,7 +132,7 @@
         progress.into_result(outcome, response)
     }
 
-    /// Writes the request and reads the response, as far as that is buffered.
+    /// Writes the request, and reads the response as far as the response is buffered.
     async fn exchange(
         &self,
         attempt: &Attempt,
@@ -148,7 +150,7 @@
         let body = match body {
             ReadBody::Complete(body) => body,
             ReadBody::Partial(body) if head.status == StatusCode::OK => {
-                // A 200 to a request that the endpoint does not have in full answers nothing.
+                // A 200 from an endpoint that has not received the complete request does not count as an answer.
                 if !request_written {
                     return Err(AttemptEnd::ConnectionFailed);
                 }
@@ -168,14 +170,14 @@
                 return Err(AttemptEnd::Answered(ResponseVerdict::Error));
             }
         };
-        // A connection on which the endpoint answered early must never get the rest of the request.
+        // A connection on which the endpoint answered before the complete request was written must never get the rest.
         if !connection_closed && request_written {
             self.put_back(connection, &attempt.endpoint).await;
         }
         classify_buffered(head, body)
     }
 
-    /// An idle connection to the attempt's endpoint, or a new one.
+    /// An idle connection to the attempt's endpoint, or a new connection.
     async fn connection_for(&self, attempt: &Attempt) -> Result<Connection, AttemptEnd> {
         if let Some(connection) = self.reuse(&attempt.endpoint).await {
             return Ok(connection);
@@ -183,7 +185,7 @@
         let deadline = attempt.deadline.get();
         let dial_deadline = attempt.write_by.map_or(deadline, |by| by.min(deadline));
         self.dial(&attempt.endpoint, dial_deadline).await.map_err(|end| {
-            // A dial that ends because the time for writing has passed says nothing of the endpoint.
+            // A dial that ends because the attempt's write deadline has passed does not count against the endpoint.
             if attempt.is_past_write_deadline() {
                 AttemptEnd::Withheld
             } else {
@@ -242,7 +244,7 @@
     }
 }
 
-/// What a buffered response proves.
+/// Whether a buffered response serves the request, and if not, how the attempt ends.
 fn classify_buffered(head: Parts, body: Bytes) -> Result<Exchanged, AttemptEnd> {
     let not_processed = head.headers.get_all(NOT_PROCESSED_HEADER).iter().map(HeaderValue::as_bytes);
     match classify_response(head.status.as_u16(), not_processed) {
@@ -255,7 +257,7 @@
     }
 }
 
-/// What is known of an exchange while it goes on, and stays known where it is cancelled.
+/// State of an exchange that is recorded while the exchange runs, and is still available where the exchange is cancelled.
 #[derive(Default)]
 struct ExchangeProgress {
     /// The I/O state of the connection that the request is written to.
@@ -275,13 +277,13 @@
     }
 }
 
-/// The response that an exchange has brought.
+/// The response that was received in an exchange.
 enum Exchanged {
     Buffered(UpstreamResponse),
     Streaming(Box<StreamingResponse>),
 }
 
-/// A response of any status, and how the connection stands behind it.
+/// A response of any status, and the state of the connection after the response.
 struct Received {
     response: ReadResponse,
     connection_closed: bool,
--- a/crates/gateway/src/upstream/connect.rs
+++ b/crates/gateway/src/upstream/connect.rs
@@ -1,4 +1,4 @@
-//! Opens connections to endpoints, through moments in which this machine can't.
+//! Opens connections to endpoints, and retries connects that fail for a reason on this machine.
 
 use super::connection::Connection;
 use super::pool::ConnectionPool;
@@ -16,15 +16,15 @@
 use tokio::time::{sleep, timeout_at, Instant};
 use weldworks_control::execution::AttemptEnd;
 
-/// Pause before the next connect after one that failed for want of a resource of this machine.
+/// Delay before the next connect after a connect that failed for a reason on this machine, such as a lack of resources.
 const LOCAL_FAILURE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Connects by `deadline`, and connects again where that fails for a reason on this machine: nothing has been sent, and counting such
-/// a failure against the endpoint would use up all attempts of a request within a moment.
+/// Connects by `deadline`, and retries a connect that failed for a reason on this machine. Nothing has been sent by then.
+/// If such failures counted against the endpoint, they would use up all attempts of a request within a moment.
 ///
 /// # Errors
-/// [`AttemptEnd::Withheld`] where this machine could not connect to the last, [`AttemptEnd::ConnectionFailed`] where the endpoint
-/// refused or did not answer.
+/// [`AttemptEnd::Withheld`] where `deadline` passed after a connect had failed for a reason on this machine.
+/// [`AttemptEnd::ConnectionFailed`] where the endpoint refused the connection or did not answer by `deadline`.
 async fn connect_with_retry<S, C>(mut connect: impl FnMut() -> C, deadline: Instant) -> Result<S, AttemptEnd>
 where
     C: Future<Output = io::Result<S>>,
@@ -51,8 +51,8 @@
     /// Opens a connection to the endpoint by `deadline`.
     ///
     /// # Errors
-    /// [`AttemptEnd::Withheld`] where the cause is on this side: the endpoint has no address, no descriptor is left, or this machine
-    /// can't connect. [`AttemptEnd::ConnectionFailed`] where it is the endpoint's.
+    /// [`AttemptEnd::Withheld`] where the endpoint has no address, no descriptor is left, or this machine can't connect.
+    /// [`AttemptEnd::ConnectionFailed`] where the failure to connect is the endpoint's.
     pub(super) async fn dial(
         &self,
         endpoint: &UpstreamEndpoint,
--- a/crates/gateway/src/upstream/connect/tests.rs
+++ b/crates/gateway/src/upstream/connect/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of local connect failures.
+//! Tests of connects that fail for a reason on this machine.
 
 use super::*;
 use rustix::io::Errno;
 use std::cell::Cell;
 
-/// The result of connecting through these errors within `limit`, and how many times it was tried.
+/// Connects within `limit` while each call fails with the next of these errors; returns the result and the number of calls.
 async fn connect_through(errnos: &[Errno], limit: Duration) -> (Result<usize, AttemptEnd>, usize) {
     let calls = Cell::new(0);
     let connect = || {
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -16,8 +16,9 @@
 
 /// A connection to an endpoint.
 ///
-/// It is driven by whoever holds it and by no task of its own, so that dropping it closes the socket at once. With a task of its own
-/// the endpoint could still be processing an attempt that counts as ended here.
+/// The connection is driven by its owner and by no task of its own, so that dropping the connection closes the socket at once.
+/// With a task of its own, the connection could outlive its attempt, and the endpoint could still process an attempt that counts as
+/// ended here.
 pub(super) struct Connection {
     pub(super) endpoint: EndpointId,
     pub(super) address: SocketAddr,
@@ -30,12 +31,12 @@
 }
 
 impl Connection {
-    /// Whether it goes to the address that the endpoint has now.
-    pub(super) fn leads_to(&self, endpoint: &UpstreamEndpoint) -> bool {
+    /// Whether the connection goes to the endpoint's current address.
+    pub(super) fn matches_address(&self, endpoint: &UpstreamEndpoint) -> bool {
         Some(self.address) == endpoint.address.get()
     }
 
-    /// Whether the endpoint has left it open and sent nothing beyond its responses, as far as the kernel knows now.
+    /// Whether the endpoint has left the connection open and sent nothing beyond its responses, as far as the kernel knows now.
     pub(super) async fn is_open(&mut self) -> bool {
         self.io_state.is_idle.set(true);
         let is_closed = poll_fn(|cx| Poll::Ready(self.driver.as_mut().poll(cx).is_ready())).await;
@@ -43,9 +44,9 @@
         !is_closed && self.sender.is_ready()
     }
 
-    /// Whether nothing has been read since it was put into the pool. Then it ended by the endpoint's close, and not by stray bytes
-    /// behind a response.
-    pub(super) fn was_silent(&self) -> bool {
+    /// Whether nothing has been read since the connection was put into the pool.
+    /// If so, a connection that has ended was closed by its endpoint, and did not end by stray bytes behind a response.
+    pub(super) fn read_nothing_while_idle(&self) -> bool {
         self.io_state.last_read_at.get().is_none_or(|at| at <= self.idle_since)
     }
 }
--- a/crates/gateway/src/upstream/deadline.rs
+++ b/crates/gateway/src/upstream/deadline.rs
@@ -5,7 +5,7 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// When an attempt is given up. A body that is still arriving moves it.
+/// When an attempt times out. The balancer moves the deadline of an attempt whose request body is streamed; a shutdown shortens it.
 #[derive(Debug)]
 pub struct Deadline {
     at: Cell<Instant>,
@@ -18,13 +18,13 @@
         Rc::new(Deadline { at: Cell::new(at), moved: Notify::new() })
     }
 
-    /// Moves it to this instant.
+    /// Moves the deadline to this instant.
     pub fn set(&self, at: Instant) {
         self.at.set(at);
         self.moved.notify_one();
     }
 
-    /// Shortens it to this instant, where that is earlier.
+    /// Moves the deadline to this instant, where that is earlier.
     pub fn shorten_to(&self, at: Instant) {
         self.set(self.get().min(at));
     }
@@ -33,10 +33,10 @@
         self.at.get()
     }
 
-    /// Waits until the deadline has passed, wherever it moves. For one waiter.
+    /// Waits until the deadline has passed, even if it moves meanwhile. Only one task may wait at a time.
     ///
     /// # Cancellation safety
-    /// Cancel safe: nothing is lost.
+    /// Cancel safe: the next wait uses the deadline as it is then.
     pub(super) async fn passed(&self) {
         while Instant::now() < self.get() {
             tokio::select! {
--- a/crates/gateway/src/upstream/headers.rs
+++ b/crates/gateway/src/upstream/headers.rs
@@ -10,14 +10,14 @@
 /// The response header that carries the endpoint's load report.
 const LOAD_REPORT_HEADER: &str = "x-server-load";
 
-/// The response header by which an endpoint says that it has not processed the request.
+/// The response header by which an endpoint states that it has not processed the request.
 pub(super) const NOT_PROCESSED_HEADER: &str = "x-not-processed";
 
-/// The request header that tells the endpoint how long its answer is waited for, in microseconds with the suffix `u`.
+/// The request header with the time that the gateway waits for the endpoint's response, in microseconds with the suffix `u`.
 const TIMEOUT_HEADER: &str = "x-timeout";
 
-/// Headers that belong to one connection, or that this gateway writes anew on each side. They are removed from responses; requests
-/// need no such list, since only the headers of an allow list are forwarded.
+/// Headers that belong to one connection, or that this gateway writes anew on each connection. Such headers are removed from responses.
+/// Requests need no list of removed headers, since only the headers of an allow list are forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -29,7 +29,7 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// Removes from a response the headers that belong to one connection, those that `Connection` names included.
+/// Removes from a response the headers that belong to one connection, including the headers that `Connection` names.
 pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -44,7 +44,7 @@
     headers.remove("keep-alive");
 }
 
-/// The load report in a response's headers. Two are none: nothing says which of them is the endpoint's.
+/// The load report in a response's headers; `None` where there are several, since nothing shows which one is the endpoint's.
 pub(super) fn load_report(headers: &HeaderMap, fields: &LoadReportFields) -> Option<LoadReport> {
     let mut reports = headers.get_all(LOAD_REPORT_HEADER).iter();
     let text = reports.next()?.to_str().ok()?;
@@ -54,7 +54,7 @@
     fields.parse_header(text)
 }
 
-/// Builds the request as it is written to an endpoint whose answer is waited for until `answer_by`.
+/// Builds the request as it is written to an endpoint; the gateway waits for the endpoint's response until `answer_by`.
 pub(super) fn build_request(forward: &ForwardedRequest, answer_by: Instant) -> Request<RequestBody> {
     let mut request = Request::new(RequestBody::new(&forward.body));
     *request.method_mut() = forward.method.clone();
@@ -62,7 +62,7 @@
     *request.headers_mut() = forward.headers.clone();
     let timeout = match &forward.body {
         RequestPayload::Buffered(_) => answer_by.saturating_duration_since(Instant::now()),
-        // It counts from the body's last byte, which may have arrived already and not been read yet.
+        // The answer timeout counts from the body's last byte, which may have arrived already without having been read.
         RequestPayload::Streaming(upload) => upload.time_left(),
     };
     let timeout_us = timeout.as_micros();
--- a/crates/gateway/src/upstream/mod.rs
+++ b/crates/gateway/src/upstream/mod.rs
@@ -18,14 +18,14 @@
 use std::net::SocketAddr;
 use weldworks_balancer::EndpointId;
 
-/// What the connection side knows of an endpoint.
+/// The connection side of an endpoint.
 #[derive(Debug)]
 pub struct UpstreamEndpoint {
-    /// Its id, which passes to another endpoint after this one is removed.
+    /// The endpoint's id, which may be reused for another endpoint after this endpoint is removed.
     pub id: EndpointId,
-    /// The address that it listens at, where it has one.
+    /// The address at which the endpoint listens; `None` where no valid address was listed.
     pub address: Cell<Option<SocketAddr>>,
-    /// Whether new requests may be sent to it.
+    /// Whether new requests may be sent to the endpoint.
     pub accepts_requests: Cell<bool>,
 }
 
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -15,27 +15,28 @@
 use weldworks_balancer::load_report::LoadReportFields;
 use weldworks_balancer::EndpointId;
 
-/// Time that a connection is idle between two requests, 6 ms: stray bytes that an endpoint sends behind a response arrive within
-/// milliseconds, and must not be read as the response to the next request.
+/// Least time for which a connection is idle between two requests, 6 ms.
+/// Stray bytes that an endpoint sends behind a response arrive within milliseconds, and must not be read as the next response.
 const MIN_IDLE_BEFORE_REUSE: Duration = Duration::from_millis(6);
 
-/// Longest interval between two checks of the idle connections. A connection that is put back is not watched before the next check.
+/// Longest interval between two checks of the idle connections.
+/// A connection that is put back is watched for a close from the next check on.
 pub(super) const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// An idle connection that its endpoint has closed before the pool would have.
+/// An idle connection that its endpoint has closed before the pool would have closed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClosedIdleConnection {
     /// The endpoint's id.
     pub endpoint: EndpointId,
-    /// The address that the connection went to.
+    /// The endpoint's address on the closed connection.
     pub address: SocketAddr,
-    /// How long it had been idle.
+    /// How long the closed connection had been idle.
     pub idle_for: Duration,
-    /// How many idle connections to that address are left.
+    /// How many idle connections to the endpoint's address are left.
     pub remaining: usize,
 }
 
-/// A connection of which the close by its endpoint is still to be reported.
+/// An idle connection that its endpoint has closed, where the close has not been reported yet.
 struct UnreportedClose {
     endpoint: EndpointId,
     address: SocketAddr,
@@ -60,23 +61,24 @@
 }
 
 impl ConnectionSettings {
-    /// How long the pool keeps an idle connection. A request that crosses the endpoint's close is lost to a reset, so this stays far
-    /// below the endpoint's own limit.
+    /// How long the pool keeps an idle connection, which is far shorter than the endpoint keeps the connection open:
+    /// a request that is sent while the endpoint closes the connection is lost to a reset.
     fn max_idle(&self) -> Duration {
         self.keep_alive / 2
     }
 }
 
-/// All idle connections to endpoints.
+/// The idle connections to all endpoints.
 ///
 /// A connection that has carried a request is put back only if the request was written completely, the response was read completely,
-/// the endpoint still accepts requests, and the socket is open with nothing to read. It is reused only after
-/// `MIN_IDLE_BEFORE_REUSE`, before half of `keep_alive`, to the endpoint's current address, and if the socket is still
-/// open with nothing to read; the one used last comes first.
+/// the endpoint still accepts requests, and the socket is open with nothing to read.
+///
+/// An idle connection is reused only after `MIN_IDLE_BEFORE_REUSE`, before half of `keep_alive`, to the endpoint's current address, and
+/// if the socket is still open with nothing to read. Of several such connections, the most recently used is reused first.
 pub struct ConnectionPool {
-    /// The connection used last is at the end.
+    /// The idle connections, with the most recently used at the end.
     pub(super) idle: RefCell<VecDeque<Connection>>,
-    /// Closes that were found on reuse, reported with the others by [`ConnectionPool::run_expiry_loop`].
+    /// Closes by endpoints that were found on reuse; [`ConnectionPool::run_expiry_loop`] reports them with those that it finds.
     unreported_closes: RefCell<Vec<UnreportedClose>>,
     pub(super) settings: RefCell<ConnectionSettings>,
     descriptors: DescriptorQuota,
@@ -84,7 +86,7 @@
 }
 
 impl ConnectionPool {
-    /// Creates an empty pool, whose connections together take at most these descriptors.
+    /// Creates an empty pool, whose connections together take at most the descriptors of this quota.
     pub fn new(
         descriptors: DescriptorQuota,
         settings: ConnectionSettings,
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Applies new settings, to idle connections too.
+    /// Applies new settings, also to the connections that are idle now.
     pub fn reconfigure(&self, settings: ConnectionSettings) {
         self.settings.replace(settings);
     }
@@ -114,16 +116,18 @@
         self.idle.borrow_mut().retain(|connection| keep(connection.endpoint));
     }
 
-    /// Runs for as long as it is polled and closes idle connections that are expired or were closed by their endpoint: either takes up a
-    /// descriptor here and a place at the endpoint. Reports those that their endpoint closed early, at once where the connection has
-    /// been idle for `IDLE_CHECK_INTERVAL`, else within that.
+    /// Closes idle connections that have expired or were closed by their endpoint, for as long as this future is polled.
+    /// Unless closed, an expired connection takes up a descriptor here and a connection at the endpoint.
+    ///
+    /// Reports the connections that their endpoint closed before they expired. A close is reported at once where the connection has
+    /// been idle for `IDLE_CHECK_INTERVAL`, else within that interval.
     ///
     /// # Cancellation safety
-    /// Cancel safe: only the wish to be woken is lost.
+    /// Cancel safe: a cancelled loop only loses its wake-ups by idle connections.
     pub async fn run_expiry_loop(&self, report: impl Fn(ClosedIdleConnection)) {
         loop {
             let mut checked = false;
-            // The check leaves this task's waker with every idle connection; the wake by any of them ends the wait.
+            // The check registers this task's waker with every idle connection; a wake-up by any connection ends the wait.
             let woken = poll_fn(|cx| {
                 if std::mem::replace(&mut checked, true) {
                     return Poll::Ready(());
@@ -131,12 +135,12 @@
                 self.check_idle(cx, &report);
                 Poll::Pending
             });
-            // Woken or not, all connections are checked again.
+            // After a wake-up as after the timeout, all idle connections are checked again.
             let _ = timeout(IDLE_CHECK_INTERVAL, woken).await;
         }
     }
 
-    /// Closes what is expired or closed by its endpoint, and reports the latter.
+    /// Closes idle connections that have expired or were closed by their endpoint, and reports the closes by endpoints before that.
     fn check_idle(&self, cx: &mut Context<'_>, report: impl Fn(ClosedIdleConnection)) {
         let mut closes = self.unreported_closes.take();
         let max_idle = self.settings.borrow().max_idle();
@@ -144,37 +148,38 @@
         idle.retain_mut(|connection| {
             let idle_for = connection.idle_since.elapsed();
             let is_open = connection.driver.as_mut().poll(cx).is_pending();
-            if !is_open && idle_for < max_idle && connection.was_silent() {
+            if !is_open && idle_for < max_idle && connection.read_nothing_while_idle() {
                 closes.push(UnreportedClose::new(connection, idle_for));
             }
             is_open && idle_for < max_idle
         });
         for UnreportedClose { endpoint, address, idle_for } in closes {
-            let same = |other: &&Connection| other.endpoint == endpoint && other.address == address;
-            let remaining = idle.iter().filter(same).count();
+            let has_same_address =
+                |other: &&Connection| other.endpoint == endpoint && other.address == address;
+            let remaining = idle.iter().filter(has_same_address).count();
             report(ClosedIdleConnection { endpoint, address, idle_for, remaining });
         }
     }
 
-    /// Takes the idle connection to the endpoint that was used last and is still open.
+    /// Takes the most recently used idle connection to the endpoint that is reusable and still open.
     pub(super) async fn reuse(&self, endpoint: &UpstreamEndpoint) -> Option<Connection> {
         loop {
             let mut connection = self.take_reusable(endpoint.id)?;
             let idle_for = connection.idle_since.elapsed();
-            if idle_for >= self.settings.borrow().max_idle() || !connection.leads_to(endpoint) {
+            if idle_for >= self.settings.borrow().max_idle() || !connection.matches_address(endpoint) {
                 continue;
             }
             if connection.is_open().await {
                 return Some(connection);
             }
-            if connection.was_silent() {
+            if connection.read_nothing_while_idle() {
                 let close = UnreportedClose::new(&connection, idle_for);
                 self.unreported_closes.borrow_mut().push(close);
             }
         }
     }
 
-    /// Takes the connection to the endpoint that was used last, of those idle for at least [`MIN_IDLE_BEFORE_REUSE`].
+    /// Takes the most recently used connection to the endpoint, of those idle for at least [`MIN_IDLE_BEFORE_REUSE`].
     fn take_reusable(&self, endpoint: EndpointId) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let position = idle.iter().rposition(|connection| {
@@ -183,7 +188,7 @@
         idle.remove(position)
     }
 
-    /// Takes a descriptor for a new connection, closing the connection that has been idle for longest where none is left.
+    /// Takes a descriptor for a new connection; where no descriptor is left, closes the connection that was idle for longest.
     pub(super) fn acquire_descriptor(&self) -> Option<DescriptorPermit> {
         self.descriptors.acquire().or_else(|| {
             self.idle.borrow_mut().pop_front();
@@ -191,7 +196,7 @@
         })
     }
 
-    /// Puts a connection back, unless its endpoint takes nothing new or has closed it.
+    /// Puts a connection back into the pool, unless its endpoint accepts no requests or the connection is no longer open.
     pub(super) async fn put_back(&self, mut connection: Connection, endpoint: &UpstreamEndpoint) {
         if endpoint.accepts_requests.get() && connection.is_open().await {
             connection.idle_since = Instant::now();
--- a/crates/gateway/src/upstream/response_reader.rs
+++ b/crates/gateway/src/upstream/response_reader.rs
@@ -14,7 +14,7 @@
     Complete(Bytes),
     /// The start of a body that is to be streamed.
     Partial(PartialBody),
-    /// It is longer than any response may be.
+    /// The body is longer than any response body may be.
     TooLong,
     /// The connection broke, or the body was malformed.
     Broken,
@@ -34,7 +34,7 @@
     pub(super) body: ReadBody,
 }
 
-/// Reads the body of a response until it is complete, or is to be streamed.
+/// Reads the body of a response until the body is complete or is to be streamed.
 pub(super) async fn read_response(head: Parts, body: Incoming) -> ReadResponse {
     ReadResponse { head, body: read_body(body).await }
 }
@@ -59,7 +59,7 @@
         };
         let Ok(data) = frame.into_data() else { continue };
         buffering.record_received(start.elapsed(), data.len() as u64);
-        // The usual response is one frame, and is not copied.
+        // The body of a usual response is one frame, which is not copied.
         if buffered.is_empty() && length == Some(data.len() as u64) && data.len() <= MAX_BUFFERED_BODY_BYTES {
             return ReadBody::Complete(data);
         }
--- a/crates/gateway/src/upstream/response_stream.rs
+++ b/crates/gateway/src/upstream/response_stream.rs
@@ -17,7 +17,7 @@
 use weldworks_balancer::{LoadReport, Outcome};
 use weldworks_control::body_streaming::PEER_STALL_TIMEOUT;
 
-/// A response of which the start has been read, and the connection that the rest comes over.
+/// A response whose start has been read, and the connection on which the rest of the response arrives.
 pub(super) struct StreamingResponse {
     pub(super) connection: Connection,
     pub(super) connection_closed: bool,
@@ -27,7 +27,7 @@
 }
 
 impl ConnectionPool {
-    /// Streams the response until it is complete or either side has disconnected. The connection is closed by then, or idle in the pool.
+    /// Streams the response until it is complete, or either side disconnects or stalls. The connection is then closed or in the pool.
     pub(super) async fn stream_response(
         &self,
         response: StreamingResponse,
@@ -40,7 +40,7 @@
         let PartialBody { buffered, mut unread, length } = body;
         let (chunks, receiver) = mpsc::channel(1);
         let mut received_bytes = buffered.len() as u64;
-        let _ = chunks.try_send(ResponseChunk::Data(buffered)); // the channel has room for one
+        let _ = chunks.try_send(ResponseChunk::Data(buffered)); // the channel's capacity is one chunk
         let body = ResponseBody::streaming(length, receiver);
         let response = Box::new(UpstreamResponse { headers, body });
         report(AttemptProgress::ResponseStarted { response, first_byte_at, load_report });
@@ -62,7 +62,7 @@
                 }
                 Ok(Some(Err(_))) | Err(_) => return Outcome::Reset,
             };
-            let Ok(data) = data else { continue }; // trailers belong to this connection
+            let Ok(data) = data else { continue }; // trailers are not forwarded: they belong to the endpoint's connection
             received_bytes += data.len() as u64;
             if received_bytes > MAX_BODY_BYTES {
                 return Outcome::Error;
@@ -75,7 +75,7 @@
     }
 }
 
-/// The next frame of the body; drives the connection meanwhile.
+/// Reads the next frame of the body, and drives the connection meanwhile.
 async fn next_frame(
     body: &mut Incoming,
     connection: &mut Connection,
--- a/crates/gateway/src/upstream/response_wait.rs
+++ b/crates/gateway/src/upstream/response_wait.rs
@@ -30,7 +30,7 @@
 }
 
 impl ResponseWait<'_> {
-    /// Polls the response and the connection under it; none where either side has stalled.
+    /// Polls the response and its connection; resolves to `None` once either side has stalled.
     pub(super) fn poll<F: Future>(
         &mut self,
         cx: &mut Context<'_>,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Reports once that a streamed body has begun to leave.
+    /// Reports, once for an attempt, that the first part of a streamed body has been forwarded.
     fn report_body_start(&mut self) {
         let RequestPayload::Streaming(upload) = self.body else { return };
         let previous = std::mem::replace(&mut self.transfer_state, upload.state());
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Reports once that the request's last byte has been written.
+    /// Records, once for an attempt, that the request's last byte has been written, and reports the end of a streamed body.
     fn report_written(&mut self) {
         if self.request_written || self.io_state.write_progress.get() != WriteProgress::Complete {
             return;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// When the side that is waited for counts as stalled; none while it may take its time.
+    /// When the side that the attempt waits for counts as stalled; `None` while that side has no time limit.
     fn stall_deadline(&self) -> Option<Instant> {
         match self.body {
             RequestPayload::Streaming(upload)
@@ -92,11 +92,13 @@
         }
     }
 
-    /// When a response that has begun counts as stalled; none before it has begun. Where a 1xx has arrived, this first clears the record
-    /// of its first byte; a start of the final head that was read together with it counts with the next read.
+    /// When a response that has begun counts as stalled; `None` before the response has begun.
+    ///
+    /// After a 1xx response, this first clears the time of the first byte, which belongs to the 1xx.
+    /// A final response whose start was read together with the 1xx counts as begun from the next read on.
     fn response_stall_deadline(&self) -> Option<Instant> {
         if self.informational.swap(false, Ordering::Relaxed) {
-            // What was read is a 1xx: the response itself has not begun.
+            // The bytes read so far are a 1xx response, so the final response has not begun.
             self.io_state.first_read_at.set(None);
         }
         let first_read = self.io_state.first_read_at.get()?;
@@ -109,9 +111,9 @@
     }
 }
 
-/// When an endpoint that takes no more of a streamed body counts as stalled. It has never had the complete request.
+/// When an endpoint that accepts no more of a streamed body counts as stalled. Such an endpoint has not received the whole request.
 fn body_stall_deadline(upload: &StreamingUpload) -> Option<Instant> {
     let endpoint_deadline = upload.endpoint_deadline()?;
-    // The client may have written the last byte long ago, and its own timeout counts from then.
+    // The client may have written the body's last byte long ago, and the client's own timeout counts from that write.
     Some(endpoint_deadline.min(upload.earliest_last_byte_at() + upload.answer_timeout))
 }
--- a/crates/gateway/src/upstream/tests.rs
+++ b/crates/gateway/src/upstream/tests.rs
@@ -44,19 +44,19 @@
 
 /// Accepts a connection, answers one request, and returns the connection.
 async fn answer_one(listener: &TcpListener, response: &str) -> TcpStream {
-    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let (mut stream, _) = listener.accept().await.expect("accept the connection");
     let _ = stream.read(&mut [0; 4096]).await;
-    stream.write_all(response.as_bytes()).await.expect("a response");
+    stream.write_all(response.as_bytes()).await.expect("write the response");
     stream
 }
 
 /// The outcome and the load report of an attempt whose response has this status and these headers.
 async fn load_report_of(status: &str, headers: &str) -> (Outcome, Option<LoadReport>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
+    let address = listener.local_addr().expect("read the local address");
     let response = format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 2\r\n\r\nok");
     let settings = r#"{"stats":{"how":"inline","fields":["throughput","outstanding"]}}"#;
-    let fields = LoadReportFields::parse(settings).expect("settings");
+    let fields = LoadReportFields::parse(settings).expect("parse the load report fields");
     let pool = pool(Duration::from_secs(10), fields);
     let attempt = attempt(endpoint(EndpointId(0), Some(address)));
     let (result, _stream) = tokio::join!(pool.attempt(&attempt, &|_| {}), answer_one(&listener, &response));
@@ -81,8 +81,8 @@
 async fn reported_close(
     then: impl AsyncFnOnce(&ConnectionPool, &mut TcpStream),
 ) -> Option<ClosedIdleConnection> {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
+    let address = listener.local_addr().expect("read the local address");
     let pool = pool(Duration::from_secs(60), LoadReportFields::default());
     let attempt = attempt(endpoint(EndpointId(3), Some(address)));
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -92,7 +92,7 @@
     tokio::select! {
         () = pool.run_expiry_loop(|closed| reported.set(Some(closed))) => {}
         () = async {
-            tokio::time::sleep(4 * IDLE_CHECK_INTERVAL).await; // it is watched by now
+            tokio::time::sleep(4 * IDLE_CHECK_INTERVAL).await; // by now the pool watches the connection
             then(&pool, &mut stream).await;
             let start = Instant::now();
             while reported.get().is_none() && start.elapsed() < Duration::from_secs(2) {
@@ -105,19 +105,21 @@
 
 #[tokio::test]
 async fn a_close_by_the_endpoint_is_reported_and_stray_bytes_are_not() {
-    let closed = reported_close(async |_, stream| stream.shutdown().await.expect("a close")).await;
-    let closed = closed.expect("reported");
+    let closed =
+        reported_close(async |_, stream| stream.shutdown().await.expect("close the connection")).await;
+    let closed = closed.expect("the close is reported");
     assert_eq!((closed.endpoint, closed.remaining), (EndpointId(3), 0));
     assert!(closed.idle_for >= 4 * IDLE_CHECK_INTERVAL, "{:?}", closed.idle_for);
-    let stray = reported_close(async |_, stream| stream.write_all(b"noise").await.expect("written")).await;
+    let stray =
+        reported_close(async |_, stream| stream.write_all(b"noise").await.expect("write stray bytes")).await;
     assert_eq!(stray, None);
     assert_eq!(reported_close(async |_, _| {}).await, None);
 }
 
-/// An endpoint sends a second response 5 ms behind the first. Read as the response to the next request, it would be given to the wrong
-/// client. So until then the connection serves nobody, and from then on the stray bytes are found, however late this process looks.
+/// An endpoint sends a second response 5 ms behind the first. Read as the response to the next request, it would go to the wrong client.
+/// So the connection is not reused until stray bytes would have arrived, and from then on they are found, however late the pool checks.
 #[tokio::test]
-async fn a_connection_rests_for_longer_than_a_second_response_takes() {
+async fn a_connection_is_not_reused_before_a_stray_second_response_has_arrived() {
     for stray in [false, true] {
         let seen = Rc::new(Cell::new(None));
         let result = seen.clone();
@@ -129,15 +131,15 @@
             };
             let endpoint = endpoint(EndpointId(3), stream.local_addr().ok());
             set_idle_for(Duration::from_millis(5));
-            let rests = pool.reuse(&endpoint).await.is_none();
+            let is_too_recent = pool.reuse(&endpoint).await.is_none();
             if stray {
                 stream
                     .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
                     .await
-                    .expect("written");
+                    .expect("write the stray response");
             }
             set_idle_for(Duration::from_millis(7));
-            result.set(Some((rests, pool.reuse(&endpoint).await.is_some())));
+            result.set(Some((is_too_recent, pool.reuse(&endpoint).await.is_some())));
         })
         .await;
         assert_eq!(seen.take(), Some((true, !stray)), "stray: {stray}");
@@ -151,7 +153,7 @@
         let settings = ConnectionSettings { keep_alive, ..pool.settings.borrow().clone() };
         pool.reconfigure(settings);
         let read = timeout(Duration::from_secs(30), stream.read(&mut [0; 1])).await;
-        assert!(matches!(read, Ok(Ok(0))), "the pool's close: {read:?}");
+        assert!(matches!(read, Ok(Ok(0))), "the pool has not closed the connection: {read:?}");
     });
-    assert_eq!(reported.await, None, "the endpoint has closed nothing");
+    assert_eq!(reported.await, None, "the endpoint has not closed the connection");
 }
