--- a/crates/gateway/src/engine/actions.rs
+++ b/crates/gateway/src/engine/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the balancer has decided.
+//! Executes the actions that the balancer returns.
 
 use super::attempt_reporter::AttemptReporter;
 use super::message::FinalAnswer;
@@ -18,18 +18,18 @@
 use weldworks_balancer::{Action, EndpointId, Event, Outcome, RequestId};
 use weldworks_fleet::audit::DecisionKind;
 
-/// The latest moments of an attempt.
+/// The deadlines of an attempt.
 #[derive(Clone, Copy)]
 struct AttemptDeadlines {
-    /// When the attempt is given up.
+    /// When the attempt times out.
     answer_by: Instant,
-    /// The latest moment for the request's last byte, where the attempt has one.
+    /// Latest time at which the request's last byte may be written; `None` where the time is not limited.
     write_by: Option<Instant>,
 }
 
 impl Engine {
-    /// Hands each action to the function that carries it out.
-    pub(super) fn carry_out(&mut self, action: Action) {
+    /// Executes one action of the balancer.
+    pub(super) fn execute(&mut self, action: Action) {
         match action {
             Action::Send { request, endpoint, deadline, write_by } => {
                 let deadlines = AttemptDeadlines {
@@ -49,9 +49,9 @@
             Action::SetTimer { after, token } => {
                 self.timers.push(Instant::now() + after, Timer::Balancer(token));
             }
-            // The balancer requests no probes: it judges endpoints by the requests that they serve.
+            // The balancer requests no probes, because it assesses endpoints by the requests that they serve.
             Action::Probe { endpoint } => {
-                self.decide(Event::ProbeEnded {
+                self.notify(Event::ProbeEnded {
                     endpoint,
                     outcome: Outcome::NotSent,
                     latency: Duration::ZERO,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Writes the choice of an endpoint to the fleet's audit log, where this gateway is in a fleet.
+    /// Records the selected endpoint in the fleet's audit log, if this gateway is in a fleet.
     fn record_selection(&self, request: RequestId, endpoint: EndpointId) {
         if self.fleet.is_none() {
             return;
@@ -96,7 +96,7 @@
         self.finish(request, FinalAnswer::Failed(status));
     }
 
-    /// Starts the task of an attempt, which reports to the engine how it ends.
+    /// Starts the task of an attempt, which reports to the engine how the attempt ends.
     fn start_attempt(&mut self, id: RequestId, endpoint: EndpointId, deadlines: AttemptDeadlines) {
         let index = endpoint.0 as usize;
         let Some(entry) = self.requests.get_mut(id) else { return };
@@ -132,14 +132,14 @@
         entry.attempts_in_flight += 1;
         let pool = self.pool.clone();
         spawn_local(async move {
-            let mut reporter = reporter; // moves all fields into this task: the drop reports the end
+            let mut reporter = reporter; // the whole reporter moves into this task: its drop reports the attempt's end
             let result = pool.attempt(&attempt, &|progress| reporter.report_progress(progress)).await;
             reporter.result = result;
         });
     }
 }
 
-/// Time from the last byte of a streamed body by which the gateway answers; zero for a buffered one.
+/// Time limit for the gateway's answer, counted from the last byte of a streamed request body; zero for a buffered body.
 fn answer_timeout(entry: &RequestEntry) -> Duration {
     match &entry.forward.body {
         RequestPayload::Buffered(_) => Duration::ZERO,
--- a/crates/gateway/src/engine/attempt_reporter.rs
+++ b/crates/gateway/src/engine/attempt_reporter.rs
@@ -7,19 +7,19 @@
 use tokio::time::Instant;
 use weldworks_balancer::RequestId;
 
-/// Reports how an attempt ended when it is dropped.
+/// Reports the progress of an attempt to the engine, and on drop how the attempt ended.
 ///
-/// The report is sent on drop so that the engine learns of the end also where the attempt's task panics: the endpoint may have
-/// processed the request by then, and without the report the request would stay open until its deadline.
+/// The drop reports the attempt's end even where the attempt's task panics: the endpoint may have processed the request by then.
+/// Without the report, the request would stay open until its deadline.
 pub(super) struct AttemptReporter {
     pub(super) engine: EngineHandle,
     pub(super) request: RequestId,
     pub(super) attempt: u32,
-    /// Start of the latency: the balancer's decision, or the write of the last byte of a streamed body.
+    /// When the latency starts: at the balancer's decision, or for a streamed body at the write of its last byte.
     pub(super) latency_since: Cell<Instant>,
     /// When the balancer decided on the attempt.
     pub(super) decided_at: Instant,
-    /// Time from the last byte of a streamed body by which the gateway answers.
+    /// Time limit for the gateway's answer, counted from the last byte of a streamed request body.
     pub(super) answer_timeout: Duration,
     pub(super) result: AttemptResult,
 }
--- a/crates/gateway/src/engine/clock.rs
+++ b/crates/gateway/src/engine/clock.rs
@@ -1,16 +1,16 @@
-//! The balancer's clock: monotonic, tied once to this machine's wall clock, which may be wrong.
+//! The balancer's clock: monotonic, and related only once, at process start, to this machine's wall clock, which may be wrong.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Balancer time at the start of this process, one day: endpoints that started before it have a time on the clock too.
+/// Balancer time at process start: one day, so that endpoints that started within the day before have a balancer time too.
 const BALANCER_TIME_AT_PROCESS_START: Duration = Duration::from_secs(86_400);
 
-/// Converts between [`Instant`], balancer time and Unix time.
+/// Converts [`Instant`] to and from balancer time, and Unix time to balancer time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     process_start: Instant,
-    /// Unix time at the start of the process, by the wall clock as it was then.
+    /// The wall clock's reading at process start, as time since the Unix epoch.
     process_start_unix: Duration,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Balancer time of a Unix time in milliseconds; none where it lies before the clock's zero.
+    /// Converts a Unix time in milliseconds to balancer time; `None` for a Unix time at or before balancer time zero.
     pub(super) fn balancer_time_of_unix(&self, unix_ms: u64) -> Option<Duration> {
         let unshifted = BALANCER_TIME_AT_PROCESS_START + Duration::from_millis(unix_ms);
         let time = unshifted.checked_sub(self.process_start_unix)?;
--- a/crates/gateway/src/engine/discovery_watch.rs
+++ b/crates/gateway/src/engine/discovery_watch.rs
@@ -1,7 +1,7 @@
 //! When the engine opens, replaces and ends its watch on discovery.
 //!
-//! Where discovery pushes lists, the engine reopens a lost watch by [`WatchBackoff`]. Where it is polled, a call has a price and the
-//! balancer decides when to make the next.
+//! Where discovery pushes endpoint lists, the engine reopens a lost watch after the delay that [`WatchBackoff`] gives.
+//! Where discovery is polled, each poll has a cost, and the balancer decides when the next poll is made.
 //!
 //! [`WatchBackoff`]: weldworks_control::watch_backoff::WatchBackoff
 
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Opens a watch from the list in force on, in place of the one before.
+    /// Opens a watch for endpoint lists newer than the list in force, and ends the previous watch.
     pub(super) fn open_watch(&mut self) {
         debug!(list_index = self.list_index, "watch opened");
         self.watch_id += 1;
@@ -43,19 +43,19 @@
         }
     }
 
-    /// Ends the watch; false where there is none.
+    /// Ends the current watch; false where there is no watch.
     pub(super) fn end_watch(&mut self) -> bool {
         let Some(task) = self.watch_task.take() else { return false };
         task.abort();
-        // No watch has this number, so that messages of the ended one are ignored.
+        // No watch has the new number, so that messages of the ended watch are ignored.
         self.watch_id += 1;
         true
     }
 
-    /// Applies a list that a watch has received.
+    /// Applies an endpoint list that the current watch has received.
     ///
-    /// Messages of an ended watch may still be queued. They come from an earlier connection, perhaps to another discovery whose
-    /// indexes mean nothing here, so they are ignored.
+    /// Messages of an ended watch may still be queued, and are ignored. Such messages come from an earlier connection.
+    /// That connection may have gone to another discovery, whose list indices mean nothing here.
     pub(super) fn receive_endpoint_list(
         &mut self,
         watch_id: u64,
@@ -73,7 +73,7 @@
         self.apply_received_list(previous_message_at, list);
     }
 
-    /// Handles the end of the current watch; see [`Engine::receive_endpoint_list`] for that of an earlier one.
+    /// Handles the end of the current watch. The end of an earlier watch is ignored, as in [`Engine::receive_endpoint_list`].
     pub(super) fn handle_watch_failure(&mut self, watch_id: u64, reason: &str, silent_for: Duration) {
         if watch_id != self.watch_id {
             return;
@@ -84,7 +84,7 @@
                 address = %self.discovery_address, list_index = self.list_index, reason,
                 "discovery poll failed, polling again within seconds"
             );
-            return self.decide(Event::DiscoveryFailed { silent_for });
+            return self.notify(Event::DiscoveryFailed { silent_for });
         }
         let now = Instant::now();
         let loss = self.watch_backoff.record_loss(self.handle.balancer_time(now));
@@ -107,8 +107,9 @@
         );
     }
 
-    /// Asks discovery again, on a new connection, where other gateways have a newer endpoint list. The discovery server behind the
-    /// current watch may lag, and would keep this gateway sending to drained endpoints for as long as the connection lives.
+    /// Polls discovery again, on a new connection, where other gateways have a newer endpoint list.
+    /// The discovery server behind the current watch may lag, and this gateway would send to drained endpoints for as long as the watch
+    /// is open.
     pub(super) fn refresh_lagging_list(&mut self, current_index: u64) {
         if current_index <= self.list_index {
             return;
@@ -122,13 +123,13 @@
         if self.list_delivery() == ListDelivery::Push {
             self.open_watch();
         } else if was_watching {
-            self.decide(Event::DiscoveryFailed { silent_for: Duration::ZERO });
+            self.notify(Event::DiscoveryFailed { silent_for: Duration::ZERO });
         }
     }
 
-    /// Switches to another discovery address, from its first list on: indexes of two discoveries can't be compared. The same address
-    /// changes nothing, also where discovery is now polled instead of watched or the other way round. The time of the last message is
-    /// kept, so the first list of the new discovery comes with that of the old one.
+    /// Switches to another discovery address and starts at list index 0 there, since list indices of two discoveries can't be compared.
+    /// An unchanged address changes nothing, even where discovery is now polled instead of watched or the other way round.
+    /// The time of the last discovery message is kept, so the first list of the new discovery comes with that of the old discovery.
     pub(super) fn switch_discovery(&mut self, address: SocketAddr) {
         if address == self.discovery_address {
             return;
@@ -139,7 +140,7 @@
         self.end_watch();
         match self.list_delivery() {
             ListDelivery::Push => self.open_watch(),
-            ListDelivery::Poll => self.decide(Event::DiscoveryChanged),
+            ListDelivery::Poll => self.notify(Event::DiscoveryChanged),
         }
     }
 }
--- a/crates/gateway/src/engine/driver.rs
+++ b/crates/gateway/src/engine/driver.rs
@@ -1,4 +1,4 @@
-//! The engine's loop: messages and timers in, balancer events out, and the restart of a balancer that has panicked.
+//! The engine's event loop, which turns messages and timers into balancer events, and the restart of a balancer that has panicked.
 
 use super::message::Message;
 use super::timers::Timer;
@@ -12,7 +12,7 @@
 use weldworks_balancer::{Balancer, EndpointId, Event, Snapshot};
 
 impl Engine {
-    /// Runs until every handle has been dropped, which is for as long as the process lives.
+    /// Runs the engine until every handle has been dropped, which is for as long as the process lives.
     pub async fn run(mut self) {
         if self.list_delivery() == ListDelivery::Push {
             self.open_watch();
@@ -41,7 +41,7 @@
         let now = Instant::now();
         while let Some(timer) = self.timers.pop_due(now) {
             match timer {
-                Timer::Balancer(token) => self.decide(Event::Timer { token }),
+                Timer::Balancer(token) => self.notify(Event::Timer { token }),
                 Timer::RequestDeadline(id) => self.enforce_request_deadline(id),
                 Timer::OpenWatch => self.open_missing_watch(),
                 Timer::EndpointMetrics => self.update_endpoint_metrics(),
@@ -49,29 +49,29 @@
         }
     }
 
-    /// Opens a watch, unless a switch to another discovery has opened one meanwhile.
+    /// Opens a watch, unless a switch to another discovery address has opened a watch meanwhile.
     fn open_missing_watch(&mut self) {
         if self.watch_task.is_none() {
             self.open_watch();
         }
     }
 
-    /// Hands each message to the function that handles it.
+    /// Passes a message to its handler.
     pub(super) fn apply_message(&mut self, message: Message) {
         match message {
             Message::ConnectionAccepted => self.record_connection(),
             Message::RequestArrived(arrival) => self.handle_arrival(*arrival),
             Message::ClientDisconnected(id) => self.handle_client_disconnect(id),
             Message::AttemptEnded(report) => self.handle_attempt_end(report),
-            Message::BodyForwardingStarted(request) => self.decide(Event::BodyForwardingStarted { request }),
+            Message::BodyForwardingStarted(request) => self.notify(Event::BodyForwardingStarted { request }),
             Message::BodyForwarded { request, answer_deadline } => {
                 self.handle_body_forwarded(request, answer_deadline);
             }
             Message::ResponseStarted(start) => self.handle_response_start(start),
             Message::IdleConnectionClosed { endpoint, address, idle, remaining } => {
-                // The id may belong to another endpoint by now, which has closed nothing.
+                // The endpoint id may have been reused meanwhile for an endpoint that has closed no connection.
                 if self.has_address(endpoint, address) {
-                    self.decide(Event::IdleConnectionClosed { endpoint, idle, remaining });
+                    self.notify(Event::IdleConnectionClosed { endpoint, idle, remaining });
                 }
             }
             Message::EndpointListReceived { watch, list, previous_message_at } => {
@@ -99,12 +99,12 @@
     }
 
     fn send_snapshot(&self, receiver: oneshot::Sender<Snapshot>) {
-        // The hot restart that requested it may have been cancelled.
+        // Sending fails where the hot restart that requested the snapshot was cancelled.
         let _ = receiver.send(self.balancer.snapshot());
     }
 
-    /// Has the balancer handle an event, and carries out its actions.
-    pub(super) fn decide(&mut self, event: Event<'_>) {
+    /// Notifies the balancer of an event and executes the actions that the balancer returns. A balancer that panics is replaced.
+    pub(super) fn notify(&mut self, event: Event<'_>) {
         let mut actions = Vec::new();
         let now = self.handle.balancer_time(Instant::now());
         let deciding = AssertUnwindSafe(|| self.balancer.handle(now, event, &mut actions));
@@ -112,14 +112,14 @@
             return self.restart_balancer();
         }
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 
-    /// Replaces a balancer that has panicked by a new one that knows the endpoint list only.
+    /// Replaces a balancer that has panicked by a new balancer, which knows only the endpoint list.
     ///
-    /// The state that the panic left behind may be inconsistent, and would leave open requests without an answer until their
-    /// deadline. So all of them fail now.
+    /// The balancer's state after a panic may be inconsistent, and would leave open requests without an answer until their deadline.
+    /// So all requests that are open at the panic fail now.
     pub(super) fn restart_balancer(&mut self) {
         error!("balancer panicked, failing all open requests and restarting it");
         self.requests.fail_all(StatusCode::BAD_GATEWAY);
@@ -127,14 +127,14 @@
         self.balancer = Balancer::new(self.settings.clone(), self.seed);
         let mut actions = Vec::new();
         let now = self.handle.balancer_time(Instant::now());
-        // A second panic is not caught: a balancer that can't take the endpoint list serves nobody, so the process ends.
+        // A second panic is not caught, so the process ends: a balancer that can't take the endpoint list could serve no request.
         self.balancer.handle(
             now,
             Event::EndpointList { is_snapshot: true, endpoints: &self.listed_endpoints },
             &mut actions,
         );
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
     }
 }
--- a/crates/gateway/src/engine/endpoint_updates.rs
+++ b/crates/gateway/src/engine/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! The endpoints as discovery lists them: their ids, addresses and start times, and what a list or a delta changes of them.
+//! Applies endpoint lists of discovery: updates the ids, addresses, states and start times of the endpoints.
 
 use super::Engine;
 use crate::discovery::endpoint_list::{EndpointList, ListFault, ListedEndpoint, ListedStatus};
@@ -13,30 +13,30 @@
 use weldworks_control::retry_storm::StartedEndpoint;
 use weldworks_fleet::protocol::DepartedEndpoint;
 
-/// How many faults of one list are logged, each with its entry.
+/// Largest number of faults of one endpoint list that are logged, each with the faulty entry.
 const MAX_LOGGED_LIST_FAULTS: usize = 3;
 
-/// How far in the future a start time may lie and still count as one. A wall clock may be off by an hour.
+/// How far in the future a start time may lie to be used as the newest start. A wall clock may be off by an hour.
 const MAX_WALL_CLOCK_ERROR: Duration = Duration::from_secs(2 * 3600);
 
-/// What the start times in one list are judged by.
+/// Reference times for estimating the start times in one endpoint list.
 struct StartReference {
     now: Duration,
-    /// The newest start of any endpoint, in Unix milliseconds.
+    /// The newest start of any endpoint, listed now or before, in Unix milliseconds.
     newest_start_unix_ms: u64,
-    /// When the previous message of discovery was received, keep-alives included.
+    /// When the previous discovery message, keep-alives included, was received.
     previous_message_at: Option<Duration>,
 }
 
 impl Engine {
-    /// Applies a list that did not come from discovery: the one in the configuration.
+    /// Applies an endpoint list that did not come from discovery but from the configuration.
     pub fn apply_endpoint_list(&mut self, list: EndpointList) {
         self.apply_received_list(None, list);
     }
 
-    /// Applies a list or delta; `previous_message_at` is when discovery's previous message was received.
+    /// Applies an endpoint list; `previous_message_at` is when discovery's previous message was received.
     ///
-    /// A faulty entry costs nothing but itself. Faults are logged once, until they change.
+    /// A faulty entry does not affect the other entries. Faults are logged once, and again when they change.
     pub(super) fn apply_received_list(&mut self, previous_message_at: Option<Instant>, list: EndpointList) {
         let faults = list.faults(self.list_index, 1 + MAX_LOGGED_LIST_FAULTS);
         let is_outdated = matches!(faults.first(), Some(ListFault::Outdated { .. }));
@@ -45,8 +45,8 @@
         }
         self.list_faults = faults;
         if is_outdated {
-            // The poll that brought it is answered, with nothing new. Without this event the balancer would wait for ever.
-            return self.decide(Event::EndpointList { is_snapshot: false, endpoints: &[] });
+            // The outdated list still answers a poll. Without this event the balancer would wait for the poll's answer for ever.
+            return self.notify(Event::EndpointList { is_snapshot: false, endpoints: &[] });
         }
         self.list_index = list.index;
         let active_before = self.active_endpoints_named_in(&list);
@@ -62,7 +62,7 @@
         log_list(&list);
         self.close_connections_to_unavailable();
         self.report_departures(&active_before);
-        self.decide(Event::EndpointList { is_snapshot: list.is_snapshot, endpoints: &changed });
+        self.notify(Event::EndpointList { is_snapshot: list.is_snapshot, endpoints: &changed });
     }
 
     fn log_list_faults(&self, received_index: u64, faults: &[ListFault]) {
@@ -77,7 +77,7 @@
         );
     }
 
-    /// Marks all endpoints removed: those that a snapshot lacks are.
+    /// Marks all endpoints removed, because endpoints that are missing in a snapshot are removed.
     fn mark_all_removed(&mut self) {
         self.endpoints.iter().for_each(|endpoint| endpoint.accepts_requests.set(false));
         self.listed_endpoints.iter_mut().for_each(|listed| listed.state = EndpointState::Removed);
@@ -99,7 +99,7 @@
         storm.set_endpoints(self.handle.balancer_time(Instant::now()), &started);
     }
 
-    /// Closes idle connections to endpoints that accept no new requests, and publishes whether any endpoint does.
+    /// Closes idle connections to endpoints that accept no new requests, and publishes whether any endpoint accepts requests.
     fn close_connections_to_unavailable(&self) {
         let accepts_requests = |id: EndpointId| {
             self.endpoints.get(id.0 as usize).is_some_and(|endpoint| endpoint.accepts_requests.get())
@@ -109,7 +109,7 @@
         self.handle.set_any_endpoint_accepts(any_endpoint_accepts);
     }
 
-    /// In a fleet, the endpoints that are up and that the list may change, by name.
+    /// Reports the received list to the fleet, and returns the endpoints that are up and that the list may change; empty without a fleet.
     fn active_endpoints_named_in(&self, list: &EndpointList) -> Vec<(String, EndpointId)> {
         let Some(fleet) = &self.fleet else { return Vec::new() };
         fleet.record_list_received(list.index);
@@ -128,7 +128,7 @@
         self.listed_endpoints.get(id.0 as usize).map(|listed| listed.state)
     }
 
-    /// Reports to the fleet which of these endpoints drain or are removed now.
+    /// Reports the applied list to the fleet, with the endpoints of `active_before` that are draining or removed now.
     fn report_departures(&self, active_before: &[(String, EndpointId)]) {
         let Some(fleet) = &self.fleet else { return };
         let departed = active_before.iter().filter_map(|(name, id)| {
@@ -139,7 +139,7 @@
         fleet.record_applied_list(self.list_index, departed.collect());
     }
 
-    /// Drains endpoints that newer lists of other gateways say to drain or to be removed.
+    /// Drains endpoints that are draining or removed in newer endpoint lists of other gateways.
     pub(super) fn drain_remote_departures(&mut self, departed: &[DepartedEndpoint]) {
         let Some(fleet) = self.fleet.clone() else { return };
         let mut drained = Vec::new();
@@ -152,13 +152,13 @@
         info!(
             endpoints = drained.len(),
             list_index = self.list_index,
-            "draining endpoints that departed by other gateways' newer lists"
+            "draining endpoints that drain or are removed in other gateways' newer endpoint lists"
         );
         self.close_connections_to_unavailable();
-        self.decide(Event::EndpointList { is_snapshot: false, endpoints: &drained });
+        self.notify(Event::EndpointList { is_snapshot: false, endpoints: &drained });
     }
 
-    /// Sets an endpoint that is up to draining; returns it where it was up.
+    /// Sets an endpoint to draining and returns it, if it is up; `None` for an unknown endpoint or one that is not up.
     fn drain_endpoint(&mut self, name: &str) -> Option<Endpoint> {
         let id = self.endpoint_ids.get(name)?;
         let listed = self.listed_endpoints.get_mut(id.0 as usize)?;
@@ -172,10 +172,10 @@
         Some(listed.clone())
     }
 
-    /// Frees the ids of removed endpoints to which no open request has been sent.
+    /// Frees the ids of removed endpoints that no request in the request table was sent to.
     ///
-    /// Endpoints come and go for as long as the process runs. With an id for each that ever was, every table and every walk over one
-    /// would grow without bound.
+    /// Endpoints are added and removed for as long as the process runs.
+    /// Without reuse of ids, every table of endpoints and every iteration over such a table would grow without bound.
     fn free_removed_ids(&mut self) {
         let endpoints = &self.endpoints;
         let listed_endpoints = &self.listed_endpoints;
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Estimates when an endpoint started that discovery says to be up since this Unix time. An estimate stays while discovery says
-    /// the same.
+    /// Estimates on the balancer's clock when an endpoint started, from the start time that discovery reports.
+    /// The estimate is kept for as long as discovery reports the same start time.
     fn estimate_start(
         &mut self,
         id: EndpointId,
@@ -220,11 +220,11 @@
         let index = id.0 as usize;
         let known = self.started_unix_ms.len().max(index + 1);
         self.started_unix_ms.resize(known, 0);
-        let before = std::mem::replace(&mut self.started_unix_ms[index], started_unix_ms);
+        let previous_unix_ms = std::mem::replace(&mut self.started_unix_ms[index], started_unix_ms);
         if started_unix_ms == 0 {
-            return None; // long ago
+            return None; // 0 stands for a start long ago
         }
-        if before == started_unix_ms {
+        if previous_unix_ms == started_unix_ms {
             if let Some(listed) = self.listed_endpoints.get(index) {
                 return listed.started;
             }
@@ -238,7 +238,7 @@
         }))
     }
 
-    /// Updates an endpoint's connection side from its entry, and returns it as the balancer sees it.
+    /// Updates an endpoint's connection side from its list entry, and returns the endpoint as the balancer sees it.
     fn update_endpoint(&mut self, entry: &ListedEndpoint, reference: &StartReference) -> Endpoint {
         let id = self.endpoint_id(&entry.name);
         let endpoint = &self.endpoints[id.0 as usize];
@@ -262,8 +262,8 @@
         }
     }
 
-    /// The id of an endpoint, allocated where its name is new. The balancer recognizes by the name's hash that an id has passed to
-    /// another endpoint.
+    /// The id of the endpoint with this name, allocated where the name is new.
+    /// The balancer recognizes by the hash of the name that an id has been reused for another endpoint.
     fn endpoint_id(&mut self, name: &str) -> EndpointId {
         if let Some(id) = self.endpoint_ids.get(name) {
             return *id;
@@ -271,7 +271,7 @@
         let id = self.free_ids.pop().unwrap_or(EndpointId(self.endpoints.len() as u32));
         self.endpoint_ids.insert(name.to_owned(), id);
         if let Some(started_unix_ms) = self.started_unix_ms.get_mut(id.0 as usize) {
-            *started_unix_ms = 0; // that of the id's previous endpoint
+            *started_unix_ms = 0; // discards the start of the id's previous endpoint
         }
         let endpoint =
             Rc::new(UpstreamEndpoint { id, address: Cell::new(None), accepts_requests: Cell::new(false) });
@@ -282,8 +282,9 @@
         id
     }
 
-    /// The state of an endpoint by its entry. One without an address can't be sent anything. One that drains by other gateways'
-    /// newer lists stays draining. One of a status that this build does not know drains, and is not logged as a fault of the list.
+    /// The state of an endpoint by its list entry. An endpoint without an address counts as removed, since nothing can be sent to it.
+    /// An endpoint that is draining or removed in other gateways' newer lists stays draining.
+    /// An endpoint whose status is unknown to this build drains, and the unknown status is not logged as a fault of the list.
     fn endpoint_state(&self, entry: &ListedEndpoint, endpoint: &UpstreamEndpoint) -> EndpointState {
         match entry.status {
             ListedStatus::Active if endpoint.address.get().is_none() => EndpointState::Removed,
--- a/crates/gateway/src/engine/message.rs
+++ b/crates/gateway/src/engine/message.rs
@@ -1,4 +1,4 @@
-//! The messages that the engine receives, the answers that it gives, and the handle through which other tasks reach it.
+//! The messages that the engine receives, the answers that it gives, and the handle through which other tasks reach the engine.
 
 use super::clock::Clock;
 use crate::body::{ForwardedRequest, UpstreamResponse};
@@ -20,20 +20,20 @@
 /// The final answer to a request.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    /// An endpoint served it.
+    /// An endpoint served the request.
     Served(UpstreamResponse),
-    /// Surely not processed, or safe to repeat: the client may retry.
+    /// The request was not processed or is safe to repeat, so the client may retry.
     Rejected {
-        /// `Retry-After` for the client; zero for none.
+        /// Value of `Retry-After` in the answer; zero where the answer has no `Retry-After`.
         retry_after: Duration,
     },
-    /// Failed, with this status. It may have been processed, except with 409 (duplicate `X-Request-ID`) and with 504 of a request that
-    /// arrived after its deadline.
+    /// The request failed with this status, and was possibly processed except in two cases:
+    /// status 409 for a duplicate `X-Request-ID`, and status 504 for a request that arrived after its deadline.
     Failed(StatusCode),
 }
 
 impl FinalAnswer {
-    /// The kind of the answer, as logs name it.
+    /// The kind of the answer, as written to the log.
     pub fn name(&self) -> &'static str {
         match self {
             FinalAnswer::Served(_) => "served",
@@ -43,51 +43,51 @@
     }
 }
 
-/// A client's request that waits for its final answer.
+/// A client's request that has arrived and waits for its final answer.
 pub struct Arrival {
     /// The request as the balancer sees it.
     pub request: weldworks_balancer::Request,
     /// The client's `X-Request-ID`.
     pub request_id: HeaderValue,
-    /// What is forwarded to an endpoint.
+    /// The request as it is forwarded to an endpoint.
     pub forward: ForwardedRequest,
-    /// The class that it arrived under, which stays registered until the request ends.
+    /// The class under which the request arrived, which stays registered until the request ends.
     pub class: Rc<RegisteredClass>,
-    /// Receives the final answer.
+    /// Sender of the final answer to the client's connection.
     pub answer: oneshot::Sender<FinalAnswer>,
-    /// Whether its client still waits; the engine ends it with the final answer.
+    /// Whether the client still waits for an answer; the engine ends this state with the final answer.
     pub client: Rc<ClientLiveness>,
 }
 
-/// What a new platform file changes.
+/// The changes that a new platform file brings to the engine.
 pub struct Reconfiguration {
-    /// The settings, with classes by the numbers under which they are registered.
+    /// The balancer's settings; the index of a class is the number under which the class is registered.
     pub settings: Settings,
-    /// The names behind the settings' numbers of tenants, zones and machine kinds.
+    /// The names of the tenants, zones and machine kinds to which the settings refer by number.
     pub names: StringInterner,
     /// The address of discovery.
     pub discovery: SocketAddr,
     /// Settings of connections to endpoints.
     pub connections: crate::upstream::ConnectionSettings,
-    /// Digest of what the file says of the whole site.
+    /// Digest of the platform file without the settings that differ from gateway to gateway.
     pub digest: u64,
 }
 
-/// The end of an attempt.
+/// The report of how an attempt ended.
 pub struct AttemptReport {
     /// The request that the attempt belongs to.
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// Start of the latency: the balancer's decision, or the write of the last byte of a streamed body.
+    /// When the latency starts: at the balancer's decision, or for a streamed body at the write of its last byte.
     pub latency_since: Instant,
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
-    /// The response, where the attempt was served and its response not yet started.
+    /// The response of a served attempt, unless [`Message::ResponseStarted`] has already passed on the response.
     pub response: Option<UpstreamResponse>,
-    /// The load report that came with a response of any kind.
+    /// The load report that came with the endpoint's response, whatever its status.
     pub load_report: Option<LoadReport>,
-    /// Time from the decision to the write of the request's last byte, where that was written.
+    /// Time from the balancer's decision to the write of the request's last byte; `None` where that byte was not written.
     pub written_after: Option<Duration>,
 }
 
@@ -97,11 +97,11 @@
     pub request: RequestId,
     /// Number of the attempt, from 0.
     pub attempt: u32,
-    /// Time from the decision, or from the write of a streamed body's last byte, to the response's first byte.
+    /// Time from the balancer's decision, or from the write of a streamed body's last byte, to the response's first byte.
     pub latency: Duration,
-    /// The response, whose body still arrives.
+    /// The response, whose body is still arriving.
     pub response: UpstreamResponse,
-    /// The load report that came with it.
+    /// The load report that came with the response.
     pub load_report: Option<LoadReport>,
 }
 
@@ -109,7 +109,7 @@
 pub enum Message {
     /// A client's request has arrived.
     RequestArrived(Box<Arrival>),
-    /// A client's connection was accepted; sent where retry-storm control counts them.
+    /// A client connection was accepted; sent only while retry-storm control counts connections.
     ConnectionAccepted,
     /// The client of this request has disconnected.
     ClientDisconnected(RequestId),
@@ -121,58 +121,58 @@
     BodyForwarded {
         /// The request that the body belongs to.
         request: RequestId,
-        /// By when the gateway answers, a margin before its client gives up.
+        /// Deadline for the gateway's answer, a margin before the client's own timeout.
         answer_deadline: Instant,
     },
-    /// A response has begun that is streamed to the client.
+    /// A response that is streamed to the client has begun.
     ResponseStarted(ResponseStart),
     /// An endpoint has closed an idle connection.
     IdleConnectionClosed {
         /// The endpoint's id.
         endpoint: EndpointId,
-        /// The address that the connection went to.
+        /// The endpoint's address on the closed connection.
         address: SocketAddr,
-        /// How long the connection had been idle.
+        /// How long the closed connection had been idle.
         idle: Duration,
-        /// How many idle connections to that address are left.
+        /// How many idle connections to the endpoint's address are left.
         remaining: usize,
     },
-    /// A watch has received an endpoint list or delta.
+    /// A watch has received an endpoint list.
     EndpointListReceived {
         /// Number of the watch, from 1.
         watch: u64,
-        /// The list or delta.
+        /// The endpoint list, which is a snapshot or a delta.
         list: EndpointList,
-        /// When the previous message of discovery was received, over any watch and keep-alives included.
+        /// When the previous discovery message, keep-alives included, was received on any watch.
         previous_message_at: Option<Instant>,
     },
-    /// The learned state of the previous process is to be restored.
+    /// The balancer is to restore the learned state of the previous process.
     RestoreSnapshot(Snapshot),
-    /// The learned state is to be sent to this receiver.
+    /// A snapshot of the balancer's learned state is to be sent to this receiver.
     TakeSnapshot(oneshot::Sender<Snapshot>),
     /// New settings are to be applied.
     Reconfigure(Box<Reconfiguration>),
-    /// Other gateways have a newer endpoint list: discovery is to be polled again.
+    /// Other gateways have a newer endpoint list, so discovery is to be polled again.
     ListLagging {
-        /// The index that most of them have.
+        /// The endpoint list index that more than half of the gateways have reached, or a higher index that is required.
         current: u64,
     },
-    /// Endpoints that drain or are removed by newer lists than the one in force here.
+    /// Endpoints that are draining or removed in endpoint lists newer than the list in force here.
     RemoteDepartures(Vec<DepartedEndpoint>),
-    /// The process is shutting down: open requests have until [`EngineHandle::shutdown_deadline`].
+    /// The process is shutting down: open requests must be answered by [`EngineHandle::shutdown_deadline`].
     ShutdownStarted,
-    /// A watch has failed or ended.
+    /// A discovery watch has failed or ended.
     DiscoveryFailed {
         /// Number of the watch, from 1.
         watch: u64,
         /// Why the watch ended.
         reason: String,
-        /// Time since its last message, or since it was opened.
+        /// Time since the watch's last message, or since the watch was opened.
         silent_for: Duration,
     },
 }
 
-/// The way to the engine, its clock, and the part of its state that other tasks may see. Clones share all of it.
+/// Sends messages to the engine, and gives access to the engine's clock and shared state. Clones share all state.
 #[derive(Clone)]
 pub struct EngineHandle {
     messages: mpsc::UnboundedSender<Message>,
@@ -187,7 +187,7 @@
 }
 
 impl EngineHandle {
-    /// Creates a handle, and the receiver of what is sent through it and its clones.
+    /// Creates a handle, and the receiver of the messages that are sent through the handle and its clones.
     pub fn new() -> (EngineHandle, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let handle = EngineHandle {
@@ -203,17 +203,17 @@
         (handle, receiver)
     }
 
-    /// Sends the engine a message. Once the engine has ended the process ends too, and the message is dropped.
+    /// Sends the engine a message. A message to an engine that has ended is dropped: the process ends with its engine.
     pub fn send(&self, message: Message) {
         let _ = self.messages.send(message);
     }
 
-    /// Has [`EngineHandle::record_connection`] report every connection from now on.
+    /// Makes [`EngineHandle::record_connection`] report every connection from now on.
     pub fn report_connections(&self) {
         self.reports_connections.set(true);
     }
 
-    /// Reports an accepted client connection, where the engine wants to know of them.
+    /// Reports an accepted client connection to the engine, once [`EngineHandle::report_connections`] was called.
     pub fn record_connection(&self) {
         if self.reports_connections.get() {
             self.send(Message::ConnectionAccepted);
@@ -226,7 +226,7 @@
         RequestId(self.last_request.get())
     }
 
-    /// A shared flag: whether any endpoint accepts new requests.
+    /// Shared flag that tells whether any endpoint accepts new requests.
     pub fn any_endpoint_accepts(&self) -> Rc<Cell<bool>> {
         self.any_endpoint_accepts.clone()
     }
@@ -236,12 +236,12 @@
         self.any_endpoint_accepts.set(any_endpoint_accepts);
     }
 
-    /// The latest moment for any answer, where the process is shutting down.
+    /// Deadline for all answers while the process is shutting down; `None` before the shutdown.
     pub fn shutdown_deadline(&self) -> Option<Instant> {
         self.shutdown_deadline.get()
     }
 
-    /// Sets the latest moment for any answer.
+    /// Sets the deadline for all answers when the process shuts down.
     pub fn set_shutdown_deadline(&self, at: Instant) {
         self.shutdown_deadline.set(Some(at));
     }
@@ -256,23 +256,23 @@
         self.discovery_answered.set(true);
     }
 
-    /// Records that a message of discovery is received now; returns when the previous one was.
+    /// Records that a discovery message was received now; returns when the previous message was received.
     pub fn record_discovery_message(&self) -> Option<Instant> {
         self.last_discovery_message.replace(Some(Instant::now()))
     }
 
-    /// The time on the balancer's clock.
+    /// Converts an instant to a time on the balancer's clock.
     pub fn balancer_time(&self, at: Instant) -> Duration {
         self.clock.balancer_time(at)
     }
 
-    /// The instant of a time on the balancer's clock.
+    /// Converts a time on the balancer's clock to an instant.
     pub fn instant(&self, balancer_time: Duration) -> Instant {
         self.clock.instant(balancer_time)
     }
 
-    /// The time on the balancer's clock of a Unix time in milliseconds, by the wall clock as it was at the start of the process;
-    /// none for a moment before the clock's zero.
+    /// Converts a Unix time in milliseconds to a time on the balancer's clock, using the wall clock's reading at process start;
+    /// `None` for a Unix time at or before the zero of the balancer's clock.
     pub fn balancer_time_of_unix(&self, unix_ms: u64) -> Option<Duration> {
         self.clock.balancer_time_of_unix(unix_ms)
     }
--- a/crates/gateway/src/engine/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -1,7 +1,7 @@
 //! The engine: sole owner of the balancer, the request table and the timers.
 //!
-//! Every other task sends it a [`Message`]. The engine turns messages and timers into balancer events (`driver.rs`) and carries out the
-//! actions that the [`Balancer`] returns (`actions.rs`). It takes no load-balancing decision of its own.
+//! Other tasks send the engine a [`Message`]. The engine turns messages and timers into balancer events (`driver.rs`) and executes the
+//! actions that the [`Balancer`] returns (`actions.rs`). The engine makes no load-balancing decision of its own.
 
 mod actions;
 mod attempt_reporter;
@@ -35,7 +35,7 @@
 use weldworks_control::retry_storm::{RetryStormControl, StormSettings};
 use weldworks_control::watch_backoff::WatchBackoff;
 
-/// Interval between two updates of the endpoint gauges. They may lag by half a second.
+/// Interval between two updates of the endpoint gauges, which may lag by half a second.
 const ENDPOINT_METRICS_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The engine of one gateway process.
@@ -47,19 +47,19 @@
     names: StringInterner,
     pool: Rc<ConnectionPool>,
     discovery_address: SocketAddr,
-    /// Index of the endpoint list in force; 0 before the first.
+    /// Index of the endpoint list in force; 0 before the first list.
     list_index: u64,
-    /// Faults of the list before, so that the same ones are logged once.
+    /// Faults of the previous endpoint list, so that unchanged faults are not logged again.
     list_faults: Vec<ListFault>,
-    /// Number of the current watch. Messages of another watch are ignored.
+    /// Number of the current discovery watch. Messages of any other watch are ignored.
     watch_id: u64,
     watch_task: Option<JoinHandle<()>>,
     watch_backoff: WatchBackoff,
-    /// Connection side of each endpoint, by its id.
+    /// Connection side of each endpoint, indexed by endpoint id.
     endpoints: Vec<Rc<UpstreamEndpoint>>,
-    /// Each endpoint as the balancer knows it, by its id.
+    /// Each endpoint as the balancer knows it, indexed by endpoint id.
     listed_endpoints: Vec<weldworks_balancer::Endpoint>,
-    /// Last start of each endpoint as discovery dates it, in Unix milliseconds, by its id; 0 for long ago.
+    /// Last start of each endpoint according to discovery, in Unix milliseconds, indexed by endpoint id; 0 means long ago.
     started_unix_ms: Vec<u64>,
     endpoint_ids: FxHashMap<String, EndpointId>,
     free_ids: Vec<EndpointId>,
@@ -74,7 +74,7 @@
 }
 
 impl Engine {
-    /// Creates an engine that knows no endpoint yet, and the handle through which other tasks reach it.
+    /// Creates an engine without endpoints, and the handle through which other tasks reach the engine.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -117,7 +117,7 @@
         self.fleet = Some(fleet);
     }
 
-    /// Has the endpoint gauges of these metrics updated from now on.
+    /// Starts updating the endpoint gauges of these metrics.
     pub fn attach_metrics(&mut self, metrics: Rc<Metrics>) {
         self.metrics = Some(metrics);
         self.timers.push(Instant::now(), Timer::EndpointMetrics);
--- a/crates/gateway/src/engine/reconfiguration.rs
+++ b/crates/gateway/src/engine/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! What changes in the engine with a new platform file or a shutdown.
+//! Applies a new platform file or a shutdown to the engine.
 
 use super::message::Reconfiguration;
 use super::timers::Timer;
@@ -8,8 +8,8 @@
 use weldworks_balancer::Settings;
 use weldworks_control::body_streaming::TransferState;
 
-/// Whether the settings differ in what retry-storm control is built from.
-fn retry_storm_terms_differ(before: &Settings, after: &Settings) -> bool {
+/// Whether the two settings differ in a value from which retry-storm control is built.
+fn retry_storm_inputs_differ(before: &Settings, after: &Settings) -> bool {
     before.tenant_quotas != after.tenant_quotas
         || before.max_retry_after != after.max_retry_after
         || before.slow_start_min_capacity != after.slow_start_min_capacity
@@ -18,7 +18,7 @@
 }
 
 impl Engine {
-    /// Applies new settings. Requests that arrived before keep theirs.
+    /// Applies new settings. Requests that arrived before keep the settings under which they arrived.
     pub(super) fn reconfigure(&mut self, reconfiguration: Reconfiguration) {
         let Reconfiguration { mut settings, names, discovery, connections, digest } = reconfiguration;
         if let Some(fleet) = &self.fleet {
@@ -27,17 +27,17 @@
         self.pool.reconfigure(connections);
         self.replace_names(names, &mut settings);
         let previous = std::mem::replace(&mut self.settings, settings.clone());
-        let differ = retry_storm_terms_differ(&previous, &settings);
-        if let Some(storm_settings) = self.retry_storm_settings.filter(|_| differ) {
-            // What the control has observed was under other quotas.
+        let inputs_differ = retry_storm_inputs_differ(&previous, &settings);
+        if let Some(storm_settings) = self.retry_storm_settings.filter(|_| inputs_differ) {
+            // Retry-storm control starts anew: what it has observed was under other settings, such as other quotas.
             self.enable_retry_storm_control(storm_settings);
         }
         self.balancer.apply_settings(settings);
         self.switch_discovery(discovery);
     }
 
-    /// Replaces the names. Zones and machine kinds keep their numbers, by which endpoints are known; the gateway's own zone follows
-    /// to the number that its name has there.
+    /// Replaces the interned names. Zones and machine kinds keep their numbers, which endpoints refer to.
+    /// The gateway's own zone in `settings` gets the number that the zone's name has in the engine.
     fn replace_names(&mut self, names: StringInterner, settings: &mut Settings) {
         let own_zone = names.zones.get(settings.zone as usize).cloned();
         self.names.replace_keeping_numbers(names);
@@ -47,15 +47,17 @@
         }
     }
 
-    /// Shortens the deadlines of open requests to the shutdown deadline. That comes from the longest deadline of the file in
-    /// force, and a request that arrived under an older file may have a longer one.
+    /// Shortens the deadlines of open requests to the shutdown deadline.
+    ///
+    /// The shutdown deadline comes from the longest deadline in the platform file in force.
+    /// A request that arrived under an older platform file may have a longer deadline.
     pub(super) fn apply_shutdown_deadline(&mut self) {
         let Some(shutdown_deadline) = self.handle.shutdown_deadline() else { return };
         for (id, entry) in self.requests.iter_mut() {
             if entry.answer_deadline <= shutdown_deadline {
                 continue;
             }
-            // A body that is still arriving gets its deadline with its last byte.
+            // A request whose body is still arriving gets its deadline with the body's last byte.
             if let RequestPayload::Streaming(upload) = &entry.forward.body {
                 if upload.state() != TransferState::Complete {
                     continue;
--- a/crates/gateway/src/engine/request_events.rs
+++ b/crates/gateway/src/engine/request_events.rs
@@ -1,4 +1,4 @@
-//! What the engine does when a request arrives, progresses or ends.
+//! The engine's handlers for the arrival, progress and end of a request.
 
 use super::message::{Arrival, AttemptReport, FinalAnswer, ResponseStart};
 use super::request_table::RequestEntry;
@@ -15,22 +15,23 @@
 use weldworks_fleet::audit::DecisionKind;
 
 impl Engine {
-    /// Has the balancer decide on a new request, unless this gateway may not serve it.
+    /// Passes a new request to the balancer, unless this gateway must reject clients or the request's `X-Request-ID` is in use.
     pub(super) fn handle_arrival(&mut self, arrival: Arrival) {
         if self.must_reject_clients() {
             return self.reject_arrival(arrival);
         }
         if !self.requests.reserve_request_id(&arrival.request_id) {
-            // An endpoint could not tell it from another attempt of the earlier request with this id, which may be answered already and
-            // have an attempt in flight. Nothing is logged: the client sees status 409.
+            // An endpoint could not tell this request from another attempt of the earlier request with the same `X-Request-ID`.
+            // The earlier request may be answered already and have an attempt in flight.
+            // Nothing is logged about the duplicate `X-Request-ID`: the client sees status 409.
             arrival.client.end();
-            let _ = arrival.answer.send(FinalAnswer::Failed(StatusCode::CONFLICT)); // may have disconnected
+            let _ = arrival.answer.send(FinalAnswer::Failed(StatusCode::CONFLICT)); // the client may have disconnected
             return;
         }
-        self.admit_arrival(arrival);
+        self.register_arrival(arrival);
     }
 
-    fn admit_arrival(&mut self, arrival: Arrival) {
+    fn register_arrival(&mut self, arrival: Arrival) {
         let Arrival { mut request, request_id, forward, class, answer, client } = arrival;
         let answer_deadline = self.handle.instant(request.client_deadline);
         request.admission_share = self.admission_share(&request);
@@ -59,26 +60,26 @@
         let id = request.id;
         self.timers.push(answer_deadline, Timer::RequestDeadline(id));
         self.requests.insert(id, entry);
-        self.decide(Event::Request(request));
+        self.notify(Event::Request(request));
         self.requests.remove_if_done(id);
     }
 
-    /// Whether the fleet has fenced this gateway.
+    /// Whether the fleet forbids this gateway to accept requests: the gateway is fenced or has no session.
     fn must_reject_clients(&self) -> bool {
         self.fleet.as_ref().is_some_and(|fleet| !fleet.accepts_clients())
     }
 
-    /// Rejects a request that arrived while this gateway is fenced.
+    /// Rejects a request that arrived while this gateway is fenced or has no session in the fleet.
     fn reject_arrival(&self, arrival: Arrival) {
-        let mut advised = Duration::ZERO;
+        let mut fleet_retry_after = Duration::ZERO;
         if let Some(fleet) = &self.fleet {
             let request_id = arrival.request_id.to_str().unwrap_or_default();
             fleet.record_decision(DecisionKind::Reject, arrival.request.class, request_id, None);
-            advised = fleet.retry_after();
+            fleet_retry_after = fleet.retry_after();
         }
         arrival.client.end();
-        let retry_after = advised.min(self.settings.max_retry_after);
-        let _ = arrival.answer.send(FinalAnswer::Rejected { retry_after }); // may have disconnected
+        let retry_after = fleet_retry_after.min(self.settings.max_retry_after);
+        let _ = arrival.answer.send(FinalAnswer::Rejected { retry_after }); // the client may have disconnected
     }
 
     pub(super) fn handle_client_disconnect(&mut self, id: RequestId) {
@@ -89,8 +90,10 @@
         }
     }
 
-    /// Answers a request that the balancer has left open until its deadline. The first deadline of a streamed upload,
-    /// `UPLOAD_TIMEOUT` from its arrival, also ends it where the deadline has moved since: its timer stays queued.
+    /// Fails a request that the balancer has left open until its deadline.
+    ///
+    /// A streamed upload's first deadline, `UPLOAD_TIMEOUT` after its arrival, ends the request even where the deadline has moved since:
+    /// the timer of the first deadline stays queued.
     pub(super) fn enforce_request_deadline(&mut self, id: RequestId) {
         if self.requests.get(id).is_some_and(|entry| entry.answer.is_some()) {
             self.answer(id, FinalAnswer::Failed(StatusCode::GATEWAY_TIMEOUT));
@@ -98,13 +101,13 @@
         }
     }
 
-    /// Tells the balancer that a request is over without its doing.
+    /// Notifies the balancer that a request ended without a decision of the balancer: its client disconnected or its deadline passed.
     fn abandon(&mut self, id: RequestId) {
-        self.decide(Event::ClientDisconnected { request: id });
+        self.notify(Event::ClientDisconnected { request: id });
         self.requests.remove_if_done(id);
     }
 
-    /// Records how an attempt ended, gives its answer to the client, and has the balancer decide what follows.
+    /// Records how an attempt ended, passes the response to the client, and has the balancer decide what follows.
     pub(super) fn handle_attempt_end(&mut self, report: AttemptReport) {
         let AttemptReport { request, attempt, latency_since, outcome, response, load_report, written_after } =
             report;
@@ -129,23 +132,23 @@
             outcome = ?outcome,
             "attempt ended"
         );
-        self.decide(Event::AttemptEnded { request, attempt, latency, outcome, request_ended });
+        self.notify(Event::AttemptEnded { request, attempt, latency, outcome, request_ended });
         self.requests.remove_if_done(request);
     }
 
-    /// Moves a request's deadline once the last byte of its streamed body is on its way.
+    /// Sets a request's new deadline once the last byte of its streamed body has been written to an endpoint.
     pub(super) fn handle_body_forwarded(&mut self, request: RequestId, answer_deadline: Instant) {
         let Some(entry) = self.requests.get_mut(request) else { return };
-        // A shutdown that has started meanwhile sets its own end.
+        // While the process is shutting down, the answer is due by the shutdown deadline at the latest.
         let shutdown_deadline = self.handle.shutdown_deadline();
         let answer_deadline = shutdown_deadline.map_or(answer_deadline, |at| answer_deadline.min(at));
         entry.answer_deadline = answer_deadline;
         self.timers.push(answer_deadline, Timer::RequestDeadline(request));
         let answer_deadline = self.handle.balancer_time(answer_deadline);
-        self.decide(Event::BodyForwarded { request, client_deadline: answer_deadline });
+        self.notify(Event::BodyForwarded { request, client_deadline: answer_deadline });
     }
 
-    /// Gives the client an answer whose body still arrives.
+    /// Answers the client with a response whose body is still arriving.
     pub(super) fn handle_response_start(&mut self, start: ResponseStart) {
         let ResponseStart { request, attempt, latency, response, load_report } = start;
         let Some(entry) = self.requests.get(request) else { return };
@@ -153,25 +156,25 @@
         self.forward_load_report(endpoint, load_report);
         self.answer(request, FinalAnswer::Served(response));
         debug!(request = request.0, attempt, latency_ms = latency.as_millis() as u64, "response started");
-        self.decide(Event::ResponseStarted { request, attempt, latency });
+        self.notify(Event::ResponseStarted { request, attempt, latency });
     }
 
-    /// Hands a load report to the balancer, unless the endpoint's id belongs to another endpoint by now.
+    /// Passes a load report to the balancer, unless the endpoint's id now belongs to another endpoint.
     fn forward_load_report(&mut self, endpoint: Option<Rc<UpstreamEndpoint>>, report: Option<LoadReport>) {
         let Some((endpoint, report)) = endpoint.zip(report) else { return };
         let known = self.endpoints.get(endpoint.id.0 as usize);
         if known.is_some_and(|known| Rc::ptr_eq(known, &endpoint)) {
-            self.decide(Event::LoadReport { endpoint: endpoint.id, report });
+            self.notify(Event::LoadReport { endpoint: endpoint.id, report });
         }
     }
 
-    /// Gives the final answer, and removes the request where no attempt is in flight.
+    /// Sends the final answer, and removes the request if no attempt is in flight.
     pub(super) fn finish(&mut self, id: RequestId, answer: FinalAnswer) {
         self.answer(id, answer);
         self.requests.remove_if_done(id);
     }
 
-    /// Gives the final answer, unless it was given.
+    /// Sends the final answer, unless the request was already answered or its client has disconnected.
     fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
         let Some(entry) = self.requests.get(id).filter(|entry| entry.answer.is_some()) else { return };
         let attempts = entry.attempts.len();
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Writes a decision about a request to the fleet's audit log, where this gateway is in a fleet.
+    /// Records a decision about a request in the fleet's audit log, if this gateway is in a fleet.
     pub(super) fn record_decision(&self, kind: DecisionKind, id: RequestId, endpoint: Option<EndpointId>) {
         let Some((fleet, entry)) = self.fleet.as_ref().zip(self.requests.get(id)) else { return };
         let request_id = entry.request_id.to_str().unwrap_or_default();
--- a/crates/gateway/src/engine/request_table.rs
+++ b/crates/gateway/src/engine/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that are open or have an attempt in flight, and the `X-Request-ID`s that they hold.
+//! The requests that are open or have an attempt in flight, and the `X-Request-ID`s that they have reserved.
 
 use super::message::FinalAnswer;
 use crate::body::ForwardedRequest;
@@ -22,30 +22,30 @@
 /// A request that is open or has an attempt in flight.
 pub(super) struct RequestEntry {
     pub(super) request_id: HeaderValue,
-    /// Recognizes a client's retry of the same request, where it carries an idempotency key.
+    /// Identity by which a client's retry of the request is recognized; `None` for a request without an idempotency key.
     pub(super) retry_identity: Option<u64>,
     pub(super) forward: Rc<ForwardedRequest>,
-    /// Where the final answer goes; none once it has been given.
+    /// Sender of the final answer; `None` once the request is answered or its client has disconnected.
     pub(super) answer: Option<oneshot::Sender<FinalAnswer>>,
     pub(super) client: Rc<ClientLiveness>,
     pub(super) arrived_at: Instant,
-    /// The latest moment for any answer, a margin before the client gives up.
+    /// Deadline for the final answer, a margin before the client's own timeout.
     pub(super) answer_deadline: Instant,
-    /// All attempts, by their number.
+    /// All attempts of the request, indexed by attempt number.
     pub(super) attempts: Vec<AttemptEntry>,
     pub(super) attempts_in_flight: u32,
     pub(super) last_outcome: Outcome,
     pub(super) class_index: usize,
-    /// Keeps the class registered while the request lasts.
+    /// Keeps the request's class registered until the request is removed from the table.
     pub(super) _class: Rc<RegisteredClass>,
 }
 
 impl RequestEntry {
-    /// Sends the final answer, unless one was sent. No attempt starts from here on.
+    /// Sends the request's final answer, unless it was sent before. No attempt of the request begins after this.
     pub(super) fn finish(&mut self, answer: FinalAnswer) {
         self.client.end();
         if let Some(sender) = self.answer.take() {
-            let _ = sender.send(answer); // a disconnected client wants none
+            let _ = sender.send(answer); // sending fails where the client has disconnected
         }
     }
 
@@ -67,12 +67,12 @@
 }
 
 impl RequestTable {
-    /// Reserves an `X-Request-ID`; false where another request has it: one that is open, or is answered with an attempt still in flight.
+    /// Reserves an `X-Request-ID`; false where a request that is open or has an attempt in flight has reserved the same id.
     pub(super) fn reserve_request_id(&mut self, request_id: &HeaderValue) -> bool {
         self.request_ids.insert(request_id.clone())
     }
 
-    /// Adds a request whose `X-Request-ID` is reserved.
+    /// Adds a request whose `X-Request-ID` has been reserved.
     pub(super) fn insert(&mut self, id: RequestId, entry: RequestEntry) {
         self.entries.insert(id, entry);
     }
@@ -89,7 +89,7 @@
         self.entries.iter_mut()
     }
 
-    /// Removes the request and frees its `X-Request-ID` where it is answered and has no attempt in flight.
+    /// Removes a request that is answered and has no attempt in flight, and releases its `X-Request-ID`.
     pub(super) fn remove_if_done(&mut self, id: RequestId) {
         if !self.entries.get(&id).is_some_and(RequestEntry::is_done) {
             return;
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Answers every open request with this status, cancels all attempts, and keeps only the requests whose attempts have not ended.
+    /// Fails every open request with this status, cancels all attempts, and removes the requests that have no attempt in flight.
     pub(super) fn fail_all(&mut self, status: hyper::StatusCode) {
         for entry in self.entries.values_mut() {
             entry.finish(FinalAnswer::Failed(status));
--- a/crates/gateway/src/engine/retry_storm.rs
+++ b/crates/gateway/src/engine/retry_storm.rs
@@ -1,4 +1,4 @@
-//! The engine's use of retry-storm control, where that is switched on.
+//! Connects the engine to retry-storm control, if that control is switched on.
 
 use super::message::FinalAnswer;
 use super::Engine;
@@ -8,10 +8,10 @@
     ArrivingRequest, PlatformTerms, RequestResult, RetryStormControl, StormSettings,
 };
 
-/// Lower bound of the mean priority weight, so that classes without any weight don't divide by zero.
+/// Lower bound of the mean priority weight, which prevents a division by zero where all classes have weight 0.
 const MIN_MEAN_PRIORITY_WEIGHT: f64 = 1e-9;
 
-/// Recognizes a client's retry of the same request: the same idempotency key in the same class and tenant.
+/// Identity by which a client's retry is recognized: idempotency key, class and tenant; `None` without an idempotency key.
 pub(super) fn retry_identity(request: &weldworks_balancer::Request) -> Option<u64> {
     let class_and_tenant = (request.class as u64) << 32 | request.tenant as u64;
     request.key.map(|key| weldworks_balancer::mix(key) ^ weldworks_balancer::mix(class_and_tenant))
@@ -34,14 +34,14 @@
         self.handle.report_connections();
     }
 
-    /// Counts a client connection, where retry-storm control is on.
+    /// Records an accepted client connection for retry-storm control, if the control is on.
     pub(super) fn record_connection(&mut self) {
         if let Some(storm) = &mut self.retry_storm {
             storm.record_connection(self.handle.balancer_time(Instant::now()));
         }
     }
 
-    /// The share of its usual admission that retry-storm control leaves a request; 1 where it is off.
+    /// Factor that retry-storm control sets on the admission capacity for a request; 1 while retry-storm control is off.
     pub(super) fn admission_share(&mut self, request: &weldworks_balancer::Request) -> f64 {
         let Some(storm) = &mut self.retry_storm else { return 1.0 };
         let classes = &self.settings.classes;
@@ -61,7 +61,7 @@
         admission.admission_share
     }
 
-    /// Records how a request was answered; a rejection gets the `Retry-After` that retry-storm control schedules.
+    /// Records a request's final answer; a rejection gets the `Retry-After` that retry-storm control schedules.
     pub(super) fn record_final_answer(
         &mut self,
         retry_identity: Option<u64>,
--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -19,11 +19,11 @@
     let request = weldworks_balancer::Request::new(handle.next_request(), 0, client_deadline);
     let (method, uri) = Default::default();
     let forward = ForwardedRequest { method, uri, headers: Default::default(), body: Default::default() };
-    let number = HeaderValue::from(request.id.0);
+    let id_header = HeaderValue::from(request.id.0);
     let class = weldworks_balancer::RequestClass::new(Duration::from_secs(10), Duration::from_secs(30));
     let class = Rc::new(RegisteredClass { name: "look".into(), number: 0, class });
     let client = Rc::new(ClientLiveness::unobserved());
-    (Box::new(Arrival { request, request_id: number, forward, class, answer, client }), receiver)
+    (Box::new(Arrival { request, request_id: id_header, forward, class, answer, client }), receiver)
 }
 
 fn engine() -> (Engine, EngineHandle) {
@@ -34,22 +34,22 @@
     let names = StringInterner { tenants: vec![], zones: vec![], kinds: vec![] };
     let budget = DescriptorBudget::new(&Default::default(), AdminApi::Disabled);
     let (dial_timeout, keepalive) = (Duration::from_secs(5), Duration::from_secs(10));
-    let terms = crate::upstream::ConnectionSettings {
+    let connection_settings = crate::upstream::ConnectionSettings {
         dial_timeout,
         keep_alive: keepalive,
         load_report_fields: Default::default(),
     };
-    let pool = Rc::new(ConnectionPool::new(budget.upstream, terms, Rc::default()));
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
-    Engine::new(settings, 1, names, pool, nobody)
+    let pool = Rc::new(ConnectionPool::new(budget.upstream, connection_settings, Rc::default()));
+    let discovery_address = SocketAddr::from(([127, 0, 0, 1], 1));
+    Engine::new(settings, 1, names, pool, discovery_address)
 }
 
 fn list(name: &str) -> EndpointList {
     let text = r#"{"snapshot":true,"endpoints":[{"name":"NAME","address":"127.0.0.1:1"}]}"#;
-    serde_json::from_str(&text.replace("NAME", name)).expect("a list")
+    serde_json::from_str(&text.replace("NAME", name)).expect("parse the endpoint list")
 }
 
-/// Endpoints come and go for as long as the process runs. Tables that grew with each that ever was would fill the memory.
+/// Endpoints are added and removed for as long as the process runs. Tables that grew with each added endpoint would fill the memory.
 #[tokio::test]
 async fn ids_of_removed_endpoints_are_reused() {
     let local = LocalSet::new();
@@ -68,7 +68,7 @@
     assert_eq!(id, Some(EndpointId(0)), "its request is still open");
 }
 
-/// Two of sixty endpoints are replaced by new ones every half second for a minute, each time with a request in flight.
+/// Two of sixty endpoints are replaced by new endpoints, as every half second for a minute, each time with a request in flight.
 #[tokio::test]
 async fn replacing_endpoints_for_a_minute_keeps_the_number_of_ids_bounded() {
     let local = LocalSet::new();
@@ -78,7 +78,7 @@
     let snapshot: Vec<_> = (0..60).map(|n| entry(n, "active")).collect();
     let list = |index: usize, snapshot: bool, endpoints: Vec<serde_json::Value>| {
         let list = serde_json::json!({ "index": index, "snapshot": snapshot, "endpoints": endpoints });
-        serde_json::from_value::<EndpointList>(list).expect("a list")
+        serde_json::from_value::<EndpointList>(list).expect("parse the endpoint list")
     };
     engine.apply_endpoint_list(list(1, true, snapshot));
     for step in 0..120 {
@@ -86,11 +86,11 @@
         let id = arrived.request.id;
         engine.apply_message(Message::RequestArrived(arrived));
         let (old, new) = (2 * step, 60 + 2 * step);
-        let changes =
+        let delta =
             vec![entry(old, "left"), entry(old + 1, "left"), entry(new, "active"), entry(new + 1, "active")];
-        engine.apply_endpoint_list(list(2 + step, false, changes));
+        engine.apply_endpoint_list(list(2 + step, false, delta));
         engine.apply_message(Message::ClientDisconnected(id));
-        // The attempt is cancelled, and its task reports so.
+        // The attempt is cancelled, and its task reports the attempt's end.
         while engine.requests.get(id).is_some() {
             local.run_until(tokio::task::yield_now()).await;
             while let Ok(message) = engine.messages.try_recv() {
@@ -103,13 +103,13 @@
     assert!(engine.endpoints.len() <= 70, "{} ids for 60 endpoints at a time", engine.endpoints.len());
 }
 
-/// An old replica of the registry, or an answer overtaken on its way, must not undo a drain.
+/// A delta older than the list in force, from a lagging replica of discovery or overtaken on its way, must not undo a drain.
 #[tokio::test]
-async fn faulty_entries_cost_only_themselves_and_an_outdated_delta_is_ignored() {
+async fn a_faulty_entry_affects_no_other_entry_and_an_outdated_delta_is_ignored() {
     let local = LocalSet::new();
     let _inside = local.enter();
     let (mut engine, _handle) = engine();
-    let delta = |text: &str| serde_json::from_str::<EndpointList>(text).expect("a list");
+    let delta = |text: &str| serde_json::from_str::<EndpointList>(text).expect("parse the endpoint list");
     engine.apply_endpoint_list(delta(
         r#"{"index":7,"snapshot":true,"endpoints":[{"name":"a","address":"127.0.0.1:1"},{"name":"b","address":"127.0.0.1:2"}]}"#,
     ));
@@ -125,13 +125,13 @@
     engine.apply_endpoint_list(delta(
         r#"{"index":10,"endpoints":[{"name":"b","address":"nowhere"},{"name":"c","address":"127.0.0.1:3","status":"leaving"},{"name":"c","address":"127.0.0.1:3"},{"name":"d","address":"?"}]}"#,
     ));
-    assert_eq!(state(&engine, "b"), Some(EndpointState::Up), "it keeps the address it is known by");
-    assert_eq!(state(&engine, "c"), Some(EndpointState::Up), "the last one counts");
-    assert_eq!(state(&engine, "d"), Some(EndpointState::Removed), "nowhere to send to");
+    assert_eq!(state(&engine, "b"), Some(EndpointState::Up), "b keeps its previous address");
+    assert_eq!(state(&engine, "c"), Some(EndpointState::Up), "of two entries for c, the last counts");
+    assert_eq!(state(&engine, "d"), Some(EndpointState::Removed), "d has no valid address");
     assert_eq!(engine.list_faults.len(), 3);
 }
 
-/// The deadline of a streamed body counts from its last byte, which may arrive when the process is already shutting down.
+/// The answer deadline of a streamed body counts from the body's last byte, which may arrive while the process is shutting down.
 #[tokio::test]
 async fn a_body_that_completes_during_shutdown_gets_the_shutdown_deadline() {
     let local = LocalSet::new();
@@ -149,23 +149,28 @@
     assert_eq!(engine.requests.get(id).map(|entry| entry.answer_deadline), Some(by));
 }
 
-/// A list of one endpoint of this name, with a start time in seconds from now by this machine's wall clock.
+/// An endpoint list with one endpoint, which by this machine's wall clock starts `from_now` seconds from now.
 fn started_at(name: &str, index: u64, snapshot: bool, from_now: i64) -> EndpointList {
-    let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
-    let since = i64::try_from(unix.as_millis()).expect("this age") + 1000 * from_now;
+    let unix = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("the wall clock is after 1970");
+    let since = i64::try_from(unix.as_millis()).expect("the milliseconds fit into an i64") + 1000 * from_now;
     let list = serde_json::json!({ "index": index, "snapshot": snapshot, "endpoints": [
         { "name": name, "address": "127.0.0.1:1", "since_ms": since }] });
-    serde_json::from_value(list).expect("a list")
+    serde_json::from_value(list).expect("parse the endpoint list")
 }
 
-/// How long ago the balancer takes the endpoint to have started.
+/// Time since the endpoint's start as given to the balancer; `None` where that start is unknown or in the future.
 fn age(engine: &Engine, name: &str) -> Option<Duration> {
     let started = engine.listed_endpoints[engine.endpoint_ids[name].0 as usize].started?;
     engine.handle.balancer_time(Instant::now()).checked_sub(started)
 }
 
-/// Lists of a new discovery count from 4 s after the signal, a poll may wait 2.4 s for its turn there, and nothing new may go to an
-/// endpoint 2 s after it is notified to drain. The poll is due before these add up, whether a watch was open or a poll was pending.
+/// The first poll of a new discovery must come before these times add up, whether a watch was open or a poll was pending before:
+///
+/// - the lists of a new discovery count from 4 s after the reload signal;
+/// - a poll may wait 2.4 s for its turn at the new discovery;
+/// - an endpoint may get no new request from 2 s after it is notified to drain.
 #[tokio::test]
 async fn a_new_discovery_is_polled_in_time_while_a_poll_of_the_old_one_is_pending() {
     let local = LocalSet::new();
@@ -181,17 +186,17 @@
             engine.open_watch();
         }
         engine.timers.clear();
-        engine.decide(Event::DiscoveryFailed { silent_for: Duration::ZERO }); // the next poll is seconds away
+        engine.notify(Event::DiscoveryFailed { silent_for: Duration::ZERO }); // schedules the next poll seconds later
         let moved = Instant::now();
         engine.switch_discovery(SocketAddr::from(([127, 0, 0, 1], 2)));
         let polls = engine.timers.iter().filter(|(_, timer)| *timer == Timer::Balancer(0));
-        let next = polls.map(|(at, _)| *at).min().expect("a poll to come");
+        let next = polls.map(|(at, _)| *at).min().expect("a poll is scheduled");
         let wait = next.saturating_duration_since(moved);
         assert!(wait <= Duration::from_millis(3050), "seed {seed}: polled after {wait:?}");
     }
 }
 
-/// The wall clock is an hour ahead: an endpoint that was seen to restart a moment ago looks an hour old by it.
+/// With a wall clock an hour ahead, an endpoint that was observed to restart a moment ago seems to have started an hour ago.
 #[tokio::test]
 async fn an_observed_restart_is_not_hidden_by_a_wall_clock_that_is_ahead() {
     let local = LocalSet::new();
@@ -201,12 +206,12 @@
     let previous_message_at = Some(Instant::now());
     for (index, name, from_now) in [(2, "a", -3600), (3, "a", -3599), (4, "b", -3602)] {
         engine.apply_received_list(previous_message_at, started_at(name, index, false, from_now));
-        let age = age(&engine, name).expect("a start in the past");
-        assert!(age < Duration::from_secs(10), "version {index}: taken for {age:?} old");
+        let age = age(&engine, name).expect("the start is known and in the past");
+        assert!(age < Duration::from_secs(10), "list {index}: estimated age is {age:?}");
     }
 }
 
-/// The wall clock is an hour behind: every start time lies in the future by it, and the endpoint would warm up until then.
+/// With a wall clock an hour behind, every start time lies in the future, and the endpoint would be in slow start until then.
 #[tokio::test]
 async fn a_start_never_lies_in_the_future_where_the_wall_clock_is_behind() {
     let local = LocalSet::new();
@@ -219,8 +224,8 @@
     }
 }
 
-/// A panic of the balancer can't be provoked from outside. What follows one can be tested: without the restart, open requests would
-/// wait for an answer until their deadline.
+/// A panic of the balancer can't be provoked from outside, so the restart that follows a panic is called directly.
+/// Without the restart, open requests would wait for an answer until their deadline.
 #[tokio::test]
 async fn a_balancer_restart_fails_open_requests_and_serves_new_ones() {
     let local = LocalSet::new();
--- a/crates/gateway/src/engine/timers.rs
+++ b/crates/gateway/src/engine/timers.rs
@@ -5,12 +5,12 @@
 use tokio::time::Instant;
 use weldworks_balancer::RequestId;
 
-/// What a timer is for. Timers of one instant fire in the order of these variants.
+/// The purpose of a timer. Timers that are due at the same instant fire in the order of these variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
     /// A timer that the balancer set, with its token.
     Balancer(u64),
-    /// The client's deadline of a request has come.
+    /// The deadline for a request's final answer, by the request's id.
     RequestDeadline(RequestId),
     /// The next watch on discovery is to be opened.
     OpenWatch,
@@ -18,7 +18,7 @@
     EndpointMetrics,
 }
 
-/// A queue of timers. Those of finished requests stay until they are due.
+/// A queue of timers. The timers of finished requests stay queued until they are due.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     heap: BinaryHeap<Reverse<(Instant, Timer)>>,
@@ -34,7 +34,7 @@
         self.heap.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Removes the earliest timer where it is due at `now`.
+    /// Removes and returns the earliest timer, if that timer is due at `now`.
     pub(super) fn pop_due(&mut self, now: Instant) -> Option<Timer> {
         let due = self.next_due().is_some_and(|at| at <= now);
         if !due {
