--- a/crates/gateway/src/engine/discovery_watch.rs
+++ b/crates/gateway/src/engine/discovery_watch.rs
@@ -47,7 +47,7 @@
     pub(super) fn end_watch(&mut self) -> bool {
         let Some(task) = self.watch_task.take() else { return false };
         task.abort();
-        // No watch has the new number, so that messages of the ended watch are ignored.
+        // No watch has the new value of `watch_id`, so that messages of the ended watch are ignored.
         self.watch_id += 1;
         true
     }
@@ -108,8 +108,7 @@
     }
 
     /// Polls discovery again, on a new connection, where other gateways have a newer endpoint list.
-    /// The discovery server behind the current watch may lag, and this gateway would send to drained endpoints for as long as the watch
-    /// is open.
+    /// The discovery server behind the current watch may lag, and until that watch ends the gateway would send to drained endpoints.
     pub(super) fn refresh_lagging_list(&mut self, current_index: u64) {
         if current_index <= self.list_index {
             return;
@@ -129,7 +128,7 @@
 
     /// Switches to another discovery address and starts at list index 0 there, since list indices of two discoveries can't be compared.
     /// An unchanged address changes nothing, even where discovery is now polled instead of watched or the other way round.
-    /// The time of the last discovery message is kept, so the first list of the new discovery comes with that of the old discovery.
+    /// The time of the last discovery message is kept, so the new discovery's first list is applied with the old discovery's time.
     pub(super) fn switch_discovery(&mut self, address: SocketAddr) {
         if address == self.discovery_address {
             return;
--- a/crates/gateway/src/engine/driver.rs
+++ b/crates/gateway/src/engine/driver.rs
@@ -118,8 +118,8 @@
 
     /// Replaces a balancer that has panicked by a new balancer, which knows only the endpoint list.
     ///
-    /// The balancer's state after a panic may be inconsistent, and would leave open requests without an answer until their deadline.
-    /// So all requests that are open at the panic fail now.
+    /// All open requests fail at once. The balancer's state after a panic may be inconsistent, and would leave the open requests
+    /// without an answer until their deadline.
     pub(super) fn restart_balancer(&mut self) {
         error!("balancer panicked, failing all open requests and restarting it");
         self.requests.fail_all(StatusCode::BAD_GATEWAY);
--- a/crates/gateway/src/engine/request_events.rs
+++ b/crates/gateway/src/engine/request_events.rs
@@ -93,7 +93,7 @@
     /// Fails a request that the balancer has left open until its deadline.
     ///
     /// A streamed upload's first deadline, `UPLOAD_TIMEOUT` after its arrival, ends the request even where the deadline has moved since:
-    /// the timer of the first deadline stays queued.
+    /// the timer of the first deadline stays queued after the move.
     pub(super) fn enforce_request_deadline(&mut self, id: RequestId) {
         if self.requests.get(id).is_some_and(|entry| entry.answer.is_some()) {
             self.answer(id, FinalAnswer::Failed(StatusCode::GATEWAY_TIMEOUT));
--- a/crates/gateway/src/upstream/connection.rs
+++ b/crates/gateway/src/upstream/connection.rs
@@ -17,8 +17,7 @@
 /// A connection to an endpoint.
 ///
 /// The connection is driven by its owner and by no task of its own, so that dropping the connection closes the socket at once.
-/// With a task of its own, the connection could outlive its attempt, and the endpoint could still process an attempt that counts as
-/// ended here.
+/// With a task of its own, the connection could stay open, and the endpoint could still process an attempt that has ended here.
 pub(super) struct Connection {
     pub(super) endpoint: EndpointId,
     pub(super) address: SocketAddr,
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -119,8 +119,8 @@
     /// Closes idle connections that have expired or were closed by their endpoint, for as long as this future is polled.
     /// Unless closed, an expired connection takes up a descriptor here and a connection at the endpoint.
     ///
-    /// Reports the connections that their endpoint closed before they expired. A close is reported at once where the connection has
-    /// been idle for `IDLE_CHECK_INTERVAL`, else within that interval.
+    /// Reports the connections that their endpoint closed before they expired.
+    /// The close of a connection that was idle for `IDLE_CHECK_INTERVAL` is reported at once, any other close within that interval.
     ///
     /// # Cancellation safety
     /// Cancel safe: a cancelled loop only loses its wake-ups by idle connections.
