--- a/crates/gateway/src/server/admin.rs
+++ b/crates/gateway/src/server/admin.rs
@@ -1,8 +1,9 @@
-//! The admin API on the second address: administrators and their tools ask whether this process is ready, read its metrics, and
-//! have it drain.
+//! The admin API, on an address of its own: administrators and their tools check whether this process is ready, read its metrics,
+//! and start or end a drain.
 //!
-//! HTTP/1.1, one call to a connection. An answer reads shared cells and waits for nothing, so it is sent as soon as the event loop
-//! comes round. Callers share a few descriptors of their own: once all are in use, the oldest caller without an answer is closed.
+//! The admin API speaks HTTP/1.1 with one call per connection. A response is built from in-memory state without waiting, so it is sent
+//! in the next turn of the event loop. Admin connections have a small descriptor quota of their own: once the quota is used up, the
+//! oldest admin connection without a response is closed to accept a new one.
 
 use crate::lifecycle::service_state::ServiceState;
 use crate::transport::descriptor_budget::{DescriptorPermit, DescriptorQuota};
@@ -26,23 +27,23 @@
 use tokio::time::timeout;
 use tracing::{error, info};
 
-/// Time for a complete call, after which its connection is closed.
+/// Timeout for a complete admin call; the connection is closed when it expires.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Buffer for a call's head, in bytes: the least that the HTTP library takes.
+/// Buffer size for the head of an admin call, in bytes: the minimum that the HTTP library accepts.
 const MAX_HEAD_BYTES: usize = 8 << 10;
-/// Delay after a failed accept.
+/// Delay before the next accept on the admin listener after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The open connections of callers, oldest first.
+/// The open connections to the admin API.
 struct Callers {
     quota: DescriptorQuota,
-    /// Asks the callers without an answer to close.
+    /// For each caller without a response, oldest first: notified when its connection is to be closed.
     unanswered: RefCell<VecDeque<Rc<Notify>>>,
     slot_released: Notify,
 }
 
 impl Callers {
-    /// Acquires a slot for a new caller. While all are in use, the oldest caller without an answer is closed.
+    /// Acquires a descriptor for a new admin connection. While none is free, closes the oldest connection without a response.
     async fn acquire_slot(&self) -> DescriptorPermit {
         loop {
             if let Some(permit) = self.quota.acquire() {
@@ -55,14 +56,14 @@
         }
     }
 
-    /// Adds a caller without an answer; the result is notified when it is to close.
+    /// Adds a caller without a response. The returned `Notify` is notified when the caller's connection is to be closed.
     fn register(&self) -> Rc<Notify> {
         let close_requested = Rc::new(Notify::new());
         self.unanswered.borrow_mut().push_back(close_requested.clone());
         close_requested
     }
 
-    /// Removes a caller and gives its slot back.
+    /// Removes a caller and returns its descriptor to the quota.
     fn release(&self, close_requested: &Rc<Notify>, permit: DescriptorPermit) {
         self.unanswered.borrow_mut().retain(|other| !Rc::ptr_eq(other, close_requested));
         drop(permit);
@@ -70,10 +71,10 @@
     }
 }
 
-/// Answers admin calls until it is dropped.
+/// Accepts and serves admin connections until this future is dropped.
 pub async fn serve_admin(listener: TcpListener, quota: DescriptorQuota, service: Rc<ServiceState>) {
     let callers = Rc::new(Callers { quota, unanswered: RefCell::default(), slot_released: Notify::new() });
-    let mut failure_is_logged = false; // reset by the next success
+    let mut failure_is_logged = false; // reset by the next successful accept
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -87,15 +88,15 @@
             }
         };
         failure_is_logged = false;
-        // While an older caller is closed, which takes one turn of the event loop, this one exceeds the quota by a descriptor.
+        // The new connection exceeds the quota by one descriptor until an older one is closed, which takes one turn of the event loop.
         let permit = callers.acquire_slot().await;
-        // Registered before the next accept, which may need to close the oldest caller at once.
+        // The caller is registered before the next accept, since that may have to close the oldest caller at once.
         let close_requested = callers.register();
         spawn_local(serve_call(stream, permit, close_requested, callers.clone(), service.clone()));
     }
 }
 
-/// Serves one caller's connection until its call is answered, its time is over, or it has to make room.
+/// Serves one admin connection until its call is answered, [`CALL_TIMEOUT`] expires, or the descriptor is needed for a new caller.
 async fn serve_call(
     stream: TcpStream,
     permit: DescriptorPermit,
@@ -112,14 +113,14 @@
     builder.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
     let connection = builder.serve_connection(TokioIo::new(Stream::new(stream)), respond_to);
     tokio::select! {
-        // The library answers what it can't parse with 400, or with 431 if it is too long.
+        // The HTTP library itself answers a head that it can't parse with status 400, and one that is too long with 431.
         _ = timeout(CALL_TIMEOUT, connection) => {}
         () = close_requested.notified() => {}
     }
     callers.release(&close_requested, permit);
 }
 
-/// The calls of the admin API.
+/// The calls that the admin API offers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AdminCall {
     Readiness,
@@ -181,7 +182,7 @@
     drain_response(service, "in service\n")
 }
 
-/// The state after a call, which has no effect during a shutdown.
+/// The response to a drain call: `state`, or "stopping" during a shutdown, when drain calls have no effect.
 fn drain_response(service: &ServiceState, state: &str) -> Response<Full<Bytes>> {
     let state = if service.is_shutting_down() { "stopping\n" } else { state };
     text_response(StatusCode::OK, state.into())
@@ -196,7 +197,7 @@
     response
 }
 
-/// A response of this status and text, with the content type of the metrics' text format.
+/// A response with this status and text, whose content type is that of the metrics' text format.
 fn text_response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -1,6 +1,6 @@
-//! The servers: `http` for clients, `admin` for administrators.
+//! The HTTP servers of the gateway: `http` for clients, `admin` for administrators.
 //!
-//! Every server for clients turns a request into an [`Arrival`](crate::engine::message::Arrival) for the engine.
+//! The server for clients hands each request to the engine as an [`Arrival`](crate::engine::message::Arrival).
 
 pub mod admin;
 pub mod http;
