--- a/crates/gateway/src/server/http/accept.rs
+++ b/crates/gateway/src/server/http/accept.rs
@@ -1,4 +1,4 @@
-//! The accept loop, in service and during shutdown.
+//! The accept loop for client connections, in normal service and during shutdown.
 
 use super::client_connection::ClientConnection;
 use super::client_table::ConnectionSlot;
@@ -19,33 +19,33 @@
 use tokio::time::Instant;
 use tracing::{error, warn};
 
-/// Delay after a failed accept.
+/// Delay before the next accept of a client connection after a failed one.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Whether connections may be waiting in the kernel's accept queue.
+/// Tracks whether connections may be waiting in the kernel's accept queue.
 #[derive(Default)]
 pub(super) struct AcceptQueue {
     waiting_since: Cell<Option<Instant>>,
 }
 
 impl AcceptQueue {
-    /// Records that connections may be waiting from now on, if they were not before.
+    /// Records that connections may be waiting in the accept queue, from now on unless an earlier start is recorded.
     fn record_waiting(&self) {
         let since = self.waiting_since.get().unwrap_or_else(Instant::now);
         self.waiting_since.set(Some(since));
     }
 
-    /// Records that the queue is empty.
+    /// Records that the accept queue is empty.
     fn record_empty(&self) {
         self.waiting_since.set(None);
     }
 }
 
 impl Server {
-    /// Accepts connections until it is dropped. Idle connections are closed only when a new one needs the slot, since a close may cross
-    /// a request. Cancel safe.
+    /// Accepts client connections until this future is dropped. Idle connections are closed only when a new connection needs the slot,
+    /// since the client may just be sending a request on an idle connection. Cancel safe.
     pub async fn accept(self: Rc<Self>, listener: &TcpListener) {
-        let mut failure_is_logged = false; // reset by the next success
+        let mut failure_is_logged = false; // reset by the next successful accept
         loop {
             let Some(permit) = self.clients.acquire_permit() else {
                 self.wait_for_slot().await;
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Accepts what still waits in the accept queue until the deadline, then closes the listener; the kernel resets what is left.
-    /// Each failed accept is logged, also where it repeats.
+    /// Accepts the connections that still wait in the accept queue, until the deadline at the latest, then closes the listener; the
+    /// kernel resets the connections left in the queue. Every failed accept is logged, also repeated failures.
     pub async fn drain_backlog(self: &Rc<Self>, listener: TcpListener, deadline: Instant) {
         while Instant::now() < deadline {
             let Some(permit) = self.clients.acquire_permit() else {
@@ -110,14 +110,14 @@
         warn!("shutdown deadline reached, closing connections in the accept queue");
     }
 
-    /// Makes room for a new connection and waits for it.
+    /// Closes an idle connection to free a slot for a new one, and waits until a slot may be free.
     async fn wait_for_slot(&self) {
         self.accept_queue.record_waiting();
         self.clients.close_longest_idle();
         self.clients.wait_for_released_slot().await;
     }
 
-    /// Waits before the next accept, with one connection closed if the system lacks descriptors or memory.
+    /// Waits before the next accept, and first closes an idle connection if descriptors or memory are exhausted.
     async fn recover_from(&self, failure: AcceptFailure) {
         if failure == AcceptFailure::ResourcesExhausted {
             self.clients.close_longest_idle();
@@ -125,7 +125,7 @@
         tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
     }
 
-    /// Registers an accepted connection and starts the task that serves it.
+    /// Registers an accepted client connection and starts the task that serves it.
     pub(super) fn start_connection(self: &Rc<Self>, stream: TcpStream, permit: DescriptorPermit) {
         self.service.record_accept();
         self.engine.record_connection();
@@ -134,7 +134,7 @@
         let (stream, framing) = stream.with_framing(MessageFraming::default());
         let probe = stream.probe();
         let idle_since = Some(Instant::now());
-        io_state.first_read_at.set(idle_since); // the first head is awaited from now on
+        io_state.first_read_at.set(idle_since); // the first request head is awaited from now on
         let accepted_at = Instant::now();
         let connection = Rc::new(ClientConnection {
             probe,
@@ -154,8 +154,8 @@
         spawn_local(self.clone().serve_connection(stream, connection));
     }
 
-    /// The earliest moment at which a connection accepted now may have entered the accept queue, if it may have waited there: the queue
-    /// was not empty, or the process did not run for a while.
+    /// The earliest moment at which a connection accepted now may have entered the accept queue; `None` if it can't have waited there. A
+    /// connection may have waited if the queue was not empty, or if the process did not run for a while.
     fn queued_since(&self, accepted_at: Instant) -> Option<Instant> {
         let delay = self.event_loop_delay.current();
         let delayed_since = (!delay.is_zero()).then(|| accepted_at - delay);
@@ -163,7 +163,7 @@
     }
 }
 
-/// Accepts a connection by a system call of its own: the runtime knows only what was there when it last polled.
+/// Accepts a connection by a direct system call: the runtime knows only of the connections that were queued when it last polled.
 fn accept_from_kernel(listener: &TcpListener) -> io::Result<TcpStream> {
     let (socket, _) = SockRef::from(listener).accept()?;
     socket.set_nonblocking(true)?;
--- a/crates/gateway/src/server/http/client_table.rs
+++ b/crates/gateway/src/server/http/client_table.rs
@@ -1,4 +1,4 @@
-//! All connections from clients: how many there may be, and which are closed to make room or because their time is over.
+//! The table of client connections: limits their number, closes idle ones when slots run short, and enforces timeouts.
 
 use super::client_connection::ClientConnection;
 use crate::lifecycle::service_state::ServiceState;
@@ -9,34 +9,35 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Idle time after which a connection is closed.
+/// Idle time after which a client connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(75);
-/// The same while few slots are left.
+/// Idle time after which a client connection is closed while few connection slots are left.
 const IDLE_TIMEOUT_UNDER_PRESSURE: Duration = Duration::from_secs(2);
-/// Time for a complete request head, from its first byte; for the first head, from the accept. Clients must have a verdict on a
-/// broken request within 3 s, and slow ones may take 2 s. Without the limit a few silent clients would occupy all slots.
+/// Timeout for a complete request head, from the head's first byte; for the first head, from the accept of its connection. Clients must
+/// get a response to a malformed request within 3 s, and slow clients may take 2 s to send a head. Without this timeout a few silent
+/// clients would occupy all connection slots.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Interval at which expired connections are looked for.
+/// Interval between searches for expired client connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
-/// The same while the gateway drains.
+/// Interval between searches for expired client connections while the gateway drains.
 const SWEEP_INTERVAL_WHILE_DRAINING: Duration = Duration::from_millis(25);
-/// Time that a new connection has for its first request before it may be closed to make room.
+/// Minimum idle time of a new connection without any request before it may be closed to free its slot.
 const MIN_IDLE_BEFORE_FIRST_REQUEST: Duration = Duration::from_millis(500);
-/// Idle time after a request from which a connection may be closed to make room.
+/// Minimum idle time after a request before a connection may be closed to free its slot.
 const MIN_IDLE_AFTER_REQUEST: Duration = Duration::from_millis(100);
-/// Interval at which a connection to close is looked for while every descriptor is in use.
+/// Interval between searches for a connection that may be closed, while every descriptor for clients is in use.
 const SLOT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Which quota a connection's descriptor belongs to.
+/// The quota that a client connection's descriptor belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionSlot {
-    /// That of clients whose requests are served.
+    /// The quota of clients whose requests are served.
     Client,
-    /// That of connections accepted only to have their requests rejected.
+    /// The quota of connections that are accepted only to reject their requests.
     Overflow,
 }
 
-/// Whether a connection is kept alive without a request in flight.
+/// Whether a client connection is kept alive without a request in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum KeepAlive {
     Idle,
@@ -50,7 +51,7 @@
     overflow_quota: DescriptorQuota,
     idle_keep_alive_count: Cell<usize>,
     max_idle_keep_alive: usize,
-    /// Notified when a connection has ended or an overflow slot is free.
+    /// Notified when a connection has ended or an overflow slot has become free.
     pub(super) slot_released: Notify,
 }
 
@@ -66,12 +67,12 @@
         }
     }
 
-    /// Acquires a descriptor for a new connection, from the overflow quota if the clients' is used up.
+    /// Acquires a descriptor for a new client connection, from the overflow quota if the client quota is used up.
     pub(super) fn acquire_permit(&self) -> Option<DescriptorPermit> {
         self.client_quota.acquire().or_else(|| self.overflow_quota.acquire())
     }
 
-    /// Which quota the permit belongs to.
+    /// The quota that the permit was acquired from.
     pub(super) fn slot_of(&self, permit: &DescriptorPermit) -> ConnectionSlot {
         if self.overflow_quota.contains(permit) {
             ConnectionSlot::Overflow
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The connection's slot, after an attempt to move it from the overflow quota to the clients'.
+    /// Moves the connection from the overflow quota to the client quota if that has a free slot; returns the connection's slot.
     pub(super) fn claim_client_slot(&self, connection: &ClientConnection) -> ConnectionSlot {
         if self.slot_of(&connection.permit.borrow()) == ConnectionSlot::Client {
             return ConnectionSlot::Client;
@@ -101,19 +102,19 @@
         self.slot_released.notify_one();
     }
 
-    /// Whether there are more connections than the clients' quota has slots.
+    /// Whether there are more connections than the client quota has slots.
     pub(super) fn is_over_capacity(&self) -> bool {
         self.connections.borrow().len() > self.client_quota.capacity()
     }
 
-    /// Whether a connection that has just been answered should be closed because too many are idle. One that has brought a second
-    /// request is kept. Otherwise clients that open a connection for each request and keep it would reach their own limit of
-    /// connections, and stall, long before the slots here are used up.
+    /// Whether a connection should be closed with the response to its first request because too many connections are idle. Without this
+    /// limit, clients that open a connection for each request and keep it open would reach their own limit of connections, and stall,
+    /// long before the slots of this gateway are used up. A connection that has carried a second request is kept open.
     pub(super) fn exceeds_idle_limit(&self, connection: &ClientConnection) -> bool {
         connection.request_count.get() <= 1 && self.idle_keep_alive_count.get() >= self.max_idle_keep_alive
     }
 
-    /// Records whether the connection is idle but kept alive.
+    /// Records whether the connection is kept alive without a request in flight.
     pub(super) fn set_keep_alive(&self, connection: &ClientConnection, state: KeepAlive) {
         let was_idle = connection.is_keep_alive_idle.replace(state == KeepAlive::Idle);
         match state {
@@ -127,8 +128,9 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest. A close may cross a request on its way, so connections in steady use are
-    /// spared, and a new one has time for its first request: a client knows that it may have to resend a later one, but not the first.
+    /// Closes the client connection that has been idle for longest. Its client may just be sending a request, so connections in steady
+    /// use are exempt. A new connection has a longer minimum, since clients expect that they may have to resend a later request on a
+    /// kept-alive connection, but not the first request on a new connection.
     pub(super) fn close_longest_idle(&self) {
         let connections = self.connections.borrow();
         let is_closable = |connection: &&Rc<ClientConnection>| {
@@ -146,20 +148,20 @@
         }
     }
 
-    /// Waits until a slot may be free, but not for longer than [`SLOT_RETRY_INTERVAL`]: nothing signals that a new connection has
-    /// become old enough to be closed.
+    /// Waits until a connection slot may be free, for at most [`SLOT_RETRY_INTERVAL`]: nothing signals when a new connection has been
+    /// idle for long enough to be closed.
     pub(super) async fn wait_for_released_slot(&self) {
         let _ = timeout(SLOT_RETRY_INTERVAL, self.slot_released.notified()).await;
     }
 
-    /// Waits until there are no connections.
+    /// Waits until there are no client connections.
     pub(super) async fn wait_until_empty(&self) {
         while !self.connections.borrow().is_empty() {
             self.slot_released.notified().await;
         }
     }
 
-    /// Closes connections whose time is over, until it is dropped.
+    /// Closes client connections whose timeout has expired, until this future is dropped.
     pub(super) async fn run_expiry_loop(&self, service: &ServiceState) {
         loop {
             let is_draining = service.idle_limit().is_some();
@@ -170,13 +172,13 @@
         }
     }
 
-    /// Closes connections that are idle for longer than a draining gateway allows.
+    /// During a drain, closes client connections that are idle for longer than a draining gateway allows.
     fn close_idle_for_drain(&self, service: &ServiceState) {
         let Some(idle_limit) = service.idle_limit() else { return };
         let awaits_first_request = service.awaits_first_request();
         let connections = self.connections.borrow();
         for connection in connections.iter().filter(|connection| !connection.is_closing.get()) {
-            // Its first request may be on its way, and its client does not expect to have to resend that.
+            // The first request may be on its way on an unused connection, and clients don't expect to have to resend that request.
             if awaits_first_request && connection.is_unused() {
                 continue;
             }
@@ -187,7 +189,7 @@
         }
     }
 
-    /// Aborts connections whose head is overdue and closes those that are idle for too long.
+    /// Aborts connections whose request head is overdue, and closes connections that have been idle for too long.
     fn close_timed_out(&self) {
         let connections = self.connections.borrow();
         let idle = connections.iter().filter(|connection| connection.is_open_and_idle());
@@ -200,8 +202,8 @@
             }
         }
         between_requests.sort_by_key(|connection| connection.idle_since.get());
-        let comfortable_count = self.client_quota.capacity() / 4 * 3;
-        let excess = connections.len().saturating_sub(comfortable_count);
+        let max_without_pressure = self.client_quota.capacity() / 4 * 3;
+        let excess = connections.len().saturating_sub(max_without_pressure);
         for (rank, connection) in between_requests.iter().enumerate() {
             let timeout = if rank < excess { IDLE_TIMEOUT_UNDER_PRESSURE } else { IDLE_TIMEOUT };
             if connection.is_idle_for(timeout) {
--- a/crates/gateway/src/server/http/connection.rs
+++ b/crates/gateway/src/server/http/connection.rs
@@ -22,20 +22,20 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// Time that a connection has after a graceful close to write a response or to complete a head. It starts again while a request is in
-/// flight.
+/// Time that a connection has after the start of a graceful close to write a response or to receive the rest of a head. The time starts
+/// again while a request is in flight.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How a connection leaves normal service.
+/// How normal service of a client connection ended.
 enum ConnectionEnd {
-    /// It is over: nothing more is to be done.
+    /// The connection has ended; nothing remains to be done.
     Closed,
-    /// It is to be shut down gracefully.
+    /// The connection is to be shut down gracefully.
     Shutdown,
 }
 
 impl Server {
-    /// Serves a connection until it ends.
+    /// Serves a client connection until it ends.
     pub(super) async fn serve_connection(
         self: Rc<Self>,
         stream: InstrumentedStream,
@@ -50,17 +50,17 @@
         let connection = http1::Builder::new()
             .max_buf_size(MAX_READ_AHEAD_BYTES)
             .serve_connection(TokioIo::new(stream), service);
-        // The HTTP library does not notice a close while it has bytes of a next request, or a body that nobody polls. Without this
-        // the requests of a client that has disconnected would still be started.
+        // The HTTP library does not notice a close while it has bytes of a next request, or a body that is not polled. Without the
+        // socket probe, requests of a client that has disconnected would still be started.
         let disconnected = client.probe.closed();
         tokio::pin!(connection, disconnected);
         match wait_for_end(connection.as_mut(), disconnected.as_mut(), &client).await {
             ConnectionEnd::Closed => return,
             ConnectionEnd::Shutdown => {}
         }
-        // A request in flight is still answered; without one the library closes at once.
+        // A request in flight is still answered; without one the HTTP library closes the connection at once.
         connection.as_mut().graceful_shutdown();
-        // A client that neither completes its request nor reads its response must not keep the connection open for ever.
+        // The timeout prevents a client that neither completes its request nor reads its response from keeping the connection open.
         let finish = async {
             while timeout(CLOSE_TIMEOUT, connection.as_mut()).await.is_err()
                 && client.idle_since.get().is_none()
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Answers a request and decides whether the connection is kept alive after it.
+    /// Answers a request and decides whether its connection is kept alive after the response.
     async fn respond_on_connection(
         self: &Rc<Self>,
         request: Request<Incoming>,
@@ -93,15 +93,15 @@
             KeepAlive::Idle
         };
         let in_use = InUseGuard { server: self.clone(), client: client.clone(), keep_alive };
-        // A streamed response keeps its connection in use until its body ends; any other is complete already.
+        // A streamed response keeps its connection in use until the response body ends; a buffered response is already complete.
         if let ResponseBody::Streaming { guard, .. } = response.body_mut() {
             *guard = Some(Box::new(in_use));
         }
         response
     }
 
-    /// Whether the connection is to end with the response to the current request. A connection kept alive would have to be closed
-    /// later, which may cross a request, or would keep new ones out.
+    /// Whether the connection is to be closed with the response to the current request. If kept alive, the connection would have to be
+    /// closed later, when the client may just be sending a request, or would occupy a slot that new connections need.
     fn closes_after_response(&self, slot: ConnectionSlot, client: &ClientConnection) -> bool {
         let wants_close = self.service.sends_connection_close()
             || client.is_closing.get()
@@ -112,13 +112,13 @@
     }
 }
 
-/// Waits until the connection ends by itself or is to be closed.
+/// Waits until the client connection ends by itself or is to be closed.
 async fn wait_for_end(
     mut connection: Pin<&mut impl Future>,
     mut disconnected: Pin<&mut impl Future<Output = ()>>,
     client: &ClientConnection,
 ) -> ConnectionEnd {
-    let mut spared_at_request = None;
+    let mut deferred_at_request = None;
     loop {
         tokio::select! {
             biased;
@@ -127,27 +127,28 @@
             () = client.close_requested.notified() => {}
             () = client.abort_requested.notified() => {
                 if client.idle_since.get().is_some() {
-                    return ConnectionEnd::Closed; // no complete request has arrived, so no response is due
+                    return ConnectionEnd::Closed; // no complete request has arrived, so no response is owed
                 }
-                continue; // a request was completed in the last moment; its response ends the connection
+                continue; // a request was completed just before the abort; the connection is closed with its response
             }
         }
-        // A request in flight: its response ends the connection.
+        // While a request is in flight, the connection is closed with the response to it.
         if client.idle_since.get().is_none() {
             continue;
         }
-        // The close was decided on what had been read by then; a request that arrived since is still served. But only once for each
-        // request: a client that does not read its responses has nothing read from it either, and would be spared for ever.
+        // The close was decided by what had been read until then; a request that has arrived since is still served. The close is deferred
+        // only once per request: from a client that does not read its responses no request is read either, so its connection would
+        // never be closed.
         let request_count = Some(client.request_count.get());
-        if !client.probe.has_unread() || spared_at_request == request_count {
+        if !client.probe.has_unread() || deferred_at_request == request_count {
             return ConnectionEnd::Shutdown;
         }
-        spared_at_request = request_count;
+        deferred_at_request = request_count;
         client.is_closing.set(false);
     }
 }
 
-/// The response, or status 500 if computing it panics: a panic fails one request and no other.
+/// Returns the response, or status 500 if computing the response panics, so that a panic fails only the request that caused it.
 async fn respond_despite_panic(
     response: impl Future<Output = Response<ResponseBody>>,
 ) -> Response<ResponseBody> {
@@ -160,8 +161,8 @@
     .await
 }
 
-/// Marks a connection idle when dropped: a buffered response has been handed to the HTTP library, which may not have written it yet, or
-/// a streamed one has ended.
+/// Marks a client connection as idle when dropped: after a buffered response has been handed to the HTTP library, which may not have
+/// written it yet, or after a streamed response has ended.
 struct InUseGuard {
     server: Rc<Server>,
     client: Rc<ClientConnection>,
@@ -172,16 +173,16 @@
     fn drop(&mut self) {
         self.client.idle_since.set(Some(Instant::now()));
         self.server.clients.set_keep_alive(&self.client, self.keep_alive);
-        // A close decided while the connection was in use is decided anew now that it is idle.
+        // Cancels a close that was decided while the connection was in use; now that the connection is idle, it is decided anew.
         self.client.is_closing.set(false);
-        // A head that has begun meanwhile keeps its start: its client gets no more time because an endpoint was slow.
+        // If the next head has begun meanwhile, its timeout keeps its start: a slow endpoint does not extend the client's time.
         if !self.client.framing.borrow().is_inside() {
             self.client.io_state.first_read_at.set(None);
         }
     }
 }
 
-/// Removes a connection from the table when dropped, however its task ends.
+/// Removes a connection from the client table when dropped, however the connection's task ends.
 struct Registration {
     server: Rc<Server>,
     client: Rc<ClientConnection>,
--- a/crates/gateway/src/server/http/mod.rs
+++ b/crates/gateway/src/server/http/mod.rs
@@ -1,7 +1,7 @@
-//! The HTTP/1.1 server for clients: accepts connections, limits and ends them, and has their requests answered.
+//! The HTTP/1.1 server for clients: accepts and closes connections, limits their number, and answers the requests on them.
 //!
-//! `accept` takes connections from the listener, `client_table` decides which of them are closed early, `connection` serves one
-//! connection and `request` one request on it. `request_head` checks heads, `response` builds responses.
+//! `accept` takes connections from the listener, `client_table` decides which connections are closed early, `connection` serves a
+//! single connection and `request` a single request. `request_head` validates request heads, `response` builds responses.
 
 mod accept;
 mod client_connection;
@@ -35,7 +35,7 @@
 }
 
 impl Server {
-    /// Creates a server that hands its requests to the engine.
+    /// Creates a server that hands the requests of clients to the engine.
     pub fn new(
         engine: EngineHandle,
         settings: RequestSettings,
@@ -52,22 +52,22 @@
         }
     }
 
-    /// Applies other settings to requests that arrive from now on; earlier ones keep theirs.
+    /// Replaces the settings for requests that arrive from now on; earlier requests keep the settings that they arrived under.
     pub fn reconfigure(&self, settings: RequestSettings) {
         self.settings.replace(Rc::new(settings));
     }
 
-    /// Runs until it is dropped, and closes idle connections and connections whose request head is overdue.
+    /// Closes idle connections and connections whose request head is overdue, until this future is dropped.
     pub async fn run_expiry_loop(&self) {
         self.clients.run_expiry_loop(&self.service).await;
     }
 
-    /// Measures how late the event loop runs, until it is dropped.
+    /// Measures the delay of the event loop, until this future is dropped.
     pub async fn measure_event_loop_delay(&self) {
         self.event_loop_delay.measure().await;
     }
 
-    /// Waits until the last connection has ended. Idle ones are closed by [`Self::run_expiry_loop`].
+    /// Waits until the last client connection has ended. Idle connections are closed by [`Self::run_expiry_loop`].
     pub async fn finish_connections(&self) {
         self.clients.wait_until_empty().await;
     }
