--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -1,4 +1,4 @@
-//! One request: its head is checked, its body received, the engine decides it, and its response is built.
+//! Processes a single request: validates its head, receives its body, hands it to the engine and builds the response.
 
 use super::client_connection::ClientConnection;
 use super::client_table::ConnectionSlot;
@@ -27,12 +27,12 @@
 use weldworks_control::body_streaming::TransferState;
 use weldworks_control::class_registry::RegisteredClass;
 
-/// Time for a streamed upload: the longest body at the slowest rate.
+/// Timeout of a streamed upload: the time that the longest body takes at the slowest rate.
 const UPLOAD_TIMEOUT: Duration = Duration::from_secs(1100);
-/// Time for which the rest of a body is read and dropped once its request is over, so that the client comes to read its response.
+/// Maximum time for reading and dropping the rest of a body after its request has ended, so that the client gets to read its response.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The headers of the protocol, which are forwarded to endpoints; no other is.
+/// The request headers of the protocol, which are forwarded to endpoints; all other headers are dropped.
 const FORWARDED_HEADERS: [HeaderName; 9] = [
     header::HOST,
     header::COOKIE,
@@ -47,20 +47,20 @@
 
 /// How far the body of a request has been received when the engine gets the request.
 enum Receipt {
-    /// Completely; the request is counted with its answer.
+    /// The body is complete; the metrics count the request with its answer.
     Complete(RequestMetricsGuard),
-    /// In part; the rest is streamed.
+    /// The body has been received in part; the rest is streamed to the endpoint.
     Streaming(Rc<StreamingUpload>),
 }
 
-/// A request that can be handed to the engine.
+/// A request whose body is received far enough to hand the request to the engine.
 struct ReceivedRequest {
     payload: RequestPayload,
     receipt: Receipt,
     answer_deadline: Instant,
 }
 
-/// A request that the engine has not answered yet. Dropped before that, because its client has disconnected, it says so to the engine.
+/// A request that the engine has not answered yet. When dropped before the answer, it notifies the engine that the client disconnected.
 struct PendingRequest {
     engine: EngineHandle,
     id: RequestId,
@@ -69,7 +69,7 @@
 
 impl Drop for PendingRequest {
     fn drop(&mut self) {
-        // The client's end is recorded before the message: an attempt about to be written looks there.
+        // The disconnect is recorded before the message is sent: an attempt that is about to be written checks that record.
         if self.client.end() {
             self.engine.send(Message::ClientDisconnected(self.id));
         }
@@ -77,7 +77,7 @@
 }
 
 impl Server {
-    /// The response to a request.
+    /// Processes a request and returns the response to it.
     pub(super) async fn respond(
         &self,
         request: Request<Incoming>,
@@ -94,7 +94,7 @@
             Ok(answered) => answered.into_response(),
             Err(malformed) => {
                 let response = plain_response(malformed.status(), &format!("{malformed}\n"));
-                // Where the request's end is in doubt nothing behind it is read: it may be a request smuggled in a body.
+                // The connection is closed: if the end of a request is ambiguous, further bytes may be a request smuggled in a body.
                 with_connection_close(response)
             }
         }
@@ -106,8 +106,8 @@
         plain_response(status, "")
     }
 
-    /// Rejects a request on a connection without a slot of its own, before its body is read. Requests in flight have all slots, and
-    /// waiting here would keep out those that come next.
+    /// Rejects a request on a connection in the overflow quota, before the request's body is read. All slots of the client quota are in
+    /// use by requests in flight, and a request waiting for a slot would block the requests that arrive after it.
     fn reject_overflow(&self, headers: &HeaderMap) -> Response<ResponseBody> {
         if let Some(class) = header_text(headers, "x-priority-class") {
             self.service.metrics.record_ending(class, RequestEnding::Rejected);
@@ -116,14 +116,14 @@
         response_for(FinalAnswer::Rejected { retry_after })
     }
 
-    /// Receives a request and has the engine answer it.
+    /// Receives a request, hands it to the engine and waits for the answer.
     async fn process(
         &self,
         request: Request<Incoming>,
         connection: &ClientConnection,
     ) -> Result<AnsweredRequest, MalformedRequest> {
         let (parts, body) = request.into_parts();
-        // Held to the end of the request: the table of classes keeps their numbers from being given to other classes.
+        // The settings are held until the end of the request: their class table prevents the reuse of class numbers for other classes.
         let settings = self.settings.borrow().clone();
         let head = self.check_head(&parts, &body, connection, &settings)?;
         let BufferedBody { buffered, unread } = buffer_body(body, MAX_BUFFERED_BODY_BYTES).await?;
@@ -150,11 +150,11 @@
         let request = self.balancer_request(&parts.headers, &head, &receipt, answer_deadline);
         let forward = forwarded_request(parts, payload);
         let RequestHead { request_id, class, .. } = head;
-        let answer = self.ask_engine(request, request_id, class.clone(), forward, client).await;
+        let answer = self.submit_to_engine(request, request_id, class.clone(), forward, client).await;
         self.finish(answer, receipt, class, connection)
     }
 
-    /// Checks the head of a request that is read now.
+    /// Validates the head of a request that is read now.
     fn check_head(
         &self,
         parts: &Parts,
@@ -167,15 +167,15 @@
         RequestHead::parse(parts, body_length, connection, settings, now)
     }
 
-    /// The earliest moment at which a request that has just been read completely may have arrived. One behind another request has
-    /// waited for that one's response, and its client with it.
+    /// The earliest moment at which a request that has just been read completely may have arrived. A pipelined request may have
+    /// been read earlier: the time for which it waited for the response to the request before it counts, since its client waited too.
     fn received_at(&self, connection: &ClientConnection) -> Instant {
         let last_read = connection.io_state.last_read_at.get().unwrap_or_else(Instant::now);
         let read_at = last_read - self.event_loop_delay.current();
         connection.data_queued_since().map_or(read_at, |since| read_at.min(since))
     }
 
-    /// The request as the balancer sees it.
+    /// Converts a request to the form that the balancer decides on.
     fn balancer_request(
         &self,
         headers: &HeaderMap,
@@ -187,8 +187,8 @@
         let answer_deadline =
             shutdown_deadline.map_or(answer_deadline, |deadline| answer_deadline.min(deadline));
         let id = self.engine.next_request();
-        // By the settings in force now, which the engine goes by: the index that a tenant had before may be another's. A tenant that
-        // is not in the settings has an index that is nobody's.
+        // The tenant's index is looked up in the settings in force now, which the engine uses as well: after a reload, its index in
+        // earlier settings may be that of another tenant. A tenant that is not in the settings gets an index that no tenant has.
         let tenant = self.settings.borrow().tenant_index(header_text(headers, "x-tenant-id"));
         weldworks_balancer::Request {
             id,
@@ -203,9 +203,9 @@
         }
     }
 
-    /// Hands a request to the engine and waits for its answer. If dropped before that, the engine learns that the client has
-    /// disconnected.
-    async fn ask_engine(
+    /// Hands a request to the engine and waits for the engine's answer. If this future is dropped before the answer, the engine is
+    /// notified that the client has disconnected.
+    async fn submit_to_engine(
         &self,
         request: weldworks_balancer::Request,
         request_id: HeaderValue,
@@ -228,10 +228,10 @@
         decided.unwrap_or(FinalAnswer::Failed(StatusCode::BAD_GATEWAY))
     }
 
-    /// Counts an answered request and lets go of what is left of its body.
+    /// Counts an answered request in the metrics, and reads and drops what is left of its body.
     ///
     /// # Errors
-    /// Where the body of a streamed upload was not valid.
+    /// If the body of a streamed upload was invalid.
     fn finish(
         &self,
         answer: FinalAnswer,
@@ -253,7 +253,7 @@
             connection.await_next_head();
             return Ok(AnsweredRequest::new(answer, metrics_guard, ConnectionUse::KeepAlive));
         }
-        // A client that is still writing reads its response only once it has finished or can write no more.
+        // The rest is read because a client that is still writing reads the response only once it has finished or can write no more.
         spawn_local(async move { upload.discard(DISCARD_TIMEOUT).await });
         if let TransferState::Failed(error) = state {
             return Err(error.into());
@@ -262,7 +262,7 @@
     }
 }
 
-/// A request whose body is forwarded while it arrives.
+/// Starts a streamed upload: a request whose body is forwarded while it arrives.
 fn start_upload(
     buffered: Bytes,
     unread: Incoming,
@@ -287,7 +287,7 @@
     }
 }
 
-/// The request as it is forwarded to an endpoint.
+/// Converts a client's request to the form that is forwarded to an endpoint.
 fn forwarded_request(parts: Parts, body: RequestPayload) -> ForwardedRequest {
     let is_forwarded = |(name, value): (&HeaderName, &HeaderValue)| {
         FORWARDED_HEADERS.contains(name).then(|| (name.clone(), value.clone()))
@@ -296,13 +296,13 @@
     ForwardedRequest { method: parts.method, uri: origin_form(&parts.uri), headers, body }
 }
 
-/// The target's path and query, without the host that a target in absolute form names.
+/// The path and query of a request target, without the host of a target in absolute form.
 fn origin_form(uri: &Uri) -> Uri {
     let path_and_query = uri.path_and_query().cloned();
     path_and_query.map_or_else(|| uri.clone(), Uri::from)
 }
 
-/// The key of requests that belong on one endpoint: the cookie `k`.
+/// The affinity key, which is the cookie `k`: requests with the same key should go to the same endpoint.
 fn affinity_key(headers: &HeaderMap) -> Option<&str> {
     let cookies = headers.get_all(header::COOKIE).iter().filter_map(|value| value.to_str().ok());
     cookies.flat_map(|cookie| cookie.split(';')).find_map(|pair| pair.trim().strip_prefix("k="))
--- a/crates/gateway/src/server/http/request_head.rs
+++ b/crates/gateway/src/server/http/request_head.rs
@@ -1,4 +1,4 @@
-//! Parses and checks the head of a request.
+//! Parses and validates the head of a client's request.
 
 use super::client_connection::ClientConnection;
 use super::request_settings::RequestSettings;
@@ -11,10 +11,10 @@
 use weldworks_control::body_streaming::BodyError;
 use weldworks_control::class_registry::{ClassError, RegisteredClass, RequestForm};
 
-/// Time before the client's timeout at which its response is sent, for the way back and a busy machine.
+/// Safety margin between sending a response and the client's timeout, for the network and for a busy machine.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
 
-/// Headers that must not be repeated: whoever reads the other value would read another request.
+/// Headers that must not be repeated: an endpoint that uses the other value would understand a different request.
 const SINGLE_VALUED_HEADERS: [&str; 6] = [
     "x-request-id",
     "x-priority-class",
@@ -24,7 +24,7 @@
     "transfer-encoding",
 ];
 
-/// Why a request is not accepted. The message is the response's body.
+/// Why a request is rejected as malformed. The message is sent to the client as the body of the response.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum MalformedRequest {
     #[error("X-Request-ID is missing")]
@@ -75,7 +75,7 @@
 }
 
 impl MalformedRequest {
-    /// The status of the response.
+    /// The status of the response to the malformed request.
     pub(super) fn status(&self) -> StatusCode {
         match self {
             MalformedRequest::MethodMismatch => StatusCode::METHOD_NOT_ALLOWED,
@@ -87,25 +87,25 @@
     }
 }
 
-/// What the head of a well-formed request says.
+/// The validated head of a well-formed request.
 pub(super) struct RequestHead {
     /// The client's identifier of the request, `X-Request-ID`.
     pub(super) request_id: HeaderValue,
     pub(super) class: Rc<RegisteredClass>,
-    /// Time from the request's last byte by which the gateway answers: the lesser of `X-Timeout` (a number with `m` for milliseconds or
-    /// `u` for microseconds) and the class's deadline, less [`RESPONSE_MARGIN`].
+    /// Time from the request's last byte within which the gateway must answer: the shorter of `X-Timeout` (a number followed by `m` for
+    /// milliseconds or `u` for microseconds) and the class's deadline, less [`RESPONSE_MARGIN`].
     pub(super) answer_timeout: Duration,
     /// The client's estimate of the request's cost, `X-Cost`.
     pub(super) cost_hint: Option<Duration>,
-    /// Length of the body in bytes, where the head says it.
+    /// Length of the request body in bytes, if the head specifies it.
     pub(super) body_length: Option<u64>,
 }
 
 impl RequestHead {
-    /// Checks a head that is read at `now`, on the balancer's clock.
+    /// Validates a request head that is read at `now`, on the balancer's clock.
     ///
     /// # Errors
-    /// The first fault found.
+    /// The first error found in the request head.
     pub(super) fn parse(
         head: &Parts,
         body_length: Option<u64>,
@@ -124,7 +124,7 @@
             .ok_or(MalformedRequest::MissingRequestId)?
             .clone();
         if body_length.is_some_and(|length| length > MAX_BODY_BYTES) {
-            return Err(MalformedRequest::BodyTooLong); // before any of it is read
+            return Err(MalformedRequest::BodyTooLong); // rejected before any of the body is read
         }
         let class = classify(head, settings, now)?;
         let answer_timeout = header_text(headers, "x-timeout")
@@ -140,8 +140,8 @@
     }
 }
 
-/// Checks that the end of the request is beyond doubt. The HTTP library drops a `Content-Length` behind a `Transfer-Encoding`, so the
-/// connection's own record of the head is consulted; an encoding other than chunked is not understood by endpoints.
+/// Checks that the end of the request is unambiguous. The HTTP library drops a `Content-Length` that follows a `Transfer-Encoding`, so
+/// the framing that the connection itself recorded is checked as well. Endpoints understand no encoding other than chunked.
 fn check_framing(headers: &HeaderMap, connection: &ClientConnection) -> Result<(), MalformedRequest> {
     let Some(encoding) = headers.get(header::TRANSFER_ENCODING) else { return Ok(()) };
     if !encoding.as_bytes().eq_ignore_ascii_case(b"chunked") {
@@ -154,12 +154,12 @@
     Ok(())
 }
 
-/// The first single-valued header that is repeated.
+/// The first header of [`SINGLE_VALUED_HEADERS`] that is repeated.
 fn repeated_header(headers: &HeaderMap) -> Option<&'static str> {
     SINGLE_VALUED_HEADERS.into_iter().find(|&name| headers.get_all(name).iter().nth(1).is_some())
 }
 
-/// The class that the request names, if its path, method and idempotency key fit.
+/// Resolves the request class in `X-Priority-Class`, and checks that the path, method and idempotency key match the class.
 fn classify(
     head: &Parts,
     settings: &RequestSettings,
@@ -180,14 +180,14 @@
     Ok(settings.classes.resolve(now, class_name, form)?.clone())
 }
 
-/// The value of `X-Cost`, in microseconds of work.
+/// Parses `X-Cost`, the expected work of the request in microseconds.
 fn parse_cost(headers: &HeaderMap) -> Result<Option<Duration>, MalformedRequest> {
     let Some(text) = header_text(headers, "x-cost") else { return Ok(None) };
     let cost_us = text.trim().parse().map_err(|_| MalformedRequest::InvalidCost)?;
     Ok(Some(Duration::from_micros(cost_us)))
 }
 
-/// The value of a timeout: a number with the unit `m` for milliseconds or `u` for microseconds.
+/// Parses a timeout: a decimal number followed by the unit `m` for milliseconds or `u` for microseconds.
 fn parse_timeout(text: &str) -> Option<Duration> {
     let text = text.trim();
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
@@ -201,7 +201,7 @@
     Duration::try_from_secs_f64(seconds).ok().filter(|timeout| !timeout.is_zero())
 }
 
-/// The value of a header, if it is there and is text.
+/// The value of a header, if the header is present and its value is visible ASCII text.
 pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/gateway/src/server/http/request_settings.rs
+++ b/crates/gateway/src/server/http/request_settings.rs
@@ -1,13 +1,13 @@
-//! The settings that requests arrive under.
+//! The settings that apply to arriving requests.
 
 use std::time::Duration;
 use weldworks_balancer::Settings;
 use weldworks_control::class_registry::{ClassRegistry, ClassTable};
 
-/// `Retry-After` of a request rejected for want of a connection slot, if the settings allow as much.
+/// `Retry-After` of a request that is rejected because no connection slot is free, unless the settings allow only a shorter one.
 const OVERFLOW_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The classes and tenants that requests may name, and the `Retry-After` of those without a connection slot.
+/// The classes and tenants that requests may name, and the `Retry-After` of requests that are rejected without a connection slot.
 pub struct RequestSettings {
     pub(super) classes: ClassTable,
     tenants: Vec<String>,
@@ -15,7 +15,7 @@
 }
 
 impl RequestSettings {
-    /// Creates the settings for these classes and tenants.
+    /// Creates the request settings for these classes and tenants.
     pub fn new(classes: &ClassRegistry, tenants: Vec<String>, settings: &Settings) -> RequestSettings {
         RequestSettings {
             classes: classes.table(),
@@ -24,7 +24,7 @@
         }
     }
 
-    /// The tenant's index in the settings; one past the last for a tenant that is not in them.
+    /// The tenant's index in the settings; for a tenant that is not in the settings, the number of tenants, which is no tenant's index.
     pub(super) fn tenant_index(&self, name: Option<&str>) -> usize {
         let index = self.tenants.iter().position(|tenant| Some(tenant.as_str()) == name);
         index.unwrap_or(self.tenants.len())
--- a/crates/gateway/src/server/http/response.rs
+++ b/crates/gateway/src/server/http/response.rs
@@ -1,4 +1,4 @@
-//! Responses to clients, from the engine's answers.
+//! Builds the responses to clients from the engine's answers.
 
 use crate::body::{ResponseBody, UpstreamResponse};
 use crate::engine::message::FinalAnswer;
@@ -7,22 +7,22 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// Whether the client's connection ends with a response.
+/// Whether the client's connection is closed with the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionUse {
     KeepAlive,
-    /// The request's body has not been read to its end, so no next request can be.
+    /// The request's body has not been read to its end, so no further request can be read from the connection.
     Close,
 }
 
-/// A request with its final answer, counted.
+/// The final answer to a request that the metrics have counted, or count at the end of a streamed response.
 pub(super) struct AnsweredRequest {
     answer: FinalAnswer,
     connection: ConnectionUse,
 }
 
 impl AnsweredRequest {
-    /// Counts the request by its answer; a streamed response counts it when its body ends.
+    /// Counts the request in the metrics by its answer; a request with a streamed response is counted when the response body ends.
     pub(super) fn new(
         mut answer: FinalAnswer,
         metrics_guard: RequestMetricsGuard,
@@ -42,7 +42,7 @@
         AnsweredRequest { answer, connection }
     }
 
-    /// The response to the client.
+    /// Builds the response to the client, which closes the connection if [`ConnectionUse::Close`] is set.
     pub(super) fn into_response(self) -> Response<ResponseBody> {
         let response = response_for(self.answer);
         match self.connection {
@@ -52,7 +52,7 @@
     }
 }
 
-/// The response to a client for the engine's answer.
+/// Builds the response to a client from the engine's answer.
 pub(super) fn response_for(answer: FinalAnswer) -> Response<ResponseBody> {
     match answer {
         FinalAnswer::Served(served) => {
@@ -62,7 +62,7 @@
         }
         FinalAnswer::Rejected { retry_after } => {
             let mut response = plain_response(StatusCode::SERVICE_UNAVAILABLE, "try again later\n");
-            // Zero where the settings allow clients no delay: they may retry at once.
+            // `Retry-After` is zero if the settings allow no delay of retries: clients may then retry at once.
             if let Ok(seconds) = HeaderValue::from_str(&retry_after.as_secs_f64().to_string()) {
                 response.headers_mut().insert(header::RETRY_AFTER, seconds);
             }
@@ -72,13 +72,13 @@
     }
 }
 
-/// The response, with the connection closed after it.
+/// Adds `Connection: close` to a response, which closes the client's connection after the response.
 pub(super) fn with_connection_close(mut response: Response<ResponseBody>) -> Response<ResponseBody> {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-/// A response of this status and text.
+/// Creates a response with this status and this text as its body.
 pub(super) fn plain_response(status: StatusCode, text: &str) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::Buffered(Bytes::copy_from_slice(text.as_bytes())));
     *response.status_mut() = status;
