--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,68 +1,68 @@
-//! The list of endpoints as discovery sends it, and the faults that an entry may have.
+//! The endpoint list as discovery sends it, and the faults that its entries may have.
 //!
-//! The field names of the protocol are mapped here and nowhere else: the private types of `wire` are converted into the types of
-//! this module as soon as they are read.
+//! Only this module maps the field names of the discovery protocol: the private types of `wire` are converted into the public types
+//! of this module while a list is parsed.
 
 use rustc_hash::FxHashSet;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// Longest part of a name or an address that a fault repeats, in characters: a malformed one may be as long as a list.
+/// Maximum length of a name or an address in the message of a fault, in characters: a malformed name may be as long as a whole list.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// A list of endpoints, or a delta to the list before.
+/// A snapshot of the endpoint list, or a delta to the list in force.
 #[derive(Debug, Default, Deserialize)]
 #[serde(from = "wire::List")]
 pub struct EndpointList {
-    /// Its index, which grows with each change; 0 where the list has none.
+    /// The index of the list, which grows with each change; 0 if the list has no index.
     pub index: u64,
-    /// Whether it lists all endpoints: one that it lacks is removed. Otherwise it is a delta.
+    /// Whether the list is a snapshot, from which a missing endpoint has been removed. Otherwise the list is a delta.
     pub is_snapshot: bool,
-    /// The endpoints, or those that have changed.
+    /// All endpoints in a snapshot, or only the changed endpoints in a delta.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 /// An endpoint as discovery lists it.
 #[derive(Debug)]
 pub struct ListedEndpoint {
-    /// Its lasting name.
+    /// The endpoint's name, which stays the same when its address changes.
     pub name: String,
-    /// Its address and port as seen from here; empty where a removed one has none.
+    /// The endpoint's address and port as seen from this gateway; may be empty for a removed endpoint.
     pub address: String,
-    /// The name of its zone; empty where it is in none.
+    /// The name of the endpoint's zone; empty if it is in no zone.
     pub zone: String,
-    /// The name of its machine kind; empty where that is not known.
+    /// The name of the endpoint's machine kind; empty if the kind is unknown.
     pub kind: String,
-    /// The number of its cell, where it is in one.
+    /// The number of the endpoint's cell, if it is in a cell.
     pub cell: Option<u32>,
-    /// Its state in the registry.
+    /// The endpoint's state in discovery.
     pub status: ListedStatus,
-    /// Its weight; 1 by default.
+    /// The endpoint's weight; 1 by default.
     pub weight: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// When the endpoint last started, in milliseconds since the Unix epoch; 0 for long ago.
     pub started_unix_ms: u64,
 }
 
 /// The state of an endpoint as discovery lists it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedStatus {
-    /// It takes requests. This is the default.
+    /// The endpoint accepts requests. This is the default.
     Active,
-    /// It finishes the requests that it has.
+    /// The endpoint finishes the requests that it has, and gets no new ones.
     Draining,
-    /// It has left the cluster.
+    /// The endpoint has been removed from the cluster.
     Removed,
-    /// A state that this version does not know. Nothing new is sent to such an endpoint.
+    /// A state that this version of the gateway does not know. No new requests are sent to such an endpoint.
     Unknown,
 }
 
-/// What is wrong with a list that could be read. All but an outdated delta cost their entry only.
+/// A fault of a list that could be parsed. An outdated delta is ignored as a whole; every other fault affects only its entry.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListFault {
-    /// A delta older than the list in force. Applied, it would undo a drain that has been seen since.
+    /// A delta older than the list in force. If applied, an outdated delta would undo a drain that has been received since.
     #[error(
-        "delta of index {index} is older than the list in force, of index {current}, and ignored: a registry that has lost its \
-         indexes must send a snapshot, or this gateway be restarted"
+        "ignoring a delta with index {index}, which is older than the list in force with index {current}: if discovery has lost its \
+         indexes, it must send a snapshot, or this gateway must be restarted"
     )]
     Outdated {
         /// The delta's index.
@@ -70,19 +70,19 @@
         /// The index of the list in force.
         current: u64,
     },
-    /// An entry without a valid address. An endpoint that is known by another address keeps that.
+    /// An entry without a valid address. An endpoint that already has a valid address keeps that address.
     #[error(
-        "entry {name:?}: {address:?} is no address and port, nothing is sent to it unless another is known: correct the entry in \
-         the registry"
+        "entry {name:?}: {address:?} is not a valid address and port, the endpoint gets no requests unless an earlier address is \
+         known: correct the entry in discovery"
     )]
     InvalidAddress {
         /// The entry's name.
         name: String,
-        /// What stands in place of the address.
+        /// The invalid text in place of the entry's address.
         address: String,
     },
-    /// A name that is listed twice. The last entry counts.
-    #[error("entry {name:?} is listed twice, the last one counts")]
+    /// A name that is listed twice. The last entry with the name is used.
+    #[error("entry {name:?} is listed twice, using the last one")]
     Duplicate {
         /// The name that is listed twice.
         name: String,
@@ -90,7 +90,7 @@
 }
 
 impl EndpointList {
-    /// The first `limit` faults of the list, where the one in force has the index `current`.
+    /// The first `limit` faults of this list; `current` is the index of the list in force.
     pub fn faults(&self, current: u64, limit: usize) -> Vec<ListFault> {
         if !self.is_snapshot && self.index < current {
             return vec![ListFault::Outdated { index: self.index, current }];
@@ -119,7 +119,7 @@
     text.chars().take(MAX_QUOTED_CHARS).collect()
 }
 
-/// The list in the words of the protocol.
+/// The endpoint list with the field names of the discovery protocol.
 mod wire {
     use serde::Deserialize;
 
--- a/crates/gateway/src/discovery/endpoint_list/tests.rs
+++ b/crates/gateway/src/discovery/endpoint_list/tests.rs
@@ -1,20 +1,24 @@
-//! Tests of the faults that are found in endpoint lists.
+//! Tests of the detection of faults in endpoint lists.
 
 use super::*;
 use proptest::prelude::*;
 
 fn list(text: &str) -> EndpointList {
-    serde_json::from_str(text).expect("a list")
+    serde_json::from_str(text).expect("failed to parse the list")
 }
 
 #[test]
-fn each_fault_names_its_entry_and_a_good_list_has_none() {
+fn each_fault_names_its_entry_and_a_valid_list_has_no_fault() {
     let good =
         r#"{"index":4,"endpoints":[{"name":"a","address":"127.0.0.1:1"},{"name":"b","status":"left"}]}"#;
     assert_eq!(list(good).faults(4, 9), []);
     assert_eq!(list(good).faults(5, 9), [ListFault::Outdated { index: 4, current: 5 }]);
     let snapshot = good.replace("\"index\":4", "\"index\":4,\"snapshot\":true");
-    assert_eq!(list(&snapshot).faults(5, 9), [], "a registry that lost its indexes sends a snapshot");
+    assert_eq!(
+        list(&snapshot).faults(5, 9),
+        [],
+        "a snapshot with a lower index was rejected, as discovery sends after losing its indexes"
+    );
     let bad =
         r#"{"endpoints":[{"name":"a","address":"here"},{"name":"c","address":"127.0.0.1:1"},{"name":"c"}]}"#;
     let faults = list(bad).faults(0, 9);
@@ -30,7 +34,7 @@
     ) {
         let entry = |(name, address): (String, String)| {
             let known = serde_json::json!({ "name": name, "address": address });
-            ListedEndpoint::from(serde_json::from_value::<wire::Endpoint>(known).expect("an entry"))
+            ListedEndpoint::from(serde_json::from_value::<wire::Endpoint>(known).expect("failed to parse the entry"))
         };
         let endpoints = entries.into_iter().map(entry).collect();
         let list = EndpointList { index, is_snapshot: snapshot, endpoints };
--- a/crates/gateway/src/discovery/message_reader.rs
+++ b/crates/gateway/src/discovery/message_reader.rs
@@ -1,61 +1,61 @@
-//! Splits the byte stream of a watch into endpoint lists and keep-alives, wherever the stream is cut.
+//! Splits the byte stream of a watch into endpoint lists and keep-alives, however the stream is split into reads.
 //!
-//! A list may stand on one line or be indented over several, and several may come in one piece.
+//! A list may be written on a single line or indented over several lines, and one read may return several lists.
 
 use super::endpoint_list::EndpointList;
 use serde::de::Error as _;
 
-/// Longest endpoint list that is read, in bytes.
+/// Maximum length of an endpoint list, in bytes.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Why the stream can't be read any further.
+/// Why the byte stream of a watch can't be read any further.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// It holds something other than a list.
-    #[error("received data is no list of endpoints: {0}; check the registry, or what answers in its place")]
+    /// The stream holds something other than an endpoint list.
+    #[error("received data is not an endpoint list: {0}; check discovery, or the service that answers at its address")]
     Malformed(#[from] serde_json::Error),
-    /// A list is longer than any may be.
-    #[error("a list longer than {MAX_LIST_BYTES} bytes")]
+    /// An endpoint list is longer than [`MAX_LIST_BYTES`].
+    #[error("received an endpoint list longer than {MAX_LIST_BYTES} bytes")]
     TooLong,
 }
 
-/// One message of discovery.
+/// One message from discovery.
 #[derive(Debug)]
 pub enum WatchMessage {
-    /// A list or a delta.
+    /// A snapshot or a delta of the endpoint list.
     List(EndpointList),
-    /// An empty line: discovery is alive, and nothing has changed.
+    /// An empty line: discovery is alive, and the endpoint list has not changed.
     KeepAlive,
 }
 
-/// Collects bytes and splits them into messages. Each byte is looked at once, so that a long list in many pieces costs no more than
-/// in one.
+/// Buffers received bytes and splits them into messages. Each byte is scanned once, so that a long list costs no more in many reads
+/// than in a single read.
 #[derive(Debug, Default)]
 pub struct WatchMessageReader {
     buffer: Vec<u8>,
-    /// Where the next message begins in the buffer.
+    /// The offset in the buffer at which the next message begins.
     message_start: usize,
-    /// How much of the buffer has been looked at.
+    /// The number of bytes of the buffer that have been scanned.
     scanned: usize,
-    /// How many brackets of the current list are open; 0 between lists.
+    /// The number of brackets and braces that are open in the current list; 0 between lists.
     depth: usize,
     in_string: bool,
-    /// Whether the next byte stands behind a backslash.
+    /// Whether the previous byte was a backslash in a string, which escapes the next byte.
     escaped: bool,
 }
 
 impl WatchMessageReader {
-    /// Appends bytes that have been received.
+    /// Appends received bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.message_start);
         self.scanned -= std::mem::take(&mut self.message_start);
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next message; none where it is not complete yet.
+    /// Returns the next message, or `None` if it is not complete yet.
     ///
     /// # Errors
-    /// Where what has come is not a list, or is too long to be one. The messages that follow can't be separated then.
+    /// If the received data is not an endpoint list, or is too long for one. The messages after it can't be separated then.
     pub fn next_message(&mut self) -> Result<Option<WatchMessage>, ListError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
@@ -77,10 +77,10 @@
         Ok(None)
     }
 
-    /// Scans a byte outside of any list; true where it ends an empty line.
+    /// Scans a byte between two lists; returns true if the byte ends an empty line.
     fn scan_between_lists(&mut self, byte: u8) -> Result<bool, ListError> {
         match byte {
-            // Blanks ahead of a list, and the end of a list's own line.
+            // White space before a list, or the carriage return that ends the line of a list.
             b' ' | b'\t' | b'\r' => Ok(false),
             b'\n' => Ok(true),
             b'{' => {
@@ -106,10 +106,10 @@
         }
     }
 
-    /// Parses the list that has just been scanned to its end.
+    /// Parses the list whose last byte has just been scanned.
     fn take_list(&mut self) -> Result<EndpointList, ListError> {
         let list = serde_json::from_slice(&self.buffer[self.message_start..self.scanned])?;
-        // The end of the list's own line is no empty line.
+        // The line break that directly follows a list is skipped, since it is not an empty line and so not a keep-alive.
         if self.buffer.get(self.scanned) == Some(&b'\n') {
             self.scanned += 1;
         }
--- a/crates/gateway/src/discovery/message_reader/tests.rs
+++ b/crates/gateway/src/discovery/message_reader/tests.rs
@@ -1,19 +1,19 @@
-//! Tests of reading endpoint lists from a stream, however it is cut.
+//! Tests of reading endpoint lists from a stream, however the stream is split into reads.
 
 use super::*;
 use proptest::prelude::*;
 
-/// Reads a text cut into pieces of these lengths by turns; returns the indexes of its lists, and how many keep-alives there were.
+/// Reads a text in pieces whose lengths are taken in turn from `cuts`; returns the indexes of its lists and the number of keep-alives.
 fn read_all(text: &[u8], cuts: &[usize]) -> Result<(Vec<u64>, usize), ListError> {
     let mut reader = WatchMessageReader::default();
-    let mut rest = text;
+    let mut unread = text;
     let mut cut = cuts.iter().cycle();
     let mut indexes = Vec::new();
     let mut keep_alives = 0;
-    while !rest.is_empty() {
-        let (piece, behind) = rest.split_at((*cut.next().expect("endless")).min(rest.len()));
+    while !unread.is_empty() {
+        let (piece, remainder) = unread.split_at((*cut.next().expect("cuts is empty")).min(unread.len()));
         reader.push(piece);
-        rest = behind;
+        unread = remainder;
         while let Some(message) = reader.next_message()? {
             match message {
                 WatchMessage::List(list) => indexes.push(list.index),
@@ -26,12 +26,12 @@
 
 const ENTRY: &str = r#"{"name":"a \\\"}]{[ \\\\","address":"127.0.0.1:1","status":"leaving"}"#;
 
-/// A list in one of four layouts.
+/// The text of an endpoint list in one of four layouts of white space and line breaks.
 fn list_text(index: u64, layout: u8) -> String {
     let value: serde_json::Value = serde_json::from_str(&format!(
         r#"{{"index":{index},"snapshot":true,"endpoints":[{ENTRY},{ENTRY}]}}"#
     ))
-    .expect("a list");
+    .expect("invalid JSON in the test's list");
     match layout {
         0 => format!("{value}\n"),
         1 => format!("{value:#}\n"),
@@ -41,19 +41,19 @@
 }
 
 #[test]
-fn malformed_and_endless_lists_are_errors() {
+fn malformed_and_overlong_lists_are_errors() {
     for wrong in ["no list", "[1]\n", "3\n", "{\"index\":}\n", "{\"index\": -4}", "\u{0}", "}"] {
         let error = read_all(wrong.as_bytes(), &[3]).expect_err(wrong).to_string();
-        assert!(error.contains("no list") && error.len() < 300, "{error}");
+        assert!(error.contains("not an endpoint list") && error.len() < 300, "{error}");
     }
-    let endless = "{\"name\":\"".to_owned() + &"x".repeat(MAX_LIST_BYTES + 9);
-    assert!(matches!(read_all(endless.as_bytes(), &[4096]), Err(ListError::TooLong)));
+    let overlong = "{\"name\":\"".to_owned() + &"x".repeat(MAX_LIST_BYTES + 9);
+    assert!(matches!(read_all(overlong.as_bytes(), &[4096]), Err(ListError::TooLong)));
 }
 
 proptest! {
-    /// However the stream is cut and the lists are laid out, each is read once, in its place.
+    /// However the stream is split and the lists are laid out, each list is read exactly once and in order.
     #[test]
-    fn cuts_and_layout_do_not_change_what_is_read(
+    fn splits_and_layout_do_not_change_which_lists_are_read(
         layouts in prop::collection::vec((0u8..4, 0usize..3), 1..6), cuts in prop::collection::vec(1usize..90, 1..12),
     ) {
         let mut stream = String::new();
@@ -63,15 +63,15 @@
             stream += &"\n".repeat(*empty_lines);
             lines += empty_lines;
         }
-        let (indexes, keep_alives) = read_all(stream.as_bytes(), &cuts).expect("lists");
+        let (indexes, keep_alives) = read_all(stream.as_bytes(), &cuts).expect("a valid list was rejected");
         prop_assert_eq!(indexes, (0..layouts.len() as u64).collect::<Vec<_>>());
-        // The end of a list's own line counts as a keep-alive where it comes apart from the list.
+        // The line break after a list counts as a keep-alive if it arrives in a later piece than the list, or after a carriage return.
         prop_assert!(keep_alives + layouts.len() >= lines, "{} of {}", keep_alives, lines);
     }
 
-    /// No input causes a panic.
+    /// No sequence of bytes, at the start of the stream or inside a list, causes a panic.
     #[test]
-    fn noise_does_not_cause_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), cut in 1usize..40) {
+    fn arbitrary_bytes_do_not_cause_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300), cut in 1usize..40) {
         let _ = read_all(&bytes, &[cut]);
         let _ = read_all(&[br#"{"index":"#.as_slice(), &bytes].concat(), &[cut]);
     }
--- a/crates/gateway/src/discovery/mod.rs
+++ b/crates/gateway/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Service discovery: the endpoint lists that the registry sends, and the watch that receives them.
+//! Service discovery: the endpoint lists that discovery sends, and the watch that receives them.
 
 pub mod endpoint_list;
 pub mod message_reader;
