--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! A watch on discovery: one connection over which lists, deltas and keep-alives arrive until it fails.
+//! A watch on discovery: a connection over which snapshots, deltas and keep-alives arrive until the connection fails.
 
 use super::endpoint_list::EndpointList;
 use super::message_reader::{ListError, WatchMessage, WatchMessageReader};
@@ -20,17 +20,17 @@
     POLL_FIRST_LIST_TIMEOUT, PUSH_FIRST_LIST_TIMEOUT, WATCH_SILENCE_TIMEOUT,
 };
 
-/// How lists come from discovery.
+/// How discovery delivers endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListDelivery {
-    /// Discovery pushes them to an open watch at no cost, the first at once.
+    /// Discovery pushes lists to an open watch at no cost, and the first list at once.
     Push,
-    /// Discovery answers a poll once something has changed, and each poll has a price.
+    /// Discovery answers a poll once the endpoint list has changed, and each poll has a cost.
     Poll,
 }
 
 impl ListDelivery {
-    /// How long the first message may take, from the start of the call.
+    /// Timeout for the first message from discovery, from the start of the call.
     fn first_message_timeout(self) -> Duration {
         match self {
             ListDelivery::Push => PUSH_FIRST_LIST_TIMEOUT,
@@ -44,11 +44,11 @@
 pub struct Watch {
     /// The address of discovery.
     pub address: SocketAddr,
-    /// The index of the list in force; 0 for none.
+    /// The index of the endpoint list in force; 0 if there is none.
     pub since_index: u64,
-    /// The number of this watch, from 1. The engine ignores messages of another watch than the current one.
+    /// The number of this watch, counted from 1. The engine ignores messages of any watch but the current one.
     pub id: u64,
-    /// How lists come.
+    /// How discovery delivers lists to this watch.
     pub delivery: ListDelivery,
 }
 
@@ -61,8 +61,8 @@
     Http(#[from] hyper::Error),
     #[error("answered with status {0}")]
     Status(StatusCode),
-    #[error("no message in time")]
-    Silent(#[from] tokio::time::error::Elapsed),
+    #[error("no message within the timeout")]
+    TimedOut(#[from] tokio::time::error::Elapsed),
     #[error("{0}")]
     Malformed(#[from] ListError),
     #[error("connection closed")]
@@ -71,13 +71,13 @@
 
 /// Reports the end of a watch to the engine when it is dropped.
 ///
-/// The report is sent on drop so that the engine hears of the end also where the watch's task panics. Without it the engine would
-/// wait for lists that never come.
+/// The report is sent on drop so that the engine is notified also if the watch's task panics. Without the report the engine would wait
+/// for endpoint lists that never arrive.
 struct WatchEndReporter {
     engine: EngineHandle,
     watch: u64,
     reason: String,
-    /// When the last message arrived, or the call was made.
+    /// When the last message arrived; before the first message, when the call to discovery started.
     last_message_at: Cell<Instant>,
 }
 
@@ -90,40 +90,40 @@
 }
 
 impl Watch {
-    /// Sends the engine all lists from the one in force on, until the watch fails; then that it has ended, and why.
+    /// Sends the engine all lists after the one in force, until the watch fails; then reports the end of the watch with its reason.
     pub async fn run(self, engine: EngineHandle) {
         let mut reporter = WatchEndReporter {
             engine,
             watch: self.id,
-            reason: "its task has panicked".to_owned(),
+            reason: "watch task panicked".to_owned(),
             last_message_at: Cell::new(Instant::now()),
         };
-        if let Err(error) = self.follow(&reporter).await {
+        if let Err(error) = self.receive_until_error(&reporter).await {
             reporter.reason = error.to_string();
         }
     }
 
-    async fn follow(&self, reporter: &WatchEndReporter) -> Result<(), WatchError> {
-        // One deadline for all that comes before the first message: a call that is accepted and never answered is as silent as one
-        // that is not accepted.
+    async fn receive_until_error(&self, reporter: &WatchEndReporter) -> Result<(), WatchError> {
+        // A single deadline covers all steps up to the first message, so that a call which discovery accepts but never answers times out
+        // as early as one that discovery does not accept.
         let deadline = Instant::now() + self.delivery.first_message_timeout();
         let call = timeout_at(deadline, self.open()).await??;
         if call.response.status() != StatusCode::OK {
             return Err(WatchError::Status(call.response.status()));
         }
-        // The connection ends with its sender, so that stays until the end.
+        // The HTTP library closes the connection when its sender is dropped, so the sender is held until the watch ends.
         let WatchCall { response, connection, sender: _sender } = call;
         let reading = self.read_messages(response, deadline, reporter);
         tokio::pin!(reading);
         tokio::select! {
             biased;
             read = &mut reading => read,
-            // What arrived before the end is still read.
+            // Messages that arrived before the connection ended are still read.
             _ = connection => reading.await,
         }
     }
 
-    /// Connects, sends the request, and waits for the head of the response.
+    /// Connects to discovery, sends the request, and waits for the head of the response.
     async fn open(&self) -> Result<WatchCall, WatchError> {
         let stream = TcpStream::connect(self.address).await?;
         stream.set_nodelay(true)?;
@@ -143,10 +143,10 @@
         Ok(WatchCall { response, connection, sender })
     }
 
-    /// Reads messages and sends the engine their lists, until one does not come in time.
+    /// Reads messages and sends their lists to the engine, until no complete message arrives within the timeout.
     ///
-    /// TCP keep-alive notices nothing where a machine has vanished: only complete lists and empty lines prove that discovery is alive.
-    /// A list that never comes to its end is none, however slowly its bytes go on arriving.
+    /// TCP keep-alive may not notice that discovery's machine has vanished: only complete lists and empty lines prove that discovery is
+    /// alive. A list that never ends does not count, even if further bytes of it keep arriving.
     async fn read_messages(
         &self,
         response: Response<Incoming>,
@@ -168,7 +168,7 @@
                 let previous_message_at = reporter.engine.record_discovery_message();
                 let list = match message {
                     WatchMessage::List(list) => Some(list),
-                    // Each poll has to be answered, also where nothing has changed.
+                    // The engine needs an answer to each poll, also if the endpoint list has not changed.
                     WatchMessage::KeepAlive if is_first => Some(self.unchanged_list()),
                     WatchMessage::KeepAlive => None,
                 };
@@ -182,13 +182,13 @@
         }
     }
 
-    /// A delta that changes nothing.
+    /// A delta without changes, which stands for an unchanged endpoint list.
     fn unchanged_list(&self) -> EndpointList {
         EndpointList { index: self.since_index, ..EndpointList::default() }
     }
 }
 
-/// An HTTP connection to discovery whose response has begun.
+/// An HTTP connection to discovery on which the response head has been received.
 struct WatchCall {
     response: Response<Incoming>,
     connection: Pin<Box<http1::Connection<TokioIo<Stream>, Empty<Bytes>>>>,
