--- a/crates/gateway/src/server/http/client_connection.rs
+++ b/crates/gateway/src/server/http/client_connection.rs
@@ -47,7 +47,7 @@
     /// Starts the timeout of the next request head, to be called once a request has arrived completely: any further bytes that were
     /// read belong to the next request. If the next head has already begun, its first byte came no later than the last read.
     pub(super) fn await_next_head(&self) {
-        let has_begun = self.framing.borrow().is_inside();
+        let has_begun = self.framing.borrow().is_inside_message();
         self.io_state.first_read_at.set(self.io_state.last_read_at.get().filter(|_| has_begun));
     }
 
--- a/crates/gateway/src/server/http/connection.rs
+++ b/crates/gateway/src/server/http/connection.rs
@@ -176,7 +176,7 @@
         // Cancels a close that was decided while the connection was in use; now that the connection is idle, it is decided anew.
         self.client.is_closing.set(false);
         // If the next head has begun meanwhile, its timeout keeps its start: a slow endpoint does not extend the client's time.
-        if !self.client.framing.borrow().is_inside() {
+        if !self.client.framing.borrow().is_inside_message() {
             self.client.io_state.first_read_at.set(None);
         }
     }
--- a/crates/gateway/src/transport/instrumented_stream.rs
+++ b/crates/gateway/src/transport/instrumented_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that records when bytes pass over it: the HTTP library above does not say which bytes were read or written when.
+//! A TCP stream that records when bytes are read and written, which the HTTP library above does not report.
 
 pub use super::io_state::IoState;
 pub use super::socket_probe::SocketProbe;
@@ -20,30 +20,30 @@
 use tokio::time::{sleep, Instant, Sleep};
 use weldworks_control::execution::WriteProgress;
 
-/// How long bytes of the peer are read and dropped after this side has shut its sending down. A close with bytes unread is a reset,
-/// and that may destroy the last response before the peer has read it.
+/// Maximum time for which the peer's bytes are read and dropped after this side has shut down its sending. The close of a socket with
+/// unread bytes resets the connection, which may discard the last response before the peer has read it.
 const MAX_LINGER_AFTER_SHUTDOWN: Duration = Duration::from_secs(1);
 
-/// Size of the reads while lingering, in bytes.
+/// Size of the reads that drop the peer's bytes after a shutdown, in bytes.
 const LINGER_READ_BYTES: usize = 4 << 10;
 
-/// How many further reads one poll makes where all that it has read is dropped as chunk extensions.
+/// Maximum number of further reads in one poll while all bytes read so far are dropped as chunk extensions.
 const MAX_FURTHER_READS: usize = 4;
 
-/// A TCP stream with the record of its I/O.
+/// A TCP stream that records its I/O in an [`IoState`].
 #[derive(Debug)]
 pub struct InstrumentedStream {
     stream: Rc<TcpStream>,
     io_state: Rc<IoState>,
-    /// Follows the messages that are read.
+    /// Tracks the framing of the messages that are read.
     read_framing: Option<Rc<RefCell<MessageFraming>>>,
-    /// Follows the requests that are written, to find their ends.
+    /// Tracks the framing of the requests that are written, to find the end of each request.
     write_framing: Option<RefCell<MessageFraming>>,
     linger_timer: Option<Pin<Box<Sleep>>>,
 }
 
 impl InstrumentedStream {
-    /// Wraps a stream; returns it with the record that it keeps.
+    /// Wraps a TCP stream; returns the instrumented stream and the I/O state that it updates.
     pub fn new(stream: TcpStream) -> (InstrumentedStream, Rc<IoState>) {
         let io_state = Rc::<IoState>::default();
         let instrumented = InstrumentedStream {
@@ -56,24 +56,24 @@
         (instrumented, io_state)
     }
 
-    /// A view of the connection for others than the one that reads it.
+    /// Creates a probe that checks the connection from outside the task that reads it.
     pub fn probe(&self) -> SocketProbe {
         SocketProbe::new(self.stream.clone())
     }
 
-    /// The same stream, which follows the messages that are read; returns it with their framing.
+    /// Makes the stream track the messages that are read; returns the stream and the framing that it updates.
     pub fn with_framing(self, framing: MessageFraming) -> (InstrumentedStream, Rc<RefCell<MessageFraming>>) {
         let framing = Rc::new(RefCell::new(framing));
         (InstrumentedStream { read_framing: Some(framing.clone()), ..self }, framing)
     }
 
-    /// The same stream, which follows the requests that are written.
+    /// Makes the stream track the requests that are written.
     pub fn tracking_requests(self) -> InstrumentedStream {
         InstrumentedStream { write_framing: Some(RefCell::default()), ..self }
     }
 
-    /// Whether the kernel holds anything to read, the end of the stream included. The runtime knows only what was there when it last
-    /// looked, which may be too long ago for a connection that is about to be reused.
+    /// Whether the kernel has input for this stream, including the end of the stream. The runtime knows only of input that had arrived
+    /// when it last polled, which may be too long ago for a connection that is about to be reused.
     fn has_input(&self) -> bool {
         let peeked = peek(&self.stream);
         if matches!(peeked, Ok(bytes) if bytes > 0) {
@@ -82,7 +82,7 @@
         !matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Writes with `write`, unless the request's write deadline has passed.
+    /// Writes to the stream by calling `write`, or fails with `TimedOut` if the request's write deadline has passed.
     fn poll_write_before_deadline(
         &self,
         cx: &mut Context<'_>,
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Records that the first `written` bytes of these pieces have been written.
+    /// Records that the first `written` bytes of `pieces` have been written to the kernel.
     fn record_write<'a>(&self, pieces: impl Iterator<Item = &'a [u8]>, mut written: usize) {
         if written == 0 {
             return;
@@ -106,10 +106,10 @@
         let messages_before = framing.complete_messages();
         for piece in pieces {
             let written_part = piece.get(..written).unwrap_or(piece);
-            framing.follow(written_part);
+            framing.scan(written_part);
             written -= written_part.len();
         }
-        // A request that can't be followed may be complete, so it counts as that.
+        // A request whose framing can't be tracked may be complete, so it counts as complete.
         if framing.complete_messages().is_none() || framing.complete_messages() > messages_before {
             self.io_state.write_progress.set(WriteProgress::Complete);
             self.io_state.written_at.set(Some(Instant::now()));
@@ -136,9 +136,9 @@
         let mut further_reads = MAX_FURTHER_READS;
         let mut read = stream::poll_read(&self.stream, cx, buffer);
         while let Some(framing) = self.read_framing.as_ref().filter(|_| buffer.filled().len() > before) {
-            let kept = framing.borrow_mut().strip_chunk_extensions(&mut buffer.filled_mut()[before..]);
-            buffer.set_filled(before + kept);
-            if kept > 0 {
+            let retained = framing.borrow_mut().strip_chunk_extensions(&mut buffer.filled_mut()[before..]);
+            buffer.set_filled(before + retained);
+            if retained > 0 {
                 break;
             }
             if further_reads == 0 {
@@ -146,7 +146,7 @@
                 return Poll::Pending;
             }
             further_reads -= 1;
-            // An empty read would mean the end of the stream.
+            // Another read is made, since returning without any bytes would mean the end of the stream.
             read = stream::poll_read(&self.stream, cx, buffer);
         }
         if read.is_pending() && self.io_state.is_idle.get() && self.has_input() {
@@ -169,13 +169,13 @@
         Poll::Ready(Ok(written))
     }
 
-    /// Does nothing: each write goes to the kernel at once.
+    /// Does nothing: each write is passed to the kernel at once, without a buffer to flush.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
 
-    /// Shuts the sending side down. Where bytes of the peer are unread, reads and drops them for up to
-    /// [`MAX_LINGER_AFTER_SHUTDOWN`] before the close.
+    /// Shuts down the sending side. If bytes of the peer are unread, reads and drops the peer's bytes for up to
+    /// [`MAX_LINGER_AFTER_SHUTDOWN`] before the connection is closed.
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         if self.linger_timer.is_none() {
             SockRef::from(&*self.stream).shutdown(Shutdown::Write)?;
--- a/crates/gateway/src/transport/instrumented_stream/tests.rs
+++ b/crates/gateway/src/transport/instrumented_stream/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of tracking requests as they are written: complete with their last byte, in whatever pieces they are written.
+//! Tests of tracking requests as they are written: a request is complete with its last byte, in whatever pieces it is written.
 
 use super::*;
 use proptest::prelude::*;
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 use weldworks_control::execution::{classify_attempt, AttemptEnd, ResponseVerdict};
 
-/// Requests as they are written to an endpoint: without a body, with a length, in chunks, with length 0.
+/// Requests as they are written to an endpoint: without a body, with a `Content-Length`, chunked, with `Content-Length: 0`.
 const REQUESTS: [&str; 4] = [
     "GET /look HTTP/1.1\r\nhost: a\r\n\r\n",
     "POST /once HTTP/1.1\r\nhost: a\r\ncontent-length: 11\r\n\r\n\r\n0\r\n\r\nbody",
@@ -16,14 +16,14 @@
 ];
 
 async fn connected_stream() -> (InstrumentedStream, Rc<IoState>, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("an address");
-    let (near, far) = tokio::join!(TcpStream::connect(address), listener.accept());
-    let (stream, io_state) = InstrumentedStream::new(near.expect("a connection"));
-    (stream.tracking_requests(), io_state, far.expect("a connection").0)
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a port");
+    let address = listener.local_addr().expect("failed to get the listener's address");
+    let (client, server) = tokio::join!(TcpStream::connect(address), listener.accept());
+    let (stream, io_state) = InstrumentedStream::new(client.expect("failed to connect"));
+    (stream.tracking_requests(), io_state, server.expect("failed to accept a connection").0)
 }
 
-/// Writes a piece, as one buffer or as several.
+/// Writes `piece` with one call, split into the given number of buffers.
 async fn write(stream: &mut InstrumentedStream, piece: &[u8], buffers: usize) -> io::Result<usize> {
     poll_fn(|cx| {
         if buffers < 2 {
@@ -39,33 +39,34 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
 
-    /// An attempt that is retried though the endpoint has the complete request may be processed twice. At each step of each request,
-    /// however the attempt ends there, only one that lacks its last byte, or of which the endpoint says so, counts as not processed.
+    /// A request that is retried although the endpoint has received it completely may be processed twice. At each step of writing a
+    /// request, however the attempt ends at that step, the attempt counts as not processed only while the last byte is unwritten, or if
+    /// the endpoint reports that it has not processed the request.
     #[test]
     fn a_request_that_was_written_completely_never_counts_as_not_processed(
         kinds in prop::collection::vec(0usize..4, 1..5),
         cuts in prop::collection::vec((1usize..60, 0usize..4), 1..12),
     ) {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("failed to build a runtime");
         runtime.block_on(async {
-            let (mut stream, io_state, _far) = connected_stream().await;
+            let (mut stream, io_state, _server) = connected_stream().await;
             let mut cuts = cuts.iter().cycle();
             for kind in kinds {
                 let text = REQUESTS[kind].as_bytes();
                 io_state.begin_request(None);
                 let mut written = 0;
                 while written < text.len() {
-                    let wanted = match written {
+                    let expected = match written {
                         0 => WriteProgress::Nothing,
                         _ => WriteProgress::Partial,
                     };
-                    prop_assert_eq!(io_state.write_progress.get(), wanted, "{} of {:?}", written, REQUESTS[kind]);
+                    prop_assert_eq!(io_state.write_progress.get(), expected, "{} of {:?}", written, REQUESTS[kind]);
                     for ended in [AttemptEnd::Withheld, AttemptEnd::ConnectionFailed, AttemptEnd::TimedOut, AttemptEnd::Answered(ResponseVerdict::Served)] {
                         prop_assert!(classify_attempt(io_state.write_progress.get(), ended).proves_not_processed());
                     }
-                    let (cut, buffers) = *cuts.next().expect("endless");
+                    let (cut, buffers) = *cuts.next().expect("cuts is empty");
                     let piece = &text[written..text.len().min(written + cut)];
-                    written += write(&mut stream, piece, buffers).await.expect("written");
+                    written += write(&mut stream, piece, buffers).await.expect("failed to write the request");
                 }
                 prop_assert_eq!(io_state.write_progress.get(), WriteProgress::Complete, "{:?}", REQUESTS[kind]);
                 prop_assert!(io_state.written_at.get().is_some());
@@ -81,30 +82,36 @@
     }
 }
 
-/// From the write deadline on no byte of an incomplete request is written, and a complete one is not disturbed.
+/// After the write deadline no byte of an incomplete request is written, and a completely written request is not affected.
 #[tokio::test]
 async fn nothing_is_written_after_the_write_deadline() {
     let text = REQUESTS[1].as_bytes();
-    for already in [0, 20, text.len() - 1] {
-        let (mut stream, io_state, mut far) = connected_stream().await;
+    for written_in_time in [0, 20, text.len() - 1] {
+        let (mut stream, io_state, mut server) = connected_stream().await;
         io_state.begin_request(Some(Instant::now() + Duration::from_secs(3600)));
         let mut written = 0;
-        while written < already {
-            written += write(&mut stream, &text[written..already], 1).await.expect("in time");
+        while written < written_in_time {
+            written += write(&mut stream, &text[written..written_in_time], 1)
+                .await
+                .expect("failed to write before the deadline");
         }
         io_state.write_by.set(Some(Instant::now()));
         assert!(io_state.is_past_write_deadline());
-        let late = write(&mut stream, &text[already..], 1 + already % 2).await;
-        assert_eq!(late.map_err(|error| error.kind()), Err(io::ErrorKind::TimedOut), "after {already}");
+        let late = write(&mut stream, &text[written_in_time..], 1 + written_in_time % 2).await;
+        assert_eq!(
+            late.map_err(|error| error.kind()),
+            Err(io::ErrorKind::TimedOut),
+            "after {written_in_time} bytes"
+        );
         assert!(classify_attempt(io_state.write_progress.get(), AttemptEnd::Withheld).proves_not_processed());
         drop(stream);
         let mut received = Vec::new();
-        far.read_to_end(&mut received).await.expect("its end");
-        assert_eq!(received, &text[..already]);
+        server.read_to_end(&mut received).await.expect("failed to read to the end of the stream");
+        assert_eq!(received, &text[..written_in_time]);
     }
-    let (mut stream, io_state, _far) = connected_stream().await;
+    let (mut stream, io_state, _server) = connected_stream().await;
     io_state.begin_request(Some(Instant::now() + Duration::from_secs(3600)));
-    assert_eq!(write(&mut stream, text, 1).await.expect("in time"), text.len());
+    assert_eq!(write(&mut stream, text, 1).await.expect("failed to write before the deadline"), text.len());
     io_state.write_by.set(Some(Instant::now()));
-    assert!(!io_state.is_past_write_deadline(), "it is complete");
+    assert!(!io_state.is_past_write_deadline(), "a completely written request is past its write deadline");
 }
--- a/crates/gateway/src/transport/message_framing.rs
+++ b/crates/gateway/src/transport/message_framing.rs
@@ -1,46 +1,47 @@
-//! Finds where each message on a connection begins and ends, from its bytes alone.
+//! Finds where each HTTP message on a connection begins and ends, from the connection's bytes alone.
 //!
-//! The HTTP library frames messages itself, but silently drops a `Content-Length` that stands behind a `Transfer-Encoding`. Such a
-//! request may hide another: a peer that goes by the length reads different requests than this gateway does (request smuggling). So
-//! each head is scanned for both headers while it arrives. The scan keeps a few dozen bytes and skips over bodies.
+//! The HTTP library frames messages itself, but silently drops a `Content-Length` that follows a `Transfer-Encoding`. Such a request
+//! may hide another one: a peer that uses the length reads different requests than this gateway does (request smuggling). Therefore
+//! each head is scanned for both headers while it arrives. The scan buffers a few dozen bytes and skips over bodies.
 //!
-//! The library also gives up a body whose chunks carry 16 KiB of extensions in total. Nobody reads them, so the scan strips them.
+//! The HTTP library also rejects a body whose chunks carry 16 KiB of extensions in total. Chunk extensions have no use here, so the scan
+//! strips them.
 
 const CONTENT_LENGTH: &[u8] = b"content-length";
 const TRANSFER_ENCODING: &[u8] = b"transfer-encoding";
 
-/// Length of a response's first line up to the end of its status, in bytes.
+/// Length of a response's status line up to the end of the status code, in bytes.
 const STATUS_END: usize = "HTTP/1.1 200".len();
 
-/// Length of the status in a response's first line, in bytes.
+/// Length of the status code in a response's status line, in bytes.
 const STATUS_DIGITS: usize = 3;
 
-/// Longest chunk size that is followed, in hexadecimal digits.
+/// Maximum number of hexadecimal digits in a chunk size; a message with a longer one is no longer tracked.
 const MAX_CHUNK_SIZE_DIGITS: u32 = 15;
 
-/// Length of the line end behind a chunk's data, in bytes.
+/// Length of the line break after a chunk's data, in bytes.
 const CHUNK_LINE_END_BYTES: u64 = 2;
 
-/// Whose messages are followed.
+/// Whether the messages on the connection are requests or responses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum MessageKind {
     #[default]
     Requests,
-    /// A response also ends by its status, or by the connection's end.
+    /// Responses, which may also end because of their status code, or with the end of the connection.
     Responses,
 }
 
-/// Where in a message the scan stands.
+/// The position of the scan within a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Ahead of a message. Empty lines there are skipped.
+    /// Before the first line of a message. Empty lines before a message are skipped.
     BetweenMessages,
     StartLine,
     HeaderName {
         length: usize,
     },
     HeaderValue(Header),
-    /// In a body of which this many bytes are to come.
+    /// In a body with a `Content-Length`, of which `remaining` bytes have not arrived yet.
     Body {
         remaining: u64,
     },
@@ -48,24 +49,24 @@
         size: u64,
         digits: u32,
     },
-    /// Behind the digits of a chunk's size, up to the end of the line.
+    /// After the digits of a chunk size, up to the end of the chunk size's line.
     ChunkExtension {
         size: u64,
     },
-    /// In a chunk of which this many bytes are to come, its line end included.
+    /// In the data of a chunk, of which `remaining` bytes have not arrived yet, including the line break after the data.
     Chunk {
         remaining: u64,
     },
     /// At the start of a line of the trailer section.
     TrailerLineStart,
-    /// In a line of the trailer section that is not empty.
+    /// In a non-empty line of the trailer section.
     TrailerLine,
-    /// The messages can't be followed from here on.
+    /// The boundaries of messages on this connection can't be determined any more.
     Untracked,
 }
 
-const START_OF_HEADER: State = State::HeaderName { length: 0 };
-const START_OF_CHUNK_SIZE: State = State::ChunkSize { size: 0, digits: 0 };
+const HEADER_START: State = State::HeaderName { length: 0 };
+const CHUNK_SIZE_START: State = State::ChunkSize { size: 0, digits: 0 };
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Header {
@@ -74,29 +75,29 @@
     Other,
 }
 
-/// How far one step of the scan has gone.
+/// The bytes that one step of the scan has consumed.
 struct Step {
     bytes: usize,
-    /// Whether these bytes are a chunk's extension.
+    /// Whether the consumed bytes belong to a chunk extension.
     is_extension: bool,
 }
 
-/// The messages on one connection, in the order in which they arrive.
+/// Tracks the framing of the messages in one direction of a connection, in the order in which the messages arrive.
 #[derive(Debug)]
 pub struct MessageFraming {
     state: State,
     kind: MessageKind,
-    /// How many bytes of a response's first line are in `line_buffer`.
+    /// The number of bytes of a response's status line that are in `line_buffer`.
     start_line_length: usize,
-    /// The status of the current response.
+    /// The status code of the current response; 0 if it can't be parsed.
     status: u16,
-    /// The start of a response's first line, or of a header's name in lower case.
+    /// The start of a response's status line, or of a header's name in lower case.
     line_buffer: [u8; TRANSFER_ENCODING.len()],
     content_length: Option<u64>,
     has_transfer_encoding: bool,
     complete_heads: u64,
     complete_messages: u64,
-    /// The number of the request that has both headers.
+    /// The number of the message, counted from 1, that has both `Content-Length` and `Transfer-Encoding`.
     ambiguous_request: Option<u64>,
 }
 
@@ -118,58 +119,58 @@
 }
 
 impl MessageFraming {
-    /// Follows the responses of an endpoint. The default follows requests.
+    /// Creates a tracker for the responses of an endpoint. The default tracks requests.
     pub fn for_responses() -> MessageFraming {
         MessageFraming { kind: MessageKind::Responses, ..MessageFraming::default() }
     }
 
-    /// Whether the head of the request with this number, counted from 1, was seen completely and has at most one of `Content-Length`
-    /// and `Transfer-Encoding`.
+    /// Whether the head of the request with this number, counted from 1, was received completely and has at most one of the headers
+    /// `Content-Length` and `Transfer-Encoding`.
     pub fn is_unambiguous(&self, number: u64) -> bool {
         self.complete_heads >= number && self.ambiguous_request.is_none_or(|ambiguous| number < ambiguous)
     }
 
-    /// How many messages have ended; none where they can't be followed any more.
+    /// The number of messages that have ended; `None` if message boundaries can't be determined any more.
     pub fn complete_messages(&self) -> Option<u64> {
         (self.state != State::Untracked).then_some(self.complete_messages)
     }
 
-    /// Whether a message has begun and not ended, as far as messages can be followed.
-    pub fn is_inside(&self) -> bool {
+    /// Whether a message has begun and not ended; false if message boundaries can't be determined any more.
+    pub fn is_inside_message(&self) -> bool {
         !matches!(self.state, State::BetweenMessages | State::Untracked)
     }
 
-    /// Whether a complete message has arrived behind the one with this number, counted from 1.
+    /// Whether a complete message has arrived after the message with this number, counted from 1.
     pub fn has_message_after(&self, number: u64) -> bool {
         self.complete_messages().is_some_and(|messages| messages > number)
     }
 
-    /// Follows bytes that have been read, and removes the extensions of chunks from them; returns how many bytes are left.
+    /// Scans bytes that have been read and removes chunk extensions from them; returns how many bytes are left.
     pub fn strip_chunk_extensions(&mut self, bytes: &mut [u8]) -> usize {
-        let mut kept = 0;
+        let mut retained = 0;
         let mut position = 0;
         while let Some(rest) = bytes.get(position..).filter(|rest| !rest.is_empty()) {
             let step = self.advance(rest);
             if !step.is_extension {
-                if kept < position {
-                    bytes.copy_within(position..position + step.bytes, kept);
+                if retained < position {
+                    bytes.copy_within(position..position + step.bytes, retained);
                 }
-                kept += step.bytes;
+                retained += step.bytes;
             }
             position += step.bytes;
         }
-        kept
+        retained
     }
 
-    /// Follows bytes that have been written.
-    pub fn follow(&mut self, mut bytes: &[u8]) {
+    /// Scans bytes that have been written.
+    pub fn scan(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let step = self.advance(bytes);
             bytes = bytes.get(step.bytes..).unwrap_or_default();
         }
     }
 
-    /// Goes over the first of these bytes, of which there is at least one.
+    /// Consumes one or more bytes from the start of `bytes`, which must not be empty.
     fn advance(&mut self, bytes: &[u8]) -> Step {
         let byte = bytes.first().copied().unwrap_or_default();
         match self.state {
@@ -183,7 +184,7 @@
             State::Chunk { remaining } => {
                 let skipped = remaining.min(bytes.len() as u64);
                 let remaining = remaining - skipped;
-                self.state = if remaining == 0 { START_OF_CHUNK_SIZE } else { State::Chunk { remaining } };
+                self.state = if remaining == 0 { CHUNK_SIZE_START } else { State::Chunk { remaining } };
                 Step { bytes: skipped as usize, is_extension: false }
             }
             State::HeaderValue(Header::Other) | State::StartLine if self.may_skip_line(byte) => {
@@ -198,10 +199,10 @@
         }
     }
 
-    /// Whether the rest of a line that begins with this byte says nothing.
+    /// Whether the rest of the current line, which begins with this byte, is irrelevant to the framing and may be skipped.
     fn may_skip_line(&self, byte: u8) -> bool {
-        let is_read = self.kind == MessageKind::Responses && self.start_line_length < STATUS_END;
-        byte != b'\n' && !is_read
+        let is_status_pending = self.kind == MessageKind::Responses && self.start_line_length < STATUS_END;
+        byte != b'\n' && !is_status_pending
     }
 
     fn end_message(&mut self) -> State {
@@ -209,7 +210,7 @@
         State::BetweenMessages
     }
 
-    /// The state behind this byte.
+    /// The state of the scan after this byte.
     fn next_state(&mut self, byte: u8) -> State {
         match self.state {
             State::BetweenMessages if matches!(byte, b'\r' | b'\n') => State::BetweenMessages,
@@ -233,7 +234,7 @@
             self.has_transfer_encoding = false;
             self.status = self.read_status().unwrap_or(0);
             self.start_line_length = 0;
-            return START_OF_HEADER;
+            return HEADER_START;
         }
         if self.kind == MessageKind::Responses && self.start_line_length < STATUS_END {
             self.line_buffer[self.start_line_length] = byte;
@@ -242,7 +243,7 @@
         State::StartLine
     }
 
-    /// The status in the first line of a response.
+    /// Parses the status code in the status line of a response.
     fn read_status(&self) -> Option<u16> {
         let digits = self.line_buffer.get(STATUS_END - STATUS_DIGITS..self.start_line_length)?;
         std::str::from_utf8(digits).ok()?.parse().ok()
@@ -250,13 +251,13 @@
 
     fn scan_header_name(&mut self, byte: u8, length: usize) -> State {
         match byte {
-            b'\r' if length == 0 => START_OF_HEADER,
+            b'\r' if length == 0 => HEADER_START,
             b'\n' if length == 0 => self.end_head(),
-            b'\n' => START_OF_HEADER,
+            b'\n' => HEADER_START,
             b':' => State::HeaderValue(self.recognize_header(length)),
             byte => {
-                if let Some(place) = self.line_buffer.get_mut(length) {
-                    *place = byte.to_ascii_lowercase();
+                if let Some(slot) = self.line_buffer.get_mut(length) {
+                    *slot = byte.to_ascii_lowercase();
                 }
                 State::HeaderName { length: (length + 1).min(self.line_buffer.len() + 1) }
             }
@@ -265,7 +266,7 @@
 
     fn scan_header_value(&mut self, byte: u8, header: Header) -> State {
         if byte == b'\n' {
-            return START_OF_HEADER;
+            return HEADER_START;
         }
         if header == Header::ContentLength {
             if let Some(digit) = (byte as char).to_digit(10) {
@@ -290,14 +291,14 @@
         }
     }
 
-    /// The state behind the empty line that ends a head.
+    /// The state of the scan after the empty line that ends a head.
     fn end_head(&mut self) -> State {
         self.complete_heads += 1;
         if self.kind == MessageKind::Responses {
             match self.status {
-                // Another response follows, or this one has no body.
+                // After an informational response another response follows; a 204 or 304 response has no body.
                 100 | 102..=199 | 204 | 304 => return self.end_message(),
-                // The body goes on to the connection's end, or this is no response at all.
+                // The response's body extends to the end of the connection, or the bytes are not an HTTP response.
                 _ if !self.has_transfer_encoding && self.content_length.is_none() => return State::Untracked,
                 200..=599 => {}
                 _ => return State::Untracked,
@@ -308,7 +309,7 @@
                 self.ambiguous_request = Some(self.complete_heads);
                 State::Untracked
             }
-            (true, None) => START_OF_CHUNK_SIZE,
+            (true, None) => CHUNK_SIZE_START,
             (false, Some(length)) if length > 0 => State::Body { remaining: length },
             (false, _) => self.end_message(),
         }
@@ -328,7 +329,7 @@
     }
 }
 
-/// The state behind the line with a chunk's size. A chunk of size 0 is the last.
+/// The state of the scan after the line with a chunk size. A chunk of size 0 is the last one of its message.
 fn end_chunk_size(size: u64) -> State {
     match size {
         0 => State::TrailerLineStart,
