--- a/crates/gateway/src/transport/descriptor_budget.rs
+++ b/crates/gateway/src/transport/descriptor_budget.rs
@@ -1,43 +1,43 @@
-//! The budget of file descriptors: fixed quotas for clients and for endpoints, so that neither starves the other.
+//! The budget of file descriptors: fixed quotas for clients and for endpoints, so that neither side can use up the other's.
 
 use crate::limits::{Limits, MAX_BUFFERED_BODY_BYTES, MAX_READ_AHEAD_BYTES};
 use std::cell::Cell;
 use std::rc::Rc;
 use weldworks_control::hot_restart::{remaining_descriptors, DescriptorUsage};
 
-/// Most memory that a client's connection and its request can take, in bytes: a body each way, what is read ahead of a head, and the
+/// Maximum memory of a client's connection and its request, in bytes: a body in each direction, the read buffer for a head, and the
 /// tasks.
 const MAX_CLIENT_MEMORY_BYTES: usize = 2 * MAX_BUFFERED_BODY_BYTES + MAX_READ_AHEAD_BYTES + (32 << 10);
 
-/// Descriptors of the program itself: standard streams, poller, wakers, signals, listener, discovery.
+/// Number of descriptors of the process itself: standard streams, poller, wakers, signals, listener, discovery.
 const PROCESS_DESCRIPTORS: usize = 20;
 
-/// The admin API gets one in this many of all descriptors.
+/// The admin API's quota is the number of all descriptors divided by this.
 const ADMIN_DIVISOR: usize = 24;
 
-/// Fewest descriptors for calls of the admin API, where there is one.
+/// Minimum number of descriptors for calls of the admin API, if it is enabled.
 const MIN_ADMIN_DESCRIPTORS: usize = 4;
 
-/// Most descriptors for calls of the admin API.
+/// Maximum number of descriptors for calls of the admin API.
 const MAX_ADMIN_DESCRIPTORS: usize = 20;
 
-/// Further descriptors that the admin API takes: its listener, and for a moment the newest caller beyond the quota.
+/// Descriptors that the admin API uses beyond its quota: its listener, and briefly the newest caller's connection.
 const ADMIN_OVERHEAD_DESCRIPTORS: usize = 2;
 
-/// Clients that are only rejected get one in this many of the descriptors for connections.
+/// The quota of clients that are only rejected is the number of descriptors for connections divided by this.
 const OVERFLOW_DIVISOR: usize = 16;
 
-/// Fewest descriptors for clients that are only rejected, as long as memory allows.
+/// Minimum number of descriptors for clients that are only rejected, as far as memory allows.
 const MIN_OVERFLOW_DESCRIPTORS: usize = 4;
 
-/// Clients that are only rejected get at most one in this many of the connections that fit into the memory.
+/// The quota of clients that are only rejected is at most the number of connections that fit into memory, divided by this.
 const OVERFLOW_MEMORY_DIVISOR: usize = 5;
 
-/// Idle connections of clients may take one in this many of all descriptors. Clients have at most half of the descriptors for
-/// connections; if idle connections took all of those, too little would be left for active ones.
+/// The maximum number of idle client connections is the number of all descriptors divided by this. Clients have at most half of the
+/// descriptors for connections; if idle connections could take all of that half, too few would be left for active connections.
 const IDLE_CLIENT_DIVISOR: usize = 5;
 
-/// Whether the process serves the admin API, which takes descriptors of its own.
+/// Whether the process serves the admin API, which has a descriptor quota of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminApi {
     /// The admin API is served.
@@ -46,12 +46,12 @@
     Disabled,
 }
 
-/// A number of descriptors that may be open at once.
+/// A quota of descriptors, which limits how many may be open at once.
 #[derive(Clone, Debug)]
 pub struct DescriptorQuota {
     open: Rc<Cell<usize>>,
     limit: usize,
-    /// How many of them another process of this gateway has open, during a hot restart.
+    /// During a hot restart, how many descriptors of this quota the gateway's other process has open.
     open_in_peer: Rc<Cell<usize>>,
 }
 
@@ -60,7 +60,7 @@
         DescriptorQuota { open: Rc::default(), limit, open_in_peer: Rc::default() }
     }
 
-    /// Takes a descriptor, if one is left.
+    /// Acquires a permit for one descriptor, if the quota has one left.
     pub fn acquire(&self) -> Option<DescriptorPermit> {
         if self.open.get() >= self.capacity() {
             return None;
@@ -69,18 +69,18 @@
         Some(DescriptorPermit(self.open.clone()))
     }
 
-    /// How many descriptors this process may have open.
+    /// How many descriptors of this quota this process may have open.
     pub fn capacity(&self) -> usize {
         remaining_descriptors(self.limit, self.open_in_peer.get())
     }
 
-    /// Whether the permit is one of this quota.
+    /// Whether the permit was acquired from this quota.
     pub fn contains(&self, permit: &DescriptorPermit) -> bool {
         Rc::ptr_eq(&self.open, &permit.0)
     }
 }
 
-/// A descriptor that is taken from its quota until this is dropped.
+/// A permit for one descriptor, which is returned to its quota when the permit is dropped.
 #[derive(Debug)]
 pub struct DescriptorPermit(Rc<Cell<usize>>);
 
@@ -92,23 +92,23 @@
 
 /// The quotas into which the process's descriptors are divided.
 pub struct DescriptorBudget {
-    /// Connections of clients.
+    /// The quota of client connections whose requests are served.
     pub clients: DescriptorQuota,
-    /// Connections of clients beyond those, which are only rejected. Accepting never stops, so that clients get an answer instead of
-    /// waiting in the kernel's queue.
+    /// The quota of client connections beyond `clients`, whose requests are only rejected. Connections are still accepted when `clients`
+    /// is used up, so that clients get an answer instead of waiting in the kernel's accept queue.
     pub overflow: DescriptorQuota,
-    /// How many connections of clients may be idle before further ones are closed behind their response.
+    /// How many client connections may be idle before further ones are closed after their response.
     pub idle_clients: usize,
-    /// Connections to endpoints.
+    /// The quota of connections to endpoints.
     pub upstream: DescriptorQuota,
-    /// Calls of the admin API.
+    /// The quota of connections to the admin API.
     pub admin: DescriptorQuota,
 }
 
 impl DescriptorBudget {
-    /// Divides what the limits allow: first the process's own descriptors and those of the admin API are taken off, then clients get
-    /// half of the rest, and endpoints the other half less the overflow. Clients together may fill three quarters of the memory,
-    /// which may leave them fewer.
+    /// Divides the descriptors that the limits allow: after the process's own descriptors and those of the admin API, clients get half
+    /// of the rest, and endpoints the other half less the overflow quota. Clients together may use at most three quarters of the
+    /// memory, which may reduce their quota further.
     pub fn new(limits: &Limits, admin_api: AdminApi) -> DescriptorBudget {
         let admin = match admin_api {
             AdminApi::Enabled => {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// What this process has open.
+    /// How many descriptors of each quota this process has open.
     pub fn usage(&self) -> DescriptorUsage {
         DescriptorUsage {
             clients: self.clients.open.get(),
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Leaves the other process of a hot restart what it has open. What is open here stays open.
+    /// Reserves the descriptors that the other process of a hot restart has open. Descriptors that this process has open stay open.
     pub fn reserve_for_peer(&self, peer: DescriptorUsage) {
         self.clients.open_in_peer.set(peer.clients);
         self.overflow.open_in_peer.set(peer.overflow);
