--- a/crates/gateway/src/transport/client_liveness.rs
+++ b/crates/gateway/src/transport/client_liveness.rs
@@ -1,55 +1,55 @@
-//! Whether a request's client still waits for an answer, checked before each step that can't be taken back.
+//! Tracks whether a request's client still waits for an answer, which is checked before each step that can't be undone.
 
 use crate::transport::socket_probe::SocketProbe;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long after its request was read a client counts as connected without a look at its socket. No attempt may begin more than
-/// 0.1 s after its client has disconnected; this is half of that, as is `MAX_UNREAD_BEFORE_CLIENT_CHECK` for streamed bodies.
+/// Time after the read of its request for which a client counts as connected without a check of its socket. No attempt may begin more
+/// than 0.1 s after its client has disconnected; this time is half of that, as is `MAX_UNREAD_BEFORE_CLIENT_CHECK` for streamed bodies.
 const ASSUMED_CONNECTED_AFTER_READ: Duration = Duration::from_millis(50);
 
 /// The client of one request.
 #[derive(Debug)]
 pub struct ClientLiveness {
     is_wanted: Cell<bool>,
-    /// When its request was read.
+    /// When the client's request was read.
     request_read_at: Instant,
-    /// Its connection, where there is one to look at.
+    /// A probe of the client's connection; `None` only in tests, for a client without a connection.
     probe: Option<SocketProbe>,
 }
 
 impl ClientLiveness {
-    /// The client behind this connection, who waits for an answer.
+    /// Creates the state of a client that waits for an answer on the probed connection.
     pub fn new(probe: SocketProbe) -> ClientLiveness {
         ClientLiveness { is_wanted: Cell::new(true), request_read_at: Instant::now(), probe: Some(probe) }
     }
 
-    /// A client without a connection, who waits until [`ClientLiveness::end`].
+    /// Creates the state of a client without a connection, which waits for an answer until [`ClientLiveness::end`] is called.
     #[cfg(test)]
     pub fn unobserved() -> ClientLiveness {
         ClientLiveness { is_wanted: Cell::new(true), request_read_at: Instant::now(), probe: None }
     }
 
-    /// Notes that no answer is wanted any more; true where one was until now.
+    /// Records that the client no longer waits for an answer; returns whether it was waiting until now.
     pub fn end(&self) -> bool {
         self.is_wanted.replace(false)
     }
 
-    /// Whether an answer is wanted, as far as anybody has noted.
+    /// Whether the client waits for an answer, by what [`ClientLiveness::end`] has recorded and without a check of its socket.
     pub fn is_wanted(&self) -> bool {
         self.is_wanted.get()
     }
 
-    /// Whether an attempt may begin: an answer is wanted, and the client's close would have been seen if it had arrived. With many
-    /// bytes unread, the close may still wait on the client's own machine.
+    /// Whether an attempt may begin: the client waits for an answer, and its close would have been noticed if it had arrived. With many
+    /// unread bytes on the connection, the close may still be held up in the send buffer of the client's machine.
     pub fn may_begin(&self) -> bool {
         let may_hide_close = || self.probe.as_ref().is_some_and(SocketProbe::may_hide_close);
         let is_recent = || self.request_read_at.elapsed() < ASSUMED_CONNECTED_AFTER_READ;
         self.is_wanted() && (is_recent() || !may_hide_close())
     }
 
-    /// Whether the client is still connected, once all bytes of its request have been read.
+    /// Whether the client is still connected, by a check of its socket; to be called once all bytes of its request have been read.
     pub fn is_connected(&self) -> bool {
         self.is_wanted() && !self.probe.as_ref().is_some_and(SocketProbe::is_closed)
     }
--- a/crates/gateway/src/transport/io_state.rs
+++ b/crates/gateway/src/transport/io_state.rs
@@ -1,35 +1,35 @@
-//! The I/O state of a connection: when bytes were read and written, until when they may be written, and whether any are expected.
+//! The I/O state of a connection: when bytes were read and written, until when they may be written, and whether input is expected.
 
 use std::cell::Cell;
 use tokio::time::Instant;
 use weldworks_control::execution::WriteProgress;
 
-/// I/O on a connection since [`IoState::begin_request`].
+/// The record of the I/O on a connection; some fields are reset by [`IoState::begin_request`].
 ///
-/// Two of the fields also act on the stream: `write_by` stops writes, and `is_idle` turns any input into an error.
+/// Two fields also control the stream: `write_by` stops writes, and `is_idle` makes any input an error.
 #[derive(Debug, Default)]
 pub struct IoState {
-    /// On a connection to an endpoint: when the response's first byte was read. On a client's connection: since when a request head is
-    /// awaited, which is the accept or the head's first byte, and none between requests.
+    /// On a connection to an endpoint: when the response's first byte was read. On a client's connection: since when a request head has
+    /// been awaited, which is the accept or the head's first byte; `None` between requests.
     pub first_read_at: Cell<Option<Instant>>,
-    /// When anything was last read or seen waiting, on the connection as a whole.
+    /// When bytes were last read or found waiting to be read, over the whole life of the connection.
     pub last_read_at: Cell<Option<Instant>>,
-    /// When there was last nothing to be read.
+    /// When a read last found the socket's receive buffer empty.
     pub(super) last_empty: Cell<Option<Instant>>,
-    /// When there was last nothing to be read, as of the latest read: what was read then arrived after this moment.
+    /// When the receive buffer was last found empty before the latest read: the bytes of that read arrived after this moment.
     pub last_empty_before_read: Cell<Option<Instant>>,
-    /// How much of the request has been written to the kernel, where requests are tracked.
+    /// How much of the request has been written to the kernel, on streams that track the requests written.
     pub write_progress: Cell<WriteProgress>,
-    /// When the request's last byte was written.
+    /// When the last byte of the request was written to the kernel.
     pub written_at: Cell<Option<Instant>>,
-    /// From this moment on no byte of the request is written, where it is not complete by then.
+    /// The write deadline: from this moment on no further byte of an incomplete request is written.
     pub write_by: Cell<Option<Instant>>,
-    /// Whether the connection is idle, so that anything that arrives is an error.
+    /// Whether the connection is idle, so that any input on it is an error.
     pub is_idle: Cell<bool>,
 }
 
 impl IoState {
-    /// Clears the record for a request that is to be written completely by `write_by`, or not at all from then on.
+    /// Resets the record for a new request, of which nothing may be written after `write_by` if the request is not complete by then.
     pub fn begin_request(&self, write_by: Option<Instant>) {
         self.write_progress.set(WriteProgress::Nothing);
         self.written_at.set(None);
@@ -37,7 +37,7 @@
         self.first_read_at.set(None);
     }
 
-    /// Whether it is too late to write any more of the request.
+    /// Whether the write deadline has passed before the request was written completely.
     pub fn is_past_write_deadline(&self) -> bool {
         self.write_progress.get() != WriteProgress::Complete
             && self.write_by.get().is_some_and(|by| Instant::now() >= by)
--- a/crates/gateway/src/transport/mod.rs
+++ b/crates/gateway/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets below HTTP: streams with a record of their I/O, message framing, descriptor quotas, and the meaning of system errors.
+//! The socket layer below HTTP: streams that record their I/O, message framing, descriptor quotas, and classes of system errors.
 
 pub mod client_liveness;
 pub mod descriptor_budget;
--- a/crates/gateway/src/transport/socket_probe.rs
+++ b/crates/gateway/src/transport/socket_probe.rs
@@ -1,4 +1,4 @@
-//! Looks at a socket without reading from it: whether its peer has closed it, and whether bytes wait.
+//! Checks a socket without consuming its input: whether the peer has closed the connection, and whether bytes wait to be read.
 
 use socket2::SockRef;
 use std::io;
@@ -7,11 +7,12 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// How many unread bytes may hide the peer's close: with so many, more may be on their way than the kernel takes here, and the close
-/// behind them. A quarter of the least receive buffer. A client that sends one request at a time has none unread.
+/// Number of unread bytes that may hide the peer's close: with this many unread, the peer may have sent more than fits into the receive
+/// buffer, and the close only arrives after those bytes. This is a quarter of the smallest receive buffer. A client that sends one
+/// request at a time leaves no bytes unread.
 const UNREAD_BYTES_THAT_MAY_HIDE_CLOSE: u64 = 16 << 10;
 
-/// A view of a connection for others than the one that reads it.
+/// Checks the state of a connection from outside the task that reads it.
 #[derive(Clone, Debug)]
 pub struct SocketProbe(Rc<TcpStream>);
 
@@ -20,13 +21,13 @@
         SocketProbe(stream)
     }
 
-    /// Waits until the peer has closed its sending side or the connection is broken, also where bytes before that are unread: the one
-    /// that reads them may have no use for them yet.
+    /// Waits until the peer has closed its sending side or the connection is broken. Returns also while earlier bytes are unread, since
+    /// the task that reads the connection may not need those bytes yet.
     ///
     /// # Cancellation safety
-    /// Cancel safe: nothing is lost.
+    /// Cancel safe: no input is lost.
     pub async fn closed(&self) {
-        // A stream becomes ready in this way only by its end.
+        // A stream becomes ready for `PRIORITY` when it ends, or when out-of-band data arrives, which is ignored here.
         while let Ok(ready) = self.0.ready(Interest::PRIORITY).await {
             if ready.is_read_closed() {
                 return;
@@ -35,12 +36,12 @@
         }
     }
 
-    /// Whether bytes wait to be read, as far as the kernel knows now.
+    /// Whether bytes wait to be read in the kernel's receive buffer.
     pub fn has_unread(&self) -> bool {
         matches!(peek(&self.0), Ok(bytes) if bytes > 0)
     }
 
-    /// Whether the peer has closed its sending side or the connection is broken, with nothing before that left to be read.
+    /// Whether the peer has closed its sending side or the connection is broken, and no earlier bytes are left to be read.
     pub fn is_closed(&self) -> bool {
         match peek(&self.0) {
             Ok(unread) => unread == 0,
@@ -48,13 +49,13 @@
         }
     }
 
-    /// Whether so much is unread that the peer's close may wait behind it, unseen.
+    /// Whether so many bytes are unread that the peer may have closed the connection without the close having arrived.
     pub fn may_hide_close(&self) -> bool {
         rustix::io::ioctl_fionread(&*self.0).is_ok_and(|unread| unread >= UNREAD_BYTES_THAT_MAY_HIDE_CLOSE)
     }
 }
 
-/// Looks for a byte to be read; 0 at the end of the stream.
+/// Peeks at the next byte; returns the number of bytes peeked, which is 0 at the end of the stream.
 pub(super) fn peek(stream: &TcpStream) -> io::Result<usize> {
     loop {
         match SockRef::from(stream).peek(&mut [MaybeUninit::uninit()]) {
@@ -64,7 +65,7 @@
     }
 }
 
-/// Has the runtime forget that the stream was ready, so that it waits for the next change.
+/// Clears the readiness that the runtime has recorded for the stream, so that the next wait lasts until the readiness changes.
 fn clear_readiness(stream: &TcpStream, interest: Interest) {
     let _ = stream.try_io(interest, || Err::<(), _>(io::ErrorKind::WouldBlock.into()));
 }
--- a/crates/gateway/src/transport/stream.rs
+++ b/crates/gateway/src/transport/stream.rs
@@ -1,9 +1,10 @@
-//! A TCP stream that reads and writes on until the kernel says "would block".
+//! A TCP stream that stays ready for reads and writes until the kernel returns "would block".
 //!
-//! The poller reports a change once. The runtime's own stream clears a socket's readiness as soon as a call moves fewer bytes than it
-//! was asked to, which saves a call that would only return "would block". Linux does not promise that: a read ends early at a byte
-//! sent out of band, and either call at a signal. The bytes left would then wait for a change that never comes, and the connection
-//! would hang. Here readiness is cleared only by "would block", and an interrupted call is made again.
+//! The poller reports each change of readiness once. The runtime's own stream clears a socket's readiness as soon as a call transfers
+//! fewer bytes than requested, which saves a call that would only return "would block". Linux does not guarantee that the next call
+//! would block: a read ends early at out-of-band data, and both reads and writes end early at a signal. The remaining bytes would then
+//! wait for a change of readiness that never comes, and the connection would hang. This stream clears readiness only after "would
+//! block", and repeats an interrupted call.
 
 use std::io;
 use std::pin::Pin;
@@ -11,7 +12,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Reads available bytes into the buffer; none where the peer has shut its sending side down.
+/// Reads available bytes into the buffer; reads no bytes if the peer has shut down its sending side.
 pub fn poll_read(stream: &TcpStream, cx: &mut Context<'_>, buffer: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(cx))?;
@@ -22,7 +23,7 @@
     }
 }
 
-/// Writes to the stream with `write`; returns how many bytes the kernel took.
+/// Writes to the stream by calling `write`; returns how many bytes the kernel accepted.
 pub fn poll_write(
     stream: &TcpStream,
     cx: &mut Context<'_>,
@@ -37,17 +38,17 @@
     }
 }
 
-/// Whether the call is to be made again: at once where it was interrupted, or when the socket is ready again.
+/// Whether a failed call is to be repeated: at once if it was interrupted, or when the socket is ready again if it would have blocked.
 pub fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted)
 }
 
-/// Such a stream behind the runtime's I/O traits.
+/// A TCP stream that clears readiness only after "would block", with the runtime's I/O traits.
 #[derive(Debug)]
 pub struct Stream(TcpStream);
 
 impl Stream {
-    /// Wraps a connected stream.
+    /// Wraps a connected TCP stream.
     pub fn new(stream: TcpStream) -> Stream {
         Stream(stream)
     }
@@ -80,7 +81,7 @@
         true
     }
 
-    /// Does nothing: each write goes to the kernel at once.
+    /// Does nothing: each write is passed to the kernel at once, without a buffer to flush.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
     }
--- a/crates/gateway/src/transport/system_errors.rs
+++ b/crates/gateway/src/transport/system_errors.rs
@@ -1,20 +1,20 @@
-//! The meaning of system errors: a moment's failure on this machine, a lack of resources of this process, or a fault of the peer.
+//! Classifies system errors: a temporary failure on this machine, exhausted resources of this process, or a fault of the peer.
 
 use rustix::io::Errno;
 use std::io;
 
-/// The kind of a failed accept.
+/// Why an accept failed, by what the accept loop should do next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// The call was interrupted, or the one connection that it would have returned is broken: accept again at once.
+    /// The accept call was interrupted, or the connection that it would have returned is broken: accept again at once.
     ConnectionFailed,
-    /// This process or machine has no descriptor or memory for another connection: close idle ones.
+    /// This process or machine has no descriptor or memory for another connection: close idle connections.
     ResourcesExhausted,
-    /// Any other failure, temporary or not: accept again a little later.
+    /// Any other failure, temporary or not: accept again after a delay.
     Other,
 }
 
-/// Classifies an error of accept. accept(2) also returns errors of the new connection's network as its own.
+/// Classifies an error of accept(2), which also returns network errors of the new connection as its own.
 pub fn accept_failure(error: &io::Error) -> AcceptFailure {
     match Errno::from_io_error(error) {
         Some(
@@ -35,8 +35,8 @@
     }
 }
 
-/// Whether an error of socket or connect is this machine's and not the endpoint's: no descriptor, port, memory or route. Nothing
-/// has been sent then, and connects to all endpoints would fail alike.
+/// Whether an error of socket(2) or connect(2) was caused by this machine and not by the endpoint: no descriptor, port, memory or route.
+/// Nothing has been sent in that case, and connecting to any other endpoint would fail as well.
 pub fn is_local_connect_failure(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
--- a/crates/gateway/src/transport/system_errors/tests.rs
+++ b/crates/gateway/src/transport/system_errors/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the meaning of system errors.
+//! Tests of the classification of system errors.
 
 use super::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn only_a_lack_of_resources_closes_idle_connections_after_an_accept() {
+fn only_exhausted_resources_close_idle_connections_after_a_failed_accept() {
     for errno in [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM] {
         assert_eq!(accept_failure(&error(errno)), AcceptFailure::ResourcesExhausted, "{errno}");
     }
@@ -15,11 +15,11 @@
         assert_eq!(accept_failure(&error(errno)), AcceptFailure::ConnectionFailed, "{errno}");
     }
     assert_eq!(accept_failure(&error(Errno::PERM)), AcceptFailure::Other);
-    assert_eq!(accept_failure(&io::Error::other("no number")), AcceptFailure::Other);
+    assert_eq!(accept_failure(&io::Error::other("no errno")), AcceptFailure::Other);
 }
 
 #[test]
-fn only_the_endpoints_own_failures_count_against_it() {
+fn only_failures_caused_by_the_endpoint_count_against_it() {
     for errno in [Errno::CONNREFUSED, Errno::CONNRESET, Errno::TIMEDOUT, Errno::HOSTUNREACH] {
         assert!(!is_local_connect_failure(&error(errno)), "{errno}");
     }
