--- a/crates/gateway/src/discovery/endpoint_list/tests.rs
+++ b/crates/gateway/src/discovery/endpoint_list/tests.rs
@@ -17,7 +17,7 @@
     assert_eq!(
         list(&snapshot).faults(5, 9),
         [],
-        "a snapshot with a lower index was rejected, as discovery sends after losing its indexes"
+        "discovery sends a snapshot with a lower index after losing its indexes"
     );
     let bad =
         r#"{"endpoints":[{"name":"a","address":"here"},{"name":"c","address":"127.0.0.1:1"},{"name":"c"}]}"#;
