--- a/crates/gateway/src/lifecycle/hot_restart.rs
+++ b/crates/gateway/src/lifecycle/hot_restart.rs
@@ -1,5 +1,6 @@
-//! Hot restart: two processes of one gateway while one replaces the other. Each learns of the other by lock files in a folder that they
-//! share, and the old one writes a snapshot there of what the new one should know. Neither waits for the other.
+//! Hot restart: a new process of a gateway replaces the old one while both run. Each process detects the other by lock files in a folder
+//! that they share. The old process also writes a snapshot of its learned state to this folder, for the new process to restore. Neither
+//! process waits for the other.
 
 use super::service_state::ServiceState;
 use crate::engine::message::{EngineHandle, Message};
@@ -17,26 +18,26 @@
     self, peer_check_interval, DescriptorUsage, SnapshotError, MAX_SNAPSHOT_BYTES, SNAPSHOT_INTERVAL,
 };
 
-/// Interval at which an unusable folder is tried again.
+/// Delay before the shared folder is accessed again after an error.
 const FOLDER_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// The file with the snapshot, complete at any time.
+/// The file with the snapshot, which is replaced as a whole and so complete at any time.
 const SNAPSHOT_FILE: &str = "ottervane.memory";
-/// The lock of the active process, until it shuts down.
+/// The lock file that the active process holds until it shuts down.
 const ACTIVE_LOCK: &str = "ottervane.serves";
-/// The lock of a successor, until it has the other.
+/// The lock file that a successor holds until it has the lock of the active process.
 const SUCCESSOR_LOCK: &str = "ottervane.follows";
 
-/// The machine's monotonic clock, which both processes share and nobody sets.
+/// The time on the machine's monotonic clock, which both processes share and which cannot be set.
 fn monotonic_now() -> Duration {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     Duration::new(now.tv_sec.try_into().unwrap_or_default(), now.tv_nsec.try_into().unwrap_or_default())
 }
 
-/// Reads the snapshot of the process before this one, if it has been written recently.
+/// Reads the snapshot of the predecessor, if the snapshot was written recently.
 pub fn read_snapshot(folder: &Path) -> Option<Snapshot> {
     let text = match read_snapshot_text(&folder.join(SNAPSHOT_FILE)) {
         Ok(text) => text,
-        Err(error) if error.kind() == io::ErrorKind::NotFound => return None, // the first process
+        Err(error) if error.kind() == io::ErrorKind::NotFound => return None, // there was no predecessor
         Err(error) => {
             warn!(%error, "snapshot unreadable, starting without it");
             return None;
@@ -44,7 +45,7 @@
     };
     match hot_restart::decode_snapshot(&text, monotonic_now()) {
         Ok(snapshot) => Some(snapshot),
-        Err(SnapshotError::Expired(_)) => None, // of an earlier process that has ended: no warning
+        Err(SnapshotError::Expired(_)) => None, // left by a process that ended earlier, which needs no warning
         Err(error) => {
             warn!(%error, "snapshot invalid, starting without it");
             None
@@ -52,21 +53,21 @@
     }
 }
 
-/// Reads the file, and at most one byte more than a snapshot may have: that much shows that it is too long.
+/// Reads the snapshot file up to one byte beyond the maximum size, which is enough to detect a file that is too long.
 fn read_snapshot_text(path: &Path) -> io::Result<String> {
     let mut text = String::new();
     File::open(path)?.take(MAX_SNAPSHOT_BYTES as u64 + 1).read_to_string(&mut text)?;
     Ok(text)
 }
 
-/// Replaces the snapshot. It is not synced: the folder is in memory, and the snapshot is of no use after a reboot.
+/// Replaces the snapshot file. The file is not synced: the folder is in memory, and a snapshot is useless after a reboot.
 fn write_snapshot(folder: &Path, snapshot: &Snapshot) -> io::Result<()> {
     let temporary = folder.join(format!("{SNAPSHOT_FILE}.{}", std::process::id()));
     fs::write(&temporary, hot_restart::encode_snapshot(snapshot, monotonic_now()))?;
     fs::rename(temporary, folder.join(SNAPSHOT_FILE))
 }
 
-/// Takes a lock unless another process has it. It is released when the file is dropped, and with the process at the latest.
+/// Acquires a lock file unless another process holds it. The lock is released when the file is dropped, or when the process ends.
 fn try_lock(folder: &Path, name: &str) -> io::Result<Option<File>> {
     let file = File::options().create(true).truncate(false).write(true).open(folder.join(name))?;
     match file.try_lock() {
@@ -78,24 +79,24 @@
 
 /// This process's role among the processes of its gateway.
 enum Role {
-    /// It serves, and holds the active process's lock.
+    /// This process is active: it serves clients and holds the lock of the active process.
     Active(File),
-    /// Another process is active still. This one holds the successor's lock unless a third does.
+    /// Another process is still active. This process holds the successor's lock, unless a third process holds that lock.
     Successor(Option<File>),
 }
 
-/// Watches for another process of this gateway until this one shuts down. While there is one, each publishes how many descriptors it has
-/// open and leaves the other as many; a predecessor that already drains is no longer counted. The active process also writes the
-/// snapshot.
+/// Coordinates with another process of this gateway until this process shuts down. While both run, each process publishes how many
+/// descriptors it has open and reserves as many as the other has published; a predecessor that already drains is no longer counted. The
+/// active process also writes the snapshot.
 pub async fn run(folder: &Path, engine: &EngineHandle, budget: &DescriptorBudget, service: &ServiceState) {
     let mut role = Role::Successor(None);
     let mut snapshot_written: Option<Instant> = None;
     let mut peer_was_present: Option<bool> = None;
-    let mut failure_is_logged = false; // reset by the next success
+    let mut failure_is_logged = false; // reset by the next successful access
     loop {
         let peer = match observe_peer(folder, &mut role, budget.usage()) {
             Ok(peer) => peer,
-            // The last known usage of the other process stays reserved: both together have one limit.
+            // The last known usage of the other process stays reserved, since both processes share one descriptor limit.
             Err(error) => {
                 if !failure_is_logged {
                     warn!(
@@ -113,7 +114,7 @@
         failure_is_logged = false;
         budget.reserve_for_peer(peer.unwrap_or_default());
         if peer_was_present != Some(peer.is_some()) {
-            log_presence(peer.as_ref());
+            log_peer_presence(peer.as_ref());
             peer_was_present = Some(peer.is_some());
         }
         let snapshot_is_due = snapshot_written.is_none_or(|at| at.elapsed() >= SNAPSHOT_INTERVAL);
@@ -123,21 +124,21 @@
         }
         tokio::select! {
             () = tokio::time::sleep(peer_check_interval(peer)) => {}
-            // The lock is released here, so that the successor becomes active while this process drains. From then on the successor
-            // doesn't count the descriptors that this process still has open.
+            // At the start of the shutdown the lock is released, so that the successor becomes active while this process drains. From
+            // then on the successor doesn't count the descriptors that this process still has open.
             () = service.shutdown_started.notified() => return drop(role),
         }
     }
 }
 
-fn log_presence(peer: Option<&DescriptorUsage>) {
+fn log_peer_presence(peer: Option<&DescriptorUsage>) {
     match peer {
         Some(_) => info!("another process of this gateway found, sharing the descriptor limit with it"),
         None => info!("no other process of this gateway, using the whole descriptor limit"),
     }
 }
 
-/// Asks the engine for a snapshot and writes it.
+/// Requests a snapshot from the engine and writes it to the snapshot file.
 async fn update_snapshot(folder: &Path, engine: &EngineHandle) {
     let (sender, receiver) = oneshot::channel();
     engine.send(Message::TakeSnapshot(sender));
@@ -147,10 +148,10 @@
     }
 }
 
-/// Updates this process's role, publishes its usage, and gives the usage of another process, if there is one.
+/// Updates this process's role, publishes its descriptor usage, and returns the usage of the other process, if there is one.
 ///
 /// # Errors
-/// Where the folder cannot be used. Locks that are held stay held.
+/// If the shared folder cannot be used. Locks that this process holds stay held.
 fn observe_peer(folder: &Path, role: &mut Role, own: DescriptorUsage) -> io::Result<Option<DescriptorUsage>> {
     if let Role::Successor(successor_lock) = role {
         if let Some(active_lock) = try_lock(folder, ACTIVE_LOCK)? {
@@ -162,7 +163,7 @@
     let peer_file = match role {
         Role::Active(file) => {
             file.write_all_at(own.encode().as_bytes(), 0)?;
-            // A lock taken here is released again at once.
+            // The successor's lock is only probed: if it is free, it is acquired here and released again at once.
             let successor_is_present = try_lock(folder, SUCCESSOR_LOCK)?.is_none();
             successor_is_present.then_some(SUCCESSOR_LOCK)
         }
@@ -176,7 +177,7 @@
     Ok(peer_file.map(|name| published_usage(&folder.join(name))))
 }
 
-/// The usage that a process has published. A process that has just started has published nothing, and has nothing open.
+/// The descriptor usage that a process has published. If a process has published none, it has just started and has no descriptors open.
 fn published_usage(path: &Path) -> DescriptorUsage {
     let text = fs::read_to_string(path).ok();
     text.and_then(|text| DescriptorUsage::decode(&text)).unwrap_or_default()
