--- a/crates/gateway/src/lifecycle/listeners.rs
+++ b/crates/gateway/src/lifecycle/listeners.rs
@@ -6,23 +6,23 @@
 use tokio::net::{TcpListener, TcpSocket};
 use weldworks_fleet::settings::FleetSettings;
 
-/// Length of the kernel's accept queue, in connections: room for a burst.
+/// Maximum length of the kernel's accept queue, in connections: long enough to hold a burst of new connections.
 const ACCEPT_BACKLOG: u32 = 4096;
 
-/// Who holds the clients' listener.
+/// Whether this process or the platform owns the clients' listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ListenerOwnership {
-    /// This process, which has bound it.
+    /// This process owns the listener and has bound it.
     Own,
-    /// The platform, which hands it to every process of this gateway: two may run at once.
+    /// The platform owns the listener and passes it to every process of this gateway, of which two may run at once.
     Shared,
 }
 
-/// An address that cannot be listened on.
+/// The gateway cannot listen on the configured address for clients or for administrators.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "cannot listen on {address}, which is `{key}` in the file that ROUTER_CONFIG names, or {variable}: {source}; end the process \
-     that has it, or name an address of this machine that is free"
+    "cannot listen on {address}, which is set by `{key}` in the file that ROUTER_CONFIG names or by {variable}: {source}; stop the \
+     process that uses the address, or set a free address of this machine"
 )]
 pub struct ListenError {
     key: &'static str,
@@ -32,11 +32,11 @@
     source: io::Error,
 }
 
-/// The address of the link between gateways cannot be listened on.
+/// The gateway cannot listen on the configured address for links from other gateways.
 #[derive(Debug, thiserror::Error)]
 #[error(
-    "cannot listen on {address}, which is `listen` of [fleet] in the operator's file, or this gateway's [[fleet.peer]]: {source}; \
-     end the process that has it, or name an address of this machine that is free"
+    "cannot listen on {address}, which is set by `listen` of [fleet] in the operator's file or by this gateway's [[fleet.peer]]: \
+     {source}; stop the process that uses the address, or set a free address of this machine"
 )]
 pub struct LinkListenError {
     address: SocketAddr,
@@ -44,17 +44,17 @@
     source: io::Error,
 }
 
-/// Listens for clients.
+/// Binds the listener for clients.
 pub(super) fn listen_for_clients(address: SocketAddr) -> Result<TcpListener, ListenError> {
     listen("listen", "ROUTER_LISTEN", address)
 }
 
-/// Listens for administrators.
+/// Binds the listener for the admin API.
 pub(super) fn listen_for_admin(address: SocketAddr) -> Result<TcpListener, ListenError> {
     listen("management", "ROUTER_MANAGEMENT", address)
 }
 
-/// Listens for other gateways. None while the process to be replaced still has the address.
+/// Binds the listener for links from other gateways. `None` while the process that is being replaced still uses the address.
 pub(super) fn listen_for_peers(
     settings: &FleetSettings,
     ownership: ListenerOwnership,
--- a/crates/gateway/src/lifecycle/log.rs
+++ b/crates/gateway/src/lifecycle/log.rs
@@ -1,4 +1,4 @@
-//! The log: one line for each event on standard error, as text or JSON.
+//! The log of the process: one line per event on standard error, as text or JSON.
 
 use std::io;
 use tracing::level_filters::LevelFilter;
@@ -7,10 +7,10 @@
 /// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Time, level, message, and the event's fields as `name=value`.
+    /// Text: time, level, message, and the event's fields as `name=value`.
     #[default]
     Text,
-    /// An object with `timestamp`, `level` and `fields`, among them `message`.
+    /// JSON: an object with `timestamp`, `level` and `fields`; the message is the field `message`.
     Json,
 }
 
@@ -25,7 +25,7 @@
     /// Events that an operator should know of.
     #[default]
     Info,
-    /// Also each request, attempt and endpoint list, for finding causes and for `weldworks-testbed count`.
+    /// In addition each request, attempt and endpoint list, for troubleshooting and for `weldworks-testbed count`.
     Debug,
 }
 
@@ -34,7 +34,7 @@
         &[("info", LogLevel::Info), ("debug", LogLevel::Debug)];
 }
 
-/// The table `[log]` of the operator's file.
+/// The settings of the table `[log]` in the operator's file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogSettings {
     /// The format of log lines; text by default.
@@ -44,12 +44,13 @@
 }
 
 impl LogSettings {
-    /// The text that the operator file's digest is taken of, in the names of version 0.2.0: gateways of other builds compare it.
+    /// The log settings as text for the digest of the operator's file. Gateways of different builds compare digests, so the text keeps
+    /// the names of version 0.2.0.
     pub fn digest_text(&self) -> String {
         format!("Log {{ format: {:?}, level: {:?} }}", self.format, self.level)
     }
 
-    /// Reads the table.
+    /// Reads the settings from the table `[log]`.
     pub fn read(table: &Table<'_, '_>) -> LogSettings {
         let log = LogSettings {
             format: table.get_or("format", LogFormat::default()),
@@ -59,7 +60,7 @@
         log
     }
 
-    /// Sends all events of this process to standard error from now on. A second call has no effect.
+    /// Writes all events of this process to standard error from now on. A second call has no effect.
     pub fn install(self) {
         let level = match self.level {
             LogLevel::Info => LevelFilter::INFO,
--- a/crates/gateway/src/lifecycle/mod.rs
+++ b/crates/gateway/src/lifecycle/mod.rs
@@ -1,7 +1,7 @@
-//! The process from start to exit.
+//! The lifecycle of the gateway process, from start to exit.
 //!
-//! `startup` assembles a gateway from its files, `running` serves clients until SIGTERM, `reload` applies a changed file on SIGHUP and
-//! `shutdown` ends the process. `hot_restart` coordinates with the process that replaces this one.
+//! `startup` assembles a gateway from its configuration, `running` serves clients until SIGTERM, `reload` applies a changed platform
+//! file on SIGHUP and `shutdown` ends the process. `hot_restart` coordinates with the process that replaces this one.
 
 pub mod hot_restart;
 pub mod listener_inheritance;
@@ -22,19 +22,19 @@
 use std::io;
 use tracing::info;
 
-/// Whether the gateway joins the fleet of the operator's file.
+/// Whether the gateway joins the fleet that the operator's file describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetMembership {
-    /// It joins: `run --fleet`.
+    /// The gateway joins the fleet: `run --fleet`.
     Joins,
-    /// It does not, and builds nothing for it.
+    /// The gateway does not join a fleet, and creates nothing for one.
     Disabled,
 }
 
-/// Why the gateway could not start, or ended by itself.
+/// Why the gateway could not start, or ended without SIGTERM.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The signal handlers, or a socket that is open already, cannot be used.
+    /// A signal handler could not be installed, or an open socket could not be used.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The platform's file is unusable.
@@ -43,27 +43,27 @@
     /// The fleet's state on disk is unusable.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// An address cannot be listened on.
+    /// The gateway cannot listen on the address for clients or for administrators.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The address of the link between gateways cannot be listened on.
+    /// The gateway cannot listen on its address for links from other gateways.
     #[error(transparent)]
     LinkListen(#[from] LinkListenError),
-    /// A task that runs as long as the process has ended.
-    #[error("the gateway has ended")]
+    /// A background task has ended that should run as long as the process.
+    #[error("a background task of the gateway ended unexpectedly")]
     Ended,
 }
 
-/// Runs the gateway until SIGTERM. `inherited` is the clients' listener, if the platform hands one on.
+/// Runs the gateway until SIGTERM. `inherited` is the clients' listener if the platform passes one to the process.
 ///
 /// # Errors
-/// Where it can't start, or ends without SIGTERM.
+/// If the gateway can't start, or ends without SIGTERM.
 pub async fn serve(
     mut operator: OperatorFile,
     inherited: Option<std::net::TcpListener>,
     membership: FleetMembership,
 ) -> Result<(), ServeError> {
-    // Installed before anything else: by default either signal ends the process.
+    // The signal handlers are installed first: by default SIGTERM and SIGHUP would each end the process at once.
     let signals = Signals::install()?;
     operator.log.install();
     if membership == FleetMembership::Disabled && operator.fleet.take().is_some() {
--- a/crates/gateway/src/lifecycle/reload.rs
+++ b/crates/gateway/src/lifecycle/reload.rs
@@ -1,4 +1,4 @@
-//! Reload of the platform's file on SIGHUP, complete or not at all.
+//! Reloads the platform's file on SIGHUP; a reload is applied completely or rejected as a whole.
 
 use super::service_state::ServiceState;
 use crate::config::platform_file::PlatformConfig;
@@ -14,9 +14,9 @@
 use weldworks_balancer::Settings;
 use weldworks_control::class_registry::ClassRegistry;
 
-/// What a changed file is compared with and applied to.
+/// Reloads the platform's file: holds the configuration in force and the parts that a changed configuration is applied to.
 pub(super) struct ConfigReloader {
-    /// The file in force.
+    /// The content of the platform's file that is in force.
     document: Value,
     classes: ClassRegistry,
     engine: EngineHandle,
@@ -35,7 +35,7 @@
         ConfigReloader { document, classes, engine, server, service }
     }
 
-    /// Reloads the file on each SIGHUP, until it is dropped.
+    /// Reloads the platform's file on each SIGHUP, until this future is dropped.
     pub(super) async fn run(mut self, mut hang_up: Signal) {
         while hang_up.recv().await.is_some() {
             let config = PlatformConfig::reload(&self.document);
@@ -63,7 +63,7 @@
             attempts = settings.max_attempts,
             "configuration reloaded"
         );
-        // Sent before the server applies its part: the engine must have the settings ahead of the first request under them.
+        // The engine gets the settings before the server does, since it must have them before the first request under these settings.
         self.engine.send(Message::Reconfigure(Box::new(Reconfiguration {
             settings,
             names: config.names,
@@ -76,7 +76,7 @@
     }
 }
 
-/// The longest time that a client waits for a response.
+/// The longest time for which any client waits for a response: the longest deadline of a class that is not retired.
 pub(super) fn longest_deadline(settings: &Settings) -> Duration {
     settings
         .classes
--- a/crates/gateway/src/lifecycle/running.rs
+++ b/crates/gateway/src/lifecycle/running.rs
@@ -1,4 +1,4 @@
-//! A running gateway: its background tasks, the wait until it may serve, and service until SIGTERM.
+//! Runs a gateway: starts its background tasks, waits until the process may serve clients, and serves clients until SIGTERM.
 
 use super::hot_restart;
 use super::listeners::ListenerOwnership;
@@ -25,18 +25,18 @@
 /// Interval at which a starting process checks whether it still has to wait.
 const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The parts of a gateway.
+/// The parts of an assembled gateway.
 pub(super) struct Gateway {
     pub(super) engine: Engine,
     pub(super) pool: Rc<ConnectionPool>,
     pub(super) clients: ClientService,
-    /// None outside of a fleet, and while the process to be replaced has the address.
+    /// The listener for links from other gateways; `None` outside a fleet, and while the predecessor still uses the address.
     pub(super) link_listener: Option<TcpListener>,
     pub(super) budget: DescriptorBudget,
     pub(super) reloader: ConfigReloader,
 }
 
-/// Serves clients, and is what is left to shut down after SIGTERM.
+/// Serves clients. These are the parts that shut down gracefully after SIGTERM.
 pub(super) struct ClientService {
     pub(super) handle: EngineHandle,
     pub(super) server: Rc<Server>,
@@ -50,7 +50,7 @@
     /// Serves clients until SIGTERM, then shuts down.
     ///
     /// # Errors
-    /// [`ServeError::Ended`] where a background task ends: the process would be half alive without it.
+    /// [`ServeError::Ended`] if a background task ends: without that task the process would not be fully functional.
     pub(super) async fn run(self, signals: Signals) -> Result<(), ServeError> {
         let Gateway { engine, pool, clients, link_listener, budget, reloader } = self;
         let Signals { mut terminate, hang_up } = signals;
@@ -58,30 +58,30 @@
         let server = clients.server.clone();
         let service = clients.service.clone();
         let fleet = clients.fleet.clone();
-        let reloading = reloader.run(hang_up);
+        let reload_task = reloader.run(hang_up);
         let state_folder = shared_state_folder(clients.ownership);
         let snapshot = state_folder.as_deref().and_then(hot_restart::read_snapshot);
-        let coordinating = async {
+        let hot_restart_task = async {
             if let Some(folder) = &state_folder {
                 hot_restart::run(folder, &handle, &budget, &service).await;
             }
         };
-        let participating = async {
+        let fleet_task = async {
             if let Some(fleet) = &fleet {
                 fleet.clone().run(link_listener).await;
             }
         };
-        // A panic in one of these ends the process. Tasks that they spawn, such as those of the fleet, are detached: a panic there ends
-        // only the task.
+        // A panic in one of these background tasks ends the process. The tasks that they spawn in turn, such as those of the fleet, are
+        // detached: a panic in a detached task ends only that task.
         let background = async {
             tokio::join!(
-                participating,
+                fleet_task,
                 engine.run(),
                 pool.run_expiry_loop(idle_close_reporter(&handle)),
                 server.measure_event_loop_delay(),
                 server.run_expiry_loop(),
-                reloading,
-                coordinating
+                reload_task,
+                hot_restart_task
             )
         };
         tokio::pin!(background);
@@ -100,7 +100,7 @@
 }
 
 impl ClientService {
-    /// Accepts clients as soon as the process may serve.
+    /// Waits until the process may serve clients, then accepts their connections.
     async fn serve(&self, snapshot: Option<Snapshot>) {
         self.wait_until_ready(snapshot).await;
         if let Some(reason) = self.service.cannot_serve_reason() {
@@ -109,8 +109,8 @@
         self.server.clone().accept(&self.listener).await;
     }
 
-    /// Waits for discovery's first answer, and for what else a successor has to wait for. The snapshot is restored in between: it is
-    /// about endpoints of the list.
+    /// Waits for discovery's first answer, then restores the snapshot, which refers to endpoints of the received list, and then waits
+    /// for the other conditions that a successor has to meet before it serves.
     async fn wait_until_ready(&self, snapshot: Option<Snapshot>) {
         while self.service.waiting_for() == Some(StartupWait::Discovery) {
             sleep(STARTUP_CHECK_INTERVAL).await;
@@ -130,8 +130,8 @@
     }
 }
 
-/// The folder in which successive processes of one gateway meet, if the platform replaces them. Without `TMPDIR` there is none, and a
-/// hot restart goes without snapshot and without sharing of the descriptor limit.
+/// The folder that successive processes of a gateway share, if the platform performs hot restarts. Without `TMPDIR` there is no such
+/// folder, and a hot restart works without a snapshot and without sharing the descriptor limit.
 fn shared_state_folder(ownership: ListenerOwnership) -> Option<PathBuf> {
     match ownership {
         ListenerOwnership::Shared => env::var_os("TMPDIR").map(PathBuf::from),
@@ -139,7 +139,7 @@
     }
 }
 
-/// Reports idle connections that endpoints have closed to the engine.
+/// Returns a callback that reports to the engine each idle connection that its endpoint has closed.
 fn idle_close_reporter(handle: &EngineHandle) -> impl Fn(ClosedIdleConnection) {
     let engine = handle.clone();
     move |closed: ClosedIdleConnection| {
--- a/crates/gateway/src/lifecycle/service_state.rs
+++ b/crates/gateway/src/lifecycle/service_state.rs
@@ -1,5 +1,5 @@
-//! Start-up, drain and shutdown state of this process. The servers read it and report to it. Times given to [`Drain`] are durations
-//! since the creation of this state.
+//! The start-up, drain and shutdown state of this process, which the servers read and update. Times passed to [`Drain`] are durations
+//! since the creation of the service state.
 
 use crate::engine::message::{EngineHandle, Message};
 use crate::fleet::Fleet;
@@ -12,7 +12,7 @@
 use weldworks_control::drain::{Drain, DrainSettings};
 use weldworks_control::hot_restart::{Startup, StartupProgress, StartupWait};
 
-/// The service state of this process.
+/// The start-up, drain and shutdown state of this process.
 pub struct ServiceState {
     start: Instant,
     drain: RefCell<Drain>,
@@ -20,7 +20,7 @@
     engine: EngineHandle,
     any_endpoint_accepts: Rc<Cell<bool>>,
     startup: Startup,
-    /// Notified at each change of the drain.
+    /// Notified at each change of the drain state.
     pub drain_changed: Notify,
     /// Notified at the start of the shutdown.
     pub shutdown_started: Notify,
@@ -30,7 +30,7 @@
 }
 
 impl ServiceState {
-    /// Creates the state of a process that starts now.
+    /// Creates the service state of a process that starts now.
     pub fn new(
         drain_settings: DrainSettings,
         engine: EngineHandle,
@@ -57,7 +57,7 @@
         self.start.elapsed()
     }
 
-    /// What the process waits for before it accepts clients, if anything.
+    /// The condition that the process waits for before it accepts clients; `None` if it need not wait.
     pub fn waiting_for(&self) -> Option<StartupWait> {
         let progress = StartupProgress {
             discovery_answered: self.engine.discovery_answered(),
@@ -66,8 +66,8 @@
         self.startup.waiting_for(self.now(), progress)
     }
 
-    /// Why this process cannot serve; none if it can. A drain is no such reason: a drained gateway still serves its clients, and
-    /// `/_ready` of the admin API, which answers by this, says `yes`.
+    /// Why this process cannot serve; `None` if it can. A drain is not a reason: a draining gateway still serves its clients, and the
+    /// admin call `/_ready`, which returns this reason, then answers `yes`.
     pub fn cannot_serve_reason(&self) -> Option<&'static str> {
         match self.waiting_for() {
             _ if self.is_shutting_down() => Some("stopping"),
@@ -82,21 +82,21 @@
         self.cannot_serve_reason().is_none() && self.drain.borrow().is_ready()
     }
 
-    /// Starts a drain. Gives whether there was none.
+    /// Starts a drain. Returns false if the process was draining already.
     pub fn start_drain(&self) -> bool {
         let has_changed = self.drain.borrow_mut().start_draining(self.now());
         self.drain_changed.notify_one();
         has_changed
     }
 
-    /// Takes a drain back. Gives whether there was one.
+    /// Cancels a drain. Returns whether the process was draining.
     pub fn end_drain(&self) -> bool {
         let has_changed = self.drain.borrow_mut().cancel_draining();
         self.drain_changed.notify_one();
         has_changed
     }
 
-    /// Starts the shutdown. Called again, it changes nothing.
+    /// Starts the shutdown of the process. A repeated call changes nothing.
     pub fn begin_shutdown(&self) {
         self.drain.borrow_mut().begin_shutdown(self.now());
         self.shutdown_started.notify_one();
@@ -107,37 +107,37 @@
         self.drain_changed.notify_one();
     }
 
-    /// Sets the longest time that a client waits for a response.
+    /// Sets the longest time for which any client waits for a response.
     pub fn set_longest_deadline(&self, deadline: Duration) {
         self.drain.borrow_mut().set_longest_deadline(deadline);
     }
 
-    /// Whether the shutdown has started.
+    /// Whether the shutdown of the process has started.
     pub fn is_shutting_down(&self) -> bool {
         self.drain.borrow().is_shutting_down()
     }
 
-    /// Whether a response ends its connection.
+    /// Whether responses close their connection, as during a drain or shutdown.
     pub fn sends_connection_close(&self) -> bool {
         self.drain.borrow().sends_connection_close(self.now())
     }
 
-    /// Records that a connection has been accepted.
+    /// Records that a client connection has been accepted now.
     pub fn record_accept(&self) {
         self.last_accept.set(self.now());
     }
 
-    /// Until when connections are accepted; none while that has no end.
+    /// Until when client connections are accepted; `None` while there is no deadline.
     pub fn accept_deadline(&self) -> Option<Instant> {
         Some(self.start + self.drain.borrow().accept_deadline(self.last_accept.get())?)
     }
 
-    /// Idle time after which a client connection is closed during a drain or shutdown; none in normal service.
+    /// Idle time after which a client connection is closed during a drain or shutdown; `None` in normal service.
     pub fn idle_limit(&self) -> Option<Duration> {
         self.drain.borrow().idle_limit(self.now(), self.last_accept.get())
     }
 
-    /// Whether an unused connection is still exempt from [`ServiceState::idle_limit`], because its first request may be on its way.
+    /// Whether unused connections are still exempt from [`ServiceState::idle_limit`], because their first request may be on its way.
     pub fn awaits_first_request(&self) -> bool {
         self.drain.borrow().awaits_first_request(self.now())
     }
--- a/crates/gateway/src/lifecycle/shutdown.rs
+++ b/crates/gateway/src/lifecycle/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown after SIGTERM.
+//! Graceful shutdown of the gateway after SIGTERM.
 
 use super::listeners::ListenerOwnership;
 use super::running::ClientService;
@@ -6,24 +6,24 @@
 use tokio::time::{sleep_until, Instant};
 
 impl ClientService {
-    /// Ends the service, in four steps whose times are computed in `weldworks_control::drain`:
+    /// Shuts down the service of clients, in four steps whose deadlines are computed in `weldworks_control::drain`:
     ///
     /// 1. Accepts connections until the accept deadline, which moves with each accept.
-    /// 2. Own listener: accepts the rest of the kernel's queue, until the shutdown deadline at the latest. Shared listener: leaves
-    ///    the queue to the successor.
-    /// 3. Waits for all connections. Idle ones are closed within the idle limit, and open requests are answered by the shutdown
-    ///    deadline unless their body is still arriving. A streamed response ends only by its client or endpoint, so this step has no
-    ///    upper bound of its own.
+    /// 2. With a listener of its own, accepts the rest of the kernel's accept queue, until the shutdown deadline at the latest. With a
+    ///    shared listener, leaves the connections in the accept queue to the successor.
+    /// 3. Waits for all connections to end. Idle connections are closed within the idle limit, and open requests are answered by the
+    ///    shutdown deadline unless their body is still arriving. A streamed response is ended only by its client or endpoint, so step 3
+    ///    has no upper bound of its own.
     /// 4. Ends the fleet session.
     pub(super) async fn shut_down(self) {
         let ClientService { handle, server, service, fleet, listener, ownership } = self;
         tokio::select! {
-            biased; // the deadline first: once it has passed no connection may be accepted
+            biased; // checks the accept deadline first: once the deadline has passed, no connection may be accepted
             () = wait_for_accept_deadline(&service) => {}
             () = server.clone().accept(&listener) => {}
         }
         match ownership {
-            // The connections in the accept queue are the successor's.
+            // The connections in the accept queue of a shared listener are left to the successor.
             ListenerOwnership::Shared => drop(listener),
             ListenerOwnership::Own => {
                 let deadline = handle.shutdown_deadline().unwrap_or_else(Instant::now);
@@ -37,7 +37,7 @@
     }
 }
 
-/// Waits until no more connections are to be accepted.
+/// Waits until the accept deadline has passed, which may change while waiting.
 async fn wait_for_accept_deadline(service: &ServiceState) {
     loop {
         match service.accept_deadline() {
--- a/crates/gateway/src/lifecycle/signals.rs
+++ b/crates/gateway/src/lifecycle/signals.rs
@@ -3,16 +3,16 @@
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// The streams of handled signals.
+/// Streams of the signals that the process handles.
 pub(super) struct Signals {
-    /// SIGTERM: shut down.
+    /// SIGTERM, which shuts the process down.
     pub(super) terminate: Signal,
-    /// SIGHUP: reload the platform's file.
+    /// SIGHUP, which reloads the platform's file.
     pub(super) hang_up: Signal,
 }
 
 impl Signals {
-    /// Installs the handlers; from now on neither signal ends the process by itself.
+    /// Installs the signal handlers; from now on neither SIGTERM nor SIGHUP ends the process by its default action.
     pub(super) fn install() -> io::Result<Signals> {
         let terminate = signal(SignalKind::terminate())?;
         let hang_up = signal(SignalKind::hangup())?;
--- a/crates/gateway/src/lifecycle/startup.rs
+++ b/crates/gateway/src/lifecycle/startup.rs
@@ -1,4 +1,4 @@
-//! Assembles a gateway: reads the configuration, creates the parts and connects them.
+//! Assembles a gateway: reads the configuration, creates the gateway's parts and connects them.
 
 use super::listeners::{listen_for_admin, listen_for_clients, listen_for_peers, ListenerOwnership};
 use super::reload::{longest_deadline, ConfigReloader};
@@ -28,7 +28,7 @@
 use weldworks_control::drain::DrainSettings;
 use weldworks_fleet::settings::FleetSettings;
 
-/// Reads the platform's file and fits its descriptor limit to the system's and to the fleet's needs.
+/// Reads the platform's file, lowers its descriptor limit to the system's, and reserves the descriptors that the fleet needs.
 pub(super) fn load_config(operator: &OperatorFile) -> Result<PlatformConfig, ConfigError> {
     let mut config = PlatformConfig::at_start()?;
     if let Some(system_limit) = getrlimit(Resource::Nofile).current {
@@ -39,7 +39,7 @@
     Ok(config)
 }
 
-/// Creates the parts of a gateway and binds its addresses. The admin API answers from here on.
+/// Creates the parts of a gateway and binds its addresses. Once this has returned, the admin API answers calls.
 pub(super) fn assemble(
     config: PlatformConfig,
     operator: OperatorFile,
@@ -80,7 +80,7 @@
     Ok(Gateway { engine, pool, clients, link_listener, budget, reloader })
 }
 
-/// What a fleet compares of this process's files.
+/// The configuration version of this process, which the gateways of a fleet compare.
 fn config_version(config: &PlatformConfig, operator: &OperatorFile) -> ConfigVersion {
     ConfigVersion {
         config_digest: config.site_digest(),
@@ -94,14 +94,14 @@
     DescriptorBudget::new(&config.limits, admin_api)
 }
 
-/// This gateway's part in a fleet; nothing outside of one.
+/// This gateway's part in a fleet; both fields are `None` outside a fleet.
 struct FleetParts {
     fleet: Option<Rc<Fleet>>,
-    /// None outside of a fleet, and while the process to be replaced has the address.
+    /// The listener for links from other gateways; also `None` while the predecessor still uses the address.
     link_listener: Option<TcpListener>,
 }
 
-/// Creates this gateway's part in the fleet of the operator's file, if there is one, and connects the engine to it.
+/// Creates this gateway's part in the fleet, if the operator's file describes a fleet, and connects the engine to it.
 fn join_fleet(
     settings: Option<(FleetSettings, ConfigVersion)>,
     engine: &mut Engine,
@@ -117,7 +117,7 @@
     Ok(FleetParts { fleet: Some(fleet), link_listener })
 }
 
-/// Starts the admin API on its own address.
+/// Starts the admin API on the address configured for it.
 fn start_admin_api(
     address: SocketAddr,
     budget: &DescriptorBudget,
@@ -129,7 +129,7 @@
     Ok(())
 }
 
-/// The clients' listener: the one handed on, or a new one.
+/// The clients' listener: the inherited listener, or else a new one.
 fn client_listener(
     inherited: Option<std::net::TcpListener>,
     address: SocketAddr,
