--- a/crates/gateway/src/transport/client_liveness.rs
+++ b/crates/gateway/src/transport/client_liveness.rs
@@ -43,7 +43,7 @@
 
     /// Whether an attempt may begin: the client waits for an answer, and its close would have been noticed if it had arrived. With many
     /// unread bytes on the connection, the close may still be held up in the send buffer of the client's machine.
-    pub fn may_begin(&self) -> bool {
+    pub fn may_begin_attempt(&self) -> bool {
         let may_hide_close = || self.probe.as_ref().is_some_and(SocketProbe::may_hide_close);
         let is_recent = || self.request_read_at.elapsed() < ASSUMED_CONNECTED_AFTER_READ;
         self.is_wanted() && (is_recent() || !may_hide_close())
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -90,7 +90,7 @@
     /// socket, and for a streamed body `StreamingRequestBody`, which holds back the end until the client has been looked for.
     fn may_be_written(&self) -> bool {
         let has_client = match &self.request.body {
-            RequestPayload::Buffered(_) => self.liveness.may_begin(),
+            RequestPayload::Buffered(_) => self.liveness.may_begin_attempt(),
             // Unread bytes behind the head are the body's own, and say nothing of the client.
             RequestPayload::Streaming(upload) => self.liveness.is_wanted() && !upload.time_left().is_zero(),
         };
