--- a/crates/gateway/src/transport/client_liveness.rs
+++ b/crates/gateway/src/transport/client_liveness.rs
@@ -12,7 +12,7 @@
 /// The client of one request.
 #[derive(Debug)]
 pub struct ClientLiveness {
-    is_wanted: Cell<bool>,
+    is_waiting: Cell<bool>,
     /// When the client's request was read.
     request_read_at: Instant,
     /// A probe of the client's connection; `None` only in tests, for a client without a connection.
@@ -22,23 +22,23 @@
 impl ClientLiveness {
     /// Creates the state of a client that waits for an answer on the probed connection.
     pub fn new(probe: SocketProbe) -> ClientLiveness {
-        ClientLiveness { is_wanted: Cell::new(true), request_read_at: Instant::now(), probe: Some(probe) }
+        ClientLiveness { is_waiting: Cell::new(true), request_read_at: Instant::now(), probe: Some(probe) }
     }
 
     /// Creates the state of a client without a connection, which waits for an answer until [`ClientLiveness::end`] is called.
     #[cfg(test)]
     pub fn unobserved() -> ClientLiveness {
-        ClientLiveness { is_wanted: Cell::new(true), request_read_at: Instant::now(), probe: None }
+        ClientLiveness { is_waiting: Cell::new(true), request_read_at: Instant::now(), probe: None }
     }
 
     /// Records that the client no longer waits for an answer; returns whether it was waiting until now.
     pub fn end(&self) -> bool {
-        self.is_wanted.replace(false)
+        self.is_waiting.replace(false)
     }
 
     /// Whether the client waits for an answer, by what [`ClientLiveness::end`] has recorded and without a check of its socket.
-    pub fn is_wanted(&self) -> bool {
-        self.is_wanted.get()
+    pub fn is_waiting(&self) -> bool {
+        self.is_waiting.get()
     }
 
     /// Whether an attempt may begin: the client waits for an answer, and its close would have been noticed if it had arrived. With many
@@ -46,11 +46,11 @@
     pub fn may_begin_attempt(&self) -> bool {
         let may_hide_close = || self.probe.as_ref().is_some_and(SocketProbe::may_hide_close);
         let is_recent = || self.request_read_at.elapsed() < ASSUMED_CONNECTED_AFTER_READ;
-        self.is_wanted() && (is_recent() || !may_hide_close())
+        self.is_waiting() && (is_recent() || !may_hide_close())
     }
 
     /// Whether the client is still connected, by a check of its socket; to be called once all bytes of its request have been read.
     pub fn is_connected(&self) -> bool {
-        self.is_wanted() && !self.probe.as_ref().is_some_and(SocketProbe::is_closed)
+        self.is_waiting() && !self.probe.as_ref().is_some_and(SocketProbe::is_closed)
     }
 }
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -92,7 +92,7 @@
         let has_client = match &self.request.body {
             RequestPayload::Buffered(_) => self.liveness.may_begin_attempt(),
             // Unread bytes behind the head are the body's own, and say nothing of the client.
-            RequestPayload::Streaming(upload) => self.liveness.is_wanted() && !upload.time_left().is_zero(),
+            RequestPayload::Streaming(upload) => self.liveness.is_waiting() && !upload.time_left().is_zero(),
         };
         has_client
             && self.endpoint.accepts_requests.get()
