--- a/crates/gateway/src/engine/request_events.rs
+++ b/crates/gateway/src/engine/request_events.rs
@@ -23,7 +23,7 @@
         if !self.requests.reserve_request_id(&arrival.request_id) {
             // An endpoint could not tell it from another attempt of the earlier request with this id, which may be answered already and
             // have an attempt in flight. Nothing is logged: the client sees status 409.
-            arrival.client.end();
+            arrival.client.stop_waiting();
             let _ = arrival.answer.send(FinalAnswer::Failed(StatusCode::CONFLICT)); // may have disconnected
             return;
         }
@@ -76,14 +76,14 @@
             fleet.record_decision(DecisionKind::Reject, arrival.request.class, request_id, None);
             advised = fleet.retry_after();
         }
-        arrival.client.end();
+        arrival.client.stop_waiting();
         let retry_after = advised.min(self.settings.max_retry_after);
         let _ = arrival.answer.send(FinalAnswer::Rejected { retry_after }); // may have disconnected
     }
 
     pub(super) fn handle_client_disconnect(&mut self, id: RequestId) {
         if let Some(entry) = self.requests.get_mut(id) {
-            entry.client.end();
+            entry.client.stop_waiting();
             entry.answer = None;
             self.abandon(id);
         }
--- a/crates/gateway/src/engine/request_table.rs
+++ b/crates/gateway/src/engine/request_table.rs
@@ -43,7 +43,7 @@
 impl RequestEntry {
     /// Sends the final answer, unless one was sent. No attempt starts from here on.
     pub(super) fn finish(&mut self, answer: FinalAnswer) {
-        self.client.end();
+        self.client.stop_waiting();
         if let Some(sender) = self.answer.take() {
             let _ = sender.send(answer); // a disconnected client wants none
         }
--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -70,7 +70,7 @@
 impl Drop for PendingRequest {
     fn drop(&mut self) {
         // The disconnect is recorded before the message is sent: an attempt that is about to be written checks that record.
-        if self.client.end() {
+        if self.client.stop_waiting() {
             self.engine.send(Message::ClientDisconnected(self.id));
         }
     }
@@ -224,7 +224,7 @@
             client,
         })));
         let decided = decided.await;
-        pending.client.end();
+        pending.client.stop_waiting();
         decided.unwrap_or(FinalAnswer::Failed(StatusCode::BAD_GATEWAY))
     }
 
--- a/crates/gateway/src/transport/client_liveness.rs
+++ b/crates/gateway/src/transport/client_liveness.rs
@@ -25,18 +25,18 @@
         ClientLiveness { is_waiting: Cell::new(true), request_read_at: Instant::now(), probe: Some(probe) }
     }
 
-    /// Creates the state of a client without a connection, which waits for an answer until [`ClientLiveness::end`] is called.
+    /// Creates the state of a client without a connection, which waits for an answer until [`ClientLiveness::stop_waiting`] is called.
     #[cfg(test)]
     pub fn unobserved() -> ClientLiveness {
         ClientLiveness { is_waiting: Cell::new(true), request_read_at: Instant::now(), probe: None }
     }
 
     /// Records that the client no longer waits for an answer; returns whether it was waiting until now.
-    pub fn end(&self) -> bool {
+    pub fn stop_waiting(&self) -> bool {
         self.is_waiting.replace(false)
     }
 
-    /// Whether the client waits for an answer, by what [`ClientLiveness::end`] has recorded and without a check of its socket.
+    /// Whether the client waits for an answer, by what [`ClientLiveness::stop_waiting`] has recorded and without a check of its socket.
     pub fn is_waiting(&self) -> bool {
         self.is_waiting.get()
     }
