--- a/crates/gateway/src/engine/tests.rs
+++ b/crates/gateway/src/engine/tests.rs
@@ -22,7 +22,7 @@
     let number = HeaderValue::from(request.id.0);
     let class = weldworks_balancer::RequestClass::new(Duration::from_secs(10), Duration::from_secs(30));
     let class = Rc::new(RegisteredClass { name: "look".into(), number: 0, class });
-    let client = Rc::new(ClientLiveness::unobserved());
+    let client = Rc::new(ClientLiveness::without_connection());
     (Box::new(Arrival { request, request_id: number, forward, class, answer, client }), receiver)
 }
 
--- a/crates/gateway/src/transport/client_liveness.rs
+++ b/crates/gateway/src/transport/client_liveness.rs
@@ -27,7 +27,7 @@
 
     /// Creates the state of a client without a connection, which waits for an answer until [`ClientLiveness::stop_waiting`] is called.
     #[cfg(test)]
-    pub fn unobserved() -> ClientLiveness {
+    pub fn without_connection() -> ClientLiveness {
         ClientLiveness { is_waiting: Cell::new(true), request_read_at: Instant::now(), probe: None }
     }
 
