--- a/crates/gateway/src/lifecycle/listener_inheritance.rs
+++ b/crates/gateway/src/lifecycle/listener_inheritance.rs
@@ -14,11 +14,11 @@
 pub enum InheritedListenerError {
     /// The value of the environment variable is not a descriptor number.
     #[error(
-        "{DESCRIPTOR_VARIABLE}: {0:?} is no number of a descriptor; name the clients' listening socket, or unset it"
+        "{DESCRIPTOR_VARIABLE}: {0:?} is not a descriptor number; set the number of the clients' listening socket, or unset the variable"
     )]
     NotANumber(String),
     /// The descriptor is not a listening TCP socket.
-    #[error("{DESCRIPTOR_VARIABLE}: descriptor {fd} is no listening TCP socket ({reason}); hand the clients' listener on, or unset it")]
+    #[error("{DESCRIPTOR_VARIABLE}: descriptor {fd} is not a listening TCP socket ({reason}); pass on the clients' listener, or unset the variable")]
     NotAListener {
         /// The number of the descriptor.
         fd: u32,
--- a/crates/gateway/tests/day_by_day/upgrade.rs
+++ b/crates/gateway/tests/day_by_day/upgrade.rs
@@ -162,9 +162,11 @@
     let discovery = ScriptedRegister::start();
     let text = config(&discovery.address.to_string(), 256, &[]).to_string();
     write_config(&PROGRAM, "handed", &text);
-    for (value, told) in
-        [("four", "no number"), ("77", "no listening TCP socket"), ("0", "no listening TCP socket")]
-    {
+    for (value, told) in [
+        ("four", "not a descriptor number"),
+        ("77", "not a listening TCP socket"),
+        ("0", "not a listening TCP socket"),
+    ] {
         let output = std::process::Command::new(PROGRAM.path)
             .env("ROUTER_CONFIG", format!("{}/handed.json", PROGRAM.folder))
             .env("ROUTER_INHERITED_FD", value)
