--- a/crates/gateway/src/discovery/endpoint_list.rs
+++ b/crates/gateway/src/discovery/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The endpoint list as discovery sends it, and the faults that its entries may have.
 //!
-//! Only this module maps the field names of the discovery protocol: the private types of `wire` are converted into the public types
-//! of this module while a list is parsed.
+//! Only this module maps the field names of the discovery protocol.
+//! The private types of `wire` are converted into the public types of this module while a list is parsed.
 
 use rustc_hash::FxHashSet;
 use serde::Deserialize;
--- a/crates/gateway/src/discovery/message_reader.rs
+++ b/crates/gateway/src/discovery/message_reader.rs
@@ -28,8 +28,8 @@
     KeepAlive,
 }
 
-/// Buffers received bytes and splits them into messages. Each byte is scanned once, so that a long list costs no more in many reads
-/// than in a single read.
+/// Buffers received bytes and splits them into messages.
+/// Each byte is scanned once, so that a long list costs no more in many reads than in a single read.
 #[derive(Debug, Default)]
 pub struct WatchMessageReader {
     buffer: Vec<u8>,
--- a/crates/gateway/src/discovery/watch.rs
+++ b/crates/gateway/src/discovery/watch.rs
@@ -71,8 +71,8 @@
 
 /// Reports the end of a watch to the engine when it is dropped.
 ///
-/// The report is sent on drop so that the engine is notified also if the watch's task panics. Without the report the engine would wait
-/// for endpoint lists that never arrive.
+/// The report is sent on drop so that the engine is notified also if the watch's task panics.
+/// Without the report the engine would wait for endpoint lists that never arrive.
 struct WatchEndReporter {
     engine: EngineHandle,
     watch: u64,
@@ -104,8 +104,8 @@
     }
 
     async fn receive_until_error(&self, reporter: &WatchEndReporter) -> Result<(), WatchError> {
-        // A single deadline covers all steps up to the first message, so that a call which discovery accepts but never answers times out
-        // as early as one that discovery does not accept.
+        // A single deadline covers all steps up to the first message: a call that discovery accepts but never answers times out as early
+        // as a call that discovery does not accept.
         let deadline = Instant::now() + self.delivery.first_message_timeout();
         let call = timeout_at(deadline, self.open()).await??;
         if call.response.status() != StatusCode::OK {
@@ -145,8 +145,8 @@
 
     /// Reads messages and sends their lists to the engine, until no complete message arrives within the timeout.
     ///
-    /// TCP keep-alive may not notice that discovery's machine has vanished: only complete lists and empty lines prove that discovery is
-    /// alive. A list that never ends does not count, even if further bytes of it keep arriving.
+    /// TCP keep-alive does not notice that discovery's machine has vanished: only complete lists and empty lines prove that it is alive.
+    /// A list that never ends does not prove that discovery is alive, even if further bytes of the list keep arriving.
     async fn read_messages(
         &self,
         response: Response<Incoming>,
--- a/crates/gateway/src/lifecycle/hot_restart.rs
+++ b/crates/gateway/src/lifecycle/hot_restart.rs
@@ -1,6 +1,6 @@
 //! Hot restart: a new process of a gateway replaces the old one while both run. Each process detects the other by lock files in a folder
-//! that they share. The old process also writes a snapshot of its learned state to this folder, for the new process to restore. Neither
-//! process waits for the other.
+//! that they share. The old process also writes a snapshot of its learned state to this folder, for the new process to restore.
+//! Neither process waits for the other.
 
 use super::service_state::ServiceState;
 use crate::engine::message::{EngineHandle, Message};
@@ -86,8 +86,8 @@
 }
 
 /// Coordinates with another process of this gateway until this process shuts down. While both run, each process publishes how many
-/// descriptors it has open and reserves as many as the other has published; a predecessor that already drains is no longer counted. The
-/// active process also writes the snapshot.
+/// descriptors it has open and reserves as many as the other has published; a predecessor that already drains is no longer counted.
+/// The active process also writes the snapshot.
 pub async fn run(folder: &Path, engine: &EngineHandle, budget: &DescriptorBudget, service: &ServiceState) {
     let mut role = Role::Successor(None);
     let mut snapshot_written: Option<Instant> = None;
--- a/crates/gateway/src/lifecycle/listener_inheritance.rs
+++ b/crates/gateway/src/lifecycle/listener_inheritance.rs
@@ -48,8 +48,8 @@
     Ok(Some(listener))
 }
 
-/// Takes over a descriptor as a listener by means of a library that reads the environment variables of systemd's socket activation. The
-/// variables are set here, since the library takes over no descriptor without them.
+/// Takes over a descriptor as a listener by means of a library that reads the environment variables of systemd's socket activation.
+/// The variables are set here, since the library takes over no descriptor without them.
 fn take_listener(fd: u32) -> io::Result<Option<TcpListener>> {
     env::remove_var("LISTEN_PID");
     env::set_var("LISTEN_FDS", "1");
--- a/crates/gateway/src/lifecycle/log.rs
+++ b/crates/gateway/src/lifecycle/log.rs
@@ -44,8 +44,8 @@
 }
 
 impl LogSettings {
-    /// The log settings as text for the digest of the operator's file. Gateways of different builds compare digests, so the text keeps
-    /// the names of version 0.2.0.
+    /// The log settings as text for the digest of the operator's file.
+    /// The text keeps the names of version 0.2.0, since gateways of different builds compare digests.
     pub fn digest_text(&self) -> String {
         format!("Log {{ format: {:?}, level: {:?} }}", self.format, self.level)
     }
--- a/crates/gateway/src/lifecycle/service_state.rs
+++ b/crates/gateway/src/lifecycle/service_state.rs
@@ -117,7 +117,7 @@
         self.drain.borrow().is_shutting_down()
     }
 
-    /// Whether responses close their connection, as during a drain or shutdown.
+    /// Whether responses close their connection, as in the later part of a drain and during a shutdown.
     pub fn sends_connection_close(&self) -> bool {
         self.drain.borrow().sends_connection_close(self.now())
     }
--- a/crates/gateway/src/server/admin.rs
+++ b/crates/gateway/src/server/admin.rs
@@ -37,7 +37,7 @@
 /// The open connections to the admin API.
 struct Callers {
     quota: DescriptorQuota,
-    /// For each caller without a response, oldest first: notified when its connection is to be closed.
+    /// One entry per caller without a response, oldest first; notified when the caller's connection is to be closed.
     unanswered: RefCell<VecDeque<Rc<Notify>>>,
     slot_released: Notify,
 }
@@ -90,7 +90,7 @@
         failure_is_logged = false;
         // The new connection exceeds the quota by one descriptor until an older one is closed, which takes one turn of the event loop.
         let permit = callers.acquire_slot().await;
-        // The caller is registered before the next accept, since that may have to close the oldest caller at once.
+        // The caller is registered before the next accept, since the next accept may have to close the oldest caller's connection.
         let close_requested = callers.register();
         spawn_local(serve_call(stream, permit, close_requested, callers.clone(), service.clone()));
     }
--- a/crates/gateway/src/server/http/client_connection.rs
+++ b/crates/gateway/src/server/http/client_connection.rs
@@ -37,8 +37,8 @@
 
 impl ClientConnection {
     /// The earliest moment at which the data that was last read may have arrived; `None` if it can't have waited in the accept queue
-    /// together with its connection. The poller may report a new connection's data one event loop turn after the connection itself,
-    /// which [`READ_WITH_ACCEPT_WINDOW`] allows for.
+    /// together with its connection. [`READ_WITH_ACCEPT_WINDOW`] allows for a poller that reports the data of a new connection one
+    /// event loop turn after the connection itself.
     pub(super) fn data_queued_since(&self) -> Option<Instant> {
         let read_with_accept = |read_at: Instant| read_at <= self.accepted_at + READ_WITH_ACCEPT_WINDOW;
         self.queued_since.filter(|_| self.io_state.last_read_at.get().is_some_and(read_with_accept))
--- a/crates/gateway/src/server/http/client_table.rs
+++ b/crates/gateway/src/server/http/client_table.rs
@@ -14,8 +14,8 @@
 /// Idle time after which a client connection is closed while few connection slots are left.
 const IDLE_TIMEOUT_UNDER_PRESSURE: Duration = Duration::from_secs(2);
 /// Timeout for a complete request head, from the head's first byte; for the first head, from the accept of its connection. Clients must
-/// get a response to a malformed request within 3 s, and slow clients may take 2 s to send a head. Without this timeout a few silent
-/// clients would occupy all connection slots.
+/// get a response to a malformed request within 3 s, and slow clients may take 2 s to send a head.
+/// Without this timeout a few silent clients would occupy all connection slots.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Interval between searches for expired client connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
@@ -129,8 +129,8 @@
     }
 
     /// Closes the client connection that has been idle for longest. Its client may just be sending a request, so connections in steady
-    /// use are exempt. A new connection has a longer minimum, since clients expect that they may have to resend a later request on a
-    /// kept-alive connection, but not the first request on a new connection.
+    /// use are exempt. A new connection is exempt for longer, since its client does not expect to have to resend the first request, while
+    /// clients know that they may have to resend a later request on a kept-alive connection.
     pub(super) fn close_longest_idle(&self) {
         let connections = self.connections.borrow();
         let is_closable = |connection: &&Rc<ClientConnection>| {
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Waits until a connection slot may be free, for at most [`SLOT_RETRY_INTERVAL`]: nothing signals when a new connection has been
-    /// idle for long enough to be closed.
+    /// Waits until a connection slot may be free, for at most [`SLOT_RETRY_INTERVAL`].
+    /// The wait is limited because nothing signals when a new connection has been idle for long enough to be closed.
     pub(super) async fn wait_for_released_slot(&self) {
         let _ = timeout(SLOT_RETRY_INTERVAL, self.slot_released.notified()).await;
     }
--- a/crates/gateway/src/server/http/connection.rs
+++ b/crates/gateway/src/server/http/connection.rs
@@ -22,8 +22,8 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// Time that a connection has after the start of a graceful close to write a response or to receive the rest of a head. The time starts
-/// again while a request is in flight.
+/// Time that a connection has after the start of a graceful close to write a response or to receive the rest of a head.
+/// While a request is in flight, the time for the graceful close starts again.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How normal service of a client connection ended.
@@ -136,9 +136,9 @@
         if client.idle_since.get().is_none() {
             continue;
         }
-        // The close was decided by what had been read until then; a request that has arrived since is still served. The close is deferred
-        // only once per request: from a client that does not read its responses no request is read either, so its connection would
-        // never be closed.
+        // The close was decided by what had been read until then; a request that has arrived since is still served.
+        // The close is deferred only once per request: from a client that does not read its responses no request is read either, so
+        // without this limit the connection of such a client would never be closed.
         let request_count = Some(client.request_count.get());
         if !client.probe.has_unread() || deferred_at_request == request_count {
             return ConnectionEnd::Shutdown;
--- a/crates/gateway/src/server/http/request.rs
+++ b/crates/gateway/src/server/http/request.rs
@@ -167,8 +167,8 @@
         RequestHead::parse(parts, body_length, connection, settings, now)
     }
 
-    /// The earliest moment at which a request that has just been read completely may have arrived. A pipelined request may have
-    /// been read earlier: the time for which it waited for the response to the request before it counts, since its client waited too.
+    /// The earliest moment at which a request that has just been read completely may have arrived.
+    /// The time for which a pipelined request waited for the response to the request before it counts, since its client waited as well.
     fn received_at(&self, connection: &ClientConnection) -> Instant {
         let last_read = connection.io_state.last_read_at.get().unwrap_or_else(Instant::now);
         let read_at = last_read - self.event_loop_delay.current();
@@ -203,8 +203,8 @@
         }
     }
 
-    /// Hands a request to the engine and waits for the engine's answer. If this future is dropped before the answer, the engine is
-    /// notified that the client has disconnected.
+    /// Hands a request to the engine and waits for the engine's answer.
+    /// If this future is dropped before the answer, the engine is notified that the client has disconnected.
     async fn submit_to_engine(
         &self,
         request: weldworks_balancer::Request,
--- a/crates/gateway/src/transport/descriptor_budget.rs
+++ b/crates/gateway/src/transport/descriptor_budget.rs
@@ -5,8 +5,7 @@
 use std::rc::Rc;
 use weldworks_control::hot_restart::{remaining_descriptors, DescriptorUsage};
 
-/// Maximum memory of a client's connection and its request, in bytes: a body in each direction, the read buffer for a head, and the
-/// tasks.
+/// Maximum memory of a client's connection and its request, in bytes: a body in each direction, a head's read buffer, and the tasks.
 const MAX_CLIENT_MEMORY_BYTES: usize = 2 * MAX_BUFFERED_BODY_BYTES + MAX_READ_AHEAD_BYTES + (32 << 10);
 
 /// Number of descriptors of the process itself: standard streams, poller, wakers, signals, listener, discovery.
@@ -107,8 +106,8 @@
 
 impl DescriptorBudget {
     /// Divides the descriptors that the limits allow: after the process's own descriptors and those of the admin API, clients get half
-    /// of the rest, and endpoints the other half less the overflow quota. Clients together may use at most three quarters of the
-    /// memory, which may reduce their quota further.
+    /// of the rest, and endpoints the other half less the overflow quota.
+    /// Clients together may use at most three quarters of the memory, which may reduce their quota further.
     pub fn new(limits: &Limits, admin_api: AdminApi) -> DescriptorBudget {
         let admin = match admin_api {
             AdminApi::Enabled => {
--- a/crates/gateway/src/transport/instrumented_stream.rs
+++ b/crates/gateway/src/transport/instrumented_stream.rs
@@ -142,7 +142,7 @@
                 break;
             }
             if further_reads == 0 {
-                cx.waker().wake_by_ref(); // lets other tasks run
+                cx.waker().wake_by_ref(); // continues reading after other tasks have run
                 return Poll::Pending;
             }
             further_reads -= 1;
--- a/crates/gateway/src/transport/message_framing.rs
+++ b/crates/gateway/src/transport/message_framing.rs
@@ -4,8 +4,8 @@
 //! may hide another one: a peer that uses the length reads different requests than this gateway does (request smuggling). Therefore
 //! each head is scanned for both headers while it arrives. The scan buffers a few dozen bytes and skips over bodies.
 //!
-//! The HTTP library also rejects a body whose chunks carry 16 KiB of extensions in total. Chunk extensions have no use here, so the scan
-//! strips them.
+//! The HTTP library also rejects a body whose chunks carry 16 KiB of extensions in total.
+//! The scan strips chunk extensions from the bytes that are read, since nothing here uses them.
 
 const CONTENT_LENGTH: &[u8] = b"content-length";
 const TRANSFER_ENCODING: &[u8] = b"transfer-encoding";
@@ -16,7 +16,7 @@
 /// Length of the status code in a response's status line, in bytes.
 const STATUS_DIGITS: usize = 3;
 
-/// Maximum number of hexadecimal digits in a chunk size; a message with a longer one is no longer tracked.
+/// Maximum number of hexadecimal digits in a chunk size; a message with a longer chunk size is no longer tracked.
 const MAX_CHUNK_SIZE_DIGITS: u32 = 15;
 
 /// Length of the line break after a chunk's data, in bytes.
@@ -124,8 +124,8 @@
         MessageFraming { kind: MessageKind::Responses, ..MessageFraming::default() }
     }
 
-    /// Whether the head of the request with this number, counted from 1, was received completely and has at most one of the headers
-    /// `Content-Length` and `Transfer-Encoding`.
+    /// Whether the head of the request with this number, counted from 1, was received completely
+    /// and has at most one of the headers `Content-Length` and `Transfer-Encoding`.
     pub fn is_unambiguous(&self, number: u64) -> bool {
         self.complete_heads >= number && self.ambiguous_request.is_none_or(|ambiguous| number < ambiguous)
     }
--- a/crates/gateway/src/transport/socket_probe.rs
+++ b/crates/gateway/src/transport/socket_probe.rs
@@ -8,8 +8,8 @@
 use tokio::net::TcpStream;
 
 /// Number of unread bytes that may hide the peer's close: with this many unread, the peer may have sent more than fits into the receive
-/// buffer, and the close only arrives after those bytes. This is a quarter of the smallest receive buffer. A client that sends one
-/// request at a time leaves no bytes unread.
+/// buffer, and the close only arrives after those bytes. This is a quarter of the smallest receive buffer.
+/// A client that sends one request at a time leaves no bytes unread.
 const UNREAD_BYTES_THAT_MAY_HIDE_CLOSE: u64 = 16 << 10;
 
 /// Checks the state of a connection from outside the task that reads it.
--- a/crates/gateway/src/transport/stream.rs
+++ b/crates/gateway/src/transport/stream.rs
@@ -3,8 +3,8 @@
 //! The poller reports each change of readiness once. The runtime's own stream clears a socket's readiness as soon as a call transfers
 //! fewer bytes than requested, which saves a call that would only return "would block". Linux does not guarantee that the next call
 //! would block: a read ends early at out-of-band data, and both reads and writes end early at a signal. The remaining bytes would then
-//! wait for a change of readiness that never comes, and the connection would hang. This stream clears readiness only after "would
-//! block", and repeats an interrupted call.
+//! wait for a change of readiness that never comes, and the connection would hang.
+//! This stream clears readiness only after "would block", and repeats an interrupted call.
 
 use std::io;
 use std::pin::Pin;
