--- a/crates/gateway/src/discovery/message_reader.rs
+++ b/crates/gateway/src/discovery/message_reader.rs
@@ -14,7 +14,7 @@
     /// The stream holds something other than an endpoint list.
     #[error("received data is not an endpoint list: {0}; check discovery, or the service that answers at its address")]
     Malformed(#[from] serde_json::Error),
-    /// An endpoint list is longer than [`MAX_LIST_BYTES`].
+    /// An endpoint list is longer than the maximum length of a list.
     #[error("received an endpoint list longer than {MAX_LIST_BYTES} bytes")]
     TooLong,
 }
