--- a/crates/gateway/src/server/http/accept.rs
+++ b/crates/gateway/src/server/http/accept.rs
@@ -84,7 +84,8 @@
     }
 
     /// Accepts the connections that still wait in the accept queue, until the deadline at the latest, then closes the listener; the
-    /// kernel resets the connections left in the queue. Every failed accept is logged, also repeated failures.
+    /// kernel resets the connections left in the queue. Every failed accept is logged, also a repeated failure, except where only the
+    /// connection to be accepted has failed.
     pub async fn drain_backlog(self: &Rc<Self>, listener: TcpListener, deadline: Instant) {
         while Instant::now() < deadline {
             let Some(permit) = self.clients.acquire_permit() else {
--- a/crates/gateway/src/transport/system_errors.rs
+++ b/crates/gateway/src/transport/system_errors.rs
@@ -35,8 +35,8 @@
     }
 }
 
-/// Whether an error of socket(2) or connect(2) was caused by this machine and not by the endpoint: no descriptor, port, memory or route.
-/// Nothing has been sent in that case, and connecting to any other endpoint would fail as well.
+/// Whether an error of socket(2) or connect(2) was caused by this machine and not by the endpoint: no descriptor, port, memory or route,
+/// or a call that was interrupted or aborted here. Nothing has been sent in that case, and other endpoints would not fare better.
 pub fn is_local_connect_failure(error: &io::Error) -> bool {
     matches!(
         Errno::from_io_error(error),
