--- a/crates/gateway/src/engine/request_events.rs
+++ b/crates/gateway/src/engine/request_events.rs
@@ -24,7 +24,7 @@
             // An endpoint could not tell this request from another attempt of the earlier request with the same `X-Request-ID`.
             // The earlier request may be answered already and have an attempt in flight.
             // Nothing is logged about the duplicate `X-Request-ID`: the client sees status 409.
-            arrival.client.end();
+            arrival.client.stop_waiting();
             let _ = arrival.answer.send(FinalAnswer::Failed(StatusCode::CONFLICT)); // the client may have disconnected
             return;
         }
@@ -77,14 +77,14 @@
             fleet.record_decision(DecisionKind::Reject, arrival.request.class, request_id, None);
             fleet_retry_after = fleet.retry_after();
         }
-        arrival.client.end();
+        arrival.client.stop_waiting();
         let retry_after = fleet_retry_after.min(self.settings.max_retry_after);
         let _ = arrival.answer.send(FinalAnswer::Rejected { retry_after }); // the client may have disconnected
     }
 
     pub(super) fn handle_client_disconnect(&mut self, id: RequestId) {
         if let Some(entry) = self.requests.get_mut(id) {
-            entry.client.end();
+            entry.client.stop_waiting();
             entry.answer = None;
             self.abandon(id);
         }
--- a/crates/gateway/src/engine/request_table.rs
+++ b/crates/gateway/src/engine/request_table.rs
@@ -43,7 +43,7 @@
 impl RequestEntry {
     /// Sends the request's final answer, unless it was sent before. No attempt of the request begins after this.
     pub(super) fn finish(&mut self, answer: FinalAnswer) {
-        self.client.end();
+        self.client.stop_waiting();
         if let Some(sender) = self.answer.take() {
             let _ = sender.send(answer); // sending fails where the client has disconnected
         }
--- a/crates/gateway/src/upstream/attempt.rs
+++ b/crates/gateway/src/upstream/attempt.rs
@@ -92,9 +92,9 @@
     /// - for a streamed body `StreamingRequestBody`, which delays the body's end until the client's connection was checked.
     fn may_be_written(&self) -> bool {
         let is_client_waiting = match &self.request.body {
-            RequestPayload::Buffered(_) => self.liveness.may_begin(),
+            RequestPayload::Buffered(_) => self.liveness.may_begin_attempt(),
             // Unread bytes behind the request head belong to the body, and don't show whether the client has disconnected.
-            RequestPayload::Streaming(upload) => self.liveness.is_wanted() && !upload.time_left().is_zero(),
+            RequestPayload::Streaming(upload) => self.liveness.is_waiting() && !upload.time_left().is_zero(),
         };
         is_client_waiting
             && self.endpoint.accepts_requests.get()
