--- a/crates/fleet/src/departures.rs
+++ b/crates/fleet/src/departures.rs
@@ -1,4 +1,4 @@
-//! Departures that other gateways' endpoint lists report and this gateway's own list does not show yet.
+//! Remote departures: endpoints that drain or were removed by other gateways' lists, which this gateway's own list does not show yet.
 
 use crate::state_machine::DepartedEndpoint;
 use std::collections::BTreeMap;
@@ -6,31 +6,31 @@
 /// Maximum number of endpoints whose remote departure is retained.
 const MAX_REMOTE_DEPARTURES: usize = 1024;
 
-/// A departure that another gateway's list reports.
+/// The departure of an endpoint that another gateway's list reports.
 #[derive(Clone, Copy, Debug)]
 struct RemoteDeparture {
     list_index: u64,
-    /// Whether the endpoint was removed; otherwise it drains.
+    /// Whether the endpoint was removed; otherwise the endpoint drains.
     removed: bool,
 }
 
 impl RemoteDeparture {
-    /// Whether this says at least as much as `other`: it is from a newer list, or from the same one and a removal.
+    /// Whether `other` adds nothing to this departure: this departure is from a newer list, or is a removal from the same list.
     fn supersedes(&self, other: &DepartedEndpoint) -> bool {
         self.list_index > other.list_index || (self.list_index == other.list_index && self.removed)
     }
 }
 
-/// Remote departures, by endpoint. Each counts until this gateway's own list is at least as new.
+/// Remote departures, by endpoint. Each departure applies until this gateway's own list is at least as new as the list that reported it.
 #[derive(Clone, Debug, Default)]
 pub struct RemoteDepartures {
     departures: BTreeMap<String, RemoteDeparture>,
 }
 
 impl RemoteDepartures {
-    /// Records departures that other gateways report, where `own_index` is the index of this gateway's list.
+    /// Records departures that other gateways report; `own_index` is the index of this gateway's list.
     ///
-    /// Returns the endpoints that get no new requests from now on, although the own list contains them.
+    /// Returns the endpoints that get no new requests from now on, although this gateway's list contains them.
     pub fn record_remote(&mut self, own_index: u64, reported: &[DepartedEndpoint]) -> Vec<String> {
         let mut newly_departed = Vec::new();
         for report in reported.iter().filter(|report| report.list_index > own_index) {
@@ -46,17 +46,17 @@
         newly_departed
     }
 
-    /// Drops the departures of lists that are not newer than this gateway's, which has reached `own_index`.
+    /// Drops the departures that were reported by lists no newer than this gateway's, whose index is now `own_index`.
     pub fn record_own_list(&mut self, own_index: u64) {
         self.departures.retain(|_, departure| departure.list_index > own_index);
     }
 
-    /// Whether an endpoint gets no new requests, although the own list contains it.
+    /// Whether an endpoint gets no new requests because of a remote departure, although this gateway's list contains the endpoint.
     pub fn overrides(&self, endpoint: &str) -> bool {
         !self.departures.is_empty() && self.departures.contains_key(endpoint)
     }
 
-    /// Drops all departures, because the own list has changed to another lineage.
+    /// Drops all departures, because this gateway's list has changed to another lineage.
     pub fn clear(&mut self) {
         self.departures.clear();
     }
--- a/crates/fleet/src/membership/mod.rs
+++ b/crates/fleet/src/membership/mod.rs
@@ -1,7 +1,7 @@
 //! Reachability of the other gateways, as this gateway and its peers see it.
 //!
-//! It is used to choose a replica to ask and to inform administrators. No decision of consensus depends on it: sessions end for want of
-//! renewals alone.
+//! Membership is used to choose the replica that requests are sent to, and to inform administrators. No decision of the consensus group
+//! depends on membership: sessions expire only because they are not renewed.
 
 mod peer_state;
 
@@ -13,11 +13,11 @@
 
 /// Interval between heartbeats on each link.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(250);
-/// Time without a message after which a peer whose link is up counts as silent.
+/// Time without a message from a peer after which the peer counts as silent although its link is up.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time without a message after which a link is considered half open and closed.
+/// Time without a message on a link after which the link counts as half open and is closed.
 pub const HALF_OPEN_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Time after which a view that a peer reported no longer counts.
+/// Time after which a view that a peer reported expires.
 const REMOTE_VIEW_TTL: Duration = Duration::from_millis(2000);
 
 /// Why a link is down.
@@ -25,23 +25,23 @@
 pub enum LinkFailure {
     /// The peer's machine refused the connection.
     Refused,
-    /// The connection could not be established for another reason, or broke.
+    /// The connection broke, or could not be established for a reason other than a refusal.
     Broken,
 }
 
-/// What is known of one peer.
+/// What this gateway knows of one peer.
 #[derive(Clone, Debug, Default)]
 struct Peer {
-    /// Process at the other end of the link, if the link is up.
+    /// Process of the peer that the link leads to, if the link is up.
     linked_process: Option<Incarnation>,
     last_message_at: Option<Duration>,
     link_failure: Option<LinkFailure>,
-    /// Views of this peer that other gateways reported, by reporter.
+    /// Views of this peer that other gateways reported, by the name of the reporting gateway.
     remote_views: BTreeMap<GatewayName, RemoteView>,
 }
 
 impl Peer {
-    /// Whether its link is up and has brought no message for `timeout`.
+    /// Whether the link to this peer is up and has brought no message for `timeout`.
     fn is_quiet_for(&self, timeout: Duration, now: Duration) -> bool {
         let Some(last_message_at) = self.last_message_at else { return false };
         self.linked_process.is_some() && now.saturating_sub(last_message_at) >= timeout
@@ -77,7 +77,7 @@
 }
 
 impl Membership {
-    /// Creates the membership of these peers, all of unknown state.
+    /// Creates the membership of the named peers, all of them in unknown state.
     pub fn new(names: impl Iterator<Item = GatewayName>) -> Membership {
         Membership { peers: names.map(|name| (name, Peer::default())).collect() }
     }
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Records the views that a peer reported of the others. A view of itself is ignored.
+    /// Records the views that a peer reported of other peers. A view that a peer reports of itself is ignored.
     pub fn record_views(&mut self, now: Duration, reporter: &str, views: &[(GatewayName, PeerView)]) {
         for (name, view) in views {
             if name == reporter {
@@ -117,15 +117,15 @@
         }
     }
 
-    /// Process at the other end of a peer's link, if the link is up.
+    /// Process that the link to a peer leads to, if the link is up.
     pub fn process(&self, name: &str) -> Option<Incarnation> {
         self.peers.get(name)?.linked_process
     }
 
-    /// Whether a link to this process may replace the one that is up.
+    /// Whether a link to `process` may replace the link to the same peer that is up, if there is one.
     ///
-    /// Two processes that run under one name by mistake would otherwise close each other's links for ever. A silent process, or the same
-    /// one on a new connection, gives way.
+    /// A link to a reachable process is not replaced by a link to another process of that name: two processes that run under one name by
+    /// mistake would close each other's links for ever. A link to a silent process, or an older link to the same process, is replaced.
     pub fn admits(&self, now: Duration, name: &str, process: Incarnation) -> bool {
         let is_other_process = self.process(name).is_some_and(|linked| linked != process);
         !(is_other_process && self.view(now, name) == PeerView::Reachable)
@@ -136,7 +136,7 @@
         self.peers.iter().filter(|(_, peer)| peer.linked_process.is_some()).map(|(name, _)| name)
     }
 
-    /// Peers whose link is up and has brought nothing for [`HALF_OPEN_TIMEOUT`].
+    /// Peers whose link is up and has brought no message for [`HALF_OPEN_TIMEOUT`].
     pub fn half_open(&self, now: Duration) -> Vec<GatewayName> {
         let half_open = self.peers.iter().filter(|(_, peer)| peer.is_quiet_for(HALF_OPEN_TIMEOUT, now));
         half_open.map(|(name, _)| name.clone()).collect()
@@ -147,13 +147,13 @@
         self.peers.get(name).map_or(PeerView::Unknown, |peer| peer.view(now))
     }
 
-    /// This gateway's own views of all peers that it has tried to connect to.
+    /// This gateway's own views of all peers that this gateway has tried to connect to.
     pub fn views(&self, now: Duration) -> Vec<(GatewayName, PeerView)> {
         let views = self.peers.iter().map(|(name, peer)| (name.clone(), peer.view(now)));
         views.filter(|(_, view)| *view != PeerView::Unknown).collect()
     }
 
-    /// State of a peer, from all views that have not expired.
+    /// State of a peer, combined from all views that have not expired.
     pub fn state(&self, now: Duration, name: &str) -> PeerState {
         let Some(peer) = self.peers.get(name) else { return PeerState::Unknown };
         let remote_views: Vec<PeerView> = peer
--- a/crates/fleet/src/membership/peer_state.rs
+++ b/crates/fleet/src/membership/peer_state.rs
@@ -1,41 +1,41 @@
-//! How one gateway sees a peer, and what several views of it combine to.
+//! One gateway's view of a peer, and the state that several gateways' views of a peer combine to.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// How one gateway sees a peer.
+/// One gateway's view of a peer.
 ///
-/// It is sent with `postcard`: the order of the variants stays as it is.
+/// Views are sent with `postcard`: the order of the variants must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum PeerView {
-    /// The link is up, and messages arrive.
+    /// The link to the peer is up, and messages arrive.
     Reachable,
-    /// The link is up, and no message arrives.
+    /// The link to the peer is up, and no message arrives.
     Silent,
-    /// Its machine refuses connections: no process listens there.
+    /// The peer's machine refuses connections: no process listens at the peer's address.
     Refused,
-    /// No link can be established.
+    /// No link to the peer can be established.
     Unreachable,
-    /// No connection was attempted yet.
+    /// No connection to the peer was attempted yet.
     Unknown,
 }
 
-/// State of a peer, from all recent views of it.
+/// State of a peer, combined from all recent views of the peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerState {
-    /// This gateway receives its messages.
+    /// This gateway receives messages from the peer.
     #[serde(rename = "Here")]
     Reachable,
-    /// Other gateways receive its messages and this one does not: the link between the two is cut.
+    /// Other gateways receive messages from the peer and this gateway does not: the link between this gateway and the peer is cut.
     CutFromMe,
-    /// Its machine refuses connections: its process has ended.
+    /// The peer's machine refuses connections: the peer's process has ended.
     #[serde(rename = "Gone")]
     ProcessEnded,
-    /// Its links are up and nothing arrives: the process is paused or very slow, or packets are dropped.
+    /// The links to the peer are up and no message arrives: the peer's process is paused or very slow, or packets are dropped.
     PausedOrSlow,
-    /// No gateway reaches it: its machine is down, or cut off from all that report.
+    /// No gateway reaches the peer: the peer's machine is down, or cut off from all gateways that report views.
     Unreachable,
-    /// No view of it is recent enough.
+    /// No view of the peer is recent enough.
     Unknown,
 }
 
@@ -53,7 +53,7 @@
 }
 
 impl PeerState {
-    /// Combines this gateway's own view with the recent views of others.
+    /// Combines this gateway's own view of a peer with the recent views of other gateways.
     pub(super) fn from_views(own: PeerView, others: &[PeerView]) -> PeerState {
         let is_seen_as = |view: PeerView| own == view || others.contains(&view);
         if own == PeerView::Reachable {
@@ -62,7 +62,7 @@
         if is_seen_as(PeerView::Reachable) {
             return PeerState::CutFromMe;
         }
-        // One refusal outweighs any silence: a cut link brings no answer at all, and only a machine without the process refuses.
+        // One refused connection outweighs any silence: a cut link brings no answer, and only a machine without the peer's process refuses.
         if is_seen_as(PeerView::Refused) {
             return PeerState::ProcessEnded;
         }
--- a/crates/fleet/src/protocol.rs
+++ b/crates/fleet/src/protocol.rs
@@ -1,7 +1,7 @@
-//! Protocol of the links between gateways and of the administrators' command line: a [`Hello`] in each direction, then [`Frame`]s.
+//! Protocol of the links between gateways and of the administrator's command line: a [`Hello`] in each direction, then [`Frame`]s.
 //!
-//! Frames are encoded by [`crate::encoding`]; the link writes the length of a frame before it. Names and lists in a frame are bounded by
-//! the length of the frame.
+//! Frames are encoded by [`crate::encoding`], and the link writes the length of a frame before the frame. Names and lists in a frame are
+//! bounded only by the maximum length of the frame.
 
 mod hello;
 
@@ -15,7 +15,7 @@
 use crate::version::{GatewayName, Incarnation, ListVersion, Version};
 use serde::{Deserialize, Serialize};
 
-/// Maximum length of a frame, in bytes. A longer one closes the connection.
+/// Maximum length of a frame, in bytes. A connection that brings a longer frame is closed.
 pub const MAX_FRAME_BYTES: usize = encoding::MAX_ENCODED_BYTES;
 
 /// Decodes a frame or a stored record.
@@ -26,23 +26,23 @@
     encoding::decode(bytes).map_err(|error| ProtocolError::NotAFrame(error.to_string()))
 }
 
-/// Encodes a frame or a stored record; `None` if it would be longer than [`MAX_FRAME_BYTES`].
+/// Encodes a frame or a stored record; `None` if the encoding would be longer than [`MAX_FRAME_BYTES`].
 pub fn encode_frame<T: Serialize>(frame: &T) -> Option<Vec<u8>> {
     encoding::encode(frame)
 }
 
-/// What a replica tells a gateway about its session and the fleet.
+/// Replicated state that a replica reports to a gateway: the fence of the gateway's session and what the fleet requires.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateUpdate {
-    /// Log index up to which the replica had applied commands.
+    /// Log index up to which the replica had applied commands when it sent the update.
     pub log_index: u64,
-    /// Why the gateway is fenced, if it is.
+    /// Why the gateway is fenced; absent if the gateway is not fenced.
     pub fence_reason: Option<FenceReason>,
-    /// Current index of the lineage of the gateway's endpoint list.
+    /// Current list index in the lineage of the gateway's endpoint list.
     pub current_list_index: Option<u64>,
     /// Digest of the configuration that administrators require.
     pub required_config: Option<u64>,
-    /// Departures that newer lists than the gateway's report.
+    /// Departures that lists newer than the gateway's list report.
     pub departures: Vec<DepartedEndpoint>,
 }
 
@@ -53,9 +53,9 @@
     Status,
     /// Decisions under endpoint lists with indices in a range.
     Audit {
-        /// Least list index.
+        /// Lowest list index of the range.
         from_index: u64,
-        /// Greatest list index.
+        /// Highest list index of the range.
         to_index: u64,
     },
     /// Decisions about one request.
@@ -69,17 +69,17 @@
 
 /// A message between gateways, or between an administrator and a gateway.
 ///
-/// It is sent with `postcard`: the order of variants and fields stays as it is.
+/// Frames are sent with `postcard`: the order of variants and fields must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Frame {
     /// The sender is alive.
     Heartbeat {
-        /// How it sees the other gateways.
+        /// The sender's view of each of the other gateways.
         views: Vec<(GatewayName, PeerView)>,
     },
     /// A message between members of the consensus group.
     Consensus(ConsensusMessage),
-    /// A gateway asks for a session.
+    /// A gateway requests a session.
     OpenSession {
         /// Number of the request.
         request: u64,
@@ -95,34 +95,34 @@
         /// Version that the gateway acts on.
         version: Version,
     },
-    /// The session is open or was renewed.
+    /// Answer to `OpenSession` or `RenewSession`: the session is open or was renewed.
     SessionGranted {
         /// Session that is granted.
         session: SessionId,
-        /// Number of the request that this answers.
+        /// Number of the request that this frame answers.
         request: u64,
-        /// What has changed for the gateway.
+        /// State of the session and the fleet at the time of the grant.
         update: StateUpdate,
     },
-    /// Something has changed for a gateway between two renewals.
+    /// State that has changed for a gateway between two renewals.
     StateUpdate(StateUpdate),
-    /// The session does not exist, or another process holds one of this name.
+    /// Answer to `OpenSession` or `RenewSession`: the session does not exist, or another process holds a session of this gateway's name.
     NoSession {
-        /// Number of the request that this answers.
+        /// Number of the request that this frame answers.
         request: u64,
-        /// The process that holds the name, if that is the reason.
+        /// Process that holds a session of the gateway's name; absent if the session does not exist.
         holder: Option<Incarnation>,
     },
-    /// The replica cannot have anything committed now; the gateway should ask another one.
+    /// Answer to `OpenSession` or `RenewSession`: the replica can get no command committed now; the gateway should try another replica.
     Unavailable {
-        /// Number of the request that this answers.
+        /// Number of the request that this frame answers.
         request: u64,
     },
     /// The sender's endpoint list reports endpoints that drain or were removed.
     Departures {
-        /// The sender's list.
+        /// Version of the sender's endpoint list.
         list: ListVersion,
-        /// Names of the endpoints, each with whether it was removed rather than drains.
+        /// Names of the endpoints, each with a flag: true if the endpoint was removed, false if it drains.
         endpoints: Vec<(String, bool)>,
     },
     /// A gateway ends its session.
@@ -132,7 +132,7 @@
     },
     /// A query of an administrator.
     AdminQuery(AdminQuery),
-    /// Answer to a query, as JSON.
+    /// Answer to an administrator's query, as JSON.
     AdminAnswer(String),
     /// The whole state machine, for administrators.
     StateSnapshot(Box<StateMachine>),
--- a/crates/fleet/src/protocol/hello.rs
+++ b/crates/fleet/src/protocol/hello.rs
@@ -1,18 +1,18 @@
-//! The first frame in each direction: who calls, and whether the caller is accepted.
+//! The hello, first frame of a link in each direction: it identifies the caller, which is then accepted or rejected.
 
 use super::decode_frame;
 use crate::encoding;
 use crate::version::{GatewayName, Incarnation};
 use serde::{Deserialize, Serialize};
 
-/// Version of the protocol; it is raised whenever a frame changes its meaning or its encoding.
+/// Version of the protocol. The version is raised whenever a frame changes its meaning or its encoding.
 pub const PROTOCOL_VERSION: u32 = 1;
-/// First bytes of every hello. They distinguish a stranger from a gateway with another version.
+/// First bytes of every hello, which distinguish a program of another kind from a gateway with another protocol version.
 const MAGIC: [u8; 4] = *b"OVFL";
 
 /// The sender of a hello.
 ///
-/// It is sent with `postcard`: the order of variants and fields stays as it is.
+/// The caller is sent with `postcard`: the order of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Caller {
     /// A gateway of the fleet.
@@ -21,18 +21,18 @@
         name: GatewayName,
         /// Process of the gateway.
         process: Incarnation,
-        /// Process whose vote it holds: its own, or the earlier one whose stored state it restored.
+        /// Process whose vote the sender holds: its own, or that of the earlier process whose stored state the sender restored.
         voter: Incarnation,
         /// Digest of the settings that all gateways have to agree on.
         agreement_digest: u64,
     },
-    /// An administrator's command line.
+    /// The command line of an administrator.
     Administrator,
 }
 
-/// The first frame in each direction.
+/// The hello, first frame of a link in each direction.
 ///
-/// It is sent with `postcard`: the order of the fields stays as it is.
+/// A hello is sent with `postcard`: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
     magic: [u8; 4],
@@ -42,7 +42,7 @@
     pub fleet: String,
     /// Sender of the hello.
     pub caller: Caller,
-    /// Name of the gateway that is addressed; empty if any will do.
+    /// Name of the gateway that the caller means to reach; empty if any gateway will do.
     pub addressee: GatewayName,
 }
 
@@ -62,39 +62,41 @@
 /// Why a hello or a frame is rejected. The connection is closed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ProtocolError {
-    /// The bytes are no frame of this protocol, with the description of what is wrong with them.
-    #[error("what came is no frame of a fleet's link ({0}); see which program calls this port")]
+    /// The bytes are not a frame of this protocol; the text describes what is wrong with the bytes.
+    #[error(
+        "the received bytes are no frame of a fleet's link ({0}); check which program connects to this port"
+    )]
     NotAFrame(String),
     /// The caller has another protocol version.
-    #[error("the caller's link has version {0}, this one {PROTOCOL_VERSION}; run builds that share one")]
+    #[error("the caller's protocol has version {0}, this gateway's has version {PROTOCOL_VERSION}; run builds with the same protocol version")]
     VersionMismatch(u32),
     /// The caller belongs to another fleet.
-    #[error("the caller belongs to the fleet {0:?}; each fleet has its own addresses")]
+    #[error("the caller belongs to the fleet {0:?}; each fleet needs addresses of its own")]
     OtherFleet(String),
     /// The caller is not among the configured peers.
-    #[error("no peer is named {0:?}; add a [[fleet.peer]] at every gateway")]
+    #[error("no peer is named {0:?}; add a [[fleet.peer]] with this name to the file of every gateway")]
     UnknownPeer(String),
-    /// The caller meant another gateway.
-    #[error("it called {0:?}, which is not who listens here; the peer's address is wrong at the caller")]
+    /// The caller means to reach another gateway; the text is the name of that gateway.
+    #[error("the caller means to reach {0:?}, but another gateway listens here; correct the peer's address at the caller")]
     WrongAddressee(String),
     /// Another process of the caller's name is linked and reachable.
-    #[error("another process of {0:?} is linked and speaks; end one of them, or give it a name of its own")]
+    #[error("another process of {0:?} is linked and reachable; end one of the two processes, or give one of them another name")]
     DuplicatePeer(GatewayName),
     /// The caller's settings differ where all gateways have to agree, so that leases would be computed differently.
     #[error(
-        "{0:?} has other terms of the fleet (council, lease, margin, stragglers); give all gateways the same"
+        "{0:?} has other settings of the fleet (council, lease, margin, behind, behind_for, shut_out_most); give all gateways the same values"
     )]
     SettingsMismatch(GatewayName),
 }
 
-/// The part of a hello that is the same in all versions.
+/// The beginning of a hello, which is the same in all protocol versions.
 #[derive(Deserialize)]
 struct HelloPrefix {
     magic: [u8; 4],
     version: u32,
 }
 
-/// Decodes a hello and checks that it is addressed to the gateway `own_name` of this fleet.
+/// Decodes a hello and checks that the hello is addressed to the gateway `own_name` of this fleet.
 ///
 /// `is_peer` tells whether a name is among the configured peers.
 ///
@@ -107,11 +109,13 @@
     agreement_digest: u64,
     is_peer: &dyn Fn(&str) -> bool,
 ) -> Result<Caller, ProtocolError> {
-    // The version is read first, because what follows it may differ from version to version.
+    // The protocol version is decoded before the rest of the hello, whose encoding may differ from version to version.
     let HelloPrefix { magic, version } =
         encoding::decode_prefix(bytes).map_err(|error| ProtocolError::NotAFrame(error.to_string()))?;
     if magic != MAGIC {
-        return Err(ProtocolError::NotAFrame("it does not begin with the link's mark".to_owned()));
+        return Err(ProtocolError::NotAFrame(
+            "the hello does not begin with the protocol's magic bytes".to_owned(),
+        ));
     }
     if version != PROTOCOL_VERSION {
         return Err(ProtocolError::VersionMismatch(version));
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -16,7 +16,7 @@
 
 /// Permitted lease lengths.
 const LEASE_LENGTH_RANGE: RangeInclusive<Duration> = Duration::from_millis(500)..=Duration::from_secs(600);
-/// Permitted clock drift margins, as fractions of the lease.
+/// Permitted clock margins, as fractions of the lease length.
 const LEASE_MARGIN_RANGE: RangeInclusive<f64> = 0.001..=0.2;
 /// Permitted values of [`LagPolicy::max_list_lag`], in versions.
 const LIST_LAG_RANGE: RangeInclusive<u64> = 1..=1_000_000;
@@ -24,24 +24,24 @@
 const LAG_DURATION_RANGE: RangeInclusive<Duration> = Duration::from_millis(500)..=Duration::from_secs(600);
 /// Permitted values of [`LagPolicy::max_fenced_fraction`].
 const FENCED_FRACTION_RANGE: RangeInclusive<f64> = 0.0..=0.5;
-/// Permitted sizes of the audit log on disk.
+/// Permitted limits on the size of the audit log on disk, in bytes.
 const AUDIT_SIZE_RANGE: RangeInclusive<Bytes> = Bytes(1 << 20)..=Bytes(64 << 30);
-/// Permitted ages of a segment of the audit log.
+/// Permitted limits on the age of a segment of the audit log.
 const AUDIT_AGE_RANGE: RangeInclusive<Duration> = Duration::from_secs(60)..=Duration::from_secs(366 * 86_400);
 
-/// Lease where the operator sets none.
+/// Default lease, for settings without one.
 const DEFAULT_LEASE: Lease = Lease { length: Duration::from_secs(3), margin: 0.02 };
-/// Lag policy where the operator sets none.
+/// Default lag policy, for settings without one.
 const DEFAULT_LAG_POLICY: LagPolicy =
     LagPolicy { max_list_lag: 3, max_lag_duration: Duration::from_secs(5), max_fenced_fraction: 0.2 };
 
-/// What a gateway without a session does with its clients.
+/// What a gateway without a session does with client requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WithoutSessionPolicy {
-    /// It serves them; the audit log records that it did so without a session. This is the default.
+    /// The gateway serves client requests, and the audit log records that it acted without a session. This is the default.
     #[default]
     Serve,
-    /// It rejects them.
+    /// The gateway rejects client requests.
     Reject,
 }
 
@@ -50,31 +50,31 @@
         &[("serve", WithoutSessionPolicy::Serve), ("refuse", WithoutSessionPolicy::Reject)];
 }
 
-/// A gateway of the fleet.
+/// A gateway of the fleet, as configured.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Name of the gateway.
     pub name: GatewayName,
-    /// Address on which its link listens.
+    /// Address on which the gateway's link listens.
     pub address: SocketAddr,
-    /// Whether it is a member of the consensus group.
+    /// Whether the gateway is a member of the consensus group.
     pub is_voter: bool,
 }
 
 /// When a lagging gateway is fenced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LagPolicy {
-    /// Number of versions by which an endpoint list has to be older than the current one for its gateway to lag; 3 by default.
+    /// Number of versions by which a gateway's endpoint list has to be older than the current one for the gateway to lag; 3 by default.
     pub max_list_lag: u64,
-    /// Time for which a gateway has to lag before it is fenced; 5 s by default.
+    /// Time for which a gateway has to lag before the gateway is fenced; 5 s by default.
     pub max_lag_duration: Duration,
-    /// Greatest fraction of the sessions that may be fenced at once; 0.2 by default.
+    /// Maximum fraction of the sessions that may be fenced at the same time; 0.2 by default.
     pub max_fenced_fraction: f64,
 }
 
 impl LagPolicy {
-    /// The text that the fleet's digest is taken of. Gateways of other builds compare that digest, so the text keeps the names of
-    /// version 0.2.0 whatever the fields are called here.
+    /// The lag policy's part of the text that [`FleetSettings::digest`] is taken of. Gateways of other builds compare that digest, so the
+    /// text keeps the field names of version 0.2.0, whatever the fields are called now.
     fn digest_text(&self) -> String {
         format!(
             "Stragglers {{ versions: {:?}, time: {:?}, most: {:?} }}",
@@ -86,17 +86,17 @@
 /// Settings of one gateway in a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetSettings {
-    /// Name of the fleet. Gateways of another fleet are rejected.
+    /// Name of the fleet. Links to gateways of another fleet are rejected.
     pub name: String,
     /// Name of this gateway.
     pub gateway: GatewayName,
-    /// Address on which its link listens; by default, that of its own entry among the peers.
+    /// Address on which this gateway's link listens; by default, the address in this gateway's entry among the peers.
     pub listen: SocketAddr,
     /// All gateways of the fleet, including this one.
     pub peers: Vec<Peer>,
-    /// Lineage of the endpoint list's indices; by default, the address of discovery.
+    /// Lineage of this gateway's endpoint list; by default, the address of discovery.
     pub lineage: Option<String>,
-    /// Lease of the sessions; 3 s with a margin of 0.02 by default.
+    /// Lease of the sessions; by default 3 s long, with a clock margin of 0.02.
     pub lease: Lease,
     /// What this gateway does without a session.
     pub without_session: WithoutSessionPolicy,
@@ -104,13 +104,13 @@
     pub lag_policy: LagPolicy,
     /// Limits of the audit log on disk.
     pub audit_retention: RetentionLimits,
-    /// Folder of the consensus store and the audit store. Without it a replica that restarts has to be given its vote anew, and the audit
-    /// log ends with the process.
+    /// Folder of the consensus store and the audit store. Without a folder, a replica that restarts has no vote until the other members add
+    /// its new process, and the audit log is lost when the process ends.
     pub state_folder: Option<PathBuf>,
 }
 
 impl FleetSettings {
-    /// Reads the table. Errors are reported to the table's document.
+    /// Reads the `[fleet]` table. Errors are reported to the document that the table belongs to.
     pub fn read(table: &Table<'_, '_>) -> FleetSettings {
         let unset_address = SocketAddr::from(([127, 0, 0, 1], 0));
         let name: String = table.require("name").unwrap_or_default();
@@ -118,12 +118,12 @@
         let peers = read_peers(table, unset_address);
         let own_entry = peers.iter().find(|peer| peer.name == gateway);
         if own_entry.is_none() && !gateway.is_empty() {
-            table.report("gateway", "is not among the peers: add a [[fleet.peer]] with this name");
+            table.report("gateway", "is not the name of any peer: add a [[fleet.peer]] with this name");
         }
         let listen = table.get("listen").or(own_entry.map(|peer| peer.address)).unwrap_or(unset_address);
         check_peer_counts(table, &peers);
         if name.is_empty() || name.len() > MAX_FLEET_NAME_BYTES {
-            table.report("name", "has 1 to 64 letters");
+            table.report("name", "must be 1 to 64 bytes long");
         }
         let settings = FleetSettings {
             listen,
@@ -169,7 +169,7 @@
         };
         let is_duplicate = peers.iter().any(|known| known.name == peer.name);
         if is_duplicate && !peer.name.is_empty() {
-            entry.report("name", "is there twice: each gateway has one entry");
+            entry.report("name", "is used by two entries: each gateway must have exactly one");
         }
         entry.finish();
         peers.push(peer);
@@ -181,12 +181,15 @@
     let voter_count = peers.iter().filter(|peer| peer.is_voter).count();
     if !matches!(voter_count, 3 | 5) {
         let message = format!(
-            "{voter_count} of them have council = true: a council has 3 or 5, so that a majority is left when 1 or 2 are lost"
+            "{voter_count} peers have council = true: the consensus group must have 3 or 5 members, to keep a majority when 1 or 2 of them fail"
         );
         table.report("peer", message);
     }
     if peers.len() > MAX_PEERS {
-        table.report("peer", format!("{} gateways: a fleet has {MAX_PEERS} at most", peers.len()));
+        table.report(
+            "peer",
+            format!("{} gateways are configured: a fleet has at most {MAX_PEERS}", peers.len()),
+        );
     }
 }
 
--- a/crates/fleet/src/version.rs
+++ b/crates/fleet/src/version.rs
@@ -8,7 +8,7 @@
 
 /// Number that identifies one process among all that have ever had its gateway's name.
 ///
-/// It expresses no order of start times, because wall clocks may be set back.
+/// An incarnation expresses no order of start times, because wall clocks may be set back.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
@@ -21,7 +21,7 @@
 /// Version of an endpoint list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ListVersion {
-    /// Origin of the index. Indices of different lineages cannot be compared.
+    /// Origin of the list index. Indices of different lineages cannot be compared.
     pub lineage: String,
     /// Discovery index of the list.
     pub index: u64,
@@ -30,7 +30,7 @@
 /// Versions of everything that a decision of a gateway depends on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// Endpoint list.
+    /// Version of the endpoint list.
     pub list: ListVersion,
     /// Digest of the platform's configuration of the site, without the parts that differ from gateway to gateway.
     pub config: u64,
@@ -57,7 +57,7 @@
 /// Multiplier of the 64-bit FNV-1a hash.
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// FNV-1a digest, the same in every process and build. It detects differences and accidental damage; it is not cryptographic.
+/// FNV-1a digest, the same in every process and build. The digest detects differences and accidental damage; it is not cryptographic.
 pub fn digest(bytes: &[u8]) -> u64 {
     bytes.iter().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
 }
