--- a/crates/fleet/src/consensus/message.rs
+++ b/crates/fleet/src/consensus/message.rs
@@ -1,4 +1,4 @@
-//! Messages between members, records for stable storage, and the output of each step.
+//! Messages between members of the consensus group, records for stable storage, and the output of each step.
 
 use super::{ConfigTag, GroupConfig, StorageChange};
 use crate::state_machine::{Command, CommandOutcome, StateMachine};
@@ -7,47 +7,47 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A message from member to member.
+/// A message from one member of the consensus group to another.
 ///
-/// It is sent with `postcard`: the order of variants and fields stays as it is.
+/// Messages are sent with `postcard`: the order of variants and fields must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ConsensusMessage {
     /// Announces the configuration that the sender knows.
     Holds {
         /// The newest configuration that the sender knows, if any.
         tag: Option<ConfigTag>,
-        /// Process of the founding gateway that the sender would follow.
+        /// Process of the founding member that the sender was last linked to, and would accept as founder.
         follows: Option<Incarnation>,
     },
-    /// Transfers a configuration to a member that has an older one or none.
+    /// Transfers a configuration to a member that has an older configuration or none.
     Formed {
-        /// The configuration.
+        /// Configuration that is transferred.
         config: GroupConfig,
         /// State machine at the beginning of the configuration.
         base: Box<StateMachine>,
     },
-    /// Carries a message of the replication library.
+    /// Carries a message of the consensus library between two replicas.
     Log {
-        /// Configuration that the message belongs to.
+        /// Configuration that the library's message belongs to.
         tag: ConfigTag,
-        /// Message of the library.
+        /// Message of the consensus library.
         message: Box<Message<Command>>,
     },
 }
 
-/// A message that is to be sent.
+/// A message to send to another member.
 #[derive(Clone, Debug)]
 pub struct OutgoingMessage {
-    /// Member that it is sent to.
+    /// Name of the member that the message is sent to.
     pub to: GatewayName,
-    /// Message to send.
+    /// Message for that member.
     pub message: ConsensusMessage,
 }
 
 /// A command that was committed and applied.
 #[derive(Clone, Debug)]
 pub struct Committed {
-    /// Command that was applied.
+    /// Command that was committed and applied.
     pub command: Command,
     /// Outcome of the command.
     pub outcome: CommandOutcome,
@@ -55,32 +55,32 @@
 
 /// A record of the consensus store.
 ///
-/// It is stored with `postcard`: the order of variants and fields stays as it is.
+/// Records are stored with `postcard`: the order of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoredRecord {
     /// A configuration begins. All earlier records are obsolete.
     ConfigStarted {
-        /// The configuration.
+        /// Configuration that begins.
         config: GroupConfig,
-        /// State machine at its beginning.
+        /// State machine at the beginning of the configuration.
         base: Box<StateMachine>,
     },
     /// The log or a promise of this replica has changed.
     StorageChanged(StorageChange),
 }
 
-/// Output of one step of a member.
+/// Output of one step of a member of the consensus group.
 #[derive(Debug, Default)]
 pub struct StepOutput {
     /// Records that have to be on stable storage before any of the messages is sent.
     pub records: Vec<StoredRecord>,
     /// Messages to other members.
     pub messages: Vec<OutgoingMessage>,
-    /// Commands applied, in log order.
+    /// Commands that were committed and applied, in log order.
     pub committed: Vec<Committed>,
-    /// Whether the whole state machine was replaced, because this member had been away.
+    /// Whether the whole state machine was replaced by another member's, because this member had an older configuration or none.
     pub state_replaced: bool,
-    /// Events for the log of the administrators.
+    /// Events that are logged for administrators.
     pub notices: Vec<ConsensusNotice>,
 }
 
@@ -91,26 +91,26 @@
     Founded,
     /// A configuration begins.
     ConfigStarted {
-        /// The configuration.
+        /// Identifier of the configuration that begins.
         tag: ConfigTag,
-        /// Whether this process votes in it.
+        /// Whether this process votes in the configuration.
         votes: bool,
     },
     /// The leader proposes a new configuration.
     ReconfigurationProposed {
-        /// Number of the new configuration.
+        /// Generation number of the new configuration.
         generation: u32,
-        /// Why it is needed.
+        /// Why the new configuration is needed.
         reason: ReconfigurationReason,
     },
-    /// A peer belongs to another consensus group of the same fleet.
+    /// A peer belongs to another consensus group, although it is in the same fleet.
     ForeignGroup {
         /// Name of the peer.
         peer: GatewayName,
     },
-    /// The replication library panicked; this process does not vote any more.
+    /// The consensus library panicked; this process no longer votes.
     LibraryFailed {
-        /// Who sent the input that the library failed on.
+        /// Sender of the input that the consensus library panicked on.
         origin: String,
     },
 }
@@ -118,9 +118,9 @@
 /// Why a new configuration is proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReconfigurationReason {
-    /// The log has grown long and is started again from the current state.
+    /// The log has reached its maximum length and is restarted from the current state.
     LogFull,
-    /// A member has restarted as another process, which takes its vote over.
+    /// A member has restarted as another process, which takes over the vote of the earlier process.
     ReplicaReplaced,
 }
 
@@ -128,7 +128,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ConsensusNotice::Founded => {
-                f.write_str("consensus group founded: every member is linked, and none knew of a group")
+                f.write_str("consensus group founded: every member is linked, and no member knew of a group")
             }
             ConsensusNotice::ConfigStarted { tag: ConfigTag { group_id, generation }, votes } => {
                 let role = if *votes {
@@ -143,13 +143,13 @@
             }
             ConsensusNotice::ForeignGroup { peer } => write!(
                 f,
-                "{peer} belongs to another consensus group: two were founded, or one was founded again while this process was away. \
-                 End this process or that one, and start it again"
+                "{peer} belongs to another consensus group: two groups were founded, or the group was founded again while this process was \
+                 disconnected. Stop and restart this process or that peer"
             ),
             ConsensusNotice::LibraryFailed { origin } => write!(
                 f,
-                "consensus library panicked on a message of {origin}: this process votes no longer. See whether the members run one \
-                 build (fleet status), end the odd one, then start this one again"
+                "consensus library panicked on a message of {origin}: this process votes no longer. Check whether all members run the \
+                 same build (fleet status), stop any member with another build, then restart this process"
             ),
         }
     }
@@ -158,7 +158,7 @@
 impl fmt::Display for ReconfigurationReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ReconfigurationReason::LogFull => "the log has grown long",
+            ReconfigurationReason::LogFull => "the log has reached its maximum length",
             ReconfigurationReason::ReplicaReplaced => "a member has restarted as another process",
         })
     }
--- a/crates/fleet/src/consensus/mod.rs
+++ b/crates/fleet/src/consensus/mod.rs
@@ -1,8 +1,8 @@
 //! The consensus group: three or five named gateways replicate one state machine.
 //!
-//! The library `omnipaxos` orders the log. This module decides who may vote. A vote belongs to a [`Replica`], a name together with one
-//! process of it. A process that restarts without its stored promises is another replica and has no vote until a majority replaces the
-//! old one by it (module `reconfiguration`); so no process can vote twice.
+//! The library `omnipaxos` orders the log. This module decides who may vote. A vote belongs to a [`Replica`], a gateway's name together
+//! with one process. A process that restarts without its stored promises is another replica, and has no vote until a majority replaces the
+//! earlier replica by the new one (module `reconfiguration`); so no vote is cast twice.
 
 mod config;
 mod message;
@@ -29,7 +29,7 @@
 
 /// Interval between two calls of [`ConsensusGroup::tick`].
 pub const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Ticks between two announcements of the own configuration to each member.
+/// Ticks between two announcements of this member's configuration to each other member.
 const ANNOUNCEMENT_INTERVAL_TICKS: u64 = 5;
 /// Maximum number of commands that are proposed between two ticks.
 const MAX_PROPOSALS_PER_TICK: usize = 512;
@@ -38,14 +38,14 @@
     type Snapshot = NoSnapshot;
 }
 
-/// What this member knows of another one.
+/// What this member knows of another member.
 #[derive(Clone, Debug, Default)]
 struct PeerMember {
-    /// Process at the other end of the link, if the link is up.
+    /// Process of the other member that the link leads to, if the link is up.
     linked_process: Option<Incarnation>,
-    /// Last announcement of that process.
+    /// Last announcement of the linked process.
     announcement: Option<Announcement>,
-    /// Number of ticks for which another process than the voting one has been linked.
+    /// Number of ticks for which a process other than the voting one has been linked under the member's name.
     replaced_ticks: u64,
 }
 
@@ -56,12 +56,12 @@
     follows: Option<Incarnation>,
 }
 
-/// The library's replica of a configuration in which this process votes.
+/// The consensus library's replica, for a configuration in which this process votes.
 struct VotingReplica {
     paxos: OmniPaxos<Command, LogStorage>,
     /// Number of log entries applied to the state machine.
     applied_entries: usize,
-    /// Whether a new configuration was proposed: this one takes no more entries.
+    /// Whether the next configuration was proposed: the log of the current one takes no more entries.
     is_ending: bool,
 }
 
@@ -70,7 +70,7 @@
     config: GroupConfig,
     /// State machine at the beginning of the configuration.
     base: StateMachine,
-    /// Absent where this process has no vote.
+    /// The library's replica; absent if this process has no vote.
     replica: Option<VotingReplica>,
 }
 
@@ -86,7 +86,7 @@
     ticks: u64,
     proposals_since_tick: usize,
     foreign_group_reported: bool,
-    /// Process of the founding gateway that this member follows: the last one that it was linked to.
+    /// Process of the founding member that this member accepts as founder: the process that this member was last linked to.
     followed_founder: Option<Incarnation>,
     journal: ChangeJournal,
 }
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Restores the records that an earlier process with this vote has stored, in their order. To be called before anything else.
+    /// Restores the records that an earlier process with this vote has stored, in their order. Must be called before any other method.
     pub fn restore(&mut self, records: Vec<StoredRecord>) {
         let mut started = None;
         let mut changes = Vec::new();
@@ -133,14 +133,14 @@
             }
         }
         let Some((config, base)) = started else { return };
-        // The output is dropped: nobody waits for commands that an earlier process applied, and no link is up yet.
+        // The output of the restored steps is dropped: nobody waits for commands that an earlier process applied, and no link is up yet.
         let mut output = StepOutput::default();
         self.resume_config(config, *base, changes, &mut output);
         self.apply_decided(&mut output);
         self.journal.borrow_mut().clear();
     }
 
-    /// Ends this process's vote, because its promises cannot be stored any more.
+    /// Ends this process's vote, because its promises can no longer be stored.
     pub fn stop_voting(&mut self) {
         if let Some(known) = &mut self.known {
             known.replica = None;
@@ -157,7 +157,7 @@
         self.known.as_ref().map(|known| &known.config)
     }
 
-    /// Whether this process votes.
+    /// Whether this process votes in the newest configuration.
     pub fn is_voting(&self) -> bool {
         self.known.as_ref().is_some_and(|known| known.replica.is_some())
     }
@@ -167,11 +167,11 @@
         let known = self.known.as_ref()?;
         let (leader_id, is_followed) = known.replica.as_ref()?.paxos.get_current_leader()?;
         let leader = known.config.replica_by_library_id(leader_id)?;
-        // A leader that no replica has followed yet decides nothing.
+        // A leader that no replica follows yet cannot commit anything.
         (is_followed || leader.name == self.name).then_some(&leader.name)
     }
 
-    /// Whether this member leads.
+    /// Whether this member is the leader.
     pub fn is_leader(&self) -> bool {
         self.leader() == Some(&self.name)
     }
@@ -181,7 +181,8 @@
         self.peers.contains_key(name) || self.name == name
     }
 
-    /// Proposes a command. Returns whether it is on its way; it may still be lost, so the caller repeats it until it is committed.
+    /// Proposes a command. Returns whether the command was accepted for replication; an accepted command may still be lost, so the caller
+    /// proposes the command again until it is committed.
     pub fn propose(&mut self, command: Command) -> bool {
         let mut is_proposed = false;
         self.run_guarded("an administrator or a gateway", |group, _| is_proposed = group.append(command));
@@ -210,11 +211,11 @@
         self.run_guarded(from, |group, output| group.handle_message(from, message, output))
     }
 
-    /// Runs a step that calls the library.
+    /// Runs a step that calls the consensus library, and ends this member's vote if the library panics.
     ///
-    /// The library trusts the messages of other replicas and panics where they contradict each other, as those of another build or a
-    /// faulty machine may. Without this guard one such message would end the gateway. After a panic this member does not vote any more,
-    /// and nothing of the failed step is sent or stored, since the library's state may be inconsistent.
+    /// The library trusts the messages of other replicas and panics if messages contradict each other, as messages from another build or a
+    /// faulty machine may. Without this guard, one contradictory message would end the gateway. After a panic this member no longer votes,
+    /// and no message or record of the failed step is sent or stored, since the library's state may be inconsistent.
     fn run_guarded(
         &mut self,
         origin: &str,
@@ -297,9 +298,9 @@
         self.apply_decided(output);
     }
 
-    /// Passes a message to the library if it comes from the replica that it names.
+    /// Passes a message to the consensus library if the message comes from the replica that it names as its sender.
     ///
-    /// The library trusts the identifiers in a message. Without this check a restarted process could vote in place of its predecessor.
+    /// The library trusts the identifiers in a message. Without this check, a restarted process could vote in place of an earlier one.
     fn handle_log_message(
         &mut self,
         from: &str,
@@ -322,11 +323,11 @@
         }
     }
 
-    /// Applies the log entries that have been decided, sends what the library has to send, and starts the next configuration where the
-    /// log has ended.
+    /// Applies the log entries that have been decided, sends the messages of the consensus library, and starts the next configuration if
+    /// the log of the current configuration has ended.
     fn apply_decided(&mut self, output: &mut StepOutput) {
         let next_config = self.apply_decided_entries(output);
-        // The messages of the ending configuration are sent before it is dropped: members that have not seen its end need them.
+        // The ending configuration's messages are sent before that configuration is dropped: members that have not seen the end need them.
         self.flush_outgoing(output);
         if let Some(config) = next_config {
             let base = self.state_machine.clone();
@@ -334,7 +335,7 @@
         }
     }
 
-    /// Applies the decided entries; returns the next configuration if the log has ended.
+    /// Applies the decided log entries; returns the next configuration if the log of the current one has ended.
     fn apply_decided_entries(&mut self, output: &mut StepOutput) -> Option<GroupConfig> {
         let known = self.known.as_mut()?;
         let replica = known.replica.as_mut()?;
@@ -361,7 +362,7 @@
         next_config
     }
 
-    /// Moves the library's storage changes and messages to the output.
+    /// Moves the consensus library's storage changes and messages to the step's output.
     fn flush_outgoing(&mut self, output: &mut StepOutput) {
         output.records.extend(self.journal.borrow_mut().drain(..).map(StoredRecord::StorageChanged));
         let Some(known) = &mut self.known else { return };
@@ -370,7 +371,7 @@
         replica.paxos.take_outgoing_messages(&mut messages);
         for message in messages {
             let Some(receiver) = known.config.replica_by_library_id(message.get_receiver()) else { continue };
-            // A process that replaced the receiver must not get messages that were meant for its predecessor.
+            // A process that replaced the receiving process must not get messages that were meant for the replaced one.
             let linked_process = self.peers.get(&receiver.name).and_then(|peer| peer.linked_process);
             if linked_process != Some(receiver.process) {
                 continue;
--- a/crates/fleet/src/consensus/reconfiguration.rs
+++ b/crates/fleet/src/consensus/reconfiguration.rs
@@ -1,14 +1,14 @@
 //! Founding a consensus group and changing its configuration.
 //!
-//! *Founding*: the member whose name sorts first is the founder. It founds a group when it knows of none, is linked to every other
-//! member, and each of them has announced that it knows of none and that the founder process it was last linked to is this one
-//! ([`ConsensusMessage::Holds`]). Configuration 1 then contains exactly these processes. All members have to be up; a majority is not
-//! enough. A member that knows of a group announces it, and then none is founded. A group that has lost its majority for good is not
+//! *Founding*: the member whose name sorts first is the founder. The founder founds a group when it knows of none, is linked to every other
+//! member, and each other member has announced that it knows of no group and was last linked to this very process of the founder
+//! ([`ConsensusMessage::Holds`]). Configuration 1 then contains exactly the linked processes. All members have to be up; a majority is not
+//! enough. A member that knows of a group announces that group, and no other is founded. A group that has lost its majority for good is not
 //! replaced automatically: stop all members and start them again.
 //!
 //! *Reconfiguration*: the leader ends the log of a configuration at one entry, the same for all replicas, and the next configuration
-//! starts from the state machine at that entry. It replaces restarted processes and truncates a log that has grown long. A member that
-//! was away receives the newest configuration together with its state machine.
+//! starts from the state machine at that entry. A new configuration replaces restarted processes and truncates a log that has grown too
+//! long. A member that was disconnected receives the newest configuration together with its state machine.
 
 use super::{
     ConfigTag, ConsensusGroup, ConsensusMessage, ConsensusNotice, GroupConfig, KnownConfig, LogStorage,
@@ -20,15 +20,15 @@
 use omnipaxos::{OmniPaxosConfig, ServerConfig};
 use std::collections::BTreeMap;
 
-/// Ticks between two rounds of the library's election heartbeats. A leader that misses a round is replaced.
+/// Ticks between two rounds of the consensus library's election heartbeats. A leader that misses a round is replaced.
 const ELECTION_TIMEOUT_TICKS: u64 = 4;
-/// Ticks after which the library sends messages again that may have been lost.
+/// Ticks after which the consensus library sends messages again that may have been lost.
 const RESEND_TIMEOUT_TICKS: u64 = 10;
-/// Ticks after which the library sends a batch of proposals that is not full.
+/// Ticks after which the consensus library sends a batch of proposals that is not full.
 const FLUSH_BATCH_TICKS: u64 = 1;
-/// Maximum number of proposals in one batch.
+/// Maximum number of proposals in one batch of the consensus library.
 const MAX_BATCH_ENTRIES: usize = 64;
-/// Ticks for which another process of a replica's name has to be linked before it takes over the vote.
+/// Ticks for which another process of a replica's name has to be linked before that process takes over the replica's vote.
 const REPLACEMENT_DELAY_TICKS: u64 = 20;
 /// Number of log entries at which a new configuration truncates the log.
 const MAX_LOG_ENTRIES: usize = 4096;
@@ -45,7 +45,7 @@
         output.messages.push(OutgoingMessage { to: to.to_owned(), message });
     }
 
-    /// Sends the newest configuration to a member that has announced an older one or none.
+    /// Sends the newest configuration to a member that has announced an older configuration or none.
     pub(super) fn send_newer_config(&mut self, to: &str, tag: Option<ConfigTag>, output: &mut StepOutput) {
         let Some(known) = &self.known else { return };
         if let Some(tag) = tag {
@@ -70,7 +70,7 @@
         output.notices.push(ConsensusNotice::ForeignGroup { peer: peer.to_owned() });
     }
 
-    /// Founds the group if this is the founding member and every other one follows it.
+    /// Founds the group if this is the founding member and every other member accepts this process as founder.
     pub(super) fn found_if_complete(&mut self, output: &mut StepOutput) {
         if self.known.is_some() || self.member_names.first() != Some(&self.name) {
             return;
@@ -110,10 +110,10 @@
         self.start_config(config, base, output);
     }
 
-    /// Whether this is a first configuration whose founder this member does not follow any more.
+    /// Whether `config` is a first configuration whose founder process this member no longer accepts as founder.
     ///
-    /// Its founder may have been replaced by another process, which is about to found a group itself. Adopting the older one would leave
-    /// two groups. It is adopted all the same when the founding member itself sends it: then the older group does exist.
+    /// The founder process may have been replaced by another process, which is about to found a group itself. Adopting the older group then
+    /// leaves two groups. A configuration that the founding member itself sends is adopted all the same: then the older group does exist.
     fn is_abandoned_founding(&self, from: &str, config: &GroupConfig) -> bool {
         let founder = config.replicas.first().map(|replica| replica.process);
         let is_from_founding_member = self.member_names.first().is_some_and(|first| first == from);
@@ -131,7 +131,7 @@
         self.resume_config(config, base, Vec::new(), output);
     }
 
-    /// Starts a configuration, or resumes one with the storage changes of an earlier process.
+    /// Starts a configuration, or resumes a configuration with the storage changes of an earlier process.
     pub(super) fn resume_config(
         &mut self,
         config: GroupConfig,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Starts the library's replica, where this process votes in the configuration.
+    /// Starts the consensus library's replica, if this process votes in the configuration.
     fn start_replica(&self, config: &GroupConfig, changes: Vec<StorageChange>) -> Option<VotingReplica> {
         if !config.contains(&self.name, self.process) {
             return None;
@@ -175,7 +175,7 @@
         Some(VotingReplica { paxos, applied_entries: 0, is_ending: false })
     }
 
-    /// Where this member leads, proposes a new configuration if a replica was replaced or the log has grown long.
+    /// If this member is the leader, proposes a new configuration once a replica was replaced or the log has reached [`MAX_LOG_ENTRIES`].
     pub(super) fn reconfigure_if_needed(&mut self, output: &mut StepOutput) {
         let is_leader = self.is_leader();
         let Some(known) = &mut self.known else { return };
@@ -202,7 +202,8 @@
     }
 }
 
-/// The replicas, with each whose process was replaced for [`REPLACEMENT_DELAY_TICKS`] exchanged for the linked process. Counts a tick.
+/// Returns the replicas, each with the linked process in place of its own once the two have differed for [`REPLACEMENT_DELAY_TICKS`].
+/// Counts one tick for each replica whose linked process differs.
 fn replace_restarted(replicas: &[Replica], peers: &mut BTreeMap<GatewayName, PeerMember>) -> Vec<Replica> {
     let mut replicas = replicas.to_vec();
     for replica in &mut replicas {
--- a/crates/fleet/src/consensus/storage.rs
+++ b/crates/fleet/src/consensus/storage.rs
@@ -1,7 +1,7 @@
-//! The library's log and promises of one configuration: in memory, with a journal of the changes for stable storage.
+//! The consensus library's log and promises of one configuration: in memory, with a journal of the changes for stable storage.
 //!
-//! A process that finds the journal of its predecessor restores it and goes on voting. A process without it has lost its promises, so it
-//! has no vote when it starts again.
+//! A process that finds the journal of an earlier process restores that journal and continues to vote. A process without a journal has lost
+//! its promises, so it has no vote when it restarts.
 
 use crate::state_machine::Command;
 use omnipaxos::ballot_leader_election::Ballot;
@@ -10,24 +10,24 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A change of the storage, as written to disk.
+/// A change of a replica's log or promises, as written to disk.
 ///
-/// It is stored with `postcard`: the order of the variants stays as it is.
+/// Changes are stored with `postcard`: the order of the variants must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StorageChange {
-    /// The log from this index on was replaced by these commands.
+    /// The log from this index on was replaced by the commands.
     Log(usize, Vec<Command>),
     /// The replica promised not to accept any older ballot.
     Promise(Ballot),
-    /// Ballot in which the log was accepted.
+    /// The ballot in which the log was accepted has changed.
     Accepted(Ballot),
-    /// Number of log entries that are decided.
+    /// The number of decided log entries has changed.
     Decided(usize),
-    /// The entry that ends the configuration.
+    /// The stop sign, the log entry that ends the configuration, has changed.
     StopSign(Option<StopSign>),
 }
 
-/// Changes that have been made and not yet been handed to stable storage.
+/// Changes that have been made and have not yet been passed to stable storage.
 pub type ChangeJournal = Rc<RefCell<Vec<StorageChange>>>;
 
 /// Log and promises of one replica.
@@ -45,12 +45,12 @@
 }
 
 impl LogStorage {
-    /// Creates an empty storage that writes its changes to this journal.
+    /// Creates an empty storage that writes its changes to `journal`.
     pub fn new(journal: ChangeJournal) -> LogStorage {
         LogStorage { journal, ..LogStorage::default() }
     }
 
-    /// Restores a change that is on stable storage already, without writing it to the journal again.
+    /// Restores a change that is on stable storage already, without writing the change to the journal again.
     pub fn restore(&mut self, change: StorageChange) {
         match change {
             StorageChange::Log(from, commands) => {
@@ -68,7 +68,7 @@
         self.journal.borrow_mut().push(change);
     }
 
-    /// Position in the retained log of a log index, at most its length.
+    /// Position of a log index in the retained log, at most the length of the retained log.
     fn position(&self, index: usize) -> usize {
         index.saturating_sub(self.trimmed_entries).min(self.log.len())
     }
@@ -165,7 +165,7 @@
         Ok(self.stop_sign.clone())
     }
 
-    // Never called: a log is shortened by a new configuration. Not journaled.
+    // The library's `trim` is never called, because only a new configuration shortens a log, so trimming is not journaled.
     fn trim(&mut self, index: usize) -> StorageResult<()> {
         let position = self.position(index);
         self.log.drain(..position);
