--- a/crates/fleet/src/state_machine/command.rs
+++ b/crates/fleet/src/state_machine/command.rs
@@ -1,4 +1,4 @@
-//! Commands of the replicated log and their outcomes.
+//! Commands of the replicated log and the outcomes of commands.
 
 use super::SessionId;
 use crate::version::{GatewayName, Incarnation, ListVersion, Version};
@@ -6,27 +6,27 @@
 
 /// A change of the state machine, as replicated in the log.
 ///
-/// It is stored and sent with `postcard`: the order of variants and fields stays as it is.
+/// Commands are stored and sent with `postcard`: the order of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Command {
-    /// A process asks for a session.
+    /// A process requests a session.
     OpenSession {
-        /// Gateway of the process.
+        /// Name of the gateway that the process runs as.
         name: GatewayName,
-        /// Process that asks.
+        /// Process that requests the session.
         process: Incarnation,
-        /// Version that it acts on.
+        /// Version that the gateway acts on.
         version: Version,
-        /// Number of its request. A repeated request counts as a renewal, because the holder counts its lease from the newest one.
+        /// Number of the request. A repeated request counts as a renewal, because the holder counts its lease from the newest request.
         request: u64,
     },
-    /// Several sessions are renewed; a replica batches the requests of the gateways.
+    /// Several sessions are renewed; a replica batches the renewal requests of the gateways.
     RenewSessions(Vec<Renewal>),
-    /// A session was not renewed for a lease and its margin, as observed by the replica that proposes this.
+    /// A session was not renewed for the lease length plus the clock margin, as observed by the replica that proposes the command.
     ExpireSession {
         /// Session to expire.
         session: SessionId,
-        /// Renewal count that the replica had observed. A later renewal makes the command obsolete.
+        /// Renewal count of the session that the proposing replica had observed. A later renewal makes the command obsolete.
         renewals: u64,
     },
     /// A process ends its own session while shutting down.
@@ -38,25 +38,25 @@
     FenceLagging {
         /// Session to fence.
         session: SessionId,
-        /// Version that it lagged with. A newer version of the session makes the command obsolete.
+        /// Version that the gateway lagged with. A change of the session's version makes the command obsolete.
         version: Version,
     },
-    /// An administrator fences a gateway or ends its fence.
+    /// An administrator fences or unfences a gateway.
     SetFenced {
         /// Name of the gateway.
         name: GatewayName,
-        /// Whether it is fenced from now on.
+        /// Whether the gateway is fenced from now on.
         fenced: bool,
     },
     /// An administrator declares which versions are required.
     SetRequirements(Requirements),
     /// An endpoint list reports endpoints that drain or were removed.
     RecordDepartures {
-        /// The list that reports it.
+        /// Version of the endpoint list that reports the departures.
         list: ListVersion,
-        /// Names of the endpoints, each with whether it was removed rather than drains.
+        /// Names of the endpoints, each with a flag: true if the endpoint was removed, false if it drains.
         endpoints: Vec<(String, bool)>,
-        /// Gateway that received the list.
+        /// Gateway that received the endpoint list.
         reported_by: GatewayName,
     },
 }
@@ -66,20 +66,20 @@
 pub struct Renewal {
     /// Session to renew.
     pub session: SessionId,
-    /// Number of the request, counted over the lifetime of its process.
+    /// Number of the renewal request, counted over the lifetime of the requesting process.
     pub count: u64,
-    /// New version that the gateway acts on, if it has changed.
+    /// New version that the gateway acts on; absent if the version has not changed.
     pub version: Option<Version>,
 }
 
-/// Versions that administrators require; an absent one is not restricted.
+/// Versions that administrators require; an absent requirement restricts nothing.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Requirements {
-    /// Least index for lists of this lineage.
+    /// Lowest permitted index of endpoint lists of this lineage.
     pub list: Option<ListVersion>,
-    /// Digest of the configuration.
+    /// Digest of the required configuration.
     pub config: Option<u64>,
-    /// Build identifier.
+    /// Identifier of the required build.
     pub build: Option<String>,
 }
 
@@ -88,15 +88,15 @@
 pub enum CommandOutcome {
     /// The session is open.
     Opened(SessionId),
-    /// Another process holds a session of this name, which has to end first.
+    /// Another process holds a session of the same gateway name; that session has to end first.
     NameTaken {
-        /// The process that holds it.
+        /// Process that holds the session of that name.
         holder: Incarnation,
     },
     /// The command changed the state.
     Applied,
-    /// The command had no effect: what it referred to had changed before.
+    /// The command had no effect: the state that the command referred to had changed before.
     Obsolete,
-    /// A lagging session was not fenced, because as many as allowed are fenced already.
+    /// A lagging session was not fenced, because the maximum number of sessions is fenced already.
     FenceLimitReached,
 }
--- a/crates/fleet/src/state_machine/departures.rs
+++ b/crates/fleet/src/state_machine/departures.rs
@@ -4,7 +4,7 @@
 use crate::version::{GatewayName, ListVersion};
 use serde::{Deserialize, Serialize};
 
-/// Maximum number of departures that are retained; those recorded earliest are dropped first.
+/// Maximum number of departures that are retained; the departures that were recorded first are dropped first.
 const MAX_DEPARTURES: usize = 1024;
 
 /// Key of a departure. Departures are ordered by lineage, then by endpoint.
@@ -14,12 +14,12 @@
     endpoint: String,
 }
 
-/// How far an endpoint has departed, in ascending order.
+/// How far an endpoint has departed; a removal is greater than a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DepartureKind {
-    /// It gets no new requests.
+    /// The endpoint drains and gets no new requests.
     Draining,
-    /// It is not in the list any more.
+    /// The endpoint is no longer in the list.
     Removed,
 }
 
@@ -34,16 +34,16 @@
     }
 }
 
-/// An endpoint that drains or was removed, as replicated.
+/// State of an endpoint that drains or was removed, as replicated.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Departure {
-    /// Index of the list that reports it.
+    /// Index of the endpoint list that reports the departure.
     pub list_index: u64,
-    /// Whether it was removed; otherwise it drains.
+    /// Whether the endpoint was removed; otherwise the endpoint drains.
     pub removed: bool,
-    /// Gateway that received the list.
+    /// Gateway that received the endpoint list.
     pub reported_by: GatewayName,
-    /// Log index at which it was recorded.
+    /// Log index at which the departure was recorded.
     pub log_index: u64,
 }
 
@@ -52,11 +52,11 @@
 pub struct DepartedEndpoint {
     /// Name of the endpoint. Its address is not sent, because it may differ from gateway to gateway.
     pub endpoint: String,
-    /// Whether it was removed; otherwise it drains.
+    /// Whether the endpoint was removed; otherwise the endpoint drains.
     pub removed: bool,
-    /// Index of the list that reports it.
+    /// Index of the endpoint list that reports the departure.
     pub list_index: u64,
-    /// Gateway that received the list.
+    /// Gateway that received the endpoint list.
     pub reported_by: GatewayName,
 }
 
@@ -74,7 +74,7 @@
             .map(|(key, departure)| (key.endpoint.as_str(), departure))
     }
 
-    /// Whether a departure is recorded already, by a newer list or by the same one. A removal says more than a drain.
+    /// Whether a departure of at least this kind is recorded already, from the same list, or any departure from a newer list.
     pub fn has_departure(&self, list: &ListVersion, endpoint: &str, kind: DepartureKind) -> bool {
         let key = DepartureKey { lineage: list.lineage.clone(), endpoint: endpoint.to_owned() };
         let Some(known) = self.departures.get(&key) else { return false };
--- a/crates/fleet/src/state_machine/mod.rs
+++ b/crates/fleet/src/state_machine/mod.rs
@@ -1,7 +1,7 @@
 //! The replicated state machine: sessions, fences, requirements and departed endpoints, equal at every replica.
 //!
-//! [`StateMachine::apply`] alone changes it. It is deterministic and reads no clock: what depends on time is proposed by a replica that
-//! waited, and the command names what that replica had observed, so that it has no effect where that has changed since.
+//! Only [`StateMachine::apply`] changes the state. It is deterministic and reads no clock: a command that depends on time is proposed by a
+//! replica that waited, and names the state that this replica observed, so that the command has no effect if that state has changed.
 
 mod command;
 mod departures;
@@ -21,7 +21,7 @@
 
 /// State that the consensus group replicates.
 ///
-/// It is stored and sent with `postcard` and hashed by the model checker: the order of the fields stays as it is.
+/// The state is stored and sent with `postcard` and hashed by the model checker: the order of the fields must not change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct StateMachine {
     log_index: u64,
@@ -29,16 +29,16 @@
     ended_sessions: BTreeMap<SessionId, EndedSession>,
     departures: BTreeMap<DepartureKey, Departure>,
     requirements: Requirements,
-    /// Gateways that an administrator has fenced, with the log index of the command.
+    /// Gateways that an administrator has fenced, each with the log index of the command that did so.
     fenced_gateways: BTreeMap<GatewayName, u64>,
-    /// Greatest part of the sessions that may be fenced at once, in thousandths. A whole number, so that all replicas compute alike.
+    /// Maximum fraction of the sessions that may be fenced at once, in thousandths: a whole number, so that all replicas compute the same.
     max_fenced_permille: u64,
-    /// Number of versions by which a list may be older than the current one, exclusive.
+    /// Number of versions by which an endpoint list must be older than the current one to count as lagging.
     max_list_lag: u64,
 }
 
 impl StateMachine {
-    /// Creates an empty state machine. All replicas must have the same policy.
+    /// Creates an empty state machine. All replicas must have the same lag policy.
     pub fn new(policy: &LagPolicy) -> StateMachine {
         StateMachine {
             max_fenced_permille: (policy.max_fenced_fraction * 1000.0).round() as u64,
@@ -47,18 +47,18 @@
         }
     }
 
-    /// Number of commands applied since the group was founded, across all configurations. Not an index of the library's log, which
-    /// starts anew with each configuration.
+    /// Number of commands applied since the group was founded, across all configurations. This is not an index of the library's log, which
+    /// starts empty with each configuration.
     pub fn log_index(&self) -> u64 {
         self.log_index
     }
 
-    /// Open sessions.
+    /// Open sessions, by identifier.
     pub fn sessions(&self) -> &BTreeMap<SessionId, Session> {
         &self.sessions
     }
 
-    /// The most recent sessions that have ended.
+    /// Sessions that have ended, by identifier; only the most recently opened ones are retained.
     pub fn ended_sessions(&self) -> &BTreeMap<SessionId, EndedSession> {
         &self.ended_sessions
     }
@@ -73,12 +73,12 @@
         self.fenced_gateways.keys()
     }
 
-    /// Open session of a gateway.
+    /// Open session of the named gateway, if there is one.
     pub fn session_of(&self, name: &str) -> Option<(SessionId, &Session)> {
         self.sessions.iter().find(|(_, session)| session.name == name).map(|(id, session)| (*id, session))
     }
 
-    /// Applies the next command of the log.
+    /// Applies the next command of the replicated log.
     pub fn apply(&mut self, command: &Command) -> CommandOutcome {
         self.log_index += 1;
         match command {
--- a/crates/fleet/src/state_machine/sessions.rs
+++ b/crates/fleet/src/state_machine/sessions.rs
@@ -1,20 +1,21 @@
 //! Sessions: opening, renewing and ending them, and fences set by administrators.
 //!
-//! *Opening*: a gateway sends an open request; the replica that receives it proposes the command; it succeeds if no other process holds
-//! the name. *Renewal*: any replica gathers renewals and proposes them once a tick; the holder's lease counts from the moment at which it
-//! sent the request (`Lease::holder_expiry`). *Expiry*: the leader starts a timer when it sees a session's request number change, and
-//! proposes the expiry after `Lease::grantor_expiry`; its timers restart when it becomes leader, after a pause, and when its state was
-//! replaced. A renewal that is committed first makes the command obsolete. *Fencing*: a session that [`StateMachine::lag_of`] reports for
-//! the lag policy's duration at the leader is fenced, within [`StateMachine::fence_capacity`], until it has caught up.
+//! *Opening*: a gateway sends an open request; the replica that receives the request proposes the command, which succeeds if no other
+//! process holds the name. *Renewal*: any replica batches renewals and proposes them once a tick; the holder's lease counts from the moment
+//! at which the holder sent the request (`Lease::holder_expiry`). *Expiry*: the leader starts a timer when a session's request number
+//! changes, and proposes the expiry after `Lease::grantor_expiry`; these timers restart when the replica becomes leader, after a pause, and
+//! when its state was replaced. A renewal that is committed first makes the expiry command obsolete. *Fencing*: a session that lagged by
+//! [`StateMachine::lag_of`] for the lag policy's duration, as observed by the leader, is fenced until it has caught up, as far as
+//! [`StateMachine::fence_capacity`] permits.
 
 use super::{CommandOutcome, FenceReason, Renewal, Requirements, StateMachine};
 use crate::version::{GatewayName, Incarnation, Version};
 use serde::{Deserialize, Serialize};
 
-/// Identifier of a session: the log index at which it was opened.
+/// Identifier of a session: the log index at which the session was opened.
 ///
-/// Within one consensus group it is never reused and grows with each session, so a recipient can use it as a fencing token. A group
-/// that is founded anew counts from 1 again.
+/// Within one consensus group an identifier is never reused and each new session has a higher one, so a recipient can use the identifier
+/// as a fencing token. A newly founded group counts from 1 again.
 pub type SessionId = u64;
 
 /// Maximum number of ended sessions that are retained for queries.
@@ -23,28 +24,28 @@
 /// An open session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Session {
-    /// Gateway that holds it.
+    /// Name of the gateway that holds the session.
     pub name: GatewayName,
-    /// Process that holds it.
+    /// Process that holds the session.
     pub process: Incarnation,
     /// Version that the gateway acts on.
     pub version: Version,
-    /// Number of the last request that renewed it.
+    /// Number of the last request that opened or renewed the session.
     pub renewals: u64,
-    /// Why it is fenced, if it is.
+    /// Why the session is fenced; absent if the session is not fenced.
     pub fence_reason: Option<FenceReason>,
 }
 
 /// A session that has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct EndedSession {
-    /// Gateway that held it.
+    /// Name of the gateway that held the session.
     pub name: GatewayName,
-    /// Process that held it.
+    /// Process that held the session.
     pub process: Incarnation,
-    /// Log index at which it ended.
+    /// Log index at which the session ended.
     pub log_index: u64,
-    /// Whether it expired; otherwise its own process closed it.
+    /// Whether the session expired; otherwise the process that held the session closed it.
     pub expired: bool,
 }
 
@@ -60,8 +61,8 @@
             if session.process != process {
                 return CommandOutcome::NameTaken { holder: session.process };
             }
-            // The answer to the earlier request was lost. Without counting this one as a renewal, the session could expire while its
-            // holder, which counts its lease from this request, still relies on it.
+            // The answer to the earlier open request was lost. If the repeated request did not count as a renewal, the session could expire
+            // while its holder, which counts the lease from the repeated request, still relies on the session.
             if let Some(session) = self.sessions.get_mut(&id) {
                 session.renewals = session.renewals.max(request);
             }
@@ -124,7 +125,7 @@
         while self.ended_sessions.len() > MAX_ENDED_SESSIONS {
             self.ended_sessions.pop_first();
         }
-        // With one session fewer, the list index that most sessions have reached may be lower.
+        // With one session fewer, the list index that the majority of sessions has reached may be lower.
         self.unfence_caught_up();
         CommandOutcome::Applied
     }
@@ -138,7 +139,7 @@
         CommandOutcome::Applied
     }
 
-    /// Ends every fence of the gateway, a lag fence included; a gateway that still lags is fenced again after the policy's duration.
+    /// Ends every fence of the gateway, also one for lagging; a gateway that still lags is fenced again after the policy's duration.
     pub(super) fn unfence_gateway(&mut self, name: &GatewayName) -> CommandOutcome {
         let was_fenced = self.fenced_gateways.remove(name).is_some();
         self.set_fence_reason(name, None);
--- a/crates/fleet/src/state_machine/version_lag.rs
+++ b/crates/fleet/src/state_machine/version_lag.rs
@@ -1,11 +1,11 @@
-//! Replica lag: which list index is current, which sessions lag behind it, and how many of them may be fenced.
+//! Version lag: which list index is current, which sessions lag behind it or behind a requirement, and how many sessions may be fenced.
 
 use super::{CommandOutcome, Session, SessionId, StateMachine};
 use crate::version::{ListVersion, Version};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Sessions that a fleet must have for one of them to be fenced, where the allowed fraction of them is less than one session.
+/// Minimum number of sessions at which one session may be fenced although the allowed fraction amounts to less than one session.
 const MIN_SESSIONS_TO_FENCE_ONE: u64 = 3;
 
 /// Why a session is fenced.
@@ -17,28 +17,28 @@
     Lagging(VersionLag),
 }
 
-/// What a gateway lags with.
+/// The version with which a gateway lags, and the version that it should have.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum VersionLag {
-    /// Its endpoint list is too old.
+    /// The gateway's endpoint list is too old.
     List {
-        /// Index of its list.
+        /// Index of the gateway's endpoint list.
         own: u64,
-        /// Current index.
+        /// Current index of the list's lineage.
         current: u64,
     },
-    /// Its configuration is not the required one.
+    /// The gateway's configuration is not the required one.
     Config {
-        /// Digest of its configuration.
+        /// Digest of the gateway's configuration.
         own: u64,
-        /// Required digest.
+        /// Digest of the required configuration.
         required: u64,
     },
-    /// Its build is not the required one.
+    /// The gateway's build is not the required one.
     Build {
-        /// Build that it runs.
+        /// Identifier of the build that the gateway runs.
         own: String,
-        /// Required build.
+        /// Identifier of the required build.
         required: String,
     },
 }
@@ -66,18 +66,19 @@
 
 /// A session that lags and is not fenced.
 pub struct LaggingSession<'a> {
-    /// Its identifier.
+    /// Identifier of the session.
     pub id: SessionId,
     /// State of the session.
     pub session: &'a Session,
-    /// What it lags with.
+    /// The version with which the session's gateway lags.
     pub lag: VersionLag,
 }
 
 impl StateMachine {
-    /// Current index of a lineage: the highest that more than half of its sessions have reached, or the required one if that is higher.
+    /// Current list index of a lineage: the highest index that more than half of the lineage's sessions have reached, or the required index
+    /// if the required index is higher.
     ///
-    /// A single process with a wrong list cannot raise it, unless it is alone on the lineage.
+    /// A single process with a wrong list cannot raise the current index, unless no other session has a list of that lineage.
     pub fn current_list_index(&self, lineage: &str) -> Option<u64> {
         let mut indices: Vec<u64> = self
             .sessions
@@ -86,7 +87,7 @@
             .map(|session| session.version.list.index)
             .collect();
         indices.sort_unstable();
-        // Of n sorted indices, more than half are at least the one at position (n - 1) / 2.
+        // Of n sorted indices, more than half are at least as high as the index at position (n - 1) / 2.
         let reached_by_majority = indices.len().checked_sub(1).map(|last| indices[last / 2]);
         reached_by_majority.max(self.required_list_index(lineage))
     }
@@ -96,14 +97,14 @@
         (required.lineage == lineage).then_some(required.index)
     }
 
-    /// What a gateway that acts on `version` lags with, if anything.
+    /// The lag of a gateway that acts on `version`; `None` if it does not lag.
     pub fn lag_of(&self, version: &Version) -> Option<VersionLag> {
         self.list_lag(&version.list).or_else(|| self.config_lag(version)).or_else(|| self.build_lag(version))
     }
 
     fn list_lag(&self, list: &ListVersion) -> Option<VersionLag> {
         let current = self.current_list_index(&list.lineage)?;
-        // A required index has to be reached exactly; behind the majority, the allowed distance applies.
+        // The policy's allowed lag applies to the majority's index only: a list below the required index always lags.
         let below_required =
             self.required_list_index(&list.lineage).is_some_and(|required| list.index < required);
         let too_far_behind = list.index.saturating_add(self.max_list_lag) <= current;
@@ -120,9 +121,9 @@
         Some(VersionLag::Build { own: version.build.clone(), required: required.clone() })
     }
 
-    /// How many more sessions may be fenced for lagging.
+    /// Number of further sessions that may be fenced for lagging.
     ///
-    /// Sessions fenced by administrators count as well: without the limit, a bad requirement could fence the whole fleet.
+    /// Sessions that administrators fenced count towards the limit. Without a limit, a bad requirement could fence the whole fleet.
     pub fn fence_capacity(&self) -> usize {
         let session_count = self.sessions.len() as u64;
         let fenced_count =
@@ -158,7 +159,7 @@
         CommandOutcome::Applied
     }
 
-    /// Ends the fences of sessions that no longer lag.
+    /// Unfences sessions that were fenced for lagging and no longer lag.
     pub(super) fn unfence_caught_up(&mut self) {
         let caught_up: Vec<SessionId> = self
             .sessions
