--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! One gateway's whole part in the fleet, without I/O: events come in, [`NodeAction`]s go out, and the gateway's link carries them out.
+//! One gateway's part in the fleet, without I/O: the gateway passes in events and carries out the [`NodeAction`]s that the node returns.
 
 mod rate_limit;
 mod session_client;
@@ -21,69 +21,69 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time between two ticks from which on this process counts as having been paused.
+/// Time between two ticks above which this process counts as having been paused.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// Something that the gateway has to carry out for its node.
+/// An action that the gateway has to carry out for its node.
 #[derive(Clone, Debug)]
 pub enum NodeAction {
-    /// Write these records to stable storage before any frame of a later action is sent. Without storage, nothing is to be done.
+    /// Write the records to stable storage before any frame of a later action is sent. A gateway without storage ignores the action.
     Store(Vec<StoredRecord>),
     /// Send a frame to a peer, if its link is up.
     Send {
-        /// Peer that it is sent to.
+        /// Name of the peer that the frame is sent to.
         to: GatewayName,
-        /// Frame to send.
+        /// Frame for that peer.
         frame: Frame,
     },
-    /// Close the link to a peer, which is half open, and connect again.
+    /// Close the link to a peer, because the link is half open, and connect again.
     CloseLink(GatewayName),
     /// This gateway's session state has changed.
     SessionStateChanged(SessionState),
     /// Poll discovery: other gateways have a newer endpoint list.
     PollDiscovery {
-        /// Current index of the list.
+        /// Current index of the endpoint list's lineage.
         current: u64,
     },
-    /// Read the configuration again: administrators require another one.
+    /// Read the configuration again: administrators require another configuration.
     ReloadConfig {
         /// Digest of the required configuration.
         required: u64,
     },
-    /// Send no new requests to endpoints that drain or were removed by newer lists than this gateway's.
+    /// Send no new requests to the endpoints, which drain or were removed according to lists newer than this gateway's.
     EndpointsDeparted(Vec<DepartedEndpoint>),
     /// Log a text for administrators.
     Notice(String),
 }
 
-/// Vote of a process, with the state that an earlier process with the same vote has stored.
+/// Vote of a process, with the records that an earlier process with the same vote has stored.
 #[derive(Debug)]
 pub struct StoredVote {
-    /// Process whose vote it is: the own one, or the earlier one whose records these are.
+    /// Process whose vote it is: this process, or the earlier process that stored the records.
     pub voter: Incarnation,
-    /// Records of the consensus store, in their order.
+    /// Records of the consensus store, in the order in which they were stored.
     pub records: Vec<StoredRecord>,
 }
 
-/// Process at the other end of a link.
+/// Process of a peer that a link leads to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerProcess {
-    /// Process that runs the peer.
+    /// Process that the peer runs as.
     pub process: Incarnation,
-    /// Process whose vote it holds: its own, or the earlier one whose stored state it restored.
+    /// Process whose vote the peer holds: its own, or that of the earlier process whose stored state the peer restored.
     pub voter: Incarnation,
 }
 
-/// One gateway's part in the fleet.
+/// One gateway's part in the fleet: membership, consensus and sessions.
 pub struct Node {
     settings: FleetSettings,
     process: Incarnation,
     membership: Membership,
-    /// Present where this gateway is a member of the consensus group.
+    /// This gateway's part in consensus; absent if the gateway is not a member of the consensus group.
     consensus: Option<ConsensusGroup>,
     session_manager: SessionManager,
     session_client: SessionClient,
-    /// Frames to this gateway itself: a replica's session client may choose its own session manager.
+    /// Frames from this gateway to itself: a replica's session client may choose the session manager of the same gateway.
     loopback: VecDeque<Frame>,
     last_tick_at: Option<Duration>,
     last_heartbeat_at: Option<Duration>,
@@ -91,7 +91,7 @@
 }
 
 impl Node {
-    /// Creates the node of this process. The seed spreads what all gateways would otherwise do at the same moment.
+    /// Creates the node of this process. The seed spreads the session requests that all gateways would otherwise send at the same moment.
     pub fn new(
         settings: FleetSettings,
         process: Incarnation,
@@ -133,12 +133,12 @@
         self.process
     }
 
-    /// Whether this gateway may act at this moment. To be checked at every decision, because a lease expires without an event.
+    /// Whether this gateway may act at this moment. Must be checked at every decision, because a lease expires without an event.
     pub fn session_state(&self, now: Duration) -> SessionState {
         self.session_client.state(now)
     }
 
-    /// Whether this gateway accepts clients at this moment.
+    /// Whether this gateway accepts client requests at this moment.
     pub fn accepts_clients(&self, now: Duration) -> bool {
         match self.session_client.state(now) {
             SessionState::InSession(_) => true,
@@ -147,14 +147,14 @@
         }
     }
 
-    /// `Retry-After` for clients that are rejected for want of a session or because of a fence.
+    /// `Retry-After` for client requests that are rejected because this gateway has no session or is fenced.
     ///
-    /// A gateway that reaches a replica again, or has caught up, accepts clients within one renewal.
+    /// A gateway that reaches a replica again, or has caught up, accepts client requests within one renewal interval.
     pub fn retry_after(&self) -> Duration {
         self.settings.lease.renewal_interval()
     }
 
-    /// Whether a link to this process of a peer may be established now.
+    /// Whether a link to the process `process` of a peer may be established now.
     pub fn admits_peer(&self, now: Duration, peer: &str, process: Incarnation) -> bool {
         self.membership.admits(now, peer, process)
     }
@@ -164,7 +164,7 @@
         self.session_client.version()
     }
 
-    /// The state machine, where this gateway is a member of the consensus group.
+    /// The replicated state machine; `None` if this gateway is not a member of the consensus group.
     pub fn state_machine(&self) -> Option<&StateMachine> {
         self.consensus.as_ref().map(ConsensusGroup::state)
     }
@@ -174,7 +174,7 @@
         self.state_machine().map_or(self.last_update().log_index, StateMachine::log_index)
     }
 
-    /// The consensus group, where this gateway is a member of it.
+    /// This gateway's part in the consensus group; `None` if the gateway is not a member.
     pub fn consensus_group(&self) -> Option<&ConsensusGroup> {
         self.consensus.as_ref()
     }
@@ -184,13 +184,14 @@
         self.session_client.last_update()
     }
 
-    /// This gateway acts on another version from now on.
+    /// Records that this gateway acts on another version from now on.
     pub fn set_version(&mut self, now: Duration, version: Version, out: &mut Vec<NodeAction>) {
         self.session_client.set_version(now, version);
         self.finish_step(now, out);
     }
 
-    /// An endpoint list reports endpoints that drain or were removed: their names, each with whether it was removed.
+    /// Records endpoints that this gateway's list reports as departed: their names, each with true if the endpoint was removed, false if it
+    /// drains.
     pub fn record_departures(
         &mut self,
         now: Duration,
@@ -202,14 +203,14 @@
         self.finish_step(now, out);
     }
 
-    /// The link to a peer is up.
+    /// Records that the link to a peer is up.
     pub fn link_up(&mut self, now: Duration, peer: &str, remote: PeerProcess, out: &mut Vec<NodeAction>) {
         self.membership.link_up(now, peer, remote.process);
         self.step_consensus(now, out, |group| group.link_up(peer, remote.voter));
         self.finish_step(now, out);
     }
 
-    /// The link to a peer broke or could not be established.
+    /// Records that the link to a peer broke or could not be established.
     pub fn link_down(&mut self, now: Duration, peer: &str, failure: LinkFailure, out: &mut Vec<NodeAction>) {
         self.membership.link_down(peer, failure);
         if let Some(group) = &mut self.consensus {
@@ -220,26 +221,26 @@
         self.finish_step(now, out);
     }
 
-    /// A frame of a peer has arrived.
+    /// Handles a frame that has arrived from a peer.
     pub fn receive(&mut self, now: Duration, from: &str, frame: Frame, out: &mut Vec<NodeAction>) {
         self.membership.record_message(now, from);
         self.dispatch(now, from, frame, out);
         self.finish_step(now, out);
     }
 
-    /// Records could not be stored: this process does not vote any more.
+    /// Records that writing to stable storage failed: this process no longer votes.
     pub fn store_failed(&mut self) {
         if let Some(group) = &mut self.consensus {
             group.stop_voting();
         }
     }
 
-    /// Proposes a command of an administrator. Returns whether it is on its way.
+    /// Proposes a command of an administrator. Returns whether the command was accepted for replication; it may still be lost.
     pub fn propose(&mut self, command: Command) -> bool {
         self.consensus.as_mut().is_some_and(|group| group.propose(command))
     }
 
-    /// Advances time. To be called every [`crate::consensus::TICK_INTERVAL`], as punctually as the gateway can.
+    /// Advances time. Must be called every [`crate::consensus::TICK_INTERVAL`], as punctually as the gateway can.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<NodeAction>) {
         let was_paused = self.last_tick_at.is_some_and(|at| now.saturating_sub(at) > PAUSE_THRESHOLD);
         self.last_tick_at = Some(now);
@@ -256,7 +257,7 @@
         self.finish_step(now, out);
     }
 
-    /// Closes this gateway's session. To be called last.
+    /// Closes this gateway's session. Must be the last call.
     pub fn shut_down(&mut self, now: Duration, out: &mut Vec<NodeAction>) {
         self.session_client.close(out);
         self.finish_step(now, out);
@@ -268,7 +269,7 @@
             return;
         }
         self.last_heartbeat_at = Some(now);
-        // Views go between members of the consensus group only: sent to every gateway, they would be most of the traffic on the links.
+        // Views are sent to members of the consensus group only: sent to every gateway, views would be most of the traffic on the links.
         let views = if self.consensus.is_some() { self.membership.views(now) } else { Vec::new() };
         for to in self.membership.reachable_peers() {
             let is_member = self.consensus.as_ref().is_some_and(|group| group.is_member(to));
@@ -277,7 +278,7 @@
         }
     }
 
-    /// Hands a frame to the part of the node that it is for.
+    /// Passes a frame to the part of the node that handles this kind of frame.
     fn dispatch(&mut self, now: Duration, from: &str, frame: Frame, out: &mut Vec<NodeAction>) {
         match frame {
             Frame::Heartbeat { views } => self.membership.record_views(now, from, &views),
@@ -297,12 +298,12 @@
             | Frame::NoSession { .. }
             | Frame::Unavailable { .. }
             | Frame::StateUpdate(_) => self.session_client.receive(now, from, frame, out),
-            // The gateway's link answers administrators.
+            // Administrators' frames are handled by the gateway's link, not by the node.
             Frame::AdminQuery(_) | Frame::AdminAnswer(_) | Frame::StateSnapshot(_) => {}
         }
     }
 
-    /// Process of a peer whose link is up, or of this gateway.
+    /// Process of a peer whose link is up, or of this gateway itself.
     fn process_of(&self, gateway: &str) -> Option<Incarnation> {
         if gateway == self.settings.gateway {
             return Some(self.process);
@@ -310,7 +311,7 @@
         self.membership.process(gateway)
     }
 
-    /// Has the consensus group handle an event, where this gateway is a member of it.
+    /// Has the consensus group handle an event, if this gateway is a member of the group.
     fn step_consensus(
         &mut self,
         now: Duration,
@@ -321,7 +322,7 @@
         self.handle_consensus_output(now, output, out);
     }
 
-    /// Passes on what a step of the consensus group has produced. Records go first: messages may only be sent once they are stored.
+    /// Turns the output of a consensus step into actions. Records come first: messages may only be sent once the records are stored.
     fn handle_consensus_output(&mut self, now: Duration, output: StepOutput, out: &mut Vec<NodeAction>) {
         if !output.records.is_empty() {
             out.push(NodeAction::Store(output.records));
@@ -340,7 +341,7 @@
         }
     }
 
-    /// Ends every step: sends the session client's due request, handles frames to this gateway itself and reports a changed state.
+    /// Ends every step: sends the session client's due request, handles frames to this gateway itself and reports a changed session state.
     fn finish_step(&mut self, now: Duration, out: &mut Vec<NodeAction>) {
         self.session_client.send_due_request(now, &self.membership, out);
         loop {
--- a/crates/fleet/src/node/rate_limit.rs
+++ b/crates/fleet/src/node/rate_limit.rs
@@ -1,8 +1,8 @@
-//! A minimum interval between two occurrences of an action.
+//! Rate limit: a minimum interval between two occurrences of an action.
 
 use std::time::Duration;
 
-/// Permits an action at most once in an interval.
+/// Permits an action at most once in `min_interval`.
 #[derive(Clone, Debug)]
 pub(super) struct RateLimit {
     min_interval: Duration,
@@ -14,7 +14,7 @@
         RateLimit { min_interval, last_at: None }
     }
 
-    /// Whether the action is permitted now; if so, it counts as done.
+    /// Whether the action is permitted now; a permitted action counts as performed.
     pub(super) fn try_acquire(&mut self, now: Duration) -> bool {
         let is_permitted = self.last_at.is_none_or(|at| now.saturating_sub(at) >= self.min_interval);
         if is_permitted {
--- a/crates/fleet/src/node/session_client.rs
+++ b/crates/fleet/src/node/session_client.rs
@@ -1,5 +1,5 @@
-//! The gateway's side of its session: requesting it from a replica, relying on it no longer than its lease, and acting on the updates
-//! that come with it.
+//! Session client of a gateway: requests a session from a replica, relies on the session no longer than its lease, and acts on the state
+//! updates that replicas send.
 
 use super::rate_limit::RateLimit;
 use super::{NodeAction, SessionState};
@@ -11,21 +11,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Minimum interval between discovery polls that updates of the replicas trigger.
+/// Minimum interval between discovery polls that are triggered by state updates.
 const DISCOVERY_POLL_MIN_INTERVAL: Duration = Duration::from_secs(1);
-/// Minimum interval between configuration reloads that updates of the replicas trigger.
+/// Minimum interval between configuration reloads that are triggered by state updates.
 const CONFIG_RELOAD_MIN_INTERVAL: Duration = Duration::from_secs(5);
 /// Minimum interval between notices that another process holds this gateway's name.
 const NAME_TAKEN_NOTICE_MIN_INTERVAL: Duration = Duration::from_secs(10);
-/// Number of times that each departure is sent, since frames may be lost.
+/// Number of times that each departure is sent, because frames may be lost.
 const DEPARTURE_SEND_COUNT: u32 = 4;
 /// Maximum number of endpoints whose departure waits to be sent.
 const MAX_UNSENT_DEPARTURES: usize = 1024;
-/// Maximum number of requests whose answer is still accepted.
+/// Maximum number of session requests whose answer is still accepted.
 const MAX_TRACKED_REQUESTS: usize = 16;
-/// Shortest time between two renewals, as a fraction of the renewal interval.
+/// Minimum time between two renewal requests, as a fraction of the renewal interval.
 const MIN_RENEWAL_FRACTION: f64 = 0.8;
-/// Range of the random part of the time between two renewals, as a fraction of the renewal interval.
+/// Maximum random addition to the time between two renewal requests, as a fraction of the renewal interval.
 const RENEWAL_JITTER_FRACTION: f64 = 0.2;
 
 /// A session and the time until which this gateway may rely on it.
@@ -35,14 +35,14 @@
     expires_at: Duration,
 }
 
-/// A request that has not been answered.
+/// A session request that has not been answered.
 #[derive(Clone, Debug)]
 struct PendingRequest {
     sent_at: Duration,
     replica: GatewayName,
 }
 
-/// A departure that is still to be sent.
+/// A departure that still has to be sent.
 #[derive(Clone, Debug)]
 struct UnsentDeparture {
     removed: bool,
@@ -50,7 +50,7 @@
     sends_left: u32,
 }
 
-/// Client of the session manager of whichever replica is reachable.
+/// Client of the session manager of any reachable replica.
 #[derive(Clone, Debug)]
 pub(super) struct SessionClient {
     gateway: GatewayName,
@@ -59,18 +59,18 @@
     rng: fastrand::Rng,
     version: Version,
     last_update: StateUpdate,
-    /// Number of the last request.
+    /// Number of the last session request.
     request_count: u64,
-    /// Time at which each request was sent whose answer is still accepted, by number.
+    /// Time at which each session request was sent whose answer is still accepted, by request number.
     sent_at: BTreeMap<u64, Duration>,
     pending: Option<PendingRequest>,
     next_request_at: Duration,
-    /// Replica that requests go to.
+    /// Replica that session requests are sent to.
     replica: Option<GatewayName>,
     session: Option<HeldSession>,
-    /// Departures to be sent, by endpoint.
+    /// Departures that still have to be sent, by endpoint.
     unsent_departures: BTreeMap<String, UnsentDeparture>,
-    /// Lineage of the departures.
+    /// Lineage of the endpoint list that reported the departures.
     lineage: String,
     discovery_polls: RateLimit,
     config_reloads: RateLimit,
@@ -113,7 +113,7 @@
         &self.version
     }
 
-    /// The last update that a replica sent.
+    /// The last state update that a replica sent.
     pub(super) fn last_update(&self) -> &StateUpdate {
         &self.last_update
     }
@@ -129,7 +129,7 @@
     }
 
     pub(super) fn state(&self, now: Duration) -> SessionState {
-        // A fenced gateway stays fenced without a session too, until it has what it lacked: it knows that its state is too old to serve.
+        // A gateway that was fenced stays fenced without a session too, until it has caught up: its state is known to be too old to serve.
         if let Some(reason) =
             self.last_update.fence_reason.as_ref().filter(|reason| self.still_applies(reason))
         {
@@ -141,9 +141,9 @@
         }
     }
 
-    /// Whether a fence still applies judging by this gateway's current version. It is evaluated locally, so that a gateway without a
-    /// session stays fenced, and one that has caught up serves again before its next renewal. The replicas decide by
-    /// [`crate::state_machine::StateMachine::lag_of`], which tolerates a number of versions; this check does not, and compares no lineage.
+    /// Whether a fence still applies, judged by this gateway's current version. The fence is evaluated locally, so that a gateway without a
+    /// session stays fenced, and a gateway that has caught up serves again before its next renewal. The replicas decide by
+    /// [`crate::state_machine::StateMachine::lag_of`], which tolerates some lag; this check tolerates none and ignores the lineage.
     fn still_applies(&self, reason: &FenceReason) -> bool {
         match reason {
             FenceReason::Administrator => true,
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The gateway acts on another version from now on.
+    /// Records that the gateway acts on another version from now on.
     pub(super) fn set_version(&mut self, now: Duration, version: Version) {
         if version == self.version {
             return;
@@ -166,7 +166,7 @@
         self.request_soon(now);
     }
 
-    /// An endpoint list reports these departures: endpoint names, each with whether it was removed.
+    /// Records departures that an endpoint list reports: endpoint names, each with true if the endpoint was removed, false if it drains.
     pub(super) fn record_departures(
         &mut self,
         now: Duration,
@@ -200,12 +200,12 @@
         self.next_request_at = self.next_request_at.min(now);
     }
 
-    /// Time after which an unanswered request is sent to another replica: within one lease, three of them can be tried.
+    /// Time after which an unanswered request is sent to another replica, such that three replicas can be tried within one lease.
     fn answer_timeout(&self) -> Duration {
         self.lease.renewal_interval() / 2
     }
 
-    /// Sends the next request and the departures, if they are due.
+    /// Sends the next session request and the unsent departures, if a request is due.
     pub(super) fn send_due_request(
         &mut self,
         now: Duration,
@@ -227,7 +227,7 @@
         self.pending = Some(PendingRequest { sent_at: now, replica: replica.clone() });
         out.push(NodeAction::Send { to: replica.clone(), frame });
         self.send_departures(&replica, out);
-        // Without the random part, gateways that started together would send their requests together for ever.
+        // Without the random addition, gateways that started at the same time would send all their requests at the same time.
         let interval = self.lease.renewal_interval();
         let fraction = MIN_RENEWAL_FRACTION + RENEWAL_JITTER_FRACTION * self.rng.f64();
         self.next_request_at = now + interval.mul_f64(fraction);
@@ -250,15 +250,15 @@
         }
         let request = self.request_count;
         let version = self.version.clone();
-        // A session whose lease has expired here may still be open in the state machine, and is renewed there. This gateway relies on it
-        // again from this request on only.
+        // A session whose lease has expired at this gateway may still be open in the state machine and be renewed there. The gateway relies
+        // on the session again only from the time of the renewal request on.
         match self.session() {
             Some(session) => Frame::RenewSession { session, request, version },
             None => Frame::OpenSession { request, version },
         }
     }
 
-    /// Sends each unsent departure once, one frame a list index.
+    /// Sends each unsent departure once, with one frame for each list index.
     fn send_departures(&mut self, replica: &GatewayName, out: &mut Vec<NodeAction>) {
         let mut by_index: BTreeMap<u64, Vec<(String, bool)>> = BTreeMap::new();
         self.unsent_departures.retain(|endpoint, departure| {
@@ -273,7 +273,7 @@
         }
     }
 
-    /// Picks a replica at random among the reachable ones, this gateway itself included if it is one.
+    /// Picks a reachable replica at random; if this gateway is a replica, it counts as reachable.
     fn choose_replica(&mut self, now: Duration, membership: &Membership) -> Option<GatewayName> {
         let is_reachable =
             |name: &&GatewayName| **name == self.gateway || membership.view(now, name) == PeerView::Reachable;
@@ -285,7 +285,7 @@
         Some(reachable[index].clone())
     }
 
-    /// Handles an answer or an update of a replica.
+    /// Handles an answer or a state update of a replica.
     pub(super) fn receive(&mut self, now: Duration, from: &str, frame: Frame, out: &mut Vec<NodeAction>) {
         match frame {
             Frame::SessionGranted { session, request, update } => {
@@ -305,7 +305,7 @@
                 match holder {
                     Some(process) => self.report_name_taken(now, process, out),
                     None => {
-                        // The session has ended. A new one is requested at once.
+                        // The session has ended. A new session is requested at once.
                         self.session = None;
                         self.next_request_at = now;
                     }
@@ -316,7 +316,7 @@
                     return;
                 }
                 self.clear_pending(from);
-                // Another replica may know a leader already.
+                // Another replica may already know a leader.
                 self.replica = None;
                 self.next_request_at = now + self.lease.renewal_interval() / 4;
             }
@@ -324,10 +324,10 @@
         }
     }
 
-    /// Extends the session by the grant of a request that was sent at `sent_at`. The grant's update is not compared with the last log
-    /// index: it answers an outstanding request, and a newly founded group has smaller indices.
+    /// Extends the session by the grant of a request that was sent at `sent_at`. The log index in the grant is not compared with the
+    /// last one: the grant answers an outstanding request, and a newly founded group has smaller log indices.
     fn record_grant(&mut self, id: SessionId, request: u64, sent_at: Duration) {
-        // The grant answers the older requests too.
+        // The grant also answers the requests that were sent before.
         self.sent_at.retain(|number, _| *number > request);
         let expires_at = self.lease.holder_expiry(sent_at);
         match &mut self.session {
@@ -345,14 +345,14 @@
     fn report_name_taken(&mut self, now: Duration, process: Incarnation, out: &mut Vec<NodeAction>) {
         if self.name_taken_notices.try_acquire(now) {
             out.push(NodeAction::Notice(format!(
-                "no session: process {process} has the name {} in the fleet; it keeps it until its lease is over, so \
-                 end it or give this gateway a name of its own",
+                "no session: process {process} holds the name {} in the fleet until its session ends; end that process or give \
+                 this gateway another name",
                 self.gateway
             )));
         }
     }
 
-    /// Acts on what a replica reports.
+    /// Acts on a state update of a replica.
     fn apply_update(&mut self, now: Duration, update: StateUpdate, out: &mut Vec<NodeAction>) {
         let own_index = self.version.list.index;
         let newer = update.departures.iter().filter(|departure| departure.list_index > own_index);
@@ -373,7 +373,7 @@
         self.last_update = update;
     }
 
-    /// Ends the session and all requests. Sends the replica that the session is closed, where there is one.
+    /// Ends the session and sends no more requests. Notifies the chosen replica, if any, that the session is closed.
     pub(super) fn close(&mut self, out: &mut Vec<NodeAction>) {
         self.is_closed = true;
         let Some(session) = self.session.take() else { return };
--- a/crates/fleet/src/node/session_manager.rs
+++ b/crates/fleet/src/node/session_manager.rs
@@ -1,4 +1,4 @@
-//! A replica's side of the sessions: proposing what gateways request, and answering once it is committed.
+//! Session manager of a replica: proposes the commands that gateways request, and answers each request once its command is committed.
 
 use super::session_monitor::SessionMonitor;
 use super::NodeAction;
@@ -13,14 +13,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Maximum number of departures in one update.
+/// Maximum number of departures in one state update.
 const MAX_DEPARTURES_PER_UPDATE: usize = 256;
 
 /// A request of a gateway that is answered once its command is committed.
 #[derive(Clone, Copy, Debug)]
 struct PendingRequest {
     request: u64,
-    /// The session to renew; absent where one is to be opened.
+    /// Session to renew; absent if the request is to open a session.
     session: Option<SessionId>,
 }
 
@@ -28,11 +28,11 @@
 #[derive(Clone, Debug)]
 pub(super) struct SessionManager {
     pending: BTreeMap<GatewayName, PendingRequest>,
-    /// Renewals that are proposed together at the next tick.
+    /// Renewals that are proposed in one command at the next tick.
     renewals: Vec<Renewal>,
-    /// Last update sent to each gateway whose session this replica has granted.
+    /// Last state update sent to each gateway whose session this replica has granted.
     sent_updates: BTreeMap<GatewayName, StateUpdate>,
-    /// Whether the state machine has changed since updates were last sent.
+    /// Whether the state machine has changed since state updates were last sent.
     state_changed: bool,
     monitor: SessionMonitor,
 }
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Adds a renewal to the next batch, or answers why that is not possible.
+    /// Adds a renewal to the next batch, or answers why the session cannot be renewed.
     fn renew(
         &mut self,
         gateway: GatewayName,
@@ -118,13 +118,13 @@
                 self.pending.insert(gateway, pending);
                 self.renewals.push(renewal);
             }
-            // It may have been opened by a command that this replica has not applied yet.
+            // The session may have been opened by a command that this replica has not applied yet.
             None if renewal.session > state.log_index() => send(out, gateway, Frame::Unavailable { request }),
             _ => send(out, gateway, Frame::NoSession { request, holder: None }),
         }
     }
 
-    /// Answers the gateways that wait for a command that was committed.
+    /// Answers the gateways that are waiting for the command that was committed.
     pub(super) fn handle_committed(
         &mut self,
         committed: &Committed,
@@ -195,7 +195,7 @@
         send(out, gateway.clone(), Frame::SessionGranted { session, request, update });
     }
 
-    /// Proposes what is due and sends updates. To be called every [`crate::consensus::TICK_INTERVAL`].
+    /// Proposes due renewals, expiries and fences, and sends state updates. Must be called every [`crate::consensus::TICK_INTERVAL`].
     pub(super) fn tick(&mut self, now: Duration, consensus: &mut ConsensusGroup, out: &mut Vec<NodeAction>) {
         self.propose_renewals(consensus, out);
         self.monitor.tick(now, consensus);
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Sends an update to each gateway for which more than the log index has changed since the last one.
+    /// Sends a state update to each gateway for which more than the log index has changed since the last update.
     fn send_updates(&mut self, state: &StateMachine, out: &mut Vec<NodeAction>) {
         if !self.state_changed {
             return;
@@ -239,7 +239,7 @@
     out.push(NodeAction::Send { to, frame });
 }
 
-/// Proposes those departures that are not recorded yet.
+/// Proposes the departures that the state machine has not recorded yet.
 fn propose_departures(
     reported_by: GatewayName,
     list: ListVersion,
@@ -254,7 +254,7 @@
     }
 }
 
-/// What the state machine holds for a session.
+/// State update for the gateway that holds a session; `None` if the session is not open.
 fn update_for(state: &StateMachine, id: SessionId) -> Option<StateUpdate> {
     let session = state.sessions().get(&id)?;
     let list = &session.version.list;
@@ -273,18 +273,18 @@
     })
 }
 
-/// Notice for administrators about a committed command, where it is of interest to them.
+/// Notice for administrators about a committed command; `None` if the command is not of interest to them.
 pub(super) fn describe_committed(committed: &Committed) -> Option<String> {
     match (&committed.command, &committed.outcome) {
         (Command::ExpireSession { session, .. }, CommandOutcome::Applied) => {
             Some(format!("session {session} expired: not renewed within its lease"))
         }
         (Command::FenceLagging { session, version }, CommandOutcome::Applied) => {
-            Some(format!("session {session} fenced: it lagged with {version}"))
-        }
-        (Command::FenceLagging { session, .. }, CommandOutcome::FenceLimitReached) => {
-            Some(format!("session {session} lags and is not fenced: as many as allowed are fenced already"))
+            Some(format!("session {session} fenced: its gateway lagged with {version}"))
         }
+        (Command::FenceLagging { session, .. }, CommandOutcome::FenceLimitReached) => Some(format!(
+            "session {session} lags and is not fenced: the maximum number of sessions is fenced already"
+        )),
         (Command::SetFenced { name, fenced: true }, CommandOutcome::Applied) => {
             Some(format!("{name} fenced by an administrator"))
         }
--- a/crates/fleet/src/node/session_monitor.rs
+++ b/crates/fleet/src/node/session_monitor.rs
@@ -1,5 +1,5 @@
-//! Observation of all sessions at one replica: the leader proposes the end of sessions that were not renewed in time, and fences for
-//! those that lag for too long.
+//! Monitoring of all sessions at one replica: the leader proposes to expire sessions that were not renewed in time, and to fence
+//! sessions that lag for too long.
 
 use crate::consensus::ConsensusGroup;
 use crate::lease::Lease;
@@ -16,9 +16,9 @@
 #[derive(Clone, Copy, Debug)]
 struct ObservedSession {
     renewals: u64,
-    /// When this renewal count was first observed.
+    /// Time at which the session's current renewal count was first observed.
     observed_at: Duration,
-    /// When its expiry was last proposed.
+    /// Time at which the session's expiry was last proposed.
     proposed_at: Option<Duration>,
 }
 
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ObservedLag {
     since: Duration,
-    /// When a fence was last proposed.
+    /// Time at which a fence of the session was last proposed.
     proposed_at: Option<Duration>,
 }
 
@@ -51,10 +51,10 @@
         }
     }
 
-    /// Counts the time without renewal, and the time of each lag, from now on.
+    /// Restarts the time without renewal, and the time of each lag, at `now`.
     ///
-    /// After a pause, or while another replica led, renewals may have arrived unobserved. Counted from before, sessions would expire that
-    /// were renewed in time.
+    /// After a pause, or while another replica led, renewals may have been committed unobserved. If the times were counted from before,
+    /// sessions would expire that were renewed in time.
     pub(super) fn restart_timers(&mut self, now: Duration) {
         for observed in self.observed_sessions.values_mut() {
             observed.observed_at = now;
@@ -62,13 +62,13 @@
         self.observed_lags.clear();
     }
 
-    /// Observes all sessions; where this replica leads, proposes expiries and fences that are due.
+    /// Observes all sessions; if this replica is the leader, proposes the expiries and fences that are due.
     pub(super) fn tick(&mut self, now: Duration, consensus: &mut ConsensusGroup) {
         self.observe_leadership(now, consensus);
         self.observe_sessions(now, consensus.state());
         let lagging = self.observe_lags(now, consensus.state());
-        // Two replicas may both believe that they lead. That does no harm: a command names what was observed and has no effect where that
-        // has changed.
+        // Two replicas may both act as leader for a while. That is harmless: a command names the observed renewal count or version, and
+        // has no effect if the session has another one by then.
         if self.was_leader {
             self.propose_expiries(now, consensus);
             self.propose_fences(now, &lagging, consensus);
@@ -78,7 +78,7 @@
     fn observe_leadership(&mut self, now: Duration, consensus: &ConsensusGroup) {
         let is_leader = consensus.is_leader();
         if is_leader && !self.was_leader {
-            // What this replica observed while another one led may have been observed late.
+            // Renewals that this replica observed while another replica led may have been observed late.
             self.restart_timers(now);
         }
         self.was_leader = is_leader;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Updates which sessions lag since when; returns the version that each of them lags with.
+    /// Updates since when each session lags; returns the version that each lagging session lags with.
     fn observe_lags(&mut self, now: Duration, state: &StateMachine) -> BTreeMap<SessionId, Version> {
         let lagging: BTreeMap<SessionId, Version> =
             state.lagging_sessions().map(|lagging| (lagging.id, lagging.session.version.clone())).collect();
--- a/crates/fleet/src/node/session_state.rs
+++ b/crates/fleet/src/node/session_state.rs
@@ -1,21 +1,21 @@
-//! Whether a gateway may act.
+//! Session state of a gateway: whether the gateway may act.
 
 use crate::state_machine::{FenceReason, SessionId};
 use std::fmt;
 
-/// Whether a gateway may act, and on what ground.
+/// Session state of a gateway, which determines whether the gateway may act.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SessionState {
-    /// It holds a session whose lease has not expired.
+    /// The gateway holds a session whose lease has not expired.
     InSession(SessionId),
-    /// It holds none: no replica is reachable, or none grants one.
+    /// The gateway holds no session: no replica is reachable, or no replica grants a session.
     WithoutSession,
-    /// It is fenced and accepts no clients.
+    /// The gateway is fenced and accepts no client requests.
     Fenced(FenceReason),
 }
 
 impl SessionState {
-    /// Whether both states permit the same, whatever the session.
+    /// Whether the two states are equal, apart from the session's identifier.
     pub fn is_same_kind(&self, other: &SessionState) -> bool {
         match (self, other) {
             (SessionState::InSession(_), SessionState::InSession(_)) => true,
--- a/crates/fleet/src/node/status.rs
+++ b/crates/fleet/src/node/status.rs
@@ -1,4 +1,4 @@
-//! State of the fleet as one gateway sees it, for administrators. Field names in JSON are those of version 0.2.0.
+//! State of the fleet as one gateway sees it, for administrators. The JSON field names are those of version 0.2.0.
 
 use super::Node;
 use crate::consensus::ConsensusGroup;
@@ -13,53 +13,53 @@
 pub struct Status {
     /// Name of this gateway.
     pub gateway: GatewayName,
-    /// Process of this gateway.
+    /// Incarnation of this gateway's process, as text.
     pub process: String,
-    /// Its [`super::SessionState`], as text.
+    /// Session state ([`super::SessionState`]) of this gateway, as text.
     #[serde(rename = "standing")]
     pub session_state: String,
-    /// Its session, if it holds one.
+    /// Session that this gateway holds, if any.
     pub session: Option<SessionId>,
-    /// Time for which it may rely on its session, in milliseconds.
+    /// Time for which this gateway may still rely on its session, in milliseconds.
     #[serde(rename = "held_ms")]
     pub remaining_lease_ms: u64,
-    /// Version that it acts on.
+    /// Version that this gateway acts on.
     pub version: Version,
-    /// Log index up to which it knows the state machine.
+    /// Log index up to which this gateway knows the state machine.
     #[serde(rename = "position")]
     pub log_index: u64,
-    /// Current index of the lineage of its endpoint list, from the last update.
+    /// Current list index in the lineage of this gateway's endpoint list, from a replica's last update.
     #[serde(rename = "current")]
     pub current_list_index: Option<u64>,
-    /// Leader of the consensus group, where this gateway is a member.
+    /// Leader of the consensus group, if this gateway is a member and knows a leader.
     pub leader: Option<GatewayName>,
-    /// Number of the consensus group's configuration and whether this process votes, where this gateway is a member.
+    /// Generation of the consensus group's configuration and whether this process votes, if this gateway is a member.
     #[serde(rename = "council")]
     pub consensus: Option<(u32, bool)>,
     /// State of each peer.
     pub members: Vec<(GatewayName, PeerState)>,
-    /// All open sessions, where this gateway is a member of the consensus group.
+    /// All open sessions; empty if this gateway is not a member of the consensus group.
     pub sessions: Vec<SessionRow>,
-    /// Gateways that administrators have fenced, where this gateway is a member of the consensus group.
+    /// Gateways that administrators have fenced; empty if this gateway is not a member of the consensus group.
     #[serde(rename = "held_out")]
     pub fenced_by_administrator: Vec<GatewayName>,
 }
 
-/// An open session, for administrators.
+/// An open session, as shown to administrators.
 #[derive(Clone, Debug, Serialize)]
 pub struct SessionRow {
-    /// Gateway that holds it.
+    /// Name of the gateway that holds the session.
     pub gateway: GatewayName,
-    /// Process that holds it.
+    /// Process that holds the session.
     pub process: String,
-    /// Its identifier.
+    /// Identifier of the session.
     pub session: SessionId,
     /// Version that the gateway acts on.
     pub version: Version,
-    /// Number of versions by which its endpoint list is older than the current one.
+    /// Number of versions by which the gateway's endpoint list is older than the current one.
     #[serde(rename = "behind")]
     pub list_lag: u64,
-    /// Why it is fenced, if it is.
+    /// Why the session is fenced; absent if the session is not fenced.
     #[serde(rename = "out")]
     pub fence_reason: Option<String>,
 }
