--- a/crates/fleet/src/audit/interval.rs
+++ b/crates/fleet/src/audit/interval.rs
@@ -1,6 +1,6 @@
-//! Decisions, exceptions and the reports about them.
+//! Decisions, exceptions, and the reports about decisions and exceptions.
 //!
-//! Reports are stored with `postcard` and answered as JSON: order and JSON names of the fields are those of version 0.2.0.
+//! Reports are stored with `postcard` and sent to administrators as JSON: order and JSON names of the fields are those of version 0.2.0.
 
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 pub enum DecisionKind {
     /// The first attempt of a request is sent to an endpoint.
     Pick,
-    /// A further attempt of a request is sent.
+    /// A further attempt of a request is sent to an endpoint.
     #[serde(rename = "Resend")]
     Retry,
     /// A request is rejected.
@@ -20,7 +20,7 @@
     Drain,
 }
 
-/// Number of kinds of decisions.
+/// Number of variants of [`DecisionKind`].
 pub(super) const DECISION_KIND_COUNT: usize = 4;
 
 /// Number of decisions of each kind, indexed by [`DecisionKind`].
@@ -29,30 +29,30 @@
 /// A decision that a gateway should not have made.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Exception {
-    /// It acted on an endpoint list although it had been notified of a newer one.
+    /// The gateway acted on an endpoint list although it had been notified of a newer list.
     #[serde(rename = "OlderThanTold")]
     StaleList {
-        /// Index of its list.
+        /// Index of the gateway's endpoint list.
         own: u64,
-        /// Newest index that it had been notified of.
+        /// Newest list index that the gateway had been notified of.
         #[serde(rename = "told")]
         newest_known: u64,
     },
-    /// It sent a request to an endpoint although it had been notified that the endpoint drains or was removed.
+    /// The gateway sent a request to an endpoint although it had been notified that the endpoint drains or was removed.
     #[serde(rename = "ToldGone")]
     RemovedEndpoint {
         /// Name of the endpoint.
         #[serde(rename = "host")]
         endpoint: String,
     },
-    /// It acted without a session.
+    /// The gateway acted without a session.
     WithoutSession,
-    /// It sent a request although it was fenced.
+    /// The gateway sent a request although it was fenced.
     #[serde(rename = "ShutOut")]
     Fenced,
 }
 
-/// A decision, as it is recorded.
+/// A decision of the gateway, as passed to the audit log.
 #[derive(Clone, Copy, Debug)]
 pub struct Decision<'a> {
     /// Kind of the decision.
@@ -65,47 +65,47 @@
     pub endpoint: Option<&'a str>,
 }
 
-/// An interval during which one version was in force.
+/// Report of an interval during which one version was in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntervalReport {
-    /// Version in force.
+    /// Version in force during the interval.
     pub version: Version,
-    /// Begin, in milliseconds of the process's clock.
+    /// Begin of the interval, in milliseconds of the process's clock.
     pub from_ms: u64,
-    /// End, likewise; absent while the interval lasts.
+    /// End of the interval, in milliseconds of the process's clock; absent while the interval lasts.
     pub to_ms: Option<u64>,
-    /// Log index of the state machine that the gateway knew at the beginning, and last. It grows with the renewal of any session.
+    /// Log indices of the state machine that the gateway knew first and last in the interval. Any session's renewal raises the log index.
     #[serde(rename = "register")]
     pub log_indices: (u64, u64),
-    /// Kind, class and number of the decisions.
+    /// Decisions in the interval: their kind, the class of the request, and the number of such decisions.
     pub decisions: Vec<(DecisionKind, usize, u64)>,
-    /// Identifier of the first request.
+    /// Identifier of the interval's first request, as the client sent it.
     #[serde(rename = "first")]
     pub first_request: Option<String>,
-    /// Digest of the last request's identifier.
+    /// Digest of the identifier of the interval's last request.
     #[serde(rename = "last")]
     pub last_request_digest: Option<u64>,
 }
 
-/// A run of equal exceptions that followed each other closely.
+/// Report of a run: equal exceptions that followed each other closely.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExceptionReport {
-    /// The exception.
+    /// Exception that occurred in the run.
     #[serde(rename = "what")]
     pub exception: Exception,
-    /// Time of the first one, in milliseconds of the process's clock.
+    /// Time of the run's first exception, in milliseconds of the process's clock.
     pub from_ms: u64,
-    /// Time of the last one, likewise.
+    /// Time of the run's last exception, in milliseconds of the process's clock.
     pub to_ms: u64,
-    /// Number of exceptions.
+    /// Number of exceptions in the run.
     pub count: u64,
-    /// Identifier of the first request.
+    /// Identifier of the request that the run's first exception concerns.
     #[serde(rename = "first")]
     pub first_request: String,
 }
 
 impl ExceptionReport {
-    /// Whether it overlaps one of these intervals.
+    /// Whether the run overlaps in time with any of the intervals.
     pub(super) fn overlaps_any(&self, intervals: &[IntervalReport]) -> bool {
         intervals.iter().any(|interval| {
             self.to_ms >= interval.from_ms && interval.to_ms.is_none_or(|end_ms| self.from_ms <= end_ms)
@@ -113,65 +113,65 @@
     }
 }
 
-/// A decision about one request.
+/// Report of a step: one decision about one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepReport {
-    /// Time, in milliseconds of the process's clock.
+    /// Time of the decision, in milliseconds of the process's clock.
     pub at_ms: u64,
     /// Kind of the decision.
     pub kind: DecisionKind,
-    /// Name of the endpoint, where it is still known.
+    /// Name of the endpoint, if the decision concerns one and its name is still known.
     #[serde(rename = "host")]
     pub endpoint: Option<String>,
-    /// Version in force, where it is still known.
+    /// Version in force at the decision, if that version is still known.
     pub version: Option<Version>,
 }
 
-/// Decisions under a range of endpoint lists, from the memory of one gateway.
+/// Report of the decisions under a range of endpoint lists, from the memory of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditReport {
-    /// Start of the log, in milliseconds of the process's clock. It does not include earlier processes.
+    /// Start of the log, in milliseconds of the process's clock. The log does not include earlier processes.
     pub since_ms: u64,
-    /// Time of the report, likewise.
+    /// Time of the report, in milliseconds of the process's clock.
     pub until_ms: u64,
-    /// Number of intervals that were dropped since the start.
+    /// Number of intervals that were dropped since the start of the log.
     #[serde(rename = "forgotten")]
     pub dropped_intervals: u64,
-    /// Number of exception runs that were dropped since the start.
+    /// Number of exception runs that were dropped since the start of the log.
     #[serde(rename = "exceptions_forgotten")]
     pub dropped_exceptions: u64,
-    /// The intervals.
+    /// Intervals whose endpoint list is in the requested range.
     pub intervals: Vec<IntervalReport>,
-    /// Exceptions during the intervals.
+    /// Exception runs that overlap with the reported intervals.
     pub exceptions: Vec<ExceptionReport>,
 }
 
-/// Decisions about one request, from the memory of one gateway.
+/// Report of the decisions about one request, from the memory of one gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestReport {
-    /// Time from which on requests are kept one by one, in milliseconds of the process's clock.
+    /// Time from which on steps are retained, in milliseconds of the process's clock.
     pub since_ms: u64,
-    /// The decisions, in their order.
+    /// Decisions about the request, in chronological order.
     pub steps: Vec<StepReport>,
 }
 
-/// What is missing from the log.
+/// Which entries are missing from the log for a span of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum UnknownKind {
-    /// Single requests; the counts are there.
+    /// Steps are missing; intervals and exceptions are complete.
     Requests,
-    /// Intervals, exceptions and requests.
+    /// Intervals, exceptions and steps are missing.
     All,
 }
 
-/// A time of which a part of the log is missing, in milliseconds of the process's clock.
+/// A span of time for which a part of the log is missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct UnknownSpan {
-    /// Begin of the time.
+    /// Begin of the span, in milliseconds of the process's clock.
     pub from_ms: u64,
-    /// End of the time.
+    /// End of the span, in milliseconds of the process's clock.
     pub to_ms: u64,
-    /// What is missing.
+    /// Which entries are missing for the span.
     #[serde(rename = "what")]
     pub kind: UnknownKind,
 }
--- a/crates/fleet/src/audit/log.rs
+++ b/crates/fleet/src/audit/log.rs
@@ -11,28 +11,28 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Maximum number of intervals.
+/// Maximum number of intervals in memory.
 const MAX_INTERVALS: usize = 4096;
-/// Maximum number of exception runs.
+/// Maximum number of exception runs in memory.
 const MAX_EXCEPTION_RUNS: usize = 1024;
-/// Maximum number of decisions that are kept one by one: a minute and a half at 200 requests a second.
+/// Maximum number of steps in memory: about a minute and a half at 200 requests a second.
 const MAX_STEPS: usize = 16_384;
-/// Maximum number of endpoint names.
+/// Maximum number of endpoint names in memory.
 const MAX_ENDPOINT_NAMES: usize = 4096;
-/// Greatest time between two equal exceptions of one run.
+/// Maximum time between two consecutive exceptions of the same run.
 const MAX_GAP_IN_RUN: Duration = Duration::from_secs(1);
-/// Number of the newest exception runs that may still grow.
+/// Number of newest exception runs to which further exceptions may be added.
 const OPEN_RUNS: usize = 4;
 
 /// An interval during which one version is in force.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Interval {
     version: Version,
-    from: Duration,
-    /// Log index of the state machine that this gateway knew at the beginning.
+    started_at: Duration,
+    /// Log index of the state machine that this gateway knew at the beginning of the interval.
     first_log_index: u64,
     last_log_index: u64,
-    /// Number of decisions, by class.
+    /// Number of decisions of each kind, by request class.
     counts: Vec<DecisionCounts>,
     first_request: Option<String>,
     last_request_digest: Option<u64>,
@@ -42,7 +42,7 @@
     fn new(now: Duration, version: Version, log_index: u64) -> Interval {
         Interval {
             version,
-            from: now,
+            started_at: now,
             first_log_index: log_index,
             last_log_index: log_index,
             counts: Vec::new(),
@@ -65,7 +65,7 @@
     fn report(&self, to_ms: Option<u64>) -> IntervalReport {
         IntervalReport {
             version: self.version.clone(),
-            from_ms: millis(self.from),
+            from_ms: millis(self.started_at),
             to_ms,
             log_indices: (self.first_log_index, self.last_log_index),
             decisions: nonzero_counts(&self.counts),
@@ -75,12 +75,12 @@
     }
 }
 
-/// A run of equal exceptions.
+/// A run: equal exceptions that followed each other closely.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct ExceptionRun {
     exception: Exception,
-    from: Duration,
-    to: Duration,
+    first_at: Duration,
+    last_at: Duration,
     count: u64,
     first_request: String,
 }
@@ -89,23 +89,23 @@
     fn report(&self) -> ExceptionReport {
         ExceptionReport {
             exception: self.exception.clone(),
-            from_ms: millis(self.from),
-            to_ms: millis(self.to),
+            from_ms: millis(self.first_at),
+            to_ms: millis(self.last_at),
             count: self.count,
             first_request: self.first_request.clone(),
         }
     }
 }
 
-/// A decision about one request.
+/// A step: one decision about one request.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     at: Duration,
     request_digest: u64,
     kind: DecisionKind,
-    /// Digest of the endpoint's name; 0 where there is none.
+    /// Digest of the endpoint's name; 0 if the decision concerns no endpoint.
     endpoint_digest: u64,
-    /// Number of the interval, counted from the start of the log.
+    /// Number of the interval in which the decision was made, counted from the start of the log.
     interval: u64,
 }
 
@@ -114,13 +114,13 @@
 pub struct AuditLog {
     started_at: Duration,
     intervals: VecDeque<Interval>,
-    /// Number of intervals dropped; equally, the number of the first one that is kept.
+    /// Number of intervals that were dropped, which is also the number of the first interval in memory.
     dropped_intervals: u64,
     exception_runs: VecDeque<ExceptionRun>,
     dropped_exceptions: u64,
     steps: VecDeque<Step>,
     dropped_steps: u64,
-    /// Endpoint names, by digest.
+    /// Endpoint names, by digest of the name.
     endpoint_names: BTreeMap<u64, String>,
 }
 
@@ -141,7 +141,7 @@
         log
     }
 
-    /// Another version is in force from now on.
+    /// Records that another version is in force from now on.
     pub fn set_version(&mut self, now: Duration, version: Version) {
         let has_predecessor = self.intervals.len() > 1;
         let mut log_index = 0;
@@ -150,10 +150,10 @@
                 return;
             }
             log_index = last.last_log_index;
-            // An interval without decisions informs nobody: the new one replaces it.
+            // An interval without decisions holds no information, so the new interval replaces it.
             if !last.has_decisions() && has_predecessor {
                 last.version = version;
-                last.from = now;
+                last.started_at = now;
                 last.first_log_index = last.last_log_index;
                 return;
             }
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Records the log index of the state machine up to which this gateway knows it.
+    /// Records the log index up to which this gateway knows the state machine.
     pub fn set_log_index(&mut self, log_index: u64) {
         if let Some(interval) = self.intervals.back_mut() {
             interval.last_log_index = interval.last_log_index.max(log_index);
@@ -183,7 +183,7 @@
                 interval.last_request_digest = Some(request_digest);
             }
         }
-        let endpoint_digest = decision.endpoint.map_or(0, |endpoint| self.remember_endpoint(endpoint));
+        let endpoint_digest = decision.endpoint.map_or(0, |endpoint| self.store_endpoint_name(endpoint));
         if !has_request {
             return;
         }
@@ -196,21 +196,21 @@
         self.steps.push_back(Step { at: now, request_digest, kind, endpoint_digest, interval });
     }
 
-    /// Stores the endpoint's name if there is capacity; returns its digest.
-    fn remember_endpoint(&mut self, endpoint: &str) -> u64 {
-        let hash = digest(endpoint.as_bytes());
-        if self.endpoint_names.len() < MAX_ENDPOINT_NAMES && !self.endpoint_names.contains_key(&hash) {
-            self.endpoint_names.insert(hash, endpoint.to_owned());
+    /// Stores the endpoint's name if there is capacity; returns the digest of the name.
+    fn store_endpoint_name(&mut self, endpoint: &str) -> u64 {
+        let name_digest = digest(endpoint.as_bytes());
+        if self.endpoint_names.len() < MAX_ENDPOINT_NAMES && !self.endpoint_names.contains_key(&name_digest) {
+            self.endpoint_names.insert(name_digest, endpoint.to_owned());
         }
-        hash
+        name_digest
     }
 
-    /// Records that a decision about a request should not have been made.
+    /// Records an exception: a decision about a request that should not have been made.
     pub fn record_exception(&mut self, now: Duration, exception: Exception, request_id: &str) {
         let mut open_runs = self.exception_runs.iter_mut().rev().take(OPEN_RUNS);
         if let Some(run) = open_runs.find(|run| run.exception == exception) {
-            if now.saturating_sub(run.to) <= MAX_GAP_IN_RUN {
-                run.to = now;
+            if now.saturating_sub(run.last_at) <= MAX_GAP_IN_RUN {
+                run.last_at = now;
                 run.count += 1;
                 return;
             }
@@ -218,8 +218,8 @@
         let first_request = request_id.to_owned();
         self.exception_runs.push_back(ExceptionRun {
             exception,
-            from: now,
-            to: now,
+            first_at: now,
+            last_at: now,
             count: 1,
             first_request,
         });
@@ -229,38 +229,38 @@
         }
     }
 
-    /// Intervals from this number on, with their numbers.
+    /// Reports of the intervals from this number on, each with the interval's number.
     fn report_intervals_from(&self, number: u64) -> impl Iterator<Item = (u64, IntervalReport)> + '_ {
         let skipped = number.saturating_sub(self.dropped_intervals) as usize;
-        let begins = self.intervals.iter().skip(skipped + 1).map(|next| Some(millis(next.from)));
+        let begins = self.intervals.iter().skip(skipped + 1).map(|next| Some(millis(next.started_at)));
         let ends = begins.chain([None]);
         let reports = self.intervals.iter().skip(skipped).zip(ends);
         let numbers = self.dropped_intervals + skipped as u64..;
         numbers.zip(reports.map(|(interval, to_ms)| interval.report(to_ms)))
     }
 
-    /// What was recorded since a cursor, to be written to disk, with the cursor for the next call once it is written.
+    /// Returns the entries recorded since a cursor, to be written to disk, and the cursor for the next call once the write has succeeded.
     pub fn segment_since(&self, since: &SegmentCursor, now: Duration, state: ProcessState) -> SegmentDelta {
         let mut segment = Segment {
-            from_ms: millis(since.to),
+            from_ms: millis(since.written_until),
             to_ms: millis(now),
             ended: state == ProcessState::Ended,
             ..Segment::default()
         };
-        if since.interval < self.dropped_intervals || since.exception < self.dropped_exceptions {
-            let to_ms = self.intervals.front().map_or(segment.to_ms, |first| millis(first.from));
+        if since.next_interval < self.dropped_intervals || since.next_exception < self.dropped_exceptions {
+            let to_ms = self.intervals.front().map_or(segment.to_ms, |first| millis(first.started_at));
             segment.add_gap(to_ms, UnknownKind::All);
         }
-        segment.intervals.extend(self.report_intervals_from(since.interval));
-        // The newest runs of the previous segment may have grown since.
-        let first_run = since.exception.saturating_sub(OPEN_RUNS as u64).max(self.dropped_exceptions);
+        segment.intervals.extend(self.report_intervals_from(since.next_interval));
+        // The newest exception runs of the previous segment may have grown since that segment was made.
+        let first_run = since.next_exception.saturating_sub(OPEN_RUNS as u64).max(self.dropped_exceptions);
         let runs = self.exception_runs.iter().skip((first_run - self.dropped_exceptions) as usize);
         segment.exceptions.extend((first_run..).zip(runs.map(ExceptionRun::report)));
-        if since.step < self.dropped_steps {
+        if since.next_step < self.dropped_steps {
             let to_ms = self.steps.front().map_or(segment.to_ms, |first| millis(first.at));
             segment.add_gap(to_ms, UnknownKind::Requests);
         }
-        let steps = self.segment_steps_since(since.step, segment.from_ms);
+        let steps = self.segment_steps_since(since.next_step, segment.from_ms);
         SegmentDelta { segment, steps, cursor: self.cursor(now) }
     }
 
@@ -284,15 +284,15 @@
 
     fn cursor(&self, now: Duration) -> SegmentCursor {
         SegmentCursor {
-            to: now,
-            // The last interval may still be replaced while it has no decisions, and the one before it gets its end then.
-            interval: self.dropped_intervals + (self.intervals.len() as u64).saturating_sub(2),
-            exception: self.dropped_exceptions + self.exception_runs.len() as u64,
-            step: self.dropped_steps + self.steps.len() as u64,
+            written_until: now,
+            // The last interval may still be replaced while it has no decisions, which also changes the end of the interval before it.
+            next_interval: self.dropped_intervals + (self.intervals.len() as u64).saturating_sub(2),
+            next_exception: self.dropped_exceptions + self.exception_runs.len() as u64,
+            next_step: self.dropped_steps + self.steps.len() as u64,
         }
     }
 
-    /// How far back the memory of this process goes.
+    /// Returns how far back the audit log in this process's memory goes.
     pub fn memory_span(&self, process: Incarnation) -> MemorySpan {
         MemorySpan {
             process,
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Time from which on requests are kept one by one.
+    /// Time from which on steps are in memory, in milliseconds of the process's clock.
     fn steps_since_ms(&self) -> u64 {
         match self.steps.front() {
             Some(first) if self.dropped_steps > 0 => millis(first.at),
@@ -310,7 +310,7 @@
         }
     }
 
-    /// Decisions under endpoint lists with these indices.
+    /// Reports the decisions under endpoint lists with these indices.
     pub fn report_lists(&self, now: Duration, indices: RangeInclusive<u64>) -> AuditReport {
         let intervals: Vec<IntervalReport> = self
             .report_intervals_from(0)
@@ -329,7 +329,7 @@
         }
     }
 
-    /// Decisions about one request.
+    /// Reports the decisions about one request.
     pub fn report_request(&self, request_id: &str) -> RequestReport {
         let request_digest = digest(request_id.as_bytes());
         let steps = self.steps.iter().filter(|step| step.request_digest == request_digest);
@@ -355,7 +355,7 @@
     at.as_millis() as u64
 }
 
-/// Kind, class and number of the decisions, by class and kind, without zeros.
+/// Kind, class and number of the decisions, ordered by class and kind, without counts of zero.
 fn nonzero_counts(counts: &[DecisionCounts]) -> Vec<(DecisionKind, usize, u64)> {
     const KINDS: [DecisionKind; DECISION_KIND_COUNT] =
         [DecisionKind::Pick, DecisionKind::Retry, DecisionKind::Reject, DecisionKind::Drain];
--- a/crates/fleet/src/audit/mod.rs
+++ b/crates/fleet/src/audit/mod.rs
@@ -1,12 +1,13 @@
-//! The audit log: which decisions a gateway made under which version, and which of them it should not have made.
+//! The audit log: which decisions a gateway made under which version, and which decisions it should not have made (exceptions).
 //!
-//! Every attempt, retry, rejection and drain is recorded under the version in force at that decision. [`AuditLog`] keeps the most recent
-//! ones in memory: intervals hold counts, so that their number grows with changes of version and not with traffic, and the newest
-//! requests are kept one by one. Its contents are written to disk as [`Segment`]s, [`RetentionIndex`] says which segments are deleted, and
-//! [`HistoryQuery`] reads what earlier processes wrote.
+//! Every first attempt, retry, rejection and drain is recorded under the version in force at that decision. [`AuditLog`] retains the most
+//! recent decisions in memory. An interval holds the counts of the decisions under one version, so that the number of intervals grows with
+//! changes of version and not with traffic. A step is one decision about one request; the newest steps are retained individually. The log
+//! is written to disk as [`Segment`]s, [`RetentionIndex`] chooses the segments to delete, and [`HistoryQuery`] reads what earlier processes
+//! wrote.
 //!
-//! All of it is bounded, and the oldest entries are dropped first. Every answer reports that entries were dropped: otherwise a gap would
-//! look like a time in which nothing happened.
+//! Memory and disk usage of the log are bounded, and the oldest entries are dropped first. Every answer reports that entries were dropped:
+//! otherwise a gap would look like a time without decisions.
 
 mod encoding;
 mod interval;
--- a/crates/fleet/src/audit/query.rs
+++ b/crates/fleet/src/audit/query.rs
@@ -10,36 +10,36 @@
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 
-/// Maximum number of intervals, and of exceptions, in one report. The newest are kept.
+/// Maximum number of intervals, and also of exception runs, in one report. The oldest entries in excess are left out.
 const MAX_REPORTED_INTERVALS: usize = 4096;
-/// Maximum number of steps in one report. The newest are kept.
+/// Maximum number of steps in one report. The oldest steps in excess are left out.
 const MAX_REPORTED_STEPS: usize = 256;
 
-/// What is asked of the audit log.
+/// A query of the audit log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuditQuery {
-    /// Decisions under endpoint lists with these indices.
+    /// Query for the decisions under endpoint lists with these indices.
     Lists(RangeInclusive<u64>),
-    /// Decisions about the request with this identifier.
+    /// Query for the decisions about the request with this identifier.
     Request(String),
 }
 
-/// What one process wrote, as far as its memory no longer holds it.
+/// Report of the entries that one process wrote to disk, without entries that are still in that process's memory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessReport {
     /// Process that wrote the segments.
     pub process: String,
-    /// Its start, in milliseconds of its wall clock since the Unix epoch.
+    /// Start of the process, in milliseconds of its wall clock since the Unix epoch.
     pub began_unix_ms: u64,
-    /// Begin of what it wrote, in milliseconds of its own clock.
+    /// Begin of the process's first segment, in milliseconds of the process's clock.
     pub since_ms: u64,
-    /// End of what it wrote, likewise.
+    /// End of the process's last segment, in milliseconds of the process's clock.
     pub until_ms: u64,
-    /// Times of which a part is missing.
+    /// Spans of time for which a part of the log is missing.
     pub unknown: Vec<UnknownSpan>,
-    /// The intervals that match the query.
+    /// Intervals that match the query.
     pub intervals: Vec<IntervalReport>,
-    /// Exceptions during the intervals.
+    /// Exception runs that overlap with the reported intervals.
     pub exceptions: Vec<ExceptionReport>,
     /// Decisions about the request that the query names.
     pub steps: Vec<StepReport>,
@@ -54,18 +54,18 @@
     }
 }
 
-/// Answer from the disk of one gateway.
+/// Answer to a query from the audit log on the disk of one gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryReport {
-    /// One report a process, the earliest first.
+    /// One report for each process, the earliest process first.
     pub processes: Vec<ProcessReport>,
-    /// Number of matching entries that were left out because the report would be too long: the earliest.
+    /// Number of the earliest matching entries, which were left out because the report would be too long.
     #[serde(rename = "more")]
     pub omitted: u64,
 }
 
 impl HistoryReport {
-    /// Leaves out the earliest entries that exceed the limits.
+    /// Leaves out the earliest entries in excess of the limits on a report.
     fn truncate(&mut self) {
         let mut interval_capacity = MAX_REPORTED_INTERVALS;
         let mut exception_capacity = MAX_REPORTED_INTERVALS;
@@ -78,7 +78,8 @@
     }
 }
 
-/// Removes the first entries that exceed the capacity, and reduces it by the rest. Returns the number of removed entries.
+/// Removes the first entries in excess of the capacity, and reduces the capacity by the number of the remaining entries. Returns the
+/// number of removed entries.
 fn keep_newest<T>(entries: &mut Vec<T>, capacity: &mut usize) -> u64 {
     let excess = entries.len().saturating_sub(*capacity);
     entries.drain(..excess);
@@ -86,10 +87,10 @@
     excess as u64
 }
 
-/// How far back the memory of this process goes. What is in memory is not read from disk again.
+/// How far back the audit log in a process's memory goes. Entries that are in memory are not reported from disk again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemorySpan {
-    /// Process whose memory it is.
+    /// Process whose memory holds the audit log.
     pub process: Incarnation,
     /// Number of the first interval in memory.
     pub(super) first_interval: u64,
@@ -99,22 +100,22 @@
     pub(super) steps_since_ms: u64,
 }
 
-/// What the segments of one process contain.
+/// Contents of the segments that one process wrote.
 #[derive(Debug)]
 struct ProcessHistory {
-    /// Header of the last segment.
+    /// Header of the process's last segment that was added.
     header: SegmentHeader,
     last_number: u64,
     since_ms: u64,
     unknown: Vec<UnknownSpan>,
-    /// Intervals, by number.
+    /// Intervals of the process, by number.
     intervals: BTreeMap<u64, IntervalReport>,
-    /// Exception runs, by number.
+    /// Exception runs of the process, by number.
     exceptions: BTreeMap<u64, ExceptionReport>,
     steps: Vec<RecordedStep>,
 }
 
-/// A step together with the number of its interval, from which its version is taken in the end.
+/// A step together with the number of its interval, from which the step's version is taken once all segments are read.
 #[derive(Debug)]
 struct RecordedStep {
     interval: u64,
@@ -134,8 +135,8 @@
         }
     }
 
-    /// Continues with the next segment. A missing number is a segment that was deleted or whose header is damaged.
-    fn advance(&mut self, number: u64, header: &SegmentHeader) {
+    /// Continues with the next segment. A missing number belongs to a segment that was deleted or whose header is damaged.
+    fn begin_segment(&mut self, number: u64, header: &SegmentHeader) {
         if number > self.last_number + 1 {
             self.add_unknown(self.header.to_ms, header.from_ms, UnknownKind::All);
         }
@@ -147,8 +148,8 @@
         self.unknown.push(UnknownSpan { from_ms, to_ms, kind });
     }
 
-    /// Marks the time of the last segment as unknown.
-    fn add_unreadable(&mut self, kind: UnknownKind) {
+    /// Marks the time span of the last segment as unknown, because the segment cannot be read.
+    fn add_unreadable_segment(&mut self, kind: UnknownKind) {
         self.add_unknown(self.header.from_ms, self.header.to_ms, kind);
     }
 
@@ -164,19 +165,19 @@
         }
     }
 
-    /// Marks the time after the last segment as unknown, if the process did not write that it ended: until the next process opened the
-    /// file, it may have run on.
+    /// Marks the time after the last segment as unknown, if that segment does not record the end of its process: the process may have
+    /// continued until the next process opened the file.
     fn add_unknown_end(&mut self, next_opened_unix_ms: Option<u64>) {
         let Some(opened_unix_ms) = next_opened_unix_ms else { return };
         if self.header.ended {
             return;
         }
-        // Wall clocks may have been set back: the end is not before the last time that is known.
+        // The wall clock may have been set back, so the unknown span never ends before the end of the last segment.
         let opened_ms = opened_unix_ms.saturating_sub(self.header.began_unix_ms);
         self.add_unknown(self.header.to_ms, opened_ms.max(self.header.to_ms), UnknownKind::All);
     }
 
-    /// Report of all that matches the query and is not in memory, where `memory` is that of this process.
+    /// Report of all entries of this process that match the query and are not in memory; `memory` is absent for an earlier process.
     fn into_report(self, query: &AuditQuery, memory: Option<&MemorySpan>) -> ProcessReport {
         let mut intervals = Vec::new();
         let mut exceptions = Vec::new();
@@ -212,8 +213,8 @@
         indices: &RangeInclusive<u64>,
         memory: Option<&MemorySpan>,
     ) -> Vec<IntervalReport> {
-        let end = memory.map_or(u64::MAX, |memory| memory.first_interval);
-        let intervals = self.intervals.range(..end).map(|(_, interval)| interval);
+        let end_number = memory.map_or(u64::MAX, |memory| memory.first_interval);
+        let intervals = self.intervals.range(..end_number).map(|(_, interval)| interval);
         intervals.filter(|interval| indices.contains(&interval.version.list.index)).cloned().collect()
     }
 
@@ -222,8 +223,8 @@
         intervals: &[IntervalReport],
         memory: Option<&MemorySpan>,
     ) -> Vec<ExceptionReport> {
-        let end = memory.map_or(u64::MAX, |memory| memory.first_exception);
-        let exceptions = self.exceptions.range(..end).map(|(_, exception)| exception);
+        let end_number = memory.map_or(u64::MAX, |memory| memory.first_exception);
+        let exceptions = self.exceptions.range(..end_number).map(|(_, exception)| exception);
         exceptions.filter(|exception| exception.overlaps_any(intervals)).cloned().collect()
     }
 }
@@ -232,15 +233,15 @@
 #[derive(Debug)]
 pub struct HistoryQuery {
     query: AuditQuery,
-    /// Digest of the request's identifier, where the query names one.
+    /// Digest of the request's identifier, if the query is for a request.
     request_digest: [u8; 8],
     memory: MemorySpan,
-    /// Processes in the order in which they wrote.
+    /// Histories of the processes, in the order in which the processes wrote.
     processes: Vec<ProcessHistory>,
 }
 
 impl HistoryQuery {
-    /// Creates a query that has read no segment. `memory` is that of the current process.
+    /// Creates a query that has read no segment yet. `memory` describes the memory of the current process.
     pub fn new(query: AuditQuery, memory: MemorySpan) -> HistoryQuery {
         let request_digest = match &query {
             AuditQuery::Request(request_id) => digest(request_id.as_bytes()).to_le_bytes(),
@@ -249,8 +250,8 @@
         HistoryQuery { query, request_digest, memory, processes: Vec::new() }
     }
 
-    /// Adds the next segment; its contents are read only if they may match. Segments are to be added in the order of their numbers. One
-    /// whose header is damaged is left out, and noticed by its missing number.
+    /// Adds the next segment, in the order of segment numbers. The segment's contents are read only if they may match the query. A segment
+    /// with a damaged header must be left out; the missing segment number is reported as an unknown span.
     pub fn add_segment(
         &mut self,
         number: u64,
@@ -264,12 +265,12 @@
             self.processes.push(ProcessHistory::new(number, &header));
         }
         let Some(history) = self.processes.last_mut() else { return };
-        history.advance(number, &header);
+        history.begin_segment(number, &header);
         if !may_match && !header.has_gaps {
             return;
         }
         let Some(segment) = read_segment().and_then(|bytes| decompress::<Segment>(&bytes)) else {
-            history.add_unreadable(UnknownKind::All);
+            history.add_unreadable_segment(UnknownKind::All);
             return;
         };
         history.unknown.extend(&segment.gaps);
@@ -280,18 +281,18 @@
         }
         match read_steps().and_then(|bytes| decompress::<SegmentSteps>(&bytes)) {
             Some(steps) => history.add_steps(&steps, self.request_digest),
-            None => history.add_unreadable(UnknownKind::Requests),
+            None => history.add_unreadable_segment(UnknownKind::Requests),
         }
     }
 
-    /// Whether a segment may contain what the query asks for, by its header.
+    /// Whether a segment may contain entries that match the query, judged by the segment's header.
     fn may_match(&self, header: &SegmentHeader) -> bool {
         let AuditQuery::Lists(indices) = &self.query else { return true };
         let Some(range) = header.list_indices else { return true };
         *indices.start() <= range.greatest && range.least <= *indices.end()
     }
 
-    /// Ends the query and reports what it has found.
+    /// Ends the query and reports the matching entries.
     pub fn finish(self) -> HistoryReport {
         let mut report = HistoryReport::default();
         let opened_unix_ms: Vec<u64> =
--- a/crates/fleet/src/audit/retention.rs
+++ b/crates/fleet/src/audit/retention.rs
@@ -9,10 +9,10 @@
 /// Default of [`RetentionLimits::max_age`]: seven days.
 const DEFAULT_MAX_AGE: Duration = Duration::from_secs(7 * 86_400);
 
-/// Limits of the audit log on disk.
+/// Limits on the size and age of the audit log on disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetentionLimits {
-    /// Maximum size, in compressed bytes; 64 MiB by default.
+    /// Maximum size of the audit log, in compressed bytes; 64 MiB by default.
     pub max_bytes: u64,
     /// Maximum age of a segment, by the wall clock; seven days by default.
     pub max_age: Duration,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Something that is to be deleted from disk.
+/// A part of the audit log that has to be deleted from disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evicted {
     /// The steps of the segment with this number.
@@ -53,12 +53,12 @@
     /// Segments, by number.
     pub(super) segments: BTreeMap<u64, StoredSegment>,
     pub(super) total_bytes: u64,
-    /// Segments with lower numbers have no steps any more.
+    /// Number of the first segment that may still have steps on disk.
     first_with_steps: u64,
 }
 
 impl RetentionIndex {
-    /// Records that a segment was written, in place of the one with its number if there is one.
+    /// Records that a segment was written, in place of the segment with the same number if there is one.
     pub fn insert(&mut self, number: u64, header: &SegmentHeader) {
         let stored = StoredSegment {
             segment_bytes: header.lengths.segment,
@@ -76,15 +76,15 @@
         }
     }
 
-    /// Number for the first segment of the next process.
+    /// Number that the first segment of the next process gets.
     pub fn next_number(&self) -> u64 {
         self.segments.last_key_value().map_or(1, |(number, _)| number + 1)
     }
 
-    /// Chooses what is to be deleted now, and removes it from the index.
+    /// Chooses the segments and steps to delete now, and removes them from the index.
     ///
-    /// Segments that are too old go first; then steps, oldest first, until the rest fits; then the oldest segments. The newest segment is
-    /// kept whatever its size.
+    /// Segments that are too old are deleted first; then steps, oldest first, until the rest fits the limit; then the oldest segments.
+    /// The newest segment is retained whatever its size.
     pub fn evict(&mut self, limits: &RetentionLimits, now_unix_ms: u64) -> Vec<Evicted> {
         let mut evicted = Vec::new();
         self.evict_expired(limits.max_age, now_unix_ms, &mut evicted);
@@ -123,7 +123,7 @@
         Some(Evicted::Segment(number))
     }
 
-    /// The oldest segment, unless it is the only one.
+    /// The oldest segment and its number; `None` if there is only one segment.
     fn oldest(&self) -> Option<(u64, StoredSegment)> {
         let (number, stored) = self.segments.first_key_value()?;
         (self.segments.len() > 1).then_some((*number, *stored))
--- a/crates/fleet/src/audit/segment.rs
+++ b/crates/fleet/src/audit/segment.rs
@@ -1,8 +1,8 @@
 //! Segments: the audit log as it is written to disk.
 //!
-//! A [`Segment`] holds what was recorded since a [`SegmentCursor`]: the full counts of each interval that may have changed, so that a
-//! segment that is lost or deleted takes nothing away from the next one, and single requests. [`SegmentBuilder`] merges segments until
-//! one is full.
+//! A [`Segment`] holds the entries that were recorded since a [`SegmentCursor`]: the full counts of each interval that may have changed, so
+//! that the loss or deletion of a segment does not affect the next one. A segment also has the steps of its time span.
+//! [`SegmentBuilder`] merges consecutive segments until the merged segment is full.
 
 use super::encoding::{compress, decompress};
 use super::{DecisionKind, ExceptionReport, IntervalReport, UnknownKind, UnknownSpan};
@@ -11,74 +11,74 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Number of steps with which a segment is full.
+/// Number of steps at which a segment is full.
 const MAX_STEPS_PER_SEGMENT: usize = 4096;
-/// Time span with which a segment is full.
+/// Time span at which a segment is full.
 const MAX_SEGMENT_SPAN: Duration = Duration::from_secs(60);
 
-/// How far the audit log of a process is written to disk.
+/// Position up to which the audit log of a process is written to disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentCursor {
-    pub(super) to: Duration,
+    pub(super) written_until: Duration,
     /// Number of the first interval that the next segment contains.
-    pub(super) interval: u64,
-    pub(super) exception: u64,
-    pub(super) step: u64,
+    pub(super) next_interval: u64,
+    pub(super) next_exception: u64,
+    pub(super) next_step: u64,
 }
 
 impl SegmentCursor {
-    /// Cursor of a log that started at `started_at` and of which nothing is written.
+    /// Cursor of an audit log that started at `started_at` and of which nothing has been written yet.
     pub fn start(started_at: Duration) -> SegmentCursor {
-        SegmentCursor { to: started_at, interval: 0, exception: 0, step: 0 }
+        SegmentCursor { written_until: started_at, next_interval: 0, next_exception: 0, next_step: 0 }
     }
 }
 
-/// Whether the process that writes a segment goes on.
+/// Whether the process that writes a segment continues to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
-    /// More segments may follow.
+    /// The process continues to run, and more segments may follow.
     Running,
     /// The process ends; this is its last segment.
     Ended,
 }
 
-/// What was recorded since a cursor.
+/// Entries that were recorded since a cursor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SegmentDelta {
-    /// Intervals and exceptions.
+    /// Intervals and exceptions of the time since the cursor.
     pub segment: Segment,
-    /// Single requests.
+    /// Steps of the time since the cursor.
     pub steps: SegmentSteps,
-    /// Cursor that applies once this is on disk.
+    /// Cursor for the next call, once the segment and its steps are on disk.
     pub cursor: SegmentCursor,
 }
 
-/// A decision about one request. It is kept short, because there are many.
+/// A step, one decision about one request. Its encoding is compact, because a segment holds many steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct SegmentStep {
-    /// Milliseconds since the begin of the segment.
+    /// Time of the decision, in milliseconds since the begin of the segment.
     pub(super) offset_ms: u32,
-    /// Digest of the request's identifier. An array, because a variable-length integer would make a digest longer.
+    /// Digest of the request's identifier, as an array: the variable-length encoding of an integer would make a digest longer.
     pub(super) request_digest: [u8; 8],
     pub(super) kind: DecisionKind,
-    /// Number of the endpoint in [`SegmentSteps::endpoints`], starting at 1; 0 is none.
+    /// Number of the endpoint in [`SegmentSteps::endpoints`], starting at 1; 0 if the decision concerns no endpoint or its name is unknown.
     pub(super) endpoint: u16,
-    /// Number of the interval.
+    /// Number of the interval in which the decision was made.
     pub(super) interval: u64,
 }
 
-/// Intervals and exceptions of a time span of one process.
+/// A segment: the intervals and exceptions of a time span of one process.
 ///
-/// It is stored with `postcard`: the order of the fields stays as it is.
+/// Segments are stored with `postcard`: the order of the fields must not change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Segment {
     pub(super) from_ms: u64,
     pub(super) to_ms: u64,
-    /// Intervals, by number.
+    /// Intervals of the segment, by number.
     pub(super) intervals: BTreeMap<u64, IntervalReport>,
-    /// Exception runs, by number.
+    /// Exception runs of the segment, by number.
     pub(super) exceptions: BTreeMap<u64, ExceptionReport>,
-    /// Times of which entries were dropped before they were written.
+    /// Spans of time for which entries were dropped before they were written to disk.
     pub(super) gaps: Vec<UnknownSpan>,
     /// Whether this is the last segment of its process.
     pub(super) ended: bool,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Single requests of a segment.
+/// Steps of a segment.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentSteps {
     /// Names of the endpoints that the steps refer to.
@@ -100,10 +100,10 @@
 }
 
 impl SegmentSteps {
-    /// Number of an endpoint, which is added if it is new.
+    /// Number of the named endpoint, which is added if it is new.
     pub(super) fn endpoint_number(&mut self, name: &str) -> u16 {
-        let known = self.endpoints.iter().position(|known| known == name);
-        let position = known.unwrap_or_else(|| {
+        let known_position = self.endpoints.iter().position(|known| known == name);
+        let position = known_position.unwrap_or_else(|| {
             self.endpoints.push(name.to_owned());
             self.endpoints.len() - 1
         });
@@ -117,30 +117,30 @@
     }
 }
 
-/// Header of a segment: enough to decide whether its contents have to be read.
+/// Header of a segment, from which a query decides whether the segment's contents have to be read.
 ///
-/// It is stored with `postcard`: the order of the fields stays as it is.
+/// Segments are stored with `postcard`: the order of the fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SegmentHeader {
     /// Process that wrote the segment.
     pub process: Incarnation,
     /// Start of the process, in milliseconds of its wall clock since the Unix epoch.
     pub began_unix_ms: u64,
-    /// Time at which the process opened the file, likewise.
+    /// Time at which the process opened the file, in milliseconds of its wall clock since the Unix epoch.
     pub opened_unix_ms: u64,
-    /// Time at which the segment was written, likewise.
+    /// Time at which the segment was written, in milliseconds of the process's wall clock since the Unix epoch.
     pub written_unix_ms: u64,
     pub(super) from_ms: u64,
     pub(super) to_ms: u64,
     pub(super) ended: bool,
-    /// Range of the indices of the endpoint lists in the segment.
+    /// Range of the endpoint list indices of the segment's intervals.
     pub(super) list_indices: Option<IndexRange>,
     /// Whether the segment has gaps.
     pub(super) has_gaps: bool,
     pub(super) lengths: EncodedLengths,
 }
 
-/// Least and greatest index of some endpoint lists.
+/// Lowest and highest index of a number of endpoint lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct IndexRange {
     pub(super) least: u64,
@@ -148,8 +148,8 @@
 }
 
 impl IndexRange {
-    /// Range of these indices; `None` if there are none.
-    fn of(indices: impl Iterator<Item = u64> + Clone) -> Option<IndexRange> {
+    /// Range of the given indices; `None` if there are no indices.
+    fn from_indices(indices: impl Iterator<Item = u64> + Clone) -> Option<IndexRange> {
         let least = indices.clone().min()?;
         let greatest = indices.max()?;
         Some(IndexRange { least, greatest })
@@ -160,18 +160,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct EncodedLengths {
     pub(super) segment: u32,
-    /// 0 where there are no steps.
+    /// Length of the encoded steps, in bytes; 0 if the segment has no steps.
     pub(super) steps: u32,
 }
 
 /// Process that writes segments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentWriter {
-    /// Process that writes.
+    /// Incarnation of the writing process.
     pub process: Incarnation,
-    /// Its start, in milliseconds of its wall clock since the Unix epoch.
+    /// Start of the process, in milliseconds of its wall clock since the Unix epoch.
     pub began_unix_ms: u64,
-    /// Time at which it opened the file, likewise.
+    /// Time at which the process opened the file, in milliseconds of its wall clock since the Unix epoch.
     pub opened_unix_ms: u64,
 }
 
@@ -188,14 +188,14 @@
     pub steps: Vec<u8>,
 }
 
-/// Merges segments until one is full.
+/// Merges consecutive segments until the merged segment is full.
 #[derive(Clone, Debug)]
 pub struct SegmentBuilder {
     writer: SegmentWriter,
     number: u64,
     segment: Segment,
     steps: SegmentSteps,
-    /// Whether nothing was appended yet.
+    /// Whether no segment was appended yet.
     is_empty: bool,
 }
 
@@ -211,8 +211,8 @@
         }
     }
 
-    /// Appends what was recorded since the last call. Returns the segment to be written, in place of the one with its number if there
-    /// is one.
+    /// Appends the entries that were recorded since the last call. Returns the segment to write; it replaces the segment with the same
+    /// number, if there is one.
     pub fn append(&mut self, segment: Segment, steps: SegmentSteps, written_unix_ms: u64) -> EncodedSegment {
         if self.is_empty {
             self.is_empty = false;
@@ -264,7 +264,7 @@
             from_ms: self.segment.from_ms,
             to_ms: self.segment.to_ms,
             ended: self.segment.ended,
-            list_indices: IndexRange::of(list_indices),
+            list_indices: IndexRange::from_indices(list_indices),
             has_gaps: !self.segment.gaps.is_empty(),
             lengths,
         };
@@ -272,7 +272,7 @@
     }
 }
 
-/// Decodes the header of a segment; `None` if it is damaged.
+/// Decodes the header of a segment; `None` if the header is damaged.
 pub fn decode_header(bytes: &[u8]) -> Option<SegmentHeader> {
     decompress(bytes)
 }
