--- a/crates/fleet/src/consensus/config.rs
+++ b/crates/fleet/src/consensus/config.rs
@@ -37,11 +37,11 @@
     /// First configuration of a new group.
     pub(super) fn founding(replicas: Vec<Replica>) -> GroupConfig {
         // Replicas of other builds have to compute the same digest, so the digested text keeps the names of version 0.2.0.
-        let describe = |replica: &Replica| {
+        let describe_replica = |replica: &Replica| {
             format!("Seat {{ name: {:?}, process: {:?} }}", replica.name, replica.process)
         };
-        let text = replicas.iter().map(describe).collect::<Vec<_>>().join(", ");
-        let group_id = digest(format!("[{text}]").as_bytes());
+        let digested_text = replicas.iter().map(describe_replica).collect::<Vec<_>>().join(", ");
+        let group_id = digest(format!("[{digested_text}]").as_bytes());
         GroupConfig { group_id, generation: 1, replicas }
     }
 
--- a/crates/fleet/src/consensus/mod.rs
+++ b/crates/fleet/src/consensus/mod.rs
@@ -81,7 +81,7 @@
     /// Names of all members in ascending order; the first one founds the group.
     member_names: Vec<GatewayName>,
     peers: BTreeMap<GatewayName, PeerMember>,
-    known: Option<KnownConfig>,
+    known_config: Option<KnownConfig>,
     state_machine: StateMachine,
     ticks: u64,
     proposals_since_tick: usize,
@@ -109,7 +109,7 @@
             process,
             member_names,
             peers,
-            known: None,
+            known_config: None,
             state_machine: initial_state,
             ticks: 0,
             proposals_since_tick: 0,
@@ -142,7 +142,7 @@
 
     /// Ends this process's vote, because its promises can no longer be stored.
     pub fn stop_voting(&mut self) {
-        if let Some(known) = &mut self.known {
+        if let Some(known) = &mut self.known_config {
             known.replica = None;
         }
     }
@@ -154,17 +154,17 @@
 
     /// The newest configuration that this member knows.
     pub fn config(&self) -> Option<&GroupConfig> {
-        self.known.as_ref().map(|known| &known.config)
+        self.known_config.as_ref().map(|known| &known.config)
     }
 
     /// Whether this process votes in the newest configuration.
     pub fn is_voting(&self) -> bool {
-        self.known.as_ref().is_some_and(|known| known.replica.is_some())
+        self.known_config.as_ref().is_some_and(|known| known.replica.is_some())
     }
 
     /// Name of the leader, as far as this member knows.
     pub fn leader(&self) -> Option<&GatewayName> {
-        let known = self.known.as_ref()?;
+        let known = self.known_config.as_ref()?;
         let (leader_id, is_followed) = known.replica.as_ref()?.paxos.get_current_leader()?;
         let leader = known.config.replica_by_library_id(leader_id)?;
         // A leader that no replica follows yet cannot commit anything.
@@ -191,7 +191,7 @@
 
     /// Records that the link to this process of another member is up.
     pub fn link_up(&mut self, name: &str, process: Incarnation) -> StepOutput {
-        self.run_guarded(name, |group, output| group.connect(name, process, output))
+        self.run_guarded(name, |group, output| group.handle_link_up(name, process, output))
     }
 
     /// Records that the link to another member is down.
@@ -203,7 +203,7 @@
 
     /// Advances time by one [`TICK_INTERVAL`].
     pub fn tick(&mut self) -> StepOutput {
-        self.run_guarded("a member", ConsensusGroup::advance)
+        self.run_guarded("a member", ConsensusGroup::advance_tick)
     }
 
     /// Handles a message of another member.
@@ -236,7 +236,7 @@
         if self.leader().is_none() || self.proposals_since_tick >= MAX_PROPOSALS_PER_TICK {
             return false;
         }
-        let Some(replica) = self.known.as_mut().and_then(|known| known.replica.as_mut()) else {
+        let Some(replica) = self.known_config.as_mut().and_then(|known| known.replica.as_mut()) else {
             return false;
         };
         if replica.is_ending || replica.paxos.append(command).is_err() {
@@ -246,7 +246,7 @@
         true
     }
 
-    fn connect(&mut self, name: &str, process: Incarnation, output: &mut StepOutput) {
+    fn handle_link_up(&mut self, name: &str, process: Incarnation, output: &mut StepOutput) {
         let Some(peer) = self.peers.get_mut(name) else { return };
         if peer.linked_process != Some(process) {
             peer.announcement = None;
@@ -256,18 +256,18 @@
             self.followed_founder = Some(process);
         }
         self.announce(name, output);
-        let Some(known) = &mut self.known else { return };
+        let Some(known) = &mut self.known_config else { return };
         if known.config.contains(name, process) {
             if let (Some(replica), Some(id)) = (&mut known.replica, known.config.library_id(name)) {
                 replica.paxos.reconnected(id);
             }
         }
-        self.flush_outgoing(output);
+        self.flush_library_output(output);
     }
 
-    fn advance(&mut self, output: &mut StepOutput) {
+    fn advance_tick(&mut self, output: &mut StepOutput) {
         self.ticks += 1;
-        if let Some(replica) = self.known.as_mut().and_then(|known| known.replica.as_mut()) {
+        if let Some(replica) = self.known_config.as_mut().and_then(|known| known.replica.as_mut()) {
             replica.paxos.tick();
         }
         if self.ticks.is_multiple_of(ANNOUNCEMENT_INTERVAL_TICKS) {
@@ -276,7 +276,7 @@
                 self.announce(&name, output);
             }
         }
-        self.found_if_complete(output);
+        self.found_group_if_all_linked(output);
         self.reconfigure_if_needed(output);
         self.proposals_since_tick = 0;
         self.apply_decided(output);
@@ -290,7 +290,7 @@
                     peer.announcement = Some(Announcement { tag, follows });
                 }
                 self.send_newer_config(from, tag, output);
-                self.found_if_complete(output);
+                self.found_group_if_all_linked(output);
             }
             ConsensusMessage::Formed { config, base } => self.adopt_config(from, config, *base, output),
             ConsensusMessage::Log { tag, message } => self.handle_log_message(from, process, tag, *message),
@@ -308,7 +308,7 @@
         tag: ConfigTag,
         message: Message<Command>,
     ) {
-        let Some(known) = &mut self.known else { return };
+        let Some(known) = &mut self.known_config else { return };
         let config = &known.config;
         let sender_id = config.library_id(from);
         let own_id = config.library_id(&self.name);
@@ -328,7 +328,7 @@
     fn apply_decided(&mut self, output: &mut StepOutput) {
         let next_config = self.apply_decided_entries(output);
         // The ending configuration's messages are sent before that configuration is dropped: members that have not seen the end need them.
-        self.flush_outgoing(output);
+        self.flush_library_output(output);
         if let Some(config) = next_config {
             let base = self.state_machine.clone();
             self.start_config(config, base, output);
@@ -337,7 +337,7 @@
 
     /// Applies the decided log entries; returns the next configuration if the log of the current one has ended.
     fn apply_decided_entries(&mut self, output: &mut StepOutput) -> Option<GroupConfig> {
-        let known = self.known.as_mut()?;
+        let known = self.known_config.as_mut()?;
         let replica = known.replica.as_mut()?;
         let mut next_config = None;
         for entry in replica.paxos.read_decided_suffix(replica.applied_entries).unwrap_or_default() {
@@ -363,9 +363,9 @@
     }
 
     /// Moves the consensus library's storage changes and messages to the step's output.
-    fn flush_outgoing(&mut self, output: &mut StepOutput) {
+    fn flush_library_output(&mut self, output: &mut StepOutput) {
         output.records.extend(self.journal.borrow_mut().drain(..).map(StoredRecord::StorageChanged));
-        let Some(known) = &mut self.known else { return };
+        let Some(known) = &mut self.known_config else { return };
         let Some(replica) = &mut known.replica else { return };
         let mut messages = Vec::new();
         replica.paxos.take_outgoing_messages(&mut messages);
--- a/crates/fleet/src/consensus/reconfiguration.rs
+++ b/crates/fleet/src/consensus/reconfiguration.rs
@@ -40,14 +40,14 @@
         if !is_linked {
             return;
         }
-        let tag = self.known.as_ref().map(|known| known.config.tag());
+        let tag = self.known_config.as_ref().map(|known| known.config.tag());
         let message = ConsensusMessage::Holds { tag, follows: self.followed_founder };
         output.messages.push(OutgoingMessage { to: to.to_owned(), message });
     }
 
     /// Sends the newest configuration to a member that has announced an older configuration or none.
     pub(super) fn send_newer_config(&mut self, to: &str, tag: Option<ConfigTag>, output: &mut StepOutput) {
-        let Some(known) = &self.known else { return };
+        let Some(known) = &self.known_config else { return };
         if let Some(tag) = tag {
             if tag.group_id != known.config.group_id {
                 self.report_foreign_group(to, output);
@@ -71,8 +71,8 @@
     }
 
     /// Founds the group if this is the founding member and every other member accepts this process as founder.
-    pub(super) fn found_if_complete(&mut self, output: &mut StepOutput) {
-        if self.known.is_some() || self.member_names.first() != Some(&self.name) {
+    pub(super) fn found_group_if_all_linked(&mut self, output: &mut StepOutput) {
+        if self.known_config.is_some() || self.member_names.first() != Some(&self.name) {
             return;
         }
         let mut replicas = vec![Replica { name: self.name.clone(), process: self.process }];
@@ -86,7 +86,7 @@
         }
         output.notices.push(ConsensusNotice::Founded);
         self.start_config(GroupConfig::founding(replicas), self.state_machine.clone(), output);
-        self.flush_outgoing(output);
+        self.flush_library_output(output);
     }
 
     /// Adopts a configuration that another member has sent.
@@ -97,7 +97,7 @@
         base: StateMachine,
         output: &mut StepOutput,
     ) {
-        let is_adopted = match &self.known {
+        let is_adopted = match &self.known_config {
             Some(known) => {
                 known.config.group_id == config.group_id && known.config.generation < config.generation
             }
@@ -143,7 +143,7 @@
         let votes = replica.is_some();
         output.notices.push(ConsensusNotice::ConfigStarted { tag: config.tag(), votes });
         self.state_machine = base.clone();
-        self.known = Some(KnownConfig { config, base, replica });
+        self.known_config = Some(KnownConfig { config, base, replica });
         let names: Vec<GatewayName> = self.peers.keys().cloned().collect();
         for name in names {
             if let Some(announcement) = self.peers.get(&name).and_then(|peer| peer.announcement) {
@@ -178,7 +178,7 @@
     /// If this member is the leader, proposes a new configuration once a replica was replaced or the log has reached [`MAX_LOG_ENTRIES`].
     pub(super) fn reconfigure_if_needed(&mut self, output: &mut StepOutput) {
         let is_leader = self.is_leader();
-        let Some(known) = &mut self.known else { return };
+        let Some(known) = &mut self.known_config else { return };
         let replicas = replace_restarted(&known.config.replicas, &mut self.peers);
         let Some(replica) = &mut known.replica else { return };
         if !is_leader || replica.is_ending {
--- a/crates/fleet/src/consensus/storage.rs
+++ b/crates/fleet/src/consensus/storage.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    fn record(&self, change: StorageChange) {
+    fn journal_change(&self, change: StorageChange) {
         self.journal.borrow_mut().push(change);
     }
 
@@ -103,7 +103,7 @@
     }
 
     fn append_entries(&mut self, commands: Vec<Command>) -> StorageResult<()> {
-        self.record(StorageChange::Log(self.trimmed_entries + self.log.len(), commands.clone()));
+        self.journal_change(StorageChange::Log(self.trimmed_entries + self.log.len(), commands.clone()));
         self.log.extend(commands);
         Ok(())
     }
@@ -114,13 +114,13 @@
     }
 
     fn set_promise(&mut self, promise: Ballot) -> StorageResult<()> {
-        self.record(StorageChange::Promise(promise));
+        self.journal_change(StorageChange::Promise(promise));
         self.promise = Some(promise);
         Ok(())
     }
 
     fn set_decided_idx(&mut self, decided: usize) -> StorageResult<()> {
-        self.record(StorageChange::Decided(decided));
+        self.journal_change(StorageChange::Decided(decided));
         self.decided_index = decided;
         Ok(())
     }
@@ -130,7 +130,7 @@
     }
 
     fn set_accepted_round(&mut self, accepted: Ballot) -> StorageResult<()> {
-        self.record(StorageChange::Accepted(accepted));
+        self.journal_change(StorageChange::Accepted(accepted));
         self.accepted_round = Some(accepted);
         Ok(())
     }
@@ -156,7 +156,7 @@
     }
 
     fn set_stopsign(&mut self, stop_sign: Option<StopSign>) -> StorageResult<()> {
-        self.record(StorageChange::StopSign(stop_sign.clone()));
+        self.journal_change(StorageChange::StopSign(stop_sign.clone()));
         self.stop_sign = stop_sign;
         Ok(())
     }
--- a/crates/fleet/src/membership/mod.rs
+++ b/crates/fleet/src/membership/mod.rs
@@ -31,7 +31,7 @@
 
 /// What this gateway knows of one peer.
 #[derive(Clone, Debug, Default)]
-struct Peer {
+struct PeerRecord {
     /// Process of the peer that the link leads to, if the link is up.
     linked_process: Option<Incarnation>,
     last_message_at: Option<Duration>,
@@ -40,7 +40,7 @@
     remote_views: BTreeMap<GatewayName, RemoteView>,
 }
 
-impl Peer {
+impl PeerRecord {
     /// Whether the link to this peer is up and has brought no message for `timeout`.
     fn is_quiet_for(&self, timeout: Duration, now: Duration) -> bool {
         let Some(last_message_at) = self.last_message_at else { return false };
@@ -73,13 +73,13 @@
 /// Reachability of all peers of one gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Membership {
-    peers: BTreeMap<GatewayName, Peer>,
+    peers: BTreeMap<GatewayName, PeerRecord>,
 }
 
 impl Membership {
     /// Creates the membership of the named peers, all of them in unknown state.
     pub fn new(names: impl Iterator<Item = GatewayName>) -> Membership {
-        Membership { peers: names.map(|name| (name, Peer::default())).collect() }
+        Membership { peers: names.map(|name| (name, PeerRecord::default())).collect() }
     }
 
     /// Records that the link to a peer's process is up.
--- a/crates/fleet/src/node/session_client.rs
+++ b/crates/fleet/src/node/session_client.rs
@@ -47,7 +47,7 @@
 struct UnsentDeparture {
     removed: bool,
     list_index: u64,
-    sends_left: u32,
+    remaining_sends: u32,
 }
 
 /// Client of the session manager of any reachable replica.
@@ -62,8 +62,8 @@
     /// Number of the last session request.
     request_count: u64,
     /// Time at which each session request was sent whose answer is still accepted, by request number.
-    sent_at: BTreeMap<u64, Duration>,
-    pending: Option<PendingRequest>,
+    request_sent_at: BTreeMap<u64, Duration>,
+    pending_request: Option<PendingRequest>,
     next_request_at: Duration,
     /// Replica that session requests are sent to.
     replica: Option<GatewayName>,
@@ -95,8 +95,8 @@
             version,
             last_update: StateUpdate::default(),
             request_count: 0,
-            sent_at: BTreeMap::new(),
-            pending: None,
+            request_sent_at: BTreeMap::new(),
+            pending_request: None,
             next_request_at: Duration::ZERO,
             replica: None,
             session: None,
@@ -179,8 +179,11 @@
         for (endpoint, removed) in endpoints {
             let has_capacity = self.unsent_departures.len() < MAX_UNSENT_DEPARTURES;
             if has_capacity || self.unsent_departures.contains_key(&endpoint) {
-                let departure =
-                    UnsentDeparture { removed, list_index: list.index, sends_left: DEPARTURE_SEND_COUNT };
+                let departure = UnsentDeparture {
+                    removed,
+                    list_index: list.index,
+                    remaining_sends: DEPARTURE_SEND_COUNT,
+                };
                 self.unsent_departures.insert(endpoint, departure);
             }
         }
@@ -192,7 +195,7 @@
             return;
         }
         self.replica = None;
-        self.pending = None;
+        self.pending_request = None;
         self.request_soon(now);
     }
 
@@ -212,8 +215,8 @@
         membership: &Membership,
         out: &mut Vec<NodeAction>,
     ) {
-        self.give_up_unanswered(now);
-        if self.is_closed || self.pending.is_some() || now < self.next_request_at {
+        self.give_up_unanswered_request(now);
+        if self.is_closed || self.pending_request.is_some() || now < self.next_request_at {
             return;
         }
         if self.replica.is_none() {
@@ -224,7 +227,7 @@
             return;
         };
         let frame = self.next_request(now);
-        self.pending = Some(PendingRequest { sent_at: now, replica: replica.clone() });
+        self.pending_request = Some(PendingRequest { sent_at: now, replica: replica.clone() });
         out.push(NodeAction::Send { to: replica.clone(), frame });
         self.send_departures(&replica, out);
         // Without the random addition, gateways that started at the same time would send all their requests at the same time.
@@ -233,20 +236,20 @@
         self.next_request_at = now + interval.mul_f64(fraction);
     }
 
-    fn give_up_unanswered(&mut self, now: Duration) {
-        let Some(pending) = &self.pending else { return };
+    fn give_up_unanswered_request(&mut self, now: Duration) {
+        let Some(pending) = &self.pending_request else { return };
         if now.saturating_sub(pending.sent_at) >= self.answer_timeout() {
             self.replica = None;
-            self.pending = None;
+            self.pending_request = None;
             self.next_request_at = now;
         }
     }
 
     fn next_request(&mut self, now: Duration) -> Frame {
         self.request_count += 1;
-        self.sent_at.insert(self.request_count, now);
-        while self.sent_at.len() > MAX_TRACKED_REQUESTS {
-            self.sent_at.pop_first();
+        self.request_sent_at.insert(self.request_count, now);
+        while self.request_sent_at.len() > MAX_TRACKED_REQUESTS {
+            self.request_sent_at.pop_first();
         }
         let request = self.request_count;
         let version = self.version.clone();
@@ -260,14 +263,14 @@
 
     /// Sends each unsent departure once, with one frame for each list index.
     fn send_departures(&mut self, replica: &GatewayName, out: &mut Vec<NodeAction>) {
-        let mut by_index: BTreeMap<u64, Vec<(String, bool)>> = BTreeMap::new();
+        let mut departures_by_index: BTreeMap<u64, Vec<(String, bool)>> = BTreeMap::new();
         self.unsent_departures.retain(|endpoint, departure| {
-            let endpoints = by_index.entry(departure.list_index).or_default();
+            let endpoints = departures_by_index.entry(departure.list_index).or_default();
             endpoints.push((endpoint.clone(), departure.removed));
-            departure.sends_left -= 1;
-            departure.sends_left > 0
+            departure.remaining_sends -= 1;
+            departure.remaining_sends > 0
         });
-        for (index, endpoints) in by_index {
+        for (index, endpoints) in departures_by_index {
             let list = ListVersion { lineage: self.lineage.clone(), index };
             out.push(NodeAction::Send { to: replica.clone(), frame: Frame::Departures { list, endpoints } });
         }
@@ -289,7 +292,7 @@
     pub(super) fn receive(&mut self, now: Duration, from: &str, frame: Frame, out: &mut Vec<NodeAction>) {
         match frame {
             Frame::SessionGranted { session, request, update } => {
-                let Some(sent_at) = self.sent_at.remove(&request) else { return };
+                let Some(sent_at) = self.request_sent_at.remove(&request) else { return };
                 self.clear_pending(from);
                 self.record_grant(session, request, sent_at);
                 self.apply_update(now, update, out);
@@ -298,7 +301,7 @@
                 self.apply_update(now, update, out);
             }
             Frame::NoSession { request, holder } => {
-                if self.sent_at.remove(&request).is_none() {
+                if self.request_sent_at.remove(&request).is_none() {
                     return;
                 }
                 self.clear_pending(from);
@@ -312,7 +315,7 @@
                 }
             }
             Frame::Unavailable { request } => {
-                if self.sent_at.remove(&request).is_none() {
+                if self.request_sent_at.remove(&request).is_none() {
                     return;
                 }
                 self.clear_pending(from);
@@ -328,7 +331,7 @@
     /// last one: the grant answers an outstanding request, and a newly founded group has smaller log indices.
     fn record_grant(&mut self, id: SessionId, request: u64, sent_at: Duration) {
         // The grant also answers the requests that were sent before.
-        self.sent_at.retain(|number, _| *number > request);
+        self.request_sent_at.retain(|number, _| *number > request);
         let expires_at = self.lease.holder_expiry(sent_at);
         match &mut self.session {
             Some(session) if session.id == id => session.expires_at = session.expires_at.max(expires_at),
@@ -337,8 +340,8 @@
     }
 
     fn clear_pending(&mut self, from: &str) {
-        if self.pending.as_ref().is_some_and(|pending| pending.replica == from) {
-            self.pending = None;
+        if self.pending_request.as_ref().is_some_and(|pending| pending.replica == from) {
+            self.pending_request = None;
         }
     }
 
@@ -355,10 +358,10 @@
     /// Acts on a state update of a replica.
     fn apply_update(&mut self, now: Duration, update: StateUpdate, out: &mut Vec<NodeAction>) {
         let own_index = self.version.list.index;
-        let newer = update.departures.iter().filter(|departure| departure.list_index > own_index);
-        let newer: Vec<DepartedEndpoint> = newer.cloned().collect();
-        if !newer.is_empty() && newer != self.last_update.departures {
-            out.push(NodeAction::EndpointsDeparted(newer));
+        let newer_departures = update.departures.iter().filter(|departure| departure.list_index > own_index);
+        let newer_departures: Vec<DepartedEndpoint> = newer_departures.cloned().collect();
+        if !newer_departures.is_empty() && newer_departures != self.last_update.departures {
+            out.push(NodeAction::EndpointsDeparted(newer_departures));
         }
         if let Some(current) = update.current_list_index.filter(|current| *current > own_index) {
             if self.discovery_polls.try_acquire(now) {
--- a/crates/fleet/src/node/session_manager.rs
+++ b/crates/fleet/src/node/session_manager.rs
@@ -27,9 +27,9 @@
 /// Manager of all sessions at one replica.
 #[derive(Clone, Debug)]
 pub(super) struct SessionManager {
-    pending: BTreeMap<GatewayName, PendingRequest>,
+    pending_requests: BTreeMap<GatewayName, PendingRequest>,
     /// Renewals that are proposed in one command at the next tick.
-    renewals: Vec<Renewal>,
+    batched_renewals: Vec<Renewal>,
     /// Last state update sent to each gateway whose session this replica has granted.
     sent_updates: BTreeMap<GatewayName, StateUpdate>,
     /// Whether the state machine has changed since state updates were last sent.
@@ -40,8 +40,8 @@
 impl SessionManager {
     pub(super) fn new(lease: Lease, lag_policy: LagPolicy) -> SessionManager {
         SessionManager {
-            pending: BTreeMap::new(),
-            renewals: Vec::new(),
+            pending_requests: BTreeMap::new(),
+            batched_renewals: Vec::new(),
             sent_updates: BTreeMap::new(),
             state_changed: false,
             monitor: SessionMonitor::new(lease, lag_policy),
@@ -51,12 +51,12 @@
     /// Discards all observations and pending requests, because this process was paused or its state machine was replaced.
     pub(super) fn reset_observations(&mut self, now: Duration) {
         self.monitor.restart_timers(now);
-        self.pending.clear();
+        self.pending_requests.clear();
         self.state_changed = true;
     }
 
     pub(super) fn link_down(&mut self, peer: &str) {
-        self.pending.remove(peer);
+        self.pending_requests.remove(peer);
         self.sent_updates.remove(peer);
     }
 
@@ -74,7 +74,7 @@
             Frame::OpenSession { request, version } => {
                 let command = Command::OpenSession { name: gateway.clone(), process, version, request };
                 if consensus.propose(command) {
-                    self.pending.insert(gateway, PendingRequest { request, session: None });
+                    self.pending_requests.insert(gateway, PendingRequest { request, session: None });
                 } else {
                     send(out, gateway, Frame::Unavailable { request });
                 }
@@ -115,8 +115,8 @@
             Some(open) if open.name == gateway && open.process == process => {
                 renewal.version = renewal.version.filter(|version| open.version != *version);
                 let pending = PendingRequest { request, session: Some(renewal.session) };
-                self.pending.insert(gateway, pending);
-                self.renewals.push(renewal);
+                self.pending_requests.insert(gateway, pending);
+                self.batched_renewals.push(renewal);
             }
             // The session may have been opened by a command that this replica has not applied yet.
             None if renewal.session > state.log_index() => send(out, gateway, Frame::Unavailable { request }),
@@ -154,10 +154,10 @@
         out: &mut Vec<NodeAction>,
     ) {
         let is_pending = |pending: &PendingRequest| pending.request == request && pending.session.is_none();
-        if !self.pending.get(gateway).is_some_and(is_pending) {
+        if !self.pending_requests.get(gateway).is_some_and(is_pending) {
             return;
         }
-        self.pending.remove(gateway);
+        self.pending_requests.remove(gateway);
         match outcome {
             CommandOutcome::Opened(session) => self.grant(gateway, *session, request, state, out),
             CommandOutcome::NameTaken { holder } => {
@@ -172,9 +172,9 @@
         let request = renewal.count;
         let is_pending =
             |pending: &PendingRequest| pending.session == Some(session) && pending.request == request;
-        let waiting = self.pending.iter().find(|(_, pending)| is_pending(pending));
-        let Some(gateway) = waiting.map(|(gateway, _)| gateway.clone()) else { return };
-        self.pending.remove(&gateway);
+        let waiting_entry = self.pending_requests.iter().find(|(_, pending)| is_pending(pending));
+        let Some(gateway) = waiting_entry.map(|(gateway, _)| gateway.clone()) else { return };
+        self.pending_requests.remove(&gateway);
         if state.sessions().contains_key(&session) {
             self.grant(&gateway, session, request, state, out);
         } else {
@@ -190,7 +190,7 @@
         state: &StateMachine,
         out: &mut Vec<NodeAction>,
     ) {
-        let Some(update) = update_for(state, session) else { return };
+        let Some(update) = state_update_for(state, session) else { return };
         self.sent_updates.insert(gateway.clone(), update.clone());
         send(out, gateway.clone(), Frame::SessionGranted { session, request, update });
     }
@@ -203,15 +203,15 @@
     }
 
     fn propose_renewals(&mut self, consensus: &mut ConsensusGroup, out: &mut Vec<NodeAction>) {
-        let renewals = std::mem::take(&mut self.renewals);
+        let renewals = std::mem::take(&mut self.batched_renewals);
         if renewals.is_empty() || consensus.propose(Command::RenewSessions(renewals.clone())) {
             return;
         }
         for renewal in renewals {
             let session = Some(renewal.session);
-            let waiting = self.pending.iter().find(|(_, pending)| pending.session == session);
-            if let Some(gateway) = waiting.map(|(gateway, _)| gateway.clone()) {
-                self.pending.remove(&gateway);
+            let waiting_entry = self.pending_requests.iter().find(|(_, pending)| pending.session == session);
+            if let Some(gateway) = waiting_entry.map(|(gateway, _)| gateway.clone()) {
+                self.pending_requests.remove(&gateway);
                 send(out, gateway, Frame::Unavailable { request: renewal.count });
             }
         }
@@ -225,7 +225,7 @@
         self.state_changed = false;
         for (gateway, sent) in &mut self.sent_updates {
             let Some((id, _)) = state.session_of(gateway) else { continue };
-            let Some(update) = update_for(state, id) else { continue };
+            let Some(update) = state_update_for(state, id) else { continue };
             let is_unchanged = StateUpdate { log_index: sent.log_index, ..update.clone() } == *sent;
             if !is_unchanged {
                 sent.clone_from(&update);
@@ -255,7 +255,7 @@
 }
 
 /// State update for the gateway that holds a session; `None` if the session is not open.
-fn update_for(state: &StateMachine, id: SessionId) -> Option<StateUpdate> {
+fn state_update_for(state: &StateMachine, id: SessionId) -> Option<StateUpdate> {
     let session = state.sessions().get(&id)?;
     let list = &session.version.list;
     let departures = state.departures_since(list).map(|(endpoint, departure)| DepartedEndpoint {
@@ -282,9 +282,9 @@
         (Command::FenceLagging { session, version }, CommandOutcome::Applied) => {
             Some(format!("session {session} fenced: its gateway lagged with {version}"))
         }
-        (Command::FenceLagging { session, .. }, CommandOutcome::FenceLimitReached) => Some(format!(
-            "session {session} lags and is not fenced: the maximum number of sessions is fenced already"
-        )),
+        (Command::FenceLagging { session, .. }, CommandOutcome::FenceLimitReached) => {
+            Some(format!("session {session} lags and is not fenced: the limit of fenced sessions is reached"))
+        }
         (Command::SetFenced { name, fenced: true }, CommandOutcome::Applied) => {
             Some(format!("{name} fenced by an administrator"))
         }
--- a/crates/fleet/src/node/session_monitor.rs
+++ b/crates/fleet/src/node/session_monitor.rs
@@ -25,7 +25,7 @@
 /// What this replica has observed of a lagging session.
 #[derive(Clone, Copy, Debug)]
 struct ObservedLag {
-    since: Duration,
+    lagging_since: Duration,
     /// Time at which a fence of the session was last proposed.
     proposed_at: Option<Duration>,
 }
@@ -101,7 +101,7 @@
             state.lagging_sessions().map(|lagging| (lagging.id, lagging.session.version.clone())).collect();
         self.observed_lags.retain(|id, _| lagging.contains_key(id));
         for id in lagging.keys() {
-            self.observed_lags.entry(*id).or_insert(ObservedLag { since: now, proposed_at: None });
+            self.observed_lags.entry(*id).or_insert(ObservedLag { lagging_since: now, proposed_at: None });
         }
         lagging
     }
@@ -124,7 +124,8 @@
     ) {
         let mut capacity = consensus.state().fence_capacity();
         for (id, observed) in &mut self.observed_lags {
-            let lags_too_long = now.saturating_sub(observed.since) >= self.lag_policy.max_lag_duration;
+            let lags_too_long =
+                now.saturating_sub(observed.lagging_since) >= self.lag_policy.max_lag_duration;
             if !lags_too_long || capacity == 0 || !is_proposal_due(now, observed.proposed_at) {
                 continue;
             }
