--- a/crates/fleet/src/audit/encoding/tests.rs
+++ b/crates/fleet/src/audit/encoding/tests.rs
@@ -5,7 +5,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// Arbitrary bytes, and a segment with one bit changed, are neither decoded nor cause a panic.
+    /// Arbitrary bytes, and a segment with one changed bit, are not decoded and cause no panic.
     #[test]
     fn damaged_segments_are_not_decoded(bytes in prop::collection::vec(any::<u8>(), 0..200), at_byte in any::<prop::sample::Index>()) {
         prop_assert!(decompress::<Segment>(&bytes).is_none());
--- a/crates/fleet/src/audit/log/tests.rs
+++ b/crates/fleet/src/audit/log/tests.rs
@@ -26,7 +26,7 @@
     assert_eq!(report.intervals.len(), 1);
     assert_eq!((report.intervals[0].from_ms, report.intervals[0].to_ms), (0, Some(100)));
     assert_eq!(report.intervals[0].decisions, [(DecisionKind::Pick, 1, 1)]);
-    assert!(report.exceptions.is_empty(), "that was under another version");
+    assert!(report.exceptions.is_empty(), "the exception occurred under another version");
     let report = audit.report_lists(at(200), 2..=9);
     assert_eq!(report.intervals[0].log_indices, (0, 7));
     assert_eq!(report.intervals[0].decisions, [(DecisionKind::Reject, 0, 1), (DecisionKind::Pick, 1, 1)]);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn close_exceptions_are_one_run_and_later_ones_another() {
+fn exceptions_in_close_succession_are_one_run_and_a_later_exception_starts_another() {
     let mut audit = AuditLog::new(at(0), version(1));
     for n in 0..50 {
         audit.record_exception(at(n * 100), Exception::WithoutSession, "x");
@@ -50,9 +50,9 @@
 }
 
 proptest! {
-    /// However many versions and requests there are, the log stays bounded and reports what it dropped.
+    /// However many versions and requests there are, the log stays bounded and reports how many entries it dropped.
     #[test]
-    fn log_is_bounded_and_reports_what_it_dropped(versions in 1u64..12_000, requests_each in 0u64..3) {
+    fn log_is_bounded_and_reports_dropped_entries(versions in 1u64..12_000, requests_each in 0u64..3) {
         let mut audit = AuditLog::new(at(0), version(0));
         for index in 1..=versions {
             audit.set_version(at(index), version(index));
@@ -68,7 +68,7 @@
         } else {
             prop_assert!(counted < versions * requests_each);
         }
-        // A version without decisions takes no capacity.
+        // A version without decisions takes up no interval.
         prop_assert!(requests_each > 0 || report.intervals.len() <= 2);
         let since_ms = audit.report_request("none").since_ms;
         prop_assert_eq!(since_ms > 0, audit.dropped_steps > 0);
--- a/crates/fleet/src/audit/retention/tests.rs
+++ b/crates/fleet/src/audit/retention/tests.rs
@@ -7,7 +7,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// What is kept fits, the newest segment always stays, and steps are evicted before any segment is.
+    /// The retained segments fit the size limit, the newest segment is always retained, and steps are evicted before any whole segment.
     #[test]
     fn disk_usage_is_bounded(sizes in prop::collection::vec((1u32..50, 0u32..400), 1..60), max_bytes in 100u64..2000) {
         let limits = RetentionLimits { max_bytes, max_age: at(1_000_000) };
@@ -26,11 +26,11 @@
             if evicted.iter().any(|evicted| matches!(evicted, Evicted::Segment(_))) {
                 let older = index.segments.range(..index.next_number() - 1);
                 let no_steps_left = older.into_iter().all(|(_, stored)| stored.steps_bytes == 0);
-                prop_assert!(no_steps_left, "a segment was evicted while an older one had its steps");
+                prop_assert!(no_steps_left, "a segment was evicted while another segment still had steps");
             }
         }
         let later_unix_ms = 1_000_000 + 2 * sizes.len() as u64 * 1000;
         index.evict(&limits, later_unix_ms);
-        prop_assert_eq!(index.segments.len(), 1, "all but the newest are too old");
+        prop_assert_eq!(index.segments.len(), 1, "all segments but the newest are too old");
     }
 }
--- a/crates/fleet/src/audit/tests.rs
+++ b/crates/fleet/src/audit/tests.rs
@@ -1,4 +1,4 @@
-//! The log in memory, segments on disk and queries together.
+//! The audit log in memory, segments on disk and queries, tested together.
 
 use super::*;
 use crate::version::{Incarnation, ListVersion, Version};
@@ -19,7 +19,7 @@
     SegmentWriter { process: Incarnation(process), began_unix_ms, opened_unix_ms: began_unix_ms + 50 }
 }
 
-/// The audit log on disk, as a gateway keeps it.
+/// Audit log on disk, as a gateway stores it.
 #[derive(Default)]
 struct Disk {
     segments: BTreeMap<u64, EncodedSegment>,
@@ -37,7 +37,8 @@
     ) {
         let delta = audit.segment_since(cursor, now, state);
         let encoded = builder.append(delta.segment, delta.steps, 0);
-        self.index.insert(encoded.number, &decode_header(&encoded.header).expect("a header"));
+        self.index
+            .insert(encoded.number, &decode_header(&encoded.header).expect("segment header does not decode"));
         self.segments.insert(encoded.number, encoded);
         *cursor = delta.cursor;
     }
@@ -54,7 +55,7 @@
     }
 }
 
-/// Memory of a process that has written nothing to the disk.
+/// Memory span of a process that has written nothing to disk.
 fn unrelated_memory() -> MemorySpan {
     AuditLog::new(at(0), version(0)).memory_span(Incarnation(99))
 }
@@ -85,10 +86,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(128))]
 
-    /// A process is killed after some of its writes have failed. The next one finds the log as it was at the last write that succeeded,
-    /// each request with its endpoint and version, and reports the rest of the time as unknown.
+    /// A process is killed after some of its writes have failed. The next process finds the log as of the last write that succeeded, each
+    /// request with its endpoint and version, and reports the time after that write as unknown.
     #[test]
-    fn a_crash_leaves_the_log_as_last_written(operations in prop::collection::vec(operation(), 1..400)) {
+    fn after_a_crash_the_log_is_as_last_written_and_the_rest_is_unknown(operations in prop::collection::vec(operation(), 1..400)) {
         let mut audit = AuditLog::new(at(0), version(0));
         let mut disk = Disk::default();
         let mut builder = SegmentBuilder::new(writer(1), 1);
@@ -113,7 +114,7 @@
                     disk.write(&mut builder, &audit, &mut cursor, at(now_ms), ProcessState::Running);
                     written = Some((now_ms, audit.clone()));
                 }
-                // The segment is made and lost on its way: the cursor stays.
+                // The write fails: the segment is lost and the cursor does not advance.
                 Operation::Write { succeeds: false } => drop(audit.segment_since(&cursor, at(now_ms), ProcessState::Running)),
             }
         }
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn an_orderly_end_leaves_no_gap_and_a_lost_segment_does() {
+fn a_process_that_ended_orderly_leaves_no_gap_and_a_lost_segment_leaves_one() {
     let mut disk = Disk::default();
     let audit = AuditLog::new(at(0), version(3));
     for process in 1..=2 {
@@ -159,7 +160,7 @@
     assert_eq!(history.processes[1].unknown, gap);
 }
 
-/// A process runs for so long that its memory has dropped its first entries. Memory and disk together report all of them, and none twice.
+/// A process runs for so long that its memory has dropped its first entries. Memory and disk together report every entry exactly once.
 #[test]
 fn memory_and_disk_together_report_everything_once() {
     let mut audit = AuditLog::new(at(0), version(0));
@@ -186,10 +187,14 @@
     let indices = |intervals: &[IntervalReport]| -> Vec<u64> {
         intervals.iter().map(|interval| interval.version.list.index).collect()
     };
-    let both = [indices(&history.processes[0].intervals), indices(&memory.intervals)].concat();
-    assert!(both == (0..=versions).collect::<Vec<_>>(), "{} of {versions}", both.len());
+    let all_indices = [indices(&history.processes[0].intervals), indices(&memory.intervals)].concat();
+    assert!(
+        all_indices == (0..=versions).collect::<Vec<_>>(),
+        "{} intervals reported for {versions} versions after the first",
+        all_indices.len()
+    );
     let early = disk.query(AuditQuery::Request("50-1".into()), memory_span);
     assert!(audit.report_request("50-1").steps.is_empty() && early.processes[0].steps.len() == 1);
     let late = disk.query(AuditQuery::Request("5990-1".into()), memory_span);
-    assert!(late.processes.is_empty(), "memory has it");
+    assert!(late.processes.is_empty(), "the request is in memory and must not be reported from disk");
 }
--- a/crates/fleet/src/departures/tests.rs
+++ b/crates/fleet/src/departures/tests.rs
@@ -6,14 +6,20 @@
 }
 
 #[test]
-fn remote_departures_count_until_the_own_list_is_as_new() {
+fn a_remote_departure_applies_until_the_own_list_is_as_new() {
     let mut departures = RemoteDepartures::default();
-    assert!(departures.record_remote(10, &[departed("n1", 10, true)]).is_empty(), "the own list is as new");
+    assert!(
+        departures.record_remote(10, &[departed("n1", 10, true)]).is_empty(),
+        "this gateway's list is as new"
+    );
     assert_eq!(
         departures.record_remote(10, &[departed("n1", 12, false), departed("n2", 13, true)]),
         ["n1", "n2"]
     );
-    assert!(departures.record_remote(10, &[departed("n1", 12, false)]).is_empty(), "known already");
+    assert!(
+        departures.record_remote(10, &[departed("n1", 12, false)]).is_empty(),
+        "the departure is known already"
+    );
     assert!(departures.overrides("n1") && !departures.overrides("n3"));
     departures.record_own_list(12);
     assert!(!departures.overrides("n1") && departures.overrides("n2"));
--- a/crates/fleet/src/lease/tests.rs
+++ b/crates/fleet/src/lease/tests.rs
@@ -2,14 +2,14 @@
 use proptest::prelude::*;
 
 proptest! {
-    /// Whatever the rates of both clocks within the margin, and whenever the grant takes effect, the holder stops first.
+    /// For all clock rates within the margin, and all delays of the grant, the holder's expiry comes before the grantor's in true time.
     #[test]
-    fn holder_stops_before_grantors_count_on_expiry(
+    fn holder_stops_before_the_lease_expires_at_the_grantors(
         length_ms in 100u64..60_000, margin in 0.001f64..0.2, requested_ms in 0u64..1_000_000, delay_ms in 0u64..10_000,
         holder_drift in -1.0f64..1.0, grantor_drift in -1.0f64..1.0,
     ) {
         let lease = Lease { length: Duration::from_millis(length_ms), margin };
-        // True time is that of neither process; each clock shows true time multiplied by its rate.
+        // Neither process knows true time: each process's clock shows true time multiplied by the clock's rate.
         let holder_rate = 1.0 + holder_drift * margin;
         let grantor_rate = 1.0 + grantor_drift * margin;
         let requested_s = requested_ms as f64 / 1e3;
--- a/crates/fleet/src/protocol/tests.rs
+++ b/crates/fleet/src/protocol/tests.rs
@@ -8,7 +8,7 @@
         voter: Incarnation(1),
         agreement_digest,
     };
-    encode_frame(&Hello::new(fleet, caller, addressee)).expect("short")
+    encode_frame(&Hello::new(fleet, caller, addressee)).expect("frame exceeds the maximum length")
 }
 
 fn accept(bytes: &[u8]) -> Result<Caller, ProtocolError> {
@@ -23,7 +23,7 @@
     assert_eq!(
         accept(&encoded_hello("f", "a", 7, "a")),
         Err(ProtocolError::UnknownPeer("a".into())),
-        "this one itself"
+        "a gateway rejects a caller with its own name"
     );
     assert_eq!(accept(&encoded_hello("f", "b", 8, "a")), Err(ProtocolError::SettingsMismatch("b".into())));
     assert_eq!(accept(&encoded_hello("f", "b", 7, "b")), Err(ProtocolError::WrongAddressee("b".into())));
@@ -36,17 +36,17 @@
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = accept(&bytes);
         let _ = decode_frame::<Frame>(&bytes);
     }
 
-    /// A frame that was cut short or continues after its end does not decode.
+    /// A frame that was truncated, or is followed by further bytes, does not decode.
     #[test]
     fn truncated_and_prolonged_frames_are_rejected(request in any::<u64>(), index in any::<u64>(), removed_bytes in 1usize..12) {
         let mut version = Version::default();
         version.list.index = index;
-        let bytes = encode_frame(&Frame::RenewSession { session: 3, request, version }).expect("short");
+        let bytes = encode_frame(&Frame::RenewSession { session: 3, request, version }).expect("frame exceeds the maximum length");
         prop_assert!(decode_frame::<Frame>(&bytes).is_ok());
         prop_assert!(decode_frame::<Frame>(&bytes[..bytes.len() - removed_bytes.min(bytes.len())]).is_err());
         let longer = [&bytes[..], &[0]].concat();
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -1,7 +1,8 @@
-//! The bytes of every frame and stored record, against fixtures that version 0.2.0 wrote. A gateway of that version is linked to, and
-//! its files are read, by every later one: a frame or record that encodes to other bytes would be refused there as spoilt.
+//! Compares the bytes of every frame and stored record with fixtures that version 0.2.0 wrote. Later versions are linked to gateways of
+//! version 0.2.0 and read its files: if a frame or record encoded to other bytes, the other version would reject it as malformed.
 //!
-//! `WRITE_FIXTURES=1 cargo test -p <this package> --test formats` writes the fixtures anew; only a change of format on purpose may.
+//! `WRITE_FIXTURES=1 cargo test -p <this package> --test formats` overwrites the fixtures. This is permitted only for an intended change
+//! of format.
 
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::ballot_leader_election::{
@@ -277,7 +278,7 @@
         stored.iter().map(|(name, stored)| (format!("stored-{name}"), protocol::encode_frame(stored)));
     let hellos = hellos.iter().map(|(name, hello)| ((*name).to_owned(), protocol::encode_frame(hello)));
     let all = hellos.chain(frames).chain(stored);
-    all.map(|(name, bytes)| (name, bytes.expect("it is short enough for the link"))).collect()
+    all.map(|(name, bytes)| (name, bytes.expect("record exceeds the maximum frame length"))).collect()
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -290,16 +291,16 @@
 fn unhex(text: &str) -> Vec<u8> {
     let digits = text.as_bytes().chunks(2);
     let byte = |pair: &[u8]| {
-        let pair = std::str::from_utf8(pair).expect("two digits");
-        u8::from_str_radix(pair, 16).expect("two digits")
+        let pair = std::str::from_utf8(pair).expect("fixture bytes are not hexadecimal digits");
+        u8::from_str_radix(pair, 16).expect("fixture bytes are not hexadecimal digits")
     };
     digits.map(byte).collect()
 }
 
 fn fixtures() -> Vec<(String, Vec<u8>)> {
-    let text = std::fs::read_to_string(Path::new(FIXTURE)).expect("the fixture is in the repository");
+    let text = std::fs::read_to_string(Path::new(FIXTURE)).expect("fixture file cannot be read");
     let line = |line: &str| {
-        let (name, bytes) = line.split_once(' ').expect("a name and bytes");
+        let (name, bytes) = line.split_once(' ').expect("fixture line has no space between name and bytes");
         (name.to_owned(), unhex(bytes))
     };
     text.lines().map(line).collect()
@@ -310,10 +311,11 @@
     let records = records();
     if std::env::var_os("WRITE_FIXTURES").is_some() {
         let line = |(name, bytes): &(String, Vec<u8>)| format!("{name} {}\n", hex(bytes));
-        std::fs::write(FIXTURE, records.iter().map(line).collect::<String>()).expect("the fixture");
+        std::fs::write(FIXTURE, records.iter().map(line).collect::<String>())
+            .expect("fixture file cannot be written");
     }
     let fixtures = fixtures();
-    assert_eq!(records.len(), fixtures.len(), "each fixture has its value here");
+    assert_eq!(records.len(), fixtures.len(), "number of values differs from the number of fixtures");
     for ((name, bytes), (fixture_name, fixture)) in records.iter().zip(&fixtures) {
         assert_eq!(name, fixture_name);
         assert_eq!(hex(bytes), hex(fixture), "{name}");
@@ -321,21 +323,25 @@
 }
 
 #[test]
-fn bytes_of_version_0_2_0_are_read_and_encode_to_the_same_again() {
+fn bytes_of_version_0_2_0_decode_and_encode_to_the_same_bytes() {
     for (name, bytes) in fixtures() {
-        let again = if name.starts_with("hello") {
+        let encoded_again = if name.starts_with("hello") {
             protocol::encode_frame(&protocol::decode_frame::<Hello>(&bytes).expect(&name))
         } else if name.starts_with("stored") {
             protocol::encode_frame(&protocol::decode_frame::<StoredRecord>(&bytes).expect(&name))
         } else {
             protocol::encode_frame(&protocol::decode_frame::<Frame>(&bytes).expect(&name))
         };
-        assert_eq!(hex(&again.expect("short enough")), hex(&bytes), "{name}");
+        assert_eq!(
+            hex(&encoded_again.expect("value exceeds the maximum frame length")),
+            hex(&bytes),
+            "{name}"
+        );
     }
 }
 
-/// Digests that gateways of two builds compare: those of [fleet]'s terms in a hello, and that of a founded consensus group. They are
-/// taken of a text, which has to stay what it was whatever the types are called.
+/// Gateways of two builds compare two digests: that of the `[fleet]` settings in a hello, and that of a founded consensus group. Each
+/// digest is taken of a text, which must stay the same even if types or fields are renamed.
 #[test]
 fn digests_that_gateways_compare_are_those_of_version_0_2_0() {
     let peers: String = ["g0", "g1", "g2"]
@@ -343,9 +349,10 @@
         .concat();
     let text =
         format!("[fleet]\nname = \"valpadana\"\ngateway = \"g0\"\nlease = \"4s\"\nmargin = 0.03\n{peers}");
-    let document = weldworks_config::Document::parse("f.toml", &text).expect("a document");
-    let settings =
-        weldworks_fleet::settings::FleetSettings::read(&document.root().table("fleet").expect("a table"));
+    let document = weldworks_config::Document::parse("f.toml", &text).expect("settings are not valid TOML");
+    let settings = weldworks_fleet::settings::FleetSettings::read(
+        &document.root().table("fleet").expect("settings have no [fleet] table"),
+    );
     assert_eq!(format!("{:016x}", settings.digest()), "bdf005d04b337653");
 
     let names = ["g0", "g1", "g2"].map(str::to_owned);
@@ -356,21 +363,21 @@
     let mut members: Vec<ConsensusGroup> = names.iter().map(member).collect();
     let mut in_flight: Vec<(usize, OutgoingMessage)> = Vec::new();
     for (n, member) in members.iter_mut().enumerate() {
-        for other in names.iter().filter(|other| **other != names[n]) {
-            in_flight
-                .extend(member.link_up(other, process(other)).messages.into_iter().map(|sent| (n, sent)));
+        for peer in names.iter().filter(|peer| **peer != names[n]) {
+            in_flight.extend(member.link_up(peer, process(peer)).messages.into_iter().map(|sent| (n, sent)));
         }
     }
     for _ in 0..400 {
         for (from, sent) in std::mem::take(&mut in_flight) {
-            let to = names.iter().position(|name| *name == sent.to).expect("a member");
-            let done = members[to].receive(&names[from], sent.message);
-            in_flight.extend(done.messages.into_iter().map(|sent| (to, sent)));
+            let to =
+                names.iter().position(|name| *name == sent.to).expect("message is addressed to no member");
+            let output = members[to].receive(&names[from], sent.message);
+            in_flight.extend(output.messages.into_iter().map(|sent| (to, sent)));
         }
         for (n, member) in members.iter_mut().enumerate() {
             in_flight.extend(member.tick().messages.into_iter().map(|sent| (n, sent)));
         }
     }
-    let config = members[0].config().expect("three of three found it");
+    let config = members[0].config().expect("three linked members have not founded a group");
     assert_eq!(format!("{:016x}", config.group_id), "dfb1af7152f4ebbb");
 }
--- a/crates/fleet/tests/hostile.rs
+++ b/crates/fleet/tests/hostile.rs
@@ -1,5 +1,5 @@
-//! A replica may send anything: it may run another build or on a faulty machine, or be a stranger. That costs votes at most, never a
-//! process.
+//! Hostile input: a replica with another build or on a faulty machine, or another program, may send any bytes. Such input may cost a
+//! process its vote, but never ends the process.
 
 use omnipaxos::messages::sequence_paxos::PaxosMsg;
 use omnipaxos::messages::Message;
@@ -17,11 +17,11 @@
     let peers =
         NAMES.map(|name| format!("[[peer]]\nname = \"{name}\"\naddress = \"127.0.0.1:1\"\ncouncil = true\n"));
     let text = format!("name = \"f\"\ngateway = \"{own}\"\n{}", peers.concat());
-    let document = weldworks_config::Document::parse("f", &text).expect("a file");
+    let document = weldworks_config::Document::parse("f", &text).expect("settings are not valid TOML");
     FleetSettings::read(&document.root())
 }
 
-/// Three replicas in session, some of whose messages to each other are corrupted.
+/// Three replicas with sessions, some of whose messages to each other are corrupted.
 struct Cluster {
     now: Duration,
     nodes: Vec<Node>,
@@ -44,18 +44,18 @@
             corrupts_messages: false,
             library_failures: 0,
         };
-        for one in 0..3 {
-            for other in (0..3).filter(|other| *other != one) {
-                cluster.link(one, other);
+        for member in 0..3 {
+            for peer in (0..3).filter(|peer| *peer != member) {
+                cluster.link(member, peer);
             }
         }
-        cluster.run(100);
+        cluster.run_ticks(100);
         cluster
     }
 
     fn deliver(&mut self, from: usize, out: Vec<NodeAction>) {
         let mut queue: VecDeque<(usize, usize, Frame)> = VecDeque::new();
-        let sends = |from: usize, out: Vec<NodeAction>| {
+        let outgoing_frames = |from: usize, out: Vec<NodeAction>| {
             out.into_iter().filter_map(move |action| match action {
                 NodeAction::Send { to, frame } => {
                     Some((from, NAMES.iter().position(|name| *name == to)?, frame))
@@ -63,7 +63,7 @@
                 _ => None,
             })
         };
-        queue.extend(sends(from, out));
+        queue.extend(outgoing_frames(from, out));
         while let Some((from, to, mut frame)) = queue.pop_front() {
             if self.corrupts_messages && self.rng.bool() {
                 corrupt(&mut frame, &mut self.rng);
@@ -72,19 +72,19 @@
             self.nodes[to].receive(self.now, NAMES[from], frame, &mut out);
             let is_library_failure = |action: &&NodeAction| matches!(action, NodeAction::Notice(text) if text.contains("consensus library panicked"));
             self.library_failures += out.iter().filter(is_library_failure).count();
-            queue.extend(sends(to, out));
+            queue.extend(outgoing_frames(to, out));
         }
     }
 
-    fn link(&mut self, one: usize, other: usize) {
-        let process = Incarnation(other as u64 + 1);
+    fn link(&mut self, member: usize, peer: usize) {
+        let process = Incarnation(peer as u64 + 1);
         let mut out = Vec::new();
         let remote = PeerProcess { process, voter: process };
-        self.nodes[one].link_up(self.now, NAMES[other], remote, &mut out);
-        self.deliver(one, out);
+        self.nodes[member].link_up(self.now, NAMES[peer], remote, &mut out);
+        self.deliver(member, out);
     }
 
-    fn run(&mut self, ticks: u32) {
+    fn run_ticks(&mut self, ticks: u32) {
         for _ in 0..ticks {
             self.now += TICK_INTERVAL;
             for n in 0..3 {
@@ -96,7 +96,7 @@
     }
 }
 
-/// Changes the indices and ballots in a message of the replication library to contradictory ones.
+/// Changes indices and ballots in a message of the consensus library, so that the message contradicts other messages.
 fn corrupt(frame: &mut Frame, rng: &mut fastrand::Rng) {
     let Frame::Consensus(ConsensusMessage::Log { message, .. }) = frame else { return };
     let Message::SequencePaxos(paxos) = &mut **message else { return };
@@ -125,19 +125,19 @@
     }
 }
 
-/// One replica sends messages of the library that contradict its log, as one of another build or on a faulty machine would. The library
-/// panics on some of them; the receiver gives up its vote and goes on.
+/// Replicas receive messages of the consensus library that contradict the log, as a replica with another build or on a faulty machine may
+/// send them. The library panics on some of these messages; the receiver gives up its vote and continues to run.
 #[test]
-fn contradictory_messages_cost_votes_at_most() {
+fn a_node_survives_contradictory_messages_of_the_library() {
     let mut library_failures = 0;
     for seed in 0..100 {
         let mut cluster = Cluster::new(seed);
         cluster.corrupts_messages = true;
         for _ in 0..10 {
-            cluster.run(10);
-            let (one, other) = (cluster.rng.usize(..3), cluster.rng.usize(..3));
-            if one != other {
-                cluster.link(one, other);
+            cluster.run_ticks(10);
+            let (member, peer) = (cluster.rng.usize(..3), cluster.rng.usize(..3));
+            if member != peer {
+                cluster.link(member, peer);
             }
         }
         library_failures += cluster.library_failures;
@@ -145,23 +145,24 @@
             assert!(!node.status(cluster.now).session_state.is_empty());
         }
     }
-    assert!(library_failures > 0, "no corrupted message made the library fail: this shows nothing");
+    assert!(library_failures > 0, "no corrupted message made the library panic: the test checks nothing");
 }
 
-/// A peer sends frames with random bytes: whatever decodes is handled without a panic.
+/// A peer sends frames with random bytes: a frame that decodes is handled without a panic.
 #[test]
 fn random_bytes_are_rejected_or_handled() {
     let mut cluster = Cluster::new(1);
     let heartbeat = Frame::Heartbeat { views: Vec::new() };
     let mut rng = fastrand::Rng::with_seed(7);
     for _ in 0..2000 {
-        let mut bytes = protocol::encode_frame(&heartbeat).expect("a frame");
+        let mut bytes =
+            protocol::encode_frame(&heartbeat).expect("heartbeat exceeds the maximum frame length");
         bytes.extend((0..rng.usize(..64)).map(|_| rng.u8(..)));
         bytes[0] = rng.u8(..16);
         if let Ok(frame) = protocol::decode_frame::<Frame>(&bytes) {
             cluster.nodes[0].receive(cluster.now, "b", frame, &mut Vec::new());
         }
     }
-    cluster.run(10);
+    cluster.run_ticks(10);
     assert!(!cluster.nodes[0].status(cluster.now).session_state.is_empty());
 }
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,5 +1,5 @@
-//! The rules of sessions under every order of requests, loss, duplication and delay, searched to a stated depth. The state machine is the
-//! real one; time, messages and what a holder may rely on are the model's.
+//! Model check of the session rules: all orders, losses, duplications and delays of requests are searched to a limited depth. The state
+//! machine under test is the real one; clocks, messages and lease holders are modelled.
 
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
@@ -9,47 +9,48 @@
 use weldworks_fleet::state_machine::{Command, CommandOutcome, Renewal, SessionId, StateMachine};
 use weldworks_fleet::version::{Incarnation, ListVersion, Version};
 
-/// Two processes of one name.
+/// Two processes that run under the same gateway name.
 const PROCESSES: [(&str, u64); 2] = [("a", 1), ("a", 2)];
-/// A lease of 4 s with a margin of a quarter: its holder stops after 3 s, and its grantors count on the end after 5 s.
+/// A lease of 4 s with a clock margin of a quarter: the holder stops relying on it after 3 s, and the lease expires at the grantors after
+/// 5 s.
 const LEASE: Lease = Lease { length: Duration::from_secs(4), margin: 0.25 };
-/// End of the model's time, in seconds.
-const END_S: u64 = 7;
-/// Maximum number of requests of each process.
+/// Time at which the model's clock stops, in seconds.
+const END_TIME_S: u64 = 7;
+/// Maximum number of session requests of each process.
 const MAX_REQUESTS: u64 = 2;
 /// Maximum number of commands that the state machine applies, including duplicates.
 const MAX_COMMANDS: u64 = 4;
 /// Depth to which the state space is searched completely.
 const SEARCH_DEPTH: usize = 14;
 
-const NO_ACTION_WITHOUT_SESSION: &str = "nobody acts in a session that has ended";
+const NO_ACTION_WITHOUT_SESSION: &str = "no holder acts in a session that has ended";
 const ONE_PROCESS_AT_A_TIME: &str = "one process of a name acts at a time";
 const A_SESSION_EXPIRES: &str = "a session expires";
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Holder {
     request_count: u64,
-    /// When each request was sent, by its number from 1.
+    /// Time at which each request was sent, in seconds; the first entry belongs to request number 1.
     sent_at: Vec<u64>,
     session: Option<SessionId>,
     expires_at: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct State {
+struct ModelState {
     now: u64,
     state_machine: StateMachine,
     holders: Vec<Holder>,
-    /// Commands on their way to the state machine: each may arrive late, twice, or never.
-    commands: BTreeSet<Pending>,
-    /// Grants on their way: to which holder, of which session, for which request.
+    /// Commands in flight to the state machine: each command may arrive late, twice, or never.
+    commands: BTreeSet<PendingCommand>,
+    /// Grants in flight: index of the receiving holder, session, and number of the request.
     grants: BTreeSet<(usize, SessionId, u64)>,
-    /// Renewals that the replica which expires sessions has observed: session, renewal count, since when.
+    /// Renewals observed by the replica that expires sessions: session, renewal count, and time of the first observation in seconds.
     observed: Vec<(SessionId, u64, u64)>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Pending {
+enum PendingCommand {
     Open(usize, u64),
     Renew(usize, SessionId, u64),
     Expire(SessionId, u64),
@@ -59,24 +60,24 @@
 enum Action {
     Tick,
     SendRequest(usize),
-    ApplyCommand(Pending),
+    ApplyCommand(PendingCommand),
     ReceiveGrant(usize, SessionId, u64),
     ProposeExpiry(SessionId, u64),
 }
 
-/// A rule that is broken on purpose, to show that the search finds it.
+/// A rule that is violated on purpose, to show that the search finds the violation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mutation {
     None,
-    /// The holder counts its lease from the grant.
+    /// The holder counts its lease from the receipt of the grant instead of the sending of the request.
     CountsFromGrant,
-    /// An expiry does not name the renewals that were observed.
+    /// An expiry command names the current renewal count instead of the observed one.
     UnconditionalExpiry,
-    /// Opening a session again is not counted as a renewal.
+    /// A repeated open request is not counted as a renewal.
     ReopenUncounted,
 }
 
-struct Sessions(Mutation);
+struct SessionModel(Mutation);
 
 fn version(index: u64) -> Version {
     Version { list: ListVersion { lineage: "r".into(), index }, ..Version::default() }
@@ -86,10 +87,10 @@
     Duration::from_secs(seconds)
 }
 
-impl Sessions {
-    fn command(&self, state: &State, pending: Pending) -> Command {
+impl SessionModel {
+    fn command(&self, state: &ModelState, pending: PendingCommand) -> Command {
         match pending {
-            Pending::Open(holder, request) => {
+            PendingCommand::Open(holder, request) => {
                 let (name, process) = PROCESSES[holder];
                 let known = state.state_machine.session_of(name).map(|(_, session)| session.renewals);
                 let request = match (self.0, known) {
@@ -103,10 +104,10 @@
                     request,
                 }
             }
-            Pending::Renew(_, session, count) => {
+            PendingCommand::Renew(_, session, count) => {
                 Command::RenewSessions(vec![Renewal { session, count, version: None }])
             }
-            Pending::Expire(session, observed) => {
+            PendingCommand::Expire(session, observed) => {
                 let open = state.state_machine.sessions().get(&session);
                 let current = open.map_or(observed, |session| session.renewals);
                 let renewals = if self.0 == Mutation::UnconditionalExpiry { current } else { observed };
@@ -115,20 +116,20 @@
         }
     }
 
-    fn apply_command(&self, last: &State, state: &mut State, pending: Pending) {
-        let outcome = state.state_machine.apply(&self.command(last, pending));
+    fn apply_command(&self, previous: &ModelState, state: &mut ModelState, pending: PendingCommand) {
+        let outcome = state.state_machine.apply(&self.command(previous, pending));
         match (pending, outcome) {
-            (Pending::Open(holder, request), CommandOutcome::Opened(session)) => {
+            (PendingCommand::Open(holder, request), CommandOutcome::Opened(session)) => {
                 state.grants.insert((holder, session, request));
             }
-            (Pending::Renew(holder, session, request), CommandOutcome::Applied) => {
+            (PendingCommand::Renew(holder, session, request), CommandOutcome::Applied) => {
                 state.grants.insert((holder, session, request));
             }
             _ => {}
         }
     }
 
-    fn receive_grant(&self, state: &mut State, holder: usize, session: SessionId, request: u64) {
+    fn receive_grant(&self, state: &mut ModelState, holder: usize, session: SessionId, request: u64) {
         let now = state.now;
         let holder = &mut state.holders[holder];
         let sent_at = holder.sent_at[request as usize - 1];
@@ -140,15 +141,15 @@
     }
 }
 
-impl State {
+impl ModelState {
     fn send_request(&mut self, holder_index: usize) {
         let holder = &mut self.holders[holder_index];
         holder.request_count += 1;
         holder.sent_at.push(self.now);
         let request = holder.request_count;
         self.commands.insert(match holder.session {
-            Some(session) => Pending::Renew(holder_index, session, request),
-            None => Pending::Open(holder_index, request),
+            Some(session) => PendingCommand::Renew(holder_index, session, request),
+            None => PendingCommand::Open(holder_index, request),
         });
     }
 
@@ -171,13 +172,13 @@
     }
 }
 
-impl Model for Sessions {
-    type State = State;
+impl Model for SessionModel {
+    type State = ModelState;
     type Action = Action;
 
-    fn init_states(&self) -> Vec<State> {
+    fn init_states(&self) -> Vec<ModelState> {
         let lag_policy = LagPolicy { max_list_lag: 3, max_lag_duration: secs(5), max_fenced_fraction: 0.2 };
-        vec![State {
+        vec![ModelState {
             now: 0,
             state_machine: StateMachine::new(&lag_policy),
             holders: vec![Holder::default(); PROCESSES.len()],
@@ -187,8 +188,8 @@
         }]
     }
 
-    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        if state.now < END_S {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
+        if state.now < END_TIME_S {
             actions.push(Action::Tick);
         }
         for (index, holder) in state.holders.iter().enumerate() {
@@ -207,14 +208,14 @@
         }
     }
 
-    fn next_state(&self, last: &State, action: Action) -> Option<State> {
-        let mut state = last.clone();
+    fn next_state(&self, previous: &ModelState, action: Action) -> Option<ModelState> {
+        let mut state = previous.clone();
         match action {
             Action::Tick => state.now += 1,
             Action::SendRequest(holder) => state.send_request(holder),
             Action::ApplyCommand(pending) => {
-                self.apply_command(last, &mut state, pending);
-                // The log index of a command that is duplicated again and again would make the search endless.
+                self.apply_command(previous, &mut state, pending);
+                // The number of commands is limited: each duplicate of a command raises the log index, which would make the search endless.
                 if state.state_machine.log_index() > MAX_COMMANDS {
                     return None;
                 }
@@ -224,7 +225,7 @@
                 self.receive_grant(&mut state, holder, session, request);
             }
             Action::ProposeExpiry(session, renewals) => {
-                if !state.commands.insert(Pending::Expire(session, renewals)) {
+                if !state.commands.insert(PendingCommand::Expire(session, renewals)) {
                     return None;
                 }
             }
@@ -234,20 +235,20 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NO_ACTION_WITHOUT_SESSION, |_, state: &State| {
+            Property::always(NO_ACTION_WITHOUT_SESSION, |_, state: &ModelState| {
                 state.holders.iter().all(|holder| {
                     let sessions = state.state_machine.sessions();
                     let has_ended = holder.session.is_some_and(|id| !sessions.contains_key(&id));
                     !has_ended || state.now >= holder.expires_at
                 })
             }),
-            Property::always(ONE_PROCESS_AT_A_TIME, |_, state: &State| {
+            Property::always(ONE_PROCESS_AT_A_TIME, |_, state: &ModelState| {
                 !(state.may_act(0) && state.may_act(1))
             }),
-            Property::sometimes(A_SESSION_EXPIRES, |_, state: &State| {
+            Property::sometimes(A_SESSION_EXPIRES, |_, state: &ModelState| {
                 !state.state_machine.ended_sessions().is_empty()
             }),
-            Property::sometimes("a second process takes the name over", |_, state: &State| {
+            Property::sometimes("a second process takes the name over", |_, state: &ModelState| {
                 let session = state.state_machine.session_of("a");
                 session.is_some_and(|(_, session)| session.process == Incarnation(2))
                     && !state.state_machine.ended_sessions().is_empty()
@@ -256,7 +257,7 @@
     }
 }
 
-/// Result of a search: how many states it visited, and the properties that it found violated or reached.
+/// Result of a search: the number of visited states, and the names of the properties that were found violated or reached.
 struct SearchResult {
     states: usize,
     discoveries: Vec<&'static str>,
@@ -270,7 +271,8 @@
 }
 
 fn search(mutation: Mutation) -> SearchResult {
-    let checker = Sessions(mutation).checker().threads(2).target_max_depth(SEARCH_DEPTH).spawn_bfs().join();
+    let checker =
+        SessionModel(mutation).checker().threads(2).target_max_depth(SEARCH_DEPTH).spawn_bfs().join();
     SearchResult {
         states: checker.unique_state_count(),
         discoveries: checker.discoveries().into_keys().collect(),
@@ -278,20 +280,20 @@
 }
 
 #[test]
-fn sessions_keep_their_rules_in_every_order() {
+fn session_rules_hold_in_every_order_of_messages() {
     let result = search(Mutation::None);
     println!("{} states", result.states);
-    assert!(result.states > 10_000, "{} states are no search", result.states);
+    assert!(result.states > 10_000, "only {} states were searched", result.states);
     assert!(!result.has_violation(), "{:?}", result.discoveries);
     assert!(
         result.discoveries.contains(&A_SESSION_EXPIRES),
-        "nothing happens in it: {:?}",
+        "no session ever expires in the search: {:?}",
         result.discoveries
     );
 }
 
 #[test]
-fn each_omitted_rule_is_found() {
+fn search_finds_each_violated_rule() {
     for mutation in [Mutation::CountsFromGrant, Mutation::UnconditionalExpiry, Mutation::ReopenUncounted] {
         let result = search(mutation);
         assert!(result.has_violation(), "{mutation:?}: {:?}", result.discoveries);
--- a/crates/fleet/tests/state_machine.rs
+++ b/crates/fleet/tests/state_machine.rs
@@ -1,4 +1,4 @@
-//! Rules of the replicated state machine, whatever commands are applied in which order.
+//! Rules of the replicated state machine that hold for all commands in all orders.
 
 use proptest::prelude::*;
 use std::time::Duration;
@@ -29,7 +29,7 @@
     Command::RenewSessions(vec![Renewal { session, count, version: index.map(version) }])
 }
 
-/// Five gateways with sessions 1 to 5; the list of the last one has this index.
+/// State machine with sessions 1 to 5 of five gateways: the last gateway's list has the index `last_index`, the others' index 10.
 fn five_gateways(last_index: u64) -> StateMachine {
     let mut state = StateMachine::new(&lag_policy());
     for (n, index) in [10, 10, 10, 10, last_index].into_iter().enumerate() {
@@ -42,13 +42,13 @@
 }
 
 #[test]
-fn one_process_holds_a_name_at_a_time() {
+fn a_name_is_granted_to_another_process_only_after_its_session_ended() {
     let mut state = five_gateways(10);
     assert_eq!(state.apply(&open("g0", 9, 10)), CommandOutcome::NameTaken { holder: Incarnation(0) });
     assert_eq!(
         state.apply(&open("g0", 0, 10)),
         CommandOutcome::Opened(1),
-        "the answer was lost: it is the same session"
+        "the repeated request of the same process gets the same session"
     );
     assert_eq!(state.apply(&Command::CloseSession { session: 1 }), CommandOutcome::Applied);
     let log_index = state.log_index();
@@ -60,7 +60,7 @@
     let mut state = five_gateways(10);
     assert_eq!(state.apply(&renew(1, 2, None)), CommandOutcome::Applied);
     assert_eq!(state.apply(&Command::ExpireSession { session: 1, renewals: 1 }), CommandOutcome::Obsolete);
-    // A repeated request counts as a renewal: its holder counts the lease from it.
+    // A repeated open request counts as a renewal, because the holder counts its lease from the repeated request.
     let repeated =
         Command::OpenSession { name: "g0".into(), process: Incarnation(0), version: version(10), request: 3 };
     state.apply(&repeated);
@@ -75,11 +75,11 @@
     let mut state = five_gateways(900);
     assert_eq!(state.current_list_index("r"), Some(10));
     assert_eq!(state.lagging_sessions().count(), 0);
-    // Two of five with a wrong index do not either.
+    // Two of five sessions with a wrong index do not set the current index either.
     state.apply(&renew(1, 2, Some(900)));
     assert_eq!(state.current_list_index("r"), Some(10));
     state.apply(&renew(2, 2, Some(900)));
-    assert_eq!(state.current_list_index("r"), Some(900), "three of five are more than half");
+    assert_eq!(state.current_list_index("r"), Some(900), "three of five sessions are more than half");
     assert_eq!(state.current_list_index("other"), None);
 }
 
@@ -90,12 +90,12 @@
     assert_eq!(
         state.apply(&Command::FenceLagging { session: 1, version: version(10) }),
         CommandOutcome::Obsolete,
-        "it does not lag"
+        "the session does not lag"
     );
     assert_eq!(
         state.apply(&Command::FenceLagging { session: 5, version: version(6) }),
         CommandOutcome::Obsolete,
-        "its version has changed"
+        "the session's version has changed"
     );
     assert_eq!(
         state.apply(&Command::FenceLagging { session: 5, version: version(7) }),
@@ -103,11 +103,11 @@
     );
     assert_eq!(fence_reason(&state), Some(FenceReason::Lagging(VersionLag::List { own: 7, current: 10 })));
     state.apply(&renew(5, 2, Some(8)));
-    assert_eq!(fence_reason(&state), None, "two versions behind is within the allowed three");
+    assert_eq!(fence_reason(&state), None, "a lag of two versions is below the limit of three");
 }
 
 #[test]
-fn no_version_takes_the_fleet_out() {
+fn a_bad_requirement_does_not_fence_the_whole_fleet() {
     let mut state = five_gateways(10);
     state.apply(&Command::SetRequirements(Requirements { config: Some(7), ..Requirements::default() }));
     assert_eq!(state.lagging_sessions().count(), 5, "no gateway has this configuration");
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn administrators_fence_and_unfence_by_name() {
+fn an_administrators_fence_applies_to_the_name_until_it_is_ended() {
     let mut state = five_gateways(10);
     let set_fenced = |fenced| Command::SetFenced { name: "g4".into(), fenced };
     assert_eq!(state.apply(&set_fenced(true)), CommandOutcome::Applied);
@@ -139,14 +139,14 @@
     assert_eq!(
         state.session_of("g4").and_then(|(_, session)| session.fence_reason.clone()),
         Some(FenceReason::Administrator),
-        "a new process too"
+        "the new process is fenced too"
     );
     state.apply(&set_fenced(false));
     assert_eq!(state.session_of("g4").and_then(|(_, session)| session.fence_reason.clone()), None);
 }
 
 #[test]
-fn departures_concern_older_lists_of_the_same_lineage_only() {
+fn departures_apply_to_older_lists_of_the_same_lineage_only() {
     let mut state = five_gateways(7);
     let list = |index| ListVersion { lineage: "r".into(), index };
     let departure = |index, removed| Command::RecordDepartures {
@@ -160,7 +160,11 @@
         CommandOutcome::Obsolete,
         "an older list does not override a newer one"
     );
-    assert_eq!(state.apply(&departure(9, true)), CommandOutcome::Applied, "a removal says more than a drain");
+    assert_eq!(
+        state.apply(&departure(9, true)),
+        CommandOutcome::Applied,
+        "a removal replaces a drain of the same list"
+    );
     assert_eq!(
         state
             .departures_since(&list(7))
@@ -193,20 +197,20 @@
 
 proptest! {
     #[test]
-    fn rules_hold_whatever_commands_are_applied(commands in prop::collection::vec(command(), 1..120)) {
+    fn rules_hold_for_all_sequences_of_commands(commands in prop::collection::vec(command(), 1..120)) {
         let mut state = StateMachine::new(&lag_policy());
-        let mut twin = StateMachine::new(&lag_policy());
+        let mut second_replica = StateMachine::new(&lag_policy());
         let mut ended = std::collections::BTreeSet::new();
         for command in &commands {
             let before = state.clone();
             let outcome = state.apply(command);
-            prop_assert_eq!(&outcome, &twin.apply(command));
-            prop_assert_eq!(&state, &twin, "the same commands make the same state");
+            prop_assert_eq!(&outcome, &second_replica.apply(command));
+            prop_assert_eq!(&state, &second_replica, "the same commands lead to different states");
             prop_assert_eq!(state.log_index(), before.log_index() + 1);
             let mut names: Vec<_> = state.sessions().values().map(|session| &session.name).collect();
             names.sort();
             names.dedup();
-            prop_assert_eq!(names.len(), state.sessions().len(), "a name has one session");
+            prop_assert_eq!(names.len(), state.sessions().len(), "a name has more than one session");
             ended.extend(state.ended_sessions().keys().copied());
             prop_assert!(state.sessions().keys().all(|id| !ended.contains(id)), "an ended session is open again");
             for (id, session) in state.sessions() {
@@ -214,7 +218,7 @@
                     prop_assert!(session.renewals >= earlier.renewals);
                 }
             }
-            // Fencing for lag never exceeds the limit, and never concerns a session that does not lag.
+            // Fencing for lag never exceeds the fence limit, and never fences a session that does not lag.
             if let Command::FenceLagging { session, .. } = command {
                 if outcome == CommandOutcome::Applied {
                     prop_assert!(before.fence_capacity() > 0);
--- a/crates/fleet/tests/throughput.rs
+++ b/crates/fleet/tests/throughput.rs
@@ -1,4 +1,5 @@
-//! Cost of a command of the replicated log. `cargo test --release -p weldworks-fleet --test throughput -- --ignored --nocapture`
+//! Measures the cost of a command of the replicated log. To run it:
+//! `cargo test --release -p weldworks-fleet --test throughput -- --ignored --nocapture`
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -11,9 +12,9 @@
 struct Cluster {
     names: Vec<String>,
     groups: Vec<ConsensusGroup>,
-    /// Encoded messages: sender, receiver and bytes.
+    /// Messages in flight: sender, receiver and encoded bytes.
     in_flight: VecDeque<(usize, usize, Vec<u8>)>,
-    bytes: usize,
+    sent_bytes: usize,
 }
 
 impl Cluster {
@@ -30,23 +31,24 @@
             )
         };
         let groups = (0..count).map(group).collect();
-        let mut cluster = Cluster { names, groups, in_flight: VecDeque::new(), bytes: 0 };
-        for one in 0..count {
-            for other in (0..count).filter(|other| *other != one) {
-                let output =
-                    cluster.groups[one].link_up(&cluster.names[other].clone(), Incarnation(other as u64 + 1));
-                cluster.put(one, output);
+        let mut cluster = Cluster { names, groups, in_flight: VecDeque::new(), sent_bytes: 0 };
+        for member in 0..count {
+            for peer in (0..count).filter(|peer| *peer != member) {
+                let output = cluster.groups[member]
+                    .link_up(&cluster.names[peer].clone(), Incarnation(peer as u64 + 1));
+                cluster.enqueue(member, output);
             }
         }
         cluster
     }
 
-    /// Encodes the messages, as a link does.
-    fn put(&mut self, from: usize, output: StepOutput) {
+    /// Encodes the messages of a step as a link does, and puts them in flight.
+    fn enqueue(&mut self, from: usize, output: StepOutput) {
         for outgoing in output.messages {
             let Some(to) = self.names.iter().position(|name| *name == outgoing.to) else { continue };
-            let bytes = protocol::encode_frame(&outgoing.message).expect("a message");
-            self.bytes += bytes.len();
+            let bytes =
+                protocol::encode_frame(&outgoing.message).expect("message exceeds the maximum frame length");
+            self.sent_bytes += bytes.len();
             self.in_flight.push_back((from, to, bytes));
         }
     }
@@ -54,13 +56,13 @@
     fn tick(&mut self) {
         for n in 0..self.groups.len() {
             let output = self.groups[n].tick();
-            self.put(n, output);
+            self.enqueue(n, output);
         }
         while let Some((from, to, bytes)) = self.in_flight.pop_front() {
-            let message = protocol::decode_frame(&bytes).expect("a message");
+            let message = protocol::decode_frame(&bytes).expect("message does not decode");
             let from = self.names[from].clone();
             let output = self.groups[to].receive(&from, message);
-            self.put(to, output);
+            self.enqueue(to, output);
         }
     }
 
@@ -73,15 +75,15 @@
 }
 
 #[test]
-#[ignore = "a measurement"]
-fn cost_of_a_command() {
+#[ignore = "a measurement, not a check"]
+fn measure_cost_of_a_command() {
     for members in [3, 5] {
         for renewals in [1usize, 100] {
             let mut cluster = Cluster::new(members);
             while cluster.leader().is_none() {
                 cluster.tick();
             }
-            let leader = cluster.leader().expect("a leader");
+            let leader = cluster.leader().expect("no leader after the election");
             for n in 0..renewals {
                 let open = Command::OpenSession {
                     name: format!("g{n}"),
@@ -98,10 +100,10 @@
             assert_eq!(sessions.len(), renewals);
             let start = Instant::now();
             let first_index = cluster.groups[leader].state().log_index();
-            let first_bytes = cluster.bytes;
+            let first_bytes = cluster.sent_bytes;
             let mut count = 1;
             while start.elapsed() < Duration::from_secs(2) {
-                // A long log is truncated, and for some ticks nobody leads.
+                // While a new configuration truncates a long log, the group has no leader for some ticks.
                 let Some(leader) = cluster.leader() else {
                     cluster.tick();
                     continue;
@@ -118,7 +120,7 @@
             let entries = (cluster.groups[0].state().log_index() - first_index) as f64;
             println!(
                 "{members} members, {renewals} renewals an entry: {:.0} entries a second on one core for all members, {:.1} us an entry and member, {:.0} bytes an entry",
-                entries / elapsed_s, elapsed_s * 1e6 / entries / members as f64, (cluster.bytes - first_bytes) as f64 / entries
+                entries / elapsed_s, elapsed_s * 1e6 / entries / members as f64, (cluster.sent_bytes - first_bytes) as f64 / entries
             );
         }
     }
