--- a/crates/fleet/src/audit/interval.rs
+++ b/crates/fleet/src/audit/interval.rs
@@ -5,7 +5,7 @@
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 
-/// Kind of a decision.
+/// Kind of a decision about a request or an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum DecisionKind {
     /// The first attempt of a request is sent to an endpoint.
@@ -16,7 +16,7 @@
     /// A request is rejected.
     #[serde(rename = "Refuse")]
     Reject,
-    /// An endpoint gets no new requests.
+    /// An endpoint is drained: it gets no new requests.
     Drain,
 }
 
@@ -61,7 +61,7 @@
     pub class: usize,
     /// Identifier of the request, as the client sent it; empty for a drain.
     pub request_id: &'a str,
-    /// Name of the endpoint, where the decision concerns one.
+    /// Name of the endpoint that the decision concerns, if any.
     pub endpoint: Option<&'a str>,
 }
 
--- a/crates/fleet/src/audit/log.rs
+++ b/crates/fleet/src/audit/log.rs
@@ -125,7 +125,7 @@
 }
 
 impl AuditLog {
-    /// Creates an empty log that starts now.
+    /// Creates an empty audit log that starts at `now`.
     pub fn new(now: Duration, version: Version) -> AuditLog {
         let mut log = AuditLog {
             started_at: now,
@@ -264,7 +264,7 @@
         SegmentDelta { segment, steps, cursor: self.cursor(now) }
     }
 
-    /// Steps from this number on, for a segment that begins at `from_ms`.
+    /// Steps from this step number on, encoded for a segment that begins at `from_ms` milliseconds.
     fn segment_steps_since(&self, number: u64, from_ms: u64) -> SegmentSteps {
         let mut steps = SegmentSteps::default();
         let skipped = number.saturating_sub(self.dropped_steps) as usize;
--- a/crates/fleet/src/audit/query.rs
+++ b/crates/fleet/src/audit/query.rs
@@ -78,8 +78,8 @@
     }
 }
 
-/// Removes the first entries in excess of the capacity, and reduces the capacity by the number of the remaining entries. Returns the
-/// number of removed entries.
+/// Removes the first entries in excess of the capacity, and reduces the capacity by the number of the remaining entries.
+/// Returns the number of removed entries.
 fn keep_newest<T>(entries: &mut Vec<T>, capacity: &mut usize) -> u64 {
     let excess = entries.len().saturating_sub(*capacity);
     entries.drain(..excess);
@@ -165,8 +165,8 @@
         }
     }
 
-    /// Marks the time after the last segment as unknown, if that segment does not record the end of its process: the process may have
-    /// continued until the next process opened the file.
+    /// Marks the time after the last segment as unknown, if that segment does not record the end of its process: the process may have run
+    /// until the next process opened the file.
     fn add_unknown_end(&mut self, next_opened_unix_ms: Option<u64>) {
         let Some(opened_unix_ms) = next_opened_unix_ms else { return };
         if self.header.ended {
--- a/crates/fleet/src/audit/retention.rs
+++ b/crates/fleet/src/audit/retention.rs
@@ -27,9 +27,9 @@
 /// A part of the audit log that has to be deleted from disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evicted {
-    /// The steps of the segment with this number.
+    /// Delete the steps of the segment with this number.
     Steps(u64),
-    /// The whole segment with this number.
+    /// Delete the whole segment with this number.
     Segment(u64),
 }
 
@@ -50,7 +50,7 @@
 /// Index of the segments on disk.
 #[derive(Clone, Debug, Default)]
 pub struct RetentionIndex {
-    /// Segments, by number.
+    /// Segments on disk, by number.
     pub(super) segments: BTreeMap<u64, StoredSegment>,
     pub(super) total_bytes: u64,
     /// Number of the first segment that may still have steps on disk.
--- a/crates/fleet/src/audit/segment.rs
+++ b/crates/fleet/src/audit/segment.rs
@@ -38,7 +38,7 @@
 pub enum ProcessState {
     /// The process continues to run, and more segments may follow.
     Running,
-    /// The process ends; this is its last segment.
+    /// The process ends, and the segment is its last one.
     Ended,
 }
 
@@ -80,7 +80,7 @@
     pub(super) exceptions: BTreeMap<u64, ExceptionReport>,
     /// Spans of time for which entries were dropped before they were written to disk.
     pub(super) gaps: Vec<UnknownSpan>,
-    /// Whether this is the last segment of its process.
+    /// Whether the segment is the last one of its process.
     pub(super) ended: bool,
 }
 
@@ -164,10 +164,10 @@
     pub(super) steps: u32,
 }
 
-/// Process that writes segments.
+/// Identity and start time of the process that writes segments.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentWriter {
-    /// Incarnation of the writing process.
+    /// Process that writes the segments.
     pub process: Incarnation,
     /// Start of the process, in milliseconds of its wall clock since the Unix epoch.
     pub began_unix_ms: u64,
@@ -180,11 +180,11 @@
 pub struct EncodedSegment {
     /// Number of the segment.
     pub number: u64,
-    /// Encoded [`SegmentHeader`].
+    /// Encoded [`SegmentHeader`] of the segment.
     pub header: Vec<u8>,
-    /// Encoded [`Segment`].
+    /// Encoded [`Segment`]: intervals, exceptions and gaps.
     pub segment: Vec<u8>,
-    /// Encoded [`SegmentSteps`].
+    /// Encoded [`SegmentSteps`] of the segment.
     pub steps: Vec<u8>,
 }
 
@@ -211,8 +211,8 @@
         }
     }
 
-    /// Appends the entries that were recorded since the last call. Returns the segment to write; it replaces the segment with the same
-    /// number, if there is one.
+    /// Appends the entries that were recorded since the last call. Returns the segment to write, which replaces the segment on disk with
+    /// the same number, if there is one.
     pub fn append(&mut self, segment: Segment, steps: SegmentSteps, written_unix_ms: u64) -> EncodedSegment {
         if self.is_empty {
             self.is_empty = false;
--- a/crates/fleet/src/consensus/config.rs
+++ b/crates/fleet/src/consensus/config.rs
@@ -9,7 +9,7 @@
 pub struct Replica {
     /// Name of the gateway.
     pub name: GatewayName,
-    /// Process of the gateway that votes.
+    /// Process of the gateway, which is the one that votes.
     pub process: Incarnation,
 }
 
@@ -24,17 +24,17 @@
     pub replicas: Vec<Replica>,
 }
 
-/// Identifier of a configuration.
+/// Identifier of a configuration: its consensus group and its generation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ConfigTag {
-    /// Identifier of the group.
+    /// Identifier of the consensus group.
     pub group_id: u64,
     /// Generation number of the configuration.
     pub generation: u32,
 }
 
 impl GroupConfig {
-    /// First configuration of a new group.
+    /// First configuration of a new consensus group.
     pub(super) fn founding(replicas: Vec<Replica>) -> GroupConfig {
         // Replicas of other builds have to compute the same digest, so the digested text keeps the names of version 0.2.0.
         let describe_replica = |replica: &Replica| {
--- a/crates/fleet/src/consensus/message.rs
+++ b/crates/fleet/src/consensus/message.rs
@@ -40,7 +40,7 @@
 pub struct OutgoingMessage {
     /// Name of the member that the message is sent to.
     pub to: GatewayName,
-    /// Message for that member.
+    /// Message to send to the member.
     pub message: ConsensusMessage,
 }
 
@@ -58,9 +58,9 @@
 /// Records are stored with `postcard`: the order of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoredRecord {
-    /// A configuration begins. All earlier records are obsolete.
+    /// A configuration of the consensus group begins. All earlier records are obsolete.
     ConfigStarted {
-        /// Configuration that begins.
+        /// Configuration of the consensus group that begins.
         config: GroupConfig,
         /// State machine at the beginning of the configuration.
         base: Box<StateMachine>,
@@ -74,7 +74,7 @@
 pub struct StepOutput {
     /// Records that have to be on stable storage before any of the messages is sent.
     pub records: Vec<StoredRecord>,
-    /// Messages to other members.
+    /// Messages to other members of the consensus group.
     pub messages: Vec<OutgoingMessage>,
     /// Commands that were committed and applied, in log order.
     pub committed: Vec<Committed>,
@@ -89,7 +89,7 @@
 pub enum ConsensusNotice {
     /// This member founded the group.
     Founded,
-    /// A configuration begins.
+    /// A configuration of the consensus group begins.
     ConfigStarted {
         /// Identifier of the configuration that begins.
         tag: ConfigTag,
--- a/crates/fleet/src/consensus/mod.rs
+++ b/crates/fleet/src/consensus/mod.rs
@@ -86,14 +86,14 @@
     ticks: u64,
     proposals_since_tick: usize,
     foreign_group_reported: bool,
-    /// Process of the founding member that this member accepts as founder: the process that this member was last linked to.
+    /// Process of the founding member that this member accepts as founder: the one that this member was last linked to.
     followed_founder: Option<Incarnation>,
     journal: ChangeJournal,
 }
 
 impl ConsensusGroup {
-    /// Creates a member that knows of no group. `member_names` lists all members including this one; `initial_state` is the state
-    /// machine that a new group starts with.
+    /// Creates a member that knows of no group. `member_names` lists all members including this one; a new group starts with the state
+    /// machine `initial_state`.
     pub fn new(
         name: GatewayName,
         process: Incarnation,
@@ -181,8 +181,8 @@
         self.peers.contains_key(name) || self.name == name
     }
 
-    /// Proposes a command. Returns whether the command was accepted for replication; an accepted command may still be lost, so the caller
-    /// proposes the command again until it is committed.
+    /// Proposes a command. Returns whether the command was accepted for replication. An accepted command may still be lost: the caller must
+    /// propose the command again until it is committed.
     pub fn propose(&mut self, command: Command) -> bool {
         let mut is_proposed = false;
         self.run_guarded("an administrator or a gateway", |group, _| is_proposed = group.append(command));
--- a/crates/fleet/src/consensus/storage.rs
+++ b/crates/fleet/src/consensus/storage.rs
@@ -38,7 +38,7 @@
     promise: Option<Ballot>,
     accepted_round: Option<Ballot>,
     decided_index: usize,
-    /// Number of entries that were removed from the front of the log.
+    /// Number of log entries that were removed from the front of the log.
     trimmed_entries: usize,
     compacted_index: usize,
     stop_sign: Option<StopSign>,
--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -33,7 +33,7 @@
     Send {
         /// Name of the peer that the frame is sent to.
         to: GatewayName,
-        /// Frame for that peer.
+        /// Frame to send to the peer.
         frame: Frame,
     },
     /// Close the link to a peer, because the link is half open, and connect again.
@@ -190,8 +190,8 @@
         self.finish_step(now, out);
     }
 
-    /// Records endpoints that this gateway's list reports as departed: their names, each with true if the endpoint was removed, false if it
-    /// drains.
+    /// Records departures that this gateway's endpoint list reports: endpoint names, each with true if the endpoint was removed, and with
+    /// false if the endpoint drains.
     pub fn record_departures(
         &mut self,
         now: Duration,
--- a/crates/fleet/src/node/session_monitor.rs
+++ b/crates/fleet/src/node/session_monitor.rs
@@ -68,7 +68,7 @@
         self.observe_sessions(now, consensus.state());
         let lagging = self.observe_lags(now, consensus.state());
         // Two replicas may both act as leader for a while. That is harmless: a command names the observed renewal count or version, and
-        // has no effect if the session has another one by then.
+        // a command has no effect if the session's count or version has changed.
         if self.was_leader {
             self.propose_expiries(now, consensus);
             self.propose_fences(now, &lagging, consensus);
--- a/crates/fleet/src/protocol.rs
+++ b/crates/fleet/src/protocol.rs
@@ -49,16 +49,16 @@
 /// A query or command of an administrator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdminQuery {
-    /// State of the gateway and of the fleet.
+    /// Query for the state of the gateway and of the fleet.
     Status,
-    /// Decisions under endpoint lists with indices in a range.
+    /// Query for the decisions under endpoint lists with indices in a range.
     Audit {
         /// Lowest list index of the range.
         from_index: u64,
         /// Highest list index of the range.
         to_index: u64,
     },
-    /// Decisions about one request.
+    /// Query for the decisions about one request.
     Request {
         /// Identifier of the request, as the client sent it.
         request_id: String,
@@ -72,7 +72,7 @@
 /// Frames are sent with `postcard`: the order of variants and fields must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Frame {
-    /// The sender is alive.
+    /// Heartbeat: shows that the sender is alive.
     Heartbeat {
         /// The sender's view of each of the other gateways.
         views: Vec<(GatewayName, PeerView)>,
@@ -81,7 +81,7 @@
     Consensus(ConsensusMessage),
     /// A gateway requests a session.
     OpenSession {
-        /// Number of the request.
+        /// Number of the session request.
         request: u64,
         /// Version that the gateway acts on.
         version: Version,
@@ -90,7 +90,7 @@
     RenewSession {
         /// Session to renew.
         session: SessionId,
-        /// Number of the request.
+        /// Number of the session request.
         request: u64,
         /// Version that the gateway acts on.
         version: Version,
@@ -99,7 +99,7 @@
     SessionGranted {
         /// Session that is granted.
         session: SessionId,
-        /// Number of the request that this frame answers.
+        /// Number of the session request that the frame answers.
         request: u64,
         /// State of the session and the fleet at the time of the grant.
         update: StateUpdate,
@@ -108,14 +108,14 @@
     StateUpdate(StateUpdate),
     /// Answer to `OpenSession` or `RenewSession`: the session does not exist, or another process holds a session of this gateway's name.
     NoSession {
-        /// Number of the request that this frame answers.
+        /// Number of the session request that the frame answers.
         request: u64,
         /// Process that holds a session of the gateway's name; absent if the session does not exist.
         holder: Option<Incarnation>,
     },
     /// Answer to `OpenSession` or `RenewSession`: the replica can get no command committed now; the gateway should try another replica.
     Unavailable {
-        /// Number of the request that this frame answers.
+        /// Number of the session request that the frame answers.
         request: u64,
     },
     /// The sender's endpoint list reports endpoints that drain or were removed.
@@ -134,7 +134,7 @@
     AdminQuery(AdminQuery),
     /// Answer to an administrator's query, as JSON.
     AdminAnswer(String),
-    /// The whole state machine, for administrators.
+    /// The whole replicated state machine, for administrators.
     StateSnapshot(Box<StateMachine>),
 }
 
--- a/crates/fleet/src/protocol/hello.rs
+++ b/crates/fleet/src/protocol/hello.rs
@@ -15,18 +15,18 @@
 /// The caller is sent with `postcard`: the order of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Caller {
-    /// A gateway of the fleet.
+    /// The caller is a gateway of the fleet.
     Gateway {
         /// Name of the gateway.
         name: GatewayName,
-        /// Process of the gateway.
+        /// Process that the gateway runs as.
         process: Incarnation,
         /// Process whose vote the sender holds: its own, or that of the earlier process whose stored state the sender restored.
         voter: Incarnation,
         /// Digest of the settings that all gateways have to agree on.
         agreement_digest: u64,
     },
-    /// The command line of an administrator.
+    /// The caller is the command line of an administrator.
     Administrator,
 }
 
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -14,7 +14,7 @@
 /// Maximum length of a fleet's name, in bytes.
 const MAX_FLEET_NAME_BYTES: usize = 64;
 
-/// Permitted lease lengths.
+/// Permitted lengths of the lease.
 const LEASE_LENGTH_RANGE: RangeInclusive<Duration> = Duration::from_millis(500)..=Duration::from_secs(600);
 /// Permitted clock margins, as fractions of the lease length.
 const LEASE_MARGIN_RANGE: RangeInclusive<f64> = 0.001..=0.2;
@@ -61,7 +61,7 @@
     pub is_voter: bool,
 }
 
-/// When a lagging gateway is fenced.
+/// Conditions under which a lagging gateway is fenced.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LagPolicy {
     /// Number of versions by which a gateway's endpoint list has to be older than the current one for the gateway to lag; 3 by default.
@@ -74,7 +74,7 @@
 
 impl LagPolicy {
     /// The lag policy's part of the text that [`FleetSettings::digest`] is taken of. Gateways of other builds compare that digest, so the
-    /// text keeps the field names of version 0.2.0, whatever the fields are called now.
+    /// digested text keeps the field names of version 0.2.0, whatever the fields are called now.
     fn digest_text(&self) -> String {
         format!(
             "Stragglers {{ versions: {:?}, time: {:?}, most: {:?} }}",
@@ -98,9 +98,9 @@
     pub lineage: Option<String>,
     /// Lease of the sessions; by default 3 s long, with a clock margin of 0.02.
     pub lease: Lease,
-    /// What this gateway does without a session.
+    /// Whether this gateway serves or rejects client requests while it has no session.
     pub without_session: WithoutSessionPolicy,
-    /// When a lagging gateway is fenced.
+    /// Conditions under which a lagging gateway is fenced.
     pub lag_policy: LagPolicy,
     /// Limits of the audit log on disk.
     pub audit_retention: RetentionLimits,
--- a/crates/fleet/src/state_machine/mod.rs
+++ b/crates/fleet/src/state_machine/mod.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Number of commands applied since the group was founded, across all configurations. This is not an index of the library's log, which
-    /// starts empty with each configuration.
+    /// Number of commands applied since the group was founded, across all configurations. The log index is not an index of the consensus
+    /// library's log, which starts empty with each configuration.
     pub fn log_index(&self) -> u64 {
         self.log_index
     }
--- a/crates/fleet/src/state_machine/sessions.rs
+++ b/crates/fleet/src/state_machine/sessions.rs
@@ -4,9 +4,9 @@
 //! process holds the name. *Renewal*: any replica batches renewals and proposes them once a tick; the holder's lease counts from the moment
 //! at which the holder sent the request (`Lease::holder_expiry`). *Expiry*: the leader starts a timer when a session's request number
 //! changes, and proposes the expiry after `Lease::grantor_expiry`; these timers restart when the replica becomes leader, after a pause, and
-//! when its state was replaced. A renewal that is committed first makes the expiry command obsolete. *Fencing*: a session that lagged by
-//! [`StateMachine::lag_of`] for the lag policy's duration, as observed by the leader, is fenced until it has caught up, as far as
-//! [`StateMachine::fence_capacity`] permits.
+//! when its state was replaced. A renewal that is committed first makes the expiry command obsolete. *Fencing*: a session that the leader
+//! saw lagging ([`StateMachine::lag_of`]) for the lag policy's duration is fenced until it has caught up, within the limit on fenced
+//! sessions ([`StateMachine::fence_capacity`]).
 
 use super::{CommandOutcome, FenceReason, Renewal, Requirements, StateMachine};
 use crate::version::{GatewayName, Incarnation, Version};
@@ -162,7 +162,7 @@
     }
 }
 
-/// How a session ended.
+/// How a session ended: it expired, or its process closed it.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum SessionEnd {
     Expired,
--- a/crates/fleet/src/state_machine/version_lag.rs
+++ b/crates/fleet/src/state_machine/version_lag.rs
@@ -75,8 +75,8 @@
 }
 
 impl StateMachine {
-    /// Current list index of a lineage: the highest index that more than half of the lineage's sessions have reached, or the required index
-    /// if the required index is higher.
+    /// Current list index of a lineage: the highest index that more than half of the lineage's sessions have reached, or the index that is
+    /// required of the lineage, whichever is higher.
     ///
     /// A single process with a wrong list cannot raise the current index, unless no other session has a list of that lineage.
     pub fn current_list_index(&self, lineage: &str) -> Option<u64> {
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -1,8 +1,8 @@
 //! Compares the bytes of every frame and stored record with fixtures that version 0.2.0 wrote. Later versions are linked to gateways of
 //! version 0.2.0 and read its files: if a frame or record encoded to other bytes, the other version would reject it as malformed.
 //!
-//! `WRITE_FIXTURES=1 cargo test -p <this package> --test formats` overwrites the fixtures. This is permitted only for an intended change
-//! of format.
+//! `WRITE_FIXTURES=1 cargo test -p <this package> --test formats` overwrites the fixtures. Overwriting them is permitted only for an
+//! intended change of the format.
 
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::ballot_leader_election::{
--- a/crates/fleet/tests/hostile.rs
+++ b/crates/fleet/tests/hostile.rs
@@ -1,5 +1,5 @@
-//! Hostile input: a replica with another build or on a faulty machine, or another program, may send any bytes. Such input may cost a
-//! process its vote, but never ends the process.
+//! Hostile input: a replica with another build or on a faulty machine, or another program, may send any bytes. Hostile input may cost
+//! a process its vote, but never ends the process.
 
 use omnipaxos::messages::sequence_paxos::PaxosMsg;
 use omnipaxos::messages::Message;
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -11,8 +11,8 @@
 
 /// Two processes that run under the same gateway name.
 const PROCESSES: [(&str, u64); 2] = [("a", 1), ("a", 2)];
-/// A lease of 4 s with a clock margin of a quarter: the holder stops relying on it after 3 s, and the lease expires at the grantors after
-/// 5 s.
+/// A lease of 4 s with a clock margin of a quarter: the holder stops relying on the lease after 3 s, and the grantors count it as expired
+/// after 5 s.
 const LEASE: Lease = Lease { length: Duration::from_secs(4), margin: 0.25 };
 /// Time at which the model's clock stops, in seconds.
 const END_TIME_S: u64 = 7;
