--- a/crates/fleet/src/consensus/message.rs
+++ b/crates/fleet/src/consensus/message.rs
@@ -13,21 +13,25 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ConsensusMessage {
     /// Announces the configuration that the sender knows.
-    Holds {
+    #[serde(rename = "Holds")]
+    AnnounceConfig {
         /// The newest configuration that the sender knows, if any.
         tag: Option<ConfigTag>,
         /// Process of the founding member that the sender was last linked to, and would accept as founder.
-        follows: Option<Incarnation>,
+        #[serde(rename = "follows")]
+        followed_founder: Option<Incarnation>,
     },
-    /// Transfers a configuration to a member that has an older configuration or none.
-    Formed {
-        /// Configuration that is transferred.
+    /// Sends a configuration to a member that has an older configuration or none.
+    #[serde(rename = "Formed")]
+    SendConfig {
+        /// Configuration that is sent.
         config: GroupConfig,
         /// State machine at the beginning of the configuration.
         base: Box<StateMachine>,
     },
     /// Carries a message of the consensus library between two replicas.
-    Log {
+    #[serde(rename = "Log")]
+    Paxos {
         /// Configuration that the library's message belongs to.
         tag: ConfigTag,
         /// Message of the consensus library.
--- a/crates/fleet/src/consensus/mod.rs
+++ b/crates/fleet/src/consensus/mod.rs
@@ -49,11 +49,11 @@
     replaced_ticks: u64,
 }
 
-/// Content of [`ConsensusMessage::Holds`].
+/// Content of [`ConsensusMessage::AnnounceConfig`].
 #[derive(Clone, Copy, Debug)]
 struct Announcement {
     tag: Option<ConfigTag>,
-    follows: Option<Incarnation>,
+    followed_founder: Option<Incarnation>,
 }
 
 /// The consensus library's replica, for a configuration in which this process votes.
@@ -285,15 +285,15 @@
     fn handle_message(&mut self, from: &str, message: ConsensusMessage, output: &mut StepOutput) {
         let Some(process) = self.peers.get(from).and_then(|peer| peer.linked_process) else { return };
         match message {
-            ConsensusMessage::Holds { tag, follows } => {
+            ConsensusMessage::AnnounceConfig { tag, followed_founder } => {
                 if let Some(peer) = self.peers.get_mut(from) {
-                    peer.announcement = Some(Announcement { tag, follows });
+                    peer.announcement = Some(Announcement { tag, followed_founder });
                 }
                 self.send_newer_config(from, tag, output);
                 self.found_group_if_all_linked(output);
             }
-            ConsensusMessage::Formed { config, base } => self.adopt_config(from, config, *base, output),
-            ConsensusMessage::Log { tag, message } => self.handle_log_message(from, process, tag, *message),
+            ConsensusMessage::SendConfig { config, base } => self.adopt_config(from, config, *base, output),
+            ConsensusMessage::Paxos { tag, message } => self.handle_log_message(from, process, tag, *message),
         }
         self.apply_decided(output);
     }
@@ -376,7 +376,7 @@
             if linked_process != Some(receiver.process) {
                 continue;
             }
-            let message = ConsensusMessage::Log { tag: known.config.tag(), message: Box::new(message) };
+            let message = ConsensusMessage::Paxos { tag: known.config.tag(), message: Box::new(message) };
             output.messages.push(OutgoingMessage { to: receiver.name.clone(), message });
         }
     }
--- a/crates/fleet/src/consensus/reconfiguration.rs
+++ b/crates/fleet/src/consensus/reconfiguration.rs
@@ -2,9 +2,9 @@
 //!
 //! *Founding*: the member whose name sorts first is the founder. The founder founds a group when it knows of none, is linked to every other
 //! member, and each other member has announced that it knows of no group and was last linked to this very process of the founder
-//! ([`ConsensusMessage::Holds`]). Configuration 1 then contains exactly the linked processes. All members have to be up; a majority is not
-//! enough. A member that knows of a group announces that group, and no other is founded. A group that has lost its majority for good is not
-//! replaced automatically: stop all members and start them again.
+//! ([`ConsensusMessage::AnnounceConfig`]). Configuration 1 then contains exactly the linked processes. All members must be up; a majority
+//! is not enough. A member that knows of a group announces that group, and no other is founded. A group that lost its majority for good is
+//! not replaced automatically: stop all members and start them again.
 //!
 //! *Reconfiguration*: the leader ends the log of a configuration at one entry, the same for all replicas, and the next configuration
 //! starts from the state machine at that entry. A new configuration replaces restarted processes and truncates a log that has grown too
@@ -41,7 +41,7 @@
             return;
         }
         let tag = self.known_config.as_ref().map(|known| known.config.tag());
-        let message = ConsensusMessage::Holds { tag, follows: self.followed_founder };
+        let message = ConsensusMessage::AnnounceConfig { tag, followed_founder: self.followed_founder };
         output.messages.push(OutgoingMessage { to: to.to_owned(), message });
     }
 
@@ -58,7 +58,7 @@
             }
         }
         let message =
-            ConsensusMessage::Formed { config: known.config.clone(), base: Box::new(known.base.clone()) };
+            ConsensusMessage::SendConfig { config: known.config.clone(), base: Box::new(known.base.clone()) };
         output.messages.push(OutgoingMessage { to: to.to_owned(), message });
     }
 
@@ -79,7 +79,7 @@
         for (name, peer) in &self.peers {
             let Some(process) = peer.linked_process else { return };
             let Some(announcement) = peer.announcement else { return };
-            if announcement.tag.is_some() || announcement.follows != Some(self.process) {
+            if announcement.tag.is_some() || announcement.followed_founder != Some(self.process) {
                 return;
             }
             replicas.push(Replica { name: name.clone(), process });
--- a/crates/fleet/tests/formats.rs
+++ b/crates/fleet/tests/formats.rs
@@ -189,18 +189,24 @@
     add("pulse", Frame::Heartbeat { views });
     add(
         "council-holds-none",
-        Frame::Consensus(ConsensusMessage::Holds { tag: None, follows: Some(Incarnation(7)) }),
+        Frame::Consensus(ConsensusMessage::AnnounceConfig {
+            tag: None,
+            followed_founder: Some(Incarnation(7)),
+        }),
     );
     let tag = ConfigTag { group_id: 99, generation: 3 };
-    add("council-holds", Frame::Consensus(ConsensusMessage::Holds { tag: Some(tag), follows: None }));
+    add(
+        "council-holds",
+        Frame::Consensus(ConsensusMessage::AnnounceConfig { tag: Some(tag), followed_founder: None }),
+    );
     add(
         "council-formed",
-        Frame::Consensus(ConsensusMessage::Formed { config: config(), base: Box::new(state_machine()) }),
+        Frame::Consensus(ConsensusMessage::SendConfig { config: config(), base: Box::new(state_machine()) }),
     );
     for (name, message) in messages() {
         add(
             &format!("council-log-{name}"),
-            Frame::Consensus(ConsensusMessage::Log { tag, message: Box::new(message) }),
+            Frame::Consensus(ConsensusMessage::Paxos { tag, message: Box::new(message) }),
         );
     }
     add("open", Frame::OpenSession { request: 4, version: version(300) });
--- a/crates/fleet/tests/hostile.rs
+++ b/crates/fleet/tests/hostile.rs
@@ -98,7 +98,7 @@
 
 /// Changes indices and ballots in a message of the consensus library, so that the message contradicts other messages.
 fn corrupt(frame: &mut Frame, rng: &mut fastrand::Rng) {
-    let Frame::Consensus(ConsensusMessage::Log { message, .. }) = frame else { return };
+    let Frame::Consensus(ConsensusMessage::Paxos { message, .. }) = frame else { return };
     let Message::SequencePaxos(paxos) = &mut **message else { return };
     let mut shift =
         |index: &mut usize| *index = index.wrapping_add(rng.usize(..2000)).wrapping_sub(1000) % 100_000;
