--- a/crates/gateway/src/fleet/audit_store.rs
+++ b/crates/gateway/src/fleet/audit_store.rs
@@ -1,5 +1,5 @@
-//! The audit log on disk: one file of `redb` beside the consensus store's. A thread of its own writes it, one transaction a segment;
-//! what a segment holds, what is evicted and what is reported of it is decided in [`weldworks_fleet::audit`].
+//! Stores the audit log on disk, in one `redb` file beside the file of the consensus store. A dedicated thread writes one segment per
+//! transaction. The content of segments, their eviction and the reports made from them are defined in [`weldworks_fleet::audit`].
 
 mod writer;
 
@@ -9,7 +9,7 @@
 use std::cell::{Cell, RefCell};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Path, PathBuf};
-use std::sync::mpsc as threads;
+use std::sync::mpsc as std_mpsc;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
@@ -28,12 +28,12 @@
 const SEGMENT_TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("pages");
 const STEP_TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("steps");
 
-/// Interval at which the audit log is written. A crash loses this much and the time of one write: at most a second.
+/// Interval at which the audit log is written to disk. A crash loses the records of one interval and of one write: at most a second.
 const AUDIT_FLUSH_INTERVAL: Duration = Duration::from_millis(500);
-/// Delay after a failed write.
+/// Delay before the audit log is written again after a failed write.
 const DISK_RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// Which gateway a file belongs to. Stored: the order of the fields is part of the format.
+/// The gateway that an audit file belongs to. It is stored with `postcard`, so the order of the fields is part of the format.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Owner {
     format_version: u32,
@@ -41,14 +41,14 @@
     gateway: String,
 }
 
-/// A process and its clocks.
+/// The incarnation of a process, with its start on the monotonic clock and on the wall clock.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessClock {
     /// The incarnation of the process.
     pub process: Incarnation,
-    /// Its start on the monotonic clock.
+    /// Start of the process on the monotonic clock.
     pub start: Instant,
-    /// Its start on the wall clock, in Unix milliseconds. The wall clock is not read again: it may be set.
+    /// Start of the process on the wall clock, in Unix milliseconds. The wall clock is not read again, because it may be adjusted later.
     pub began_unix_ms: u64,
 }
 
@@ -58,39 +58,39 @@
     }
 }
 
-/// Why the audit log was not written or read.
+/// Why the audit log could not be written or read.
 #[derive(Debug, thiserror::Error)]
 pub enum AuditStoreError {
-    /// The thread that writes has ended.
-    #[error("the thread that writes has ended")]
+    /// The writer thread has ended.
+    #[error("the audit writer thread has ended")]
     WriterEnded,
-    /// The file cannot be opened.
+    /// The audit file cannot be opened.
     #[error(transparent)]
     Open(#[from] OpenError),
-    /// The file is not open.
-    #[error("the file is not open")]
+    /// The audit file is not open.
+    #[error("the audit file is not open")]
     NotOpen,
-    /// The file is another process's, or its disk fails.
-    #[error("{path} is another process's, or its disk fails: this gateway's log says which")]
+    /// Another process has the audit file open, or its disk is failing.
+    #[error("{path} is in use by another process, or its disk is failing: see this gateway's log")]
     Unavailable {
-        /// Path of the file.
+        /// Path of the audit file.
         path: String,
     },
     /// The database reports an error.
     #[error(transparent)]
     Database(#[from] Box<redb::Error>),
-    /// The database panicked on reading.
-    #[error("the library broke off reading it")]
+    /// The database library panicked while reading.
+    #[error("the database library panicked while reading the audit file")]
     ReadPanicked,
-    /// The database panicked on writing.
-    #[error("the library broke off writing it")]
+    /// The database library panicked while writing.
+    #[error("the database library panicked while writing the audit file")]
     WritePanicked,
-    /// The task that reads was lost.
+    /// The task that reads the audit file was cancelled or panicked.
     #[error(transparent)]
     ReaderLost(#[from] tokio::task::JoinError),
 }
 
-/// The open file, shared between the thread that writes it and those that read; none while it is not open.
+/// The open audit database, shared between the writer thread and the threads that read it; none while the file is not open.
 #[derive(Clone, Default)]
 struct SharedDatabase(Arc<Mutex<Option<Arc<Database>>>>);
 
@@ -104,29 +104,29 @@
     }
 }
 
-/// A segment for the thread that writes.
+/// A segment that the writer thread has to write.
 struct WriteRequest {
     segment: Segment,
     steps: SegmentSteps,
     done: oneshot::Sender<Result<(), AuditStoreError>>,
 }
 
-/// Sends segments to the thread that writes them, and reads back what is on disk.
+/// Sends segments of the audit log to the writer thread, and reads the history on disk.
 pub struct AuditStore {
-    requests: threads::Sender<WriteRequest>,
+    requests: std_mpsc::Sender<WriteRequest>,
     file: SharedDatabase,
     path: PathBuf,
-    /// Where the next segment begins.
+    /// Position in the audit log at which the next segment begins.
     cursor: Cell<SegmentCursor>,
-    /// Held for the time of a write: segments must not overlap.
+    /// Locked during a write, because segments must not overlap.
     write_lock: tokio::sync::Mutex<()>,
 }
 
 impl AuditStore {
-    /// Opens the audit log of a gateway. While another process of it has the file, this one's log stays in memory.
+    /// Opens the audit log of a gateway. While another process of this gateway has the file open, the log stays in memory.
     ///
     /// # Errors
-    /// Where the folder is unusable, or the file belongs to another gateway.
+    /// If the folder is unusable, or the file belongs to another gateway.
     pub fn open(
         folder: &Path,
         settings: &FleetSettings,
@@ -147,10 +147,10 @@
         })
     }
 
-    /// Writes what was recorded since the last write, and waits until it is on disk. `ended` marks the process's last segment.
+    /// Writes what was recorded since the last write, and waits until it is on disk. `ended` marks the last segment of the process.
     ///
     /// # Errors
-    /// Where the file cannot be written. The segment is part of the next one then.
+    /// If the file cannot be written. The content of the failed segment is then part of the next one.
     pub async fn write(
         &self,
         audit: &RefCell<AuditLog>,
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// Writes the audit log at intervals until it is dropped.
+    /// Writes the audit log at every [`AUDIT_FLUSH_INTERVAL`] until this future is dropped.
     pub async fn run(&self, audit: &RefCell<AuditLog>, now: impl Fn() -> Duration) {
         let mut last_failure: Option<String> = None;
         loop {
@@ -194,10 +194,10 @@
         }
     }
 
-    /// Reads what earlier processes did, and this one before the part of its log that is in memory.
+    /// Reads the history of earlier processes, and the part of this process's history that is no longer in memory.
     ///
     /// # Errors
-    /// Where the file cannot be read.
+    /// If the file cannot be read.
     pub async fn read_history(
         &self,
         query: AuditQuery,
@@ -206,7 +206,7 @@
         let Some(file) = self.file.get() else {
             return Err(AuditStoreError::Unavailable { path: self.path.display().to_string() });
         };
-        // It may take a second, which neither the event loop nor the thread that writes waits for.
+        // Reading the history may take a second, so it runs on a thread of its own and delays neither the event loop nor the writer.
         let read = move || {
             let history = catch_unwind(AssertUnwindSafe(|| read_history(&file, query, own)));
             let history = history.map_err(|_| AuditStoreError::ReadPanicked)?;
@@ -216,14 +216,14 @@
     }
 }
 
-/// Opens the file and starts the thread that writes it; the thread ends once the sender is dropped.
+/// Opens the audit file and starts the writer thread, which ends once the returned sender is dropped.
 fn start_writer(
     folder: &Path,
     path: &Path,
     settings: &FleetSettings,
     clock: ProcessClock,
     file: &SharedDatabase,
-) -> Result<threads::Sender<WriteRequest>, OpenError> {
+) -> Result<std_mpsc::Sender<WriteRequest>, OpenError> {
     std::fs::create_dir_all(folder)?;
     let mut writer = AuditWriter::new(path.to_owned(), settings, clock, file.clone());
     match writer.open() {
@@ -234,10 +234,10 @@
         ),
         Err(error) => return Err(error),
     }
-    let (requests, pending) = threads::channel::<WriteRequest>();
+    let (requests, pending) = std_mpsc::channel::<WriteRequest>();
     let write_all = move || {
         while let Ok(WriteRequest { segment, steps, done }) = pending.recv() {
-            let _ = done.send(writer.write(segment, steps)); // nobody receives in a process that ends
+            let _ = done.send(writer.write(segment, steps)); // the receiver is gone only while the process shuts down
         }
     };
     std::thread::Builder::new().name("audit-writer".to_owned()).spawn(write_all)?;
--- a/crates/gateway/src/fleet/audit_store/writer.rs
+++ b/crates/gateway/src/fleet/audit_store/writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes the audit log.
+//! The writer of the audit log, which runs on a thread of its own.
 
 use super::super::store_file::{
     database_error, open_database, open_or_set_aside, DamagedStore, OpenError, FORMAT_VERSION,
@@ -19,7 +19,7 @@
 use weldworks_fleet::protocol;
 use weldworks_fleet::settings::FleetSettings;
 
-/// The state of the thread that writes.
+/// The state of the writer thread.
 pub(super) struct AuditWriter {
     path: PathBuf,
     fleet: String,
@@ -28,11 +28,11 @@
     retention: RetentionLimits,
     file: SharedDatabase,
     open: Option<OpenLog>,
-    /// Whether the file has a segment of this process.
+    /// Whether the audit file already has a segment of this process.
     has_own_segment: bool,
 }
 
-/// What the writer keeps of an open file.
+/// The next segment's builder and the index of retained segments, for an open audit file.
 struct OpenLog {
     builder: SegmentBuilder,
     retained: RetentionIndex,
@@ -57,10 +57,10 @@
         }
     }
 
-    /// Opens the file; a damaged one is set aside.
+    /// Opens the audit file, or renames a damaged file and starts a new one.
     ///
     /// # Errors
-    /// Where it cannot be opened, or belongs to another gateway.
+    /// If the file cannot be opened, or belongs to another gateway.
     pub(super) fn open(&mut self) -> Result<(), OpenError> {
         let path = self.path.clone();
         open_or_set_aside(
@@ -83,7 +83,8 @@
         };
         let mut builder = SegmentBuilder::new(writer, retained.next_number());
         if !self.has_own_segment {
-            // Written before the process does anything: if it dies before its first segment, what it did is reported as unknown.
+            // An empty segment is written before the process does anything: if the process dies before its next segment, its activity is
+            // reported as unknown.
             let first = builder.append(Segment::default(), SegmentSteps::default(), self.clock.unix_ms());
             commit(&file, &first, &[]).map_err(Box::new)?;
             retain(&mut retained, &first);
@@ -94,7 +95,7 @@
         Ok(())
     }
 
-    /// Creates the tables, marks a new file as this gateway's, and checks that an existing one is.
+    /// Creates the tables, records this gateway as the owner of a new file, and checks the owner of an existing file.
     fn check_owner(&self, file: &Database) -> Result<(), OpenError> {
         let transaction = file.begin_write().map_err(database_error)?;
         {
@@ -121,7 +122,7 @@
     }
 
     fn check_owner_bytes(&self, bytes: &[u8]) -> Result<(), OpenError> {
-        // The version is the first field, so that an owner of another format can be told apart.
+        // The format version is the first field, so that an owner record of another format is recognised without decoding the rest.
         let format_version = bytes.first().copied().unwrap_or_default();
         if u32::from(format_version) != FORMAT_VERSION {
             return Err(DamagedStore::OtherFormat(format_version.into()).into());
@@ -133,10 +134,10 @@
         Ok(())
     }
 
-    /// Writes a segment and evicts what no longer fits. A file that is not open is opened first.
+    /// Writes a segment and evicts what exceeds the retention limits. A file that is not open is opened first.
     ///
     /// # Errors
-    /// Where the file cannot be opened or written. It is closed then: what a failed write left is found on opening it again.
+    /// If the file cannot be opened or written. The file is then closed, so that opening it again reads what the failed write left.
     pub(super) fn write(&mut self, segment: Segment, steps: SegmentSteps) -> Result<(), AuditStoreError> {
         if self.open.is_none() {
             self.open()?;
@@ -180,14 +181,14 @@
     Ok(retained)
 }
 
-/// Adds a segment to the retained ones.
+/// Adds a segment to the index of retained segments.
 fn retain(retained: &mut RetentionIndex, segment: &EncodedSegment) {
     if let Some(header) = decode_header(&segment.header) {
         retained.insert(segment.number, &header);
     }
 }
 
-/// Writes a segment and removes the evicted ones, in one transaction.
+/// Writes a segment and removes the evicted segments, in one transaction.
 fn commit(file: &Database, segment: &EncodedSegment, evicted: &[Evicted]) -> Result<(), redb::Error> {
     let transaction = file.begin_write()?;
     {
--- a/crates/gateway/src/fleet/consensus_store.rs
+++ b/crates/gateway/src/fleet/consensus_store.rs
@@ -1,8 +1,8 @@
-//! A voting member's consensus state on disk: its vote, its promises and its log, in one file of `redb`. A thread of its own writes it,
-//! one synced transaction at a time; frames that depend on a record wait until it is written.
+//! Stores a voting member's consensus state on disk: its vote, its promises and its log, in one `redb` file. A dedicated thread writes
+//! the file, one synced transaction at a time; frames that depend on a record are held back until the record is on disk.
 //!
-//! `redb` rather than `fjall`: one file with checksums and one sync a transaction. `fjall` keeps a folder of journals and tables with
-//! threads that compact, which pays where there is much more data than the few hundred KB here.
+//! `redb` was preferred to `fjall` because it needs one file with checksums and one sync per transaction. `fjall` maintains a folder of
+//! journals and tables with compaction threads, which pays off only with much more data than the few hundred KB stored here.
 
 use super::store_file::{
     database_error, open_database, open_or_set_aside, DamagedStore, OpenError, StoreError, FORMAT_VERSION,
@@ -10,7 +10,7 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
 use serde::{Deserialize, Serialize};
 use std::path::Path;
-use std::sync::mpsc as threads;
+use std::sync::mpsc as std_mpsc;
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 use weldworks_fleet::consensus::StoredRecord;
@@ -18,37 +18,38 @@
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::{digest, Incarnation};
 
-const HEAD_TABLE: TableDefinition<'_, u32, &[u8]> = TableDefinition::new("head");
+const HEADER_TABLE: TableDefinition<'_, u32, &[u8]> = TableDefinition::new("head");
 const LOG_TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
 
 /// Length in bytes of the digest in front of each record.
 const RECORD_DIGEST_BYTES: usize = 8;
-/// Batches that are written in one transaction beyond the first.
+/// Maximum number of batches that join the first one in a transaction.
 const MAX_JOINED_BATCHES: usize = 256;
 
-/// Which gateway a file belongs to. Stored: the order of the fields is part of the format.
+/// The file header: the format version, the gateway that owns the file, and the incarnation under which that gateway votes. It is stored
+/// with `postcard`, so the order of the fields is part of the format.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Head {
+struct FileHeader {
     format_version: u32,
     fleet: String,
     gateway: String,
     voter: Incarnation,
 }
 
-/// What was found on opening.
+/// A consensus store that was opened, with its stored content.
 pub struct OpenedStore {
     /// The incarnation under which this gateway votes: that of the process that created the store.
     pub voter: Incarnation,
     /// The stored records, in order.
     pub records: Vec<StoredRecord>,
-    /// Where further records are written; none while another process of this gateway has the file.
+    /// The store to which further records are written; none while another process of this gateway has the file open.
     pub store: Option<ConsensusStore>,
 }
 
 /// Records that are written in one transaction.
 struct Batch {
     number: u64,
-    /// Encoded, each with its digest.
+    /// The encoded records, each preceded by its digest.
     records: Vec<Vec<u8>>,
     start: BatchStart,
 }
@@ -56,38 +57,40 @@
 /// Where in the log a batch is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BatchStart {
-    /// Behind the records that are there.
+    /// The batch is appended to the log.
     Append,
-    /// In place of them: a new configuration of the group begins.
+    /// The batch replaces the log, because a new configuration of the group begins.
     ReplaceLog,
 }
 
-/// Number of the last batch that is on disk, or why no more will be.
+/// Number of the last batch that is on disk, or the error after which no further batch is written.
 pub type WriteResult = Result<u64, Box<redb::Error>>;
 
-/// Sends records to the thread that writes them.
+/// Sends records in batches to the writer thread.
 pub struct ConsensusStore {
-    batches: threads::Sender<Batch>,
+    batches: std_mpsc::Sender<Batch>,
     last_number: u64,
-    /// Receives the numbers of batches that are on disk.
+    /// Receives the number of the last batch on disk after each transaction; none once the receiver has been taken.
     pub written: Option<mpsc::UnboundedReceiver<WriteResult>>,
 }
 
 impl ConsensusStore {
-    /// Has records written, and gives the number of their batch. What precedes the start of a configuration is left out.
+    /// Queues records for writing and returns the number of their batch. Records before the start of a configuration are left out, because
+    /// the new configuration replaces the log.
     pub fn write(&mut self, records: &[StoredRecord]) -> u64 {
         self.last_number += 1;
         let config_start =
             records.iter().rposition(|record| matches!(record, StoredRecord::ConfigStarted { .. }));
         let encoded = records[config_start.unwrap_or(0)..].iter().map(encode_record).collect();
         let start = if config_start.is_some() { BatchStart::ReplaceLog } else { BatchStart::Append };
-        // A writer that has ended has reported why.
+        // Sending fails only if the writer thread has ended; after a failed write it has reported the error through `written`.
         let _ = self.batches.send(Batch { number: self.last_number, records: encoded, start });
         self.last_number
     }
 }
 
-/// Encodes a record behind a digest of it, beside the file's own checksums: it is read completely or not at all.
+/// Encodes a record, preceded by its digest. In addition to the file's own checksums, the digest ensures that a record is read either
+/// completely or not at all.
 fn encode_record(record: &StoredRecord) -> Vec<u8> {
     let bytes = protocol::encode_frame(record).unwrap_or_default();
     [&digest(&bytes).to_le_bytes()[..], &bytes].concat()
@@ -101,10 +104,10 @@
     protocol::decode_frame(bytes).ok()
 }
 
-/// Opens the state of a gateway. A damaged file is set aside, and the process begins without state.
+/// Opens the consensus store of a gateway. A damaged file is renamed, and the process starts without consensus state.
 ///
 /// # Errors
-/// Where the folder is unusable, or the file belongs to another gateway.
+/// If the folder is unusable, or the file belongs to another gateway.
 pub fn open(
     folder: &Path,
     settings: &FleetSettings,
@@ -137,7 +140,7 @@
     }
 }
 
-/// Whether a file was there before.
+/// Whether a consensus store existed before or has just been created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FileOrigin {
     Existing,
@@ -146,39 +149,39 @@
 
 fn try_open(path: &Path, settings: &FleetSettings, process: Incarnation) -> Result<OpenedStore, OpenError> {
     let database = open_database(path)?;
-    let origin = write_missing_head(&database, settings, process)?;
-    let head = read_head(&database)?;
-    if head.fleet != settings.name || head.gateway != settings.gateway {
-        return Err(OpenError::OtherGateway { gateway: head.gateway, fleet: head.fleet });
+    let origin = write_missing_header(&database, settings, process)?;
+    let header = read_header(&database)?;
+    if header.fleet != settings.name || header.gateway != settings.gateway {
+        return Err(OpenError::OtherGateway { gateway: header.gateway, fleet: header.fleet });
     }
     let records = read_records(&database)?;
     if origin == FileOrigin::Existing {
-        info!(records = records.len(), voter = %head.voter, "fleet: continuing with the consensus store on disk");
+        info!(records = records.len(), voter = %header.voter, "fleet: continuing with the consensus store on disk");
     }
     let store = start_writer(database, records.len() as u64)?;
-    Ok(OpenedStore { voter: head.voter, records, store: Some(store) })
+    Ok(OpenedStore { voter: header.voter, records, store: Some(store) })
 }
 
-/// Creates the tables, and marks a new file as this gateway's.
-fn write_missing_head(
+/// Creates the tables, and writes the header of a new file, which records this gateway as the owner.
+fn write_missing_header(
     database: &Database,
     settings: &FleetSettings,
     process: Incarnation,
 ) -> Result<FileOrigin, OpenError> {
     let transaction = database.begin_write().map_err(database_error)?;
     let origin = {
-        let mut table = transaction.open_table(HEAD_TABLE).map_err(database_error)?;
+        let mut table = transaction.open_table(HEADER_TABLE).map_err(database_error)?;
         transaction.open_table(LOG_TABLE).map_err(database_error)?;
         if table.get(0).map_err(database_error)?.is_some() {
             FileOrigin::Existing
         } else {
-            let head = Head {
+            let header = FileHeader {
                 format_version: FORMAT_VERSION,
                 fleet: settings.name.clone(),
                 gateway: settings.gateway.clone(),
                 voter: process,
             };
-            let bytes = protocol::encode_frame(&head).unwrap_or_default();
+            let bytes = protocol::encode_frame(&header).unwrap_or_default();
             table.insert(0, &bytes[..]).map_err(database_error)?;
             FileOrigin::Created
         }
@@ -187,17 +190,17 @@
     Ok(origin)
 }
 
-fn read_head(database: &Database) -> Result<Head, OpenError> {
+fn read_header(database: &Database) -> Result<FileHeader, OpenError> {
     let transaction = database.begin_read().map_err(database_error)?;
-    let table = transaction.open_table(HEAD_TABLE).map_err(database_error)?;
+    let table = transaction.open_table(HEADER_TABLE).map_err(database_error)?;
     let bytes = table.get(0).map_err(database_error)?.ok_or(DamagedStore::OwnerMissing)?;
-    // The version is the first field, so that a head of another format can be told apart.
+    // The format version is the first field, so that a header of another format is recognised without decoding the other fields.
     let format_version = bytes.value().first().copied().unwrap_or_default();
     if u32::from(format_version) != FORMAT_VERSION {
         return Err(DamagedStore::OtherFormat(format_version.into()).into());
     }
-    let head = protocol::decode_frame(bytes.value()).map_err(DamagedStore::OwnerUndecodable)?;
-    Ok(head)
+    let header = protocol::decode_frame(bytes.value()).map_err(DamagedStore::OwnerUndecodable)?;
+    Ok(header)
 }
 
 fn read_records(database: &Database) -> Result<Vec<StoredRecord>, OpenError> {
@@ -213,9 +216,9 @@
     Ok(records)
 }
 
-/// Starts the thread that writes. It ends, and closes the file, once the store is dropped.
+/// Starts the writer thread, which ends and closes the file once the [`ConsensusStore`] is dropped.
 fn start_writer(database: Database, next_key: u64) -> Result<ConsensusStore, OpenError> {
-    let (batches, pending) = threads::channel();
+    let (batches, pending) = std_mpsc::channel();
     let (results, written) = mpsc::unbounded_channel();
     std::thread::Builder::new()
         .name("consensus-store".to_owned())
@@ -223,21 +226,21 @@
     Ok(ConsensusStore { batches, last_number: 0, written: Some(written) })
 }
 
-/// Writes batches until the store is dropped or a write fails.
+/// Writes batches to the log until the [`ConsensusStore`] is dropped or a write fails.
 fn write_batches(
     database: &Database,
     mut next_key: u64,
-    pending: &threads::Receiver<Batch>,
+    pending: &std_mpsc::Receiver<Batch>,
     results: &mpsc::UnboundedSender<WriteResult>,
 ) {
     while let Ok(first) = pending.recv() {
-        // Batches that are waiting already share the transaction and its sync.
+        // Batches that are already queued join this transaction, to share its disk sync.
         let mut batches = vec![first];
         batches.extend(pending.try_iter().take(MAX_JOINED_BATCHES));
         let last_number = batches.last().map_or(0, |batch| batch.number);
         let written = write_transaction(database, &mut next_key, batches);
         let has_failed = written.is_err();
-        let _ = results.send(written.map(|()| last_number).map_err(Box::new)); // nobody receives in a process that ends
+        let _ = results.send(written.map(|()| last_number).map_err(Box::new)); // the receiver is gone only while the process shuts down
         if has_failed {
             return;
         }
--- a/crates/gateway/src/fleet/consensus_store/tests.rs
+++ b/crates/gateway/src/fleet/consensus_store/tests.rs
@@ -1,4 +1,4 @@
-//! The consensus store on real files: reopened, shared, damaged.
+//! Tests of the consensus store on real files that are reopened, shared between processes, or damaged.
 
 use super::*;
 use std::path::PathBuf;
@@ -12,9 +12,9 @@
             .concat()
     );
     crate::config::operator_file::OperatorFile::parse("f.toml", &text)
-        .expect("a table")
+        .expect("a valid operator file")
         .fleet
-        .expect("a fleet")
+        .expect("the table [fleet]")
 }
 
 fn folder(name: &str) -> PathBuf {
@@ -35,43 +35,43 @@
     StoredRecord::StorageChanged(StorageChange::Decided(n))
 }
 
-/// Writes batches and waits for each.
-fn write_and_wait(found: &mut OpenedStore, batches: &[Vec<StoredRecord>]) {
-    let store = found.store.as_mut().expect("a store");
-    let mut done = store.written.take().expect("news of it");
+/// Writes batches, and waits until each is on disk.
+fn write_and_wait(opened: &mut OpenedStore, batches: &[Vec<StoredRecord>]) {
+    let store = opened.store.as_mut().expect("the store is open");
+    let mut done = store.written.take().expect("the receiver of write results");
     for batch in batches {
         let number = store.write(batch);
-        while done.blocking_recv().expect("the thread lives").expect("written") < number {}
+        while done.blocking_recv().expect("the writer thread runs").expect("the batch is written") < number {}
     }
     store.written = Some(done);
 }
 
-/// Opens the store once the writer before has ended and released the file.
+/// Opens the store once the previous writer has ended and released the file.
 fn reopen(folder: &Path, process: u64) -> OpenedStore {
     for _ in 0..500 {
-        let found = open(folder, &settings("a"), Incarnation(process)).expect("it can be used");
-        if found.store.is_some() {
-            return found;
+        let opened = open(folder, &settings("a"), Incarnation(process)).expect("the folder can be used");
+        if opened.store.is_some() {
+            return opened;
         }
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    panic!("the file is held for good");
+    panic!("the previous writer has not released the file");
 }
 
 #[test]
-fn written_records_are_found_and_a_new_configuration_replaces_the_log() {
+fn written_records_are_read_back_and_a_new_configuration_replaces_the_log() {
     let folder = folder("found");
-    let mut found = reopen(&folder, 1);
-    assert_eq!((found.voter, found.records.len()), (Incarnation(1), 0));
-    write_and_wait(&mut found, &[vec![config_started(1), decided(1)], vec![decided(2)]]);
-    drop(found);
-    let mut found = reopen(&folder, 2);
-    assert_eq!(found.voter, Incarnation(1), "it votes as the one before");
-    assert_eq!(found.records, [config_started(1), decided(1), decided(2)]);
-    write_and_wait(&mut found, &[vec![decided(3), config_started(2), decided(4)]]);
-    drop(found);
+    let mut opened = reopen(&folder, 1);
+    assert_eq!((opened.voter, opened.records.len()), (Incarnation(1), 0));
+    write_and_wait(&mut opened, &[vec![config_started(1), decided(1)], vec![decided(2)]]);
+    drop(opened);
+    let mut opened = reopen(&folder, 2);
+    assert_eq!(opened.voter, Incarnation(1), "the second process votes as the first one");
+    assert_eq!(opened.records, [config_started(1), decided(1), decided(2)]);
+    write_and_wait(&mut opened, &[vec![decided(3), config_started(2), decided(4)]]);
+    drop(opened);
     assert_eq!(reopen(&folder, 3).records, [config_started(2), decided(4)]);
-    let another = open(&folder, &settings("b"), Incarnation(4)).expect("a file of its own");
+    let another = open(&folder, &settings("b"), Incarnation(4)).expect("a new file for gateway b");
     assert_eq!(another.records.len(), 0);
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -80,7 +80,8 @@
 fn a_second_process_has_no_vote_and_the_file_of_another_gateway_is_an_error() {
     let folder = folder("held");
     let first = reopen(&folder, 1);
-    let second = open(&folder, &settings("a"), Incarnation(2)).expect("it starts all the same");
+    let second =
+        open(&folder, &settings("a"), Incarnation(2)).expect("the second process starts without the file");
     assert!(second.store.is_none() && second.voter == Incarnation(2));
     drop(first);
     let path = folder.join("council-a.redb");
@@ -91,59 +92,67 @@
         }
         std::thread::sleep(std::time::Duration::from_millis(10));
     }
-    std::fs::copy(&path, folder.join("council-b.redb")).expect("a copy");
-    let error = open(&folder, &settings("b"), Incarnation(4)).err().expect("not its own").to_string();
+    std::fs::copy(&path, folder.join("council-b.redb")).expect("the file is copied");
+    let error = open(&folder, &settings("b"), Incarnation(4))
+        .err()
+        .expect("an error for the file of gateway a")
+        .to_string();
     assert!(error.contains("\"a\"") && error.contains("folder of its own"), "{error}");
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// A full disk or a bad sector cuts the file or changes a byte of it. A member that went on with half of its promises could make the
-/// group decide twice: the file must be read completely or set aside, and never end the process.
+/// A full disk or a bad sector truncates the file of the consensus store or changes a byte. A member that continued with half of its
+/// promises could make the group decide twice: the store must read the file completely or set it aside, and must never end the process.
 #[test]
 fn a_damaged_file_is_read_completely_or_set_aside() {
     let folder = folder("torn");
-    let mut found = reopen(&folder, 1);
+    let mut opened = reopen(&folder, 1);
     let batches: Vec<Vec<StoredRecord>> =
         (0..20).map(|n| vec![if n == 0 { config_started(1) } else { decided(n) }]).collect();
-    write_and_wait(&mut found, &batches);
-    drop(found);
-    let whole = reopen(&folder, 2).records;
-    assert_eq!(whole.len(), 20);
+    write_and_wait(&mut opened, &batches);
+    drop(opened);
+    let intact = reopen(&folder, 2).records;
+    assert_eq!(intact.len(), 20);
     let path = folder.join("council-a.redb");
     std::thread::sleep(std::time::Duration::from_millis(50));
-    let bytes = std::fs::read(&path).expect("the file");
-    let (mut aside, mut same) = (0, 0);
+    let bytes = std::fs::read(&path).expect("the file is read");
+    let (mut set_aside, mut unchanged) = (0, 0);
     for n in 0..60 {
         let at = bytes.len() * n / 60;
-        for cut in [true, false] {
+        for truncated in [true, false] {
             let mut damaged = bytes.clone();
-            if cut {
+            if truncated {
                 damaged.truncate(at);
             } else {
                 damaged[at] ^= 0xff;
             }
-            let place = folder.join(format!("{n}-{cut}"));
-            std::fs::create_dir_all(&place).expect("a folder");
-            std::fs::write(place.join("council-a.redb"), &damaged).expect("a file");
-            let found = open(&place, &settings("a"), Incarnation(9)).expect("it starts all the same");
-            if found.voter == Incarnation(1) {
-                assert_eq!(found.records, whole, "{n} {cut}: another state than was written");
-                same += 1;
+            let damaged_folder = folder.join(format!("{n}-{truncated}"));
+            std::fs::create_dir_all(&damaged_folder).expect("a folder is created");
+            std::fs::write(damaged_folder.join("council-a.redb"), &damaged)
+                .expect("the damaged file is written");
+            let opened = open(&damaged_folder, &settings("a"), Incarnation(9))
+                .expect("the process starts with the damaged file");
+            if opened.voter == Incarnation(1) {
+                assert_eq!(opened.records, intact, "{n} {truncated}: the records differ from those written");
+                unchanged += 1;
             } else {
-                assert!(found.records.is_empty() && found.voter == Incarnation(9));
-                aside += 1;
+                assert!(opened.records.is_empty() && opened.voter == Incarnation(9));
+                set_aside += 1;
             }
         }
     }
-    assert!(aside > 20 && same > 0, "{aside} set aside, {same} the same");
+    assert!(set_aside > 20 && unchanged > 0, "{set_aside} set aside, {unchanged} read as written");
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn an_unusable_folder_is_named_in_the_error() {
+fn the_error_for_an_unusable_folder_names_the_setting() {
     let file = folder("file");
-    std::fs::write(&file, "no folder").expect("a file");
-    let error = open(&file, &settings("a"), Incarnation(1)).err().expect("no folder").to_string();
+    std::fs::write(&file, "no folder").expect("a file is written where the folder should be");
+    let error = open(&file, &settings("a"), Incarnation(1))
+        .err()
+        .expect("an error for a file where the folder should be")
+        .to_string();
     assert!(error.contains("`state` of [fleet]"), "{error}");
     let _ = std::fs::remove_file(&file);
 }
