--- a/crates/gateway/src/fleet/admin.rs
+++ b/crates/gateway/src/fleet/admin.rs
@@ -1,4 +1,4 @@
-//! Answers administrators over the link.
+//! Answers the queries that administrators send over the fleet's link.
 
 use super::link_codec::{FrameReader, FrameWriter, LinkError};
 use super::Fleet;
@@ -12,14 +12,14 @@
 use weldworks_fleet::protocol::{self, AdminQuery, Frame};
 use weldworks_fleet::state_machine::{Command, StateMachine};
 
-/// Time after which an idle connection of an administrator is closed.
+/// Time after which an administrator's idle connection is closed.
 const ADMIN_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for a proposal to be committed; after it the administrator is told that its outcome is unknown.
+/// Time to wait for a proposal to be committed. After that, the administrator gets the answer that the outcome is unknown.
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval at which a proposal is checked.
+/// Interval at which a proposal is checked for having been committed.
 const COMMIT_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Answers one administrator's queries until the connection ends or is idle.
+/// Answers one administrator's queries until the connection ends or has been idle for [`ADMIN_IDLE_TIMEOUT`].
 pub(super) async fn serve(
     fleet: &Rc<Fleet>,
     mut reader: FrameReader,
@@ -38,7 +38,7 @@
     Ok(())
 }
 
-/// Encodes an answer, or the error that it exceeds a frame.
+/// Encodes an answer to an administrator; an answer that exceeds one frame is replaced by an error.
 fn encode_answer(answer: String) -> Vec<u8> {
     let too_long = || error_answer("the answer is too long for one frame: ask for fewer lists");
     protocol::encode_frame(&Frame::AdminAnswer(answer))
@@ -51,7 +51,7 @@
 }
 
 impl Fleet {
-    /// The answer to a query, as JSON.
+    /// Executes an administrator's query and returns the answer as JSON.
     async fn answer_query(&self, query: AdminQuery) -> String {
         let now = self.now();
         let answer = match query {
@@ -75,13 +75,14 @@
         };
         let gateway = self.settings.gateway.clone();
         let process = self.node.borrow().process().to_string();
-        // Times in answers count from each gateway's own start; its wall clock at that moment lets a reader compare them.
+        // Times in answers are relative to the start of the answering process. Its wall-clock start lets a reader compare gateways.
         let began_unix_ms = self.began_unix_ms;
         json!({ "gateway": gateway, "process": process, "began_unix_ms": began_unix_ms, "answer": answer })
             .to_string()
     }
 
-    /// Adds what is on disk of earlier processes, and of this one before its memory, or why that is unknown.
+    /// Adds the history on disk to a report: that of earlier processes, and that of this process which is no longer in memory. If it
+    /// cannot be read, the reason is added instead.
     async fn with_history(&self, mut report: Value, query: AuditQuery) -> Value {
         let Some(audit_store) = &self.audit_store else { return report };
         let own = self.audit.borrow().memory_span(self.node.borrow().process());
@@ -92,13 +93,13 @@
         report
     }
 
-    /// Proposes a command, and waits until this gateway's state machine has applied it.
+    /// Proposes a command to the consensus group, and waits until this gateway's state machine has applied it.
     async fn propose(&self, command: Command) -> String {
         let log_index = || self.node.borrow().state_machine().map(StateMachine::log_index);
         let Some(index_before) = log_index() else {
             return error_answer("this gateway has no seat in the council: ask one that has");
         };
-        let wanted = command.clone();
+        let proposed = command.clone();
         let mut is_proposed = false;
         self.step(|node, _, _| is_proposed = node.propose(command));
         if !is_proposed {
@@ -107,7 +108,7 @@
         let deadline = Instant::now() + COMMIT_TIMEOUT;
         while Instant::now() < deadline {
             sleep(COMMIT_CHECK_INTERVAL).await;
-            if log_index() > Some(index_before) && self.is_in_force(&wanted) {
+            if log_index() > Some(index_before) && self.is_in_force(&proposed) {
                 return json!({ "decided": true, "position": log_index() }).to_string();
             }
         }
@@ -116,7 +117,7 @@
         ))
     }
 
-    /// Whether the state machine is as the command wants it.
+    /// Whether this gateway's state machine has the state that the command sets.
     fn is_in_force(&self, command: &Command) -> bool {
         let node = self.node.borrow();
         let Some(state_machine) = node.state_machine() else { return false };
--- a/crates/gateway/src/fleet/engine_interface.rs
+++ b/crates/gateway/src/fleet/engine_interface.rs
@@ -1,4 +1,5 @@
-//! What the engine asks the fleet before it acts, and what it reports: endpoint lists, configurations and decisions about requests.
+//! The fleet's interface to the engine. The engine queries it before it acts, and reports endpoint lists, configurations and decisions
+//! about requests to it.
 
 use super::Fleet;
 use std::net::SocketAddr;
@@ -11,17 +12,17 @@
 use weldworks_fleet::version::{ListVersion, Version};
 
 impl Fleet {
-    /// Whether clients' requests are accepted at this moment.
+    /// Whether this gateway currently accepts clients' requests, by its session in the fleet.
     pub fn accepts_clients(&self) -> bool {
         self.node.borrow().accepts_clients(self.now())
     }
 
-    /// `Retry-After` of requests that are rejected because of the fleet.
+    /// The `Retry-After` of requests that are rejected because this gateway is fenced or has no session.
     pub fn retry_after(&self) -> Duration {
         self.node.borrow().retry_after()
     }
 
-    /// Why clients' requests are not accepted; none if they are.
+    /// Why this gateway does not accept clients' requests; none if it accepts them.
     pub fn cannot_serve_reason(&self) -> Option<&'static str> {
         let node = self.node.borrow();
         match node.session_state(self.now()) {
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Records the name of the endpoint with this number; a number may pass to another endpoint.
+    /// Records the name of the endpoint with this number. A number may be reused for another endpoint.
     pub fn set_endpoint_name(&self, id: EndpointId, name: &str) {
         let mut names = self.endpoint_names.borrow_mut();
         let index = id.0 as usize;
@@ -43,23 +44,23 @@
         }
     }
 
-    /// Whether newer lists of other gateways forbid new requests to an endpoint.
+    /// Whether newer endpoint lists of other gateways forbid new requests to an endpoint.
     pub fn is_endpoint_overridden(&self, endpoint: &str) -> bool {
         self.departures.borrow().overrides(endpoint)
     }
 
-    /// Records endpoints that drain or are removed by other gateways' lists. Gives those that new requests have to avoid.
+    /// Records endpoints that drain or are removed in other gateways' endpoint lists. Returns those that new requests must avoid.
     pub fn record_remote_departures(&self, departed: &[DepartedEndpoint]) -> Vec<String> {
         let own_index = self.version.borrow().list.index;
         self.departures.borrow_mut().record_remote(own_index, departed)
     }
 
-    /// Records that the list of this index has been received and is about to be applied.
+    /// Records that the endpoint list of this index has been received and is about to be applied.
     pub fn record_list_received(&self, index: u64) {
         self.departures.borrow_mut().record_own_list(index);
     }
 
-    /// Records that a list is in force, and which endpoints drain (false) or are removed (true) by it that did not before.
+    /// Records that an endpoint list is in force, and which endpoints newly drain (false) or are newly removed (true) by that list.
     pub fn record_applied_list(&self, index: u64, departed: Vec<(String, bool)>) {
         let list = ListVersion { index, ..self.version.borrow().list.clone() };
         self.update_version(|version| version.list = list.clone());
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Records that another configuration is in force.
+    /// Records that a new configuration is in force.
     pub fn record_applied_config(&self, config_digest: u64, discovery: SocketAddr) {
         let lineage = self.settings.lineage.clone().unwrap_or_else(|| discovery.to_string());
         self.update_version(|version| {
@@ -93,7 +94,7 @@
         self.step(|node, now, actions| node.set_version(now, version, actions));
     }
 
-    /// Records a decision about a request in the audit log, with the exceptions that it makes from the fleet's rules.
+    /// Records a decision about a request in the audit log, along with each exception from the fleet's rules that the decision makes.
     pub fn record_decision(
         &self,
         kind: DecisionKind,
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Records a decision without a session, or a first attempt while fenced. What was in flight when the gateway was fenced may end,
-    /// and requests that arrive later are rejected, as they should be.
+    /// Records an exception for a decision without a session, or for a first attempt while fenced. Other decisions of a fenced gateway are
+    /// permitted: requests in flight when it was fenced may end, and requests that arrive later are rejected.
     fn record_session_exception(&self, now: Duration, kind: DecisionKind, request_id: &str) {
         let exception = match self.node.borrow().session_state(now) {
             SessionState::WithoutSession => Exception::WithoutSession,
@@ -123,7 +124,8 @@
         self.audit.borrow_mut().record_exception(now, exception, request_id);
     }
 
-    /// Records an attempt under an outdated list, or to an endpoint that others know to be removed.
+    /// Records an exception for an attempt under an outdated endpoint list, or to an endpoint that drains or is removed in a newer list of
+    /// another gateway.
     fn record_endpoint_exceptions(&self, now: Duration, request_id: &str, endpoint: Option<&str>) {
         let mut audit = self.audit.borrow_mut();
         let own = self.version.borrow().list.index;
--- a/crates/gateway/src/fleet/link_codec.rs
+++ b/crates/gateway/src/fleet/link_codec.rs
@@ -1,4 +1,4 @@
-//! Frames on a connection between gateways, or between a gateway and an administrator: each behind its length.
+//! Length-delimited frames on a connection between two gateways, or between a gateway and an administrator.
 
 use crate::transport::stream::Stream;
 use bytes::Bytes;
@@ -11,7 +11,7 @@
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 use weldworks_fleet::protocol::{ProtocolError, MAX_FRAME_BYTES};
 
-/// Time for a connection to be established, and for each side's hello.
+/// Time for a connection to be established, and for each side to send its hello.
 pub(super) const HELLO_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// Reads length-delimited frames.
@@ -19,7 +19,7 @@
 /// Writes length-delimited frames.
 pub(super) type FrameWriter = FramedWrite<WriteHalf<Stream>, LengthDelimitedCodec>;
 
-/// Both directions of a connection.
+/// Both directions of a connection: a reader and a writer of frames.
 pub(super) struct FramedConnection {
     pub(super) reader: FrameReader,
     pub(super) writer: FrameWriter,
@@ -37,14 +37,14 @@
 /// Why a connection between gateways, or to an administrator, ends.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum LinkError {
-    /// A hello or frame is not accepted.
+    /// The other side's hello or frame is invalid or not accepted.
     #[error(transparent)]
     Protocol(#[from] ProtocolError),
-    #[error("the connection ended before it said hello")]
+    #[error("the connection was closed before the hello")]
     ClosedBeforeHello,
     #[error("no hello within {HELLO_TIMEOUT:?}")]
     HelloTimeout,
-    #[error("its hello can't be answered")]
+    #[error("the reply to the hello could not be sent in time")]
     HelloNotAnswered,
     #[error("administrators may only send queries")]
     NotAnAdminQuery,
@@ -52,7 +52,7 @@
     Io(#[from] io::Error),
 }
 
-/// The error of bytes that are not a frame.
+/// Converts an error of the frame codec, for bytes that are not a valid frame.
 pub(super) fn not_a_frame(error: &io::Error) -> LinkError {
     ProtocolError::NotAFrame(error.to_string()).into()
 }
--- a/crates/gateway/src/fleet/links.rs
+++ b/crates/gateway/src/fleet/links.rs
@@ -1,4 +1,4 @@
-//! The links to peers that are up, and the log of their failures.
+//! The links to peers that are currently up, and rate-limited logging of link failures.
 
 use super::send_queue::SendQueue;
 use std::collections::BTreeMap;
@@ -8,18 +8,18 @@
 use weldworks_fleet::protocol::{self, Frame};
 use weldworks_fleet::version::GatewayName;
 
-/// Interval at which the same failure of the same peer is logged.
+/// Minimum interval between log lines for the same failure of the same peer.
 const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(10);
-/// Most peers and addresses whose last failure is remembered.
+/// Number of peers and addresses above which the record of logged failures is cleared.
 const MAX_LOGGED_FAILURES: usize = 256;
 
-/// The last failure that was logged of a peer or address.
+/// The last failure that was logged for a peer or address.
 struct LoggedFailure {
     text: String,
     logged_at: Instant,
 }
 
-/// The links that are up, one for each peer.
+/// The links that are up, at most one for each peer, with their last logged failures.
 #[derive(Default)]
 pub(super) struct Links {
     queues: BTreeMap<GatewayName, Rc<SendQueue>>,
@@ -36,21 +36,21 @@
         }
     }
 
-    /// Closes the link to a peer.
+    /// Asks the task of a peer's link to end.
     pub(super) fn close(&mut self, peer: &str) {
         if let Some(queue) = self.queues.get(peer) {
             queue.close();
         }
     }
 
-    /// Registers a new link to a peer; an earlier one is closed.
+    /// Registers a new link to a peer, and closes an earlier link to the same peer.
     pub(super) fn insert(&mut self, peer: &str, queue: Rc<SendQueue>) {
         if let Some(earlier) = self.queues.insert(peer.to_owned(), queue) {
             earlier.close();
         }
     }
 
-    /// Removes a link. Gives whether it was the peer's current one.
+    /// Removes a link if it is the peer's current link, and returns whether it was.
     pub(super) fn remove(&mut self, peer: &str, queue: &Rc<SendQueue>) -> bool {
         let is_current = self.queues.get(peer).is_some_and(|current| Rc::ptr_eq(current, queue));
         if is_current {
@@ -59,7 +59,7 @@
         is_current
     }
 
-    /// Logs a failure of a peer or address, the same one only once in [`FAILURE_LOG_INTERVAL`].
+    /// Logs a link failure of a peer or address. A repeated failure is logged at most once per [`FAILURE_LOG_INTERVAL`].
     pub(super) fn log_failure(&mut self, peer: &str, error: &str) {
         let now = Instant::now();
         let is_repeated = self
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! This gateway's part in its fleet, on sockets and disk. Off, and none of it built, without `[fleet]` in the operator's file and
-//! `--fleet`.
+//! This gateway's node in its fleet, with its sockets and files. It is created only if the operator's file has the table `[fleet]` and the
+//! gateway runs with `--fleet`.
 //!
-//! A [`Node`] decides. `peer_link` connects it to the other gateways, `links` has the send queue of each and `consensus_store` keeps a
-//! voting member's state on disk; `held_frames` are those that must not leave before that state is written. `audit_store` keeps the
-//! audit log, `admin` answers administrators. The engine asks whether this process accepts clients, and reports endpoint lists and
-//! decisions (`engine_interface`).
+//! A [`Node`] makes all decisions. `peer_link` connects the node to the other gateways, `links` holds one send queue per peer, and
+//! `consensus_store` stores a voting member's state on disk; `held_frames` holds back the frames that must not be sent before that state is
+//! written. `audit_store` stores the audit log, and `admin` answers administrators. Through `engine_interface` the engine queries whether
+//! this process accepts clients, and reports endpoint lists and decisions about requests.
 
 mod admin;
 mod audit_store;
@@ -45,30 +45,30 @@
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::version::{GatewayName, Incarnation, ListVersion, Version};
 
-/// Time in which the last proposals and frames leave on shutdown.
+/// Time on shutdown for sending the last proposals and frames.
 const SHUTDOWN_FLUSH_TIME: Duration = Duration::from_millis(200);
-/// Time for the last segment of the audit log.
+/// Time on shutdown for writing the last segment of the audit log.
 const LAST_SEGMENT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Descriptors of the link beside its connections: the listener, and a connection that is about to be closed.
+/// File descriptors that the fleet's link needs beside its connections: the listener, and a connection that is about to be closed.
 const LINK_OWN_DESCRIPTORS: usize = 2;
 
-/// The configuration that this process starts with; its endpoint list comes later.
+/// The configuration that this process starts with. Discovery delivers the endpoint list later.
 pub struct ConfigVersion {
-    /// A digest of the platform's configuration, without what differs from gateway to gateway.
+    /// Digest of the platform's configuration, without the settings that differ between gateways.
     pub config_digest: u64,
-    /// A digest of the operator's file, likewise.
+    /// Digest of the operator's file, without the settings that differ between gateways.
     pub operator_digest: u64,
     /// The address of discovery.
     pub discovery: SocketAddr,
 }
 
-/// This gateway's part in its fleet.
+/// This gateway's node in its fleet, with its links and stores.
 pub struct Fleet {
     settings: FleetSettings,
     /// Digest of the settings that all gateways must agree on.
     agreement_digest: u64,
     start: Instant,
-    /// The start by the wall clock, in Unix milliseconds.
+    /// Start of the process on the wall clock, in Unix milliseconds.
     began_unix_ms: u64,
     /// The incarnation under which this gateway votes: that of the process that created the consensus store.
     voter: Incarnation,
@@ -76,9 +76,9 @@
     audit: RefCell<AuditLog>,
     version: RefCell<Version>,
     departures: RefCell<RemoteDepartures>,
-    /// Names of endpoints by their number.
+    /// Names of endpoints, indexed by endpoint number.
     endpoint_names: RefCell<Vec<Rc<str>>>,
-    /// Index of the fleet's newest endpoint list, as far as this gateway knows.
+    /// Index of the newest endpoint list in the fleet that this gateway knows of.
     current_list_index: Cell<u64>,
     audit_store: Option<AuditStore>,
     consensus_store: RefCell<Option<ConsensusStore>>,
@@ -90,10 +90,10 @@
 }
 
 impl Fleet {
-    /// Creates this gateway's part, without any connection yet.
+    /// Creates this gateway's node, without any connection yet.
     ///
     /// # Errors
-    /// Where its state on disk cannot be used.
+    /// If the gateway's state on disk cannot be used.
     pub fn new(
         settings: FleetSettings,
         config_version: &ConfigVersion,
@@ -139,29 +139,31 @@
         }))
     }
 
-    /// Most descriptors that the fleet's part has open: a link with each peer that there is one with, and administrators.
+    /// Maximum number of file descriptors that the fleet's link uses: the connections to linked peers and to administrators, the
+    /// listener, and a connection that is about to be closed. Voting members link to all peers, other gateways only to the voting members.
     pub fn descriptor_count(settings: &FleetSettings) -> usize {
         let linked_peers = if is_voter(settings) { settings.peers.len() } else { settings.voters().len() };
         linked_peers + peer_link::MAX_ADMIN_CONNECTIONS + LINK_OWN_DESCRIPTORS
     }
 
-    /// Binds the address of the link between gateways.
+    /// Binds the address on which the fleet's link listens.
     ///
     /// # Errors
-    /// Where it cannot be bound.
+    /// If the address cannot be bound.
     pub fn bind_link(settings: &FleetSettings) -> std::io::Result<TcpListener> {
         peer_link::bind(settings.listen)
     }
 
-    /// Runs this gateway's part until dropped. Without a listener the link's address is bound once it is free.
+    /// Runs this gateway's node until the future is dropped. Without a listener, the link's address is bound once it is free.
     ///
-    /// It starts detached tasks for the links, the held-back frames and the audit log. They live as long as the process, and a panic in one
-    /// of them ends only that task, without notice.
+    /// Detached tasks are started for the links, the held-back frames and the audit log. These tasks run as long as the process, and a
+    /// panic in one of them ends only that task, without being logged here.
     pub async fn run(self: Rc<Self>, listener: Option<TcpListener>) {
         let own_name = self.settings.gateway.clone();
         let is_voter = is_voter(&self.settings);
         for peer in self.settings.peers.clone() {
-            // Of two voting members the first by name connects; every other gateway connects to all voting members.
+            // Of two voting members, the one whose name sorts first connects to the other. Gateways without a vote connect to all voting
+            // members.
             if peer.is_voter && peer.name != own_name && (!is_voter || own_name < peer.name) {
                 spawn_local(peer_link::keep_connected(self.clone(), peer));
             }
@@ -180,17 +182,17 @@
         }
     }
 
-    /// Ends this gateway's session, and its part of the audit log.
+    /// Closes this gateway's session, and writes the last segment of its audit log.
     pub async fn shut_down(&self) {
         self.step(weldworks_fleet::node::Node::shut_down);
-        // A voting member's last proposal has to reach the others.
+        // The node keeps ticking for a while, so that a voting member's last proposal reaches the other members.
         let deadline = Instant::now() + SHUTDOWN_FLUSH_TIME;
         while Instant::now() < deadline {
             sleep(TICK_INTERVAL / 5).await;
             self.step(weldworks_fleet::node::Node::tick);
         }
         if let Some(audit_store) = &self.audit_store {
-            // Without its last segment the process is reported as crashed: that says less, and nothing false.
+            // If the last segment is not written in time, the process is reported as crashed, which is incomplete but not false.
             let write = audit_store.write(&self.audit, || self.now(), true);
             let _ = timeout(LAST_SEGMENT_TIMEOUT, write).await;
         }
@@ -200,7 +202,7 @@
         self.start.elapsed()
     }
 
-    /// Gives the node an event and carries out its actions.
+    /// Passes an event to the node and carries out the resulting actions.
     fn step(&self, event: impl FnOnce(&mut Node, Duration, &mut Vec<NodeAction>)) {
         let mut actions = Vec::new();
         event(&mut self.node.borrow_mut(), self.now(), &mut actions);
@@ -240,7 +242,7 @@
         self.changed.notify_one();
     }
 
-    /// Has records written to disk; frames are held back behind them.
+    /// Queues consensus records for writing, and holds back later frames until the records are on disk.
     fn store(&self, records: &[StoredRecord]) {
         if let Some(store) = self.consensus_store.borrow_mut().as_mut() {
             let batch = store.write(records);
@@ -248,7 +250,7 @@
         }
     }
 
-    /// Sends a frame as soon as the records before it are on disk. A heartbeat depends on none of them.
+    /// Sends a frame as soon as all earlier records are on disk. A heartbeat depends on no record and is sent at once.
     fn send(&self, to: GatewayName, frame: Frame) {
         let frame = OutgoingFrame { to, frame };
         let ready = if matches!(frame.frame, Frame::Heartbeat { .. }) {
@@ -261,7 +263,7 @@
         }
     }
 
-    /// Sends held frames as their records reach the disk, until writing fails.
+    /// Sends held-back frames as their records reach the disk, until a write fails.
     async fn release_written_frames(self: Rc<Self>) {
         let Some(mut written) = self.take_write_results() else { return };
         while let Some(result) = written.recv().await {
@@ -282,7 +284,7 @@
         self.consensus_store.borrow_mut().as_mut()?.written.take()
     }
 
-    /// Gives up this process's vote: what it would promise could be lost with the process, and the group could decide twice.
+    /// Stops voting in this process: promises that are not stored could be lost in a crash, and the consensus group could decide twice.
     fn stop_voting(&self, error: &redb::Error) {
         let folder = self.settings.state_folder.as_deref().unwrap_or(std::path::Path::new(""));
         error!(
@@ -301,7 +303,7 @@
     }
 }
 
-/// The version that a process starts with.
+/// The version under which a process starts: its configuration, and list index 0.
 fn initial_version(settings: &FleetSettings, config_version: &ConfigVersion) -> Version {
     let lineage = settings.lineage.clone().unwrap_or_else(|| config_version.discovery.to_string());
     Version {
@@ -318,7 +320,7 @@
     settings.peers.iter().any(|peer| peer.is_voter && peer.name == settings.gateway)
 }
 
-/// Opens a voting member's state, if it has a folder for it. Without one, its vote ends with the process.
+/// Opens a voting member's consensus store, if `state` of `[fleet]` names a folder. Without a folder, the vote ends with the process.
 fn open_consensus_store(settings: &FleetSettings, process: Incarnation) -> Result<OpenedStore, StoreError> {
     match settings.state_folder.as_deref().filter(|_| is_voter(settings)) {
         Some(folder) => consensus_store::open(folder, settings, process),
--- a/crates/gateway/src/fleet/peer_link.rs
+++ b/crates/gateway/src/fleet/peer_link.rs
@@ -1,4 +1,5 @@
-//! The links to the other gateways, over TCP with frames in `postcard`. A link is neither signed nor encrypted.
+//! The links to the other gateways: TCP connections that carry frames encoded with `postcard`. They are neither authenticated nor
+//! encrypted.
 
 use super::link_codec::{
     not_a_frame, read_hello, FrameReader, FrameWriter, FramedConnection, LinkError, HELLO_TIMEOUT,
@@ -21,14 +22,14 @@
 use weldworks_fleet::protocol::{self, Caller, Hello, ProtocolError};
 use weldworks_fleet::settings::Peer;
 
-/// Most connections of administrators at a time.
+/// Maximum number of simultaneous connections of administrators.
 pub(super) const MAX_ADMIN_CONNECTIONS: usize = 8;
-/// Base of the delays before reconnects. It doubles ahead of each one, the first included, and up to half of the result is taken off at
-/// random: the reconnect after a link that was up comes after 50 to 100 ms, the one after a first failed dial after 100 to 200 ms.
+/// Initial delay before a reconnect. Each failed dial, including the first, doubles the delay, and jitter takes off up to half of the
+/// result: a reconnect comes 50 to 100 ms after the end of a link that was up, and 100 to 200 ms after the first failed dial.
 const MIN_RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// Longest delay before a reconnect.
+/// Maximum delay before a reconnect.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(1600);
-/// Interval at which the listening address is tried while another process has it, and delay after a failed accept.
+/// Interval between attempts to bind the listening address while another process uses it, and delay after a failed accept.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// Length of the kernel's accept queue, in connections.
 const LINK_BACKLOG: u32 = 1024;
@@ -36,7 +37,7 @@
 /// Why a link to a peer could not be established.
 struct DialError {
     failure: LinkFailure,
-    /// What was wrong with the peer's answer, if there was one.
+    /// Why the peer's hello was not accepted, if one was received.
     error: Option<LinkError>,
 }
 
@@ -46,7 +47,7 @@
     }
 }
 
-/// Listens on the link's address.
+/// Binds the link's address and listens on it.
 pub(super) fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
@@ -54,8 +55,8 @@
     socket.listen(LINK_BACKLOG)
 }
 
-/// Accepts links as soon as the process that is replaced has released the address, until dropped. Any other error of binding is also
-/// retried, and not logged.
+/// Accepts links once the predecessor process has released the listening address, until the future is dropped. Any other error of binding
+/// is retried as well, and not logged.
 pub(super) async fn bind_and_accept(fleet: Rc<Fleet>) {
     info!(address = %fleet.settings.listen, "fleet: link address in use by another process, waiting for it");
     loop {
@@ -67,7 +68,7 @@
 }
 
 impl Fleet {
-    /// The hello of this gateway to another, encoded.
+    /// Encodes the hello that this gateway sends to `addressee`.
     fn own_hello(&self, addressee: &str) -> Option<Bytes> {
         let caller = Caller::Gateway {
             name: self.settings.gateway.clone(),
@@ -78,7 +79,7 @@
         protocol::encode_frame(&Hello::new(&self.settings.name, caller, addressee)).map(Bytes::from)
     }
 
-    /// Checks the hello of another gateway or an administrator.
+    /// Checks the hello of another gateway or of an administrator, and returns the caller.
     fn check_hello(&self, bytes: &[u8], is_known: &dyn Fn(&str) -> bool) -> Result<Caller, ProtocolError> {
         let own_name = &self.settings.gateway;
         protocol::accept_hello(bytes, &self.settings.name, own_name, self.agreement_digest, is_known)
@@ -97,7 +98,7 @@
     }
 }
 
-/// Accepts links until dropped.
+/// Accepts connections of gateways and administrators until the future is dropped.
 pub(super) async fn accept(fleet: Rc<Fleet>, listener: TcpListener) {
     if let Ok(address) = listener.local_addr() {
         info!(%address, "fleet: the link listens");
@@ -108,7 +109,8 @@
             sleep(BIND_RETRY_INTERVAL).await;
             continue;
         };
-        // More than that come from an unknown caller, or from one that reconnects without end.
+        // Connections beyond this limit come from unknown callers, or from one that reconnects endlessly. Closing them bounds the number of
+        // file descriptors that the link uses.
         if open_connections.get() >= fleet.settings.peers.len() + MAX_ADMIN_CONNECTIONS {
             let error = "more connections to the link than peers and administrators, closing the newest";
             fleet.log_link_failure("unknown", error);
@@ -126,7 +128,7 @@
     }
 }
 
-/// Serves an accepted connection, of a gateway or an administrator, until it ends.
+/// Serves an accepted connection of a gateway or an administrator until the connection ends.
 async fn serve_caller(fleet: &Rc<Fleet>, stream: TcpStream) -> Result<(), LinkError> {
     let FramedConnection { mut reader, mut writer } = FramedConnection::new(stream);
     let hello = read_hello(&mut reader).await?;
@@ -152,7 +154,7 @@
     }
 }
 
-/// Keeps a link to a peer established until dropped.
+/// Connects to a peer, and reconnects whenever the link ends, until the future is dropped.
 pub(super) async fn keep_connected(fleet: Rc<Fleet>, peer: Peer) {
     let mut delay = MIN_RECONNECT_DELAY;
     let mut jitter = fastrand::Rng::new();
@@ -164,14 +166,15 @@
             }
             fleet.step(|node, now, actions| node.link_down(now, &peer.name, failure, actions));
         }
-        // A link that was up for a while starts the backoff anew.
+        // A link that was up for longer than the maximum delay resets the backoff.
         let was_up = started.elapsed() > MAX_RECONNECT_DELAY;
         delay = if was_up { MIN_RECONNECT_DELAY } else { (delay * 2).min(MAX_RECONNECT_DELAY) };
         sleep(delay.mul_f64(0.5 + 0.5 * jitter.f64())).await;
     }
 }
 
-/// Connects to a peer and runs the link until it ends. A refused or timed-out dial is reported to the node and not logged here.
+/// Connects to a peer and runs the link until the connection ends. A refused or timed-out dial is reported to the node and not logged
+/// here.
 async fn dial(fleet: &Rc<Fleet>, peer: &Peer) -> Result<(), DialError> {
     let stream = match timeout(HELLO_TIMEOUT, TcpStream::connect(peer.address)).await {
         Ok(Ok(stream)) => stream,
@@ -185,7 +188,7 @@
     let Ok(Ok(())) = timeout(HELLO_TIMEOUT, writer.send(own_hello)).await else {
         return Err(LinkFailure::Broken.into());
     };
-    // A peer that rejects this process closes the connection without a hello; its own log has the reason.
+    // A peer that rejects this process closes the connection without a hello, and logs the reason itself.
     let Ok(hello) = read_hello(&mut reader).await else {
         return Err(LinkFailure::Broken.into());
     };
@@ -195,12 +198,12 @@
     let Caller::Gateway { process, voter, .. } = caller else {
         return Err(LinkFailure::Broken.into());
     };
-    // A link that was up reports its end to the node by itself.
+    // The result is ignored, because `run_link` has already reported the end of the link to the node.
     let _ = run_link(fleet, &peer.name, PeerProcess { process, voter }, reader, writer).await;
     Ok(())
 }
 
-/// Carries frames both ways until the connection ends or the link is closed.
+/// Carries frames in both directions until the connection ends or the link is closed.
 async fn run_link(
     fleet: &Rc<Fleet>,
     peer: &str,
@@ -217,14 +220,14 @@
         () = queue.wait_until_closed() => Ok(()),
     };
     let was_current = fleet.links.borrow_mut().remove(peer, &queue);
-    // Otherwise another connection to the peer is up.
+    // If this link was not the current one, another connection to the peer has replaced it and the peer is still linked.
     if was_current {
         fleet.step(|node, now, actions| node.link_down(now, peer, LinkFailure::Broken, actions));
     }
     result
 }
 
-/// Writes queued frames, with one flush for all that are queued at a time, until the connection fails.
+/// Writes queued frames to the connection until the connection fails. All frames that are queued at a time share one flush.
 async fn write_frames(queue: &SendQueue, writer: &mut FrameWriter) {
     loop {
         let frame = queue.next().await;
@@ -242,7 +245,7 @@
     }
 }
 
-/// Hands received frames to the node until the connection ends or the link is closed.
+/// Passes received frames to the node until the connection ends or the link is closed.
 async fn receive_frames(
     fleet: &Rc<Fleet>,
     peer: &str,
--- a/crates/gateway/src/fleet/process_identity.rs
+++ b/crates/gateway/src/fleet/process_identity.rs
@@ -1,13 +1,13 @@
-//! What identifies this process and its build to the fleet.
+//! The identity of this process and of its build, as reported to the fleet.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
 use std::time::{SystemTime, UNIX_EPOCH};
 use weldworks_fleet::version::{digest, Incarnation};
 
-/// A number that no other process has, however the wall clock is set.
+/// A random number that identifies this process uniquely, even if the wall clock is wrong.
 pub(super) fn new_incarnation() -> Incarnation {
-    // The standard library seeds this hasher with random numbers of the system.
+    // The standard library seeds `RandomState` with random numbers from the operating system.
     let mut hasher = RandomState::new().build_hasher();
     hasher.write_u32(std::process::id());
     let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -15,7 +15,7 @@
     Incarnation(hasher.finish() | 1)
 }
 
-/// The package's version with a digest of the program: two builds may share a version.
+/// The package version with a digest of the executable, because two different builds may have the same package version.
 pub(super) fn build_version() -> String {
     let program = std::env::current_exe().and_then(std::fs::read).map(|bytes| digest(&bytes));
     match program {
--- a/crates/gateway/src/fleet/send_queue.rs
+++ b/crates/gateway/src/fleet/send_queue.rs
@@ -1,5 +1,5 @@
-//! Frames that wait to be written to a peer. The queue is bounded: a peer that does not read loses its link, and gets what it missed
-//! from the consensus log, or as a snapshot, once it is back.
+//! The bounded queue of frames to be written to a peer. A peer that stops reading loses its link; once it reconnects, it gets the missed
+//! changes from the consensus log or as a snapshot.
 
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
@@ -7,21 +7,22 @@
 use tokio::sync::Notify;
 use weldworks_fleet::protocol::MAX_FRAME_BYTES;
 
-/// Most frames that wait for one peer.
+/// Maximum number of frames queued for one peer.
 const MAX_QUEUED_FRAMES: usize = 4096;
-/// Most bytes that wait for a voting member: a snapshot of the state machine and what follows it.
+/// Maximum number of bytes queued for a voting member: a snapshot of the state machine and 4 MiB of later frames.
 const MAX_QUEUED_BYTES_TO_VOTER: usize = MAX_FRAME_BYTES + (4 << 20);
-/// Most bytes that wait for any other gateway, which gets updates alone: hundreds of them may be slow at once.
+/// Maximum number of bytes queued for a gateway without a vote. It gets only updates, and the limit is small because hundreds of such
+/// gateways may be slow at the same time.
 const MAX_QUEUED_BYTES_TO_OTHER: usize = 256 << 10;
 
-/// What a peer is to the consensus group.
+/// Whether a peer is a voting member of the consensus group or another gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PeerRole {
     Voter,
     Other,
 }
 
-/// The frames that wait for one peer.
+/// The queue of frames for one peer.
 #[derive(Default)]
 pub(super) struct SendQueue {
     max_bytes: usize,
@@ -41,7 +42,7 @@
         SendQueue { max_bytes, ..SendQueue::default() }
     }
 
-    /// Queues a frame. A queue without room for it is closed, and with it the link; that is not logged here.
+    /// Queues a frame. If the frame exceeds the queue's bounds, the queue and its link are closed, which is not logged here.
     pub(super) fn push(&self, frame: Vec<u8>) {
         let queued_bytes = self.queued_bytes.get() + frame.len();
         let mut frames = self.frames.borrow_mut();
@@ -53,7 +54,7 @@
         self.frame_queued.notify_one();
     }
 
-    /// Asks the link's task to end.
+    /// Marks the queue as closed, which makes the link's task end.
     pub(super) fn close(&self) {
         self.is_closed.set(true);
         self.closed.notify_one();
--- a/crates/gateway/src/fleet/store_file.rs
+++ b/crates/gateway/src/fleet/store_file.rs
@@ -1,4 +1,4 @@
-//! What the stores on disk have in common: how a file is opened, why it cannot be, and what becomes of a damaged one.
+//! Shared by the consensus store and the audit store: opening a database file, the errors of doing so, and setting a damaged file aside.
 
 use redb::{Database, DatabaseError, StorageError};
 use std::io;
@@ -6,14 +6,14 @@
 use std::path::{Path, PathBuf};
 use weldworks_fleet::protocol::ProtocolError;
 
-/// The version of the stored format, raised when it changes.
+/// Version of the stored format. It must be raised whenever the format changes.
 pub(super) const FORMAT_VERSION: u32 = 1;
 
-/// Why a gateway's state on disk cannot be used; the process does not start.
+/// Why a gateway's state on disk cannot be used. The process does not start with such an error.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The folder or the disk is unusable.
-    #[error("cannot use {path}, which is in `state` of [fleet] in the operator's file: {source}; mend that, or leave `state` out")]
+    /// The state folder or its disk is unusable.
+    #[error("cannot use {path}, in the folder that `state` of [fleet] in the operator's file names: {source}; fix this, or remove `state`")]
     Unusable {
         /// Path of the file.
         path: PathBuf,
@@ -21,7 +21,9 @@
         source: OpenError,
     },
     /// The file belongs to another gateway.
-    #[error("{path} is the state of gateway {gateway:?} of the fleet {fleet:?}: give each gateway a folder of its own")]
+    #[error(
+        "{path} belongs to gateway {gateway:?} of the fleet {fleet:?}: give each gateway a folder of its own"
+    )]
     OtherGateway {
         /// Path of the file.
         path: PathBuf,
@@ -42,59 +44,60 @@
     }
 }
 
-/// Why a file is set aside.
+/// Why a database file counts as damaged and is set aside, that is, renamed.
 #[derive(Debug, thiserror::Error)]
 pub enum DamagedStore {
-    /// The database cannot read it.
+    /// The database library cannot read the file.
     #[error(transparent)]
     Database(Box<redb::Error>),
-    /// The database panicked on it.
+    /// The database library panicked while reading the file.
     #[error("the database library panicked while reading it")]
     Panicked,
-    /// It does not say which gateway it belongs to.
+    /// The file has no record of the gateway that it belongs to.
     #[error("the owner record is missing")]
     OwnerMissing,
-    /// What it says of the gateway that it belongs to cannot be decoded.
+    /// The file's record of the gateway that it belongs to cannot be decoded.
     #[error(transparent)]
     OwnerUndecodable(#[from] ProtocolError),
-    /// A record differs from what was written.
-    #[error("record {0} is not as it was written")]
+    /// A record has a wrong digest or key, or cannot be decoded, so it differs from what was written.
+    #[error("record {0} differs from what was written")]
     RecordMismatch(u64),
-    /// It has another version of the format. It is set aside like a damaged file, so that a gateway also starts after a rollback across a
-    /// change of the format, without that state: a voting member loses its vote until the other members add it.
-    #[error("format version {0}, this build reads {FORMAT_VERSION}")]
+    /// The file has another version of the stored format. It is set aside like a damaged file, so that a gateway also starts after a
+    /// rollback across a change of the format. The gateway then starts without its state: a voting member has no vote until the other
+    /// members add it.
+    #[error("the file has format version {0}, but this build reads version {FORMAT_VERSION}")]
     OtherFormat(u32),
 }
 
-/// Why a file was not opened.
+/// Why a database file could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// Another process of this gateway has it open.
-    #[error("another process of this gateway has the file")]
+    /// Another process of this gateway has the file open.
+    #[error("another process of this gateway has the file open")]
     Locked,
-    /// It belongs to another gateway.
-    #[error("it is gateway {gateway:?}'s of the fleet {fleet:?}")]
+    /// The file belongs to another gateway.
+    #[error("the file belongs to gateway {gateway:?} of the fleet {fleet:?}")]
     OtherGateway {
         /// The gateway that it belongs to.
         gateway: String,
         /// That gateway's fleet.
         fleet: String,
     },
-    /// The system reports an error.
+    /// The operating system reports an error.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A first write fails.
+    /// The first write to the file failed.
     #[error(transparent)]
     Write(#[from] Box<redb::Error>),
-    /// It is damaged.
+    /// The file is damaged.
     #[error(transparent)]
     Damaged(#[from] DamagedStore),
-    /// It was set aside as damaged, and a new file cannot be read either.
-    #[error("a new file can't be read either")]
+    /// A damaged file was set aside, and the new file cannot be read either.
+    #[error("the file was damaged and set aside, and a new file cannot be read either")]
     NewFileUnreadable,
 }
 
-/// Sorts an error of the database: the disk's own, or damage to the file.
+/// Classifies an error of the database library: an I/O error of the disk, or damage to the file.
 pub(super) fn database_error(error: impl Into<redb::Error>) -> OpenError {
     match error.into() {
         redb::Error::Io(error) if !is_damage(&error) => OpenError::Io(error),
@@ -102,12 +105,12 @@
     }
 }
 
-/// Whether the database found wrong or missing bytes, which it reports as errors of reading.
+/// Whether an I/O error means wrong or missing bytes in the file. The database library reports those as read errors.
 fn is_damage(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof)
 }
 
-/// Opens a file that no other process has open, or creates it.
+/// Opens a database file, or creates it if it does not exist. A file that another process has open is [`OpenError::Locked`].
 pub(super) fn open_database(path: &Path) -> Result<Database, OpenError> {
     match Database::create(path) {
         Ok(database) => Ok(database),
@@ -119,8 +122,8 @@
     }
 }
 
-/// Opens a file by `open`, and once more if it is damaged and has been set aside. The database checks what it reads, and panics on
-/// some states that it takes for impossible.
+/// Opens a file by calling `open`. If the file is damaged, it is set aside and `open` is called once more. A panic of `open` also counts as
+/// damage, because the database library panics on some file contents that it considers impossible.
 pub(super) fn open_or_set_aside<T>(
     path: &Path,
     mut open: impl FnMut() -> Result<T, OpenError>,
@@ -138,7 +141,7 @@
     Err(OpenError::NewFileUnreadable)
 }
 
-/// Renames a damaged file, so that it can be examined later.
+/// Renames a damaged file, so that it can be examined later, and returns its new path.
 fn set_aside(path: &Path) -> io::Result<PathBuf> {
     let free_name =
         (0..).map(|number| path.with_extension(format!("spoilt-{number}"))).find(|name| !name.exists());
