--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -224,7 +224,7 @@
             NodeAction::ReloadConfig { required } => warn!(
                 required = format!("{required:016x}"),
                 own = format!("{:016x}", self.version.borrow().config),
-                "fleet: another configuration is required by an administrator, put its file in place and send SIGHUP"
+                "fleet: an administrator requires another configuration, install its file and send SIGHUP"
             ),
             NodeAction::EndpointsDeparted(departed) => {
                 self.engine.send(Message::RemoteDepartures(departed));
--- a/crates/gateway/src/fleet/stored_files_tests.rs
+++ b/crates/gateway/src/fleet/stored_files_tests.rs
@@ -1,5 +1,5 @@
-//! Files that version 0.2.0 wrote are opened, read and continued by this build: a gateway that is upgraded must not lose its vote or its
-//! audit. `cargo test -p <this package> --lib write_stored_files -- --ignored` writes the fixtures anew, with the code as it stands.
+//! Tests that this build reads and continues files written by version 0.2.0, so that an upgraded gateway loses neither its vote nor its
+//! audit log. `cargo test -p weldworks-gateway --lib write_stored_files -- --ignored` regenerates the fixtures with the current code.
 
 use super::audit_store::{AuditStore, ProcessClock};
 use super::consensus_store;
@@ -17,7 +17,7 @@
 const FIXTURES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/stored-files");
 const CONSENSUS_FILE: &str = "council-a.redb";
 const AUDIT_FILE: &str = "audit-a.redb";
-/// The folder of files that lack their last quarter, as a full disk leaves them.
+/// The folder of fixtures that lack their last quarter, as a full disk leaves a file.
 const TRUNCATED: &str = "torn";
 
 fn settings() -> FleetSettings {
@@ -25,9 +25,9 @@
         .map(|n| format!("[[fleet.peer]]\nname = \"{n}\"\naddress = \"127.0.0.1:1\"\ncouncil = true\n"));
     let text = format!("[fleet]\nname = \"f\"\ngateway = \"a\"\n{}", peers.concat());
     crate::config::operator_file::OperatorFile::parse("f.toml", &text)
-        .expect("a table")
+        .expect("a valid operator file")
         .fleet
-        .expect("a fleet")
+        .expect("the table [fleet]")
 }
 
 fn temporary_folder(name: &str) -> PathBuf {
@@ -36,30 +36,31 @@
     let folder =
         std::env::temp_dir().join(format!("weldworks-stored-{name}-{}-{number}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the temporary folder is created");
     folder
 }
 
 fn copy_of(fixture: &str, name: &str) -> PathBuf {
     let folder = temporary_folder(fixture);
-    std::fs::copy(Path::new(FIXTURES).join(fixture).join(name), folder.join(name)).expect("the fixture");
+    std::fs::copy(Path::new(FIXTURES).join(fixture).join(name), folder.join(name))
+        .expect("the fixture is copied");
     folder
 }
 
-/// Tries until the thread that wrote before has let go of the file.
-fn until<T>(mut attempt: impl FnMut() -> Option<T>) -> T {
+/// Repeats an attempt until the previous writer thread has released the file, for 5 s at most.
+fn retry_until_released<T>(mut attempt: impl FnMut() -> Option<T>) -> T {
     for _ in 0..1000 {
         if let Some(done) = attempt() {
             return done;
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    panic!("the file is held for good");
+    panic!("the previous writer has not released the file within 5 s");
 }
 
 fn block_on<T>(future: impl std::future::Future<Output = T>) -> T {
     let mut builder = tokio::runtime::Builder::new_current_thread();
-    builder.enable_time().build().expect("a runtime").block_on(future)
+    builder.enable_time().build().expect("the runtime starts").block_on(future)
 }
 
 fn expected_records() -> Vec<StoredRecord> {
@@ -90,18 +91,18 @@
 }
 
 fn open_consensus_store(folder: &Path, process: u64) -> consensus_store::OpenedStore {
-    until(|| {
-        let found =
+    retry_until_released(|| {
+        let opened =
             consensus_store::open(folder, &settings(), Incarnation(process)).expect("the folder can be used");
-        found.store.is_some().then_some(found)
+        opened.store.is_some().then_some(opened)
     })
 }
 
-fn write_records(found: &mut consensus_store::OpenedStore, batch: &[StoredRecord]) {
-    let store = found.store.as_mut().expect("a store");
-    let mut done = store.written.take().expect("what is written is told");
+fn write_records(opened: &mut consensus_store::OpenedStore, batch: &[StoredRecord]) {
+    let store = opened.store.as_mut().expect("the store is open");
+    let mut done = store.written.take().expect("the receiver of write results");
     let number = store.write(batch);
-    while done.blocking_recv().expect("the thread lives").expect("written") < number {}
+    while done.blocking_recv().expect("the writer thread runs").expect("the batch is written") < number {}
     store.written = Some(done);
 }
 
@@ -114,7 +115,7 @@
     AuditStore::open(folder, &settings(), clock).expect("the folder can be used")
 }
 
-/// A process that does something to each request, one segment a request.
+/// Writes the audit log of a process that records three decisions about each request, with one segment per request.
 fn write_audit(folder: &Path, process: u64, requests: &[&str], ended: bool) {
     let store = open_audit(folder, process);
     let audit = RefCell::new(AuditLog::new(Duration::ZERO, Version::default()));
@@ -127,58 +128,62 @@
         }
         let is_last = n + 1 == requests.len();
         let write = || block_on(store.write(&audit, || now, ended && is_last)).ok();
-        until(write);
+        retry_until_released(write);
     }
 }
 
-fn read_history(folder: &Path, wanted: &AuditQuery) -> HistoryReport {
-    until(|| {
+fn read_history(folder: &Path, query: &AuditQuery) -> HistoryReport {
+    retry_until_released(|| {
         let store = open_audit(folder, 90);
         let own = AuditLog::new(Duration::ZERO, Version::default()).memory_span(Incarnation(90));
-        block_on(store.read_history(wanted.clone(), own)).ok()
+        block_on(store.read_history(query.clone(), own)).ok()
     })
 }
 
-/// Steps and stretches of unknown time of a process.
-fn summary(past: &HistoryReport, process: u64) -> (usize, usize) {
+/// Number of steps and number of unknown time spans that are reported of a process.
+fn summary(history: &HistoryReport, process: u64) -> (usize, usize) {
     let process = Incarnation(process).to_string();
-    let told = past.processes.iter().find(|p| p.process == process);
-    told.map_or((0, 0), |p| (p.steps.len(), p.unknown.len()))
+    let report = history.processes.iter().find(|p| p.process == process);
+    report.map_or((0, 0), |p| (p.steps.len(), p.unknown.len()))
 }
 
 #[test]
 #[ignore = "writes the fixtures"]
 fn write_stored_files() {
     for name in ["complete", TRUNCATED] {
-        std::fs::create_dir_all(Path::new(FIXTURES).join(name)).expect("a folder");
+        std::fs::create_dir_all(Path::new(FIXTURES).join(name)).expect("the fixture folder is created");
     }
     let folder = temporary_folder("write");
-    let mut found = open_consensus_store(&folder, 7);
-    write_records(&mut found, &expected_records()[..3]);
-    write_records(&mut found, &expected_records()[3..]);
-    drop(found);
+    let mut opened = open_consensus_store(&folder, 7);
+    write_records(&mut opened, &expected_records()[..3]);
+    write_records(&mut opened, &expected_records()[3..]);
+    drop(opened);
     write_audit(&folder, 1, &["r-1", "r-2", "r-3"], true);
     write_audit(&folder, 2, &["r-4", "r-5"], false);
     drop(open_consensus_store(&folder, 8));
     std::thread::sleep(Duration::from_millis(300));
     for name in [CONSENSUS_FILE, AUDIT_FILE] {
         let complete = Path::new(FIXTURES).join("complete").join(name);
-        std::fs::copy(folder.join(name), &complete).expect("a copy");
-        let bytes = std::fs::read(&complete).expect("the copy");
-        let torn = Path::new(FIXTURES).join(TRUNCATED).join(name);
-        std::fs::write(torn, &bytes[..bytes.len() * 3 / 4]).expect("a torn copy");
+        std::fs::copy(folder.join(name), &complete).expect("the fixture is written");
+        let bytes = std::fs::read(&complete).expect("the fixture is read");
+        let truncated = Path::new(FIXTURES).join(TRUNCATED).join(name);
+        std::fs::write(truncated, &bytes[..bytes.len() * 3 / 4]).expect("the truncated fixture is written");
     }
 }
 
 #[test]
 fn a_consensus_store_of_version_0_2_0_is_read_and_continued() {
     let folder = copy_of("complete", CONSENSUS_FILE);
-    let mut found = open_consensus_store(&folder, 30);
-    assert_eq!(found.voter, Incarnation(7), "it votes as the process before");
-    assert_eq!(found.records, expected_records());
+    let mut opened = open_consensus_store(&folder, 30);
+    assert_eq!(
+        opened.voter,
+        Incarnation(7),
+        "the gateway votes under the incarnation of the earlier process"
+    );
+    assert_eq!(opened.records, expected_records());
     let next = StoredRecord::StorageChanged(StorageChange::Decided(5));
-    write_records(&mut found, std::slice::from_ref(&next));
-    drop(found);
+    write_records(&mut opened, std::slice::from_ref(&next));
+    drop(opened);
     let mut all = expected_records();
     all.push(next);
     assert_eq!(open_consensus_store(&folder, 31).records, all);
@@ -188,9 +193,9 @@
 #[test]
 fn a_truncated_consensus_store_of_version_0_2_0_is_set_aside() {
     let folder = copy_of(TRUNCATED, CONSENSUS_FILE);
-    let found = open_consensus_store(&folder, 30);
-    assert_eq!(found.voter, Incarnation(30), "it has no vote until it is seated");
-    assert!(found.records.is_empty());
+    let opened = open_consensus_store(&folder, 30);
+    assert_eq!(opened.voter, Incarnation(30), "the process does not vote under the earlier incarnation");
+    assert!(opened.records.is_empty());
     assert!(folder.join("council-a.spoilt-0").exists());
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -201,27 +206,27 @@
     for (request, process, expected) in
         [("r-1", 1, (3, 0)), ("r-3", 1, (3, 0)), ("r-4", 2, (3, 1)), ("r-5", 2, (3, 1)), ("r-9", 1, (0, 0))]
     {
-        let past = read_history(&folder, &AuditQuery::Request(request.to_owned()));
-        assert_eq!(summary(&past, process), expected, "{request} of process {process}: {past:?}");
+        let history = read_history(&folder, &AuditQuery::Request(request.to_owned()));
+        assert_eq!(summary(&history, process), expected, "{request} of process {process}: {history:?}");
     }
     write_audit(&folder, 40, &["r-6"], true);
-    let past = read_history(&folder, &AuditQuery::Request("r-6".to_owned()));
-    assert_eq!(summary(&past, 40), (3, 0));
-    let past = read_history(&folder, &AuditQuery::Request("r-2".to_owned()));
-    assert_eq!(summary(&past, 1), (3, 0), "what was there stays");
+    let history = read_history(&folder, &AuditQuery::Request("r-6".to_owned()));
+    assert_eq!(summary(&history, 40), (3, 0));
+    let history = read_history(&folder, &AuditQuery::Request("r-2".to_owned()));
+    assert_eq!(summary(&history, 1), (3, 0), "segments of version 0.2.0 are retained");
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
 fn a_truncated_audit_store_of_version_0_2_0_is_set_aside() {
     let folder = copy_of(TRUNCATED, AUDIT_FILE);
-    let past = read_history(&folder, &AuditQuery::Request("r-1".to_owned()));
-    assert_eq!(summary(&past, 1), (0, 0));
+    let history = read_history(&folder, &AuditQuery::Request("r-1".to_owned()));
+    assert_eq!(summary(&history, 1), (0, 0));
     assert!(folder.join("audit-a.spoilt-0").exists());
     let _ = std::fs::remove_dir_all(&folder);
 }
 
-/// Administrators' tools read the names in these answers.
+/// Administrators' tools read the names of the fields and values in these answers, so an upgrade must not change them.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one value for each name in the answers")]
 fn answers_to_administrators_have_the_names_of_version_0_2_0() {
@@ -291,17 +296,17 @@
         exceptions: Vec::new(),
         steps: steps.clone(),
     };
-    let past = HistoryReport { processes: vec![process], omitted: 2 };
+    let history = HistoryReport { processes: vec![process], omitted: 2 };
     let answers = serde_json::json!({
         "status": status,
         "audit": audit.report_lists(Duration::from_secs(6), 0..=9),
         "request": { "since_ms": since_ms, "steps": steps },
-        "earlier": past,
+        "earlier": history,
     });
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/admin-answers.json");
-    let text = serde_json::to_string_pretty(&answers).expect("JSON") + "\n";
+    let text = serde_json::to_string_pretty(&answers).expect("the answers are serialized") + "\n";
     if std::env::var_os("WRITE_FIXTURES").is_some() {
-        std::fs::write(path, &text).expect("the fixture");
+        std::fs::write(path, &text).expect("the fixture is written");
     }
     assert_eq!(text, std::fs::read_to_string(path).expect("the fixture is in the repository"));
 }
