--- a/crates/gateway/src/cli/arguments.rs
+++ b/crates/gateway/src/cli/arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments of the program. Doc comments of arguments and subcommands are the text of `--help`.
+//! The command-line arguments of the program. `--help` prints the doc comments of arguments and subcommands.
 
 use clap::{CommandFactory, FromArgMatches, Parser};
 use std::env;
@@ -6,18 +6,18 @@
 
 /// Environment variable that names the operator's file.
 const SETTINGS_VARIABLE: &str = "WELDWORKS_SETTINGS";
-/// The same under its name of version 0.2.0, which is read for good where the other is not set.
+/// Name of the same environment variable in version 0.2.0. It remains supported, and is read if [`SETTINGS_VARIABLE`] is not set.
 const FORMER_SETTINGS_VARIABLE: &str = "OTTERVANE_SETTINGS";
 
 /// The gateway of the booking service.
 ///
-/// Without a subcommand it runs, as the platform starts it: ROUTER_CONFIG names its file.
-/// Exit codes: 0, it was told to stop and has, or the file is as it should be; 1, it can't start or has broken down;
-/// 2, the command or a file that was to be checked is not as it should be; 3, some gateways of the fleet could not be asked.
+/// Without a subcommand the gateway runs, as the platform starts it: ROUTER_CONFIG names the platform's file.
+/// Exit codes: 0, the gateway stopped as requested, or the command succeeded; 1, the gateway could not start or failed;
+/// 2, the command or a file that it reads is invalid; 3, some gateways of the fleet did not answer, or a change was not committed.
 #[derive(Parser)]
 #[command(name = "weldworks-gateway", version)]
 pub(super) struct Arguments {
-    /// The operator's file; it switches subsystems on.
+    /// The operator's file, which enables optional subsystems.
     #[arg(long, global = true, env = SETTINGS_VARIABLE)]
     pub(super) settings: Option<PathBuf>,
     #[command(subcommand)]
@@ -26,13 +26,14 @@
 
 #[derive(clap::Subcommand)]
 pub(super) enum Subcommand {
-    /// Run, as without a subcommand.
+    /// Run the gateway, as without a subcommand.
     Run {
-        /// Be part of the fleet that the operator's file names in its table [fleet].
+        /// Join the fleet that the table [fleet] of the operator's file describes.
         #[arg(long)]
         fleet: bool,
     },
-    /// Ask or tell the fleet of the operator's file. Exit code 3: some gateways could not be asked, or nothing was decided.
+    /// Show or change the state of the fleet in the operator's file. Exit code 3: some gateways did not answer, or a change was not
+    /// committed.
     Fleet {
         #[command(subcommand)]
         command: FleetCommand,
@@ -40,7 +41,7 @@
         #[arg(long, global = true)]
         json: bool,
     },
-    /// Ask all gateways of the fleet what they did under which version. Exit code 3: some could not be asked.
+    /// Show what all gateways of the fleet did under which version. Exit code 3: some gateways did not answer.
     Audit {
         #[command(flatten)]
         arguments: AuditArguments,
@@ -48,36 +49,36 @@
         #[arg(long)]
         json: bool,
     },
-    /// Say whether a file is as it should be, and start nothing: a platform's (.json) or an operator's (.toml).
+    /// Check whether a platform's file (.json) or an operator's file (.toml) is valid, without starting anything.
     Check {
-        /// The file.
+        /// The file to check.
         file: PathBuf,
     },
 }
 
 #[derive(Clone, Debug, clap::Subcommand)]
 pub(super) enum FleetCommand {
-    /// Who is in, who leads, who lags by how much, who is shut out and why.
+    /// Show each gateway's session state, version and version lag, the leader, and which gateways are fenced and why.
     Status,
-    /// Shut a gateway out: it takes no client until it is let in again.
+    /// Fence a gateway: it accepts no clients until it is unfenced with `in`.
     Out {
-        /// Its name.
+        /// Name of the gateway.
         gateway: String,
     },
-    /// Let it in again.
+    /// Unfence a gateway that was fenced with `out`.
     In {
-        /// Its name.
+        /// Name of the gateway.
         gateway: String,
     },
-    /// Declare what counts as current; what is left out is not required any more.
+    /// Declare the versions that gateways are required to have. A version that is left out is no longer required.
     Require {
-        /// Lists have at least this index, on this lineage, as LINEAGE=INDEX.
+        /// Lineage and minimum index of endpoint lists, as LINEAGE=INDEX.
         #[arg(long)]
         list: Option<String>,
-        /// The configuration's digest, as `fleet status` shows it.
+        /// Digest of the configuration, as `fleet status` shows it.
         #[arg(long)]
         config: Option<String>,
-        /// The build, likewise.
+        /// Build of the gateway, as `fleet status` shows it.
         #[arg(long)]
         build: Option<String>,
     },
@@ -85,22 +86,22 @@
 
 #[derive(Clone, Debug, clap::Args)]
 pub(super) struct AuditArguments {
-    /// Under lists from this index on.
+    /// Index of the first endpoint list to report.
     #[arg(long, default_value_t = 0)]
     pub(super) from_list: u64,
-    /// And up to this one.
+    /// Index of the last endpoint list to report.
     #[arg(long, default_value_t = u64::MAX)]
     pub(super) to_list: u64,
-    /// Only what was done after this moment, in Unix milliseconds by each gateway's own wall clock.
+    /// Report only what was done after this time, in Unix milliseconds by each gateway's own wall clock.
     #[arg(long)]
     pub(super) after: Option<u64>,
-    /// What the request of this number met, as its client wrote it in X-Request-ID.
+    /// Report what was done with the request that has this X-Request-ID, as its client wrote it.
     #[arg(long, conflicts_with_all = ["from_list", "to_list", "after"])]
     pub(super) request: Option<String>,
 }
 
 impl Arguments {
-    /// Parses the arguments of this process, and ends it where they are not valid or ask for help.
+    /// Parses the arguments of this process, and exits if they are invalid or request help.
     pub(super) fn from_command_line() -> Arguments {
         let variable = settings_variable();
         let command = Arguments::command().mut_arg("settings", |argument| argument.env(variable));
@@ -109,7 +110,7 @@
     }
 }
 
-/// The environment variable that names the operator's file in this process.
+/// Name of the environment variable from which this process reads the path of the operator's file.
 fn settings_variable() -> &'static str {
     if env::var_os(SETTINGS_VARIABLE).is_none() && env::var_os(FORMER_SETTINGS_VARIABLE).is_some() {
         FORMER_SETTINGS_VARIABLE
--- a/crates/gateway/src/cli/audit_report.rs
+++ b/crates/gateway/src/cli/audit_report.rs
@@ -1,10 +1,10 @@
-//! The text of `audit`.
+//! Renders the text output of `audit`.
 
 use super::json_fields::{earlier_processes, elements, padded, text_or_dash};
 use serde_json::Value;
 use std::fmt::Write;
 
-/// Renders gateways' answers, each with its earlier processes first.
+/// Renders the answers of gateways as text: for each gateway first its earlier processes, then the current one.
 pub(super) fn render_audit(answers: &[Value]) -> String {
     let mut text = String::new();
     for answer in answers {
@@ -13,7 +13,7 @@
         for process in earlier_processes(report) {
             let _ = writeln!(
                 text,
-                "{gateway} (process {}, begun at {} by its wall clock): on disk from {} to {} ms",
+                "{gateway} (process {}, started at {} Unix ms by its wall clock): on disk from {} to {} ms",
                 text_or_dash(&process["process"]),
                 process["began_unix_ms"],
                 process["since_ms"],
@@ -24,7 +24,7 @@
         write_unreported(&mut text, gateway, report);
         let _ = writeln!(
             text,
-            "{gateway} (process {}): books since {} ms, {} intervals and {} exceptions forgotten",
+            "{gateway} (process {}): audit log since {} ms, {} intervals and {} exceptions evicted",
             text_or_dash(&answer["process"]),
             report["since_ms"],
             report["forgotten"],
@@ -35,23 +35,24 @@
     text
 }
 
-/// Writes what is not reported of a gateway's past, and why.
+/// Writes which part of a gateway's history is not reported, and why.
 pub(super) fn write_unreported(text: &mut String, gateway: &str, report: &Value) {
     if let Some(reason) = report["earlier_unread"].as_str() {
-        let _ = writeln!(text, "{gateway}: what its processes before did is unknown: {reason}");
+        let _ = writeln!(text, "{gateway}: the activity of its earlier processes is unknown: {reason}");
     }
     if let Some(more) = report["earlier"]["more"].as_u64().filter(|more| *more > 0) {
-        let _ = writeln!(text, "{gateway}: {more} earlier entries are not shown: ask for fewer lists");
+        let _ = writeln!(text, "{gateway}: {more} earlier entries are not shown: query fewer lists");
     }
 }
 
-/// Writes the unknown times, intervals and exceptions of one process.
+/// Writes the unknown time spans, the intervals and the exceptions of one process.
 fn write_entries(text: &mut String, report: &Value) {
     for gap in elements(&report["unknown"]) {
-        let what = if text_or_dash(&gap["what"]) == "Requests" { "single requests" } else { "everything" };
+        let scope =
+            if text_or_dash(&gap["what"]) == "Requests" { "individual requests" } else { "all activity" };
         let _ = writeln!(
             text,
-            "  {:>9} to {:>9} ms  unknown: {what}",
+            "  {:>9} to {:>9} ms  unknown: {scope}",
             padded(&gap["from_ms"]),
             padded(&gap["to_ms"])
         );
@@ -84,7 +85,7 @@
     let version = &interval["version"];
     let _ = writeln!(
         text,
-        "  {:>9} to {end:>9} ms  list {} of {}, configuration {:016x} ({}), register {} to {}: {decisions}",
+        "  {:>9} to {end:>9} ms  list {} of {}, configuration {:016x} ({}), log index {} to {}: {decisions}",
         padded(&interval["from_ms"]),
         version["list"]["index"],
         text_or_dash(&version["list"]["lineage"]),
--- a/crates/gateway/src/cli/cli_error.rs
+++ b/crates/gateway/src/cli/cli_error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed.
+//! The errors of the command line.
 
 use super::fleet_command::FleetCommandError;
 use crate::config::config_error::ConfigError;
@@ -8,7 +8,7 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why a command failed.
+/// Why a subcommand failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CliError {
     /// The platform's file cannot be used.
@@ -17,28 +17,28 @@
     /// The operator's file cannot be used.
     #[error(transparent)]
     Operator(#[from] OperatorError),
-    /// The flag `--fleet` finds no fleet.
+    /// The flag `--fleet` is given, but the operator's file has no table `[fleet]`.
     #[error("--fleet needs the table [fleet] in the operator's file; name the file with --settings, or leave the flag out")]
     FleetFlagWithoutTable,
-    /// The command needs the operator's file.
+    /// The subcommand needs the operator's file, and `--settings` does not name one.
     #[error("name the operator's file with --settings FILE")]
     SettingsNotNamed,
-    /// The operator's file has no fleet.
+    /// The subcommand needs a fleet, and the operator's file has no table `[fleet]`.
     #[error("{path} has no table [fleet]")]
     NoFleetTable {
-        /// Path of the file.
+        /// Path of the operator's file.
         path: PathBuf,
     },
-    /// The listener that the platform hands on cannot be used.
+    /// The listener that the platform passes to this process cannot be used.
     #[error(transparent)]
     InheritedListener(#[from] InheritedListenerError),
-    /// The runtime cannot be started.
+    /// The asynchronous runtime cannot be started.
     #[error(transparent)]
     Runtime(#[from] io::Error),
-    /// The gateway could not start, or ended by itself.
+    /// The gateway could not start, or ended without SIGTERM.
     #[error(transparent)]
     Serve(#[from] ServeError),
-    /// The arguments of a command for the fleet are not valid.
+    /// The arguments of the subcommand `fleet` are not valid.
     #[error(transparent)]
     FleetCommand(#[from] FleetCommandError),
 }
--- a/crates/gateway/src/cli/command_output.rs
+++ b/crates/gateway/src/cli/command_output.rs
@@ -1,5 +1,5 @@
-//! The output of a command that asks gateways. Those that could not be asked are always named: that nothing happened is said only
-//! where all have answered.
+//! The output of a command that queries gateways. Gateways that did not answer are always named, so that a missing answer is never taken
+//! for a report that nothing happened.
 
 use super::fleet_query::GatewayAnswer;
 use serde_json::{json, Value};
@@ -22,27 +22,27 @@
     }
 }
 
-/// Whether a command did all it should.
+/// Whether a command did everything that was requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Completeness {
     Complete,
-    /// Some gateways could not be asked, or a change was not committed.
+    /// Some gateways did not answer, or a change was not committed.
     Incomplete,
 }
 
-/// A command's output.
+/// The text that a command prints, and whether the command was complete.
 pub(super) struct CommandOutput {
     pub(super) text: String,
     pub(super) completeness: Completeness,
 }
 
-/// A gateway that could not be asked.
+/// A gateway that did not answer, with the reason.
 struct Unanswered {
     gateway: String,
     reason: String,
 }
 
-/// Renders the answers of gateways, as text by `render`, and names those without an answer.
+/// Renders the answers of gateways as JSON, or as text with `render`, and names the gateways without an answer.
 pub(super) fn render_answers(
     all: Vec<GatewayAnswer>,
     format: OutputFormat,
@@ -79,8 +79,8 @@
         let _ = writeln!(text, "{gateway:<12} could not be asked: {reason}");
     }
     if !unanswered.is_empty() {
-        let which = if unanswered.len() == 1 { "that one" } else { "those" };
-        let _ = writeln!(text, "incomplete: nothing is known of what {which} did");
+        let which = if unanswered.len() == 1 { "that gateway" } else { "those gateways" };
+        let _ = writeln!(text, "incomplete: the activity of {which} is unknown");
     }
     text
 }
--- a/crates/gateway/src/cli/exit_status.rs
+++ b/crates/gateway/src/cli/exit_status.rs
@@ -1,19 +1,19 @@
-//! The exit codes of the program beside 0.
+//! The exit codes of the program other than 0.
 
 use super::command_output::Completeness;
 use std::process::ExitCode;
 
-/// The gateway could not start, or ended by itself: 1.
+/// Exit code 1: the gateway could not start, or ended without SIGTERM.
 pub(super) fn gateway_failed() -> ExitCode {
     ExitCode::FAILURE
 }
 
-/// The command, or a file that it reads, is not valid: 2.
+/// Exit code 2: the command, or a file that it reads, is not valid.
 pub(super) fn invalid_command() -> ExitCode {
     ExitCode::from(2)
 }
 
-/// Some gateways could not be asked, or nothing was committed: 3, else 0.
+/// Exit code 3 if some gateways did not answer or a change was not committed, else 0.
 pub(super) fn of_output(completeness: Completeness) -> ExitCode {
     match completeness {
         Completeness::Complete => ExitCode::SUCCESS,
--- a/crates/gateway/src/cli/fleet_command.rs
+++ b/crates/gateway/src/cli/fleet_command.rs
@@ -1,32 +1,32 @@
-//! `fleet`: shows the fleet's status, fences gateways, and declares what counts as current.
+//! The subcommand `fleet`: shows the fleet's status, fences and unfences gateways, and declares the required versions.
 
 use super::arguments::FleetCommand;
 use super::command_output::{render_answers, CommandOutput, Completeness, OutputFormat};
-use super::fleet_query::{ask, ask_all, GatewayAnswer};
+use super::fleet_query::{query_gateway, query_gateways, GatewayAnswer};
 use super::status_report::render_status;
 use weldworks_fleet::protocol::AdminQuery;
 use weldworks_fleet::settings::FleetSettings;
 use weldworks_fleet::state_machine::{Command, Requirements};
 use weldworks_fleet::version::ListVersion;
 
-/// Why the arguments of a command are not valid.
+/// Why the arguments of the subcommand `fleet` are not valid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FleetCommandError {
     /// The fleet has no gateway of this name.
-    #[error("no gateway is named {name:?}; there are {}", known.join(", "))]
+    #[error("no gateway is named {name:?}; the fleet has {}", known.join(", "))]
     UnknownGateway { name: String, known: Vec<String> },
-    /// `--list` cannot be parsed.
+    /// The argument `--list` cannot be parsed.
     #[error("--list {0:?} is not LINEAGE=INDEX, as in 127.0.0.1:8500=42")]
     InvalidList(String),
-    /// `--config` cannot be parsed.
+    /// The argument `--config` cannot be parsed.
     #[error("--config {0:?} is not a digest of 16 hexadecimal digits")]
     InvalidConfig(String),
 }
 
-/// Executes a command.
+/// Executes a command of the subcommand `fleet`.
 ///
 /// # Errors
-/// Where its arguments are not valid.
+/// If the command's arguments are not valid.
 pub(super) async fn execute(
     settings: &FleetSettings,
     command: &FleetCommand,
@@ -34,7 +34,7 @@
 ) -> Result<CommandOutput, FleetCommandError> {
     let proposal = match command {
         FleetCommand::Status => {
-            let answers = ask_all(settings, &AdminQuery::Status).await;
+            let answers = query_gateways(settings, &AdminQuery::Status).await;
             return Ok(render_answers(answers, format, render_status));
         }
         FleetCommand::Out { gateway } => {
@@ -84,15 +84,15 @@
     u64::from_str_radix(text, 16).map_err(|_| FleetCommandError::InvalidConfig(text.to_owned()))
 }
 
-/// Proposes a command to the voting members, one after another until one has it committed.
+/// Sends a proposal to the voting members, one after another, until one of them reports that it is committed.
 async fn propose(settings: &FleetSettings, command: Command) -> CommandOutput {
     let query = AdminQuery::Propose(Box::new(command));
     let mut reasons = Vec::new();
     for peer in settings.voters() {
-        let GatewayAnswer { gateway, answer } = ask(&settings.name, peer, &query).await;
+        let GatewayAnswer { gateway, answer } = query_gateway(&settings.name, peer, &query).await;
         match answer {
             Ok(answer) if answer["decided"] == true => {
-                let text = format!("decided by way of {gateway}, at position {}\n", answer["position"]);
+                let text = format!("committed through {gateway}, at log index {}\n", answer["position"]);
                 return CommandOutput { text, completeness: Completeness::Complete };
             }
             Ok(answer) => {
@@ -102,7 +102,7 @@
             Err(error) => reasons.push(format!("{gateway}: {error}")),
         }
     }
-    let text = format!("not decided\n  {}\n", reasons.join("\n  "));
+    let text = format!("not committed\n  {}\n", reasons.join("\n  "));
     CommandOutput { text, completeness: Completeness::Incomplete }
 }
 
--- a/crates/gateway/src/cli/fleet_query.rs
+++ b/crates/gateway/src/cli/fleet_query.rs
@@ -1,4 +1,4 @@
-//! Asks the gateways of a fleet over their links.
+//! Sends queries to the gateways of a fleet over their links.
 
 use crate::transport::stream::Stream;
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 use weldworks_fleet::protocol::{self, AdminQuery, Caller, Frame, Hello, ProtocolError, MAX_FRAME_BYTES};
 use weldworks_fleet::settings::{FleetSettings, Peer};
 
-/// Time for a gateway's answer, from the connection on.
+/// Timeout for one gateway's answer, including the time to connect.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// One gateway's answer, or why there is none.
@@ -21,7 +21,7 @@
     pub(super) answer: Result<Value, QueryError>,
 }
 
-/// Why a gateway could not be asked.
+/// Why a query to a gateway has no usable answer.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum QueryError {
     #[error(transparent)]
@@ -38,22 +38,22 @@
     InvalidAnswer(#[from] serde_json::Error),
     #[error("no answer within {ANSWER_TIMEOUT:?}")]
     Timeout,
-    /// The gateway answers with an error of its own.
+    /// The gateway answered with an error instead of a report.
     #[error("{0}")]
     Rejected(String),
 }
 
-/// Asks one gateway.
-pub(super) async fn ask(fleet: &str, peer: &Peer, query: &AdminQuery) -> GatewayAnswer {
-    let answer = timeout(ANSWER_TIMEOUT, ask_over_link(fleet, peer, query)).await;
+/// Queries one gateway.
+pub(super) async fn query_gateway(fleet: &str, peer: &Peer, query: &AdminQuery) -> GatewayAnswer {
+    let answer = timeout(ANSWER_TIMEOUT, query_over_link(fleet, peer, query)).await;
     let answer = answer.unwrap_or(Err(QueryError::Timeout));
     GatewayAnswer { gateway: peer.name.clone(), answer }
 }
 
-/// Asks all gateways of a fleet at once. An answer that is an error counts as none.
-pub(super) async fn ask_all(settings: &FleetSettings, query: &AdminQuery) -> Vec<GatewayAnswer> {
-    let asked = settings.peers.iter().map(|peer| ask(&settings.name, peer, query));
-    let mut answers = futures_util::future::join_all(asked).await;
+/// Queries all gateways of a fleet concurrently. An answer that is an error counts as a missing answer.
+pub(super) async fn query_gateways(settings: &FleetSettings, query: &AdminQuery) -> Vec<GatewayAnswer> {
+    let queries = settings.peers.iter().map(|peer| query_gateway(&settings.name, peer, query));
+    let mut answers = futures_util::future::join_all(queries).await;
     for GatewayAnswer { answer, .. } in &mut answers {
         let error = answer.as_ref().ok().and_then(|answer| answer["error"].as_str()).map(str::to_owned);
         if let Some(error) = error {
@@ -63,7 +63,7 @@
     answers
 }
 
-async fn ask_over_link(fleet: &str, peer: &Peer, query: &AdminQuery) -> Result<Value, QueryError> {
+async fn query_over_link(fleet: &str, peer: &Peer, query: &AdminQuery) -> Result<Value, QueryError> {
     let stream = TcpStream::connect(peer.address).await?;
     let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     let mut link = Framed::new(Stream::new(stream), codec);
--- a/crates/gateway/src/cli/mod.rs
+++ b/crates/gateway/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: runs the gateway, checks files, and asks a running fleet.
+//! The command line: runs the gateway, checks files, and queries a running fleet.
 
 mod arguments;
 mod audit_command;
@@ -24,7 +24,7 @@
 use std::process::ExitCode;
 use weldworks_fleet::settings::FleetSettings;
 
-/// Runs the command line of this process. Gives its exit code.
+/// Executes the command line of this process, and returns the exit code.
 pub fn main() -> ExitCode {
     let arguments = Arguments::from_command_line();
     let settings = arguments.settings.as_deref();
@@ -47,7 +47,7 @@
     })
 }
 
-/// Why a command failed, and the exit code for that.
+/// Why a command failed, and the exit code for the failure.
 struct Failure {
     error: CliError,
     exit_code: ExitCode,
@@ -79,7 +79,7 @@
     format: OutputFormat,
 ) -> Result<ExitCode, CliError> {
     let fleet = fleet_settings(settings)?;
-    show(async { Ok(fleet_command::execute(&fleet, command, format).await?) })
+    execute(async { Ok(fleet_command::execute(&fleet, command, format).await?) })
 }
 
 fn run_audit_command(
@@ -88,18 +88,18 @@
     format: OutputFormat,
 ) -> Result<ExitCode, CliError> {
     let fleet = fleet_settings(settings)?;
-    show(async { Ok(audit_command::execute(&fleet, arguments, format).await) })
+    execute(async { Ok(audit_command::execute(&fleet, arguments, format).await) })
 }
 
-/// The fleet of the operator's file, for a command.
+/// Reads the settings of the fleet that a command queries from the operator's file.
 fn fleet_settings(file: Option<&Path>) -> Result<FleetSettings, CliError> {
     let path = file.ok_or(CliError::SettingsNotNamed)?;
     let fleet = OperatorFile::read(path)?.fleet;
     fleet.ok_or_else(|| CliError::NoFleetTable { path: path.to_owned() })
 }
 
-/// Runs a command that asks a fleet, and prints its output.
-fn show(command: impl Future<Output = Result<CommandOutput, CliError>>) -> Result<ExitCode, CliError> {
+/// Runs a command that queries a fleet, prints the output, and returns the exit code.
+fn execute(command: impl Future<Output = Result<CommandOutput, CliError>>) -> Result<ExitCode, CliError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let output = runtime.block_on(command)?;
     print!("{}", output.text);
--- a/crates/gateway/src/cli/request_report.rs
+++ b/crates/gateway/src/cli/request_report.rs
@@ -1,11 +1,11 @@
-//! The text of `audit --request`.
+//! Renders the text output of `audit --request`.
 
 use super::audit_report::write_unreported;
 use super::json_fields::{earlier_processes, elements, padded, text_or_dash};
 use serde_json::Value;
 use std::fmt::Write;
 
-/// Renders what a request met at each gateway, and for which times that is unknown.
+/// Renders the steps of a request at each gateway, and the time spans for which the steps are unknown.
 pub(super) fn render_request(request_id: &str, answers: &[Value]) -> String {
     let mut text = String::new();
     let mut is_known = false;
@@ -23,12 +23,15 @@
         write_unreported(&mut text, gateway, report);
     }
     if !is_known {
-        let _ = writeln!(text, "nobody who answered has met {request_id:?} in the time that its books hold");
+        let _ = writeln!(
+            text,
+            "no gateway that answered has seen request {request_id:?} in the time that its audit log covers"
+        );
     }
     text
 }
 
-/// Writes the steps of the request in one process. Gives whether there are any.
+/// Writes the steps of the request in one process, and returns whether there are any.
 fn write_steps(text: &mut String, gateway: &str, report: &Value, suffix: &str) -> bool {
     let mut has_steps = false;
     for step in elements(&report["steps"]) {
--- a/crates/gateway/src/cli/run_command.rs
+++ b/crates/gateway/src/cli/run_command.rs
@@ -1,4 +1,4 @@
-//! `run`: the gateway itself.
+//! The subcommand `run`: runs the gateway itself.
 
 use super::cli_error::CliError;
 use crate::config::operator_file::OperatorFile;
@@ -10,9 +10,10 @@
 /// Runs the gateway until SIGTERM.
 ///
 /// # Errors
-/// Where it cannot start, or ends by itself.
+/// If the gateway cannot start, or ends without SIGTERM.
 pub(super) fn run(settings: Option<&Path>, membership: FleetMembership) -> Result<(), CliError> {
-    // Before anything is opened, apart from this file, which is closed again: the inherited descriptor must not be one of our own.
+    // The operator's file is closed again before the inherited listener is looked up, and nothing else is opened before: otherwise the
+    // inherited descriptor number could be one that this process opened itself.
     let operator = settings.map_or_else(|| Ok(OperatorFile::default()), OperatorFile::read)?;
     if membership == FleetMembership::Joins && operator.fleet.is_none() {
         return Err(CliError::FleetFlagWithoutTable);
--- a/crates/gateway/src/cli/status_report.rs
+++ b/crates/gateway/src/cli/status_report.rs
@@ -1,14 +1,14 @@
-//! The text of `fleet status`.
+//! Renders the text output of `fleet status`.
 
 use super::json_fields::{elements, text_or_dash};
 use serde_json::Value;
 use std::fmt::Write;
 
-/// Renders gateways' answers: a table of versions, then what each says of the consensus group and of its peers.
+/// Renders the answers of gateways: a table of versions, then for each gateway its view of the consensus group and of its peers.
 pub(super) fn render_status(answers: &[Value]) -> String {
     let mut text = format!(
         "{:<12} {:<40} {:>10} {:>8} {:<16} build\n",
-        "gateway", "standing", "list", "behind", "configuration"
+        "gateway", "session state", "list", "list lag", "configuration"
     );
     for answer in answers {
         write_version(&mut text, &answer["answer"]);
@@ -41,7 +41,7 @@
     let votes = if group[1] == true { "votes" } else { "has no vote" };
     let _ = writeln!(
         text,
-        "{:<12} council: configuration {}, {votes}, leader {}, register at {}",
+        "{:<12} consensus group: configuration {}, {votes}, leader {}, log index {}",
         text_or_dash(&status["gateway"]),
         group[0],
         text_or_dash(&status["leader"]),
@@ -49,7 +49,7 @@
     );
 }
 
-/// Peers in a state worth a line: neither reachable nor unknown.
+/// Writes one line for each peer whose state is neither reachable nor unknown.
 fn write_peers(text: &mut String, status: &Value) {
     for member in elements(&status["members"]) {
         let peer = text_or_dash(&member[0]);
