--- a/crates/gateway/src/config/config_error.rs
+++ b/crates/gateway/src/config/config_error.rs
@@ -1,14 +1,14 @@
-//! Why a platform's file cannot be used.
+//! The errors of reading and checking the platform's file.
 
 use std::path::PathBuf;
 
 /// Why the platform's file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The variable that names the file is missing.
+    /// The environment variable that names the platform's file is not set.
     #[error("ROUTER_CONFIG is not set")]
     FileNotNamed,
-    /// The file cannot be read.
+    /// The platform's file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
         /// Path of the file.
@@ -16,7 +16,7 @@
         /// The system's error.
         source: std::io::Error,
     },
-    /// The file cannot be parsed.
+    /// The platform's file cannot be parsed.
     #[error("{path}: {source}")]
     Malformed {
         /// Path of the file.
@@ -24,73 +24,73 @@
         /// The parser's error.
         source: serde_json::Error,
     },
-    /// The file can be parsed, but its values or keys are not valid.
+    /// The platform's file can be parsed, but its values or keys are not valid.
     #[error("{path}: {}", faults.join("; "))]
     Invalid {
         /// Path of the file.
         path: PathBuf,
-        /// All that is wrong with it.
+        /// What is wrong with the file, one text per fault.
         faults: Vec<String>,
     },
-    /// A value is not an address.
+    /// A value is not an IP address with a port.
     #[error("{name}: {value:?} is not an address and a port")]
     InvalidAddress {
-        /// The key or variable.
+        /// Name of the key or environment variable.
         name: &'static str,
         /// The value that is not valid.
         value: String,
     },
-    /// A value is not a duration.
-    #[error("{key}: {seconds} is not a time")]
+    /// A value is not a positive duration.
+    #[error("{key}: {seconds} is not a valid time in seconds")]
     InvalidDuration {
         /// Name of the key.
         key: &'static str,
-        /// Its value, in seconds.
+        /// Value of the key, in seconds.
         seconds: f64,
     },
-    /// The file allows fewer descriptors than the gateway needs.
-    #[error("{path}: {descriptors} descriptors, at least {needed} needed")]
+    /// The platform's file allows fewer file descriptors than the gateway needs.
+    #[error("{path}: limits.sockets is {descriptors}, at least {needed} needed")]
     TooFewDescriptors {
         /// Path of the file.
         path: PathBuf,
-        /// What it allows.
+        /// Number of descriptors that the file allows.
         descriptors: usize,
-        /// What the gateway needs.
+        /// Least number of descriptors that the gateway needs.
         needed: usize,
     },
-    /// The file allows less memory than the gateway needs.
-    #[error("{path}: {memory_mb} MB, at least {needed_mb} needed")]
+    /// The platform's file allows less memory than the gateway needs.
+    #[error("{path}: limits.memory_mb is {memory_mb}, at least {needed_mb} needed")]
     TooLittleMemory {
         /// Path of the file.
         path: PathBuf,
-        /// What it allows, in MB.
+        /// Memory that the file allows, in MiB.
         memory_mb: usize,
-        /// What the gateway needs, in MB.
+        /// Least memory that the gateway needs, in MiB.
         needed_mb: usize,
     },
-    /// The system allows this process fewer descriptors than it needs.
+    /// The operating system allows this process fewer file descriptors than the gateway needs.
     #[error(
-        "the system gives this process {system} descriptors (ulimit -n), at least {needed} needed; limits.sockets in the file is \
+        "the system allows this process {system} descriptors (ulimit -n), at least {needed} needed; limits.sockets in the file is \
          {configured}"
     )]
     SystemLimitTooLow {
-        /// What the system allows.
+        /// Number of descriptors that the operating system allows.
         system: usize,
-        /// What the gateway needs.
+        /// Least number of descriptors that the gateway needs.
         needed: usize,
-        /// What the file allows.
+        /// Number of descriptors that the file allows.
         configured: usize,
     },
-    /// The fleet's links leave too few descriptors to clients and endpoints.
+    /// The fleet's links leave too few file descriptors for clients and endpoints.
     #[error(
-        "limits.sockets is {configured}, and the fleet's links take {reserved}: at least {needed} needed"
+        "limits.sockets is {configured}, of which the fleet's links reserve {reserved}: at least {needed} needed"
     )]
     TooFewDescriptorsBesideFleet {
-        /// What the file or the system allows.
+        /// Number of descriptors that the file or the operating system allows.
         configured: usize,
-        /// What the fleet's links need.
+        /// Number of descriptors that the fleet's links need.
         reserved: usize,
-        /// What both need together.
+        /// Least number of descriptors for the fleet's links, clients and endpoints together.
         needed: usize,
     },
 }
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The files that configure the gateway: the platform's and the operator's.
+//! The files that configure the gateway: the platform's file (JSON) and the operator's file (TOML).
 
 pub mod config_error;
 pub mod operator_file;
--- a/crates/gateway/src/config/operator_file.rs
+++ b/crates/gateway/src/config/operator_file.rs
@@ -1,4 +1,4 @@
-//! The operator's file: a table for each optional subsystem. A subsystem without a table is off and costs nothing.
+//! The operator's file, with one table for each optional subsystem. A subsystem without a table is disabled and uses no resources.
 
 use crate::lifecycle::log::LogSettings;
 use std::path::Path;
@@ -10,23 +10,23 @@
 /// Why the operator's file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
-    /// The file cannot be read.
+    /// The operator's file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// Path of the file.
+        /// Path of the operator's file.
         path: String,
         /// The system's error.
         source: std::io::Error,
     },
-    /// The file is not valid; all problems are listed.
+    /// The operator's file is not valid. All problems are listed.
     #[error(transparent)]
     Invalid(#[from] Problems),
 }
 
-/// A valid operator's file.
+/// The content of a valid operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorFile {
-    /// Settings of the retry-storm control, if it is on.
+    /// Settings of the retry-storm control, if it is enabled.
     pub storm: Option<StormSettings>,
     /// The fleet that this gateway belongs to, if it runs with `--fleet`.
     pub fleet: Option<FleetSettings>,
@@ -35,10 +35,10 @@
 }
 
 impl OperatorFile {
-    /// Reads the file.
+    /// Reads and parses the operator's file.
     ///
     /// # Errors
-    /// Where it cannot be read, or anything in it is not valid.
+    /// If the file cannot be read, or anything in the file is not valid.
     pub fn read(path: &Path) -> Result<OperatorFile, OperatorError> {
         let name = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -46,9 +46,9 @@
         Ok(OperatorFile::parse(&name, &text)?)
     }
 
-    /// A digest of what it says of the whole fleet, without a gateway's own name and address.
+    /// A digest of the settings that all gateways of a fleet share, without a gateway's own name and address.
     pub fn digest(&self) -> u64 {
-        // Gateways of other builds compare this digest: the text keeps the names of version 0.2.0.
+        // Gateways of different builds compare this digest, so its input text must keep the names of version 0.2.0.
         let storm = match &self.storm {
             Some(settings) => format!("Some({})", settings.digest_text()),
             None => "None".to_owned(),
@@ -58,10 +58,10 @@
         digest(format!("{storm} {log} {fleet:?}").as_bytes())
     }
 
-    /// Parses the file's text; `file` is its name in errors.
+    /// Parses the text of an operator's file. Errors refer to the file by the name `file`.
     ///
     /// # Errors
-    /// All problems, each with its line and key.
+    /// All problems in the text, each with its line and key.
     pub fn parse(file: &str, text: &str) -> Result<OperatorFile, Problems> {
         let document = Document::parse(file, text)?;
         let root = document.root();
--- a/crates/gateway/src/config/platform_file.rs
+++ b/crates/gateway/src/config/platform_file.rs
@@ -1,4 +1,4 @@
-//! The platform's file, which `ROUTER_CONFIG` names, and the variables that override its addresses at the start.
+//! The platform's file, which `ROUTER_CONFIG` names, and the environment variables that override its addresses when the process starts.
 
 use super::config_error::ConfigError;
 use super::platform_keys::{names, ConnectionLimitKeys, PlatformKeys, SettingsKeys};
@@ -19,48 +19,48 @@
 use weldworks_balancer::{stable_hash, RequestClass, Settings};
 use weldworks_fleet::version::digest;
 
-/// Least memory in MB: room for a few clients.
+/// Minimum memory in MiB, which is enough for a few clients.
 const MIN_MEMORY_MB: usize = 16;
-/// Fewest descriptors: room for clients and endpoints beside the program's own.
+/// Minimum number of file descriptors: those of the program itself, and some for clients and endpoints.
 const MIN_DESCRIPTORS: usize = 48;
 
-/// A valid platform's file.
+/// The content of a valid platform's file.
 pub struct PlatformConfig {
-    /// Address for clients.
+    /// Address on which the gateway listens for clients.
     pub listen: SocketAddr,
     /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Address of the admin API, if there is one.
+    /// Address on which the admin API listens, if the admin API is enabled.
     pub admin: Option<SocketAddr>,
     /// Seed of the balancer's random generator.
     pub seed: u64,
-    /// Memory and descriptors that the process may use.
+    /// Limits on the memory and the file descriptors of the process.
     pub limits: Limits,
-    /// The endpoints as last known.
+    /// The endpoints that the file lists as last known.
     pub known_endpoints: EndpointList,
     /// Settings of the balancer.
     pub settings: Settings,
-    /// Names of the request classes, by their number.
+    /// Names of the request classes, indexed by class number.
     pub classes: Vec<String>,
-    /// Names of tenants, zones and machine kinds, by their number.
+    /// Names of tenants, zones and machine kinds, indexed by their number.
     pub names: StringInterner,
-    /// The file without its known endpoints, to compare the next one with.
+    /// The document without its known endpoints, for comparison with the next one at a reload.
     pub document: Value,
     /// Settings of connections to endpoints.
     pub connections: ConnectionSettings,
 }
 
-/// Where addresses are taken from.
+/// The source from which addresses are read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AddressSource {
-    /// From the environment, else from the file.
+    /// Addresses are read from environment variables, or from the file if the variable is not set.
     EnvironmentFirst,
-    /// From the file. At a reload the variables are as old as the process, so the file's newer values hold.
+    /// Addresses are read from the file alone. At a reload the environment variables are as old as the process, and the file is newer.
     File,
 }
 
 impl AddressSource {
-    /// The address of a key that the file must have.
+    /// Resolves the address of a mandatory key of the file, with `variable` as the environment variable that may override the key.
     fn resolve(
         self,
         key: &'static str,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The address of a key that the file may have.
+    /// Resolves the address of an optional key of the file, with `variable` as the environment variable that may override the key.
     fn resolve_optional(
         self,
         key: &'static str,
@@ -99,32 +99,32 @@
 }
 
 impl PlatformConfig {
-    /// Reads the file at the start of the process; addresses in the environment override it.
+    /// Reads the platform's file at the start of the process. Addresses in environment variables override those in the file.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// If the file cannot be read or is not valid.
     pub fn at_start() -> Result<PlatformConfig, ConfigError> {
         PlatformConfig::read_named_file(None, AddressSource::EnvironmentFirst)
     }
 
-    /// Reads the file again, to replace the `running` document.
+    /// Reads the platform's file again, to replace the `running` document.
     ///
     /// # Errors
-    /// What is wrong with it, or what it lacks that the running one has.
+    /// If the file cannot be read, is not valid, or lacks keys that the running document has.
     pub fn reload(running: &Value) -> Result<PlatformConfig, ConfigError> {
         PlatformConfig::read_named_file(Some(running), AddressSource::File)
     }
 
-    /// Reads a file to check it.
+    /// Reads a platform's file to check whether it is valid.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// If the file cannot be read or is not valid.
     pub fn check(path: &Path) -> Result<PlatformConfig, ConfigError> {
         let text = read_text(path)?;
         PlatformConfig::parse(path, &text, None, AddressSource::File)
     }
 
-    /// Reads the file that the environment names.
+    /// Reads the file that `ROUTER_CONFIG` names.
     fn read_named_file(
         running: Option<&Value>,
         addresses: AddressSource,
@@ -167,12 +167,12 @@
         })
     }
 
-    /// The request classes with their names.
+    /// The request classes of the balancer, each with its name.
     pub fn named_classes(&self) -> impl Iterator<Item = (String, RequestClass)> + '_ {
         self.classes.iter().cloned().zip(self.settings.classes.iter().cloned())
     }
 
-    /// A digest of what the file says of the whole site, without what differs from gateway to gateway.
+    /// A digest of the file's settings, without those that differ between the gateways of a site.
     pub fn site_digest(&self) -> u64 {
         let mut settings = self.document["settings"].clone();
         if let Some(settings) = settings.as_object_mut() {
@@ -182,10 +182,10 @@
         digest(settings.to_string().as_bytes())
     }
 
-    /// Lowers the descriptor limit to the system's: beyond that every connect and accept would fail.
+    /// Lowers the descriptor limit to the operating system's limit, beyond which every connect and accept would fail.
     ///
     /// # Errors
-    /// Where the system allows fewer than are needed.
+    /// If the operating system allows fewer descriptors than the gateway needs.
     pub fn limit_descriptors(&mut self, system: usize) -> Result<(), ConfigError> {
         let configured = self.limits.sockets;
         if system >= configured {
@@ -202,18 +202,18 @@
         Ok(())
     }
 
-    /// Takes descriptors for the fleet's links off the limit.
+    /// Subtracts the descriptors that are reserved for the fleet's links from the descriptor limit.
     ///
     /// # Errors
-    /// Where too few would be left to clients and endpoints.
+    /// If too few descriptors are remaining for clients and endpoints.
     pub fn reserve_descriptors(&mut self, reserved: usize) -> Result<(), ConfigError> {
         let configured = self.limits.sockets;
-        let left = configured.saturating_sub(reserved);
-        if reserved > 0 && left < MIN_DESCRIPTORS {
+        let remaining = configured.saturating_sub(reserved);
+        if reserved > 0 && remaining < MIN_DESCRIPTORS {
             let needed = reserved + MIN_DESCRIPTORS;
             return Err(ConfigError::TooFewDescriptorsBesideFleet { configured, reserved, needed });
         }
-        self.limits.sockets = left;
+        self.limits.sockets = remaining;
         Ok(())
     }
 }
@@ -222,8 +222,8 @@
     fs::read_to_string(path).map_err(|source| ConfigError::Unreadable { path: path.to_owned(), source })
 }
 
-/// Parses the file and checks its values, and what it lacks that the running one has. The known endpoints are left out: they may be
-/// many, and are read once.
+/// Parses the platform's file, checks its values, and checks that it has all keys of the running document. The known endpoints are removed
+/// from the returned document, because there may be many and they are read only once.
 fn parse_document(path: &Path, text: &str, running: Option<&Value>) -> Result<Value, ConfigError> {
     let mut document: Value = serde_json::from_str(text)
         .map_err(|source| ConfigError::Malformed { path: path.to_owned(), source })?;
--- a/crates/gateway/src/config/platform_file/tests.rs
+++ b/crates/gateway/src/config/platform_file/tests.rs
@@ -1,4 +1,4 @@
-//! The platform's file: the shipped example, and damaged copies of it.
+//! Tests of the platform's file: the shipped example, and damaged copies of the example.
 
 use super::*;
 use proptest::prelude::*;
@@ -6,19 +6,20 @@
 #[test]
 fn the_shipped_example_is_valid() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/platform.example.json");
-    let config = PlatformConfig::check(Path::new(file)).expect("the shipped example");
+    let config = PlatformConfig::check(Path::new(file)).expect("the shipped example is valid");
     assert_eq!(config.classes, ["timetable", "room-status", "enrol-pay", "book-room"]);
     assert_eq!(config.known_endpoints.endpoints.len(), 2);
 }
 
 proptest! {
-    /// A file is damaged while it is written or copied. It must come into force completely, with values that can serve, or not at all.
+    /// A platform's file is damaged while it is written or copied. It must be accepted completely, with values that allow requests to be
+    /// served, or rejected completely.
     #[test]
     fn a_damaged_file_is_accepted_completely_or_not_at_all(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>(), 0usize..4), 1..6),
     ) {
         let good = include_str!("../../../../../deploy/platform.example.json");
-        let running = PlatformConfig::parse(Path::new("good"), good, None, AddressSource::File).expect("the example").document;
+        let running = PlatformConfig::parse(Path::new("good"), good, None, AddressSource::File).expect("the example is valid").document;
         let mut bytes = good.as_bytes().to_vec();
         for (at, byte, how) in changes {
             let at = at.index(bytes.len());
--- a/crates/gateway/src/config/platform_keys.rs
+++ b/crates/gateway/src/config/platform_keys.rs
@@ -1,11 +1,11 @@
-//! The keys of the platform's file that the gateway itself reads, under the platform's names. The balancer reads its own part.
+//! The keys of the platform's file that the gateway itself reads, under the platform's names. The balancer parses its settings separately.
 
 use crate::discovery::endpoint_list::EndpointList;
 use crate::limits::Limits;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// The file as it is written.
+/// The top-level keys of the platform's file.
 #[derive(Deserialize)]
 pub(super) struct PlatformKeys {
     pub(super) listen: String,
@@ -21,7 +21,7 @@
     pub(super) settings: Box<RawValue>,
 }
 
-/// The part of its settings that concerns sockets and names, beside what the balancer reads.
+/// The keys of the object `settings` that concern connections and names. The balancer reads the other keys of that object.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct SettingsKeys {
@@ -36,13 +36,13 @@
     pub(super) connection_limits: ConnectionLimitKeys,
 }
 
-/// An entry of a list to which requests refer by its name or index.
+/// An entry of a list of named things, such as request classes or tenants, to which requests refer by name or index.
 #[derive(Deserialize)]
 pub(super) struct NamedKeys {
     name: String,
 }
 
-/// The limits of connections to endpoints, in seconds.
+/// The timeouts of connections to endpoints, in seconds.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(super) struct ConnectionLimitKeys {
@@ -58,7 +58,7 @@
     }
 }
 
-/// The names of a list's entries, in order.
+/// The names of the entries of a list, in the order of the list.
 pub(super) fn names(entries: Vec<NamedKeys>) -> Vec<String> {
     entries.into_iter().map(|entry| entry.name).collect()
 }
--- a/crates/gateway/src/config/reconciliation/tests.rs
+++ b/crates/gateway/src/config/reconciliation/tests.rs
@@ -1,4 +1,4 @@
-//! Which documents may come into force, and what is reported of the others.
+//! Tests of which platform documents are accepted, and which faults are reported of the others.
 
 use super::*;
 use proptest::prelude::*;
@@ -37,11 +37,11 @@
     let class = |key: &'static str, value: Value| {
         move |new: &mut Value| new["settings"]["classes"][1][key] = value.clone()
     };
-    for (value, of) in
+    for (value, kind) in
         [(json!(0), "zero"), (json!(-1.5), "negative"), (json!("1.2"), "text"), (Value::Null, "nothing")]
     {
         let reported = with(&class("deadline_s", value));
-        assert!(reported.contains("classes[1] (pay).deadline_s"), "{of}: {reported}");
+        assert!(reported.contains("classes[1] (pay).deadline_s"), "{kind}: {reported}");
     }
     for attempts in [json!(0), json!(-3), json!(2.5), json!("three"), Value::Null, json!(1e300)] {
         let reported = with(&|new| new["settings"]["policy_limits"]["try_limit"] = attempts.clone());
@@ -54,16 +54,18 @@
     assert!(with(&|new| new["discovery"] = json!(7)).contains("discovery is a number"));
 }
 
-/// Every key of the running file that could be taken away.
-fn keys(place: &str, value: &Value, all: &mut Vec<String>) {
+/// Collects the paths of all keys in a document, each of which could be removed from the document.
+fn collect_key_paths(path: &str, value: &Value, all: &mut Vec<String>) {
     match value {
         Value::Object(map) => map.iter().for_each(|(key, value)| {
-            let place = format!("{place}/{key}");
-            all.push(place.clone());
-            keys(&place, value, all);
+            let path = format!("{path}/{key}");
+            all.push(path.clone());
+            collect_key_paths(&path, value, all);
         }),
         Value::Array(list) => {
-            list.iter().enumerate().for_each(|(n, value)| keys(&format!("{place}/{n}"), value, all));
+            list.iter()
+                .enumerate()
+                .for_each(|(n, value)| collect_key_paths(&format!("{path}/{n}"), value, all));
         }
         _ => {}
     }
@@ -73,29 +75,32 @@
 fn every_missing_key_is_reported() {
     let running = document();
     let mut all = Vec::new();
-    keys("", &running, &mut all);
+    collect_key_paths("", &running, &mut all);
     for key in all.iter().filter(|key| !key.starts_with("/known")) {
         let mut new = document();
-        let (parent, name) = key.rsplit_once('/').expect("a key below another");
-        let parent = new.pointer_mut(parent).expect("the parent");
+        let (parent, name) = key.rsplit_once('/').expect("a path with a parent");
+        let parent = new.pointer_mut(parent).expect("the parent of the key");
         parent.as_object_mut().expect("an object").remove(name);
-        assert!(!find_faults(Some(&running), &new).is_empty(), "{key} may be missing");
+        assert!(
+            !find_faults(Some(&running), &new).is_empty(),
+            "no fault is reported for the missing key {key}"
+        );
     }
 }
 
 proptest! {
-    /// Whatever a file contains, its faults are reported in short texts, and nothing panics.
+    /// A file may contain any text. Its faults must be few and reported in short texts, and checking the file must not panic.
     #[test]
     fn no_document_causes_a_panic(text in "[\\[\\]{}\",:0-9a-z.]{0,60}", at in 0usize..9) {
         let running = document();
         let new = serde_json::from_str::<Value>(&text).unwrap_or(Value::Null);
-        let mut whole = document();
-        let mut places = Vec::new();
-        keys("", &whole, &mut places);
-        if let Some(place) = whole.pointer_mut(&places[at % places.len()]) {
-            *place = new.clone();
+        let mut modified = document();
+        let mut paths = Vec::new();
+        collect_key_paths("", &modified, &mut paths);
+        if let Some(target) = modified.pointer_mut(&paths[at % paths.len()]) {
+            *target = new.clone();
         }
         prop_assert!(find_faults(Some(&running), &new).len() <= MAX_REPORTED_FAULTS);
-        prop_assert!(find_faults(Some(&running), &whole).iter().all(|f| f.len() < 300));
+        prop_assert!(find_faults(Some(&running), &modified).iter().all(|f| f.len() < 300));
     }
 }
