--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,9 @@
-//! The gateway on real sockets. The decisions are those of [`weldworks_balancer`]; here they are carried out.
+//! The gateway on real sockets. [`weldworks_balancer`] makes the decisions about requests, and this crate carries them out.
 //!
-//! A request passes `server` (client side), `engine` (sole owner of the balancer, the request table and the timers) and `upstream`
-//! (endpoint side). `discovery` brings endpoint lists, `lifecycle` is the process from start to exit, `config` the files that it reads,
-//! `fleet` its part among other gateways, `transport` what lies below HTTP, `body` request and response bodies, `cli` the subcommands.
+//! A request passes through `server` (client side), `engine` (sole owner of the balancer, the request table and the timers) and `upstream`
+//! (endpoint side). `discovery` receives endpoint lists, `lifecycle` runs the process from start to exit, `config` reads the configuration
+//! files, `fleet` connects this gateway to the others of its fleet, `transport` contains the layers below HTTP, `body` handles request and
+//! response bodies, and `cli` implements the subcommands.
 
 pub mod body;
 pub mod cli;
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `weldworks-gateway`.
+//! The executable `weldworks-gateway`.
 
 use std::process::ExitCode;
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,6 +1,6 @@
-//! The metrics of this process, counted where things happen and read as text over the admin API.
+//! The metrics of this process, which the admin API exposes as text.
 //!
-//! The names in the text are those that operators' scrapers read. They are mapped to the fields in [`Metrics::text`] alone.
+//! Operators' scrapers depend on the metric names in the text. Only [`Metrics::text`] maps them to fields.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -8,10 +8,10 @@
 use std::rc::Rc;
 use weldworks_control::class_registry::RegisteredClass;
 
-/// Capacity that the text starts with, in bytes.
+/// Initial capacity of the buffer for the metrics text, in bytes.
 const INITIAL_TEXT_BYTES: usize = 2048;
 
-/// An open request, counted for as long as this lives.
+/// A guard that counts a request as open until the guard is dropped.
 #[derive(Debug)]
 pub struct OpenRequest(Rc<Metrics>);
 
@@ -21,8 +21,8 @@
     }
 }
 
-/// Counts a request once, by how it ends. Dropped before [`RequestMetricsGuard::finish`] it counts nothing, since the client has
-/// disconnected; dropped by a panic it counts a failed request.
+/// Counts a request once, by how the request ends. A guard that is dropped without [`RequestMetricsGuard::finish`] counts nothing, since
+/// the client has disconnected; a guard that is dropped by a panic counts a failed request.
 #[derive(Debug)]
 pub struct RequestMetricsGuard {
     metrics: Rc<Metrics>,
@@ -31,12 +31,12 @@
 }
 
 impl RequestMetricsGuard {
-    /// A request of the class, which is not open yet.
+    /// Creates the guard of a request of `class`. The request is not counted as open yet.
     pub fn new(metrics: Rc<Metrics>, class: Rc<RegisteredClass>) -> RequestMetricsGuard {
         RequestMetricsGuard { metrics, class, open: None }
     }
 
-    /// Counts the request as open, once its last byte has arrived.
+    /// Counts the request as open. Called once the last byte of the request has arrived.
     pub fn mark_open(&mut self) {
         if self.open.is_none() {
             self.open = Some(self.metrics.open_request());
@@ -52,7 +52,7 @@
 impl Drop for RequestMetricsGuard {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            // The client is answered with status 500.
+            // A panic is answered with status 500, so the request counts as failed.
             self.metrics.record_ending(&self.class.name, RequestEnding::Failed);
         }
     }
@@ -69,16 +69,16 @@
     Failed,
 }
 
-/// What became of a configuration file at a reload.
+/// The outcome of a reload of the configuration file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadOutcome {
-    /// It was applied.
+    /// The new configuration was applied.
     Applied,
-    /// It was rejected, and the one before stays in force.
+    /// The new configuration was rejected, and the previous one stays in force.
     Rejected,
 }
 
-/// How many requests of one class ended in which way.
+/// Number of requests of one class by how they ended.
 #[derive(Clone, Copy, Debug, Default)]
 struct EndingCounts {
     served: u64,
@@ -92,16 +92,16 @@
     classes: RefCell<BTreeMap<String, EndingCounts>>,
     open_requests: Cell<u64>,
     written_attempts: Cell<u64>,
-    /// Endpoints in the list in force, draining ones included.
+    /// Number of endpoints in the current endpoint list, including draining endpoints.
     pub listed_endpoints: Cell<u64>,
-    /// Listed endpoints that the balancer avoids.
+    /// Number of listed endpoints that the balancer avoids.
     pub avoided_endpoints: Cell<u64>,
     applied_reloads: Cell<u64>,
     rejected_reloads: Cell<u64>,
 }
 
 impl Metrics {
-    /// Lists these classes in the text, from 0.
+    /// Adds these classes to the metrics text, with counts of 0 for classes that are new.
     pub fn register_classes(&self, classes: &[String]) {
         let mut known = self.classes.borrow_mut();
         for class in classes {
@@ -115,7 +115,7 @@
         OpenRequest(self.clone())
     }
 
-    /// Counts the end of a request; one of a class that is not registered is not counted.
+    /// Counts the end of a request. A request of a class that is not registered is not counted.
     pub fn record_ending(&self, class: &str, ending: RequestEnding) {
         let mut classes = self.classes.borrow_mut();
         let Some(counts) = classes.get_mut(class) else { return };
@@ -126,12 +126,12 @@
         }
     }
 
-    /// Counts an attempt of which the complete request has been written to an endpoint.
+    /// Counts an attempt whose request has been written completely to an endpoint.
     pub fn record_written_attempt(&self) {
         self.written_attempts.set(self.written_attempts.get() + 1);
     }
 
-    /// Counts a configuration file that was read again.
+    /// Counts a reload of the configuration file by its outcome.
     pub fn record_reload(&self, outcome: ReloadOutcome) {
         let count = match outcome {
             ReloadOutcome::Applied => &self.applied_reloads,
@@ -140,7 +140,7 @@
         count.set(count.get() + 1);
     }
 
-    /// All metrics in the text format that scrapers read, one on each line.
+    /// All metrics in the text format that scrapers read, one metric per line.
     pub fn text(&self) -> String {
         let mut text = String::with_capacity(INITIAL_TEXT_BYTES);
         self.write_classes(&mut text, "answered", |counts| counts.served);
--- a/crates/gateway/src/metrics/tests.rs
+++ b/crates/gateway/src/metrics/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the metrics' text and of how requests are counted.
+//! Tests of the metrics text and of how requests are counted.
 
 use super::*;
 
 #[test]
-fn every_class_is_listed_from_zero_and_a_removed_one_keeps_its_counts() {
+fn every_registered_class_is_listed_from_zero_and_a_removed_class_keeps_its_counts() {
     let metrics = Rc::new(Metrics::default());
     metrics.register_classes(&["look".into(), "a \"b\"\n\\".into()]);
     metrics.record_ending("look", RequestEnding::Served);
@@ -16,14 +16,14 @@
     assert!(lines.contains(&"router_errored{group=\"pay\"} 0"));
     assert!(lines.contains(&"router_deferred{group=\"a \\\"b\\\"\\n\\\\\"} 0"));
     assert!(lines.contains(&"router_current 1") && !text.contains("nobody"));
-    assert_eq!(lines.len(), 3 * 3 + 6, "a line each");
+    assert_eq!(lines.len(), 3 * 3 + 6, "one line per metric");
     drop(open_request);
     assert!(metrics.text().contains("router_current 0\n"));
 }
 
-/// Scrapers of operators read these names and this order: the text is that of version 0.2.0 to the byte.
+/// Operators' scrapers depend on the names and the order of the metrics, so the text must equal that of version 0.2.0 byte for byte.
 #[test]
-fn the_text_is_that_of_version_0_2_0() {
+fn metrics_text_equals_that_of_version_0_2_0() {
     let metrics = Rc::new(Metrics::default());
     metrics.register_classes(&["look".into(), "pay".into()]);
     for ending in
@@ -41,7 +41,7 @@
     assert_eq!(metrics.text(), include_str!("../../tests/fixtures/figures.txt"));
 }
 
-/// A request whose task panics is answered with status 500. Without its count the metrics would show no failure.
+/// A request whose task panics is answered with status 500. If such a request were not counted, the metrics would show no failure.
 #[test]
 fn a_request_whose_task_panics_counts_as_failed_and_one_whose_client_disconnects_not_at_all() {
     let metrics = Rc::new(Metrics::default());
