--- a/crates/gateway/src/cli/cli_error.rs
+++ b/crates/gateway/src/cli/cli_error.rs
@@ -20,7 +20,7 @@
     /// The flag `--fleet` is given, but the operator's file has no table `[fleet]`.
     #[error("--fleet needs the table [fleet] in the operator's file; name the file with --settings, or leave the flag out")]
     FleetFlagWithoutTable,
-    /// The subcommand needs the operator's file, and `--settings` does not name one.
+    /// The subcommand needs the operator's file, and neither `--settings` nor the environment names one.
     #[error("name the operator's file with --settings FILE")]
     SettingsNotNamed,
     /// The subcommand needs a fleet, and the operator's file has no table `[fleet]`.
--- a/crates/gateway/src/config/platform_file.rs
+++ b/crates/gateway/src/config/platform_file.rs
@@ -205,7 +205,7 @@
     /// Subtracts the descriptors that are reserved for the fleet's links from the descriptor limit.
     ///
     /// # Errors
-    /// If too few descriptors are remaining for clients and endpoints.
+    /// If too few descriptors would remain for clients and endpoints.
     pub fn reserve_descriptors(&mut self, reserved: usize) -> Result<(), ConfigError> {
         let configured = self.limits.sockets;
         let remaining = configured.saturating_sub(reserved);
--- a/crates/gateway/src/fleet/audit_store.rs
+++ b/crates/gateway/src/fleet/audit_store.rs
@@ -76,7 +76,7 @@
         /// Path of the audit file.
         path: String,
     },
-    /// The database reports an error.
+    /// The database library reports an error for the audit file.
     #[error(transparent)]
     Database(#[from] Box<redb::Error>),
     /// The database library panicked while reading.
--- a/crates/gateway/src/fleet/engine_interface.rs
+++ b/crates/gateway/src/fleet/engine_interface.rs
@@ -1,5 +1,5 @@
-//! The fleet's interface to the engine. The engine queries it before it acts, and reports endpoint lists, configurations and decisions
-//! about requests to it.
+//! The fleet's interface to the engine. The engine queries the fleet before it acts on requests, and reports endpoint lists, configurations
+//! and decisions about requests to the fleet.
 
 use super::Fleet;
 use std::net::SocketAddr;
--- a/crates/gateway/src/fleet/link_codec.rs
+++ b/crates/gateway/src/fleet/link_codec.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Why a connection between gateways, or to an administrator, ends.
+/// Why a connection between two gateways, or with an administrator, was ended.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum LinkError {
     /// The other side's hello or frame is invalid or not accepted.
--- a/crates/gateway/src/fleet/store_file.rs
+++ b/crates/gateway/src/fleet/store_file.rs
@@ -17,7 +17,7 @@
     Unusable {
         /// Path of the file.
         path: PathBuf,
-        /// The cause, from the system or the database.
+        /// The cause, as reported by the operating system or the database library.
         source: OpenError,
     },
     /// The file belongs to another gateway.
@@ -27,15 +27,15 @@
     OtherGateway {
         /// Path of the file.
         path: PathBuf,
-        /// The gateway that it belongs to.
+        /// The gateway that the file belongs to.
         gateway: String,
-        /// That gateway's fleet.
+        /// The fleet of the gateway that the file belongs to.
         fleet: String,
     },
 }
 
 impl StoreError {
-    /// The error for the file at `path`.
+    /// Creates the error for the file at `path`.
     pub(super) fn new(path: PathBuf, error: OpenError) -> StoreError {
         match error {
             OpenError::OtherGateway { gateway, fleet } => StoreError::OtherGateway { path, gateway, fleet },
@@ -51,7 +51,7 @@
     #[error(transparent)]
     Database(Box<redb::Error>),
     /// The database library panicked while reading the file.
-    #[error("the database library panicked while reading it")]
+    #[error("the database library panicked while reading the file")]
     Panicked,
     /// The file has no record of the gateway that it belongs to.
     #[error("the owner record is missing")]
@@ -78,9 +78,9 @@
     /// The file belongs to another gateway.
     #[error("the file belongs to gateway {gateway:?} of the fleet {fleet:?}")]
     OtherGateway {
-        /// The gateway that it belongs to.
+        /// The gateway that the file belongs to.
         gateway: String,
-        /// That gateway's fleet.
+        /// The fleet of the gateway that the file belongs to.
         fleet: String,
     },
     /// The operating system reports an error.
