--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,5 +1,5 @@
-//! The built gateway on loopback sockets, against hosts and a discovery that fail on purpose. Each test guards
-//! against one failure; none depends on how fast the machine is.
+//! The built gateway on loopback sockets, with endpoints and a discovery that fail on purpose.
+//! Each test guards against one failure; no test depends on the speed of the machine.
 
 use serde_json::{json, Value};
 use std::io::Read;
@@ -15,148 +15,155 @@
 const PROGRAM: Program =
     Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
-/// Clients that have every place, with requests that wait for a host: the gateway knows none.
-fn hold_all_places(gateway: &Gateway) -> Vec<Client> {
-    hold_places(gateway, CLIENTS_OF_48)
+/// Clients that fill the gateway's client capacity with requests waiting for an endpoint, as no endpoint is listed.
+fn fill_client_capacity(gateway: &Gateway) -> Vec<Client> {
+    hold_clients(gateway, CLIENT_CAPACITY_AT_48_DESCRIPTORS)
 }
 
-fn hold_places(gateway: &Gateway, places: usize) -> Vec<Client> {
-    let mut held: Vec<_> = (0..places).map(|_| gateway.connect()).collect();
+fn hold_clients(gateway: &Gateway, client_count: usize) -> Vec<Client> {
+    let mut held: Vec<_> = (0..client_count).map(|_| gateway.connect()).collect();
     for client in &mut held {
         let text = request("once").replace("\r\n\r\nbody", "\r\nExpect: 100-continue\r\n\r\n");
         client.write(text.as_bytes());
-        assert_eq!(client.read().expect("a word to go on").status(), 100);
+        assert_eq!(client.read().expect("no 100 Continue").status(), 100);
         client.write(b"body");
     }
     held
 }
 
-/// The clients for which there is room under a limit of 48 descriptors.
-const CLIENTS_OF_48: usize = 14;
-/// The clients that are taken in beyond those.
-const OVERFLOW_OF_48: usize = 4;
+/// Number of client connections that the gateway accepts with a limit of 48 descriptors.
+const CLIENT_CAPACITY_AT_48_DESCRIPTORS: usize = 14;
+/// Number of client connections that the gateway accepts beyond its client capacity, to answer 503, with a limit of 48 descriptors.
+const OVERFLOW_CLIENTS_AT_48_DESCRIPTORS: usize = 4;
 
-fn start(name: &str, hosts: &[Value]) -> (Gateway, ScriptedRegister) {
+fn start(name: &str, endpoints: &[Value]) -> (Gateway, ScriptedRegister) {
     let discovery = ScriptedRegister::start();
-    (Gateway::start(&PROGRAM, name, &discovery, 1024, hosts), discovery)
+    (Gateway::start(&PROGRAM, name, &discovery, 1024, endpoints), discovery)
 }
 
-/// Hosts of these cells, of which the first to be sent a request treats it like this and the others serve.
-fn first_does(reply: Reply, cells: &[u32]) -> Vec<ScriptedNode> {
+/// Endpoints in these cells: the first attempt on any of the endpoints gets `reply`, all further attempts are served.
+fn endpoints_with_first_reply(reply: Reply, cells: &[u32]) -> Vec<ScriptedNode> {
     let first = Arc::new(AtomicBool::new(true));
-    let host = |_| {
+    let endpoint = |_| {
         let (first, reply) = (first.clone(), reply.clone());
         ScriptedNode::start(
             move |_| if first.swap(false, Ordering::SeqCst) { reply.clone() } else { Reply::ok("ok") },
         )
     };
-    cells.iter().map(host).collect()
+    cells.iter().map(endpoint).collect()
 }
 
-fn entries(hosts: &[ScriptedNode], cells: &[u32]) -> Vec<Value> {
+fn entries(endpoints: &[ScriptedNode], cells: &[u32]) -> Vec<Value> {
     (0..)
-        .zip(hosts)
+        .zip(endpoints)
         .zip(cells)
         .map(|((n, h), &cell): ((u32, _), _)| h.entry(&format!("s-{n}"), cell))
         .collect()
 }
 
-/// One host under many names: the module lets in as many requests at a time as there are hosts.
-fn crowd(host: &ScriptedNode) -> Vec<Value> {
-    (0..30).map(|n| host.entry(&format!("s-{n}"), 1)).collect()
+/// Lists one endpoint under 30 names, as admission admits about as many requests at a time as there are endpoints.
+fn listed_thirty_times(endpoint: &ScriptedNode) -> Vec<Value> {
+    (0..30).map(|n| endpoint.entry(&format!("s-{n}"), 1)).collect()
 }
 
-fn sent(hosts: &[ScriptedNode]) -> usize {
-    hosts.iter().map(ScriptedNode::count).sum()
+fn total_requests(endpoints: &[ScriptedNode]) -> usize {
+    endpoints.iter().map(ScriptedNode::count).sum()
 }
 
 #[test]
-fn serves_what_the_host_made() {
-    let host =
+fn serves_the_answer_of_the_endpoint() {
+    let endpoint =
         ScriptedNode::start(|r| Reply::Answer(200, "X-Kind: fine\r\n", [b"re: ", &r.body[..]].concat()));
-    let (gateway, _discovery) = start("served", &[host.entry("s-1", 1)]);
+    let (gateway, _discovery) = start("served", &[endpoint.entry("s-1", 1)]);
     let mut client = gateway.connect();
     for round in 1..=3 {
         let answer = client.ask("once");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"re: body"[..]));
         assert_eq!(answer.header("x-kind"), Some("fine"));
-        assert_eq!(host.count(), round);
+        assert_eq!(endpoint.count(), round);
     }
     gateway.ask("pay");
-    let seen = host.seen.lock().expect("lock").pop().expect("a request");
+    let seen = endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received");
     assert_eq!(seen.first, "POST /pay HTTP/1.1");
     assert_eq!(seen.header("x-request-id").map(str::len), Some(16));
     assert!(seen.header("idempotency-key").is_some_and(|k| k.starts_with("key-")));
-    let wait = seen.header("x-timeout").and_then(|t| t.strip_suffix('u')).and_then(|t| t.parse().ok());
-    assert!(wait.is_some_and(|us: u64| us > 0 && us < 40_000_000), "{wait:?}: what is left of the wait");
+    let timeout_us = seen.header("x-timeout").and_then(|t| t.strip_suffix('u')).and_then(|t| t.parse().ok());
+    assert!(
+        timeout_us.is_some_and(|us: u64| us > 0 && us < 40_000_000),
+        "{timeout_us:?}: not within the time left"
+    );
 }
 
 #[test]
-fn refuses_what_never_ran_and_says_when_to_come_back() {
-    let host = ScriptedNode::start(|_| Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()));
-    let (gateway, _discovery) = start("refused", &[host.entry("s-1", 1)]);
+fn rejects_unprocessed_request_with_retry_after() {
+    let endpoint = ScriptedNode::start(|_| Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()));
+    let (gateway, _discovery) = start("refused", &[endpoint.entry("s-1", 1)]);
     let answer = gateway.ask("brief-once");
     assert_eq!(answer.status(), 503);
-    let after: f64 = answer.header("retry-after").and_then(|s| s.parse().ok()).expect("a time");
+    let after: f64 = answer.header("retry-after").and_then(|s| s.parse().ok()).expect("no valid Retry-After");
     assert!(after > 0.0 && after <= 1.2, "{after} is not within the settings' limit");
-    assert_eq!(host.count(), 1);
+    assert_eq!(endpoint.count(), 1);
 }
 
 #[test]
-fn fails_what_may_have_run() {
-    // A 503 that does not say that the request never ran proves nothing.
+fn fails_possibly_processed_request() {
+    // A 503 without `X-Not-Processed` does not prove that the request was not processed.
     for (name, status) in [("failed-500", 500), ("failed-503", 503), ("failed-404", 404)] {
-        let hosts = first_does(Reply::Answer(status, "", Vec::new()), &[1, 1]);
-        let (gateway, _discovery) = start(name, &entries(&hosts, &[1, 1]));
+        let endpoints = endpoints_with_first_reply(Reply::Answer(status, "", Vec::new()), &[1, 1]);
+        let (gateway, _discovery) = start(name, &entries(&endpoints, &[1, 1]));
         assert_eq!(gateway.ask("once").status(), 502);
-        assert_eq!(sent(&hosts), 1);
+        assert_eq!(total_requests(&endpoints), 1);
     }
 }
 
 #[test]
-fn tries_elsewhere_after_a_refused_connection() {
-    let (_held, nobody) = refusing();
-    let (gateway, discovery) = start("no-connection", &[entry("s-1", &nobody, 1, "active")]);
+fn retries_on_another_endpoint_after_a_refused_connection() {
+    let (_held, refusing_address) = refusing();
+    let (gateway, discovery) = start("no-connection", &[entry("s-1", &refusing_address, 1, "active")]);
     let mut client = gateway.connect();
     client.send("once");
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
-    discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [host.entry("s-2", 1)]}));
-    assert_eq!(client.read().expect("an answer").status(), 200);
-    assert_eq!(host.count(), 1);
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [endpoint.entry("s-2", 1)]}));
+    assert_eq!(client.read().expect("no answer").status(), 200);
+    assert_eq!(endpoint.count(), 1);
 }
 
 #[test]
-fn sends_again_what_is_safe() {
+fn retries_safe_request() {
     for (name, reply) in [("safe-break", Reply::Break), ("safe-half", Reply::Half)] {
-        let hosts = first_does(reply, &[1, 2]);
-        let (gateway, _discovery) = start(name, &entries(&hosts, &[1, 2]));
+        let endpoints = endpoints_with_first_reply(reply, &[1, 2]);
+        let (gateway, _discovery) = start(name, &entries(&endpoints, &[1, 2]));
         let answer = gateway.ask("look");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"ok"[..]));
-        assert_eq!(sent(&hosts), 2);
+        assert_eq!(total_requests(&endpoints), 2);
     }
 }
 
 #[test]
-fn sends_again_also_where_many_connections_break() {
+fn retries_safe_request_when_many_connections_break() {
     let breaks = Arc::new(AtomicBool::new(false));
-    let host = |_| {
+    let endpoint = |_| {
         let breaks = breaks.clone();
         ScriptedNode::start(move |_| match breaks.fetch_xor(true, Ordering::SeqCst) {
             false => Reply::Break,
             true => Reply::ok("ok"),
         })
     };
-    let hosts: Vec<_> = (0..3).map(host).collect();
-    let (gateway, _discovery) = start("many-breaks", &entries(&hosts, &[1, 1, 1]));
+    let endpoints: Vec<_> = (0..3).map(endpoint).collect();
+    let (gateway, _discovery) = start("many-breaks", &entries(&endpoints, &[1, 1, 1]));
     for round in 0..5 {
-        assert_eq!(gateway.ask("look").status(), 200, "request {round}, whose first attempt broke");
+        assert_eq!(
+            gateway.ask("look").status(),
+            200,
+            "request {round}: the retry after the broken attempt failed"
+        );
     }
-    assert_eq!(sent(&hosts), 10);
+    assert_eq!(total_requests(&endpoints), 10);
 }
 
 #[test]
-fn gives_a_spoilt_answer_up_long_before_its_time_out() {
-    let spoilt = [
+fn ends_attempt_on_malformed_answer_long_before_its_timeout() {
+    let malformed_answers = [
         "\u{1}\u{2}noise\r\n\r\n",
         "HTTP/1.1 200 OK\r\nX-Endless: ",
         "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort",
@@ -164,154 +171,157 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nlong",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort",
     ];
-    for (n, text) in spoilt.into_iter().enumerate() {
-        // What has run may run again only where its class allows.
-        for (class, status, tries) in [("look", 200, 2), ("once", 502, 1)] {
-            let hosts = first_does(Reply::Raw(vec![text.to_owned()]), &[1, 1]);
-            let (gateway, _discovery) = start(&format!("spoilt-{n}-{class}"), &entries(&hosts, &[1, 1]));
-            let asked = Instant::now();
+    for (n, text) in malformed_answers.into_iter().enumerate() {
+        // A possibly processed request may be sent again only where its class allows it.
+        for (class, status, attempts) in [("look", 200, 2), ("once", 502, 1)] {
+            let endpoints = endpoints_with_first_reply(Reply::Raw(vec![text.to_owned()]), &[1, 1]);
+            let (gateway, _discovery) = start(&format!("spoilt-{n}-{class}"), &entries(&endpoints, &[1, 1]));
+            let sent_at = Instant::now();
             assert_eq!(gateway.ask(class).status(), status, "{class}: {text}");
-            assert_eq!(sent(&hosts), tries, "{class}: {text}");
-            assert!(asked.elapsed() < Duration::from_secs(15), "{class} waited for more of {text}");
+            assert_eq!(total_requests(&endpoints), attempts, "{class}: {text}");
+            assert!(sent_at.elapsed() < Duration::from_secs(15), "{class}: waited for the rest of {text}");
         }
     }
 }
 
 #[test]
-fn waits_for_the_answer_behind_a_1xx() {
+fn waits_for_the_final_answer_after_a_1xx() {
     let early = "HTTP/1.1 103 Early Hints\r\nX-Early: 1\r\n\r\n".to_owned();
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate".to_owned();
-    let host = ScriptedNode::start(move |_| Reply::Raw(vec![early.clone(), answer.clone()]));
-    let (gateway, _discovery) = start("early", &[host.entry("s-1", 1)]);
+    let endpoint = ScriptedNode::start(move |_| Reply::Raw(vec![early.clone(), answer.clone()]));
+    let (gateway, _discovery) = start("early", &[endpoint.entry("s-1", 1)]);
     let answer = gateway.ask("once");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"late"[..]));
 }
 
 #[test]
-fn reads_nothing_beyond_an_answer_as_the_next_one() {
+fn bytes_after_an_answer_are_not_taken_as_the_next_answer() {
     let good = |r: &Http, ahead: &str, extra: &str| {
-        let id = r.header("x-request-id").expect("an id");
+        let id = r.header("x-request-id").expect("no X-Request-ID");
         format!("{ahead}HTTP/1.1 200 OK\r\n{extra}Content-Length: {}\r\n\r\n{id}", id.len())
     };
-    // Right behind, just after the connection has gone idle, and noise in place of a copy.
-    let behind: [fn(String) -> Vec<String>; 3] = [
+    // Extra bytes after the answer: a copy right behind it, a copy just after the connection became idle, and noise.
+    let answers_with_extra_bytes: [fn(String) -> Vec<String>; 3] = [
         |answer| vec![format!("{answer}{answer}")],
         |answer| vec![answer.clone(), answer],
         |answer| vec![format!("{answer}\r\nnoise")],
     ];
-    for (n, more) in behind.into_iter().enumerate() {
+    for (n, more) in answers_with_extra_bytes.into_iter().enumerate() {
         let report = "X-Server-Load: =,;inflight=many, qps\r\n";
-        let host = ScriptedNode::start(move |r| {
+        let endpoint = ScriptedNode::start(move |r| {
             Reply::Raw(more(good(r, "HTTP/1.1 102 Processing\r\nX-Early: 1\r\n\r\n", report)))
         });
-        let (gateway, _discovery) = start(&format!("behind-{n}"), &[host.entry("s-1", 1)]);
+        let (gateway, _discovery) = start(&format!("behind-{n}"), &[endpoint.entry("s-1", 1)]);
         let mut client = gateway.connect();
         for round in 0..6 {
             let text = request("look");
             client.write(text.as_bytes());
-            let answer = client.read().expect("an answer");
+            let answer = client.read().expect("no answer");
             assert_eq!(answer.status(), 200, "{n}, {round}");
             assert!(text.contains(&String::from_utf8_lossy(&answer.body).into_owned()), "{n}, {round}");
-            wait_for("all that the host sends", || host.raw.load(Ordering::SeqCst) == round + 1);
+            wait_for("the endpoint to write all", || endpoint.raw.load(Ordering::SeqCst) == round + 1);
         }
     }
 }
 
 #[test]
-fn sends_a_keyed_request_again_inside_its_group_only() {
+fn retries_keyed_request_only_within_its_key_scope() {
     let cells = [1, 1, 2, 2];
-    let hosts = first_does(Reply::Break, &cells);
-    let (gateway, _discovery) = start("keyed", &entries(&hosts, &cells));
+    let endpoints = endpoints_with_first_reply(Reply::Break, &cells);
+    let (gateway, _discovery) = start("keyed", &entries(&endpoints, &cells));
     assert_eq!(gateway.ask("book").status(), 200);
-    let cells: Vec<u32> = hosts.iter().zip(cells).filter(|(h, _)| h.count() > 0).map(|(_, c)| c).collect();
+    let cells: Vec<u32> =
+        endpoints.iter().zip(cells).filter(|(h, _)| h.count() > 0).map(|(_, c)| c).collect();
     assert!(cells == [1, 1] || cells == [2, 2], "sent to cells {cells:?}");
 
-    // Where the group holds no other host it fails: a refusal would promise that it never ran.
-    let hosts = first_does(Reply::Break, &[1, 2]);
-    let (gateway, _discovery) = start("keyed-alone", &entries(&hosts, &[1, 2]));
+    // A keyed request without another endpoint in its key scope fails: a rejection would claim that the request was not processed.
+    let endpoints = endpoints_with_first_reply(Reply::Break, &[1, 2]);
+    let (gateway, _discovery) = start("keyed-alone", &entries(&endpoints, &[1, 2]));
     let mut client = gateway.connect();
     client.write(request("book").replace("40000m", "900m").as_bytes());
-    let status = client.read().expect("an answer").status();
+    let status = client.read().expect("no answer").status();
     assert!(![200, 429, 503].contains(&status), "{status}");
-    assert_eq!(sent(&hosts), 1);
+    assert_eq!(total_requests(&endpoints), 1);
 }
 
 #[test]
-fn never_sends_an_unsafe_request_again() {
+fn never_retries_an_unsafe_request() {
     for (name, reply) in [("unsafe-break", Reply::Break), ("unsafe-half", Reply::Half)] {
-        let hosts = first_does(reply, &[1, 1]);
-        let (gateway, _discovery) = start(name, &entries(&hosts, &[1, 1]));
+        let endpoints = endpoints_with_first_reply(reply, &[1, 1]);
+        let (gateway, _discovery) = start(name, &entries(&endpoints, &[1, 1]));
         assert_eq!(gateway.ask("once").status(), 502);
-        assert_eq!(sent(&hosts), 1);
+        assert_eq!(total_requests(&endpoints), 1);
     }
 }
 
 #[test]
-fn gives_up_in_time_and_leaves_the_host() {
-    let host = ScriptedNode::start(|_| Reply::Hang);
-    let (gateway, _discovery) = start("time-out", &[host.entry("s-1", 1)]);
+fn answers_at_the_deadline_and_disconnects_from_the_endpoint() {
+    let endpoint = ScriptedNode::start(|_| Reply::Hang);
+    let (gateway, _discovery) = start("time-out", &[endpoint.entry("s-1", 1)]);
     assert_eq!(gateway.ask("brief").status(), 503);
     assert_eq!(gateway.ask("brief-once").status(), 504);
-    // The gateway's own backstop: this aim is far away, but the client waits no longer.
+    // The gateway's own deadline timer: the latency objective of this class is far off, but the client's timeout is 1.5 s.
     let mut client = gateway.connect();
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     client.write(request("once").replace("40000m", "1500000u").as_bytes());
-    assert_eq!(client.read().expect("an answer").status(), 504);
-    assert!(asked.elapsed() < Duration::from_secs(20));
-    wait_for("the host to be left", || host.left.load(Ordering::SeqCst) == 3);
+    assert_eq!(client.read().expect("no answer").status(), 504);
+    assert!(sent_at.elapsed() < Duration::from_secs(20));
+    wait_for("the connection to the endpoint to be closed", || endpoint.left.load(Ordering::SeqCst) == 3);
 }
 
 #[test]
-fn counts_the_time_before_it_reads_a_request() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
-    let (gateway, _discovery) = start("stalled", &[host.entry("s-1", 1)]);
+fn deadline_includes_the_time_before_the_request_is_read() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let (gateway, _discovery) = start("stalled", &[endpoint.entry("s-1", 1)]);
     let mut client = gateway.connect();
     assert_eq!(client.ask("look").status(), 200);
     gateway.signal("STOP");
     client.write(request("look").replace("40000m", "1000m").as_bytes());
     sleep(Duration::from_millis(2000));
     gateway.signal("CONT");
-    assert_eq!(client.read().expect("an answer").status(), 504);
-    assert_eq!(host.count(), 1, "sent when the client's time was up");
+    assert_eq!(client.read().expect("no answer").status(), 504);
+    assert_eq!(endpoint.count(), 1, "sent after the client's deadline");
 }
 
 #[test]
-fn counts_the_time_that_a_request_waits_behind_another() {
-    let host = ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
-    let (gateway, _discovery) = start("pipelined", &crowd(&host));
+fn deadline_includes_the_time_behind_a_pipelined_request() {
+    let endpoint =
+        ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+    let (gateway, _discovery) = start("pipelined", &listed_thirty_times(&endpoint));
     let mut client = gateway.connect();
     client.write((request("once") + &request("look").replace("40000m", "400m")).as_bytes());
-    wait_for("the attempt", || host.count() == 1);
+    wait_for("the attempt", || endpoint.count() == 1);
     sleep(Duration::from_millis(1500));
-    host.release();
-    assert_eq!(client.read().expect("an answer").status(), 200);
-    assert_eq!(client.read().expect("an answer").status(), 504, "its client's time was up");
-    assert_eq!(host.count(), 1);
+    endpoint.release();
+    assert_eq!(client.read().expect("no answer").status(), 200);
+    assert_eq!(client.read().expect("no answer").status(), 504, "the client's deadline has passed");
+    assert_eq!(endpoint.count(), 1);
 }
 
 #[test]
-fn leaves_the_host_when_the_client_has_gone() {
-    let host = ScriptedNode::start(|_| Reply::Hang);
-    let (gateway, _discovery) = start("client-gone", &[host.entry("s-1", 1)]);
+fn cancels_the_attempt_when_the_client_disconnects() {
+    let endpoint = ScriptedNode::start(|_| Reply::Hang);
+    let (gateway, _discovery) = start("client-gone", &[endpoint.entry("s-1", 1)]);
     let mut client = gateway.connect();
     client.send("once");
-    wait_for("the attempt", || host.count() == 1);
-    assert_eq!(host.left.load(Ordering::SeqCst), 0);
+    wait_for("the attempt", || endpoint.count() == 1);
+    assert_eq!(endpoint.left.load(Ordering::SeqCst), 0);
     drop(client);
-    let gone = Instant::now();
-    wait_for("the host to be left", || host.left.load(Ordering::SeqCst) == 1);
-    assert!(gone.elapsed() < Duration::from_secs(25), "only its time-out ended the attempt");
+    let disconnected_at = Instant::now();
+    wait_for("the connection to the endpoint to be closed", || endpoint.left.load(Ordering::SeqCst) == 1);
+    assert!(disconnected_at.elapsed() < Duration::from_secs(25), "only the timeout ended the attempt");
 }
 
 #[test]
-fn sends_nothing_to_a_host_that_drains_or_is_gone() {
+fn sends_nothing_to_a_draining_or_removed_endpoint() {
     let [draining, missing, added] = [(); 3].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
     let known = [draining.entry("s-1", 1), missing.entry("s-2", 1)];
     let (gateway, discovery) = start("drain", &known);
     assert_eq!(gateway.ask("look").status(), 200);
-    let leaving = entry("s-1", &draining.address.to_string(), 1, "leaving");
-    discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [leaving, added.entry("s-3", 1)]}));
-    wait_for("the list to be known", || gateway.ask("look").status() == 200 && added.count() > 0);
+    let draining_entry = entry("s-1", &draining.address.to_string(), 1, "leaving");
+    discovery
+        .push(json!({"index": 42, "snapshot": true, "endpoints": [draining_entry, added.entry("s-3", 1)]}));
+    wait_for("the new list to be in use", || gateway.ask("look").status() == 200 && added.count() > 0);
     let before = draining.count() + missing.count();
     for _ in 0..20 {
         assert_eq!(gateway.ask("look").status(), 200);
@@ -319,22 +329,23 @@
     assert_eq!(draining.count() + missing.count(), before);
 }
 
-/// Settings under which discovery pushes its lists: the module asks for nothing then.
-fn pushed(discovery: &ScriptedRegister, known: &[Value]) -> Value {
+/// Configuration in which discovery pushes its lists, so that the balancer does not poll.
+fn push_config(discovery: &ScriptedRegister, known: &[Value]) -> Value {
     let mut text = config(&discovery.address.to_string(), 1024, known);
     text["settings"]["discovery"] = json!("push");
     text
 }
 
 #[test]
-fn hears_of_a_drain_where_lists_are_pushed() {
+fn observes_a_drain_when_lists_are_pushed() {
     let [draining, other] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
     let discovery = ScriptedRegister::start();
-    let text = pushed(&discovery, &[draining.entry("s-1", 1)]);
+    let text = push_config(&discovery, &[draining.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "pushed-drain", &discovery, &text);
-    let leaving = entry("s-1", &draining.address.to_string(), 1, "leaving");
-    discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [leaving, other.entry("s-2", 1)]}));
-    wait_for("the list to be known", || gateway.ask("look").status() == 200 && other.count() > 0);
+    let draining_entry = entry("s-1", &draining.address.to_string(), 1, "leaving");
+    discovery
+        .push(json!({"index": 42, "snapshot": false, "endpoints": [draining_entry, other.entry("s-2", 1)]}));
+    wait_for("the new list to be in use", || gateway.ask("look").status() == 200 && other.count() > 0);
     let before = draining.count();
     for _ in 0..20 {
         assert_eq!(gateway.ask("look").status(), 200);
@@ -343,52 +354,52 @@
 }
 
 #[test]
-fn watches_again_and_again_where_lists_are_pushed() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+fn keeps_renewing_the_watch_when_lists_are_pushed() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
-    let text = pushed(&discovery, &[host.entry("s-1", 1)]);
+    let text = push_config(&discovery, &[endpoint.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "pushed-again", &discovery, &text);
-    // More often than the wait between two watches doubles: it must not go on growing, nor ever end.
+    // 20 rounds exceed the number of doublings of the backoff between two watches: the backoff must be bounded, and the watches must not end.
     for round in 0..20 {
         wait_for("a watch", || discovery.calls() > round);
         discovery.hang_up();
     }
     wait_for("a watch", || discovery.calls() > 20);
     discovery.push(json!({"index": 57, "snapshot": true, "endpoints": []}));
-    wait_for("the list to be known", || gateway.ask("look").status() != 200);
+    wait_for("the new list to be in use", || gateway.ask("look").status() != 200);
 }
 
 #[test]
-fn follows_a_host_to_its_new_address() {
+fn uses_the_new_address_of_an_endpoint() {
     let [old, new] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
     let (gateway, discovery) = start("address", &[old.entry("s-1", 1)]);
     assert_eq!(gateway.ask("look").status(), 200);
     discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [new.entry("s-1", 1)]}));
-    wait_for("the address to be known", || gateway.ask("look").status() == 200 && new.count() > 0);
+    wait_for("the new address to be in use", || gateway.ask("look").status() == 200 && new.count() > 0);
     let before = old.count();
     assert_eq!(gateway.ask("look").status(), 200);
     assert_eq!(old.count(), before);
 }
 
 #[test]
-fn gives_a_new_host_at_an_old_address_connections_of_its_own() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
-    let (gateway, discovery) = start("churn", &[host.entry("s-0", 1)]);
+fn new_endpoint_at_an_old_address_gets_new_connections() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let (gateway, discovery) = start("churn", &[endpoint.entry("s-0", 1)]);
     assert_eq!(gateway.ask("look").status(), 200);
     for n in 1..8 {
-        let before = host.connections();
-        let list = [host.entry(&format!("s-{n}"), 1)];
+        let before = endpoint.connections();
+        let list = [endpoint.entry(&format!("s-{n}"), 1)];
         discovery.push(json!({"index": 41 + n, "snapshot": true, "endpoints": list}));
-        // What the one that is gone had open would be used on and on.
-        wait_for("a new connection", || gateway.ask("look").status() == 200 && host.connections() > before);
+        // The old endpoint's open connections would otherwise be reused without end.
+        wait_for("a reconnect", || gateway.ask("look").status() == 200 && endpoint.connections() > before);
     }
 }
 
-/// What discovery spoils costs itself only: the list held stays, and a drain that comes after it is heeded.
+/// Invalid data from discovery leaves the list in force unchanged, and a drain that arrives after the invalid data takes effect.
 #[test]
-fn goes_on_with_its_list_while_discovery_breaks_off_and_sends_what_is_no_list() {
+fn retains_its_list_when_discovery_sends_truncated_or_invalid_lists() {
     let drained = ScriptedNode::start(|_| Reply::ok("ok"));
-    // The slower one gets what it gets because the other may not be sent to.
+    // This endpoint is slower, so it receives requests only because the other endpoint is draining.
     let other = ScriptedNode::start(|_| {
         sleep(Duration::from_millis(30));
         Reply::ok("ok")
@@ -396,15 +407,15 @@
     let list = [drained.entry("s-1", 1), other.entry("s-2", 1)];
     let (gateway, discovery) = start("garbled-discovery", &list);
     discovery.push(json!("no list at all"));
-    wait_for("a call after what is no list", || discovery.calls() > 1);
+    wait_for("a poll after the invalid list", || discovery.calls() > 1);
     discovery.break_off("{\"index\": 60, \"snapshot\": true, \"endpoints\": [");
-    wait_for("a call after a list that was broken off", || discovery.calls() > 2);
-    assert_eq!(gateway.ask("look").status(), 200, "the list held stays in force");
+    wait_for("a poll after the truncated list", || discovery.calls() > 2);
+    assert_eq!(gateway.ask("look").status(), 200, "the list in force is retained");
     let bad = json!({"name": "s-9", "address": "nowhere"});
     let drain =
         json!({"name": "s-1", "group": 1, "address": drained.address.to_string(), "status": "leaving"});
     discovery.push(json!({"index": 61, "snapshot": false, "endpoints": [bad, drain.clone(), drain]}));
-    // A gateway is told once discovery has written it; the next list comes after it on the same watch.
+    // The gateway is notified once discovery has written the drain; the next list follows the drain on the same watch.
     wait_for("the drain", || {
         let before = drained.count();
         let statuses: Vec<u16> = (0..6).map(|_| gateway.ask("look").status()).collect();
@@ -420,30 +431,30 @@
         assert_eq!(gateway.ask("look").status(), 200);
         sleep(Duration::from_millis(10));
     }
-    assert_eq!(drained.count(), before, "an older word undoes no drain");
+    assert_eq!(drained.count(), before, "an older list index undoes no drain");
 }
 
 #[test]
-fn asks_again_when_the_watch_falls_silent() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
-    let (_gateway, discovery) = start("dead-watch", &[host.entry("s-1", 1)]);
+fn renews_the_watch_when_it_falls_silent() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let (_gateway, discovery) = start("dead-watch", &[endpoint.entry("s-1", 1)]);
     discovery.push(json!({"index": 57, "snapshot": false, "endpoints": []}));
     sleep(Duration::from_millis(500));
     discovery.silent.store(true, Ordering::SeqCst);
-    wait_for("another call", || discovery.calls() > 1);
-    let calls = discovery.calls.lock().expect("lock").clone();
+    wait_for("another poll", || discovery.calls() > 1);
+    let calls = discovery.calls.lock().expect("lock poisoned").clone();
     assert_eq!(calls[0], "GET /registry/instances?follow=1&since=41 HTTP/1.1");
     assert_eq!(calls[1], "GET /registry/instances?follow=1&since=57 HTTP/1.1");
 }
 
 #[test]
-fn turns_to_the_discovery_of_the_new_file_on_sighup() {
+fn uses_the_discovery_of_the_new_file_after_sighup() {
     let [old, new] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
     let (mut gateway, discovery) = start("reload", &[old.entry("s-1", 1)]);
     let mut client = gateway.connect();
     assert_eq!(client.ask("look").status(), 200);
     wait_for("the first watch", || discovery.calls() > 0);
-    // A file that can't be used changes nothing, and ends nothing.
+    // An invalid configuration file changes nothing and ends no connection.
     for bad in ["{".to_owned(), config("nowhere", 1024, &[]).to_string()] {
         write_config(&PROGRAM, "reload", &bad);
         gateway.signal("HUP");
@@ -453,13 +464,13 @@
     write_config(&PROGRAM, "reload", &config(&next.address.to_string(), 1024, &[]).to_string());
     gateway.signal("HUP");
     gateway.signal("HUP");
-    wait_for("a watch on the new one", || next.calls() > 0);
+    wait_for("a watch on the new discovery", || next.calls() > 0);
     wait_for("the end of the old watch", || discovery.ended.load(Ordering::SeqCst) > 0);
-    // The versions of the one mean nothing to the other.
-    let call = next.calls.lock().expect("lock")[0].clone();
+    // List indices of the old discovery mean nothing to the new one, so the new watch begins at index 0.
+    let call = next.calls.lock().expect("lock poisoned")[0].clone();
     assert_eq!(call, "GET /registry/instances?follow=1&since=0 HTTP/1.1");
     next.push(json!({"index": 3, "snapshot": true, "endpoints": [new.entry("s-2", 1)]}));
-    wait_for("the list to be known", || client.ask("look").status() == 200 && new.count() > 0);
+    wait_for("the new list to be in use", || client.ask("look").status() == 200 && new.count() > 0);
     let before = old.count();
     assert_eq!(client.ask("look").status(), 200);
     assert_eq!(old.count(), before);
@@ -469,14 +480,14 @@
 }
 
 #[test]
-fn serves_more_clients_than_it_has_sockets() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+fn serves_more_clients_than_it_has_descriptors() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
-    let gateway = Gateway::start(&PROGRAM, "sockets", &discovery, 48, &[host.entry("s-1", 1)]);
+    let gateway = Gateway::start(&PROGRAM, "sockets", &discovery, 48, &[endpoint.entry("s-1", 1)]);
     let mut clients = Vec::new();
     for _ in 0..60 {
-        // One that is idle makes room, but not at once.
-        wait_for("a place", || {
+        // An idle client is closed to make room for a new client, but not at once.
+        wait_for("capacity for the client", || {
             let mut client = gateway.connect();
             let status = client.ask("look").status();
             clients.push(client);
@@ -486,12 +497,12 @@
 }
 
 #[test]
-fn closes_no_idle_client_while_there_is_room() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+fn closes_no_idle_client_below_capacity() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
-    let gateway = Gateway::start(&PROGRAM, "room", &discovery, 48, &[host.entry("s-1", 1)]);
-    let mut clients: Vec<_> = (0..CLIENTS_OF_48).map(|_| gateway.connect()).collect();
-    // Who is told so with an answer may have to go; nobody is cut off between two requests.
+    let gateway = Gateway::start(&PROGRAM, "room", &discovery, 48, &[endpoint.entry("s-1", 1)]);
+    let mut clients: Vec<_> = (0..CLIENT_CAPACITY_AT_48_DESCRIPTORS).map(|_| gateway.connect()).collect();
+    // A client may be closed after an answer with `Connection: close`; no client is closed between two requests without it.
     for _ in 0..2 {
         clients.retain_mut(|c| {
             let answer = c.ask("look");
@@ -499,130 +510,140 @@
             answer.header("connection").is_none()
         });
     }
-    assert!(clients.len() > CLIENTS_OF_48 / 2, "{} were kept", clients.len());
+    assert!(
+        clients.len() > CLIENT_CAPACITY_AT_48_DESCRIPTORS / 2,
+        "{} connections were retained",
+        clients.len()
+    );
 }
 
 #[test]
-fn refuses_at_once_whom_it_has_no_room_for() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+fn rejects_clients_beyond_capacity_at_once() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "no-room", &discovery, 48, &[]);
-    let mut held = hold_all_places(&gateway);
+    let mut held = fill_client_capacity(&gateway);
     let mut refused = Vec::new();
     for _ in 0..10 {
         let mut client = gateway.connect();
         let answer = client.ask("once");
         assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
-        let after: f64 = answer.header("retry-after").and_then(|s| s.parse().ok()).expect("a time");
+        let after: f64 =
+            answer.header("retry-after").and_then(|s| s.parse().ok()).expect("no valid Retry-After");
         assert!(after > 0.0 && after <= 1.2, "{after} is not within the settings' limit");
-        refused.push(client); // does not close, and must not keep the next one out
+        refused.push(client); // the rejected client keeps its connection open, and must not block the next client
     }
-    assert_eq!(host.count(), 0);
-    discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [host.entry("s-1", 1)]}));
-    // There are fewer sockets to hosts than places for clients, so some may be turned away.
-    let answers: Vec<_> = held.iter_mut().map(|c| c.read().expect("an answer").status()).collect();
+    assert_eq!(endpoint.count(), 0);
+    discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [endpoint.entry("s-1", 1)]}));
+    // The gateway has fewer descriptors for endpoints than for clients, so some requests may be rejected.
+    let answers: Vec<_> = held.iter_mut().map(|c| c.read().expect("no answer").status()).collect();
     assert!(answers.contains(&200) && answers.iter().all(|a| [200, 503].contains(a)), "{answers:?}");
-    wait_for("an idle connection to make room", || gateway.ask("once").status() == 200);
+    wait_for("an idle connection to be closed for a new client", || gateway.ask("once").status() == 200);
 }
 
 #[test]
-fn has_places_for_more_than_a_third_of_its_descriptors_in_32_mb() {
+fn accepts_clients_on_more_than_a_third_of_its_descriptors_in_32_mb() {
     let discovery = ScriptedRegister::start();
     let mut config = config("127.0.0.1:1", 256, &[]);
     config["limits"]["memory_mb"] = json!(32);
     let gateway = Gateway::start_with(&PROGRAM, "places", &discovery, &config);
-    let _held = hold_places(&gateway, 100);
+    let _held = hold_clients(&gateway, 100);
 }
 
 #[test]
-fn keeps_the_connections_that_are_used_and_few_that_only_rest() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+fn retains_active_connections_and_limits_idle_ones() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
     let (discovery, sockets) = (ScriptedRegister::start(), 384);
-    let gateway = Gateway::start(&PROGRAM, "resting", &discovery, sockets, &[host.entry("s-1", 1)]);
-    let mut used = gateway.connect();
-    let mut kept = Vec::new();
-    // Each asks once on a new connection and keeps it. Who may hold a third of the descriptors and no more has to
-    // be told to let go before that, or can open no connection for the next request.
+    let gateway = Gateway::start(&PROGRAM, "resting", &discovery, sockets, &[endpoint.entry("s-1", 1)]);
+    let mut active_client = gateway.connect();
+    let mut idle_clients = Vec::new();
+    // Each client sends one request on a new connection and keeps the connection open.
+    // Clients together may hold a third of the descriptors at most: before that the gateway must announce closes in its answers,
+    // or the next client can open no connection for its request.
     for n in 0..sockets {
         let mut client = gateway.connect();
         let answer = client.ask("look");
         assert_eq!(answer.status(), 200, "client {n}");
         if answer.header("connection") != Some("close") {
-            kept.push(client);
+            idle_clients.push(client);
         }
-        let answer = used.ask("look");
+        let answer = active_client.ask("look");
         assert_eq!((answer.status(), answer.header("connection")), (200, None), "after client {n}");
     }
-    assert!(kept.len() < sockets / 4, "{} rest", kept.len());
-    assert!(kept.len() > sockets / 8, "only {} were kept", kept.len());
+    assert!(idle_clients.len() < sockets / 4, "{} connections are idle", idle_clients.len());
+    assert!(idle_clients.len() > sockets / 8, "only {} connections were retained", idle_clients.len());
 }
 
 #[test]
-fn says_goodbye_with_an_answer_when_others_wait_for_a_place() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+fn announces_close_in_an_answer_when_other_clients_wait() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "crowded", &discovery, 48, &[]);
-    let mut held = hold_all_places(&gateway);
-    // Another comes. A close between requests could cross one, a word with an answer can't.
+    let mut held = fill_client_capacity(&gateway);
+    // One more client connects. A connection closed between two requests could cross a new request of its client;
+    // `Connection: close` in an answer can't cross a request.
     let _other = gateway.connect();
-    discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [host.entry("s-1", 1)]}));
-    let told_to_close =
-        held.iter_mut().any(|client| client.read().expect("an answer").header("connection") == Some("close"));
-    assert!(told_to_close);
+    discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [endpoint.entry("s-1", 1)]}));
+    let close_announced =
+        held.iter_mut().any(|client| client.read().expect("no answer").header("connection") == Some("close"));
+    assert!(close_announced);
 }
 
 #[test]
-fn leaves_new_clients_the_time_to_ask() {
+fn new_clients_have_time_to_send_a_request() {
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "new-clients", &discovery, 48, &[]);
-    let held = hold_all_places(&gateway);
-    // As many as it can take in beyond its places: none may be cut off to make room for one that may come.
-    let asked_soon = || {
+    let held = fill_client_capacity(&gateway);
+    // As many clients as the gateway accepts beyond its capacity: none of these clients may be closed to make room for a possible further client.
+    let requests_sent_soon = || {
         let connected = Instant::now();
-        let mut new: Vec<_> = (0..OVERFLOW_OF_48).map(|_| gateway.connect()).collect();
+        let mut new: Vec<_> = (0..OVERFLOW_CLIENTS_AT_48_DESCRIPTORS).map(|_| gateway.connect()).collect();
         sleep(Duration::from_millis(50));
         new.iter_mut().for_each(|c| c.write(request("once").as_bytes()));
-        // Where this machine took longer than new clients have, they may be cut off.
-        let soon = connected.elapsed() < Duration::from_millis(250);
+        // New clients may be closed if this machine needed longer to send the requests than new clients have.
+        let sent_soon = connected.elapsed() < Duration::from_millis(250);
         let answers: Vec<_> = new.iter_mut().map(|c| c.read().map(|a| a.status())).collect();
-        assert!(!soon || answers == [Some(503); OVERFLOW_OF_48], "{answers:?}");
-        soon
+        assert!(!sent_soon || answers == [Some(503); OVERFLOW_CLIENTS_AT_48_DESCRIPTORS], "{answers:?}");
+        sent_soon
     };
-    wait_for("a machine that is not too busy", asked_soon);
+    wait_for("a round within the time limit", requests_sent_soon);
     drop(held);
 }
 
 #[test]
-fn holds_its_own_want_of_sockets_against_no_host() {
-    let host = ScriptedNode::start(|r| if r.first.contains("look") { Reply::Hang } else { Reply::ok("ok") });
+fn lack_of_descriptors_does_not_count_against_an_endpoint() {
+    let endpoint =
+        ScriptedNode::start(|r| if r.first.contains("look") { Reply::Hang } else { Reply::ok("ok") });
     let discovery = ScriptedRegister::start();
-    let gateway = Gateway::start(&PROGRAM, "host-sockets", &discovery, 48, &crowd(&host));
-    // More than there are sockets to hosts, and one less than there is room for clients.
-    let mut held: Vec<_> = (1..CLIENTS_OF_48).map(|_| gateway.connect()).collect();
+    let gateway = Gateway::start(&PROGRAM, "host-sockets", &discovery, 48, &listed_thirty_times(&endpoint));
+    // The number of clients exceeds the descriptors for endpoints and is one below the client capacity.
+    let mut held: Vec<_> = (1..CLIENT_CAPACITY_AT_48_DESCRIPTORS).map(|_| gateway.connect()).collect();
     held.iter_mut().for_each(|c| c.send("look"));
-    wait_for("the sockets to run out", || host.count() >= 10);
-    // Not sent for want of a socket, so surely not run: refused, though it is unsafe to repeat.
+    wait_for("the descriptors to run out", || endpoint.count() >= 10);
+    // The request was not sent for lack of a descriptor, so it was surely not processed:
+    // the gateway rejects the request although the request is unsafe to repeat.
     assert_eq!(gateway.ask("brief-once").status(), 503);
-    host.release();
+    endpoint.release();
     held.iter_mut().for_each(|c| assert!(c.read().is_some()));
     assert_eq!(gateway.ask("once").status(), 200);
 }
 
 #[test]
-fn sees_that_the_host_closed_a_connection() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
-    let (gateway, _discovery) = start("stale", &[host.entry("s-1", 1)]);
+fn reuses_no_connection_that_the_endpoint_closed() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let (gateway, _discovery) = start("stale", &[endpoint.entry("s-1", 1)]);
     for _ in 0..5 {
         assert_eq!(gateway.ask("once").status(), 200);
-        host.close_all();
+        endpoint.close_all();
     }
 }
 
-/// A process that ends closes its connections long before discovery tells: what may have started anew is sent little.
+/// A process that exits closes its connections long before discovery reports the exit.
+/// An endpoint that may have restarted is sent few requests.
 #[test]
-fn sends_little_to_a_host_that_ended_its_idle_connections() {
+fn sends_few_requests_to_an_endpoint_that_closed_its_idle_connections() {
     let hangs = Arc::new(AtomicBool::new(false));
-    let host = |_| {
+    let endpoint = |_| {
         let hangs = hangs.clone();
         ScriptedNode::start(move |_| {
             sleep(Duration::from_millis(20));
@@ -633,53 +654,54 @@
             }
         })
     };
-    let hosts: Vec<_> = (0..2).map(host).collect();
+    let endpoints: Vec<_> = (0..2).map(endpoint).collect();
     let discovery = ScriptedRegister::start();
-    let mut config = config("127.0.0.1:1", 1024, &entries(&hosts, &[1, 2]));
-    // So little that hardly anything comes due while a busy machine stands still.
+    let mut config = config("127.0.0.1:1", 1024, &entries(&endpoints, &[1, 2]));
+    // The warm-up fraction is so low that slow start allows hardly any request, even if a busy machine stands still for a while.
     config["settings"]["safety"]["cold_from"] = json!(0.01);
     config["settings"]["safety"]["cold_s"] = json!(3600.0);
     let gateway = Gateway::start_with(&PROGRAM, "ended", &discovery, &config);
     let mut clients: Vec<_> = (0..12).map(|_| gateway.connect()).collect();
-    // Two at a time, so that both hosts serve; enough for the admission to let all twelve in later.
+    // Two requests at a time, so that both endpoints serve; enough requests for admission to admit all twelve later.
     for _ in 0..30 {
         clients[..2].iter_mut().for_each(|client| client.send("look"));
         assert!(clients[..2].iter_mut().all(|c| c.read().is_some_and(|answer| answer.status() == 200)));
     }
-    assert!(hosts.iter().all(|h| h.count() > 10));
+    assert!(endpoints.iter().all(|h| h.count() > 10));
     sleep(Duration::from_millis(200));
-    hosts[0].close_all();
-    // Nothing shows from outside when the gateway has seen it: within 50 ms, on a machine that has time.
+    endpoints[0].close_all();
+    // The test cannot see when the gateway has observed the closed connections: it takes 50 ms at most on an idle machine, and the test waits 1 s.
     sleep(Duration::from_secs(1));
     hangs.store(true, Ordering::SeqCst);
-    let before = hosts[0].count();
-    let all = sent(&hosts) + clients.len();
+    let before = endpoints[0].count();
+    let all = total_requests(&endpoints) + clients.len();
     clients.iter_mut().for_each(|client| client.send("look"));
-    wait_for("all to be sent", || sent(&hosts) == all);
-    // Half of them, were nothing known.
-    assert!(hosts[0].count() - before <= 3, "{} of 12", hosts[0].count() - before);
-    hosts.iter().for_each(ScriptedNode::release);
+    wait_for("all requests to be sent", || total_requests(&endpoints) == all);
+    // About 6 of the 12 requests would go to this endpoint if the gateway had not observed the closed connections.
+    assert!(endpoints[0].count() - before <= 3, "{} of 12", endpoints[0].count() - before);
+    endpoints.iter().for_each(ScriptedNode::release);
     assert!(clients.iter_mut().all(|client| client.read().is_some_and(|answer| answer.status() == 200)));
 }
 
 #[test]
-fn answers_what_it_holds_before_it_ends() {
-    let host = ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
-    let (mut gateway, _discovery) = start("sigterm", &crowd(&host));
+fn answers_open_requests_before_it_exits_on_sigterm() {
+    let endpoint =
+        ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+    let (mut gateway, _discovery) = start("sigterm", &listed_thirty_times(&endpoint));
     let mut idle = gateway.connect();
     assert_eq!(idle.ask("look").status(), 200);
     let mut held: Vec<_> = (0..3).map(|_| gateway.connect()).collect();
     held.iter_mut().for_each(|c| c.send("once"));
-    wait_for("the attempts", || host.count() == 4);
+    wait_for("the attempts", || endpoint.count() == 4);
     let (mut late, mut half) = (gateway.connect(), gateway.connect());
-    half.write(b"GET /look HTTP/1.1\r\n"); // never ends, and must not keep the gateway
+    half.write(b"GET /look HTTP/1.1\r\n"); // an unfinished request, which must not keep the gateway from exiting
     gateway.signal("TERM");
     late.send("look");
-    let answer = late.read().expect("an answer to a connection made before the end");
+    let answer = late.read().expect("no answer on a connection made before SIGTERM");
     assert_eq!((answer.status(), late.read().map(|a| a.first)), (200, None));
-    host.release();
+    endpoint.release();
     for client in &mut held {
-        let answer = client.read().expect("an answer");
+        let answer = client.read().expect("no answer");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"released"[..]));
         assert_eq!(answer.header("connection"), Some("close"));
     }
@@ -688,8 +710,8 @@
 
 #[test]
 fn answers_malformed_requests_itself() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
-    let (gateway, _discovery) = start("malformed", &[host.entry("s-1", 1)]);
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let (gateway, _discovery) = start("malformed", &[endpoint.entry("s-1", 1)]);
     let (look, pay) = (request("look"), request("pay"));
     let malformed = [
         look.replace("X-Priority-Class: look\r\n", ""),
@@ -718,14 +740,15 @@
         let status = client.read().unwrap_or_else(|| panic!("no answer to {head}")).status();
         assert!((400..500).contains(&status) && status != 429, "{status} to {head}");
     }
-    assert_eq!(host.count(), 0);
+    assert_eq!(endpoint.count(), 0);
     assert_eq!(gateway.ask("look").status(), 200);
 }
 
 #[test]
-fn rejects_an_id_that_an_open_request_has() {
-    let host = ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
-    let (gateway, _discovery) = start("same-id", &crowd(&host));
+fn rejects_the_id_of_an_open_request() {
+    let endpoint =
+        ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+    let (gateway, _discovery) = start("same-id", &listed_thirty_times(&endpoint));
     let (mut first, mut second) = (gateway.connect(), gateway.connect());
     let number = |text: String| {
         let lines =
@@ -733,30 +756,30 @@
         lines.collect::<Vec<_>>().join("\r\n") + if text.ends_with("body") { "" } else { "\r\n\r\n" }
     };
     first.write(number(request("once")).as_bytes());
-    wait_for("the attempt", || host.count() == 1);
-    // A host could not tell it from a second copy.
+    wait_for("the attempt", || endpoint.count() == 1);
+    // An endpoint could not distinguish the second request from a hedged copy of the first.
     second.write(number(request("look")).as_bytes());
-    assert_eq!(second.read().expect("an answer").status(), 409);
-    assert_eq!(host.count(), 1);
-    host.release();
-    assert_eq!(first.read().expect("an answer").status(), 200);
-    // It is free again when that one is over.
+    assert_eq!(second.read().expect("no answer").status(), 409);
+    assert_eq!(endpoint.count(), 1);
+    endpoint.release();
+    assert_eq!(first.read().expect("no answer").status(), 200);
+    // The request id may be used again when the first request has ended.
     let mut third = gateway.connect();
     third.write(number(request("look")).as_bytes());
-    assert_eq!(third.read().expect("an answer").status(), 200);
+    assert_eq!(third.read().expect("no answer").status(), 200);
 }
 
 #[test]
-fn passes_on_no_request_that_hides_in_a_body() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
-    let (gateway, _discovery) = start("hidden", &[host.entry("s-1", 1)]);
+fn forwards_no_request_smuggled_in_a_body() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let (gateway, _discovery) = start("hidden", &[endpoint.entry("s-1", 1)]);
     let hidden = request("look");
     let (length, coding) = (format!("Content-Length: {}", hidden.len() + 5), "Transfer-Encoding: chunked");
     let framed = |lines: String| {
         let open = request("pay").replace("Content-Length: 4", &lines);
         open.replace("body", &format!("0\r\n\r\n{hidden}"))
     };
-    let hiding = [
+    let smuggling_requests = [
         framed(format!("{length}\r\n{coding}")),
         framed(format!("{coding}\r\n{length}")),
         framed(format!("{coding}\r\n{coding}")),
@@ -764,73 +787,74 @@
         framed(format!("{length}\r\nContent-Length: 5")),
         framed("Content-Length: -5".to_owned()),
         framed("Content-Length: 99999999999999999999999".to_owned()),
-        // Who reads the other one of two reads another request.
+        // An endpoint that uses the other one of two duplicate headers sees a different request than the gateway.
         request("pay").replace("X-Tenant", "X-Request-ID: other\r\nX-Tenant") + &hidden,
         request("pay").replace("X-Tenant", "Idempotency-Key: other\r\nX-Tenant") + &hidden,
         request("look").replace("X-Tenant", "Content-Length: 5\r\nX-Tenant") + "12345" + &hidden,
     ];
-    for text in hiding {
+    for text in smuggling_requests {
         let mut client = gateway.connect();
         client.write(text.as_bytes());
         let status = client.read().unwrap_or_else(|| panic!("no answer to {text}")).status();
         assert!((400..500).contains(&status), "{status} to {text}");
-        assert!(client.read().is_none(), "what follows was read: {text}");
+        assert!(client.read().is_none(), "bytes after the request were read: {text}");
     }
-    assert_eq!(host.count(), 0);
+    assert_eq!(endpoint.count(), 0);
 }
 
 #[test]
-fn sends_hosts_what_the_protocol_names() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
-    let (gateway, _discovery) = start("passed-on", &[host.entry("s-1", 1)]);
+fn forwards_only_the_headers_that_the_protocol_names() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let (gateway, _discovery) = start("passed-on", &[endpoint.entry("s-1", 1)]);
     let mut client = gateway.connect();
-    let odd = "X-Not-Processed: 1\r\nUpgrade: other\r\nX-Attrs: a=1\r\nX-Tenant-Id";
-    client.write(request("look").replace("X-Tenant-Id", odd).as_bytes());
-    assert_eq!(client.read().expect("an answer").status(), 200);
-    let seen = host.seen.lock().expect("lock").pop().expect("a request");
+    let extra_headers = "X-Not-Processed: 1\r\nUpgrade: other\r\nX-Attrs: a=1\r\nX-Tenant-Id";
+    client.write(request("look").replace("X-Tenant-Id", extra_headers).as_bytes());
+    assert_eq!(client.read().expect("no answer").status(), 200);
+    let seen = endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received");
     let mut names: Vec<&str> = seen.headers.keys().map(String::as_str).collect();
     names.sort_unstable();
-    let named = ["cookie", "host", "x-attrs", "x-priority-class", "x-request-id", "x-tenant-id", "x-timeout"];
-    assert_eq!(names, named);
+    let forwarded_headers =
+        ["cookie", "host", "x-attrs", "x-priority-class", "x-request-id", "x-tenant-id", "x-timeout"];
+    assert_eq!(names, forwarded_headers);
 }
 
 #[test]
-fn ends_what_never_becomes_a_request_and_keeps_what_rests() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
-    let (gateway, _discovery) = start("silent", &[host.entry("s-1", 1)]);
-    let mut resting = gateway.connect();
-    assert_eq!(resting.ask("look").status(), 200);
+fn closes_incomplete_requests_and_retains_idle_connections() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let (gateway, _discovery) = start("silent", &[endpoint.entry("s-1", 1)]);
+    let mut idle_client = gateway.connect();
+    assert_eq!(idle_client.ask("look").status(), 200);
     let started = Instant::now();
-    let mut wanting: Vec<_> = (0..4).map(|_| gateway.connect()).collect();
-    wanting[1].write(b"GET /look HTTP/1.1\r\nX-Half: ");
-    assert_eq!(wanting[2].ask("look").status(), 200);
-    wanting[2].write(b"GET /look HTTP/1.1\r\n");
-    wanting[3].write(request("pay").replace("\r\n\r\nbody", "\r\n\r\nbo").as_bytes());
-    for (n, client) in wanting.iter_mut().enumerate() {
+    let mut incomplete_clients: Vec<_> = (0..4).map(|_| gateway.connect()).collect();
+    incomplete_clients[1].write(b"GET /look HTTP/1.1\r\nX-Half: ");
+    assert_eq!(incomplete_clients[2].ask("look").status(), 200);
+    incomplete_clients[2].write(b"GET /look HTTP/1.1\r\n");
+    incomplete_clients[3].write(request("pay").replace("\r\n\r\nbody", "\r\n\r\nbo").as_bytes());
+    for (n, client) in incomplete_clients.iter_mut().enumerate() {
         let status = client.read().map(|a| a.status());
         assert_eq!(status, (n == 3).then_some(408), "client {n}");
     }
-    assert!(started.elapsed() < Duration::from_secs(25), "they kept their places");
-    assert_eq!(resting.ask("look").status(), 200, "with room for all, a client may rest");
+    assert!(started.elapsed() < Duration::from_secs(25), "the connections stayed open");
+    assert_eq!(idle_client.ask("look").status(), 200, "an idle client was closed below capacity");
 }
 
 #[test]
-fn is_ready_once_it_knows_a_host() {
+fn is_ready_once_an_endpoint_is_listed() {
     let (gateway, discovery) = start("ready", &[]);
     let ready = || {
         let mut client = gateway.connect();
         client.write(b"GET /health/ready HTTP/1.1\r\nHost: g\r\n\r\n");
-        client.read().expect("an answer").status()
+        client.read().expect("no answer").status()
     };
     assert_eq!(ready(), 503);
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
-    discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [host.entry("s-1", 1)]}));
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [endpoint.entry("s-1", 1)]}));
     wait_for("readiness", || ready() == 200);
     assert_eq!(gateway.ask("look").status(), 200);
 }
 
 #[test]
-fn says_what_is_wrong_with_its_configuration() {
+fn reports_configuration_errors() {
     let good = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()});
     let with = |key: &str, value: Value| {
         let mut config = good.clone();
@@ -848,8 +872,8 @@
     for (name, text) in bad {
         let mut child = spawn_gateway(&PROGRAM, name, &text);
         let mut log = String::new();
-        child.stderr.take().expect("a log").read_to_string(&mut log).expect("text");
-        assert!(!child.wait().expect("a status").success(), "{name}");
+        child.stderr.take().expect("no stderr pipe").read_to_string(&mut log).expect("not UTF-8");
+        assert!(!child.wait().expect("cannot wait for the process").success(), "{name}");
         assert_eq!(log.lines().count(), 1, "{name}: {log}");
         assert!(log.starts_with("weldworks-gateway: "), "{name}: {log}");
     }
