--- a/crates/gateway/tests/crossings/main.rs
+++ b/crates/gateway/tests/crossings/main.rs
@@ -1,5 +1,5 @@
-//! Two events that cross, forced on the built program over loopback sockets: peers that stop at a stated step and go on when told.
-//! No verdict hangs on how fast the machine is. The table of crossings is docs/design/crossings.md.
+//! Two events that cross, forced on the built program over loopback sockets: stand-ins stop at a defined step and continue on the test's signal.
+//! No test result depends on the speed of the machine. docs/design/crossings.md has the table of crossings.
 
 use serde_json::{json, Value};
 use std::io::{BufReader, Read, Write};
@@ -13,72 +13,73 @@
     ScriptedRegister, LONG,
 };
 
-mod closing;
-mod crowded;
-mod leaving;
-mod once;
+mod client_disconnects;
+mod connection_closes;
+mod descriptor_limits;
+mod graceful_shutdown;
 mod short_reads;
-mod staying;
-mod stopping;
-mod unread;
-mod watching;
+mod single_processing;
+mod stalled_clients;
+mod unread_input;
+mod watches;
 
 const PROGRAM: Program =
     Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
-fn managed(discovery: &ScriptedRegister, hosts: &[Value]) -> Value {
-    let mut config = config(&discovery.address.to_string(), 256, hosts);
+fn config_with_admin_api(discovery: &ScriptedRegister, endpoints: &[Value]) -> Value {
+    let mut config = config(&discovery.address.to_string(), 256, endpoints);
     config["management"] = "127.0.0.1:0".into();
     config
 }
 
-fn start(name: &str, hosts: &[Value]) -> (Gateway, ScriptedRegister) {
+fn start(name: &str, endpoints: &[Value]) -> (Gateway, ScriptedRegister) {
     let discovery = ScriptedRegister::start();
-    let gateway = Gateway::start_with(&PROGRAM, name, &discovery, &managed(&discovery, hosts));
+    let gateway =
+        Gateway::start_with(&PROGRAM, name, &discovery, &config_with_admin_api(&discovery, endpoints));
     (gateway, discovery)
 }
 
-/// One host under many names: the module lets in as many requests at a time as there are hosts.
-fn crowd(host: &ScriptedNode) -> Vec<Value> {
-    (0..30).map(|n| host.entry(&format!("s-{n}"), 1)).collect()
+/// Lists one endpoint under 30 names, as admission admits about as many requests at a time as there are endpoints.
+fn listed_thirty_times(endpoint: &ScriptedNode) -> Vec<Value> {
+    (0..30).map(|n| endpoint.entry(&format!("s-{n}"), 1)).collect()
 }
 
-fn whole(index: u64, hosts: &[Value]) -> Value {
-    json!({"index": index, "snapshot": true, "endpoints": hosts})
+fn snapshot(index: u64, endpoints: &[Value]) -> Value {
+    json!({"index": index, "snapshot": true, "endpoints": endpoints})
 }
 
-/// Waits until so many requests are taken and not ended.
-fn held(gateway: &Gateway, requests: u64) {
-    wait_for("the requests that are held", || gateway.figure("router_current") == Some(requests));
+/// Waits until exactly this many requests have been read and have not ended.
+fn wait_for_open_requests(gateway: &Gateway, requests: u64) {
+    wait_for("the number of open requests", || gateway.figure("router_current") == Some(requests));
 }
 
-/// A peer that hears one request on each connection, does with it what it is told, and counts them.
-struct Agent {
+/// A stand-in for an endpoint or for discovery: reads and counts one request on each connection, then passes the connection to `handle`.
+struct StandIn {
     address: String,
     calls: Arc<AtomicUsize>,
 }
 
-impl Agent {
-    fn start(treat: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> Agent {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
-        let (calls, treat) = (Arc::<AtomicUsize>::default(), Arc::new(treat));
-        let counted = calls.clone();
+impl StandIn {
+    fn start(handle: impl Fn(usize, TcpStream) + Send + Sync + 'static) -> StandIn {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind failed");
+        let address = listener.local_addr().expect("no local address").to_string();
+        let (calls, handle) = (Arc::<AtomicUsize>::default(), Arc::new(handle));
+        let counter = calls.clone();
         spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                let (counted, treat) = (counted.clone(), treat.clone());
+                let (counter, handle) = (counter.clone(), handle.clone());
                 spawn(move || {
-                    let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+                    let mut reader = BufReader::new(stream.try_clone().expect("clone of the stream failed"));
                     if weldworks_testbed::scripted::Http::read(&mut reader).is_none() {
                         return;
                     }
-                    let call = counted.fetch_add(1, Ordering::SeqCst);
+                    let call = counter.fetch_add(1, Ordering::SeqCst);
                     let _ = stream.flush();
-                    treat(call, stream);
+                    handle(call, stream);
                 });
             }
         });
-        Agent { address, calls }
+        StandIn { address, calls }
     }
 
     fn calls(&self) -> usize {
@@ -86,14 +87,14 @@
     }
 }
 
-/// Holds the connection until the other side ends it.
-fn hold(mut stream: TcpStream) {
+/// Keeps the connection open until the other side closes it.
+fn hold_until_closed(mut stream: TcpStream) {
     let _ = stream.read_to_end(&mut Vec::new());
 }
 
-const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const CHUNKED_RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-fn chunk(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<()> {
+fn write_chunk(stream: &mut TcpStream, text: &[u8]) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n", text.len()).as_bytes())?;
     stream.write_all(&[text, b"\r\n"].concat())
 }
