--- a/crates/gateway/tests/day_by_day/bodies.rs
+++ b/crates/gateway/tests/day_by_day/bodies.rs
@@ -1,20 +1,21 @@
-//! Large and slow bodies, and every form of HTTP/1.1.
+//! Large and slow bodies, and every form of HTTP/1.1 requests and answers.
 
 use super::*;
 
 #[test]
-fn passes_large_bodies_on_unchanged_in_every_form() {
+fn forwards_large_bodies_unchanged_in_every_framing() {
     let size = (3 << 20) + 17;
     for form in [Form::Length, Form::Chunked, Form::Close, Form::Old] {
-        let node = BulkNode::start(Bulk::new(size, form));
-        let (gateway, _discovery) = start(&format!("large-{form:?}"), &[node.entry("s-1")]);
-        let up = Bulk::new(size + 5, if form == Form::Length { Form::Length } else { Form::Chunked });
-        let answer = ask(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
+        let endpoint = BulkNode::start(Bulk::new(size, form));
+        let (gateway, _discovery) = start(&format!("large-{form:?}"), &[endpoint.entry("s-1")]);
+        let upload = Bulk::new(size + 5, if form == Form::Length { Form::Length } else { Form::Chunked });
+        let answer =
+            ask(&gateway.address, &request("once"), Some(upload), Duration::ZERO).expect("no answer");
         assert_eq!((answer.status(), answer.whole, answer.length), (200, true, size), "{form:?}");
         assert_eq!(answer.digest, Bulk::new(size, form).digest(), "{form:?}");
-        let seen = node.seen.lock().expect("lock").pop().expect("a request");
-        assert_eq!((seen.length, seen.digest), (up.length, up.digest()), "{form:?}");
-        let answer = ask(&gateway.address, &request("look"), None, Duration::ZERO).expect("an answer");
+        let seen = endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received");
+        assert_eq!((seen.length, seen.digest), (upload.length, upload.digest()), "{form:?}");
+        let answer = ask(&gateway.address, &request("look"), None, Duration::ZERO).expect("no answer");
         assert_eq!((answer.status(), answer.whole, answer.length), (200, true, size), "{form:?}");
         wait_for("the count", || gateway.figure("router_answered{group=\"look\"}") == Some(1));
         assert_eq!(gateway.figure("router_current"), Some(0));
@@ -22,9 +23,9 @@
 }
 
 #[test]
-fn takes_every_form_of_a_small_request() {
-    let host = ScriptedNode::start(|r| Reply::Answer(200, "", [b"re: ", &r.body[..]].concat()));
-    let (gateway, _discovery) = start("forms", &[host.entry("s-1", 1)]);
+fn accepts_every_form_of_a_small_request() {
+    let endpoint = ScriptedNode::start(|r| Reply::Answer(200, "", [b"re: ", &r.body[..]].concat()));
+    let (gateway, _discovery) = start("forms", &[endpoint.entry("s-1", 1)]);
     let plain = request("once");
     let chunked = |lines: &str| {
         plain.replace(
@@ -42,25 +43,25 @@
         format!("\r\n{plain}"),
     ];
     for (n, text) in forms.iter().enumerate() {
-        // In one piece, and a few bytes at a time.
+        // Sends the request in one write, and in writes of 7 bytes.
         for size in [text.len(), 7] {
             let id = format!("X-Request-ID: {:016x}", 0x7000 + 2 * n + usize::from(size == 7));
             let text = text.lines().map(|l| if l.starts_with("X-Request-ID") { &id } else { l });
             let text = text.collect::<Vec<_>>().join("\r\n")
                 + if text_ends_with_body(&forms[n]) { "" } else { "\r\n\r\n" };
             let mut client = gateway.connect();
-            for piece in text.as_bytes().chunks(size) {
-                client.write(piece);
+            for part in text.as_bytes().chunks(size) {
+                client.write(part);
                 if size == 7 {
                     sleep(Duration::from_millis(1));
                 }
             }
-            let answer = client.read().expect("an answer");
+            let answer = client.read().expect("no answer");
             assert_eq!((answer.status(), &answer.body[..]), (200, &b"re: body"[..]), "form {n}, by {size}");
         }
     }
-    let seen = host.seen.lock().expect("lock");
-    assert!(seen.iter().all(|r| r.first == "POST /once HTTP/1.1"), "hosts are asked for paths");
+    let seen = endpoint.seen.lock().expect("lock poisoned");
+    assert!(seen.iter().all(|r| r.first == "POST /once HTTP/1.1"), "endpoints must get the path alone");
 }
 
 fn text_ends_with_body(text: &str) -> bool {
@@ -68,82 +69,94 @@
 }
 
 #[test]
-fn neither_side_of_a_large_answer_is_held_to_the_time_of_a_small_one() {
+fn slow_large_bodies_are_transferred_beyond_the_class_deadline() {
     let pace = Some((32 << 10, Duration::from_millis(30)));
-    let node = BulkNode::start(Bulk { pace, ..Bulk::new(2 << 20, Form::Chunked) });
-    let (gateway, _discovery) = start("slow-large", &[node.entry("s-1")]);
-    // brief is given up after 1.5 s; its answer takes 2 s to come, and as long to be read.
+    let endpoint = BulkNode::start(Bulk { pace, ..Bulk::new(2 << 20, Form::Chunked) });
+    let (gateway, _discovery) = start("slow-large", &[endpoint.entry("s-1")]);
+    // An attempt of class brief ends after 1.5 s without an answer; this answer takes 2 s to arrive, and 2 s to be read.
     let answer =
-        ask(&gateway.address, &request("brief"), None, Duration::from_millis(10)).expect("an answer");
+        ask(&gateway.address, &request("brief"), None, Duration::from_millis(10)).expect("no answer");
     assert_eq!((answer.status(), answer.whole, answer.length), (200, true, 2 << 20));
-    // Small chunks with extensions, far over what the library allows them together.
+    // An upload in small chunks with extensions, whose total length is far above the limit of the HTTP library.
     let chunks = Bulk { pace: Some((500, Duration::ZERO)), ..Bulk::new(2 << 20, Form::Chunked) };
-    let answer = ask(&gateway.address, &request("once"), Some(chunks), Duration::ZERO).expect("an answer");
+    let answer = ask(&gateway.address, &request("once"), Some(chunks), Duration::ZERO).expect("no answer");
     assert_eq!((answer.status(), answer.whole), (200, true));
-    assert_eq!(node.seen.lock().expect("lock").pop().expect("a request").digest, chunks.digest());
-    // And down: half a megabyte in chunks of 100 bytes with an extension each.
-    let small =
+    assert_eq!(
+        endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received").digest,
+        chunks.digest()
+    );
+    // An answer of half a megabyte in chunks of 100 bytes, with an extension in each chunk.
+    let small_chunks =
         BulkNode::start(Bulk { pace: Some((100, Duration::ZERO)), ..Bulk::new(1 << 19, Form::Chunked) });
-    let (extended, _extended_news) = start("extended", &[small.entry("s-1")]);
-    let answer = ask(&extended.address, &request("once"), None, Duration::ZERO).expect("an answer");
+    let (extended_gateway, _extended_discovery) = start("extended", &[small_chunks.entry("s-1")]);
+    let answer = ask(&extended_gateway.address, &request("once"), None, Duration::ZERO).expect("no answer");
     assert_eq!((answer.status(), answer.whole, answer.length), (200, true, 1 << 19));
-    // A slow body up: its client's time runs from the last byte.
-    let up = Bulk { pace, ..Bulk::new(2 << 20, Form::Length) };
-    let answer = ask(&gateway.address, &request("brief-once"), Some(up), Duration::ZERO).expect("an answer");
+    // A slow upload: its client's timeout runs from the last byte of the body.
+    let upload = Bulk { pace, ..Bulk::new(2 << 20, Form::Length) };
+    let answer =
+        ask(&gateway.address, &request("brief-once"), Some(upload), Duration::ZERO).expect("no answer");
     assert_eq!((answer.status(), answer.whole), (200, true));
-    assert_eq!(node.seen.lock().expect("lock").pop().expect("a request").digest, up.digest());
+    assert_eq!(
+        endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received").digest,
+        upload.digest()
+    );
 }
 
 #[test]
-fn a_host_that_breaks_off_is_told_to_the_client_and_a_client_that_goes_to_the_host() {
+fn truncated_answer_is_visible_to_the_client_and_a_disconnect_to_the_endpoint() {
     for form in [Form::Length, Form::Chunked] {
-        let node = BulkNode::start(Bulk { breaks: Some(1 << 20), ..Bulk::new(4 << 20, form) });
-        let (gateway, _discovery) = start(&format!("breaks-{form:?}"), &[node.entry("s-1")]);
-        let answer = ask(&gateway.address, &request("look"), None, Duration::ZERO).expect("a beginning");
+        let endpoint = BulkNode::start(Bulk { breaks: Some(1 << 20), ..Bulk::new(4 << 20, form) });
+        let (gateway, _discovery) = start(&format!("breaks-{form:?}"), &[endpoint.entry("s-1")]);
+        let answer =
+            ask(&gateway.address, &request("look"), None, Duration::ZERO).expect("no start of a response");
         assert_eq!(
             (answer.status(), answer.whole),
             (200, false),
-            "{form:?}: it must show that it is not whole"
+            "{form:?}: the answer must be recognisable as incomplete"
         );
         wait_for("the count", || gateway.figure("router_errored{group=\"look\"}") == Some(1));
-        assert_eq!(node.seen.lock().expect("lock").len(), 1, "what was begun is final");
+        assert_eq!(
+            endpoint.seen.lock().expect("lock poisoned").len(),
+            1,
+            "an answer that was begun must not be retried"
+        );
     }
-    let node = BulkNode::start(Bulk::new(32 << 20, Form::Length));
-    let (gateway, _discovery) = start("goes", &[node.entry("s-1")]);
-    let mut client = TcpStream::connect(&gateway.address).expect("a connection");
-    client.write_all(request("look").as_bytes()).expect("a request");
-    client.read_exact(&mut [0; 1000]).expect("a beginning");
+    let endpoint = BulkNode::start(Bulk::new(32 << 20, Form::Length));
+    let (gateway, _discovery) = start("goes", &[endpoint.entry("s-1")]);
+    let mut client = TcpStream::connect(&gateway.address).expect("connect failed");
+    client.write_all(request("look").as_bytes()).expect("write of the request failed");
+    client.read_exact(&mut [0; 1000]).expect("no start of a response");
     drop(client);
-    wait_for("the host's release", || node.left.load(Ordering::SeqCst) == 1);
+    wait_for("the close of the endpoint connection", || endpoint.left.load(Ordering::SeqCst) == 1);
     wait_for("the count", || gateway.figure("router_current") == Some(0));
 }
 
-/// The client writes all the while, so that only the host can be at fault; the longest body may take half an hour.
+/// The client keeps writing, so only the endpoint can cause the failure; the longest body may take half an hour.
 #[test]
-fn a_host_that_takes_no_more_of_a_body_is_left() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address").to_string();
+fn endpoint_that_stops_reading_a_body_is_disconnected() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind failed");
+    let address = listener.local_addr().expect("no local address").to_string();
     spawn(move || {
-        let held: Vec<_> = listener.incoming().take(1).collect();
+        let connections: Vec<_> = listener.incoming().take(1).collect();
         sleep(2 * LONG);
-        drop(held);
+        drop(connections);
     });
     let (gateway, _discovery) =
-        start("takes-none", &[weldworks_testbed::scripted::entry("s-1", &at, 1, "active")]);
-    let up = Bulk::new(30 << 20, Form::Length);
-    let answer = ask(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
-    assert_eq!(answer.status(), 503, "it has not had the whole, so it has not run");
+        start("takes-none", &[weldworks_testbed::scripted::entry("s-1", &address, 1, "active")]);
+    let upload = Bulk::new(30 << 20, Form::Length);
+    let answer = ask(&gateway.address, &request("once"), Some(upload), Duration::ZERO).expect("no answer");
+    assert_eq!(answer.status(), 503, "an incomplete request was not processed and must be rejected");
 }
 
-/// Nothing comes from the host by which the gateway could notice: it looks at the client.
+/// The endpoint sends nothing by which the gateway could notice the disconnect: the gateway has to watch the client.
 #[test]
-fn a_client_that_goes_frees_a_host_that_rests() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address").to_string();
-    let freed = Arc::new(AtomicBool::new(false));
-    let seen = freed.clone();
+fn client_disconnect_frees_a_stalled_endpoint() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind failed");
+    let address = listener.local_addr().expect("no local address").to_string();
+    let connection_closed = Arc::new(AtomicBool::new(false));
+    let seen = connection_closed.clone();
     spawn(move || {
-        let (mut stream, _) = listener.accept().expect("a connection");
+        let (mut stream, _) = listener.accept().expect("accept failed");
         let _ = stream.read(&mut [0; 4096]);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 900000\r\n\r\n");
         let _ = stream.write_all(&[b'x'; 200_000]);
@@ -152,84 +165,98 @@
         sleep(LONG);
     });
     let (gateway, _discovery) =
-        start("rests", &[weldworks_testbed::scripted::entry("s-1", &at, 1, "active")]);
-    let mut client = TcpStream::connect(&gateway.address).expect("a connection");
-    client.write_all(request("look").as_bytes()).expect("a request");
-    client.read_exact(&mut vec![0; 150_000]).expect("a beginning");
-    let left = Instant::now();
+        start("rests", &[weldworks_testbed::scripted::entry("s-1", &address, 1, "active")]);
+    let mut client = TcpStream::connect(&gateway.address).expect("connect failed");
+    client.write_all(request("look").as_bytes()).expect("write of the request failed");
+    client.read_exact(&mut vec![0; 150_000]).expect("no start of a response");
+    let disconnected_at = Instant::now();
     drop(client);
-    wait_for("the host's release", || freed.load(Ordering::SeqCst));
-    assert!(left.elapsed() < Duration::from_secs(9), "after 10 s a host that rests is given up anyway");
+    wait_for("the close of the endpoint connection", || connection_closed.load(Ordering::SeqCst));
+    assert!(
+        disconnected_at.elapsed() < Duration::from_secs(9),
+        "the attempt ends after 10 s without progress in any case"
+    );
 }
 
 #[test]
-fn a_body_that_is_gone_is_not_sent_again_and_one_that_is_not_is() {
-    // The host that takes no connection is tried first or not: either way the other one gets the whole body.
-    let (_held, nobody) = refusing();
-    let node = BulkNode::start(Bulk::new(10, Form::Length));
-    let dead = weldworks_testbed::scripted::entry("s-0", &nobody, 1, "active");
-    let (gateway, _discovery) = start("unspent", &[dead, node.entry("s-1")]);
+fn streamed_body_is_retried_only_if_none_of_it_was_sent() {
+    // Whether or not the endpoint that refuses connections is selected first, the other endpoint receives the whole body.
+    let (_refusing_socket, refusing_address) = refusing();
+    let endpoint = BulkNode::start(Bulk::new(10, Form::Length));
+    let refusing_entry = weldworks_testbed::scripted::entry("s-0", &refusing_address, 1, "active");
+    let (gateway, _discovery) = start("unspent", &[refusing_entry, endpoint.entry("s-1")]);
     for _ in 0..6 {
-        let up = Bulk::new(1 << 20, Form::Chunked);
-        let answer = ask(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
+        let upload = Bulk::new(1 << 20, Form::Chunked);
+        let answer =
+            ask(&gateway.address, &request("once"), Some(upload), Duration::ZERO).expect("no answer");
         assert_eq!(answer.status(), 200);
-        assert_eq!(node.seen.lock().expect("lock").pop().expect("a request").digest, up.digest());
+        assert_eq!(
+            endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received").digest,
+            upload.digest()
+        );
     }
-    // One that closes in the middle of it: refused, for it has not run, and sent nowhere else.
-    let breaking = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = breaking.local_addr().expect("an address").to_string();
-    let tries = Arc::new(AtomicUsize::new(0));
-    let count = tries.clone();
+    // An endpoint that closes the connection in the middle of the body: the request was not processed, so the gateway rejects it and sends it to no other endpoint.
+    let breaking_listener = TcpListener::bind("127.0.0.1:0").expect("bind failed");
+    let address = breaking_listener.local_addr().expect("no local address").to_string();
+    let attempts = Arc::new(AtomicUsize::new(0));
+    let count = attempts.clone();
     spawn(move || {
-        for stream in breaking.incoming().flatten() {
+        for stream in breaking_listener.incoming().flatten() {
             count.fetch_add(1, Ordering::SeqCst);
             let mut stream = stream;
             let _ = stream.read_exact(&mut [0; 100_000]);
         }
     });
-    let hosts: Vec<Value> =
-        (0..3).map(|n| weldworks_testbed::scripted::entry(&format!("s-{n}"), &at, 1, "active")).collect();
-    let (gateway, _discovery) = start("spent", &hosts);
-    let up = Bulk { pace: Some((64 << 10, Duration::from_millis(20))), ..Bulk::new(2 << 20, Form::Length) };
-    let answer = ask(&gateway.address, &request("pay"), Some(up), Duration::ZERO).expect("an answer");
+    let endpoints: Vec<Value> = (0..3)
+        .map(|n| weldworks_testbed::scripted::entry(&format!("s-{n}"), &address, 1, "active"))
+        .collect();
+    let (gateway, _discovery) = start("spent", &endpoints);
+    let upload =
+        Bulk { pace: Some((64 << 10, Duration::from_millis(20))), ..Bulk::new(2 << 20, Form::Length) };
+    let answer = ask(&gateway.address, &request("pay"), Some(upload), Duration::ZERO).expect("no answer");
     assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
-    assert_eq!(tries.load(Ordering::SeqCst), 1);
+    assert_eq!(attempts.load(Ordering::SeqCst), 1);
 }
 
 #[test]
-fn ends_bodies_that_come_too_slowly_or_are_too_long() {
-    let node = BulkNode::start(Bulk::new(10, Form::Length));
-    let (gateway, _discovery) = start("too-slow", &[node.entry("s-1")]);
-    // 2 KB a second, within what is held and beyond it.
-    for so_far in [1 << 10, 80 << 10] {
+fn ends_bodies_that_are_too_slow_or_too_long() {
+    let endpoint = BulkNode::start(Bulk::new(10, Form::Length));
+    let (gateway, _discovery) = start("too-slow", &[endpoint.entry("s-1")]);
+    // The client stalls, first within the part of a body that is buffered and then beyond that part.
+    for sent_bytes in [1 << 10, 80 << 10] {
         let mut client = gateway.connect();
         let head = request("once").replace("Content-Length: 4\r\n\r\nbody", "Content-Length: 900000\r\n\r\n");
         client.write(head.as_bytes());
-        client.write(&vec![b'x'; so_far]);
-        assert_eq!(client.read().expect("an answer").status(), 408, "after {so_far}");
+        client.write(&vec![b'x'; sent_bytes]);
+        assert_eq!(client.read().expect("no answer").status(), 408, "after {sent_bytes}");
     }
-    wait_for("the host's release", || node.broken.load(Ordering::SeqCst) == 1);
-    let up = Bulk::new((32 << 20) + 1, Form::Chunked);
-    let answer = ask(&gateway.address, &request("once"), Some(up), Duration::ZERO);
+    wait_for("the close of the endpoint connection", || endpoint.broken.load(Ordering::SeqCst) == 1);
+    let upload = Bulk::new((32 << 20) + 1, Form::Chunked);
+    let answer = ask(&gateway.address, &request("once"), Some(upload), Duration::ZERO);
     assert!(answer.is_none_or(|answer| (400..500).contains(&answer.status())));
-    wait_for("the host's release", || node.broken.load(Ordering::SeqCst) == 2);
-    assert!(node.seen.lock().expect("lock").is_empty());
-    // An answer that is found to be too long, and one that says so.
-    let grows = BulkNode::start(Bulk::new((32 << 20) + 1, Form::Chunked));
-    let (growing, _growing_news) = start("grows", &[grows.entry("s-1")]);
-    let answer = ask(&growing.address, &request("look"), None, Duration::ZERO).expect("a beginning");
-    assert_eq!((answer.status(), answer.whole), (200, false), "it must show that it is not whole");
-    let long = BulkNode::start(Bulk::new((32 << 20) + 1, Form::Length));
-    let (gateway, _discovery) = start("too-long", &[long.entry("s-1")]);
+    wait_for("the close of the endpoint connection", || endpoint.broken.load(Ordering::SeqCst) == 2);
+    assert!(endpoint.seen.lock().expect("lock poisoned").is_empty());
+    // An answer that turns out to be too long while it is read, and an answer whose `Content-Length` is too long.
+    let growing_answer = BulkNode::start(Bulk::new((32 << 20) + 1, Form::Chunked));
+    let (growing_gateway, _growing_discovery) = start("grows", &[growing_answer.entry("s-1")]);
+    let answer = ask(&growing_gateway.address, &request("look"), None, Duration::ZERO)
+        .expect("no start of a response");
+    assert_eq!(
+        (answer.status(), answer.whole),
+        (200, false),
+        "the answer must be recognisable as incomplete"
+    );
+    let long_answer = BulkNode::start(Bulk::new((32 << 20) + 1, Form::Length));
+    let (gateway, _discovery) = start("too-long", &[long_answer.entry("s-1")]);
     assert_eq!(ask(&gateway.address, &request("once"), None, Duration::ZERO).map(|a| a.status()), Some(502));
 }
 
 #[test]
-fn memory_stays_bounded_whatever_passes() {
-    // Forty clients at once, 6 MiB each way, read slowly: 480 MiB through a process that may have 64 MB.
-    let node = BulkNode::start(Bulk::new(6 << 20, Form::Chunked));
+fn memory_is_bounded_during_large_transfers() {
+    // Forty clients at once with 6 MiB each way, read slowly: 480 MiB through a process that may use 64 MB.
+    let endpoint = BulkNode::start(Bulk::new(6 << 20, Form::Chunked));
     let discovery = ScriptedRegister::start();
-    let mut config = managed(&discovery, &crowd(|name| node.entry(name)));
+    let mut config = config_with_admin_api(&discovery, &listed_thirty_times(|name| endpoint.entry(name)));
     config["limits"]["memory_mb"] = 64.into();
     config["limits"]["sockets"] = 512.into();
     let gateway = Gateway::start_with(&PROGRAM, "memory", &discovery, &config);
@@ -238,66 +265,80 @@
         let clients: Vec<_> = (0..40)
             .map(|n| {
                 scope.spawn(move || {
-                    let up = Bulk::new(6 << 20, if n % 2 == 0 { Form::Chunked } else { Form::Length });
-                    ask(address, &request("pay"), Some(up), Duration::from_millis(1))
+                    let upload = Bulk::new(6 << 20, if n % 2 == 0 { Form::Chunked } else { Form::Length });
+                    ask(address, &request("pay"), Some(upload), Duration::from_millis(1))
                 })
             })
             .collect();
-        let answers = clients.into_iter().map(|client| client.join().expect("a client"));
-        let whole = answers.flatten().filter(|a| a.status() == 200 && a.whole && a.length == 6 << 20).count();
-        assert!(whole >= 20, "{whole} were served"); // others may be refused while that many are out
+        let answers = clients.into_iter().map(|client| client.join().expect("client thread panicked"));
+        let complete_count =
+            answers.flatten().filter(|a| a.status() == 200 && a.whole && a.length == 6 << 20).count();
+        assert!(complete_count >= 20, "{complete_count} were served"); // the other clients may be rejected while this many requests are in flight
     });
     let peak = gateway.peak_memory();
     assert!(peak < 48 << 10, "{peak} KiB");
 }
 
-/// Cuts change nothing: sizes of pieces and chunks are drawn, both ways.
+/// The sizes of written parts and of chunks are random in both directions, and must not change the bodies.
 #[test]
-fn pieces_cut_anywhere_arrive_as_they_were_sent() {
+fn bodies_split_at_random_arrive_unchanged() {
     for seed in 0u64..8 {
-        let draw = |n: u64, most: u64| 1 + weldworks_balancer::mix(seed << 8 | n) % most;
+        let random_up_to = |n: u64, most: u64| 1 + weldworks_balancer::mix(seed << 8 | n) % most;
         let paced = |n: u64, length: u64, form: Form| Bulk {
-            pace: Some((draw(n, 40_000) as usize, Duration::from_micros(200))),
+            pace: Some((random_up_to(n, 40_000) as usize, Duration::from_micros(200))),
             ..Bulk::new(length, form)
         };
-        let down = paced(1, draw(2, 300_000), if seed % 2 == 0 { Form::Chunked } else { Form::Length });
-        let up = paced(3, draw(4, 300_000), if seed % 3 == 0 { Form::Length } else { Form::Chunked });
-        let node = BulkNode::start(down);
-        let (gateway, _discovery) = start(&format!("cuts-{seed}"), &[node.entry("s-1")]);
-        let answer = ask(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
+        let answer_body =
+            paced(1, random_up_to(2, 300_000), if seed % 2 == 0 { Form::Chunked } else { Form::Length });
+        let upload =
+            paced(3, random_up_to(4, 300_000), if seed % 3 == 0 { Form::Length } else { Form::Chunked });
+        let endpoint = BulkNode::start(answer_body);
+        let (gateway, _discovery) = start(&format!("cuts-{seed}"), &[endpoint.entry("s-1")]);
+        let answer =
+            ask(&gateway.address, &request("once"), Some(upload), Duration::ZERO).expect("no answer");
         assert_eq!(
             (answer.status(), answer.whole, answer.length),
-            (200, true, down.length),
-            "{down:?} for {up:?}"
+            (200, true, answer_body.length),
+            "{answer_body:?} for {upload:?}"
+        );
+        assert_eq!(answer.digest, answer_body.digest(), "{answer_body:?}");
+        assert_eq!(
+            endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received").digest,
+            upload.digest(),
+            "{upload:?}"
         );
-        assert_eq!(answer.digest, down.digest(), "{down:?}");
-        assert_eq!(node.seen.lock().expect("lock").pop().expect("a request").digest, up.digest(), "{up:?}");
     }
 }
 
-/// A measurement, not a check of each landing: `cargo test --release -p weldworks-gateway --test day_by_day -- --ignored --nocapture`.
+/// A measurement that does not run on every change: `cargo test --release -p weldworks-gateway --test day_by_day -- --ignored --nocapture`.
 #[test]
 #[ignore = "13 GB over loopback"]
 fn two_hundred_transfers_of_32_mb_at_once() {
-    let node = BulkNode::start(Bulk::new(32_000_000, Form::Length));
+    let endpoint = BulkNode::start(Bulk::new(32_000_000, Form::Length));
     let discovery = ScriptedRegister::start();
-    let mut config =
-        managed(&discovery, &(0..300).map(|n| node.entry(&format!("s-{n}"))).collect::<Vec<_>>());
+    let mut config = config_with_admin_api(
+        &discovery,
+        &(0..300).map(|n| endpoint.entry(&format!("s-{n}"))).collect::<Vec<_>>(),
+    );
     config["limits"]["memory_mb"] = 192.into();
     config["limits"]["sockets"] = 1024.into();
     let gateway = Gateway::start_with(&PROGRAM, "two-hundred", &discovery, &config);
     let address = &gateway.address;
-    let begun = Instant::now();
-    let whole = std::thread::scope(|scope| {
-        let ask_one = |n: u64| {
+    let started_at = Instant::now();
+    let complete_count = std::thread::scope(|scope| {
+        let send_upload = |n: u64| {
             move || {
                 ask(address, &request("pay"), Some(Bulk::new(32_000_000 - n, Form::Chunked)), Duration::ZERO)
             }
         };
-        let clients: Vec<_> = (0..200).map(|n| scope.spawn(ask_one(n))).collect();
-        let answers = clients.into_iter().filter_map(|client| client.join().expect("a client"));
+        let clients: Vec<_> = (0..200).map(|n| scope.spawn(send_upload(n))).collect();
+        let answers = clients.into_iter().filter_map(|client| client.join().expect("client thread panicked"));
         answers.filter(|a| a.status() == 200 && a.whole).count()
     });
-    println!("{whole} of 200 whole in {:?}, peak {} KiB", begun.elapsed(), gateway.peak_memory());
+    println!(
+        "{complete_count} of 200 complete in {:?}, peak {} KiB",
+        started_at.elapsed(),
+        gateway.peak_memory()
+    );
     assert!(gateway.peak_memory() < 192 << 10);
 }
--- a/crates/gateway/tests/day_by_day/main.rs
+++ b/crates/gateway/tests/day_by_day/main.rs
@@ -1,5 +1,5 @@
-//! What staff do to a running gateway, and what large and slow clients and hosts do to it: the built program on loopback
-//! sockets. No verdict hangs on how fast the machine is.
+//! Administrators' calls to a running gateway, and large and slow clients and endpoints: the built program on loopback sockets.
+//! No test result depends on the speed of the machine.
 
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -14,45 +14,46 @@
     ScriptedRegister, LONG,
 };
 
+mod admin_api;
 mod bodies;
+mod hot_restart;
 mod settings;
-mod staff;
-mod upgrade;
 
 const PROGRAM: Program =
     Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
-fn managed(discovery: &ScriptedRegister, hosts: &[Value]) -> Value {
-    let mut config = config(&discovery.address.to_string(), 256, hosts);
+fn config_with_admin_api(discovery: &ScriptedRegister, endpoints: &[Value]) -> Value {
+    let mut config = config(&discovery.address.to_string(), 256, endpoints);
     config["management"] = "127.0.0.1:0".into();
     config
 }
 
-fn start(name: &str, hosts: &[Value]) -> (Gateway, ScriptedRegister) {
+fn start(name: &str, endpoints: &[Value]) -> (Gateway, ScriptedRegister) {
     let discovery = ScriptedRegister::start();
-    let gateway = Gateway::start_with(&PROGRAM, name, &discovery, &managed(&discovery, hosts));
+    let gateway =
+        Gateway::start_with(&PROGRAM, name, &discovery, &config_with_admin_api(&discovery, endpoints));
     (gateway, discovery)
 }
 
-/// One host under many names: the module lets in as many requests at a time as there are hosts.
-fn crowd(entry: impl Fn(&str) -> Value) -> Vec<Value> {
-    many(30, entry)
+/// Lists one endpoint under 30 names, as admission admits about as many requests at a time as there are endpoints.
+fn listed_thirty_times(entry: impl Fn(&str) -> Value) -> Vec<Value> {
+    listed_under_names(30, entry)
 }
 
-/// The same under so many names.
-fn many(names: usize, entry: impl Fn(&str) -> Value) -> Vec<Value> {
-    (0..names).map(|n| entry(&format!("s-{n}"))).collect()
+/// Lists one endpoint under `name_count` names.
+fn listed_under_names(name_count: usize, entry: impl Fn(&str) -> Value) -> Vec<Value> {
+    (0..name_count).map(|n| entry(&format!("s-{n}"))).collect()
 }
 
-fn health(gateway: &Gateway) -> u16 {
+fn front_health_status(gateway: &Gateway) -> u16 {
     let mut client = gateway.connect();
     client.write(b"GET /health/ready HTTP/1.1\r\nHost: front\r\n\r\n");
-    client.read().expect("an answer").status()
+    client.read().expect("no answer").status()
 }
 
-/// Waits for the other side to end the connection.
-fn ended(stream: &mut TcpStream) {
-    stream.set_read_timeout(Some(LONG)).expect("a time-out");
+/// Waits until the other side closes the connection.
+fn wait_for_close(stream: &mut TcpStream) {
+    stream.set_read_timeout(Some(LONG)).expect("set_read_timeout failed");
     let mut rest = Vec::new();
-    let _ = stream.read_to_end(&mut rest); // a reset is an end too
+    let _ = stream.read_to_end(&mut rest); // a reset closes the connection too
 }
--- a/crates/gateway/tests/day_by_day/settings.rs
+++ b/crates/gateway/tests/day_by_day/settings.rs
@@ -1,119 +1,128 @@
-//! New settings while requests are open.
+//! Reloads of the settings while requests are open.
 
 use super::*;
 
 #[test]
-fn takes_new_settings_whole_and_open_requests_keep_the_old_ones() {
-    let host = ScriptedNode::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
+fn reload_applies_all_new_settings_and_open_requests_keep_the_old_ones() {
+    let endpoint =
+        ScriptedNode::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
     let discovery = ScriptedRegister::start();
-    let config = managed(&discovery, &crowd(|name| host.entry(name, 1)));
+    let config = config_with_admin_api(&discovery, &listed_thirty_times(|name| endpoint.entry(name, 1)));
     let gateway = Gateway::start_with(&PROGRAM, "settings", &discovery, &config);
-    let mut open = gateway.connect();
-    open.send("pay");
-    wait_for("the attempt", || host.count() == 1);
-    // pay must not be repeated from now on, look is gone, glance has come.
-    let mut new = config.clone();
-    let classes = new["settings"]["classes"].as_array_mut().expect("classes");
+    let mut open_client = gateway.connect();
+    open_client.send("pay");
+    wait_for("the attempt", || endpoint.count() == 1);
+    // From now on class pay must not be repeated, class look is removed, and class glance is new.
+    let mut new_config = config.clone();
+    let classes = new_config["settings"]["classes"].as_array_mut().expect("classes are not an array");
     classes[0]["name"] = "glance".into();
     classes[1]["effect"] = "single_shot".into();
-    new["settings"]["policy_limits"]["try_limit"] = 1.into();
-    write_config(&PROGRAM, "settings", &new.to_string());
+    new_config["settings"]["policy_limits"]["try_limit"] = 1.into();
+    write_config(&PROGRAM, "settings", &new_config.to_string());
     gateway.signal("HUP");
-    wait_for("the new file", || gateway.figure("router_conf_loaded") == Some(1));
+    wait_for("the reload of the configuration", || gateway.figure("router_conf_loaded") == Some(1));
     let glance = request("look").replace("look", "glance");
     let mut client = gateway.connect();
     client.write(glance.as_bytes());
-    assert_eq!(client.read().expect("an answer").status(), 200);
-    wait_for("the end of look", || gateway.ask("look").status() == 400);
-    assert_eq!(gateway.ask("pay").status(), 400, "the new pay has no key");
+    assert_eq!(client.read().expect("no answer").status(), 200);
+    wait_for("the removal of class look", || gateway.ask("look").status() == 400);
+    assert_eq!(gateway.ask("pay").status(), 400, "the new class pay allows no idempotency key");
     assert_eq!(gateway.ask("once").status(), 200);
-    host.release();
-    assert_eq!(open.read().expect("an answer").status(), 200, "it came under the old rules");
-    let text = String::from_utf8(gateway.call("GET", "/_vars").body).expect("text");
+    endpoint.release();
+    assert_eq!(
+        open_client.read().expect("no answer").status(),
+        200,
+        "the request must keep the old settings"
+    );
+    let text = String::from_utf8(gateway.call("GET", "/_vars").body).expect("not UTF-8");
     assert!(
         text.contains("router_answered{group=\"glance\"} 1\n")
             && text.contains("router_answered{group=\"look\"}")
     );
 }
 
-/// Clients turn to new classes a while after the file does.
+/// Clients change to new classes some time after the configuration file does.
 #[test]
-fn a_class_that_was_dropped_is_served_as_long_as_clients_may_use_it() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+fn removed_class_is_served_while_clients_may_still_use_it() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
-    let config = managed(&discovery, &crowd(|name| host.entry(name, 1)));
+    let config = config_with_admin_api(&discovery, &listed_thirty_times(|name| endpoint.entry(name, 1)));
     let gateway = Gateway::start_with(&PROGRAM, "leaving", &discovery, &config);
-    let mut new = config.clone();
-    let classes = new["settings"]["classes"].as_array_mut().expect("classes");
+    let mut new_config = config.clone();
+    let classes = new_config["settings"]["classes"].as_array_mut().expect("classes are not an array");
     classes[0]["name"] = "glance".into();
     classes[1]["effect"] = "free".into();
-    write_config(&PROGRAM, "leaving", &new.to_string());
-    // Ten signals in a row change nothing more than one.
+    write_config(&PROGRAM, "leaving", &new_config.to_string());
+    // Ten signals in a row have the same effect as one signal.
     (0..10).for_each(|_| gateway.signal("HUP"));
     let changed = Instant::now();
-    wait_for("the new file", || gateway.figure("router_conf_loaded") > Some(0));
+    wait_for("the reload of the configuration", || gateway.figure("router_conf_loaded") > Some(0));
     let (look, pay) = (gateway.ask("look").status(), gateway.ask("pay").status());
     if changed.elapsed() < Duration::from_millis(1500) {
-        assert_eq!((look, pay), (200, 200), "by the old rules");
+        assert_eq!((look, pay), (200, 200), "the old settings must still apply");
     }
-    let free = request("look").replace("look", "pay");
+    let safe_request = request("look").replace("look", "pay");
     let mut client = gateway.connect();
-    client.write(free.as_bytes());
-    assert_eq!(client.read().expect("an answer").status(), 200, "by the new rules, all the while");
-    wait_for("the end of the old rules", || {
+    client.write(safe_request.as_bytes());
+    assert_eq!(
+        client.read().expect("no answer").status(),
+        200,
+        "the new settings must apply from the reload on"
+    );
+    wait_for("the removal of the old settings", || {
         gateway.ask("pay").status() == 405 && gateway.ask("look").status() == 400
     });
 }
 
 #[test]
-fn a_keyed_request_keeps_its_rules_when_its_class_becomes_unsafe() {
-    // The second attempt breaks once the settings have changed: one attempt is all that they allow by then, and none of it again. By
-    // its own rules the request may be sent a third time.
-    let (changed, tries) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
-    let seen = (changed.clone(), tries.clone());
-    let host = ScriptedNode::start(move |_| match seen.1.fetch_add(1, Ordering::SeqCst) {
+fn keyed_request_keeps_its_settings_when_its_class_becomes_unsafe() {
+    // The second attempt breaks after the settings have changed: the new settings allow one attempt and no retry.
+    // By the settings that the request arrived under, a third attempt is allowed.
+    let (changed, attempts) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
+    let shared = (changed.clone(), attempts.clone());
+    let endpoint = ScriptedNode::start(move |_| match shared.1.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Break,
         1 => {
-            wait_for("the new settings", || seen.0.load(Ordering::SeqCst));
+            wait_for("the new settings", || shared.0.load(Ordering::SeqCst));
             Reply::Break
         }
         _ => Reply::ok("ok"),
     });
     let discovery = ScriptedRegister::start();
-    let config = managed(&discovery, &crowd(|name| host.entry(name, 1)));
+    let config = config_with_admin_api(&discovery, &listed_thirty_times(|name| endpoint.entry(name, 1)));
     let gateway = Gateway::start_with(&PROGRAM, "keyed", &discovery, &config);
-    let mut open = gateway.connect();
-    open.send("pay");
-    wait_for("the second attempt", || tries.load(Ordering::SeqCst) == 2);
-    let mut new = config.clone();
-    new["settings"]["classes"][1]["effect"] = "single_shot".into();
-    new["settings"]["policy_limits"]["try_limit"] = 1.into();
-    write_config(&PROGRAM, "keyed", &new.to_string());
+    let mut open_client = gateway.connect();
+    open_client.send("pay");
+    wait_for("the second attempt", || attempts.load(Ordering::SeqCst) == 2);
+    let mut new_config = config.clone();
+    new_config["settings"]["classes"][1]["effect"] = "single_shot".into();
+    new_config["settings"]["policy_limits"]["try_limit"] = 1.into();
+    write_config(&PROGRAM, "keyed", &new_config.to_string());
     gateway.signal("HUP");
-    wait_for("the new file", || gateway.figure("router_conf_loaded") == Some(1));
+    wait_for("the reload of the configuration", || gateway.figure("router_conf_loaded") == Some(1));
     changed.store(true, Ordering::SeqCst);
-    assert_eq!(open.read().expect("an answer").status(), 200);
-    assert_eq!(host.count(), 3);
+    assert_eq!(open_client.read().expect("no answer").status(), 200);
+    assert_eq!(endpoint.count(), 3);
 }
 
 #[test]
-fn turns_bad_files_down_whole() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+fn invalid_files_are_rejected_entirely() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
-    let config = managed(&discovery, &[host.entry("s-1", 1)]);
+    let config = config_with_admin_api(&discovery, &[endpoint.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "bad-files", &discovery, &config);
-    let mut new = config.clone();
-    new["settings"]["classes"][0]["name"] = "glance".into();
-    let whole = new.to_string();
+    let mut new_config = config.clone();
+    new_config["settings"]["classes"][0]["name"] = "glance".into();
+    let valid_file = new_config.to_string();
     let with = |change: &dyn Fn(&mut Value)| {
-        let mut bad = new.clone();
-        change(&mut bad);
-        bad.to_string()
+        let mut invalid_config = new_config.clone();
+        change(&mut invalid_config);
+        invalid_config.to_string()
     };
-    let bad = [
+    let invalid_files = [
         String::new(),
-        whole[..whole.len() / 2].to_owned(),
-        whole[..whole.len() - 1].to_owned(),
+        valid_file[..valid_file.len() / 2].to_owned(),
+        valid_file[..valid_file.len() - 1].to_owned(),
         "[]".to_owned(),
         with(&|c| drop(c["settings"].as_object_mut().and_then(|s| s.remove("safety")))),
         with(&|c| drop(c["settings"]["classes"][2].as_object_mut().and_then(|s| s.remove("group")))),
@@ -121,40 +130,40 @@
         with(&|c| c["settings"]["classes"][1]["deadline_s"] = json!("soon")),
         with(&|c| c["settings"]["policy_limits"]["try_limit"] = json!(0)),
         with(&|c| c["settings"]["classes"][1]["name"] = json!("glance")),
-        whole.replace("50.0", "1e999"),
+        valid_file.replace("50.0", "1e999"),
     ];
-    for (n, text) in (1..).zip(&bad) {
+    for (n, text) in (1..).zip(&invalid_files) {
         write_config(&PROGRAM, "bad-files", text);
         gateway.signal("HUP");
-        wait_for("the verdict", || gateway.figure("router_conf_invalid") == Some(n));
+        wait_for("the rejection of the file", || gateway.figure("router_conf_invalid") == Some(n));
     }
     assert_eq!(gateway.figure("router_conf_loaded"), Some(0));
-    assert_eq!(gateway.ask("look").status(), 200, "all is as before");
-    write_config(&PROGRAM, "bad-files", &whole);
+    assert_eq!(gateway.ask("look").status(), 200, "the settings must be unchanged");
+    write_config(&PROGRAM, "bad-files", &valid_file);
     gateway.signal("HUP");
-    wait_for("the good file", || gateway.figure("router_conf_loaded") == Some(1));
-    wait_for("the end of look", || gateway.ask("look").status() == 400);
+    wait_for("the reload of the valid file", || gateway.figure("router_conf_loaded") == Some(1));
+    wait_for("the removal of class look", || gateway.ask("look").status() == 400);
 }
 
 #[test]
-fn a_thousand_files_grow_nothing() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+fn thousand_reloads_do_not_grow_memory() {
+    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
-    let config = managed(&discovery, &[host.entry("s-1", 1)]);
+    let config = config_with_admin_api(&discovery, &[endpoint.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "thousand", &discovery, &config);
-    let turn = |rounds: std::ops::Range<u64>| {
+    let reload_rounds = |rounds: std::ops::Range<u64>| {
         for n in rounds {
-            let mut new = config.clone();
-            new["settings"]["classes"][4]["promise_s"] = json!(1.0 + n as f64 / 1000.0);
-            write_config(&PROGRAM, "thousand", &new.to_string());
+            let mut new_config = config.clone();
+            new_config["settings"]["classes"][4]["promise_s"] = json!(1.0 + n as f64 / 1000.0);
+            write_config(&PROGRAM, "thousand", &new_config.to_string());
             gateway.signal("HUP");
-            wait_for("the file", || gateway.figure("router_conf_loaded") > Some(n));
+            wait_for("the reload of the configuration", || gateway.figure("router_conf_loaded") > Some(n));
         }
     };
-    turn(0..50);
+    reload_rounds(0..50);
     assert_eq!(gateway.ask("look").status(), 200);
     let before = gateway.peak_memory();
-    turn(50..1000);
+    reload_rounds(50..1000);
     assert_eq!(gateway.ask("brief").status(), 200);
     assert!(gateway.peak_memory() < before + 1024, "{before} KiB, then {}", gateway.peak_memory());
 }
