--- a/crates/gateway/tests/soak/clients.rs
+++ b/crates/gateway/tests/soak/clients.rs
@@ -1,7 +1,7 @@
-//! Clients of a run. They use the connections that they have for as long as these stay open, and leave now and then.
+//! Clients of a run. Clients reuse their connections while these stay open, and disconnect now and then.
 
-use crate::peers::made_for;
-use crate::world::{Ask, Effect, Outcome, World, CLASSES};
+use crate::faulty_stand_ins::body_for;
+use crate::workload_history::{Effect, Outcome, RequestRecord, RunState, CLASSES};
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex};
@@ -9,21 +9,21 @@
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::Http;
 
-/// The front goes on sending new connections to a process for so long after that was told to end.
-const NOTICED: Duration = Duration::from_millis(300);
-/// A final answer that comes later than this after its time is lost; one that comes later still is taken for none.
-const GIVEN_UP: Duration = Duration::from_millis(1500);
+/// Time for which the front still sends new connections to a process after SIGTERM.
+const NOTICE_DELAY: Duration = Duration::from_millis(300);
+/// Time after the client's timeout for which a client waits for the final answer; a later answer counts as none.
+const ANSWER_GRACE: Duration = Duration::from_millis(1500);
 
-/// The gateways as the front knows them: where each one's process listens, its number, and since when it is to end.
+/// A gateway as the front knows it: the address and number of its current process, and since when the process is stopping.
 #[derive(Clone, Debug, Default)]
-pub struct Behind {
+pub struct Backend {
     pub address: String,
     pub process: u64,
-    pub ends_since: Option<Instant>,
+    pub stopping_since: Option<Instant>,
     pub up: bool,
 }
 
-pub type Front = Arc<Mutex<Vec<Behind>>>;
+pub type Front = Arc<Mutex<Vec<Backend>>>;
 
 struct Connection {
     reader: BufReader<TcpStream>,
@@ -31,80 +31,89 @@
     used: bool,
 }
 
-fn connect(front: &Front, draw: &mut fastrand::Rng) -> Option<Connection> {
-    let behind = {
-        let front = front.lock().expect("lock");
-        let takes = |b: &&Behind| b.up && b.ends_since.is_none_or(|since| since.elapsed() < NOTICED);
-        let all: Vec<&Behind> = front.iter().filter(takes).collect();
-        all.get(draw.usize(0..all.len().max(1)))?.to_owned().clone()
+fn connect(front: &Front, random: &mut fastrand::Rng) -> Option<Connection> {
+    let entry = {
+        let front = front.lock().expect("lock poisoned");
+        let accepts =
+            |b: &&Backend| b.up && b.stopping_since.is_none_or(|since| since.elapsed() < NOTICE_DELAY);
+        let candidates: Vec<&Backend> = front.iter().filter(accepts).collect();
+        candidates.get(random.usize(0..candidates.len().max(1)))?.to_owned().clone()
     };
-    let stream = TcpStream::connect(&behind.address).ok()?;
+    let stream = TcpStream::connect(&entry.address).ok()?;
     let _ = stream.set_nodelay(true);
-    Some(Connection { reader: BufReader::new(stream), process: behind.process, used: false })
+    Some(Connection { reader: BufReader::new(stream), process: entry.process, used: false })
 }
 
-/// One client, until the run is over.
-pub fn run(world: &World, front: &Front, number: u64) {
-    let mut draw = world.draws(2 << 40 | number);
+/// Runs one client until the run is over.
+pub fn run(state: &RunState, front: &Front, number: u64) {
+    let mut random = state.random_stream(2 << 40 | number);
     let mut connection: Option<Connection> = None;
-    while !world.is_over() {
-        sleep(Duration::from_millis(draw.u64(0..30)));
-        let Some(mut open) = connection.take().or_else(|| connect(front, &mut draw)) else { continue };
-        if ask(world, &mut open, &mut draw) {
-            connection = Some(open);
+    while !state.is_over() {
+        sleep(Duration::from_millis(random.u64(0..30)));
+        let Some(mut connected) = connection.take().or_else(|| connect(front, &mut random)) else { continue };
+        if send_request(state, &mut connected, &mut random) {
+            connection = Some(connected);
         }
     }
 }
 
-/// Sends a request and books what becomes of it; whether the connection goes on.
-fn ask(world: &World, connection: &mut Connection, draw: &mut fastrand::Rng) -> bool {
-    let id = world.next_id();
-    let class = draw.usize(0..CLASSES.len());
-    let patience = world.longest.mul_f64(0.2 + 0.8 * draw.f64());
+/// Sends a request and records its outcome; returns whether the connection stays open.
+fn send_request(state: &RunState, connection: &mut Connection, random: &mut fastrand::Rng) -> bool {
+    let id = state.next_id();
+    let class = random.usize(0..CLASSES.len());
+    let client_timeout = state.longest_deadline.mul_f64(0.2 + 0.8 * random.f64());
     let (reused, process) = (std::mem::replace(&mut connection.used, true), connection.process);
-    let sent = connection.reader.get_mut().write_all(text(id, class, patience).as_bytes());
-    let written = Instant::now();
-    let leaves = draw.u8(0..12) == 0;
+    let sent = connection.reader.get_mut().write_all(request_text(id, class, client_timeout).as_bytes());
+    let written_at = Instant::now();
+    let disconnects = random.u8(0..12) == 0;
     let outcome = if sent.is_err() {
-        Outcome::Closed { reused, partly: false }
-    } else if leaves {
-        sleep(world.longest.mul_f64(0.5 * draw.f64()));
-        Outcome::Left
+        Outcome::Closed { reused, partial: false }
+    } else if disconnects {
+        sleep(state.longest_deadline.mul_f64(0.5 * random.f64()));
+        Outcome::Disconnected
     } else {
-        read(connection, id, reused, patience + GIVEN_UP)
+        read(connection, id, reused, client_timeout + ANSWER_GRACE)
     };
-    let goes_on = matches!(&outcome, Outcome::Answered { .. }) && connection.used;
-    if leaves {
+    let keep_open = matches!(&outcome, Outcome::Answered { .. }) && connection.used;
+    if disconnects {
         let _ = connection.reader.get_ref().shutdown(std::net::Shutdown::Both);
     }
-    let ask = Ask { class, written, patience, ended: Instant::now(), outcome, process, reused };
-    world.asks.lock().expect("lock").insert(id, ask);
-    goes_on
+    let record = RequestRecord {
+        class,
+        written_at,
+        client_timeout,
+        ended_at: Instant::now(),
+        outcome,
+        process,
+        reused,
+    };
+    state.requests.lock().expect("lock poisoned").insert(id, record);
+    keep_open
 }
 
-fn read(connection: &mut Connection, id: u64, reused: bool, most: Duration) -> Outcome {
-    connection.reader.get_ref().set_read_timeout(Some(most)).expect("a time-out");
-    let begun = Instant::now();
-    // What has come of an answer that breaks off is an answer begun.
-    let partly = std::io::BufRead::fill_buf(&mut connection.reader).is_ok_and(|bytes| !bytes.is_empty());
+fn read(connection: &mut Connection, id: u64, reused: bool, timeout: Duration) -> Outcome {
+    connection.reader.get_ref().set_read_timeout(Some(timeout)).expect("set_read_timeout failed");
+    let started_at = Instant::now();
+    // An answer that breaks off after its first byte counts as partial.
+    let partial = std::io::BufRead::fill_buf(&mut connection.reader).is_ok_and(|bytes| !bytes.is_empty());
     match Http::read(&mut connection.reader) {
         Some(answer) => {
-            let closes = answer.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
-            connection.used = !closes;
-            let own = answer.status() != 200 || answer.body == made_for(id).as_bytes();
-            Outcome::Answered { status: answer.status(), own }
+            let is_closing = answer.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
+            connection.used = !is_closing;
+            let matches = answer.status() != 200 || answer.body == body_for(id).as_bytes();
+            Outcome::Answered { status: answer.status(), matches }
         }
-        None if begun.elapsed() >= most => Outcome::Silent,
-        None => Outcome::Closed { reused, partly },
+        None if started_at.elapsed() >= timeout => Outcome::Silent,
+        None => Outcome::Closed { reused, partial },
     }
 }
 
-fn text(id: u64, class: usize, patience: Duration) -> String {
+fn request_text(id: u64, class: usize, client_timeout: Duration) -> String {
     let (name, effect) = CLASSES[class];
     let common = format!(
         "Host: backend.local\r\nX-Request-ID: {id:016x}\r\nX-Priority-Class: {name}\r\nX-Tenant-Id: acme\r\n\
          X-Timeout: {}u\r\n",
-        patience.as_micros()
+        client_timeout.as_micros()
     );
     match effect {
         Effect::Safe => format!("GET /{name} HTTP/1.1\r\n{common}\r\n"),
--- a/crates/gateway/tests/soak/main.rs
+++ b/crates/gateway/tests/soak/main.rs
@@ -1,15 +1,15 @@
-//! Soak: gateways that are told to end, reloaded and killed in series, under clients that use open connections until the kill, which
-//! comes as early as the terms allow, with endpoints that hang, break off, refuse and drain. Everything is drawn from a seed, and the
-//! history of the run is held against the clauses of docs/terms-audit.md.
+//! Soak test: gateways are stopped, reloaded and killed in series, under clients that use open connections until the kill.
+//! The kill comes as early as the terms allow, and endpoints hang, break off, reject and drain.
+//! Everything is drawn from a seed, and the history of the run is checked against the clauses of docs/terms-audit.md.
 //!
-//! In CI a few fixed seeds; by hand `SOAK_SEEDS=1-50 cargo test --release --test soak -- --nocapture`.
+//! CI runs a few fixed seeds; by hand: `SOAK_SEEDS=1-50 cargo test --release --test soak -- --nocapture`.
 
 mod clients;
-mod peers;
-mod world;
+mod faulty_stand_ins;
+mod workload_history;
 
-use clients::{Behind, Front};
-use peers::{start_discovery, start_host, Listed};
+use clients::{Backend, Front};
+use faulty_stand_ins::{start_discovery, start_endpoint, EndpointList};
 use serde_json::{json, Value};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::Ordering;
@@ -17,92 +17,92 @@
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::{config, write_config, Gateway, Program, ScriptedRegister};
-use world::{Drain, World};
+use workload_history::{Drain, RunState};
 
 const PROGRAM: Program =
     Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
-const HOSTS: usize = 6;
-const GATEWAYS: usize = 2;
-const CLIENTS: u64 = 10;
-/// How long a run lasts.
-const LASTS: Duration = Duration::from_secs(7);
-/// SIGKILL comes so long after the longest deadline, counted from SIGTERM.
-const KILLED: Duration = Duration::from_millis(700);
-/// A busy machine is late by this at the most, for runs in CI; by hand on a quiet one `SOAK_SLACK_MS` says less.
-const SLACK: Duration = Duration::from_millis(400);
-
-fn settings(world: &World) -> Value {
+const ENDPOINT_COUNT: usize = 6;
+const GATEWAY_COUNT: usize = 2;
+const CLIENT_COUNT: u64 = 10;
+/// Duration of a run with one seed.
+const RUN_TIME: Duration = Duration::from_secs(7);
+/// SIGKILL follows SIGTERM after the longest deadline plus this delay.
+const KILL_DELAY: Duration = Duration::from_millis(700);
+/// Delay that a busy machine may add at most, for runs in CI; on an idle machine `SOAK_SLACK_MS` can set a smaller value.
+const DEFAULT_SLACK: Duration = Duration::from_millis(400);
+
+fn settings(state: &RunState) -> Value {
     let class = |name: &str, effect: &str, deadline: Duration| {
         json!({"name": name, "promise_s": deadline.as_secs_f64() * 0.8, "deadline_s": deadline.as_secs_f64(), "effect": effect,
-            "group": "all", "dedup_window_s": world.window.as_secs_f64(), "importance": 1.0, "late_worth": 0.0, "streaming": false})
+            "group": "all", "dedup_window_s": state.idempotency_window.as_secs_f64(), "importance": 1.0, "late_worth": 0.0, "streaming": false})
     };
     let mut settings = weldworks_testbed::scripted::settings();
     settings["classes"] = json!([
-        class("look", "free", world.longest),
-        class("pay", "guarded", world.longest),
-        class("once", "single_shot", world.longest.mul_f64(0.7)),
+        class("look", "free", state.longest_deadline),
+        class("pay", "guarded", state.longest_deadline),
+        class("once", "single_shot", state.longest_deadline.mul_f64(0.7)),
     ]);
     settings["policy_limits"]["dial_timeout_s"] = 0.1.into();
     settings
 }
 
-/// One gateway: its processes one after another.
+/// Operates one gateway: starts, reloads and stops its processes one after another.
 struct Operator<'a> {
-    world: &'a World,
+    state: &'a RunState,
     front: &'a Front,
     gateway: usize,
-    draw: fastrand::Rng,
+    random: fastrand::Rng,
     config: Value,
     discovery: SocketAddr,
-    listed: &'a Mutex<Listed>,
-    processes: u64,
+    listed: &'a Mutex<EndpointList>,
+    process_count: u64,
 }
 
 impl Operator<'_> {
     fn name(&self) -> String {
-        format!("soak-{}-{}", self.world.seed, self.gateway)
+        format!("soak-{}-{}", self.state.seed, self.gateway)
     }
 
     fn start(&mut self) -> Gateway {
-        let mut register = ScriptedRegister::start();
-        register.address = self.discovery;
-        // What the process before was told of drains binds this one too.
-        self.config["known"]["endpoints"] = self.listed.lock().expect("lock").entries().into();
-        let gateway = Gateway::start_with(&PROGRAM, &self.name(), &register, &self.config);
-        self.processes += 1;
-        let process = (self.gateway as u64) << 32 | self.processes;
+        let mut discovery = ScriptedRegister::start();
+        discovery.address = self.discovery;
+        // Drains that the previous process was notified of are binding for this process too.
+        self.config["known"]["endpoints"] = self.listed.lock().expect("lock poisoned").entries().into();
+        let gateway = Gateway::start_with(&PROGRAM, &self.name(), &discovery, &self.config);
+        self.process_count += 1;
+        let process = (self.gateway as u64) << 32 | self.process_count;
         let address = gateway.address.clone();
-        self.front.lock().expect("lock")[self.gateway] =
-            Behind { address, process, ends_since: None, up: true };
+        self.front.lock().expect("lock poisoned")[self.gateway] =
+            Backend { address, process, stopping_since: None, up: true };
         gateway
     }
 
-    /// A new file and its signal, several times in a row.
+    /// Writes a new configuration file and signals the reload, up to four times in a row.
     fn reload(&mut self, gateway: &Gateway) {
-        for _ in 0..self.draw.usize(1..5) {
-            self.config["seed"] = format!("{:016x}", self.draw.u64(..)).into();
+        for _ in 0..self.random.usize(1..5) {
+            self.config["seed"] = format!("{:016x}", self.random.u64(..)).into();
             write_config(&PROGRAM, &self.name(), &self.config.to_string());
             gateway.signal("HUP");
-            sleep(Duration::from_millis(self.draw.u64(0..40)));
+            sleep(Duration::from_millis(self.random.u64(0..40)));
         }
     }
 
-    /// Has the process end: further signals beside, hosts that hang through it, and the kill at the earliest.
+    /// Stops the process: with further signals, endpoints that hang until the end, and a kill at the earliest time allowed.
     fn stop(&mut self, mut gateway: Gateway) {
-        let hanging = self.draw.usize(0..=HOSTS / 2);
-        for host in &self.world.hanging[..hanging] {
-            host.store(true, Ordering::SeqCst);
+        let hanging = self.random.usize(0..=ENDPOINT_COUNT / 2);
+        for endpoint in &self.state.hanging[..hanging] {
+            endpoint.store(true, Ordering::SeqCst);
         }
-        sleep(Duration::from_millis(self.draw.u64(0..150)));
-        let told = Instant::now();
+        sleep(Duration::from_millis(self.random.u64(0..150)));
+        let signalled_at = Instant::now();
         gateway.signal("TERM");
-        self.front.lock().expect("lock")[self.gateway].ends_since = Some(told);
-        let kill = told + self.world.longest + KILLED;
-        for _ in 0..self.draw.usize(0..3) {
-            sleep(Duration::from_millis(self.draw.u64(0..150)));
+        self.front.lock().expect("lock poisoned")[self.gateway].stopping_since = Some(signalled_at);
+        let kill = signalled_at + self.state.longest_deadline + KILL_DELAY;
+        for _ in 0..self.random.usize(0..3) {
+            sleep(Duration::from_millis(self.random.u64(0..150)));
             if gateway.runs() {
-                gateway.signal(if self.draw.bool() { "TERM" } else { "HUP" });
+                gateway.signal(if self.random.bool() { "TERM" } else { "HUP" });
             }
         }
         while gateway.runs() && Instant::now() < kill {
@@ -111,24 +111,24 @@
         if gateway.runs() {
             gateway.signal("KILL");
         } else if !gateway.wait().success() {
-            self.world.note(format!("gateway {} has crashed", self.gateway));
+            self.state.record_violation(format!("gateway {} crashed", self.gateway));
         }
-        for host in &self.world.hanging[..hanging] {
-            host.store(false, Ordering::SeqCst);
+        for endpoint in &self.state.hanging[..hanging] {
+            endpoint.store(false, Ordering::SeqCst);
         }
     }
 
     fn run(mut self) {
-        while !self.world.is_over() {
+        while !self.state.is_over() {
             let mut gateway = self.start();
-            let until = Instant::now() + Duration::from_millis(self.draw.u64(300..1500));
-            if self.draw.bool() {
+            let until = Instant::now() + Duration::from_millis(self.random.u64(300..1500));
+            if self.random.bool() {
                 self.reload(&gateway);
             }
-            while Instant::now() < until && !self.world.is_over() {
+            while Instant::now() < until && !self.state.is_over() {
                 sleep(Duration::from_millis(5));
                 if !gateway.runs() {
-                    self.world.note(format!("gateway {} has crashed", self.gateway));
+                    self.state.record_violation(format!("gateway {} crashed", self.gateway));
                     break;
                 }
             }
@@ -137,102 +137,108 @@
     }
 }
 
-/// Hosts drain for a while, one after another.
-fn drain_hosts(world: &World, listed: &Mutex<Listed>) {
-    let mut draw = world.draws(3 << 40);
-    let list = |host: usize, leaving: bool| {
-        let mut listed = listed.lock().expect("lock");
-        listed.leaving[host] = leaving;
+/// Drains endpoints for a while, one after another.
+fn drain_endpoints(state: &RunState, listed: &Mutex<EndpointList>) {
+    let mut random = state.random_stream(3 << 40);
+    let set_draining = |endpoint: usize, draining: bool| {
+        let mut listed = listed.lock().expect("lock poisoned");
+        listed.draining[endpoint] = draining;
         listed.version += 1;
     };
-    while !world.is_over() {
-        sleep(Duration::from_millis(draw.u64(200..800)));
-        let host = draw.usize(0..HOSTS);
-        list(host, true);
-        world.drains.lock().expect("lock").push(Drain { host, since: Instant::now(), until: None });
-        let until = Instant::now() + Duration::from_millis(draw.u64(1500..3500));
-        while Instant::now() < until && !world.is_over() {
+    while !state.is_over() {
+        sleep(Duration::from_millis(random.u64(200..800)));
+        let endpoint = random.usize(0..ENDPOINT_COUNT);
+        set_draining(endpoint, true);
+        state.drains.lock().expect("lock poisoned").push(Drain {
+            endpoint,
+            since: Instant::now(),
+            until: None,
+        });
+        let until = Instant::now() + Duration::from_millis(random.u64(1500..3500));
+        while Instant::now() < until && !state.is_over() {
             sleep(Duration::from_millis(10));
         }
-        if let Some(drain) = world.drains.lock().expect("lock").last_mut() {
+        if let Some(drain) = state.drains.lock().expect("lock poisoned").last_mut() {
             drain.until = Some(Instant::now());
         }
-        list(host, false);
+        set_draining(endpoint, false);
     }
 }
 
-/// Connections that say nothing, as many as the descriptors allow and more.
-fn crowd(world: &World, front: &Front) {
-    let mut held: Vec<TcpStream> = Vec::new();
-    while !world.is_over() {
-        let address = front.lock().expect("lock").iter().find(|b| b.up).map(|b| b.address.clone());
-        held.extend(address.and_then(|address| TcpStream::connect(address).ok()));
-        if held.len() > 120 {
-            held.clear();
+/// Opens silent connections, up to the descriptor limit and beyond it.
+fn open_idle_connections(state: &RunState, front: &Front) {
+    let mut connections: Vec<TcpStream> = Vec::new();
+    while !state.is_over() {
+        let address = front.lock().expect("lock poisoned").iter().find(|b| b.up).map(|b| b.address.clone());
+        connections.extend(address.and_then(|address| TcpStream::connect(address).ok()));
+        if connections.len() > 120 {
+            connections.clear();
         }
         sleep(Duration::from_millis(4));
     }
 }
 
-fn play(seed: u64, slack: Duration) -> (usize, usize, Vec<String>) {
-    let world = Arc::new(World::new(seed, HOSTS));
-    let hosts: Vec<SocketAddr> = (0..HOSTS).map(|host| start_host(&world, host)).collect();
-    let listed = Arc::new(Mutex::new(Listed { hosts, leaving: vec![false; HOSTS], version: 100 }));
-    let front: Front = Arc::new(Mutex::new(vec![Behind::default(); GATEWAYS]));
-    scope(|runs| {
-        for gateway in 0..GATEWAYS {
+fn run_seed(seed: u64, slack: Duration) -> (usize, usize, Vec<String>) {
+    let state = Arc::new(RunState::new(seed, ENDPOINT_COUNT));
+    let endpoints: Vec<SocketAddr> =
+        (0..ENDPOINT_COUNT).map(|endpoint| start_endpoint(&state, endpoint)).collect();
+    let listed =
+        Arc::new(Mutex::new(EndpointList { endpoints, draining: vec![false; ENDPOINT_COUNT], version: 100 }));
+    let front: Front = Arc::new(Mutex::new(vec![Backend::default(); GATEWAY_COUNT]));
+    scope(|threads| {
+        for gateway in 0..GATEWAY_COUNT {
             let discovery = start_discovery(&listed);
-            let known = listed.lock().expect("lock").entries();
-            let sockets = if world.crowd { 96 } else { 512 };
+            let known = listed.lock().expect("lock poisoned").entries();
+            let sockets = if state.fills_descriptors { 96 } else { 512 };
             let mut config = config(&discovery.to_string(), sockets, &known);
-            config["settings"] = settings(&world);
-            let draw = world.draws(gateway as u64);
+            config["settings"] = settings(&state);
+            let random = state.random_stream(gateway as u64);
             let operator = Operator {
-                world: &world,
+                state: &state,
                 front: &front,
                 gateway,
-                draw,
+                random,
                 config,
                 discovery,
                 listed: &listed,
-                processes: 0,
+                process_count: 0,
             };
-            runs.spawn(|| operator.run());
+            threads.spawn(|| operator.run());
         }
-        runs.spawn(|| drain_hosts(&world, &listed));
-        if world.crowd {
-            runs.spawn(|| crowd(&world, &front));
+        threads.spawn(|| drain_endpoints(&state, &listed));
+        if state.fills_descriptors {
+            threads.spawn(|| open_idle_connections(&state, &front));
         }
-        for number in 0..CLIENTS {
-            let (world, front) = (&world, &front);
-            runs.spawn(move || clients::run(world, front, number));
+        for number in 0..CLIENT_COUNT {
+            let (state, front) = (&state, &front);
+            threads.spawn(move || clients::run(state, front, number));
         }
-        sleep(LASTS);
-        world.over.store(true, Ordering::SeqCst);
+        sleep(RUN_TIME);
+        state.over.store(true, Ordering::SeqCst);
     });
-    let asks = world.asks.lock().expect("lock").len();
-    let attempts = world.attempts.lock().expect("lock").values().map(Vec::len).sum();
-    (asks, attempts, world.violations(slack))
+    let requests = state.requests.lock().expect("lock poisoned").len();
+    let attempts = state.attempts.lock().expect("lock poisoned").values().map(Vec::len).sum();
+    (requests, attempts, state.violations(slack))
 }
 
-/// The seeds to play: those of `SOAK_SEEDS`, such as `1-50`, else a few.
+/// The seeds to run: those of `SOAK_SEEDS`, such as `1-50`, or a few by default.
 fn seeds() -> Vec<u64> {
     let Ok(text) = std::env::var("SOAK_SEEDS") else { return vec![1, 4, 8] };
     let (first, last) = text.split_once('-').unwrap_or((&text, &text));
-    (first.parse().expect("a seed")..=last.parse().expect("a seed")).collect()
+    (first.parse().expect("invalid seed")..=last.parse().expect("invalid seed")).collect()
 }
 
 #[test]
-fn no_clause_is_broken_under_signals_in_series() {
+fn no_clause_is_violated_under_repeated_signals() {
     let slack = std::env::var("SOAK_SLACK_MS").ok().and_then(|ms| ms.parse().ok());
-    let slack = slack.map_or(SLACK, Duration::from_millis);
-    let mut broken = 0;
+    let slack = slack.map_or(DEFAULT_SLACK, Duration::from_millis);
+    let mut violation_count = 0;
     for seed in seeds() {
-        let (asks, attempts, violations) = play(seed, slack);
-        println!("seed {seed}: {asks} requests, {attempts} attempts, {} violations", violations.len());
+        let (requests, attempts, violations) = run_seed(seed, slack);
+        println!("seed {seed}: {requests} requests, {attempts} attempts, {} violations", violations.len());
         violations.iter().take(8).for_each(|violation| println!("  {violation}"));
-        assert!(asks > 100 && attempts > 50, "seed {seed}: too little happened");
-        broken += violations.len();
+        assert!(requests > 100 && attempts > 50, "seed {seed}: too little happened");
+        violation_count += violations.len();
     }
-    assert_eq!(broken, 0, "violations over all seeds");
+    assert_eq!(violation_count, 0, "violations over all seeds");
 }
--- a/crates/gateway/tests/whole.rs
+++ b/crates/gateway/tests/whole.rs
@@ -1,68 +1,74 @@
-//! Several processes of the program as one fleet, with faults between them: each link through a relay, nodes, registers and clients
-//! round them. What has to hold is judged by the rig, from what nodes, registers, clients and logs saw.
+//! Several processes of the program as one fleet, with faults between them.
+//! Each link runs through a relay; stand-in endpoints, discovery and clients surround the processes.
+//! The test bed checks the requirements against what endpoints, discovery, clients and logs recorded.
 
 use std::path::Path;
 use weldworks_testbed::whole::live;
 use weldworks_testbed::whole::script::Script;
 
-/// Plays a script that ships; the gateways' logs are to say all of this.
-fn play(name: &str, said: &[&str]) {
+/// Runs a scenario script from the repository; the gateways' logs must contain all of `expected_log_texts`.
+fn run_scenario(name: &str, expected_log_texts: &[&str]) {
     let path = format!("{}/../testbed/fleet/{name}.toml", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(&path).expect("the script");
-    let script = Script::parse(&path, &text).expect("as it should be");
-    let folder = live::folder_of(&script, 1, Path::new(env!("CARGO_TARGET_TMPDIR"))).expect("a folder");
+    let text = std::fs::read_to_string(&path).expect("cannot read the scenario script");
+    let script = Script::parse(&path, &text).expect("invalid scenario script");
+    let folder = live::folder_of(&script, 1, Path::new(env!("CARGO_TARGET_TMPDIR")))
+        .expect("cannot create the directory");
     let program = Path::new(env!("CARGO_BIN_EXE_weldworks-gateway"));
-    let (report, told) = live::play(&script, 1, program, &folder).expect("it can be played");
-    assert!(report.breaches.is_empty(), "{:#?}\n{}", report.breaches, told.join("\n"));
-    for said in said {
-        assert!(told.iter().any(|line| line.contains(said)), "nobody says {said:?}\n{}", told.join("\n"));
+    let (report, log_lines) = live::play(&script, 1, program, &folder).expect("the scenario run failed");
+    assert!(report.breaches.is_empty(), "{:#?}\n{}", report.breaches, log_lines.join("\n"));
+    for expected_text in expected_log_texts {
+        assert!(
+            log_lines.iter().any(|line| line.contains(expected_text)),
+            "no log line contains {expected_text:?}\n{}",
+            log_lines.join("\n")
+        );
     }
     assert!(report.figures.asked > 1000 && report.figures.audited > 100, "{:?}", report.figures);
 }
 
 #[test]
 fn straggler() {
-    play("straggler", &[]);
+    run_scenario("straggler", &[]);
 }
 
 #[test]
 fn cut_council() {
-    play("cut-council", &[]);
+    run_scenario("cut-council", &[]);
 }
 
 #[test]
 fn paused_member() {
-    play("paused-member", &[]);
+    run_scenario("paused-member", &[]);
 }
 
 #[test]
 fn rolling() {
-    play("rolling", &[]);
+    run_scenario("rolling", &[]);
 }
 
 #[test]
 fn power_cut() {
-    play("power-cut", &[]);
+    run_scenario("power-cut", &[]);
 }
 
 #[test]
 fn flapping() {
-    play("flapping", &[]);
+    run_scenario("flapping", &[]);
 }
 
 #[test]
 fn thin_link() {
-    play("thin-link", &[]);
+    run_scenario("thin-link", &[]);
 }
 
 #[test]
 fn changes() {
-    play("changes", &["configuration reload rejected", "configuration reloaded"]);
+    run_scenario("changes", &["configuration reload rejected", "configuration reloaded"]);
 }
 
 #[test]
 fn full_disk() {
-    play(
+    run_scenario(
         "full-disk",
         &["this process votes no longer", "audit store unavailable", "audit store available again"],
     );
