--- a/crates/gateway/tests/crossings/descriptor_limits.rs
+++ b/crates/gateway/tests/crossings/descriptor_limits.rs
@@ -106,7 +106,10 @@
     let seen = endpoint.seen.lock().expect("lock poisoned").pop().expect("no attempt received");
     let x_timeout = seen.header("x-timeout").and_then(|text| text.strip_suffix('u')?.parse().ok());
     let x_timeout = x_timeout.map(Duration::from_micros).expect("no valid X-Timeout");
-    let left = Duration::from_secs(2) - minimum_wait;
-    assert!(x_timeout <= left + Duration::from_millis(150), "X-Timeout: {x_timeout:?}; time left: {left:?}");
+    let time_left = Duration::from_secs(2) - minimum_wait;
+    assert!(
+        x_timeout <= time_left + Duration::from_millis(150),
+        "X-Timeout: {x_timeout:?}; time left: {time_left:?}"
+    );
     drop(silent_clients);
 }
--- a/crates/gateway/tests/crossings/stalled_clients.rs
+++ b/crates/gateway/tests/crossings/stalled_clients.rs
@@ -11,10 +11,12 @@
     let begun = Instant::now();
     let (mut text, mut buffer) = (Vec::new(), [0; 4096]);
     let ended = loop {
-        let Some(left) = CLOSE_TIMEOUT.checked_sub(begun.elapsed()).filter(|left| !left.is_zero()) else {
+        let Some(time_left) =
+            CLOSE_TIMEOUT.checked_sub(begun.elapsed()).filter(|time_left| !time_left.is_zero())
+        else {
             break false;
         };
-        stream.set_read_timeout(Some(left)).expect("set_read_timeout failed");
+        stream.set_read_timeout(Some(time_left)).expect("set_read_timeout failed");
         match stream.read(&mut buffer) {
             Ok(0) => break true,
             Ok(n) => text.extend_from_slice(&buffer[..n]),
--- a/crates/gateway/tests/crossings/unread_input.rs
+++ b/crates/gateway/tests/crossings/unread_input.rs
@@ -86,9 +86,9 @@
     assert!(written_at.elapsed() < Duration::from_millis(4300), "{:?}", written_at.elapsed());
     let seen = endpoint.seen.lock().expect("lock poisoned").pop().expect("no attempt received");
     let x_timeout = seen.header("x-timeout").and_then(|text| text.strip_suffix('u')?.parse().ok());
-    let left = Duration::from_secs(3) - listed_at.duration_since(written_at);
+    let time_left = Duration::from_secs(3) - listed_at.duration_since(written_at);
     assert!(
-        x_timeout.map(Duration::from_micros) < Some(left + Duration::from_millis(150)),
-        "X-Timeout: {x_timeout:?}; time left: {left:?}"
+        x_timeout.map(Duration::from_micros) < Some(time_left + Duration::from_millis(150)),
+        "X-Timeout: {x_timeout:?}; time left: {time_left:?}"
     );
 }
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -21,14 +21,14 @@
 }
 
 fn hold_clients(gateway: &Gateway, client_count: usize) -> Vec<Client> {
-    let mut held: Vec<_> = (0..client_count).map(|_| gateway.connect()).collect();
-    for client in &mut held {
+    let mut open_clients: Vec<_> = (0..client_count).map(|_| gateway.connect()).collect();
+    for client in &mut open_clients {
         let text = request("once").replace("\r\n\r\nbody", "\r\nExpect: 100-continue\r\n\r\n");
         client.write(text.as_bytes());
         assert_eq!(client.read().expect("no 100 Continue").status(), 100);
         client.write(b"body");
     }
-    held
+    open_clients
 }
 
 /// Number of client connections that the gateway accepts with a limit of 48 descriptors.
@@ -118,7 +118,7 @@
 
 #[test]
 fn retries_on_another_endpoint_after_a_refused_connection() {
-    let (_held, refusing_address) = refusing();
+    let (_refusing_socket, refusing_address) = refusing();
     let (gateway, discovery) = start("no-connection", &[entry("s-1", &refusing_address, 1, "active")]);
     let mut client = gateway.connect();
     client.send("once");
@@ -522,8 +522,8 @@
     let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "no-room", &discovery, 48, &[]);
-    let mut held = fill_client_capacity(&gateway);
-    let mut refused = Vec::new();
+    let mut open_clients = fill_client_capacity(&gateway);
+    let mut rejected_clients = Vec::new();
     for _ in 0..10 {
         let mut client = gateway.connect();
         let answer = client.ask("once");
@@ -531,12 +531,12 @@
         let after: f64 =
             answer.header("retry-after").and_then(|s| s.parse().ok()).expect("no valid Retry-After");
         assert!(after > 0.0 && after <= 1.2, "{after} is not within the settings' limit");
-        refused.push(client); // the rejected client keeps its connection open, and must not block the next client
+        rejected_clients.push(client); // the rejected client keeps its connection open, and must not block the next client
     }
     assert_eq!(endpoint.count(), 0);
     discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [endpoint.entry("s-1", 1)]}));
     // The gateway has fewer descriptors for endpoints than for clients, so some requests may be rejected.
-    let answers: Vec<_> = held.iter_mut().map(|c| c.read().expect("no answer").status()).collect();
+    let answers: Vec<_> = open_clients.iter_mut().map(|c| c.read().expect("no answer").status()).collect();
     assert!(answers.contains(&200) && answers.iter().all(|a| [200, 503].contains(a)), "{answers:?}");
     wait_for("an idle connection to be closed for a new client", || gateway.ask("once").status() == 200);
 }
@@ -547,7 +547,7 @@
     let mut config = config("127.0.0.1:1", 256, &[]);
     config["limits"]["memory_mb"] = json!(32);
     let gateway = Gateway::start_with(&PROGRAM, "places", &discovery, &config);
-    let _held = hold_clients(&gateway, 100);
+    let _open_clients = hold_clients(&gateway, 100);
 }
 
 #[test]
@@ -579,13 +579,14 @@
     let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "crowded", &discovery, 48, &[]);
-    let mut held = fill_client_capacity(&gateway);
+    let mut open_clients = fill_client_capacity(&gateway);
     // One more client connects. A connection closed between two requests could cross a new request of its client;
     // `Connection: close` in an answer can't cross a request.
     let _other = gateway.connect();
     discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [endpoint.entry("s-1", 1)]}));
-    let close_announced =
-        held.iter_mut().any(|client| client.read().expect("no answer").header("connection") == Some("close"));
+    let close_announced = open_clients
+        .iter_mut()
+        .any(|client| client.read().expect("no answer").header("connection") == Some("close"));
     assert!(close_announced);
 }
 
@@ -593,7 +594,7 @@
 fn new_clients_have_time_to_send_a_request() {
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "new-clients", &discovery, 48, &[]);
-    let held = fill_client_capacity(&gateway);
+    let open_clients = fill_client_capacity(&gateway);
     // As many clients as the gateway accepts beyond its capacity: none of these clients may be closed to make room for a possible further client.
     let requests_sent_soon = || {
         let connected = Instant::now();
@@ -607,7 +608,7 @@
         sent_soon
     };
     wait_for("a round within the time limit", requests_sent_soon);
-    drop(held);
+    drop(open_clients);
 }
 
 #[test]
@@ -617,14 +618,15 @@
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "host-sockets", &discovery, 48, &listed_thirty_times(&endpoint));
     // The number of clients exceeds the descriptors for endpoints and is one below the client capacity.
-    let mut held: Vec<_> = (1..CLIENT_CAPACITY_AT_48_DESCRIPTORS).map(|_| gateway.connect()).collect();
-    held.iter_mut().for_each(|c| c.send("look"));
+    let mut open_clients: Vec<_> =
+        (1..CLIENT_CAPACITY_AT_48_DESCRIPTORS).map(|_| gateway.connect()).collect();
+    open_clients.iter_mut().for_each(|c| c.send("look"));
     wait_for("the descriptors to run out", || endpoint.count() >= 10);
     // The request was not sent for lack of a descriptor, so it was surely not processed:
     // the gateway rejects the request although the request is unsafe to repeat.
     assert_eq!(gateway.ask("brief-once").status(), 503);
     endpoint.release();
-    held.iter_mut().for_each(|c| assert!(c.read().is_some()));
+    open_clients.iter_mut().for_each(|c| assert!(c.read().is_some()));
     assert_eq!(gateway.ask("once").status(), 200);
 }
 
@@ -690,8 +692,8 @@
     let (mut gateway, _discovery) = start("sigterm", &listed_thirty_times(&endpoint));
     let mut idle = gateway.connect();
     assert_eq!(idle.ask("look").status(), 200);
-    let mut held: Vec<_> = (0..3).map(|_| gateway.connect()).collect();
-    held.iter_mut().for_each(|c| c.send("once"));
+    let mut open_clients: Vec<_> = (0..3).map(|_| gateway.connect()).collect();
+    open_clients.iter_mut().for_each(|c| c.send("once"));
     wait_for("the attempts", || endpoint.count() == 4);
     let (mut late, mut half) = (gateway.connect(), gateway.connect());
     half.write(b"GET /look HTTP/1.1\r\n"); // an unfinished request, which must not keep the gateway from exiting
@@ -700,7 +702,7 @@
     let answer = late.read().expect("no answer on a connection made before SIGTERM");
     assert_eq!((answer.status(), late.read().map(|a| a.first)), (200, None));
     endpoint.release();
-    for client in &mut held {
+    for client in &mut open_clients {
         let answer = client.read().expect("no answer");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"released"[..]));
         assert_eq!(answer.header("connection"), Some("close"));
