--- a/crates/gateway/tests/fleet_off.rs
+++ b/crates/gateway/tests/fleet_off.rs
@@ -181,7 +181,7 @@
         Command::new(PROGRAM).args(["check", &path]).output().expect("cannot start the gateway program");
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
-    for part in ["not among the peers", "lease", "alone", "address", "3 or 5"] {
+    for part in ["is not the name of any peer", "lease", "alone", "address", "3 or 5"] {
         assert!(text.contains(part), "{part}: {text}");
     }
 }
