--- a/crates/gateway/src/engine/request_table.rs
+++ b/crates/gateway/src/engine/request_table.rs
@@ -22,7 +22,7 @@
 /// A request that is open or has an attempt in flight.
 pub(super) struct RequestEntry {
     pub(super) request_id: HeaderValue,
-    /// Identity by which a client's retry of the request is recognized; `None` for a request without an idempotency key.
+    /// Identity by which a client's retry of the request is recognized; `None` for a request without an affinity key (the cookie `k`).
     pub(super) retry_identity: Option<u64>,
     pub(super) forward: Rc<ForwardedRequest>,
     /// Sender of the final answer; `None` once the request is answered or its client has disconnected.
--- a/crates/gateway/src/engine/retry_storm.rs
+++ b/crates/gateway/src/engine/retry_storm.rs
@@ -11,7 +11,7 @@
 /// Lower bound of the mean priority weight, which prevents a division by zero where all classes have weight 0.
 const MIN_MEAN_PRIORITY_WEIGHT: f64 = 1e-9;
 
-/// Identity by which a client's retry is recognized: idempotency key, class and tenant; `None` without an idempotency key.
+/// Identity by which a client's retry is recognized: affinity key (the cookie `k`), class and tenant; `None` without an affinity key.
 pub(super) fn retry_identity(request: &weldworks_balancer::Request) -> Option<u64> {
     let class_and_tenant = (request.class as u64) << 32 | request.tenant as u64;
     request.key.map(|key| weldworks_balancer::mix(key) ^ weldworks_balancer::mix(class_and_tenant))
