--- a/crates/testbed/src/whole/history.rs
+++ b/crates/testbed/src/whole/history.rs
@@ -1,4 +1,5 @@
-//! What happened in a play: who stood how, what was decided, who led. All checks read it, whichever runner wrote it.
+//! History of a run: session states of the gateways, entries applied by the consensus group, and leaders. All checks read this history,
+//! whichever runner wrote it.
 
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,86 +8,86 @@
 use weldworks_fleet::node::SessionState;
 use weldworks_fleet::state_machine::{FenceReason, SessionId};
 
-/// What was seen.
+/// What a runner observed of one gateway process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Seen {
-    /// A gateway's process stands like this from now on.
+    /// The session state of a gateway process changed to this one.
     Stands(SessionState),
-    /// A process has ended.
+    /// A gateway process ended.
     Ended,
-    /// A council member has applied an entry: its council, the entry's position, and a digest of the register after it.
+    /// A voter applied a log entry to its state machine.
     Applied {
-        /// Which council.
+        /// Identifier of the consensus group.
         founding: u64,
-        /// Where.
+        /// Log index of the applied entry.
         position: u64,
-        /// The register's digest.
+        /// Digest of the state machine after the entry was applied.
         digest: u64,
     },
-    /// A session is over with a council member.
+    /// A voter counts this session as expired.
     Lapsed(SessionId),
-    /// A session is shut out, with a council member.
+    /// A voter has fenced this session.
     ShutOut(SessionId),
-    /// A member leads.
+    /// A voter became the leader.
     Leads,
 }
 
-/// A line of it.
+/// One observation, with its time and its gateway process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// True time.
+    /// Time since the start of the run, by the test bed's own clock and not by the gateway's.
     pub at: Duration,
-    /// Which gateway.
+    /// Number of the gateway, counted from 0.
     pub gateway: usize,
-    /// Its process, counted from 0.
+    /// Number of the gateway's process, counted from 0: each restart adds one.
     pub process: usize,
-    /// What.
+    /// What was observed of the gateway process.
     pub seen: Seen,
 }
 
-/// A play's history.
+/// All observations of one run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// All lines, in order.
+    /// The records in the order in which they were made.
     pub lines: Vec<Line>,
 }
 
-/// Figures of a play.
+/// Figures of a run in virtual time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Figures {
-    /// The longest time in which nobody led, in seconds, after the first leader.
+    /// Longest time without a leader after the first leader, in seconds.
     pub leaderless_s: f64,
-    /// Of all gateways' time after 3 s, the part in a session.
+    /// Fraction of all gateways' time that is spent in a session, from 3 s after the start of the run.
     pub in_session: f64,
-    /// Of that time, the part shut out.
+    /// Fraction of all gateways' time that is spent fenced, from 3 s after the start of the run.
     pub shut_out: f64,
-    /// From a process's start to its first session, in seconds: median and longest.
+    /// Time from a process's start to its first session, in seconds: median and maximum.
     pub first_session_s: (f64, f64),
-    /// Entries decided.
+    /// Number of entries in the consensus group's log at the end of the run.
     pub entries: u64,
-    /// Frames sent by all gateways, a second.
+    /// Frames sent by all gateways together, per second.
     pub frames_s: f64,
-    /// Bytes sent by all gateways, a second.
+    /// Bytes sent by all gateways together, per second.
     pub bytes_s: f64,
-    /// From the moment when a gateway's discovery is stuck to its being shut out, in seconds, one a case.
+    /// Time from a gateway's discovery being frozen until the gateway is fenced, in seconds, one value for each case.
     pub to_shut_out_s: Vec<f64>,
-    /// From the moment when it hears again to its being let in, in seconds, one a case.
+    /// Time from a gateway's discovery working again until the gateway is unfenced, in seconds, one value for each case.
     pub to_let_in_s: Vec<f64>,
 }
 
 impl History {
-    /// Adds a line.
+    /// Appends a record to the history.
     pub fn note(&mut self, at: Duration, gateway: usize, process: usize, seen: Seen) {
         self.lines.push(Line { at, gateway, process, seen });
     }
 
-    /// What can be proved of any play, however it went.
+    /// Violations of the rules that hold in every run, whatever its faults.
     pub fn breaches(&self) -> Vec<String> {
         let mut breaches = Vec::new();
         let mut registers: BTreeMap<(u64, u64), (u64, usize)> = BTreeMap::new();
         let mut councils: BTreeSet<u64> = BTreeSet::new();
         let mut over: BTreeSet<SessionId> = BTreeSet::new();
-        // By name: which process is in session.
+        // For each gateway, the processes that are in a session, with the session's identifier.
         let mut holders: BTreeMap<usize, BTreeMap<usize, SessionId>> = BTreeMap::new();
         for line in &self.lines {
             let (gateway, process, at) = (line.gateway, line.process, line.at);
@@ -135,13 +136,13 @@
         breaches
     }
 
-    /// Which gateways were ever shut out for lagging.
+    /// Gateways that were fenced for version lag at any time of the run.
     pub fn shut_out(&self) -> BTreeSet<usize> {
         let out = |l: &&Line| matches!(l.seen, Seen::Stands(SessionState::Fenced(FenceReason::Lagging(_))));
         self.lines.iter().filter(out).map(|l| l.gateway).collect()
     }
 
-    /// Which gateways were ever without a session after their process's first one.
+    /// Gateways with a process that lost its session: it was without one at any time after its first one.
     pub fn alone(&self) -> BTreeSet<usize> {
         let mut had = BTreeSet::new();
         let mut alone = BTreeSet::new();
@@ -157,7 +158,7 @@
         alone
     }
 
-    /// As text, the lines that matter to a reader.
+    /// The history as text for a reader, without the applied log entries.
     pub fn text(&self) -> String {
         let mut text = String::new();
         for line in &self.lines {
--- a/crates/testbed/src/whole/mod.rs
+++ b/crates/testbed/src/whole/mod.rs
@@ -1,5 +1,6 @@
-//! The whole fleet: several gateways, their links and their council, under faults on a timeline; in virtual time with the decisions
-//! in process, or on real processes with a relay in each link. One history of each play is what the checks read.
+//! Fault scenarios on a fleet: several gateways, the links between them and their consensus group, under faults on a timeline. A scenario
+//! runs either in virtual time with the gateways' decision code in process, or on real gateway processes with a relay in each link. The
+//! checks read one history of each run.
 
 pub mod history;
 mod judge;
--- a/crates/testbed/src/whole/script.rs
+++ b/crates/testbed/src/whole/script.rs
@@ -1,135 +1,136 @@
-//! A script of faults for a fleet: who, what, from when, for how long.
+//! Scripts of fault scenarios for a fleet: each fault has a kind, the gateways that it affects, a start and a duration.
 
 use crate::draws::Draws;
 use std::time::Duration;
 use weldworks_config::{Choice, Document, Problems, Table};
 
-/// What happens.
+/// Kinds of faults and of operations that a script can schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
-    /// Processes are killed, and start anew when it is over.
+    /// The processes are killed at the start of the fault and started again at its end.
     Kill,
-    /// Processes are stopped as they stand, and go on when it is over.
+    /// The processes are stopped by a signal at the start of the fault and continued at its end.
     Pause,
-    /// The links between some and some others bring nothing, and nobody is told.
+    /// The links between two groups of gateways carry nothing, and no gateway is notified of that.
     Cut {
-        /// From the ones to the others only.
+        /// Whether only the direction from the fault's targets to the other gateways is cut.
         one_way: bool,
     },
-    /// The links bring what they bring later.
+    /// The links deliver everything with an added delay.
     Slow {
-        /// By so much, drawn for each frame.
+        /// Least and greatest added delay; the delay of each frame is drawn between them.
         by: (Duration, Duration),
     },
-    /// The links end and come up again, over and over.
+    /// The links are closed and reconnected repeatedly.
     Flap {
-        /// Each turn.
+        /// Time between two closings of the links.
         every: Duration,
     },
-    /// Discovery tells them nothing new.
+    /// Discovery delivers no newer endpoint list to the gateways.
     Stick,
-    /// The links bring so many bytes a second at most; on real processes only.
+    /// The links carry at most this many bytes a second; only on real processes.
     Thin {
-        /// Bytes a second, each way.
+        /// Limit of each direction of a link, in bytes a second.
         rate: u64,
     },
-    /// Their discovery moves: the old one tells nothing new, their configuration names another, and SIGHUP says so; on real processes only.
+    /// Discovery moves to another address: the previous one delivers no newer list, the gateways' configuration names the new one, and
+    /// they get SIGHUP; only on real processes.
     Move,
-    /// Their configuration is written anew and SIGHUP says so; on real processes only.
+    /// The gateways' configuration files are rewritten and the gateways get SIGHUP; only on real processes.
     Configure {
-        /// It can't be read, and is to be turned down.
+        /// Whether the new configuration file is invalid, so that the gateway has to reject it.
         broken: bool,
     },
-    /// Their disks take nothing any more; on real processes only.
+    /// Writes to the gateways' disks fail; only on real processes.
     FillDisk,
-    /// Their processes are replaced, one after the other, in order.
+    /// The gateways' processes are replaced one after the other, each by a graceful shutdown and a new start.
     Replace {
-        /// From one to the next.
+        /// Time from the start of one replacement to the next.
         apart: Duration,
     },
 }
 
-/// Whom it happens to.
+/// The gateways that a fault affects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Whom {
-    /// These gateways.
+    /// The gateways with these numbers, counted from 0.
     Gateways(Vec<usize>),
-    /// Whoever leads at that moment.
+    /// The gateway that leads the consensus group when the fault starts.
     Leader,
-    /// All.
+    /// All gateways of the fleet.
     All,
 }
 
-/// Something that happens.
+/// A scheduled fault or operation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    /// From when on.
+    /// Start of the fault, from the start of the script.
     pub at: Duration,
-    /// For how long; to the end where none.
+    /// Duration of the fault; a fault without one lasts to the end of the run.
     pub lasts: Option<Duration>,
-    /// Whom.
+    /// The gateways that the fault affects.
     pub whom: Whom,
-    /// For links: between them and these; all others where none.
+    /// For faults of links: the gateways at the other end of the affected links. Without this list, all gateways that are not targets.
     pub others: Option<Vec<usize>>,
-    /// What.
+    /// What happens to the gateways or links.
     pub what: What,
 }
 
-/// A client asks each gateway this often, unless a script says otherwise.
+/// Interval between two requests of a client to its gateway, unless the script sets another.
 const ASKS: Duration = Duration::from_millis(25);
-/// After this at most, with nothing else wrong, one that came back has its seat again.
+/// Longest time that a restarted process needs to become a voter again where no other fault is active.
 const SEATED: Duration = Duration::from_secs(4);
 
 impl Event {
-    /// When it is over.
+    /// End of the fault, from the start of the script; none where the fault lasts to the end of the run.
     pub fn until(&self) -> Option<Duration> {
         self.lasts.map(|lasts| self.at + lasts)
     }
 }
 
-/// What is expected of the gateways named in it.
+/// What has to happen to the gateways that the script names, beside the rules that hold in every run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Expected {
-    /// They are shut out at some time.
+    /// Gateways that have to be fenced at some time of the run.
     pub shut_out: Vec<usize>,
-    /// They are without a session at some time.
+    /// Gateways that have to be without a session at some time after their first session.
     pub alone: Vec<usize>,
 }
 
-/// A script.
+/// A fault scenario, read from a TOML file or drawn at random.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Script {
-    /// Its name.
+    /// Name of the scenario, written to the report.
     pub name: String,
-    /// What it shows.
+    /// What the scenario demonstrates.
     pub about: String,
-    /// How long it is.
+    /// Length of the scenario, without the time until the fleet is up on real processes.
     pub lasts: Duration,
-    /// How many gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// How many of them have a seat, the first ones.
+    /// Number of voters in the consensus group; the gateways with the lowest numbers are the voters.
     pub council: usize,
-    /// The length of a lease.
+    /// Length of a session's lease.
     pub lease: Duration,
-    /// The margin.
+    /// Clock margin of the lease: the fraction by which the clock of any gateway may run fast or slow.
     pub margin: f64,
-    /// Versions behind, and for how long, that make a straggler.
+    /// A gateway is lagging once it is this many versions of the endpoint list behind for this long.
     pub behind: (u64, Duration),
-    /// The part of the fleet that may be shut out.
+    /// Greatest fraction of the fleet's sessions that may be fenced at once.
     pub most_out: f64,
-    /// A new list comes this often.
+    /// Interval between two versions of the endpoint list.
     pub lists: Duration,
-    /// A client asks each gateway this often, on real processes.
+    /// Interval between two requests of a client to its gateway, on real processes.
     pub asks: Duration,
-    /// From then on lists say that the last node leaves; on real processes only.
+    /// Time from which endpoint lists mark the last endpoint as draining; only on real processes.
     pub leaves: Option<Duration>,
-    /// Council members keep their state on disks.
+    /// Whether voters store their consensus state on disk; on real processes the audit logs too.
     pub disks: bool,
-    /// A gateway without a session refuses; otherwise it serves.
+    /// Whether a gateway without a session rejects requests; otherwise it serves them.
     pub refuses_alone: bool,
-    /// What happens.
+    /// The faults and operations of the scenario.
     pub events: Vec<Event>,
-    /// What comes of it, beside what always has to hold.
+    /// What the faults have to lead to, beside the rules that hold in every run.
     pub expected: Expected,
 }
 
@@ -206,10 +207,10 @@
 }
 
 impl Script {
-    /// Reads a script.
+    /// Parses a script from TOML text; `file` is named in the errors.
     ///
     /// # Errors
-    /// All that is wrong with it, each with its line and key.
+    /// All problems of the script, each with its line and key.
     pub fn parse(file: &str, text: &str) -> Result<Script, Problems> {
         let document = Document::parse(file, text)?;
         let root = document.root();
@@ -251,7 +252,8 @@
         document.check(script)
     }
 
-    /// The same, where members keep their state: however many are killed, at whatever moment, nothing agreed on is lost.
+    /// A random script like [`Script::drawn`] with further kills, where voters store their state on disk: however many processes are
+    /// killed, and whenever, no agreed entry may be lost.
     pub fn drawn_with_disks(seed: u64, gateways: usize, council: usize) -> Script {
         let mut script = Script::drawn(seed, gateways, council);
         let mut draw = Draws::new(seed).stream(crate::draws::For::Event, 1);
@@ -270,7 +272,8 @@
         script
     }
 
-    /// A script of faults drawn by a seed: for searching. All are over after two thirds of it, so that the rest shows the recovery.
+    /// A script with random faults, determined by `seed`, for searching violations. All faults end within the first two thirds of the
+    /// script, so that the rest of it shows the recovery.
     pub fn drawn(seed: u64, gateways: usize, council: usize) -> Script {
         let mut draw = Draws::new(seed).stream(crate::draws::For::Event, 0);
         let lasts = Duration::from_secs(30);
@@ -281,7 +284,7 @@
         for _ in 0..count {
             let at = ms(2500 + number(14_000));
             let long = ms(50 + number(6000)).min(Duration::from_secs(20) - at);
-            // Seats are met more often than their share: there the decisions are made.
+            // Voters are targets more often than their share of the fleet, since they make the decisions.
             let one = if number(3) == 0 { number(gateways) } else { number(council) };
             let two = (one + 1 + number(gateways - 1)) % gateways;
             let whom = if number(5) == 0 { Whom::Leader } else { Whom::Gateways(vec![one]) };
@@ -298,8 +301,8 @@
             events.push(Event { at, lasts: Some(long), whom, others, what });
         }
         events.sort_by_key(|e: &Event| e.at);
-        // A council without disks bears the loss of a minority of its processes until they are seated anew. A second loss before is
-        // played by a script of its own; here it is a pause.
+        // A consensus group without disks survives the loss of a minority of its processes until they are voters again. A second loss
+        // before then has a script of its own; here it becomes a pause.
         let mut whole_from = Duration::ZERO;
         for event in &mut events {
             let seat = match &event.whom {
