--- a/crates/testbed/src/whole/place.rs
+++ b/crates/testbed/src/whole/place.rs
@@ -1,5 +1,5 @@
-//! What stands round the gateways of a play on real processes: booking nodes, a register for each gateway, clients. Each books what
-//! it saw, with the rig's own times.
+//! Stand-ins around the gateways of a run on real processes: endpoints, a discovery for each gateway, and clients. Each stand-in records
+//! what it observed, with times of the test bed's own clock.
 
 use crate::live::http::{Connection, First, Kind};
 use serde_json::{json, Value};
@@ -14,58 +14,58 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A request that a node has served.
+/// A request that a stand-in endpoint received and answered.
 #[derive(Clone, Debug)]
 pub struct Served {
-    /// Its number.
+    /// The request's `X-Request-ID`.
     pub request: String,
-    /// Which node.
+    /// Number of the endpoint that received the request.
     pub node: usize,
-    /// When it came whole.
+    /// When the endpoint had received the complete request.
     pub at: Duration,
 }
 
-/// A client's request.
+/// A request that a client sent to its gateway.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    /// Its number.
+    /// The request's `X-Request-ID`.
     pub request: String,
-    /// Which gateway.
+    /// Number of the gateway that the request was sent to.
     pub gateway: usize,
-    /// When it was sent.
+    /// When the client started to send the request.
     pub at: Duration,
-    /// When it was answered, or given up.
+    /// When the client received the response or gave up.
     pub until: Duration,
-    /// The status; none where no answer came, or no connection.
+    /// Status of the response; none if there was no response or no connection.
     pub status: Option<u16>,
 }
 
-/// What was seen.
+/// What the stand-ins around the gateways observed.
 #[derive(Default)]
 pub struct Books {
-    /// By nodes.
+    /// Requests that endpoints answered.
     pub served: RefCell<Vec<Served>>,
-    /// By clients.
+    /// Requests that clients sent.
     pub asked: RefCell<Vec<Asked>>,
-    /// By registers: what each gateway was told, and when.
+    /// For each gateway, the indices of the endpoint lists that its discovery sent, with the times of sending.
     pub listed: RefCell<BTreeMap<usize, Vec<(Duration, u64)>>>,
 }
 
-/// The rig's clock.
+/// The test bed's clock, from which all observations of the stand-ins take their time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(pub Instant);
 
 impl Clock {
-    /// Since the beginning.
+    /// Time since the clock was started.
     pub fn now(&self) -> Duration {
         self.0.elapsed()
     }
 }
 
-/// Starts a node that answers at once; gives its address.
+/// Starts a stand-in endpoint that answers each request at once; returns its address.
 ///
 /// # Errors
-/// Where no port is to be had.
+/// If no port is available.
 pub async fn node(number: usize, clock: Clock, books: Rc<Books>) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let address = listener.local_addr()?;
@@ -88,17 +88,17 @@
     Ok(address)
 }
 
-/// The lists as they stand, which all registers tell from.
+/// Endpoint lists, from which the discoveries of all gateways answer.
 pub struct Lists {
     nodes: Vec<SocketAddr>,
-    /// Nodes that leave, and the index that says so first.
+    /// Draining endpoints, each with the index of the first list that marks it as draining.
     leaving: RefCell<BTreeMap<usize, u64>>,
     index: Cell<u64>,
     changed: watch::Sender<u64>,
 }
 
 impl Lists {
-    /// Lists of these nodes.
+    /// The first list, of these endpoints, none of them draining.
     pub fn new(nodes: Vec<SocketAddr>) -> Rc<Lists> {
         Rc::new(Lists {
             nodes,
@@ -108,7 +108,7 @@
         })
     }
 
-    /// A new list, in which perhaps one more node leaves.
+    /// Publishes the next list; the endpoint with the given number is draining from that list on.
     pub fn next(&self, leaves: Option<usize>) {
         self.index.set(self.index.get() + 1);
         if let Some(node) = leaves {
@@ -117,12 +117,12 @@
         self.changed.send_replace(self.index.get());
     }
 
-    /// The newest index.
+    /// Index of the newest list.
     pub fn index(&self) -> u64 {
         self.index.get()
     }
 
-    /// The whole list of an index.
+    /// Snapshot of the list with this index, in the format of the discovery protocol.
     pub fn whole(&self, index: u64) -> Value {
         let leaving = self.leaving.borrow();
         let entry = |(n, address): (usize, &SocketAddr)| {
@@ -134,10 +134,10 @@
     }
 }
 
-/// Starts one gateway's register; while `stuck` holds an index, that is the newest that it knows of.
+/// Starts the discovery stand-in of one gateway. While `stuck` holds an index, discovery sends no list with a higher index.
 ///
 /// # Errors
-/// Where no port is to be had.
+/// If no port is available.
 pub async fn register(
     gateway: usize,
     lists: Rc<Lists>,
@@ -172,7 +172,7 @@
                     if wire.write(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await.is_err() {
                         return;
                     }
-                    // An empty line now and then shows that the watch lives.
+                    // An empty line at least every 500 ms shows the gateway that its watch is still open.
                     let _ = timeout(Duration::from_millis(500), changed.changed()).await;
                 }
             });
@@ -181,7 +181,8 @@
     Ok(address)
 }
 
-/// Asks one gateway again and again, on a kept connection where it keeps it. `address` is where it takes clients at this moment.
+/// Sends requests to one gateway at a fixed interval, over a keep-alive connection as long as the gateway leaves it open. `address` is
+/// where the gateway accepts clients at that moment.
 pub async fn client(
     gateway: usize,
     address: Rc<Cell<Option<SocketAddr>>>,
--- a/crates/testbed/src/whole/relay.rs
+++ b/crates/testbed/src/whole/relay.rs
@@ -1,4 +1,4 @@
-//! A relay in a link: it cuts, delays, limits, holds and resets what passes, each way by itself.
+//! A TCP relay in the link between two gateways. It cuts, delays, limits and resets the traffic, each direction independently.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -12,21 +12,21 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// One direction.
+/// One direction of a relayed link.
 #[derive(Default)]
 pub struct Way {
-    /// Nothing passes while this is above 0; it waits, as in a network that has lost its way.
+    /// Number of active cuts. Above 0 nothing is forwarded: data waits in the relay and is not lost.
     pub cut: Cell<u32>,
-    /// What passes comes this much later, drawn for each piece.
+    /// Ranges of an added delay, of which the last one applies; the delay of each piece of data is drawn from that range.
     pub slow: RefCell<Vec<(Duration, Duration)>>,
-    /// So many bytes pass in a second at most.
+    /// Limit of the direction's throughput, in bytes a second; none for no limit.
     pub thin: Cell<Option<u64>>,
     draw: Cell<u64>,
     healed: Notify,
 }
 
 impl Way {
-    /// The delay of the next piece, where there is one: by a sequence of this direction's own.
+    /// The delay of the next piece of data, if the direction is delayed. Each direction has a random sequence of its own.
     fn delay(&self) -> Option<Duration> {
         let (least, most) = self.slow.borrow().last().copied()?;
         let draw = weldworks_balancer::mix(self.draw.get());
@@ -34,7 +34,7 @@
         Some(least + (most - least).mul_f64((draw >> 11) as f64 / (1u64 << 53) as f64))
     }
 
-    /// One cut fewer.
+    /// Ends one of the active cuts.
     pub fn heal(&self) {
         self.cut.set(self.cut.get().saturating_sub(1));
         if self.cut.get() == 0 {
@@ -44,30 +44,30 @@
 
     async fn open(&self) {
         while self.cut.get() > 0 {
-            // Looked at again by itself too, so that no wake-up can be missed.
+            // The timeout checks the number of cuts again even if the notification that a cut has ended was missed.
             let _ = tokio::time::timeout(Duration::from_millis(20), self.healed.notified()).await;
         }
     }
 }
 
-/// A relay: who calls it is passed on to whoever it stands for at that moment.
+/// A relay, which forwards each connection made to it to the process that is its target at that moment.
 pub struct Relay {
-    /// Where it listens.
+    /// Address at which the relay accepts connections.
     pub address: SocketAddr,
-    /// From the caller to the one called.
+    /// The direction from the side that opens the connection to the side that accepts it.
     pub there: Rc<Way>,
-    /// And back.
+    /// The direction from the side that accepts the connection back to the side that opens it.
     pub back: Rc<Way>,
-    /// Where it passes connections on to; to nobody where none.
+    /// Address to which the relay forwards connections; while there is none, it closes them at once.
     pub target: Rc<Cell<Option<SocketAddr>>>,
     resets: Rc<Notify>,
 }
 
 impl Relay {
-    /// A relay that stands for nobody yet.
+    /// Starts a relay that has no target yet.
     ///
     /// # Errors
-    /// Where no port is to be had.
+    /// If no port is available.
     pub async fn start(seed: u64) -> io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -97,7 +97,7 @@
         Ok(relay)
     }
 
-    /// Ends all connections that pass at this moment.
+    /// Closes all connections that the relay is forwarding at this moment.
     pub fn reset(&self) {
         self.resets.notify_waiters();
     }
@@ -114,10 +114,10 @@
 async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, way: &Way) {
     let mut bytes = vec![0; 16 << 10];
     loop {
-        // A twentieth of a second's worth at a time.
+        // Under a throughput limit each read takes at most what may pass in 50 ms.
         let most = way.thin.get().map_or(bytes.len(), |rate| (rate as usize / 20).clamp(1, bytes.len()));
         let read = from.read(&mut bytes[..most]).await.unwrap_or(0);
-        way.open().await; // an end does not pass a cut either
+        way.open().await; // a cut holds back the end of a connection too
         if read == 0 {
             let _ = to.shutdown().await;
             return;
