--- a/crates/testbed/src/whole/judge.rs
+++ b/crates/testbed/src/whole/judge.rs
@@ -1,5 +1,5 @@
-//! Judges a play on real processes: what nodes, registers, clients and logs saw, held against what has to hold and against the audit's
-//! books, of processes that have ended too.
+//! Checks a run on real processes: compares what endpoints, discovery, clients and logs observed with the rules of the fleet and with the
+//! audit logs of the gateways, including those of processes that have ended.
 
 use super::history::Seen;
 use super::live::{Play, NODES, SLACK};
@@ -11,14 +11,14 @@
 use weldworks_fleet::node::SessionState;
 use weldworks_fleet::protocol::AdminQuery;
 
-/// A host that others were told leaves gets nothing new from a gateway whose own list does not say so, after this.
+/// Time from the first list that marks an endpoint as draining, after which gateways with an older list may not send it requests either.
 const TOLD_GONE: Duration = Duration::from_secs(2);
-/// A killed process's books are known up to this before its end. A second is promised where the disk takes a write in half of one; a
-/// busy machine gets more, and the figure is in the report.
+/// Longest part of a killed process's life, up to its end, that may be missing from its audit log. The gateways promise 1 s if the disk
+/// completes a write within 0.5 s; a busy machine is allowed more, and the measured time is in the report.
 const UNKNOWN: Duration = Duration::from_secs(5);
 
 impl Play {
-    /// Holds the whole play against what has to hold.
+    /// Checks all rules and returns their violations.
     pub(super) async fn judge(&self) -> Vec<String> {
         let mut breaches = Vec::new();
         for n in 0..self.gateways.len() {
@@ -61,7 +61,7 @@
         breaches
     }
 
-    /// A configuration that can be read is in force where it was written, and no other is anywhere.
+    /// Checks that a valid new configuration is in force exactly at the gateways where it was written.
     async fn judge_configured(&self, breaches: &mut Vec<String>) {
         let configured = self.configured.borrow().clone();
         let mut in_force = Vec::new();
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Nobody serves what came after its session was over and before it had another, where a gateway without one refuses.
+    /// Checks that no gateway serves a request that arrived after its session had expired and before it had a new one, if the script has
+    /// gateways without a session reject requests.
     fn judge_sessions(&self, breaches: &mut Vec<String>) {
         let history = self.history.borrow();
         let mut holder: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
@@ -149,12 +150,12 @@
         figures.asked = asked.len();
         figures.served =
             asked.iter().filter(|a| a.status == Some(200)).count() as f64 / asked.len().max(1) as f64;
-        seconds.pop_last(); // cut short by the end
+        seconds.pop_last(); // the last second is incomplete
         let share = |(asked, served): &(usize, usize)| *served as f64 / (*asked).max(1) as f64;
         figures.worst_second = seconds.values().map(share).fold(1.0, f64::min);
     }
 
-    /// The host that leaves gets nothing new, from whomever, once others were told.
+    /// Checks that a draining endpoint gets no new request from any gateway, once the delay for the gateways with an older list is over.
     fn judge_departure(&self, breaches: &mut Vec<String>) {
         let Some(left) = self.left.get() else { return };
         let served = self.books.served.borrow();
@@ -170,8 +171,8 @@
         }
     }
 
-    /// Each request that nodes saw stands in the audit of the gateway it came through, with that node, under a list that was in
-    /// force there.
+    /// Checks that each request that endpoints received is in the audit of the gateway that forwarded it, with that endpoint and with an
+    /// endpoint list that was in force there.
     async fn judge_audit(&self, breaches: &mut Vec<String>) {
         let served = self.books.served.borrow().clone();
         let asked: BTreeMap<String, usize> =
@@ -198,7 +199,7 @@
                 breaches
                     .push(format!("nodes saw {} sends of gateway {n}, and its audit has {sends}", own.len()));
             }
-            // Spread over the whole of it.
+            // The audit is queried for a sample of the requests, spread evenly over all of them.
             let every = (own.len() / 40).max(1);
             for seen in own.iter().step_by(every) {
                 self.figures.borrow_mut().audited += 1;
@@ -215,8 +216,9 @@
                 };
                 let index = step["version"]["list"]["index"].as_u64().unwrap_or_default();
                 let known = listed.get(&n).map(Vec::as_slice).unwrap_or_default();
-                // In force was the newest that it had been told, or one that it had been told not long before and was to take in. One that
-                // was paused has not read what it was told meanwhile: it wakes with the list it had.
+                // A decision may use the newest list that discovery had sent to the gateway, or one sent within the tolerance before,
+                // which the gateway may not have applied yet. A paused gateway does not read the lists sent meanwhile, and continues with
+                // the list that it had before the pause.
                 let troubled = gateway.troubled.borrow();
                 let within = troubled.iter().filter(|(from, until)| *from <= seen.at && seen.at <= *until);
                 let since = within.map(|(from, _)| *from).min().unwrap_or(seen.at);
@@ -233,7 +235,8 @@
         }
     }
 
-    /// The same of the gateway's processes that have ended: what nodes saw of them is on the disk, or in a time that is told as unknown.
+    /// Checks the audit of a gateway's ended processes: each request that endpoints received from these processes is on disk, or lies in
+    /// a time that the audit reports as unknown.
     async fn judge_ended(&self, n: usize, told: &Value, ended: &[&Served], breaches: &mut Vec<String>) {
         if let Some(why) = told["earlier_unread"].as_str() {
             breaches.push(format!("gateway {n} does not tell what its processes before did: {why}"));
@@ -249,7 +252,7 @@
             let gaps = process["unknown"].as_array().into_iter().flatten();
             unknown.extend(gaps.map(|gap| (at(&gap["from_ms"]), at(&gap["to_ms"]))));
         }
-        // A process that was killed could not write that it ended.
+        // A killed process could not record its end, so its audit has to report an unknown time around the kill.
         for kill in self.kills.borrow().iter().filter(|(gateway, _)| *gateway == n).map(|(_, at)| *at) {
             let Some((from, _)) =
                 unknown.iter().find(|(from, to)| *from <= kill + SLACK && kill <= *to + SLACK)
@@ -303,7 +306,7 @@
     }
 }
 
-/// How many requests went out, by these intervals.
+/// Number of forwarded requests, resent ones included, by the audit's intervals.
 fn sends(told: &Value) -> u64 {
     let intervals = told["intervals"].as_array().into_iter().flatten();
     let decisions = intervals.flat_map(|i| i["decisions"].as_array().into_iter().flatten());
--- a/crates/testbed/src/whole/live.rs
+++ b/crates/testbed/src/whole/live.rs
@@ -1,5 +1,6 @@
-//! A fleet on real processes: each link through a relay, processes killed, paused, continued and replaced on a timeline, nodes, registers
-//! and clients round them, and the audit's books held against what those saw.
+//! Fault scenarios on real gateway processes: each link goes through a relay; processes are killed, paused, continued and replaced on a
+//! timeline; stand-in endpoints, discoveries and clients surround the gateways. The audit logs are checked against what these stand-ins
+//! observed.
 
 use super::history::{History, Seen};
 use super::place::{self, Books, Clock, Lists};
@@ -31,54 +32,56 @@
 
 const FLEET: &str = "whole";
 pub(super) const NODES: usize = 4;
-/// Clients wait so long for an answer.
+/// How long a client waits for a response.
 const PATIENCE: Duration = Duration::from_secs(4);
-/// The fleet is asked how it stands this often.
+/// Interval at which the gateways' fleet status is polled.
 const LOOK: Duration = Duration::from_millis(150);
-/// No start takes so long, on whatever machine.
+/// Limit for the start of the fleet and for the shutdown of a process, long enough for slow machines.
 const LONG: Duration = Duration::from_secs(60);
-/// What is read from a log or a status was so a little before: no breach is made of less.
+/// Tolerance for observations: a log line or status is read up to this long after the state that it describes. Smaller differences are no
+/// violation.
 pub(super) const SLACK: Duration = Duration::from_millis(400);
 
-/// What a play came to.
+/// Result of a run on real processes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// The script.
+    /// Name of the script.
     pub script: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// What has to hold and did not.
+    /// Violated rules, as text.
     pub breaches: Vec<String>,
-    /// Figures.
+    /// Figures of the run.
     pub figures: Figures,
 }
 
-/// Figures of a play.
+/// Figures of a run on real processes.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
-    /// Requests that clients sent.
+    /// Number of requests that clients sent.
     pub asked: usize,
-    /// The part that was served.
+    /// Fraction of the requests that were served.
     pub served: f64,
-    /// The lowest part served in one second, over all gateways.
+    /// Lowest fraction of requests served within one second, over all gateways.
     pub worst_second: f64,
-    /// Requests without an answer at gateways that nothing was done to.
+    /// Requests without a response from gateways that no fault affected.
     pub unanswered: usize,
-    /// From a gateway's discovery being stuck to its being shut out, in seconds.
+    /// Time from a gateway's discovery being frozen until the gateway is fenced, in seconds, one value for each case.
     pub to_shut_out_s: Vec<f64>,
-    /// From its hearing again to its being let in.
+    /// Time from a gateway's discovery working again until the gateway is unfenced, in seconds, one value for each case.
     pub to_let_in_s: Vec<f64>,
-    /// The longest time without a leader that anybody saw, in seconds, as looked at every 150 ms.
+    /// Longest time without a known leader, in seconds, as polled every 150 ms.
     pub leaderless_s: f64,
-    /// Steps of requests held against the audit.
+    /// Number of forwarded requests that were looked up in the audit.
     pub audited: usize,
-    /// Of those, by processes that had ended.
+    /// Number of forwarded requests that were looked up in the audit of an ended process.
     pub audited_ended: usize,
-    /// CPU of a process at the end since its start, in hundredths of a core: members', median and most, and the others'.
+    /// CPU use of a process from its start to the end of the run, in hundredths of a core: median and maximum, first of the voters and
+    /// then of the other gateways.
     pub cpu_percent: [(f64, f64); 2],
-    /// Resident memory of a process at the end, in MiB: median and most.
+    /// Resident memory of a process at the end of the run, in MiB: median and maximum.
     pub memory_mib: (f64, f64),
-    /// From the last that is known of a killed process to its end, in seconds, one a case.
+    /// Time from the last that the audit knows of a killed process to the kill, in seconds, one value for each kill.
     pub unknown_s: Vec<f64>,
 }
 
@@ -94,14 +97,14 @@
     pub(super) running: RefCell<Option<Process>>,
     pub(super) started: Cell<usize>,
     pub(super) paused: Cell<bool>,
-    /// Where its link listens.
+    /// Address at which the gateway's process accepts links of other gateways.
     pub(super) link: Rc<Cell<Option<SocketAddr>>>,
-    /// Where it takes clients.
+    /// Address at which the gateway accepts clients.
     pub(super) address: Rc<Cell<Option<SocketAddr>>>,
     pub(super) stuck: Rc<Cell<Option<u64>>>,
-    /// When something was done to it: from, until.
+    /// Times in which a fault affected the gateway: start and end.
     pub(super) troubled: RefCell<Vec<(Duration, Duration)>>,
-    /// Since when its present process takes clients.
+    /// When the gateway's present process started to accept clients.
     pub(super) since: Cell<Duration>,
 }
 
@@ -110,7 +113,7 @@
     pub(super) program: PathBuf,
     pub(super) clock: Clock,
     pub(super) gateways: Vec<Gateway>,
-    /// By who calls whom.
+    /// The relay of each link, by the numbers of the gateway that opens the link and of the one that accepts it.
     pub(super) relays: BTreeMap<(usize, usize), Relay>,
     pub(super) lists: Rc<Lists>,
     pub(super) books: Rc<Books>,
@@ -123,11 +126,11 @@
     pub(super) figures: RefCell<Figures>,
     pub(super) logs: RefCell<Vec<String>>,
     pub(super) left: Cell<Option<Duration>>,
-    /// Whose configuration was written anew, and whether so that it can't be read.
+    /// Gateways whose configuration file was rewritten, each with whether the new file is invalid.
     pub(super) configured: RefCell<BTreeMap<usize, bool>>,
-    /// Who was killed, when.
+    /// Which gateways were killed, and when.
     pub(super) kills: RefCell<Vec<(usize, Duration)>>,
-    /// The wall clock at the play's beginning.
+    /// Wall clock time at the start of the run, in milliseconds since the Unix epoch.
     pub(super) began_unix_ms: u64,
 }
 
@@ -135,10 +138,11 @@
     format!("g{gateway:03}")
 }
 
-/// Plays a script with this program; files go into the folder.
+/// Runs a script with the given gateway program; settings, configuration and state are written to the folder. Returns the report, and the
+/// history and logs of all gateways as lines of text.
 ///
 /// # Errors
-/// Where a process or a stand-in can't be started.
+/// If a gateway process or a stand-in can't be started, or the fleet is not up in time.
 pub fn play(script: &Script, seed: u64, program: &Path, folder: &Path) -> io::Result<(Report, Vec<String>)> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
@@ -168,7 +172,7 @@
         let mut relays = BTreeMap::new();
         for from in 0..script.gateways {
             for to in 0..script.council {
-                // Of two with seats the first calls the other.
+                // Of two voters the one with the lower number opens the link.
                 if from != to && (from >= script.council || from < to) {
                     relays.insert((from, to), Relay::start(seed ^ ((from * 1000 + to) as u64)).await?);
                 }
@@ -221,10 +225,11 @@
         })
     }
 
-    /// Starts a gateway's process, and reads its log for as long as it runs.
+    /// Starts a gateway's process and reads its log until the process ends.
     fn start(self: &Rc<Self>, n: usize) -> io::Result<()> {
         let gateway = &self.gateways[n];
-        // A write beyond the limit of a file's length is to fail and not to end the process, as a full disk does.
+        // The shell ignores SIGXFSZ, so that a write beyond the limit on file size fails, as on a full disk, and does not end the
+        // process.
         let mut command = Command::new("sh");
         command
             .args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""])
@@ -253,7 +258,7 @@
         Ok(())
     }
 
-    /// A line of a gateway's log.
+    /// Reads a line of a gateway's log and updates the addresses and the history.
     fn read(&self, n: usize, number: usize, line: &str) {
         let (at, gateway) = (self.clock.now(), &self.gateways[n]);
         self.logs.borrow_mut().push(format!("{:>9.3} g{n}.{number} log: {line}", at.as_secs_f64()));
@@ -346,7 +351,7 @@
             }
         }
         tokio::time::sleep_until(start + self.script.lasts).await;
-        // A slow machine has as long as it needs to come to rest; what it came to is judged then.
+        // A slow machine gets more time to recover from the last fault; the checks use the state after that.
         let settled = Instant::now();
         while !self.all_in_session().await && settled.elapsed() < LONG / 3 {
             sleep(LOOK).await;
@@ -356,7 +361,7 @@
         Ok(())
     }
 
-    /// Looks again and again who leads.
+    /// Polls the voters until the run ends, to find out which one leads and how long there is no leader.
     async fn look(self: Rc<Self>) {
         loop {
             let mut leader = None;
@@ -392,7 +397,7 @@
         true
     }
 
-    /// Asks one gateway as staff do, at its own address and not through a relay.
+    /// Sends one gateway a query of the admin API, directly to its own address and not through a relay.
     pub(super) async fn ask(&self, n: usize, question: AdminQuery) -> Option<Value> {
         let address = self.gateways[n].link.get()?;
         let asking = async {
@@ -411,7 +416,7 @@
         timeout(Duration::from_secs(2), asking).await.ok().flatten()
     }
 
-    /// What the processes have cost.
+    /// Measures CPU use and memory of the running processes.
     fn weigh(&self) {
         let mut cpu = [Vec::new(), Vec::new()];
         let mut memory = Vec::new();
@@ -424,7 +429,7 @@
             let stat = read("stat");
             let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
             let ticks = |at: usize| fields.get(at).and_then(|f| f.parse::<f64>().ok()).unwrap_or_default();
-            // Times are in hundredths of a second, the unit of the kernel's interface.
+            // The kernel reports CPU times in hundredths of a second.
             let percent = (ticks(11) + ticks(12)) / process.since.elapsed().as_secs_f64();
             cpu[usize::from(n >= self.script.council)].push(percent);
             let pages =
@@ -450,7 +455,8 @@
         whom.clone()
     }
 
-    /// The relays between those that an event meets and the others, each with the direction that leads away from the met.
+    /// The relays of the links that a fault affects, each with the direction that leads away from the fault's target and the opposite
+    /// one.
     fn links(&self, n: usize, event: &Event) -> Vec<(&Relay, Rc<Way>, Rc<Way>)> {
         let whom = self.met(n, event);
         let other = |g: usize| event.others.as_ref().map_or(!whom.contains(&g), |others| others.contains(&g));
@@ -469,7 +475,7 @@
         let running = self.gateways[n].running.borrow();
         let id = running.as_ref().and_then(|p| p.child.id()).and_then(|id| i32::try_from(id).ok());
         if let Some(process) = id.and_then(Pid::from_raw) {
-            let _ = kill_process(process, signal); // one that has ended meanwhile needs none
+            let _ = kill_process(process, signal); // the process may have ended already
         }
     }
 
@@ -621,7 +627,7 @@
         Ok(())
     }
 
-    /// Writes a gateway's configuration anew and says so.
+    /// Rewrites a gateway's configuration file and sends the gateway SIGHUP.
     fn configure(&self, n: usize, change: impl FnOnce(&mut Value)) -> io::Result<()> {
         let path = &self.gateways[n].config;
         let mut config: Value = serde_json::from_slice(&std::fs::read(path)?)?;
@@ -631,7 +637,7 @@
         Ok(())
     }
 
-    /// A gateway's discovery is elsewhere from now on; the one before tells nothing new.
+    /// Moves a gateway's discovery to a new address; the previous discovery sends no newer lists.
     async fn move_discovery(self: Rc<Self>, n: usize) {
         let there =
             place::register(n, self.lists.clone(), Rc::default(), self.clock, self.books.clone()).await;
@@ -643,7 +649,8 @@
         }
     }
 
-    /// No file of a gateway's process may be longer than this: what is written beyond fails, as on a full disk.
+    /// Limits the size of the files that a gateway's process writes: writes beyond the limit fail, as on a full disk. Without a limit
+    /// they succeed again.
     fn limit_files(&self, n: usize, most: Option<u64>) {
         let running = self.gateways[n].running.borrow();
         let id = running.as_ref().and_then(|p| p.child.id()).and_then(|id| i32::try_from(id).ok());
@@ -670,11 +677,11 @@
         }
     }
 
-    /// Replaces a process in order: it is told to stop, and the next one starts once it has ended.
+    /// Replaces a process by a graceful shutdown: a new process starts once the previous one has ended.
     async fn replace(self: &Rc<Self>, n: usize) {
         let gateway = &self.gateways[n];
         let from = self.clock.now();
-        gateway.address.set(None); // its clients are sent elsewhere first, as a front does
+        gateway.address.set(None); // clients stop using the gateway before it stops, as behind a load balancer
         self.signal(n, Signal::TERM);
         let Some(mut process) = gateway.running.take() else { return };
         let ended = timeout(LONG, process.child.wait()).await;
@@ -704,7 +711,7 @@
     rest.starts_with(what).then(|| id.parse().ok())?
 }
 
-/// The operator's file of one gateway: the others stand where their relays do.
+/// The settings file of one gateway, in which the addresses of its peers are those of the relays.
 fn settings_text(
     script: &Script,
     n: usize,
@@ -726,7 +733,7 @@
         text += &format!("state = \"{}\"\n", folder.join("state").display());
     }
     for to in 0..script.gateways {
-        // Who is never called stands at an address where nobody is.
+        // A peer to which this gateway opens no link gets an address at which nothing listens.
         let address =
             relays.get(&(n, to)).map_or("127.0.0.1:1".to_owned(), |relay| relay.address.to_string());
         let council = to < script.council;
@@ -738,10 +745,10 @@
     text
 }
 
-/// A folder of a play's own.
+/// Creates an empty folder for one run, named after the script, the seed and this process.
 ///
 /// # Errors
-/// Where it can't be had.
+/// If the folder can't be created.
 pub fn folder_of(script: &Script, seed: u64, under: &Path) -> io::Result<PathBuf> {
     let folder = under.join(format!("whole-{}-{seed}-{}", script.name, std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
