--- a/crates/testbed/src/whole/virtual_time.rs
+++ b/crates/testbed/src/whole/virtual_time.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: the decisions of each gateway in process, clocks that run apart, links that are cut, slow, or end.
-//! The same seed gives the same play.
+//! Fault scenarios in virtual time: the decision code of all gateways runs in this process, with clocks of different rates and with links
+//! that are cut, slow or closed. Runs with the same seed are identical.
 
 use super::history::{Figures, History, Seen};
 use super::script::{Event, Script, What, Whom};
@@ -17,37 +17,38 @@
 use weldworks_fleet::state_machine::SessionId;
 use weldworks_fleet::version::{digest, Incarnation, ListVersion, Version};
 
-/// A dial that meets nothing ends after this.
+/// Time until a connection attempt fails if nothing answers it.
 const DIAL: Duration = Duration::from_millis(1000);
-/// The way of a frame over a link that is well.
+/// Mean delay of a frame on a link without faults.
 const WAY: Duration = Duration::from_micros(300);
-/// After the last fault has ended the fleet is well again within this, or it is a breach.
+/// Time after the end of the last fault within which all gateways have to be in a session again.
 const RECOVERED: Duration = Duration::from_secs(8);
 
-/// A mistake built in on purpose, to see that the checks find it.
+/// A defect inserted on purpose, to test that the checks find it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mistake {
-    /// None.
+    /// No defect.
     #[default]
     None,
-    /// The margin is put on where it should be taken off, five times over.
+    /// The clock margin is applied with the wrong sign and five times as large: holders rely on a lease too long, and voters wait too
+    /// short a time for its end.
     MarginReversed,
-    /// Every other gateway's clock runs slow beyond the margin.
+    /// The clock of every other gateway runs slow by more than the clock margin.
     ClocksApart,
-    /// A process that comes back votes as the one before.
+    /// A restarted process votes under the identity of the previous process, whose votes it does not know.
     VotesAgain,
-    /// What is said does not wait for what is to be stored, on disks that are always slow.
+    /// Frames are sent before the records that they depend on are stored, and every write to disk is slow.
     SaysBeforeStored,
 }
 
-/// What a play came to.
+/// Result of a run in virtual time.
 #[derive(Clone, Debug)]
 pub struct Played {
-    /// What always has to hold and did not.
+    /// Violated rules, as text.
     pub breaches: Vec<String>,
-    /// Figures.
+    /// Figures of the run.
     pub figures: Figures,
-    /// What happened.
+    /// All observations of the run.
     pub history: History,
 }
 
@@ -68,7 +69,7 @@
     Replace(usize),
 }
 
-/// What is to be stored, and what is said behind it.
+/// Records to be stored, and the frames that may be sent once the records are on disk.
 type Batch = (Vec<StoredRecord>, Vec<(usize, Frame)>);
 
 struct Process {
@@ -90,14 +91,14 @@
     }
 }
 
-/// A connection of two gateways: the lower number first.
+/// The connection between two gateways; of its two ends that of the lower number comes first.
 #[derive(Clone, Debug, Default)]
 struct Link {
     generation: u64,
     up: [bool; 2],
 }
 
-/// One direction of the way between two.
+/// One direction of the network path between two gateways.
 #[derive(Clone, Debug, Default)]
 struct Way {
     cut: u32,
@@ -130,15 +131,15 @@
     led: Option<(usize, usize)>,
     no_leader: Option<Duration>,
     lapsed: BTreeSet<SessionId>,
-    /// What is on each gateway's disk.
+    /// Records on each gateway's disk.
     disks: Vec<Vec<StoredRecord>>,
-    /// When the last of it is there.
+    /// For each gateway, when the last write to its disk is complete.
     written: Vec<Duration>,
     stuck_since: BTreeMap<usize, Duration>,
     freed: BTreeMap<usize, Duration>,
 }
 
-/// Plays a script.
+/// Runs a script in virtual time.
 pub fn play(script: &Script, seed: u64, mistake: Mistake) -> Played {
     let draws = Draws::new(seed);
     let mut play = Play {
@@ -238,7 +239,7 @@
         self.started[gateway] += 1;
         let mut settings = self.settings(gateway);
         let margin = self.script.margin;
-        // Each clock is as far off as the margin allows, one way or the other.
+        // The rate of each clock is off by up to 0.99 of the clock margin, in either direction.
         let mut rate = 1.0 + margin * 0.99 * (2.0 * self.draw.even() - 1.0);
         match self.mistake {
             Mistake::ClocksApart if gateway % 2 == 1 => rate -= 0.3,
@@ -252,7 +253,7 @@
         let index = if self.stuck.contains(&gateway) { self.index.saturating_sub(1) } else { self.index };
         let seed = self.draws.number(For::Gateway, 7_000_000 + (gateway * 1000 + number) as u64);
         let stored = self.disks[gateway].clone();
-        // Without a disk a process votes for itself; with one it goes on as the first that had it.
+        // Without a disk each process is a voter of its own; with a disk a process continues as the voter that first used the disk.
         let voter = if self.script.disks { Incarnation(gateway as u64 + 1) } else { process };
         let agent = Node::new(settings, process, version(index), seed, StoredVote { voter, records: stored });
         self.gateways[gateway] = Some(Process {
@@ -284,7 +285,7 @@
     }
 
     fn carry_out(&mut self, what: Do) {
-        // A paused process does nothing; what comes for it waits.
+        // Events for a paused process are deferred until the process continues.
         let whose = match &what {
             Do::Tick { gateway, .. } | Do::Hear { gateway, .. } => Some(*gateway),
             Do::Deliver { to, .. } => Some(*to),
@@ -303,7 +304,7 @@
                 }
             }
             Do::Tick { gateway, process } if self.alive(gateway, process) => {
-                // Timers come late now and then.
+                // Ticks are up to 3 ms late.
                 let late = Duration::from_micros(self.draw.below(3000) as u64);
                 self.soon(TICK_INTERVAL + late, Do::Tick { gateway, process });
                 self.with(gateway, |agent, now, out| agent.tick(now, out));
@@ -354,7 +355,7 @@
             Do::Hear { .. } => {}
             Do::Begin(n) => self.begin(n),
             Do::End(n) => self.over(n),
-            // A process that has ended meanwhile has written nothing, and said nothing.
+            // A process that ended during a write has stored nothing and sends none of the frames that depend on the write.
             Do::Written { gateway, process, stored, frames } if self.alive(gateway, process) => {
                 if stored.iter().any(|s| matches!(s, StoredRecord::ConfigStarted { .. })) {
                     self.disks[gateway].clear();
@@ -385,7 +386,7 @@
                 self.soon(WAY * 3, Do::Linked { from, to, process, other });
             }
             _ => {
-                let other = usize::MAX; // nobody: the dial runs out
+                let other = usize::MAX; // no process has this number, so the connection attempt times out
                 self.soon(DIAL, Do::Linked { from, to, process, other });
             }
         }
@@ -432,12 +433,12 @@
         if self.gateways[to].is_some() && link.up[usize::from(to > from)] {
             self.with(to, |agent, now, out| agent.receive(now, &name(from), frame, out));
         } else {
-            // Nobody has this connection any more: the sender is told.
+            // The receiver no longer has this connection, and the sender is notified that the link is down.
             self.way(to, from, Do::Down { at: from, other: to, generation });
         }
     }
 
-    /// Puts something on its way from one to another.
+    /// Schedules the arrival of an event over the network path between two gateways, with the delays of that direction.
     fn way(&mut self, from: usize, to: usize, what: Do) {
         let jitter = WAY.mul_f64(0.5 + self.draw.even());
         let way = self.ways.entry((from, to)).or_default();
@@ -453,7 +454,8 @@
         self.soon(arrives - self.at, what);
     }
 
-    /// This end of the link between two is down: its gateway is told, and dials again where that is its part.
+    /// Closes one end of the link between two gateways: the gateway at that end is notified, and reconnects if it is the one that opens
+    /// the link.
     fn end(&mut self, at: usize, other: usize) {
         let Some(process) = self.gateways[at].as_ref().map(|p| p.number) else { return };
         self.with(at, |agent, now, out| agent.link_down(now, &name(other), LinkFailure::Broken, out));
@@ -462,7 +464,7 @@
         }
     }
 
-    /// Has a gateway's decisions hear of something, and carries out what they say.
+    /// Passes an event to a gateway's decision code and performs the actions that the code returns.
     fn with(&mut self, gateway: usize, event: impl FnOnce(&mut Node, Duration, &mut Vec<NodeAction>)) {
         let at = self.at;
         let Some(process) = &mut self.gateways[gateway] else { return };
@@ -488,7 +490,7 @@
             self.history.note(at, gateway, number, Seen::Stands(acting));
         }
         self.look_at_register(gateway, number, before);
-        // What is said behind something that is to be stored goes once that is on the disk.
+        // Frames that follow records to be stored are sent once these records are on disk.
         let mut behind: Option<Batch> = None;
         for output in out {
             match output {
@@ -525,7 +527,7 @@
             }
         }
         if let Some((stored, frames)) = behind {
-            // Disks are quick as a rule and slow now and then.
+            // Most writes to disk take less than 5 ms, and a few of them up to 150 ms.
             let chance = if self.mistake == Mistake::SaysBeforeStored { 1.0 } else { 0.02 };
             let slow = if self.draw.chance(chance) { 150 } else { 5 };
             let takes = Duration::from_micros(200) + Duration::from_millis(self.draw.below(slow) as u64);
@@ -535,7 +537,7 @@
         }
     }
 
-    /// Whether something is on its way to a gateway's disk.
+    /// Whether a write to a gateway's disk is still in progress.
     fn writing(&self, gateway: usize) -> bool {
         self.script.disks && self.written[gateway] >= self.at
     }
@@ -551,7 +553,8 @@
         self.way(from, to, Do::Deliver { from, to, generation, frame: Box::new(frame) });
     }
 
-    /// Notes what a council member has applied, and holds what it counts as over against what its holder believes.
+    /// Records the entry that a voter has applied, and checks that no gateway considers itself in a session that this voter counts as
+    /// expired.
     fn look_at_register(&mut self, gateway: usize, number: usize, before: Option<u64>) {
         let Some(process) = &self.gateways[gateway] else { return };
         let Some(register) = process.agent.state_machine() else { return };
@@ -566,7 +569,8 @@
         self.history.note(self.at, gateway, number, Seen::Applied { founding, position, digest: hash });
         for session in lapsed {
             if self.lapsed.insert(session) {
-                // What a paused holder believed it will look at again when it wakes; what one that runs believes counts now.
+                // A paused process re-evaluates its session state when it continues; for a running process the state that it has now
+                // counts.
                 for (n, holder) in self.gateways.iter_mut().enumerate() {
                     let Some(holder) = holder else { continue };
                     let acting = holder.agent.session_state(holder.clock(self.at));
@@ -719,7 +723,7 @@
         }
     }
 
-    /// A turn of flapping links: they end.
+    /// Closes the links that a fault of flapping links affects, and schedules the next closing.
     fn flap(&mut self, n: usize) {
         let event = self.script.events[n].clone();
         let What::Flap { every } = event.what else { return };
@@ -750,7 +754,7 @@
         let Some(process) = &mut self.gateways[gateway] else { return };
         process.paused = false;
         let mut waiting = std::mem::take(&mut process.waiting);
-        // Timers and sockets are served in no order that could be relied on.
+        // Timers and sockets of a process that continues are served in either order.
         if self.draw.chance(0.5) {
             waiting.sort_by_key(|w| !matches!(w, Do::Tick { .. }));
         }
@@ -821,7 +825,7 @@
         Played { breaches: self.breaches, figures: self.figures, history: self.history }
     }
 
-    /// The parts of all gateways' time, from 3 s on, in a session and shut out.
+    /// Fractions of all gateways' time, from 3 s after the start of the run, spent in a session and spent fenced.
     fn shares(&self) -> (f64, f64) {
         let from = Duration::from_secs(3);
         let mut stands: BTreeMap<usize, (Duration, Option<SessionState>)> = BTreeMap::new();
@@ -869,7 +873,7 @@
     }
 }
 
-/// The shortest script that a failing one can be cut down to, by leaving events out, that fails still.
+/// Shortens a failing script by removing faults, as long as the remaining script still fails.
 pub fn shrunk(script: &Script, seed: u64, mistake: Mistake) -> Script {
     let mut least = script.clone();
     let mut n = 0;
