--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The nodes of a script, built by the seed: the same ones in virtual time and on sockets.
+//! Builds the endpoint models of a script from the seed. The models are identical in virtual time and on sockets.
 
 use crate::draws::{Draws, For};
 use crate::ledger::{ClassTerms, Ledger};
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The kind of each node: shares become counts, and the nodes of a kind are spread over the zones.
+/// The kind of each endpoint: the shares of the kinds become counts, and the endpoints of a kind are spread over the zones.
 pub fn kinds(script: &Script) -> Vec<usize> {
     let all: f64 = script.fleet.kinds.iter().map(|k| k.share).sum();
     let mut owed = vec![0.0; script.fleet.kinds.len()];
@@ -37,7 +37,7 @@
     NodeSpec { speed, report: ReportSpec { period, late, noise }, mean_work, ..kind.spec.clone() }
 }
 
-/// All nodes, up and warm.
+/// Models of all endpoints, up and warm.
 pub fn nodes(script: &Script, draws: Draws) -> Vec<Node> {
     let kinds = kinds(script);
     let all = Rc::<RefCell<Repeats>>::default();
@@ -58,7 +58,7 @@
     (0..script.fleet.nodes).map(node).collect()
 }
 
-/// Has a deed of the script done to a node.
+/// Applies a scripted action to an endpoint.
 pub fn carry_out(node: &mut Node, now: Duration, deed: Deed) {
     match deed {
         Deed::Kill => node.kill(now),
@@ -74,7 +74,7 @@
     }
 }
 
-/// An empty ledger for a script.
+/// An empty ledger with the script's classes and with the zone and rack of each endpoint.
 pub fn ledger(script: &Script) -> Ledger {
     let terms = |c: &crate::script::Class| ClassTerms { aim: c.aim, effect: c.effect };
     let groups = (0..script.fleet.nodes).map(|n| (script.zone_of(n), script.rack_of(n))).collect();
