--- a/crates/testbed/tests/whole.rs
+++ b/crates/testbed/tests/whole.rs
@@ -1,4 +1,4 @@
-//! The fleet's decisions under faults, in virtual time.
+//! Fault scenarios on a fleet's decision code, in virtual time.
 
 use std::panic::catch_unwind;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use weldworks_testbed::whole::script::{Event, Script, What, Whom};
 use weldworks_testbed::whole::virtual_time::{play, shrunk, Mistake};
 
-/// Plays drawn scripts, and shows the shortest one of the first that fails.
+/// Runs random scripts; at the first that fails, panics with the shortest script that still fails.
 fn search(seeds: std::ops::Range<u64>, gateways: usize, council: usize) {
     for seed in seeds {
         let script = Script::drawn(seed, gateways, council);
@@ -45,12 +45,13 @@
 
 const CUT: What = What::Cut { one_way: false };
 
-/// A gateway is cut off at some moment between two renewals.
+/// Scripts in which one gateway is cut off, `n` steps of 37 ms after 4 s: at different times between two renewals of its lease.
 fn cut_off(n: u32) -> Script {
     calm(5, 3, vec![event(4.0 + 0.037 * f64::from(n), 5.0, &[3], None, CUT)])
 }
 
-/// A member decides with one that is then lost, and that one comes back beside another who knows of nothing.
+/// A script in which two voters agree on entries; one of them is killed and returns, without its votes, to a third voter that knows
+/// nothing of these entries.
 fn forgotten() -> Script {
     calm(
         5,
@@ -63,7 +64,7 @@
     )
 }
 
-/// A check that finds nothing proves nothing.
+/// The checks have to find each inserted defect: a check that finds no defect proves nothing.
 #[test]
 fn mistakes_built_in_are_found() {
     let cut: Vec<Script> = (0..16).map(cut_off).collect();
@@ -74,7 +75,7 @@
         (Mistake::VotesAgain, &vec![forgotten()], "registers of gateways"),
         (Mistake::SaysBeforeStored, &killed, "registers of gateways"),
     ] {
-        // The library has checks of its own where it is built for tests, and breaks off.
+        // The consensus library has assertions of its own in test builds, which panic before the checks see the violation.
         let seen = |mistake| {
             let mut all = scripts.iter().map(|script| catch_unwind(|| play(script, 1, mistake)));
             all.any(|played| {
@@ -86,7 +87,7 @@
     }
 }
 
-/// Every script that ships, on three seeds.
+/// Runs every script in the `fleet` folder with three seeds.
 #[test]
 fn scripts_end_without_a_breach() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/fleet");
@@ -110,7 +111,7 @@
     assert!(played >= 5);
 }
 
-/// Members with disks: all may be killed at any moment, also all of them, and in the middle of a write.
+/// Voters with disks: any number of processes may be killed at any time, also all at once and during a write.
 #[test]
 fn with_disks_nothing_agreed_on_is_lost() {
     for seed in 0..60 {
@@ -124,14 +125,14 @@
     }
 }
 
-/// A gateway's discovery is stuck, at forty-five gateways.
+/// A script in which the last gateway's discovery is frozen, so that the gateway has to be fenced.
 fn stuck(gateways: usize, council: usize) -> Script {
     let mut script = calm(gateways, council, vec![event(4.0, 10.0, &[gateways - 1], None, What::Stick)]);
     script.expected.shut_out = vec![gateways - 1];
     script
 }
 
-/// All forty-five processes are replaced within 20 s.
+/// A rolling restart: all 45 processes are replaced within 20 s.
 #[test]
 fn a_rolling_restart_of_forty_five_keeps_one_council() {
     let replaced = What::Replace { apart: Duration::from_millis(444) };
@@ -150,7 +151,8 @@
     assert_eq!((played.figures.to_shut_out_s.len(), played.figures.to_let_in_s.len()), (1, 1));
 }
 
-/// A discovery that is ahead at one gateway alone, or stuck at most of them: nobody is shut out but by what most have.
+/// Discovery is frozen at seven of nine gateways and up to date at two of them: no gateway is fenced, since the version of most gateways
+/// is what counts.
 #[test]
 fn most_of_the_fleet_stuck_shuts_nobody_out() {
     let mut script = calm(9, 3, vec![event(4.0, 10.0, &[2, 3, 4, 5, 6, 7, 8], None, What::Stick)]);
@@ -211,8 +213,8 @@
     }
 }
 
-/// How long it takes until a lost gateway's session is over with the members, as a distribution:
-/// `... figures_of_noticing --ignored --nocapture`
+/// Distribution of the time until the voters count the session of a lost gateway as expired:
+/// `cargo test --release -p weldworks-testbed --test whole figures_of_noticing -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement"]
 fn figures_of_noticing() {
@@ -244,7 +246,8 @@
     }
 }
 
-/// What the audit's books take of a disk: `... figures_of_the_books --ignored --nocapture`
+/// Disk space that the audit log takes:
+/// `cargo test --release -p weldworks-testbed --test whole figures_of_the_books -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement"]
 fn figures_of_the_books() {
