--- a/crates/testbed/src/whole/history.rs
+++ b/crates/testbed/src/whole/history.rs
@@ -10,31 +10,31 @@
 
 /// What a runner observed of one gateway process.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     /// The session state of a gateway process changed to this one.
-    Stands(SessionState),
+    SessionStateChanged(SessionState),
     /// A gateway process ended.
-    Ended,
+    ProcessEnded,
     /// A voter applied a log entry to its state machine.
-    Applied {
+    EntryApplied {
         /// Identifier of the consensus group.
-        founding: u64,
+        group_id: u64,
         /// Log index of the applied entry.
-        position: u64,
+        log_index: u64,
         /// Digest of the state machine after the entry was applied.
         digest: u64,
     },
     /// A voter counts this session as expired.
-    Lapsed(SessionId),
+    SessionExpired(SessionId),
     /// A voter has fenced this session.
-    ShutOut(SessionId),
+    SessionFenced(SessionId),
     /// A voter became the leader.
-    Leads,
+    BecameLeader,
 }
 
 /// One observation, with its time and its gateway process.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Line {
+pub struct HistoryRecord {
     /// Time since the start of the run, by the test bed's own clock and not by the gateway's.
     pub at: Duration,
     /// Number of the gateway, counted from 0.
@@ -42,14 +42,14 @@
     /// Number of the gateway's process, counted from 0: each restart adds one.
     pub process: usize,
     /// What was observed of the gateway process.
-    pub seen: Seen,
+    pub observation: Observation,
 }
 
 /// All observations of one run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// The records in the order in which they were made.
-    pub lines: Vec<Line>,
+    pub records: Vec<HistoryRecord>,
 }
 
 /// Figures of a run in virtual time.
@@ -58,120 +58,146 @@
     /// Longest time without a leader after the first leader, in seconds.
     pub leaderless_s: f64,
     /// Fraction of all gateways' time that is spent in a session, from 3 s after the start of the run.
-    pub in_session: f64,
+    #[serde(rename = "in_session")]
+    pub in_session_fraction: f64,
     /// Fraction of all gateways' time that is spent fenced, from 3 s after the start of the run.
-    pub shut_out: f64,
+    #[serde(rename = "shut_out")]
+    pub fenced_fraction: f64,
     /// Time from a process's start to its first session, in seconds: median and maximum.
     pub first_session_s: (f64, f64),
     /// Number of entries in the consensus group's log at the end of the run.
-    pub entries: u64,
+    #[serde(rename = "entries")]
+    pub log_entries: u64,
     /// Frames sent by all gateways together, per second.
-    pub frames_s: f64,
+    #[serde(rename = "frames_s")]
+    pub frames_per_s: f64,
     /// Bytes sent by all gateways together, per second.
-    pub bytes_s: f64,
+    #[serde(rename = "bytes_s")]
+    pub bytes_per_s: f64,
     /// Time from a gateway's discovery being frozen until the gateway is fenced, in seconds, one value for each case.
-    pub to_shut_out_s: Vec<f64>,
+    #[serde(rename = "to_shut_out_s")]
+    pub time_to_fence_s: Vec<f64>,
     /// Time from a gateway's discovery working again until the gateway is unfenced, in seconds, one value for each case.
-    pub to_let_in_s: Vec<f64>,
+    #[serde(rename = "to_let_in_s")]
+    pub time_to_unfence_s: Vec<f64>,
 }
 
 impl History {
     /// Appends a record to the history.
-    pub fn note(&mut self, at: Duration, gateway: usize, process: usize, seen: Seen) {
-        self.lines.push(Line { at, gateway, process, seen });
+    pub fn append(&mut self, at: Duration, gateway: usize, process: usize, observation: Observation) {
+        self.records.push(HistoryRecord { at, gateway, process, observation });
     }
 
     /// Violations of the rules that hold in every run, whatever its faults.
     pub fn breaches(&self) -> Vec<String> {
         let mut breaches = Vec::new();
-        let mut registers: BTreeMap<(u64, u64), (u64, usize)> = BTreeMap::new();
-        let mut councils: BTreeSet<u64> = BTreeSet::new();
-        let mut over: BTreeSet<SessionId> = BTreeSet::new();
+        let mut first_digests: BTreeMap<(u64, u64), (u64, usize)> = BTreeMap::new();
+        let mut group_ids: BTreeSet<u64> = BTreeSet::new();
+        let mut expired: BTreeSet<SessionId> = BTreeSet::new();
         // For each gateway, the processes that are in a session, with the session's identifier.
-        let mut holders: BTreeMap<usize, BTreeMap<usize, SessionId>> = BTreeMap::new();
-        for line in &self.lines {
-            let (gateway, process, at) = (line.gateway, line.process, line.at);
-            match &line.seen {
-                Seen::Applied { founding, position, digest } => {
-                    councils.insert(*founding);
-                    let (known, by) = *registers.entry((*founding, *position)).or_insert((*digest, gateway));
-                    if known != *digest {
+        let mut active_sessions: BTreeMap<usize, BTreeMap<usize, SessionId>> = BTreeMap::new();
+        for record in &self.records {
+            let (gateway, process, at) = (record.gateway, record.process, record.at);
+            match &record.observation {
+                Observation::EntryApplied { group_id, log_index, digest } => {
+                    group_ids.insert(*group_id);
+                    let (first_digest, first_gateway) =
+                        *first_digests.entry((*group_id, *log_index)).or_insert((*digest, gateway));
+                    if first_digest != *digest {
                         breaches.push(format!(
-                            "{at:?}: the registers of gateways {by} and {gateway} differ after entry {position}"
+                            "{at:?}: the state machines of gateways {first_gateway} and {gateway} differ after entry {log_index}"
                         ));
                     }
                 }
-                Seen::Lapsed(session) => {
-                    over.insert(*session);
-                    let held = holders.iter().find(|(_, p)| p.values().any(|s| s == session));
-                    if let Some((holder, _)) = held {
+                Observation::SessionExpired(session) => {
+                    expired.insert(*session);
+                    let active = active_sessions.iter().find(|(_, sessions)| {
+                        sessions.values().any(|active_session| active_session == session)
+                    });
+                    if let Some((holder, _)) = active {
                         breaches.push(format!(
-                            "{at:?}: session {session} is over with gateway {gateway}, and gateway {holder} acts in it still"
+                            "{at:?}: session {session} has expired at gateway {gateway}, but gateway {holder} still acts in it"
                         ));
                     }
                 }
-                Seen::Stands(SessionState::InSession(session)) => {
-                    if over.contains(session) {
+                Observation::SessionStateChanged(SessionState::InSession(session)) => {
+                    if expired.contains(session) {
                         breaches.push(format!(
-                            "{at:?}: gateway {gateway} acts in session {session}, which is over"
+                            "{at:?}: gateway {gateway} acts in session {session}, which has expired"
                         ));
                     }
-                    let of_name = holders.entry(gateway).or_default();
-                    of_name.insert(process, *session);
-                    if of_name.len() > 1 {
-                        breaches.push(format!("{at:?}: two processes of gateway {gateway} act in sessions"));
+                    let sessions = active_sessions.entry(gateway).or_default();
+                    sessions.insert(process, *session);
+                    if sessions.len() > 1 {
+                        breaches.push(format!(
+                            "{at:?}: two processes of gateway {gateway} act in sessions at once"
+                        ));
                     }
                 }
-                Seen::Stands(_) | Seen::Ended => {
-                    if let Some(of_name) = holders.get_mut(&gateway) {
-                        of_name.remove(&process);
+                Observation::SessionStateChanged(_) | Observation::ProcessEnded => {
+                    if let Some(sessions) = active_sessions.get_mut(&gateway) {
+                        sessions.remove(&process);
                     }
                 }
-                Seen::ShutOut(_) | Seen::Leads => {}
+                Observation::SessionFenced(_) | Observation::BecameLeader => {}
             }
         }
-        if councils.len() > 1 {
-            breaches.push(format!("{} councils were founded where one was to be", councils.len()));
+        if group_ids.len() > 1 {
+            breaches.push(format!("{} consensus groups were formed, expected at most 1", group_ids.len()));
         }
         breaches
     }
 
     /// Gateways that were fenced for version lag at any time of the run.
-    pub fn shut_out(&self) -> BTreeSet<usize> {
-        let out = |l: &&Line| matches!(l.seen, Seen::Stands(SessionState::Fenced(FenceReason::Lagging(_))));
-        self.lines.iter().filter(out).map(|l| l.gateway).collect()
+    pub fn fenced_gateways(&self) -> BTreeSet<usize> {
+        let fenced_for_lag = |record: &&HistoryRecord| {
+            matches!(
+                record.observation,
+                Observation::SessionStateChanged(SessionState::Fenced(FenceReason::Lagging(_)))
+            )
+        };
+        self.records.iter().filter(fenced_for_lag).map(|record| record.gateway).collect()
     }
 
     /// Gateways with a process that lost its session: it was without one at any time after its first one.
-    pub fn alone(&self) -> BTreeSet<usize> {
-        let mut had = BTreeSet::new();
-        let mut alone = BTreeSet::new();
-        for line in &self.lines {
-            match &line.seen {
-                Seen::Stands(SessionState::InSession(_)) => drop(had.insert((line.gateway, line.process))),
-                Seen::Stands(SessionState::WithoutSession) if had.contains(&(line.gateway, line.process)) => {
-                    alone.insert(line.gateway);
+    pub fn gateways_without_session(&self) -> BTreeSet<usize> {
+        let mut had_session = BTreeSet::new();
+        let mut without_session = BTreeSet::new();
+        for record in &self.records {
+            match &record.observation {
+                Observation::SessionStateChanged(SessionState::InSession(_)) => {
+                    had_session.insert((record.gateway, record.process));
+                }
+                Observation::SessionStateChanged(SessionState::WithoutSession)
+                    if had_session.contains(&(record.gateway, record.process)) =>
+                {
+                    without_session.insert(record.gateway);
                 }
                 _ => {}
             }
         }
-        alone
+        without_session
     }
 
     /// The history as text for a reader, without the applied log entries.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        for line in &self.lines {
-            let told = match &line.seen {
-                Seen::Stands(acting) => acting.to_string(),
-                Seen::Ended => "ends".to_owned(),
-                Seen::Lapsed(session) => format!("session {session} is over"),
-                Seen::ShutOut(session) => format!("session {session} is shut out"),
-                Seen::Leads => "leads".to_owned(),
-                Seen::Applied { .. } => continue,
+        for record in &self.records {
+            let description = match &record.observation {
+                Observation::SessionStateChanged(session_state) => session_state.to_string(),
+                Observation::ProcessEnded => "ends".to_owned(),
+                Observation::SessionExpired(session) => format!("session {session} is over"),
+                Observation::SessionFenced(session) => format!("session {session} is shut out"),
+                Observation::BecameLeader => "leads".to_owned(),
+                Observation::EntryApplied { .. } => continue,
             };
-            let _ =
-                writeln!(text, "{:>9.3} g{}.{} {told}", line.at.as_secs_f64(), line.gateway, line.process);
+            let _ = writeln!(
+                text,
+                "{:>9.3} g{}.{} {description}",
+                record.at.as_secs_f64(),
+                record.gateway,
+                record.process
+            );
         }
         text
     }
--- a/crates/testbed/src/whole/live.rs
+++ b/crates/testbed/src/whole/live.rs
@@ -2,10 +2,10 @@
 //! timeline; stand-in endpoints, discoveries and clients surround the gateways. The audit logs are checked against what these stand-ins
 //! observed.
 
-use super::history::{History, Seen};
-use super::place::{self, Books, Clock, Lists};
-use super::relay::{Relay, Way};
-use super::script::{Event, Script, What, Whom};
+use super::history::{History, Observation};
+use super::relay::{LinkDirection, Relay};
+use super::script::{Fault, FaultKind, Script, Target};
+use super::stand_ins::{self, EndpointLists, Observations, TestClock};
 use crate::scripted;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -30,17 +30,17 @@
 use weldworks_fleet::protocol::{self, AdminQuery, Caller, Frame, Hello, MAX_FRAME_BYTES};
 use weldworks_fleet::state_machine::{FenceReason, VersionLag};
 
-const FLEET: &str = "whole";
-pub(super) const NODES: usize = 4;
+const FLEET_NAME: &str = "whole";
+pub(super) const ENDPOINT_COUNT: usize = 4;
 /// How long a client waits for a response.
-const PATIENCE: Duration = Duration::from_secs(4);
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(4);
 /// Interval at which the gateways' fleet status is polled.
-const LOOK: Duration = Duration::from_millis(150);
+const STATUS_POLL_INTERVAL: Duration = Duration::from_millis(150);
 /// Limit for the start of the fleet and for the shutdown of a process, long enough for slow machines.
-const LONG: Duration = Duration::from_secs(60);
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(60);
 /// Tolerance for observations: a log line or status is read up to this long after the state that it describes. Smaller differences are no
 /// violation.
-pub(super) const SLACK: Duration = Duration::from_millis(400);
+pub(super) const OBSERVATION_TOLERANCE: Duration = Duration::from_millis(400);
 
 /// Result of a run on real processes.
 #[derive(Clone, Debug, Serialize)]
@@ -61,80 +61,88 @@
     /// Number of requests that clients sent.
     pub asked: usize,
     /// Fraction of the requests that were served.
-    pub served: f64,
+    #[serde(rename = "served")]
+    pub served_fraction: f64,
     /// Lowest fraction of requests served within one second, over all gateways.
-    pub worst_second: f64,
+    #[serde(rename = "worst_second")]
+    pub worst_second_served_fraction: f64,
     /// Requests without a response from gateways that no fault affected.
-    pub unanswered: usize,
+    #[serde(rename = "unanswered")]
+    pub unanswered_requests: usize,
     /// Time from a gateway's discovery being frozen until the gateway is fenced, in seconds, one value for each case.
-    pub to_shut_out_s: Vec<f64>,
+    #[serde(rename = "to_shut_out_s")]
+    pub time_to_fence_s: Vec<f64>,
     /// Time from a gateway's discovery working again until the gateway is unfenced, in seconds, one value for each case.
-    pub to_let_in_s: Vec<f64>,
+    #[serde(rename = "to_let_in_s")]
+    pub time_to_unfence_s: Vec<f64>,
     /// Longest time without a known leader, in seconds, as polled every 150 ms.
     pub leaderless_s: f64,
     /// Number of forwarded requests that were looked up in the audit.
-    pub audited: usize,
+    #[serde(rename = "audited")]
+    pub audited_steps: usize,
     /// Number of forwarded requests that were looked up in the audit of an ended process.
-    pub audited_ended: usize,
+    #[serde(rename = "audited_ended")]
+    pub audited_steps_of_ended: usize,
     /// CPU use of a process from its start to the end of the run, in hundredths of a core: median and maximum, first of the voters and
     /// then of the other gateways.
     pub cpu_percent: [(f64, f64); 2],
     /// Resident memory of a process at the end of the run, in MiB: median and maximum.
     pub memory_mib: (f64, f64),
     /// Time from the last that the audit knows of a killed process to the kill, in seconds, one value for each kill.
-    pub unknown_s: Vec<f64>,
+    #[serde(rename = "unknown_s")]
+    pub unknown_before_kill_s: Vec<f64>,
 }
 
 pub(super) struct Process {
     child: Child,
-    number: usize,
-    since: Instant,
+    process_number: usize,
+    started_at: Instant,
 }
 
 pub(super) struct Gateway {
-    pub(super) settings: PathBuf,
-    pub(super) config: PathBuf,
-    pub(super) running: RefCell<Option<Process>>,
-    pub(super) started: Cell<usize>,
+    pub(super) settings_path: PathBuf,
+    pub(super) config_path: PathBuf,
+    pub(super) process: RefCell<Option<Process>>,
+    pub(super) process_count: Cell<usize>,
     pub(super) paused: Cell<bool>,
     /// Address at which the gateway's process accepts links of other gateways.
-    pub(super) link: Rc<Cell<Option<SocketAddr>>>,
+    pub(super) link_address: Rc<Cell<Option<SocketAddr>>>,
     /// Address at which the gateway accepts clients.
-    pub(super) address: Rc<Cell<Option<SocketAddr>>>,
-    pub(super) stuck: Rc<Cell<Option<u64>>>,
+    pub(super) client_address: Rc<Cell<Option<SocketAddr>>>,
+    pub(super) frozen_list_index: Rc<Cell<Option<u64>>>,
     /// Times in which a fault affected the gateway: start and end.
-    pub(super) troubled: RefCell<Vec<(Duration, Duration)>>,
+    pub(super) fault_periods: RefCell<Vec<(Duration, Duration)>>,
     /// When the gateway's present process started to accept clients.
-    pub(super) since: Cell<Duration>,
+    pub(super) serving_since: Cell<Duration>,
 }
 
-pub(super) struct Play {
+pub(super) struct ScenarioRun {
     pub(super) script: Script,
     pub(super) program: PathBuf,
-    pub(super) clock: Clock,
+    pub(super) clock: TestClock,
     pub(super) gateways: Vec<Gateway>,
     /// The relay of each link, by the numbers of the gateway that opens the link and of the one that accepts it.
     pub(super) relays: BTreeMap<(usize, usize), Relay>,
-    pub(super) lists: Rc<Lists>,
-    pub(super) books: Rc<Books>,
+    pub(super) lists: Rc<EndpointLists>,
+    pub(super) observations: Rc<Observations>,
     pub(super) history: RefCell<History>,
     pub(super) leader: Cell<Option<usize>>,
-    pub(super) leaderless: Cell<(Option<Duration>, Duration)>,
-    pub(super) whom: RefCell<BTreeMap<usize, Vec<usize>>>,
-    pub(super) stuck_since: RefCell<BTreeMap<usize, Duration>>,
-    pub(super) freed: RefCell<BTreeMap<usize, Duration>>,
+    pub(super) leaderless_time: Cell<(Option<Duration>, Duration)>,
+    pub(super) fault_targets: RefCell<BTreeMap<usize, Vec<usize>>>,
+    pub(super) discovery_frozen_at: RefCell<BTreeMap<usize, Duration>>,
+    pub(super) discovery_unfrozen_at: RefCell<BTreeMap<usize, Duration>>,
     pub(super) figures: RefCell<Figures>,
     pub(super) logs: RefCell<Vec<String>>,
-    pub(super) left: Cell<Option<Duration>>,
+    pub(super) drained_at: Cell<Option<Duration>>,
     /// Gateways whose configuration file was rewritten, each with whether the new file is invalid.
-    pub(super) configured: RefCell<BTreeMap<usize, bool>>,
+    pub(super) rewritten_configs: RefCell<BTreeMap<usize, bool>>,
     /// Which gateways were killed, and when.
     pub(super) kills: RefCell<Vec<(usize, Duration)>>,
     /// Wall clock time at the start of the run, in milliseconds since the Unix epoch.
-    pub(super) began_unix_ms: u64,
+    pub(super) started_unix_ms: u64,
 }
 
-fn name(gateway: usize) -> String {
+fn gateway_name(gateway: usize) -> String {
     format!("g{gateway:03}")
 }
 
@@ -146,88 +154,96 @@
 pub fn play(script: &Script, seed: u64, program: &Path, folder: &Path) -> io::Result<(Report, Vec<String>)> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        let play = Rc::new(Play::prepare(script, seed, program, folder).await?);
-        play.clone().run().await?;
-        play.weigh();
-        let breaches = play.judge().await;
-        let figures = play.figures.borrow().clone();
+        let run = Rc::new(ScenarioRun::prepare(script, seed, program, folder).await?);
+        run.clone().run().await?;
+        run.measure_processes();
+        let breaches = run.check().await;
+        let figures = run.figures.borrow().clone();
         let report = Report { script: script.name.clone(), seed, breaches, figures };
-        play.end().await;
-        let text = play.history.borrow().text();
-        let mut told: Vec<String> = text.lines().map(str::to_owned).collect();
-        told.extend(play.logs.borrow().iter().cloned());
-        Ok((report, told))
+        run.stop_processes().await;
+        let history_text = run.history.borrow().text();
+        let mut lines: Vec<String> = history_text.lines().map(str::to_owned).collect();
+        lines.extend(run.logs.borrow().iter().cloned());
+        Ok((report, lines))
     })
 }
 
-impl Play {
-    async fn prepare(script: &Script, seed: u64, program: &Path, folder: &Path) -> io::Result<Play> {
-        let clock = Clock(Instant::now());
-        let books = Rc::new(Books::default());
-        let mut nodes = Vec::new();
-        for n in 0..NODES {
-            nodes.push(place::node(n, clock, books.clone()).await?);
+impl ScenarioRun {
+    async fn prepare(script: &Script, seed: u64, program: &Path, folder: &Path) -> io::Result<ScenarioRun> {
+        let clock = TestClock(Instant::now());
+        let observations = Rc::new(Observations::default());
+        let mut endpoints = Vec::new();
+        for endpoint in 0..ENDPOINT_COUNT {
+            endpoints.push(stand_ins::start_endpoint(endpoint, clock, observations.clone()).await?);
         }
-        let lists = Lists::new(nodes);
+        let lists = EndpointLists::new(endpoints);
         let mut relays = BTreeMap::new();
-        for from in 0..script.gateways {
-            for to in 0..script.council {
+        for from in 0..script.gateway_count {
+            for to in 0..script.voter_count {
                 // Of two voters the one with the lower number opens the link.
-                if from != to && (from >= script.council || from < to) {
+                if from != to && (from >= script.voter_count || from < to) {
                     relays.insert((from, to), Relay::start(seed ^ ((from * 1000 + to) as u64)).await?);
                 }
             }
         }
         let mut gateways = Vec::new();
-        for n in 0..script.gateways {
-            let stuck = Rc::new(Cell::new(None));
-            let discovery = place::register(n, lists.clone(), stuck.clone(), clock, books.clone()).await?;
-            let (settings, config) = (folder.join(format!("g{n}.toml")), folder.join(format!("g{n}.json")));
-            std::fs::write(&settings, settings_text(script, n, &relays, folder))?;
-            let mut told = scripted::config(&discovery.to_string(), 256 + script.gateways, &[]);
-            told["known"] = lists.whole(1);
-            told["name"] = name(n).into();
-            std::fs::write(&config, told.to_string())?;
+        for gateway in 0..script.gateway_count {
+            let frozen_list_index = Rc::new(Cell::new(None));
+            let discovery = stand_ins::start_discovery(
+                gateway,
+                lists.clone(),
+                frozen_list_index.clone(),
+                clock,
+                observations.clone(),
+            )
+            .await?;
+            let (settings_path, config_path) =
+                (folder.join(format!("g{gateway}.toml")), folder.join(format!("g{gateway}.json")));
+            std::fs::write(&settings_path, settings_text(script, gateway, &relays, folder))?;
+            let mut config = scripted::config(&discovery.to_string(), 256 + script.gateway_count, &[]);
+            config["known"] = lists.snapshot(1);
+            config["name"] = gateway_name(gateway).into();
+            std::fs::write(&config_path, config.to_string())?;
             gateways.push(Gateway {
-                settings,
-                config,
-                running: RefCell::new(None),
-                started: Cell::new(0),
+                settings_path,
+                config_path,
+                process: RefCell::new(None),
+                process_count: Cell::new(0),
                 paused: Cell::new(false),
-                link: Rc::default(),
-                address: Rc::default(),
-                stuck,
-                troubled: RefCell::default(),
-                since: Cell::default(),
+                link_address: Rc::default(),
+                client_address: Rc::default(),
+                frozen_list_index,
+                fault_periods: RefCell::default(),
+                serving_since: Cell::default(),
             });
         }
-        Ok(Play {
+        Ok(ScenarioRun {
             script: script.clone(),
             program: program.to_path_buf(),
             clock,
             gateways,
             relays,
             lists,
-            books,
+            observations,
             history: RefCell::default(),
             leader: Cell::new(None),
-            leaderless: Cell::default(),
-            whom: RefCell::default(),
-            stuck_since: RefCell::default(),
-            freed: RefCell::default(),
+            leaderless_time: Cell::default(),
+            fault_targets: RefCell::default(),
+            discovery_frozen_at: RefCell::default(),
+            discovery_unfrozen_at: RefCell::default(),
             figures: RefCell::default(),
             logs: RefCell::default(),
-            left: Cell::new(None),
-            configured: RefCell::default(),
+            drained_at: Cell::new(None),
+            rewritten_configs: RefCell::default(),
             kills: RefCell::default(),
-            began_unix_ms: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis()
+            started_unix_ms: SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis()
                 as u64,
         })
     }
 
     /// Starts a gateway's process and reads its log until the process ends.
-    fn start(self: &Rc<Self>, n: usize) -> io::Result<()> {
-        let gateway = &self.gateways[n];
+    fn start_process(self: &Rc<Self>, gateway_number: usize) -> io::Result<()> {
+        let gateway = &self.gateways[gateway_number];
         // The shell ignores SIGXFSZ, so that a write beyond the limit on file size fails, as on a full disk, and does not end the
         // process.
         let mut command = Command::new("sh");
@@ -235,162 +251,176 @@
             .args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""])
             .arg(&self.program)
             .arg("--settings")
-            .arg(&gateway.settings)
+            .arg(&gateway.settings_path)
             .args(["run", "--fleet"]);
         command
-            .env("ROUTER_CONFIG", &gateway.config)
+            .env("ROUTER_CONFIG", &gateway.config_path)
             .env_remove("ROUTER_LISTEN")
             .env_remove("ROUTER_DISCOVERY");
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped()).kill_on_drop(true);
         let mut child = command.spawn()?;
-        let number = gateway.started.get();
-        gateway.started.set(number + 1);
+        let process_number = gateway.process_count.get();
+        gateway.process_count.set(process_number + 1);
         let log = child.stderr.take();
-        gateway.running.replace(Some(Process { child, number, since: Instant::now() }));
-        let play = self.clone();
+        gateway.process.replace(Some(Process { child, process_number, started_at: Instant::now() }));
+        let run = self.clone();
         spawn_local(async move {
             let Some(log) = log else { return };
             let mut lines = BufReader::new(log).lines();
             while let Ok(Some(line)) = lines.next_line().await {
-                play.read(n, number, &line);
+                run.read_log_line(gateway_number, process_number, &line);
             }
         });
         Ok(())
     }
 
     /// Reads a line of a gateway's log and updates the addresses and the history.
-    fn read(&self, n: usize, number: usize, line: &str) {
-        let (at, gateway) = (self.clock.now(), &self.gateways[n]);
-        self.logs.borrow_mut().push(format!("{:>9.3} g{n}.{number} log: {line}", at.as_secs_f64()));
-        let address =
-            |mark: &str| line.split_once(mark).and_then(|(_, a)| a.trim().parse::<SocketAddr>().ok());
-        if let Some(link) = address("the link listens address=") {
-            gateway.link.set(Some(link));
+    fn read_log_line(&self, gateway_number: usize, process_number: usize, line: &str) {
+        let (at, gateway) = (self.clock.now(), &self.gateways[gateway_number]);
+        self.logs
+            .borrow_mut()
+            .push(format!("{:>9.3} g{gateway_number}.{process_number} log: {line}", at.as_secs_f64()));
+        let address = |marker: &str| {
+            line.split_once(marker).and_then(|(_, rest)| rest.trim().parse::<SocketAddr>().ok())
+        };
+        if let Some(link_address) = address("the link listens address=") {
+            gateway.link_address.set(Some(link_address));
             for ((_, to), relay) in &self.relays {
-                if *to == n {
-                    relay.target.set(Some(link));
+                if *to == gateway_number {
+                    relay.target.set(Some(link_address));
                 }
             }
-        } else if let Some(clients) = address(" listening address=") {
-            gateway.since.set(at);
-            gateway.address.set(Some(clients));
-        } else if let Some((_, standing)) = line.split_once("fleet standing=") {
-            let standing = standing.split(" takes_clients=").next().unwrap_or_default().trim();
-            let acting = match standing.strip_prefix("in session ") {
-                Some(id) => SessionState::InSession(id.parse().unwrap_or_default()),
-                None if standing == "alone" => SessionState::WithoutSession,
+        } else if let Some(client_address) = address(" listening address=") {
+            gateway.serving_since.set(at);
+            gateway.client_address.set(Some(client_address));
+        } else if let Some((_, state_text)) = line.split_once("fleet standing=") {
+            let state_text = state_text.split(" takes_clients=").next().unwrap_or_default().trim();
+            let session_state = match state_text.strip_prefix("in session ") {
+                Some(session) => SessionState::InSession(session.parse().unwrap_or_default()),
+                None if state_text == "alone" => SessionState::WithoutSession,
                 None => SessionState::Fenced(FenceReason::Lagging(VersionLag::Build {
                     own: String::new(),
-                    required: standing.to_owned(),
+                    required: state_text.to_owned(),
                 })),
             };
-            if matches!(acting, SessionState::Fenced(_)) {
-                if let Some(since) = self.stuck_since.borrow_mut().remove(&n) {
-                    self.figures.borrow_mut().to_shut_out_s.push((at - since).as_secs_f64());
+            if matches!(session_state, SessionState::Fenced(_)) {
+                if let Some(frozen_at) = self.discovery_frozen_at.borrow_mut().remove(&gateway_number) {
+                    self.figures.borrow_mut().time_to_fence_s.push((at - frozen_at).as_secs_f64());
                 }
-            } else if let Some(since) = self.freed.borrow_mut().remove(&n) {
-                self.figures.borrow_mut().to_let_in_s.push((at - since).as_secs_f64());
+            } else if let Some(unfrozen_at) = self.discovery_unfrozen_at.borrow_mut().remove(&gateway_number)
+            {
+                self.figures.borrow_mut().time_to_unfence_s.push((at - unfrozen_at).as_secs_f64());
             }
-            self.note(n, number, Seen::Stands(acting));
-        } else if let Some(id) = session_in(line, "expired") {
-            self.note(n, number, Seen::Lapsed(id));
-        } else if let Some(id) = session_in(line, "fenced") {
-            self.note(n, number, Seen::ShutOut(id));
+            self.record(gateway_number, process_number, Observation::SessionStateChanged(session_state));
+        } else if let Some(session) = session_in_line(line, "expired") {
+            self.record(gateway_number, process_number, Observation::SessionExpired(session));
+        } else if let Some(session) = session_in_line(line, "fenced") {
+            self.record(gateway_number, process_number, Observation::SessionFenced(session));
         }
     }
 
-    fn note(&self, n: usize, number: usize, seen: Seen) {
-        self.history.borrow_mut().note(self.clock.now(), n, number, seen);
+    fn record(&self, gateway: usize, process_number: usize, observation: Observation) {
+        self.history.borrow_mut().append(self.clock.now(), gateway, process_number, observation);
     }
 
     async fn run(self: Rc<Self>) -> io::Result<()> {
-        for n in 0..self.gateways.len() {
-            self.start(n)?;
+        for gateway in 0..self.gateways.len() {
+            self.start_process(gateway)?;
         }
-        let begun = Instant::now();
+        let launched_at = Instant::now();
         while !self.all_in_session().await {
-            if begun.elapsed() > LONG {
+            if launched_at.elapsed() > PROCESS_TIMEOUT {
                 let logs = self.logs.borrow().join("\n");
-                return Err(io::Error::other(format!("the fleet does not come together:\n{logs}")));
+                return Err(io::Error::other(format!("not all gateways have a session in time:\n{logs}")));
             }
-            sleep(LOOK).await;
+            sleep(STATUS_POLL_INTERVAL).await;
         }
-        for (n, gateway) in self.gateways.iter().enumerate() {
-            let (clock, books) = (self.clock, self.books.clone());
-            spawn_local(place::client(n, gateway.address.clone(), self.script.asks, PATIENCE, clock, books));
+        for (number, gateway) in self.gateways.iter().enumerate() {
+            let (clock, observations) = (self.clock, self.observations.clone());
+            spawn_local(stand_ins::run_client(
+                number,
+                gateway.client_address.clone(),
+                self.script.request_interval,
+                CLIENT_TIMEOUT,
+                clock,
+                observations,
+            ));
         }
-        let looking = spawn_local(self.clone().look());
-        let start = Instant::now();
-        let lists = {
-            let play = self.clone();
+        let leader_polling = spawn_local(self.clone().poll_leader());
+        let timeline_start = Instant::now();
+        let publishing = {
+            let run = self.clone();
             spawn_local(async move {
                 loop {
-                    sleep(play.script.lists).await;
-                    let due =
-                        play.script.leaves.filter(|at| play.left.get().is_none() && start.elapsed() >= *at);
-                    play.lists.next(due.map(|_| NODES - 1));
-                    if due.is_some() {
-                        play.left.set(Some(play.clock.now()));
+                    sleep(run.script.list_interval).await;
+                    let drain_due = run
+                        .script
+                        .drain_from
+                        .filter(|at| run.drained_at.get().is_none() && timeline_start.elapsed() >= *at);
+                    run.lists.publish_next(drain_due.map(|_| ENDPOINT_COUNT - 1));
+                    if drain_due.is_some() {
+                        run.drained_at.set(Some(run.clock.now()));
                     }
                 }
             })
         };
-        let mut deeds: Vec<(Duration, usize, bool)> = Vec::new();
-        for (n, event) in self.script.events.iter().enumerate() {
-            deeds.push((event.at, n, true));
-            deeds.extend(event.until().map(|until| (until, n, false)));
+        let mut transitions: Vec<(Duration, usize, bool)> = Vec::new();
+        for (index, fault) in self.script.faults.iter().enumerate() {
+            transitions.push((fault.start, index, true));
+            transitions.extend(fault.end().map(|end| (end, index, false)));
         }
-        deeds.sort_by_key(|(at, n, on)| (*at, *n, !*on));
-        for (at, n, on) in deeds {
-            tokio::time::sleep_until(start + at).await;
-            let event = self.script.events[n].clone();
-            if on {
-                self.begin(n, &event)?;
+        transitions.sort_by_key(|(at, index, is_start)| (*at, *index, !*is_start));
+        for (at, index, is_start) in transitions {
+            tokio::time::sleep_until(timeline_start + at).await;
+            let fault = self.script.faults[index].clone();
+            if is_start {
+                self.start_fault(index, &fault)?;
             } else {
-                self.over(n, &event)?;
+                self.end_fault(index, &fault)?;
             }
         }
-        tokio::time::sleep_until(start + self.script.lasts).await;
+        tokio::time::sleep_until(timeline_start + self.script.duration).await;
         // A slow machine gets more time to recover from the last fault; the checks use the state after that.
-        let settled = Instant::now();
-        while !self.all_in_session().await && settled.elapsed() < LONG / 3 {
-            sleep(LOOK).await;
+        let recovery_start = Instant::now();
+        while !self.all_in_session().await && recovery_start.elapsed() < PROCESS_TIMEOUT / 3 {
+            sleep(STATUS_POLL_INTERVAL).await;
         }
-        lists.abort();
-        looking.abort();
+        publishing.abort();
+        leader_polling.abort();
         Ok(())
     }
 
     /// Polls the voters until the run ends, to find out which one leads and how long there is no leader.
-    async fn look(self: Rc<Self>) {
+    async fn poll_leader(self: Rc<Self>) {
         loop {
             let mut leader = None;
-            for n in 0..self.script.council {
-                if self.gateways[n].paused.get() {
+            for gateway in 0..self.script.voter_count {
+                if self.gateways[gateway].paused.get() {
                     continue;
                 }
-                let Some(status) = self.ask(n, AdminQuery::Status).await else { continue };
-                if status["leader"] == name(n) {
-                    leader = Some(n);
+                let Some(status) = self.query_admin(gateway, AdminQuery::Status).await else { continue };
+                if status["leader"] == gateway_name(gateway) {
+                    leader = Some(gateway);
                 }
             }
-            let (since, longest) = self.leaderless.get();
+            let (leaderless_since, longest) = self.leaderless_time.get();
             match leader {
                 Some(_) => {
-                    let without = since.map_or(Duration::ZERO, |since| self.clock.now() - since);
-                    self.leaderless.set((None, longest.max(without)));
+                    let leaderless_for = leaderless_since
+                        .map_or(Duration::ZERO, |leaderless_since| self.clock.now() - leaderless_since);
+                    self.leaderless_time.set((None, longest.max(leaderless_for)));
                     self.leader.set(leader);
                 }
-                None => self.leaderless.set((since.or(Some(self.clock.now())), longest)),
+                None => self.leaderless_time.set((leaderless_since.or(Some(self.clock.now())), longest)),
             }
-            sleep(LOOK).await;
+            sleep(STATUS_POLL_INTERVAL).await;
         }
     }
 
     async fn all_in_session(&self) -> bool {
-        for n in 0..self.gateways.len() {
-            let Some(status) = self.ask(n, AdminQuery::Status).await else { return false };
-            if !status["standing"].as_str().is_some_and(|s| s.starts_with("in session")) {
+        for gateway in 0..self.gateways.len() {
+            let Some(status) = self.query_admin(gateway, AdminQuery::Status).await else { return false };
+            if !status["standing"].as_str().is_some_and(|state| state.starts_with("in session")) {
                 return false;
             }
         }
@@ -398,177 +428,203 @@
     }
 
     /// Sends one gateway a query of the admin API, directly to its own address and not through a relay.
-    pub(super) async fn ask(&self, n: usize, question: AdminQuery) -> Option<Value> {
-        let address = self.gateways[n].link.get()?;
-        let asking = async {
+    pub(super) async fn query_admin(&self, gateway: usize, query: AdminQuery) -> Option<Value> {
+        let address = self.gateways[gateway].link_address.get()?;
+        let exchange = async {
             let stream = TcpStream::connect(address).await.ok()?;
             let codec = LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
             let mut framed = Framed::new(stream, codec);
-            let hello = Hello::new(FLEET, Caller::Administrator, &name(n));
+            let hello = Hello::new(FLEET_NAME, Caller::Administrator, &gateway_name(gateway));
             framed.send(Bytes::from(protocol::encode_frame(&hello)?)).await.ok()?;
-            framed.send(Bytes::from(protocol::encode_frame(&Frame::AdminQuery(question))?)).await.ok()?;
+            framed.send(Bytes::from(protocol::encode_frame(&Frame::AdminQuery(query))?)).await.ok()?;
             framed.next().await?.ok()?;
-            let answer = framed.next().await?.ok()?;
-            let Ok(Frame::AdminAnswer(text)) = protocol::decode_frame(&answer) else { return None };
-            let mut told: Value = serde_json::from_str(&text).ok()?;
-            Some(told["answer"].take())
+            let response = framed.next().await?.ok()?;
+            let Ok(Frame::AdminAnswer(text)) = protocol::decode_frame(&response) else { return None };
+            let mut answer: Value = serde_json::from_str(&text).ok()?;
+            Some(answer["answer"].take())
         };
-        timeout(Duration::from_secs(2), asking).await.ok().flatten()
+        timeout(Duration::from_secs(2), exchange).await.ok().flatten()
     }
 
     /// Measures CPU use and memory of the running processes.
-    fn weigh(&self) {
+    fn measure_processes(&self) {
         let mut cpu = [Vec::new(), Vec::new()];
         let mut memory = Vec::new();
-        for (n, gateway) in self.gateways.iter().enumerate() {
-            let running = gateway.running.borrow();
-            let Some((process, id)) = running.as_ref().and_then(|p| Some((p, p.child.id()?))) else {
+        for (number, gateway) in self.gateways.iter().enumerate() {
+            let running = gateway.process.borrow();
+            let Some((process, process_id)) = running
+                .as_ref()
+                .and_then(|running_process| Some((running_process, running_process.child.id()?)))
+            else {
                 continue;
             };
-            let read = |file: &str| std::fs::read_to_string(format!("/proc/{id}/{file}")).unwrap_or_default();
-            let stat = read("stat");
+            let read_proc_file = |file: &str| {
+                std::fs::read_to_string(format!("/proc/{process_id}/{file}")).unwrap_or_default()
+            };
+            let stat = read_proc_file("stat");
             let fields: Vec<&str> = stat.rsplit(") ").next().unwrap_or_default().split(' ').collect();
-            let ticks = |at: usize| fields.get(at).and_then(|f| f.parse::<f64>().ok()).unwrap_or_default();
+            let cpu_ticks = |index: usize| {
+                fields.get(index).and_then(|field| field.parse::<f64>().ok()).unwrap_or_default()
+            };
             // The kernel reports CPU times in hundredths of a second.
-            let percent = (ticks(11) + ticks(12)) / process.since.elapsed().as_secs_f64();
-            cpu[usize::from(n >= self.script.council)].push(percent);
-            let pages =
-                read("statm").split(' ').nth(1).and_then(|f| f.parse::<f64>().ok()).unwrap_or_default();
+            let percent = (cpu_ticks(11) + cpu_ticks(12)) / process.started_at.elapsed().as_secs_f64();
+            cpu[usize::from(number >= self.script.voter_count)].push(percent);
+            let pages = read_proc_file("statm")
+                .split(' ')
+                .nth(1)
+                .and_then(|field| field.parse::<f64>().ok())
+                .unwrap_or_default();
             memory.push(pages * 4096.0 / f64::from(1 << 20));
         }
-        let spread = |mut all: Vec<f64>| {
-            all.sort_by(f64::total_cmp);
-            (all.get(all.len() / 2).copied().unwrap_or_default(), all.last().copied().unwrap_or_default())
+        let median_and_max = |mut values: Vec<f64>| {
+            values.sort_by(f64::total_cmp);
+            (
+                values.get(values.len() / 2).copied().unwrap_or_default(),
+                values.last().copied().unwrap_or_default(),
+            )
         };
         let mut figures = self.figures.borrow_mut();
-        figures.cpu_percent = cpu.map(spread);
-        figures.memory_mib = spread(memory);
+        figures.cpu_percent = cpu.map(median_and_max);
+        figures.memory_mib = median_and_max(memory);
     }
 
-    fn met(&self, n: usize, event: &Event) -> Vec<usize> {
-        let mut known = self.whom.borrow_mut();
-        let whom = known.entry(n).or_insert_with(|| match &event.whom {
-            Whom::Gateways(all) => all.clone(),
-            Whom::Leader => self.leader.get().into_iter().collect(),
-            Whom::All => (0..self.gateways.len()).collect(),
+    fn targets_of(&self, fault_index: usize, fault: &Fault) -> Vec<usize> {
+        let mut known_targets = self.fault_targets.borrow_mut();
+        let targets = known_targets.entry(fault_index).or_insert_with(|| match &fault.target {
+            Target::Gateways(gateways) => gateways.clone(),
+            Target::Leader => self.leader.get().into_iter().collect(),
+            Target::All => (0..self.gateways.len()).collect(),
         });
-        whom.clone()
+        targets.clone()
     }
 
     /// The relays of the links that a fault affects, each with the direction that leads away from the fault's target and the opposite
     /// one.
-    fn links(&self, n: usize, event: &Event) -> Vec<(&Relay, Rc<Way>, Rc<Way>)> {
-        let whom = self.met(n, event);
-        let other = |g: usize| event.others.as_ref().map_or(!whom.contains(&g), |others| others.contains(&g));
-        let mut met = Vec::new();
+    fn affected_links(
+        &self,
+        fault_index: usize,
+        fault: &Fault,
+    ) -> Vec<(&Relay, Rc<LinkDirection>, Rc<LinkDirection>)> {
+        let targets = self.targets_of(fault_index, fault);
+        let is_on_other_side = |gateway: usize| {
+            fault
+                .other_side
+                .as_ref()
+                .map_or(!targets.contains(&gateway), |other_side| other_side.contains(&gateway))
+        };
+        let mut affected = Vec::new();
         for ((from, to), relay) in &self.relays {
-            if whom.contains(from) && other(*to) {
-                met.push((relay, relay.there.clone(), relay.back.clone()));
-            } else if whom.contains(to) && other(*from) {
-                met.push((relay, relay.back.clone(), relay.there.clone()));
+            if targets.contains(from) && is_on_other_side(*to) {
+                affected.push((relay, relay.forward.clone(), relay.reverse.clone()));
+            } else if targets.contains(to) && is_on_other_side(*from) {
+                affected.push((relay, relay.reverse.clone(), relay.forward.clone()));
             }
         }
-        met
+        affected
     }
 
-    fn signal(&self, n: usize, signal: Signal) {
-        let running = self.gateways[n].running.borrow();
-        let id = running.as_ref().and_then(|p| p.child.id()).and_then(|id| i32::try_from(id).ok());
-        if let Some(process) = id.and_then(Pid::from_raw) {
+    fn signal(&self, gateway: usize, signal: Signal) {
+        let running = self.gateways[gateway].process.borrow();
+        let process_id = running
+            .as_ref()
+            .and_then(|running_process| running_process.child.id())
+            .and_then(|process_id| i32::try_from(process_id).ok());
+        if let Some(process) = process_id.and_then(Pid::from_raw) {
             let _ = kill_process(process, signal); // the process may have ended already
         }
     }
 
-    fn trouble(&self, n: usize, from: Duration, until: Duration) {
-        self.gateways[n].troubled.borrow_mut().push((from, until));
+    fn record_fault_period(&self, gateway: usize, start: Duration, end: Duration) {
+        self.gateways[gateway].fault_periods.borrow_mut().push((start, end));
     }
 
-    fn begin(self: &Rc<Self>, n: usize, event: &Event) -> io::Result<()> {
+    fn start_fault(self: &Rc<Self>, fault_index: usize, fault: &Fault) -> io::Result<()> {
         let now = self.clock.now();
-        let until = now + event.lasts.unwrap_or(self.script.lasts) + Duration::from_secs(3);
-        match &event.what {
-            What::Kill => {
-                for gateway in self.met(n, event) {
-                    self.trouble(gateway, now, until);
-                    self.kill(gateway);
+        let recovered_by = now + fault.duration.unwrap_or(self.script.duration) + Duration::from_secs(3);
+        match &fault.kind {
+            FaultKind::KillProcess => {
+                for gateway in self.targets_of(fault_index, fault) {
+                    self.record_fault_period(gateway, now, recovered_by);
+                    self.kill_gateway(gateway);
                 }
             }
-            What::Pause => {
-                for gateway in self.met(n, event) {
-                    self.trouble(gateway, now, until);
+            FaultKind::PauseProcess => {
+                for gateway in self.targets_of(fault_index, fault) {
+                    self.record_fault_period(gateway, now, recovered_by);
                     self.gateways[gateway].paused.set(true);
                     self.signal(gateway, Signal::STOP);
                 }
             }
-            What::Cut { one_way } => {
-                for (_, there, back) in self.links(n, event) {
-                    there.cut.set(there.cut.get() + 1);
+            FaultKind::CutLinks { one_way } => {
+                for (_, away, toward) in self.affected_links(fault_index, fault) {
+                    away.active_cuts.set(away.active_cuts.get() + 1);
                     if !one_way {
-                        back.cut.set(back.cut.get() + 1);
+                        toward.active_cuts.set(toward.active_cuts.get() + 1);
                     }
                 }
             }
-            What::Slow { by } => {
-                for (_, there, back) in self.links(n, event) {
-                    there.slow.borrow_mut().push(*by);
-                    back.slow.borrow_mut().push(*by);
+            FaultKind::DelayLinks { delay_range } => {
+                for (_, away, toward) in self.affected_links(fault_index, fault) {
+                    away.delay_ranges.borrow_mut().push(*delay_range);
+                    toward.delay_ranges.borrow_mut().push(*delay_range);
                 }
             }
-            What::Flap { every } => {
-                let (play, event, every) = (self.clone(), event.clone(), *every);
+            FaultKind::FlapLinks { interval } => {
+                let (run, fault, interval) = (self.clone(), fault.clone(), *interval);
                 spawn_local(async move {
-                    let until = Instant::now() + event.lasts.unwrap_or(play.script.lasts);
-                    while Instant::now() < until {
-                        for (relay, ..) in play.links(n, &event) {
+                    let end = Instant::now() + fault.duration.unwrap_or(run.script.duration);
+                    while Instant::now() < end {
+                        for (relay, ..) in run.affected_links(fault_index, &fault) {
                             relay.reset();
                         }
-                        sleep(every).await;
+                        sleep(interval).await;
                     }
                 });
             }
-            What::Stick => {
-                for gateway in self.met(n, event) {
-                    self.gateways[gateway].stuck.set(Some(self.lists.index()));
-                    self.stuck_since.borrow_mut().insert(gateway, now);
-                    self.trouble(gateway, now, until);
+            FaultKind::FreezeDiscovery => {
+                for gateway in self.targets_of(fault_index, fault) {
+                    self.gateways[gateway].frozen_list_index.set(Some(self.lists.newest_index()));
+                    self.discovery_frozen_at.borrow_mut().insert(gateway, now);
+                    self.record_fault_period(gateway, now, recovered_by);
                 }
             }
-            What::Thin { rate } => {
-                for (_, there, back) in self.links(n, event) {
-                    there.thin.set(Some(*rate));
-                    back.thin.set(Some(*rate));
+            FaultKind::LimitBandwidth { bytes_per_s } => {
+                for (_, away, toward) in self.affected_links(fault_index, fault) {
+                    away.max_bytes_per_s.set(Some(*bytes_per_s));
+                    toward.max_bytes_per_s.set(Some(*bytes_per_s));
                 }
             }
-            What::Move => {
-                for gateway in self.met(n, event) {
+            FaultKind::MoveDiscovery => {
+                for gateway in self.targets_of(fault_index, fault) {
                     spawn_local(self.clone().move_discovery(gateway));
                 }
             }
-            What::Configure { broken } => {
-                for gateway in self.met(n, event) {
-                    self.configured.borrow_mut().insert(gateway, *broken);
-                    self.configure(gateway, |config| {
+            FaultKind::RewriteConfig { is_invalid } => {
+                for gateway in self.targets_of(fault_index, fault) {
+                    self.rewritten_configs.borrow_mut().insert(gateway, *is_invalid);
+                    self.rewrite_config(gateway, |config| {
                         let settings = &mut config["settings"];
                         settings["max_attempts"] =
                             (settings["max_attempts"].as_u64().unwrap_or(2) + 1).into();
-                        if *broken {
+                        if *is_invalid {
                             *settings = Value::Null;
                         }
                     })?;
                 }
             }
-            What::FillDisk => {
-                for gateway in self.met(n, event) {
-                    self.limit_files(gateway, Some(1));
+            FaultKind::FillDisk => {
+                for gateway in self.targets_of(fault_index, fault) {
+                    self.limit_file_size(gateway, Some(1));
                 }
             }
-            What::Replace { apart } => {
-                let (play, all, apart) = (self.clone(), self.met(n, event), *apart);
+            FaultKind::ReplaceProcesses { interval } => {
+                let (run, gateways, interval) =
+                    (self.clone(), self.targets_of(fault_index, fault), *interval);
                 spawn_local(async move {
-                    for gateway in all {
-                        let began = Instant::now();
-                        play.replace(gateway).await;
-                        sleep(apart.saturating_sub(began.elapsed())).await;
+                    for gateway in gateways {
+                        let replacement_start = Instant::now();
+                        run.replace_process(gateway).await;
+                        sleep(interval.saturating_sub(replacement_start.elapsed())).await;
                     }
                 });
             }
@@ -576,170 +632,183 @@
         Ok(())
     }
 
-    fn over(self: &Rc<Self>, n: usize, event: &Event) -> io::Result<()> {
-        match &event.what {
-            What::Kill => {
-                for gateway in self.met(n, event) {
-                    self.start(gateway)?;
+    fn end_fault(self: &Rc<Self>, fault_index: usize, fault: &Fault) -> io::Result<()> {
+        match &fault.kind {
+            FaultKind::KillProcess => {
+                for gateway in self.targets_of(fault_index, fault) {
+                    self.start_process(gateway)?;
                 }
             }
-            What::Pause => {
-                for gateway in self.met(n, event) {
+            FaultKind::PauseProcess => {
+                for gateway in self.targets_of(fault_index, fault) {
                     self.signal(gateway, Signal::CONT);
                     self.gateways[gateway].paused.set(false);
                 }
             }
-            What::Cut { one_way } => {
-                for (_, there, back) in self.links(n, event) {
-                    there.heal();
+            FaultKind::CutLinks { one_way } => {
+                for (_, away, toward) in self.affected_links(fault_index, fault) {
+                    away.end_cut();
                     if !one_way {
-                        back.heal();
+                        toward.end_cut();
                     }
                 }
             }
-            What::Slow { .. } => {
-                for (_, there, back) in self.links(n, event) {
-                    there.slow.borrow_mut().pop();
-                    back.slow.borrow_mut().pop();
+            FaultKind::DelayLinks { .. } => {
+                for (_, away, toward) in self.affected_links(fault_index, fault) {
+                    away.delay_ranges.borrow_mut().pop();
+                    toward.delay_ranges.borrow_mut().pop();
                 }
             }
-            What::Stick => {
-                for gateway in self.met(n, event) {
-                    self.gateways[gateway].stuck.set(None);
-                    if self.stuck_since.borrow_mut().remove(&gateway).is_none() {
-                        self.freed.borrow_mut().insert(gateway, self.clock.now());
+            FaultKind::FreezeDiscovery => {
+                for gateway in self.targets_of(fault_index, fault) {
+                    self.gateways[gateway].frozen_list_index.set(None);
+                    if self.discovery_frozen_at.borrow_mut().remove(&gateway).is_none() {
+                        self.discovery_unfrozen_at.borrow_mut().insert(gateway, self.clock.now());
                     }
                 }
             }
-            What::Thin { .. } => {
-                for (_, there, back) in self.links(n, event) {
-                    there.thin.set(None);
-                    back.thin.set(None);
+            FaultKind::LimitBandwidth { .. } => {
+                for (_, away, toward) in self.affected_links(fault_index, fault) {
+                    away.max_bytes_per_s.set(None);
+                    toward.max_bytes_per_s.set(None);
                 }
             }
-            What::FillDisk => {
-                for gateway in self.met(n, event) {
-                    self.limit_files(gateway, None);
+            FaultKind::FillDisk => {
+                for gateway in self.targets_of(fault_index, fault) {
+                    self.limit_file_size(gateway, None);
                 }
             }
-            What::Flap { .. } | What::Replace { .. } | What::Move | What::Configure { .. } => {}
+            FaultKind::FlapLinks { .. }
+            | FaultKind::ReplaceProcesses { .. }
+            | FaultKind::MoveDiscovery
+            | FaultKind::RewriteConfig { .. } => {}
         }
         Ok(())
     }
 
     /// Rewrites a gateway's configuration file and sends the gateway SIGHUP.
-    fn configure(&self, n: usize, change: impl FnOnce(&mut Value)) -> io::Result<()> {
-        let path = &self.gateways[n].config;
+    fn rewrite_config(&self, gateway: usize, change: impl FnOnce(&mut Value)) -> io::Result<()> {
+        let path = &self.gateways[gateway].config_path;
         let mut config: Value = serde_json::from_slice(&std::fs::read(path)?)?;
         change(&mut config);
         std::fs::write(path, config.to_string())?;
-        self.signal(n, Signal::HUP);
+        self.signal(gateway, Signal::HUP);
         Ok(())
     }
 
     /// Moves a gateway's discovery to a new address; the previous discovery sends no newer lists.
-    async fn move_discovery(self: Rc<Self>, n: usize) {
-        let there =
-            place::register(n, self.lists.clone(), Rc::default(), self.clock, self.books.clone()).await;
-        self.gateways[n].stuck.set(Some(self.lists.index()));
-        let moved = there
-            .and_then(|there| self.configure(n, |config| config["discovery"] = there.to_string().into()));
+    async fn move_discovery(self: Rc<Self>, gateway: usize) {
+        let new_address = stand_ins::start_discovery(
+            gateway,
+            self.lists.clone(),
+            Rc::default(),
+            self.clock,
+            self.observations.clone(),
+        )
+        .await;
+        self.gateways[gateway].frozen_list_index.set(Some(self.lists.newest_index()));
+        let moved = new_address.and_then(|new_address| {
+            self.rewrite_config(gateway, |config| config["discovery"] = new_address.to_string().into())
+        });
         if let Err(error) = moved {
-            self.logs.borrow_mut().push(format!("g{n}: its discovery can't be moved: {error}"));
+            self.logs.borrow_mut().push(format!("g{gateway}: its discovery can't be moved: {error}"));
         }
     }
 
     /// Limits the size of the files that a gateway's process writes: writes beyond the limit fail, as on a full disk. Without a limit
     /// they succeed again.
-    fn limit_files(&self, n: usize, most: Option<u64>) {
-        let running = self.gateways[n].running.borrow();
-        let id = running.as_ref().and_then(|p| p.child.id()).and_then(|id| i32::try_from(id).ok());
-        let limit = Rlimit { current: most, maximum: None };
-        if let Err(error) = prlimit(id.and_then(Pid::from_raw), Resource::Fsize, limit) {
-            self.logs.borrow_mut().push(format!("g{n}: its files can't be limited: {error}"));
+    fn limit_file_size(&self, gateway: usize, max_bytes: Option<u64>) {
+        let running = self.gateways[gateway].process.borrow();
+        let process_id = running
+            .as_ref()
+            .and_then(|running_process| running_process.child.id())
+            .and_then(|process_id| i32::try_from(process_id).ok());
+        let limit = Rlimit { current: max_bytes, maximum: None };
+        if let Err(error) = prlimit(process_id.and_then(Pid::from_raw), Resource::Fsize, limit) {
+            self.logs.borrow_mut().push(format!("g{gateway}: its files can't be limited: {error}"));
         }
     }
 
-    fn kill(&self, n: usize) {
-        let gateway = &self.gateways[n];
-        gateway.address.set(None);
-        gateway.link.set(None);
+    fn kill_gateway(&self, gateway_number: usize) {
+        let gateway = &self.gateways[gateway_number];
+        gateway.client_address.set(None);
+        gateway.link_address.set(None);
         for ((_, to), relay) in &self.relays {
-            if *to == n {
+            if *to == gateway_number {
                 relay.target.set(None);
             }
         }
-        if let Some(mut process) = gateway.running.take() {
+        if let Some(mut process) = gateway.process.take() {
             let _ = process.child.start_kill();
-            self.kills.borrow_mut().push((n, self.clock.now()));
-            self.note(n, process.number, Seen::Ended);
+            self.kills.borrow_mut().push((gateway_number, self.clock.now()));
+            self.record(gateway_number, process.process_number, Observation::ProcessEnded);
             spawn_local(async move { drop(process.child.wait().await) });
         }
     }
 
     /// Replaces a process by a graceful shutdown: a new process starts once the previous one has ended.
-    async fn replace(self: &Rc<Self>, n: usize) {
-        let gateway = &self.gateways[n];
-        let from = self.clock.now();
-        gateway.address.set(None); // clients stop using the gateway before it stops, as behind a load balancer
-        self.signal(n, Signal::TERM);
-        let Some(mut process) = gateway.running.take() else { return };
-        let ended = timeout(LONG, process.child.wait()).await;
-        if !matches!(ended, Ok(Ok(status)) if status.success()) {
-            self.logs.borrow_mut().push(format!("g{n}: told to stop, it came to {ended:?}"));
+    async fn replace_process(self: &Rc<Self>, gateway_number: usize) {
+        let gateway = &self.gateways[gateway_number];
+        let start = self.clock.now();
+        gateway.client_address.set(None); // clients stop using the gateway before it stops, as behind a load balancer
+        self.signal(gateway_number, Signal::TERM);
+        let Some(mut process) = gateway.process.take() else { return };
+        let exit = timeout(PROCESS_TIMEOUT, process.child.wait()).await;
+        if !matches!(exit, Ok(Ok(status)) if status.success()) {
+            self.logs.borrow_mut().push(format!("g{gateway_number}: told to stop, it came to {exit:?}"));
         }
-        self.note(n, process.number, Seen::Ended);
-        gateway.link.set(None);
-        if let Err(error) = self.start(n) {
-            self.logs.borrow_mut().push(format!("g{n}: {error}"));
+        self.record(gateway_number, process.process_number, Observation::ProcessEnded);
+        gateway.link_address.set(None);
+        if let Err(error) = self.start_process(gateway_number) {
+            self.logs.borrow_mut().push(format!("g{gateway_number}: {error}"));
         }
-        self.trouble(n, from, self.clock.now() + Duration::from_secs(3));
+        self.record_fault_period(gateway_number, start, self.clock.now() + Duration::from_secs(3));
     }
 
-    async fn end(&self) {
+    async fn stop_processes(&self) {
         for gateway in &self.gateways {
-            if let Some(mut process) = gateway.running.take() {
+            if let Some(mut process) = gateway.process.take() {
                 let _ = process.child.kill().await;
             }
         }
     }
 }
 
-fn session_in(line: &str, what: &str) -> Option<u64> {
+fn session_in_line(line: &str, event: &str) -> Option<u64> {
     let (_, rest) = line.split_once("fleet: session ")?;
-    let (id, rest) = rest.split_once(' ')?;
-    rest.starts_with(what).then(|| id.parse().ok())?
+    let (session, rest) = rest.split_once(' ')?;
+    rest.starts_with(event).then(|| session.parse().ok())?
 }
 
 /// The settings file of one gateway, in which the addresses of its peers are those of the relays.
 fn settings_text(
     script: &Script,
-    n: usize,
+    gateway: usize,
     relays: &BTreeMap<(usize, usize), Relay>,
     folder: &Path,
 ) -> String {
-    let alone = if script.refuses_alone { "refuse" } else { "serve" };
+    let without_session_policy = if script.rejects_without_session { "refuse" } else { "serve" };
     let mut text = format!(
-        "[fleet]\nname = \"{FLEET}\"\ngateway = \"{}\"\nlisten = \"127.0.0.1:0\"\nlineage = \"register\"\nalone = \"{alone}\"\n\
+        "[fleet]\nname = \"{FLEET_NAME}\"\ngateway = \"{}\"\nlisten = \"127.0.0.1:0\"\nlineage = \"register\"\nalone = \"{without_session_policy}\"\n\
          lease = \"{}ms\"\nmargin = {:?}\nbehind = {}\nbehind_for = \"{}ms\"\nshut_out_most = {:?}\n",
-        name(n),
-        script.lease.as_millis(),
-        script.margin,
-        script.behind.0,
-        script.behind.1.as_millis(),
-        script.most_out,
+        gateway_name(gateway),
+        script.lease_length.as_millis(),
+        script.clock_margin,
+        script.lag_limit.0,
+        script.lag_limit.1.as_millis(),
+        script.max_fenced_fraction,
     );
-    if script.disks {
+    if script.has_disks {
         text += &format!("state = \"{}\"\n", folder.join("state").display());
     }
-    for to in 0..script.gateways {
+    for peer in 0..script.gateway_count {
         // A peer to which this gateway opens no link gets an address at which nothing listens.
         let address =
-            relays.get(&(n, to)).map_or("127.0.0.1:1".to_owned(), |relay| relay.address.to_string());
-        let council = to < script.council;
+            relays.get(&(gateway, peer)).map_or("127.0.0.1:1".to_owned(), |relay| relay.address.to_string());
+        let is_voter = peer < script.voter_count;
         text += &format!(
-            "[[fleet.peer]]\nname = \"{}\"\naddress = \"{address}\"\ncouncil = {council}\n",
-            name(to)
+            "[[fleet.peer]]\nname = \"{}\"\naddress = \"{address}\"\ncouncil = {is_voter}\n",
+            gateway_name(peer)
         );
     }
     text
--- a/crates/testbed/src/whole/mod.rs
+++ b/crates/testbed/src/whole/mod.rs
@@ -2,10 +2,10 @@
 //! runs either in virtual time with the gateways' decision code in process, or on real gateway processes with a relay in each link. The
 //! checks read one history of each run.
 
+mod checker;
 pub mod history;
-mod judge;
 pub mod live;
-pub mod place;
 mod relay;
 pub mod script;
+pub mod stand_ins;
 pub mod virtual_time;
--- a/crates/testbed/src/whole/relay.rs
+++ b/crates/testbed/src/whole/relay.rs
@@ -14,38 +14,38 @@
 
 /// One direction of a relayed link.
 #[derive(Default)]
-pub struct Way {
+pub struct LinkDirection {
     /// Number of active cuts. Above 0 nothing is forwarded: data waits in the relay and is not lost.
-    pub cut: Cell<u32>,
+    pub active_cuts: Cell<u32>,
     /// Ranges of an added delay, of which the last one applies; the delay of each piece of data is drawn from that range.
-    pub slow: RefCell<Vec<(Duration, Duration)>>,
+    pub delay_ranges: RefCell<Vec<(Duration, Duration)>>,
     /// Limit of the direction's throughput, in bytes a second; none for no limit.
-    pub thin: Cell<Option<u64>>,
-    draw: Cell<u64>,
-    healed: Notify,
+    pub max_bytes_per_s: Cell<Option<u64>>,
+    random_state: Cell<u64>,
+    cut_ended: Notify,
 }
 
-impl Way {
+impl LinkDirection {
     /// The delay of the next piece of data, if the direction is delayed. Each direction has a random sequence of its own.
     fn delay(&self) -> Option<Duration> {
-        let (least, most) = self.slow.borrow().last().copied()?;
-        let draw = weldworks_balancer::mix(self.draw.get());
-        self.draw.set(draw);
-        Some(least + (most - least).mul_f64((draw >> 11) as f64 / (1u64 << 53) as f64))
+        let (min_delay, max_delay) = self.delay_ranges.borrow().last().copied()?;
+        let random_state = weldworks_balancer::mix(self.random_state.get());
+        self.random_state.set(random_state);
+        Some(min_delay + (max_delay - min_delay).mul_f64((random_state >> 11) as f64 / (1u64 << 53) as f64))
     }
 
     /// Ends one of the active cuts.
-    pub fn heal(&self) {
-        self.cut.set(self.cut.get().saturating_sub(1));
-        if self.cut.get() == 0 {
-            self.healed.notify_waiters();
+    pub fn end_cut(&self) {
+        self.active_cuts.set(self.active_cuts.get().saturating_sub(1));
+        if self.active_cuts.get() == 0 {
+            self.cut_ended.notify_waiters();
         }
     }
 
-    async fn open(&self) {
-        while self.cut.get() > 0 {
+    async fn wait_for_cuts_to_end(&self) {
+        while self.active_cuts.get() > 0 {
             // The timeout checks the number of cuts again even if the notification that a cut has ended was missed.
-            let _ = tokio::time::timeout(Duration::from_millis(20), self.healed.notified()).await;
+            let _ = tokio::time::timeout(Duration::from_millis(20), self.cut_ended.notified()).await;
         }
     }
 }
@@ -55,9 +55,9 @@
     /// Address at which the relay accepts connections.
     pub address: SocketAddr,
     /// The direction from the side that opens the connection to the side that accepts it.
-    pub there: Rc<Way>,
+    pub forward: Rc<LinkDirection>,
     /// The direction from the side that accepts the connection back to the side that opens it.
-    pub back: Rc<Way>,
+    pub reverse: Rc<LinkDirection>,
     /// Address to which the relay forwards connections; while there is none, it closes them at once.
     pub target: Rc<Cell<Option<SocketAddr>>>,
     resets: Rc<Notify>,
@@ -73,22 +73,22 @@
         let address = listener.local_addr()?;
         let relay = Relay {
             address,
-            there: Rc::default(),
-            back: Rc::default(),
+            forward: Rc::default(),
+            reverse: Rc::default(),
             target: Rc::default(),
             resets: Rc::default(),
         };
-        relay.there.draw.set(seed);
-        relay.back.draw.set(!seed);
-        let (there, back) = (relay.there.clone(), relay.back.clone());
+        relay.forward.random_state.set(seed);
+        relay.reverse.random_state.set(!seed);
+        let (forward, reverse) = (relay.forward.clone(), relay.reverse.clone());
         let (target, resets) = (relay.target.clone(), relay.resets.clone());
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let Some(to) = target.get() else { continue };
-                let (there, back, resets) = (there.clone(), back.clone(), resets.clone());
+                let Some(destination) = target.get() else { continue };
+                let (forward, reverse, resets) = (forward.clone(), reverse.clone(), resets.clone());
                 spawn_local(async move {
                     tokio::select! {
-                        () = pass(stream, to, &there, &back) => {}
+                        () = forward_connection(stream, destination, &forward, &reverse) => {}
                         () = resets.notified() => {}
                     }
                 });
@@ -103,30 +103,41 @@
     }
 }
 
-async fn pass(caller: TcpStream, to: SocketAddr, there: &Way, back: &Way) {
-    let Ok(called) = TcpStream::connect(to).await else { return };
-    let _ = (caller.set_nodelay(true), called.set_nodelay(true));
+async fn forward_connection(
+    caller: TcpStream,
+    to: SocketAddr,
+    forward: &LinkDirection,
+    reverse: &LinkDirection,
+) {
+    let Ok(callee) = TcpStream::connect(to).await else { return };
+    let _ = (caller.set_nodelay(true), callee.set_nodelay(true));
     let (from_caller, to_caller) = caller.into_split();
-    let (from_called, to_called) = called.into_split();
-    tokio::join!(pump(from_caller, to_called, there), pump(from_called, to_caller, back));
+    let (from_callee, to_callee) = callee.into_split();
+    tokio::join!(
+        forward_bytes(from_caller, to_callee, forward),
+        forward_bytes(from_callee, to_caller, reverse)
+    );
 }
 
-async fn pump(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, way: &Way) {
+async fn forward_bytes(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, direction: &LinkDirection) {
     let mut bytes = vec![0; 16 << 10];
     loop {
         // Under a throughput limit each read takes at most what may pass in 50 ms.
-        let most = way.thin.get().map_or(bytes.len(), |rate| (rate as usize / 20).clamp(1, bytes.len()));
-        let read = from.read(&mut bytes[..most]).await.unwrap_or(0);
-        way.open().await; // a cut holds back the end of a connection too
+        let max_read = direction
+            .max_bytes_per_s
+            .get()
+            .map_or(bytes.len(), |rate| (rate as usize / 20).clamp(1, bytes.len()));
+        let read = from.read(&mut bytes[..max_read]).await.unwrap_or(0);
+        direction.wait_for_cuts_to_end().await; // a cut holds back the end of a connection too
         if read == 0 {
             let _ = to.shutdown().await;
             return;
         }
-        if let Some(delay) = way.delay() {
+        if let Some(delay) = direction.delay() {
             sleep(delay).await;
-            way.open().await;
+            direction.wait_for_cuts_to_end().await;
         }
-        if let Some(rate) = way.thin.get() {
+        if let Some(rate) = direction.max_bytes_per_s.get() {
             sleep(Duration::from_secs_f64(read as f64 / rate as f64)).await;
         }
         if to.write_all(&bytes[..read]).await.is_err() {
--- a/crates/testbed/src/whole/virtual_time.rs
+++ b/crates/testbed/src/whole/virtual_time.rs
@@ -1,8 +1,8 @@
 //! Fault scenarios in virtual time: the decision code of all gateways runs in this process, with clocks of different rates and with links
 //! that are cut, slow or closed. Runs with the same seed are identical.
 
-use super::history::{Figures, History, Seen};
-use super::script::{Event, Script, What, Whom};
+use super::history::{Figures, History, Observation};
+use super::script::{Fault, FaultKind, Script, Target};
 use crate::draws::{Draws, For, Stream};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -18,11 +18,11 @@
 use weldworks_fleet::version::{digest, Incarnation, ListVersion, Version};
 
 /// Time until a connection attempt fails if nothing answers it.
-const DIAL: Duration = Duration::from_millis(1000);
+const DIAL_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Mean delay of a frame on a link without faults.
-const WAY: Duration = Duration::from_micros(300);
+const LINK_DELAY: Duration = Duration::from_micros(300);
 /// Time after the end of the last fault within which all gateways have to be in a session again.
-const RECOVERED: Duration = Duration::from_secs(8);
+const RECOVERY_TIME: Duration = Duration::from_secs(8);
 
 /// A defect inserted on purpose, to test that the checks find it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -32,18 +32,18 @@
     None,
     /// The clock margin is applied with the wrong sign and five times as large: holders rely on a lease too long, and voters wait too
     /// short a time for its end.
-    MarginReversed,
+    ReversedMargin,
     /// The clock of every other gateway runs slow by more than the clock margin.
-    ClocksApart,
+    ClocksBeyondMargin,
     /// A restarted process votes under the identity of the previous process, whose votes it does not know.
-    VotesAgain,
+    ForgottenVotes,
     /// Frames are sent before the records that they depend on are stored, and every write to disk is slow.
-    SaysBeforeStored,
+    SendBeforeStore,
 }
 
 /// Result of a run in virtual time.
 #[derive(Clone, Debug)]
-pub struct Played {
+pub struct RunResult {
     /// Violated rules, as text.
     pub breaches: Vec<String>,
     /// Figures of the run.
@@ -53,41 +53,41 @@
 }
 
 #[derive(Clone, Debug)]
-enum Do {
+enum Event {
     Tick { gateway: usize, process: usize },
     Dial { from: usize, to: usize, process: usize },
-    Linked { from: usize, to: usize, process: usize, other: usize },
-    Deliver { from: usize, to: usize, generation: u64, frame: Box<Frame> },
-    Down { at: usize, other: usize, generation: u64 },
-    News,
-    Hear { gateway: usize, process: usize, index: u64 },
-    Begin(usize),
-    End(usize),
-    Start(usize),
-    Written { gateway: usize, process: usize, stored: Vec<StoredRecord>, frames: Vec<(usize, Frame)> },
-    Flap(usize),
-    Replace(usize),
+    DialCompleted { from: usize, to: usize, process: usize, peer_process: usize },
+    DeliverFrame { from: usize, to: usize, generation: u64, frame: Box<Frame> },
+    LinkDown { gateway: usize, peer: usize, generation: u64 },
+    PublishList,
+    ReceiveList { gateway: usize, process: usize, index: u64 },
+    StartFault(usize),
+    EndFault(usize),
+    StartProcess(usize),
+    WriteCompleted { gateway: usize, process: usize, records: Vec<StoredRecord>, frames: Vec<(usize, Frame)> },
+    FlapLinks(usize),
+    ReplaceProcess(usize),
 }
 
 /// Records to be stored, and the frames that may be sent once the records are on disk.
-type Batch = (Vec<StoredRecord>, Vec<(usize, Frame)>);
+type PendingWrite = (Vec<StoredRecord>, Vec<(usize, Frame)>);
 
 struct Process {
-    agent: Node,
-    began: Duration,
-    rate: f64,
+    node: Node,
+    started_at: Duration,
+    clock_rate: f64,
     number: usize,
     paused: bool,
-    waiting: Vec<Do>,
+    deferred_events: Vec<Event>,
     voter: Incarnation,
-    stood: Option<SessionState>,
-    first_session: Option<Duration>,
-    index: u64,
+    last_session_state: Option<SessionState>,
+    time_to_first_session: Option<Duration>,
+    list_index: u64,
 }
 
 impl Process {
-    fn clock(&self, at: Duration) -> Duration {
-        (at.saturating_sub(self.began)).mul_f64(self.rate)
+    fn clock(&self, true_time: Duration) -> Duration {
+        (true_time.saturating_sub(self.started_at)).mul_f64(self.clock_rate)
     }
 }
 
@@ -100,126 +100,130 @@
 
 /// One direction of the network path between two gateways.
 #[derive(Clone, Debug, Default)]
-struct Way {
-    cut: u32,
-    slow: Vec<(Duration, Duration)>,
-    last: Duration,
-    held: Vec<Do>,
+struct LinkDirection {
+    active_cuts: u32,
+    delay_ranges: Vec<(Duration, Duration)>,
+    last_arrival: Duration,
+    held_events: Vec<Event>,
 }
 
-struct Play<'a> {
+struct FleetSimulation<'a> {
     script: &'a Script,
     mistake: Mistake,
-    draws: Draws,
-    draw: Stream,
-    at: Duration,
-    order: u64,
+    random_streams: Draws,
+    random: Stream,
+    now: Duration,
+    last_event_id: u64,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    doings: BTreeMap<u64, Do>,
+    pending_events: BTreeMap<u64, Event>,
     gateways: Vec<Option<Process>>,
-    started: Vec<usize>,
+    process_counts: Vec<usize>,
     links: BTreeMap<(usize, usize), Link>,
-    ways: BTreeMap<(usize, usize), Way>,
-    stuck: BTreeSet<usize>,
-    index: u64,
-    whom: BTreeMap<usize, Vec<usize>>,
+    link_directions: BTreeMap<(usize, usize), LinkDirection>,
+    frozen_discovery: BTreeSet<usize>,
+    newest_list_index: u64,
+    fault_targets: BTreeMap<usize, Vec<usize>>,
     history: History,
     breaches: Vec<String>,
     figures: Figures,
-    frames: u64,
-    bytes: u64,
-    led: Option<(usize, usize)>,
-    no_leader: Option<Duration>,
-    lapsed: BTreeSet<SessionId>,
+    frames_sent: u64,
+    bytes_sent: u64,
+    leader: Option<(usize, usize)>,
+    leader_lost: Option<Duration>,
+    expired_sessions: BTreeSet<SessionId>,
     /// Records on each gateway's disk.
     disks: Vec<Vec<StoredRecord>>,
     /// For each gateway, when the last write to its disk is complete.
-    written: Vec<Duration>,
-    stuck_since: BTreeMap<usize, Duration>,
-    freed: BTreeMap<usize, Duration>,
+    write_completed_at: Vec<Duration>,
+    discovery_frozen_at: BTreeMap<usize, Duration>,
+    discovery_unfrozen_at: BTreeMap<usize, Duration>,
 }
 
 /// Runs a script in virtual time.
-pub fn play(script: &Script, seed: u64, mistake: Mistake) -> Played {
-    let draws = Draws::new(seed);
-    let mut play = Play {
+pub fn play(script: &Script, seed: u64, mistake: Mistake) -> RunResult {
+    let random_streams = Draws::new(seed);
+    let mut simulation = FleetSimulation {
         script,
         mistake,
-        draws,
-        draw: draws.stream(For::Network, 1),
-        at: Duration::ZERO,
-        order: 0,
+        random_streams,
+        random: random_streams.stream(For::Network, 1),
+        now: Duration::ZERO,
+        last_event_id: 0,
         queue: BinaryHeap::new(),
-        doings: BTreeMap::new(),
-        gateways: (0..script.gateways).map(|_| None).collect(),
-        started: vec![0; script.gateways],
+        pending_events: BTreeMap::new(),
+        gateways: (0..script.gateway_count).map(|_| None).collect(),
+        process_counts: vec![0; script.gateway_count],
         links: BTreeMap::new(),
-        ways: BTreeMap::new(),
-        stuck: BTreeSet::new(),
-        index: 1,
-        whom: BTreeMap::new(),
+        link_directions: BTreeMap::new(),
+        frozen_discovery: BTreeSet::new(),
+        newest_list_index: 1,
+        fault_targets: BTreeMap::new(),
         history: History::default(),
         breaches: Vec::new(),
         figures: Figures::default(),
-        frames: 0,
-        bytes: 0,
-        led: None,
-        no_leader: None,
-        lapsed: BTreeSet::new(),
-        disks: vec![Vec::new(); script.gateways],
-        written: vec![Duration::ZERO; script.gateways],
-        stuck_since: BTreeMap::new(),
-        freed: BTreeMap::new(),
+        frames_sent: 0,
+        bytes_sent: 0,
+        leader: None,
+        leader_lost: None,
+        expired_sessions: BTreeSet::new(),
+        disks: vec![Vec::new(); script.gateway_count],
+        write_completed_at: vec![Duration::ZERO; script.gateway_count],
+        discovery_frozen_at: BTreeMap::new(),
+        discovery_unfrozen_at: BTreeMap::new(),
     };
-    play.run();
-    play.finish()
+    simulation.run();
+    simulation.finish()
 }
 
-impl Play<'_> {
-    fn soon(&mut self, after: Duration, what: Do) {
-        self.order += 1;
-        self.queue.push(Reverse((self.at + after, self.order)));
-        self.doings.insert(self.order, what);
+impl FleetSimulation<'_> {
+    fn schedule(&mut self, delay: Duration, event: Event) {
+        self.last_event_id += 1;
+        self.queue.push(Reverse((self.now + delay, self.last_event_id)));
+        self.pending_events.insert(self.last_event_id, event);
     }
 
     fn run(&mut self) {
-        for gateway in 0..self.script.gateways {
-            let after = Duration::from_millis(self.draw.below(200) as u64);
-            self.soon(after, Do::Start(gateway));
+        for gateway in 0..self.script.gateway_count {
+            let delay = Duration::from_millis(self.random.below(200) as u64);
+            self.schedule(delay, Event::StartProcess(gateway));
         }
-        for (n, event) in self.script.events.iter().enumerate() {
-            self.soon(event.at, Do::Begin(n));
-            if let Some(lasts) = event.lasts {
-                self.soon(event.at + lasts, Do::End(n));
+        for (index, fault) in self.script.faults.iter().enumerate() {
+            self.schedule(fault.start, Event::StartFault(index));
+            if let Some(duration) = fault.duration {
+                self.schedule(fault.start + duration, Event::EndFault(index));
             }
         }
-        self.soon(self.script.lists, Do::News);
-        while let Some(Reverse((at, order))) = self.queue.pop() {
-            if at > self.script.lasts {
+        self.schedule(self.script.list_interval, Event::PublishList);
+        while let Some(Reverse((time, event_id))) = self.queue.pop() {
+            if time > self.script.duration {
                 break;
             }
-            self.at = at;
-            if let Some(what) = self.doings.remove(&order) {
-                self.carry_out(what);
+            self.now = time;
+            if let Some(event) = self.pending_events.remove(&event_id) {
+                self.handle_event(event);
             }
         }
     }
 
-    fn seats(&self, gateway: usize) -> bool {
-        gateway < self.script.council
+    fn is_voter(&self, gateway: usize) -> bool {
+        gateway < self.script.voter_count
     }
 
     fn settings(&self, gateway: usize) -> FleetSettings {
         let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-        let peer = |n: usize| Peer { name: name(n), address: nowhere, is_voter: n < self.script.council };
+        let peer = |number: usize| Peer {
+            name: name(number),
+            address: nowhere,
+            is_voter: number < self.script.voter_count,
+        };
         FleetSettings {
             name: "virtual".to_owned(),
             gateway: name(gateway),
             listen: nowhere,
-            peers: (0..self.script.gateways).map(peer).collect(),
+            peers: (0..self.script.gateway_count).map(peer).collect(),
             lineage: None,
-            lease: Lease { length: self.script.lease, margin: self.script.margin },
-            without_session: if self.script.refuses_alone {
+            lease: Lease { length: self.script.lease_length, margin: self.script.clock_margin },
+            without_session: if self.script.rejects_without_session {
                 WithoutSessionPolicy::Reject
             } else {
                 WithoutSessionPolicy::Serve
@@ -227,203 +231,220 @@
             state_folder: None,
             audit_retention: RetentionLimits::default(),
             lag_policy: LagPolicy {
-                max_list_lag: self.script.behind.0,
-                max_lag_duration: self.script.behind.1,
-                max_fenced_fraction: self.script.most_out,
+                max_list_lag: self.script.lag_limit.0,
+                max_lag_duration: self.script.lag_limit.1,
+                max_fenced_fraction: self.script.max_fenced_fraction,
             },
         }
     }
 
     fn start(&mut self, gateway: usize) {
-        let number = self.started[gateway];
-        self.started[gateway] += 1;
+        let number = self.process_counts[gateway];
+        self.process_counts[gateway] += 1;
         let mut settings = self.settings(gateway);
-        let margin = self.script.margin;
+        let margin = self.script.clock_margin;
         // The rate of each clock is off by up to 0.99 of the clock margin, in either direction.
-        let mut rate = 1.0 + margin * 0.99 * (2.0 * self.draw.even() - 1.0);
+        let mut clock_rate = 1.0 + margin * 0.99 * (2.0 * self.random.even() - 1.0);
         match self.mistake {
-            Mistake::ClocksApart if gateway % 2 == 1 => rate -= 0.3,
-            Mistake::MarginReversed => settings.lease.margin *= -5.0,
+            Mistake::ClocksBeyondMargin if gateway % 2 == 1 => clock_rate -= 0.3,
+            Mistake::ReversedMargin => settings.lease.margin *= -5.0,
             _ => {}
         }
         let process = match self.mistake {
-            Mistake::VotesAgain => Incarnation(gateway as u64 + 1),
-            _ => Incarnation(self.draws.number(For::Gateway, (gateway * 1000 + number) as u64) | 1),
+            Mistake::ForgottenVotes => Incarnation(gateway as u64 + 1),
+            _ => Incarnation(self.random_streams.number(For::Gateway, (gateway * 1000 + number) as u64) | 1),
+        };
+        let list_index = if self.frozen_discovery.contains(&gateway) {
+            self.newest_list_index.saturating_sub(1)
+        } else {
+            self.newest_list_index
         };
-        let index = if self.stuck.contains(&gateway) { self.index.saturating_sub(1) } else { self.index };
-        let seed = self.draws.number(For::Gateway, 7_000_000 + (gateway * 1000 + number) as u64);
-        let stored = self.disks[gateway].clone();
+        let seed = self.random_streams.number(For::Gateway, 7_000_000 + (gateway * 1000 + number) as u64);
+        let stored_records = self.disks[gateway].clone();
         // Without a disk each process is a voter of its own; with a disk a process continues as the voter that first used the disk.
-        let voter = if self.script.disks { Incarnation(gateway as u64 + 1) } else { process };
-        let agent = Node::new(settings, process, version(index), seed, StoredVote { voter, records: stored });
+        let voter = if self.script.has_disks { Incarnation(gateway as u64 + 1) } else { process };
+        let node = Node::new(
+            settings,
+            process,
+            version(list_index),
+            seed,
+            StoredVote { voter, records: stored_records },
+        );
         self.gateways[gateway] = Some(Process {
-            agent,
-            began: self.at,
-            rate,
+            node,
+            started_at: self.now,
+            clock_rate,
             number,
             paused: false,
-            waiting: Vec::new(),
+            deferred_events: Vec::new(),
             voter,
-            stood: None,
-            first_session: None,
-            index,
+            last_session_state: None,
+            time_to_first_session: None,
+            list_index,
         });
-        self.soon(Duration::ZERO, Do::Tick { gateway, process: number });
-        for other in 0..self.script.council {
-            if other != gateway && (!self.seats(gateway) || gateway < other) {
-                self.soon(Duration::from_millis(1), Do::Dial { from: gateway, to: other, process: number });
+        self.schedule(Duration::ZERO, Event::Tick { gateway, process: number });
+        for other in 0..self.script.voter_count {
+            if other != gateway && (!self.is_voter(gateway) || gateway < other) {
+                self.schedule(
+                    Duration::from_millis(1),
+                    Event::Dial { from: gateway, to: other, process: number },
+                );
             }
         }
     }
 
-    fn alive(&self, gateway: usize, process: usize) -> bool {
-        self.gateways[gateway].as_ref().is_some_and(|p| p.number == process)
+    fn is_alive(&self, gateway: usize, process: usize) -> bool {
+        self.gateways[gateway].as_ref().is_some_and(|running| running.number == process)
     }
 
-    fn cut(&self, from: usize, to: usize) -> bool {
-        self.ways.get(&(from, to)).is_some_and(|w| w.cut > 0)
+    fn is_cut(&self, from: usize, to: usize) -> bool {
+        self.link_directions.get(&(from, to)).is_some_and(|direction| direction.active_cuts > 0)
     }
 
-    fn carry_out(&mut self, what: Do) {
+    fn handle_event(&mut self, event: Event) {
         // Events for a paused process are deferred until the process continues.
-        let whose = match &what {
-            Do::Tick { gateway, .. } | Do::Hear { gateway, .. } => Some(*gateway),
-            Do::Deliver { to, .. } => Some(*to),
-            Do::Down { at, .. } => Some(*at),
-            Do::Dial { from, .. } | Do::Linked { from, .. } => Some(*from),
+        let addressee = match &event {
+            Event::Tick { gateway, .. } | Event::ReceiveList { gateway, .. } => Some(*gateway),
+            Event::DeliverFrame { to, .. } => Some(*to),
+            Event::LinkDown { gateway, .. } => Some(*gateway),
+            Event::Dial { from, .. } | Event::DialCompleted { from, .. } => Some(*from),
             _ => None,
         };
-        if let Some(process) = whose.and_then(|g| self.gateways[g].as_mut()).filter(|p| p.paused) {
-            process.waiting.push(what);
+        if let Some(process) =
+            addressee.and_then(|gateway| self.gateways[gateway].as_mut()).filter(|running| running.paused)
+        {
+            process.deferred_events.push(event);
             return;
         }
-        match what {
-            Do::Start(gateway) => {
+        match event {
+            Event::StartProcess(gateway) => {
                 if self.gateways[gateway].is_none() {
                     self.start(gateway);
                 }
             }
-            Do::Tick { gateway, process } if self.alive(gateway, process) => {
+            Event::Tick { gateway, process } if self.is_alive(gateway, process) => {
                 // Ticks are up to 3 ms late.
-                let late = Duration::from_micros(self.draw.below(3000) as u64);
-                self.soon(TICK_INTERVAL + late, Do::Tick { gateway, process });
-                self.with(gateway, |agent, now, out| agent.tick(now, out));
-                self.look_for_leader();
-            }
-            Do::Tick { .. } => {}
-            Do::Dial { from, to, process } if self.alive(from, process) => self.dial(from, to, process),
-            Do::Dial { .. } => {}
-            Do::Linked { from, to, process, other } => {
-                let there = self.alive(from, process) && self.alive(to, other);
-                let paused = self.gateways[to].as_ref().is_some_and(|p| p.paused);
-                if there && !paused && !self.cut(from, to) && !self.cut(to, from) {
-                    self.link(from, to);
-                } else if self.alive(from, process) {
-                    self.with(from, |agent, now, out| {
-                        agent.link_down(now, &name(to), LinkFailure::Broken, out);
+                let lateness = Duration::from_micros(self.random.below(3000) as u64);
+                self.schedule(TICK_INTERVAL + lateness, Event::Tick { gateway, process });
+                self.apply(gateway, |node, now, out| node.tick(now, out));
+                self.update_leader();
+            }
+            Event::Tick { .. } => {}
+            Event::Dial { from, to, process } if self.is_alive(from, process) => self.dial(from, to, process),
+            Event::Dial { .. } => {}
+            Event::DialCompleted { from, to, process, peer_process } => {
+                let both_running = self.is_alive(from, process) && self.is_alive(to, peer_process);
+                let paused = self.gateways[to].as_ref().is_some_and(|running| running.paused);
+                if both_running && !paused && !self.is_cut(from, to) && !self.is_cut(to, from) {
+                    self.establish_link(from, to);
+                } else if self.is_alive(from, process) {
+                    self.apply(from, |node, now, out| {
+                        node.link_down(now, &name(to), LinkFailure::Broken, out);
                     });
-                    self.dial_again(from, to, process);
+                    self.schedule_redial(from, to, process);
                 }
             }
-            Do::Deliver { from, to, generation, frame } => self.deliver(from, to, generation, *frame),
-            Do::Down { at, other, generation } => {
-                let key = (at.min(other), at.max(other));
+            Event::DeliverFrame { from, to, generation, frame } => self.deliver(from, to, generation, *frame),
+            Event::LinkDown { gateway, peer, generation } => {
+                let key = (gateway.min(peer), gateway.max(peer));
                 let link = self.links.entry(key).or_default();
-                let end = usize::from(at > other);
-                if link.generation == generation && std::mem::take(&mut link.up[end]) {
-                    self.end(at, other);
+                let link_end = usize::from(gateway > peer);
+                if link.generation == generation && std::mem::take(&mut link.up[link_end]) {
+                    self.close_link_end(gateway, peer);
                 }
             }
-            Do::News => {
-                self.index += 1;
-                self.soon(self.script.lists, Do::News);
-                let index = self.index;
-                for gateway in 0..self.script.gateways {
-                    if let Some(process) = self.gateways[gateway].as_ref().map(|p| p.number) {
-                        let after = Duration::from_millis(5 + self.draw.below(80) as u64);
-                        self.soon(after, Do::Hear { gateway, process, index });
+            Event::PublishList => {
+                self.newest_list_index += 1;
+                self.schedule(self.script.list_interval, Event::PublishList);
+                let index = self.newest_list_index;
+                for gateway in 0..self.script.gateway_count {
+                    if let Some(process) = self.gateways[gateway].as_ref().map(|running| running.number) {
+                        let delay = Duration::from_millis(5 + self.random.below(80) as u64);
+                        self.schedule(delay, Event::ReceiveList { gateway, process, index });
                     }
                 }
             }
-            Do::Hear { gateway, process, index } if self.alive(gateway, process) => {
-                let Some(known) = &mut self.gateways[gateway] else { return };
-                if !self.stuck.contains(&gateway) && known.index < index {
-                    known.index = index;
-                    self.with(gateway, |agent, now, out| agent.set_version(now, version(index), out));
+            Event::ReceiveList { gateway, process, index } if self.is_alive(gateway, process) => {
+                let Some(running) = &mut self.gateways[gateway] else { return };
+                if !self.frozen_discovery.contains(&gateway) && running.list_index < index {
+                    running.list_index = index;
+                    self.apply(gateway, |node, now, out| node.set_version(now, version(index), out));
                 }
             }
-            Do::Hear { .. } => {}
-            Do::Begin(n) => self.begin(n),
-            Do::End(n) => self.over(n),
+            Event::ReceiveList { .. } => {}
+            Event::StartFault(fault_index) => self.start_fault(fault_index),
+            Event::EndFault(fault_index) => self.end_fault(fault_index),
             // A process that ended during a write has stored nothing and sends none of the frames that depend on the write.
-            Do::Written { gateway, process, stored, frames } if self.alive(gateway, process) => {
-                if stored.iter().any(|s| matches!(s, StoredRecord::ConfigStarted { .. })) {
+            Event::WriteCompleted { gateway, process, records, frames }
+                if self.is_alive(gateway, process) =>
+            {
+                if records.iter().any(|record| matches!(record, StoredRecord::ConfigStarted { .. })) {
                     self.disks[gateway].clear();
                 }
-                self.disks[gateway].extend(stored);
+                self.disks[gateway].extend(records);
                 for (to, frame) in frames {
                     self.send(gateway, to, frame);
                 }
             }
-            Do::Written { .. } => {}
-            Do::Flap(n) => self.flap(n),
-            Do::Replace(gateway) => {
-                self.with(gateway, |agent, now, out| agent.shut_down(now, out));
+            Event::WriteCompleted { .. } => {}
+            Event::FlapLinks(fault_index) => self.reset_flapping_links(fault_index),
+            Event::ReplaceProcess(gateway) => {
+                self.apply(gateway, |node, now, out| node.shut_down(now, out));
                 self.kill(gateway);
-                self.soon(Duration::from_millis(20), Do::Start(gateway));
+                self.schedule(Duration::from_millis(20), Event::StartProcess(gateway));
             }
         }
     }
 
     fn dial(&mut self, from: usize, to: usize, process: usize) {
         match &self.gateways[to] {
-            None if !self.cut(from, to) && !self.cut(to, from) => {
-                self.with(from, |agent, now, out| agent.link_down(now, &name(to), LinkFailure::Refused, out));
-                self.dial_again(from, to, process);
+            None if !self.is_cut(from, to) && !self.is_cut(to, from) => {
+                self.apply(from, |node, now, out| node.link_down(now, &name(to), LinkFailure::Refused, out));
+                self.schedule_redial(from, to, process);
             }
-            Some(other) if !other.paused && !self.cut(from, to) && !self.cut(to, from) => {
-                let other = other.number;
-                self.soon(WAY * 3, Do::Linked { from, to, process, other });
+            Some(peer) if !peer.paused && !self.is_cut(from, to) && !self.is_cut(to, from) => {
+                let peer_process = peer.number;
+                self.schedule(LINK_DELAY * 3, Event::DialCompleted { from, to, process, peer_process });
             }
             _ => {
-                let other = usize::MAX; // no process has this number, so the connection attempt times out
-                self.soon(DIAL, Do::Linked { from, to, process, other });
+                let peer_process = usize::MAX; // no process has this number, so the connection attempt times out
+                self.schedule(DIAL_TIMEOUT, Event::DialCompleted { from, to, process, peer_process });
             }
         }
     }
 
-    fn dial_again(&mut self, from: usize, to: usize, process: usize) {
-        let after = Duration::from_millis(100 + self.draw.below(300) as u64);
-        self.soon(after, Do::Dial { from, to, process });
+    fn schedule_redial(&mut self, from: usize, to: usize, process: usize) {
+        let delay = Duration::from_millis(100 + self.random.below(300) as u64);
+        self.schedule(delay, Event::Dial { from, to, process });
     }
 
-    fn link(&mut self, from: usize, to: usize) {
+    fn establish_link(&mut self, from: usize, to: usize) {
         let key = (from.min(to), from.max(to));
         let link = self.links.entry(key).or_default();
-        let before = std::mem::replace(&mut link.up, [true, true]);
+        let were_up = std::mem::replace(&mut link.up, [true, true]);
         link.generation += 1;
-        for way in [(from, to), (to, from)] {
-            self.ways.entry(way).or_default().held.clear();
+        for direction in [(from, to), (to, from)] {
+            self.link_directions.entry(direction).or_default().held_events.clear();
         }
-        for (one, other) in [(from, to), (to, from)] {
-            if before[usize::from(one > other)] {
-                self.with(one, |agent, now, out| {
-                    agent.link_down(now, &name(other), LinkFailure::Broken, out);
+        for (gateway, other) in [(from, to), (to, from)] {
+            if were_up[usize::from(gateway > other)] {
+                self.apply(gateway, |node, now, out| {
+                    node.link_down(now, &name(other), LinkFailure::Broken, out);
                 });
             }
         }
-        for (one, other) in [(from, to), (to, from)] {
+        for (gateway, other) in [(from, to), (to, from)] {
             let Some(peer) = &self.gateways[other] else { continue };
-            let remote = PeerProcess { process: peer.agent.process(), voter: peer.voter };
-            self.with(one, |agent, now, out| agent.link_up(now, &name(other), remote, out));
+            let remote = PeerProcess { process: peer.node.process(), voter: peer.voter };
+            self.apply(gateway, |node, now, out| node.link_up(now, &name(other), remote, out));
         }
     }
 
     fn deliver(&mut self, from: usize, to: usize, generation: u64, frame: Frame) {
-        if self.cut(from, to) {
+        if self.is_cut(from, to) {
             let frame = Box::new(frame);
-            let way = self.ways.entry((from, to)).or_default();
-            way.held.push(Do::Deliver { from, to, generation, frame });
+            let direction = self.link_directions.entry((from, to)).or_default();
+            direction.held_events.push(Event::DeliverFrame { from, to, generation, frame });
             return;
         }
         let link = self.links.entry((from.min(to), from.max(to))).or_default();
@@ -431,94 +452,100 @@
             return;
         }
         if self.gateways[to].is_some() && link.up[usize::from(to > from)] {
-            self.with(to, |agent, now, out| agent.receive(now, &name(from), frame, out));
+            self.apply(to, |node, now, out| node.receive(now, &name(from), frame, out));
         } else {
             // The receiver no longer has this connection, and the sender is notified that the link is down.
-            self.way(to, from, Do::Down { at: from, other: to, generation });
+            self.send_over_link(to, from, Event::LinkDown { gateway: from, peer: to, generation });
         }
     }
 
     /// Schedules the arrival of an event over the network path between two gateways, with the delays of that direction.
-    fn way(&mut self, from: usize, to: usize, what: Do) {
-        let jitter = WAY.mul_f64(0.5 + self.draw.even());
-        let way = self.ways.entry((from, to)).or_default();
-        if way.cut > 0 && matches!(what, Do::Down { .. }) {
-            return way.held.push(what);
-        }
-        let slow = way.slow.last().copied();
-        let more =
-            slow.map_or(Duration::ZERO, |(least, most)| least + (most - least).mul_f64(self.draw.even()));
-        let way = self.ways.entry((from, to)).or_default();
-        let arrives = (self.at + jitter + more).max(way.last);
-        way.last = arrives;
-        self.soon(arrives - self.at, what);
+    fn send_over_link(&mut self, from: usize, to: usize, event: Event) {
+        let jitter = LINK_DELAY.mul_f64(0.5 + self.random.even());
+        let direction = self.link_directions.entry((from, to)).or_default();
+        if direction.active_cuts > 0 && matches!(event, Event::LinkDown { .. }) {
+            return direction.held_events.push(event);
+        }
+        let delay_range = direction.delay_ranges.last().copied();
+        let added_delay = delay_range.map_or(Duration::ZERO, |(min_delay, max_delay)| {
+            min_delay + (max_delay - min_delay).mul_f64(self.random.even())
+        });
+        let direction = self.link_directions.entry((from, to)).or_default();
+        let arrival = (self.now + jitter + added_delay).max(direction.last_arrival);
+        direction.last_arrival = arrival;
+        self.schedule(arrival - self.now, event);
     }
 
     /// Closes one end of the link between two gateways: the gateway at that end is notified, and reconnects if it is the one that opens
     /// the link.
-    fn end(&mut self, at: usize, other: usize) {
-        let Some(process) = self.gateways[at].as_ref().map(|p| p.number) else { return };
-        self.with(at, |agent, now, out| agent.link_down(now, &name(other), LinkFailure::Broken, out));
-        if self.seats(other) && (!self.seats(at) || at < other) {
-            self.dial_again(at, other, process);
+    fn close_link_end(&mut self, gateway: usize, peer: usize) {
+        let Some(process) = self.gateways[gateway].as_ref().map(|running| running.number) else { return };
+        self.apply(gateway, |node, now, out| node.link_down(now, &name(peer), LinkFailure::Broken, out));
+        if self.is_voter(peer) && (!self.is_voter(gateway) || gateway < peer) {
+            self.schedule_redial(gateway, peer, process);
         }
     }
 
     /// Passes an event to a gateway's decision code and performs the actions that the code returns.
-    fn with(&mut self, gateway: usize, event: impl FnOnce(&mut Node, Duration, &mut Vec<NodeAction>)) {
-        let at = self.at;
+    fn apply(&mut self, gateway: usize, event: impl FnOnce(&mut Node, Duration, &mut Vec<NodeAction>)) {
+        let true_time = self.now;
         let Some(process) = &mut self.gateways[gateway] else { return };
-        let now = process.clock(at);
-        let before =
-            process.agent.state_machine().map(weldworks_fleet::state_machine::StateMachine::log_index);
+        let now = process.clock(true_time);
+        let log_index_before =
+            process.node.state_machine().map(weldworks_fleet::state_machine::StateMachine::log_index);
         let mut out = Vec::new();
-        event(&mut process.agent, now, &mut out);
+        event(&mut process.node, now, &mut out);
         let number = process.number;
-        let acting = process.agent.session_state(now);
-        if process.stood.as_ref() != Some(&acting) {
-            if matches!(acting, SessionState::InSession(_)) && process.first_session.is_none() {
-                process.first_session = Some(at - process.began);
-            }
-            process.stood = Some(acting.clone());
-            if matches!(acting, SessionState::Fenced(_)) {
-                if let Some(since) = self.stuck_since.remove(&gateway) {
-                    self.figures.to_shut_out_s.push((at - since).as_secs_f64());
+        let session_state = process.node.session_state(now);
+        if process.last_session_state.as_ref() != Some(&session_state) {
+            if matches!(session_state, SessionState::InSession(_)) && process.time_to_first_session.is_none()
+            {
+                process.time_to_first_session = Some(true_time - process.started_at);
+            }
+            process.last_session_state = Some(session_state.clone());
+            if matches!(session_state, SessionState::Fenced(_)) {
+                if let Some(frozen_at) = self.discovery_frozen_at.remove(&gateway) {
+                    self.figures.time_to_fence_s.push((true_time - frozen_at).as_secs_f64());
                 }
-            } else if let Some(since) = self.freed.remove(&gateway) {
-                self.figures.to_let_in_s.push((at - since).as_secs_f64());
+            } else if let Some(unfrozen_at) = self.discovery_unfrozen_at.remove(&gateway) {
+                self.figures.time_to_unfence_s.push((true_time - unfrozen_at).as_secs_f64());
             }
-            self.history.note(at, gateway, number, Seen::Stands(acting));
+            self.history.append(true_time, gateway, number, Observation::SessionStateChanged(session_state));
         }
-        self.look_at_register(gateway, number, before);
+        self.check_applied_entry(gateway, number, log_index_before);
         // Frames that follow records to be stored are sent once these records are on disk.
-        let mut behind: Option<Batch> = None;
-        for output in out {
-            match output {
-                NodeAction::Send { to, frame } if self.mistake == Mistake::SaysBeforeStored => {
-                    self.send(gateway, number_of(&to), frame);
+        let mut pending_write: Option<PendingWrite> = None;
+        for action in out {
+            match action {
+                NodeAction::Send { to, frame } if self.mistake == Mistake::SendBeforeStore => {
+                    self.send(gateway, gateway_number(&to), frame);
                 }
-                NodeAction::Store(stored) if self.script.disks => {
-                    let (known, _) = behind.get_or_insert_default();
-                    known.extend(stored);
+                NodeAction::Store(records) if self.script.has_disks => {
+                    let (pending_records, _) = pending_write.get_or_insert_default();
+                    pending_records.extend(records);
                 }
                 NodeAction::Store(_) => {}
-                NodeAction::Send { to, frame } if behind.is_some() || self.writing(gateway) => {
-                    let (_, frames) = behind.get_or_insert_default();
-                    frames.push((number_of(&to), frame));
+                NodeAction::Send { to, frame } if pending_write.is_some() || self.is_writing(gateway) => {
+                    let (_, frames) = pending_write.get_or_insert_default();
+                    frames.push((gateway_number(&to), frame));
                 }
-                NodeAction::Send { to, frame } => self.send(gateway, number_of(&to), frame),
+                NodeAction::Send { to, frame } => self.send(gateway, gateway_number(&to), frame),
                 NodeAction::CloseLink(peer) => {
-                    let other = number_of(&peer);
+                    let other = gateway_number(&peer);
                     let link = self.links.entry((gateway.min(other), gateway.max(other))).or_default();
                     let generation = link.generation;
                     if std::mem::take(&mut link.up[usize::from(gateway > other)]) {
-                        self.end(gateway, other);
-                        self.way(gateway, other, Do::Down { at: other, other: gateway, generation });
+                        self.close_link_end(gateway, other);
+                        self.send_over_link(
+                            gateway,
+                            other,
+                            Event::LinkDown { gateway: other, peer: gateway, generation },
+                        );
                     }
                 }
                 NodeAction::PollDiscovery { .. } => {
-                    let (index, process) = (self.index, number);
-                    self.soon(Duration::from_millis(20), Do::Hear { gateway, process, index });
+                    let (index, process) = (self.newest_list_index, number);
+                    self.schedule(Duration::from_millis(20), Event::ReceiveList { gateway, process, index });
                 }
                 NodeAction::SessionStateChanged(_)
                 | NodeAction::ReloadConfig { .. }
@@ -526,20 +553,24 @@
                 | NodeAction::Notice(_) => {}
             }
         }
-        if let Some((stored, frames)) = behind {
+        if let Some((records, frames)) = pending_write {
             // Most writes to disk take less than 5 ms, and a few of them up to 150 ms.
-            let chance = if self.mistake == Mistake::SaysBeforeStored { 1.0 } else { 0.02 };
-            let slow = if self.draw.chance(chance) { 150 } else { 5 };
-            let takes = Duration::from_micros(200) + Duration::from_millis(self.draw.below(slow) as u64);
-            let after = (self.at + takes).max(self.written[gateway]);
-            self.written[gateway] = after;
-            self.soon(after - self.at, Do::Written { gateway, process: number, stored, frames });
+            let slow_chance = if self.mistake == Mistake::SendBeforeStore { 1.0 } else { 0.02 };
+            let max_delay_ms = if self.random.chance(slow_chance) { 150 } else { 5 };
+            let write_duration =
+                Duration::from_micros(200) + Duration::from_millis(self.random.below(max_delay_ms) as u64);
+            let completed_at = (self.now + write_duration).max(self.write_completed_at[gateway]);
+            self.write_completed_at[gateway] = completed_at;
+            self.schedule(
+                completed_at - self.now,
+                Event::WriteCompleted { gateway, process: number, records, frames },
+            );
         }
     }
 
     /// Whether a write to a gateway's disk is still in progress.
-    fn writing(&self, gateway: usize) -> bool {
-        self.script.disks && self.written[gateway] >= self.at
+    fn is_writing(&self, gateway: usize) -> bool {
+        self.script.has_disks && self.write_completed_at[gateway] >= self.now
     }
 
     fn send(&mut self, from: usize, to: usize, frame: Frame) {
@@ -548,174 +579,204 @@
             return;
         }
         let generation = link.generation;
-        self.frames += 1;
-        self.bytes += weldworks_fleet::protocol::encode_frame(&frame).map_or(0, |b| b.len() as u64 + 4);
-        self.way(from, to, Do::Deliver { from, to, generation, frame: Box::new(frame) });
+        self.frames_sent += 1;
+        self.bytes_sent +=
+            weldworks_fleet::protocol::encode_frame(&frame).map_or(0, |encoded| encoded.len() as u64 + 4);
+        self.send_over_link(from, to, Event::DeliverFrame { from, to, generation, frame: Box::new(frame) });
     }
 
     /// Records the entry that a voter has applied, and checks that no gateway considers itself in a session that this voter counts as
     /// expired.
-    fn look_at_register(&mut self, gateway: usize, number: usize, before: Option<u64>) {
+    fn check_applied_entry(&mut self, gateway: usize, process_number: usize, log_index_before: Option<u64>) {
         let Some(process) = &self.gateways[gateway] else { return };
-        let Some(register) = process.agent.state_machine() else { return };
-        if before == Some(register.log_index()) {
+        let Some(state_machine) = process.node.state_machine() else { return };
+        if log_index_before == Some(state_machine.log_index()) {
             return;
         }
-        let founding = process.agent.consensus_group().and_then(|c| c.config()).map_or(0, |c| c.group_id);
-        let position = register.log_index();
-        let hash = digest(format!("{register:?}").as_bytes());
-        let lapsed: Vec<SessionId> =
-            register.ended_sessions().iter().filter(|(_, e)| e.expired).map(|(id, _)| *id).collect();
-        self.history.note(self.at, gateway, number, Seen::Applied { founding, position, digest: hash });
-        for session in lapsed {
-            if self.lapsed.insert(session) {
+        let group_id =
+            process.node.consensus_group().and_then(|group| group.config()).map_or(0, |group| group.group_id);
+        let log_index = state_machine.log_index();
+        let state_digest = digest(format!("{state_machine:?}").as_bytes());
+        let newly_expired: Vec<SessionId> = state_machine
+            .ended_sessions()
+            .iter()
+            .filter(|(_, ending)| ending.expired)
+            .map(|(session, _)| *session)
+            .collect();
+        self.history.append(
+            self.now,
+            gateway,
+            process_number,
+            Observation::EntryApplied { group_id, log_index, digest: state_digest },
+        );
+        for session in newly_expired {
+            if self.expired_sessions.insert(session) {
                 // A paused process re-evaluates its session state when it continues; for a running process the state that it has now
                 // counts.
-                for (n, holder) in self.gateways.iter_mut().enumerate() {
+                for (holder_number, holder) in self.gateways.iter_mut().enumerate() {
                     let Some(holder) = holder else { continue };
-                    let acting = holder.agent.session_state(holder.clock(self.at));
-                    if acting == SessionState::InSession(session) {
+                    let session_state = holder.node.session_state(holder.clock(self.now));
+                    if session_state == SessionState::InSession(session) {
                         self.breaches.push(format!(
-                            "{:?}: session {session} is over with gateway {gateway}, and gateway {n} acts in it still",
-                            self.at
+                            "{:?}: session {session} has expired at gateway {gateway}, but gateway {holder_number} still acts in it",
+                            self.now
                         ));
                     }
-                    if holder.stood == Some(SessionState::InSession(session))
-                        && acting != SessionState::InSession(session)
+                    if holder.last_session_state == Some(SessionState::InSession(session))
+                        && session_state != SessionState::InSession(session)
                     {
-                        holder.stood = Some(acting.clone());
-                        self.history.note(self.at, n, holder.number, Seen::Stands(acting));
+                        holder.last_session_state = Some(session_state.clone());
+                        self.history.append(
+                            self.now,
+                            holder_number,
+                            holder.number,
+                            Observation::SessionStateChanged(session_state),
+                        );
                     }
                 }
-                self.history.note(self.at, gateway, number, Seen::Lapsed(session));
+                self.history.append(self.now, gateway, process_number, Observation::SessionExpired(session));
             }
         }
     }
 
-    fn look_for_leader(&mut self) {
-        let leads = |(n, p): (usize, &Option<Process>)| {
-            let process = p.as_ref().filter(|p| !p.paused)?;
-            process.agent.consensus_group().is_some_and(|c| c.is_leader()).then_some((n, process.number))
+    fn update_leader(&mut self) {
+        let leads = |(gateway, running): (usize, &Option<Process>)| {
+            let process = running.as_ref().filter(|running| !running.paused)?;
+            process
+                .node
+                .consensus_group()
+                .is_some_and(|group| group.is_leader())
+                .then_some((gateway, process.number))
         };
-        let leader = self.gateways.iter().take(self.script.council).enumerate().find_map(leads);
+        let leader = self.gateways.iter().take(self.script.voter_count).enumerate().find_map(leads);
         match leader {
             Some(leader) => {
-                if let Some(since) = self.no_leader.take() {
-                    let without = (self.at - since).as_secs_f64();
-                    self.figures.leaderless_s = self.figures.leaderless_s.max(without);
+                if let Some(leaderless_from) = self.leader_lost.take() {
+                    let leaderless_time = (self.now - leaderless_from).as_secs_f64();
+                    self.figures.leaderless_s = self.figures.leaderless_s.max(leaderless_time);
                 }
-                if self.led != Some(leader) {
-                    self.led = Some(leader);
-                    self.history.note(self.at, leader.0, leader.1, Seen::Leads);
+                if self.leader != Some(leader) {
+                    self.leader = Some(leader);
+                    self.history.append(self.now, leader.0, leader.1, Observation::BecameLeader);
                 }
             }
-            None if self.led.is_some() && self.no_leader.is_none() => self.no_leader = Some(self.at),
+            None if self.leader.is_some() && self.leader_lost.is_none() => self.leader_lost = Some(self.now),
             None => {}
         }
     }
 
-    fn met(&mut self, n: usize, event: &Event) -> Vec<usize> {
-        if let Some(known) = self.whom.get(&n) {
-            return known.clone();
+    fn targets_of(&mut self, fault_index: usize, fault: &Fault) -> Vec<usize> {
+        if let Some(known_targets) = self.fault_targets.get(&fault_index) {
+            return known_targets.clone();
         }
-        let whom = match &event.whom {
-            Whom::Gateways(all) => all.clone(),
-            Whom::Leader => self.led.iter().map(|(g, _)| *g).collect(),
-            Whom::All => (0..self.script.gateways).collect(),
+        let targets = match &fault.target {
+            Target::Gateways(gateways) => gateways.clone(),
+            Target::Leader => self.leader.iter().map(|(gateway, _)| *gateway).collect(),
+            Target::All => (0..self.script.gateway_count).collect(),
         };
-        self.whom.insert(n, whom.clone());
-        whom
+        self.fault_targets.insert(fault_index, targets.clone());
+        targets
     }
 
-    fn pairs(&mut self, n: usize, event: &Event) -> Vec<(usize, usize)> {
-        let whom = self.met(n, event);
-        let all: Vec<usize> = (0..self.script.gateways).collect();
-        let others = event.others.clone().unwrap_or(all);
-        let apart =
-            |(one, other): &(usize, usize)| one != other && !(event.others.is_none() && whom.contains(other));
-        whom.iter().flat_map(|one| others.iter().map(move |other| (*one, *other))).filter(apart).collect()
+    fn affected_pairs(&mut self, fault_index: usize, fault: &Fault) -> Vec<(usize, usize)> {
+        let targets = self.targets_of(fault_index, fault);
+        let all: Vec<usize> = (0..self.script.gateway_count).collect();
+        let other_side = fault.other_side.clone().unwrap_or(all);
+        let is_affected = |(one, other): &(usize, usize)| {
+            one != other && !(fault.other_side.is_none() && targets.contains(other))
+        };
+        targets
+            .iter()
+            .flat_map(|one| other_side.iter().map(move |other| (*one, *other)))
+            .filter(is_affected)
+            .collect()
     }
 
-    fn begin(&mut self, n: usize) {
-        let event = self.script.events[n].clone();
-        match &event.what {
-            What::Kill => {
-                for gateway in self.met(n, &event) {
+    fn start_fault(&mut self, fault_index: usize) {
+        let fault = self.script.faults[fault_index].clone();
+        match &fault.kind {
+            FaultKind::KillProcess => {
+                for gateway in self.targets_of(fault_index, &fault) {
                     self.kill(gateway);
                 }
             }
-            What::Pause => {
-                for gateway in self.met(n, &event) {
+            FaultKind::PauseProcess => {
+                for gateway in self.targets_of(fault_index, &fault) {
                     if let Some(process) = &mut self.gateways[gateway] {
                         process.paused = true;
                     }
                 }
             }
-            What::Cut { one_way } => {
-                for (one, other) in self.pairs(n, &event) {
-                    self.ways.entry((one, other)).or_default().cut += 1;
+            FaultKind::CutLinks { one_way } => {
+                for (one, other) in self.affected_pairs(fault_index, &fault) {
+                    self.link_directions.entry((one, other)).or_default().active_cuts += 1;
                     if !one_way {
-                        self.ways.entry((other, one)).or_default().cut += 1;
+                        self.link_directions.entry((other, one)).or_default().active_cuts += 1;
                     }
                 }
             }
-            What::Slow { by } => {
-                for (one, other) in self.pairs(n, &event) {
-                    self.ways.entry((one, other)).or_default().slow.push(*by);
-                    self.ways.entry((other, one)).or_default().slow.push(*by);
+            FaultKind::DelayLinks { delay_range } => {
+                for (one, other) in self.affected_pairs(fault_index, &fault) {
+                    self.link_directions.entry((one, other)).or_default().delay_ranges.push(*delay_range);
+                    self.link_directions.entry((other, one)).or_default().delay_ranges.push(*delay_range);
                 }
             }
-            What::Flap { .. } => self.flap(n),
-            What::Stick => {
-                for gateway in self.met(n, &event) {
-                    self.stuck.insert(gateway);
-                    self.stuck_since.insert(gateway, self.at);
+            FaultKind::FlapLinks { .. } => self.reset_flapping_links(fault_index),
+            FaultKind::FreezeDiscovery => {
+                for gateway in self.targets_of(fault_index, &fault) {
+                    self.frozen_discovery.insert(gateway);
+                    self.discovery_frozen_at.insert(gateway, self.now);
                 }
             }
-            What::Replace { apart } => {
-                for (k, gateway) in self.met(n, &event).into_iter().enumerate() {
-                    self.soon(*apart * k as u32, Do::Replace(gateway));
+            FaultKind::ReplaceProcesses { interval } => {
+                for (position, gateway) in self.targets_of(fault_index, &fault).into_iter().enumerate() {
+                    self.schedule(*interval * position as u32, Event::ReplaceProcess(gateway));
                 }
             }
-            What::Thin { .. } | What::Move | What::Configure { .. } | What::FillDisk => {}
+            FaultKind::LimitBandwidth { .. }
+            | FaultKind::MoveDiscovery
+            | FaultKind::RewriteConfig { .. }
+            | FaultKind::FillDisk => {}
         }
     }
 
-    fn over(&mut self, n: usize) {
-        let event = self.script.events[n].clone();
-        match &event.what {
-            What::Kill => {
-                for gateway in self.met(n, &event) {
-                    self.soon(Duration::ZERO, Do::Start(gateway));
+    fn end_fault(&mut self, fault_index: usize) {
+        let fault = self.script.faults[fault_index].clone();
+        match &fault.kind {
+            FaultKind::KillProcess => {
+                for gateway in self.targets_of(fault_index, &fault) {
+                    self.schedule(Duration::ZERO, Event::StartProcess(gateway));
                 }
             }
-            What::Pause => {
-                for gateway in self.met(n, &event) {
-                    self.go_on(gateway);
+            FaultKind::PauseProcess => {
+                for gateway in self.targets_of(fault_index, &fault) {
+                    self.resume(gateway);
                 }
             }
-            What::Cut { one_way } => {
-                for (one, other) in self.pairs(n, &event) {
-                    self.heal(one, other);
+            FaultKind::CutLinks { one_way } => {
+                for (one, other) in self.affected_pairs(fault_index, &fault) {
+                    self.end_cut(one, other);
                     if !one_way {
-                        self.heal(other, one);
+                        self.end_cut(other, one);
                     }
                 }
             }
-            What::Slow { .. } => {
-                for (one, other) in self.pairs(n, &event) {
-                    for way in [(one, other), (other, one)] {
-                        self.ways.entry(way).or_default().slow.pop();
+            FaultKind::DelayLinks { .. } => {
+                for (one, other) in self.affected_pairs(fault_index, &fault) {
+                    for direction in [(one, other), (other, one)] {
+                        self.link_directions.entry(direction).or_default().delay_ranges.pop();
                     }
                 }
             }
-            What::Stick => {
-                for gateway in self.met(n, &event) {
-                    self.stuck.remove(&gateway);
-                    self.stuck_since.remove(&gateway);
-                    let stood = self.gateways[gateway].as_ref().and_then(|p| p.stood.clone());
-                    if matches!(stood, Some(SessionState::Fenced(_))) {
-                        self.freed.insert(gateway, self.at);
+            FaultKind::FreezeDiscovery => {
+                for gateway in self.targets_of(fault_index, &fault) {
+                    self.frozen_discovery.remove(&gateway);
+                    self.discovery_frozen_at.remove(&gateway);
+                    let session_state = self.gateways[gateway]
+                        .as_ref()
+                        .and_then(|running| running.last_session_state.clone());
+                    if matches!(session_state, Some(SessionState::Fenced(_))) {
+                        self.discovery_unfrozen_at.insert(gateway, self.now);
                     }
                 }
             }
@@ -724,134 +785,148 @@
     }
 
     /// Closes the links that a fault of flapping links affects, and schedules the next closing.
-    fn flap(&mut self, n: usize) {
-        let event = self.script.events[n].clone();
-        let What::Flap { every } = event.what else { return };
-        for (one, other) in self.pairs(n, &event) {
+    fn reset_flapping_links(&mut self, fault_index: usize) {
+        let fault = self.script.faults[fault_index].clone();
+        let FaultKind::FlapLinks { interval } = fault.kind else { return };
+        for (one, other) in self.affected_pairs(fault_index, &fault) {
             let generation = self.links.entry((one.min(other), one.max(other))).or_default().generation;
-            for (at, end) in [(one, other), (other, one)] {
-                self.soon(Duration::ZERO, Do::Down { at, other: end, generation });
+            for (gateway, other_end) in [(one, other), (other, one)] {
+                self.schedule(Duration::ZERO, Event::LinkDown { gateway, peer: other_end, generation });
             }
         }
-        if event.until().is_none_or(|until| self.at + every < until) {
-            self.soon(every, Do::Flap(n));
+        if fault.end().is_none_or(|end| self.now + interval < end) {
+            self.schedule(interval, Event::FlapLinks(fault_index));
         }
     }
 
     fn kill(&mut self, gateway: usize) {
         let Some(process) = self.gateways[gateway].take() else { return };
-        self.history.note(self.at, gateway, process.number, Seen::Ended);
-        for other in 0..self.script.gateways {
+        self.history.append(self.now, gateway, process.number, Observation::ProcessEnded);
+        for other in 0..self.script.gateway_count {
             let key = (gateway.min(other), gateway.max(other));
             let Some(link) = self.links.get_mut(&key) else { continue };
             let generation = link.generation;
             link.up[usize::from(gateway > other)] = false;
-            self.way(gateway, other, Do::Down { at: other, other: gateway, generation });
+            self.send_over_link(
+                gateway,
+                other,
+                Event::LinkDown { gateway: other, peer: gateway, generation },
+            );
         }
     }
 
-    fn go_on(&mut self, gateway: usize) {
+    fn resume(&mut self, gateway: usize) {
         let Some(process) = &mut self.gateways[gateway] else { return };
         process.paused = false;
-        let mut waiting = std::mem::take(&mut process.waiting);
+        let mut deferred_events = std::mem::take(&mut process.deferred_events);
         // Timers and sockets of a process that continues are served in either order.
-        if self.draw.chance(0.5) {
-            waiting.sort_by_key(|w| !matches!(w, Do::Tick { .. }));
+        if self.random.chance(0.5) {
+            deferred_events.sort_by_key(|event| !matches!(event, Event::Tick { .. }));
         }
-        for what in waiting {
-            self.carry_out(what);
+        for event in deferred_events {
+            self.handle_event(event);
         }
     }
 
-    fn heal(&mut self, from: usize, to: usize) {
-        let way = self.ways.entry((from, to)).or_default();
-        way.cut = way.cut.saturating_sub(1);
-        if way.cut == 0 {
-            for what in std::mem::take(&mut way.held) {
-                self.way(from, to, what);
+    fn end_cut(&mut self, from: usize, to: usize) {
+        let direction = self.link_directions.entry((from, to)).or_default();
+        direction.active_cuts = direction.active_cuts.saturating_sub(1);
+        if direction.active_cuts == 0 {
+            for event in std::mem::take(&mut direction.held_events) {
+                self.send_over_link(from, to, event);
             }
         }
     }
 
-    fn finish(mut self) -> Played {
+    fn finish(mut self) -> RunResult {
         self.breaches.extend(self.history.breaches());
-        let last = self.script.events.iter().map(|e| e.until().unwrap_or(self.script.lasts)).max();
-        let well_by = last.unwrap_or_default() + RECOVERED;
-        if well_by <= self.script.lasts {
-            for (n, process) in self.gateways.iter().enumerate() {
-                let Some(process) = process.as_ref().filter(|p| !p.paused) else { continue };
-                let acting = process.agent.session_state(process.clock(self.script.lasts));
-                if !matches!(acting, SessionState::InSession(_)) {
-                    self.breaches
-                        .push(format!("gateway {n} is {acting} at the end, long after the last fault"));
+        let last_fault_end =
+            self.script.faults.iter().map(|fault| fault.end().unwrap_or(self.script.duration)).max();
+        let recovered_by = last_fault_end.unwrap_or_default() + RECOVERY_TIME;
+        if recovered_by <= self.script.duration {
+            for (gateway, process) in self.gateways.iter().enumerate() {
+                let Some(process) = process.as_ref().filter(|running| !running.paused) else { continue };
+                let session_state = process.node.session_state(process.clock(self.script.duration));
+                if !matches!(session_state, SessionState::InSession(_)) {
+                    self.breaches.push(format!(
+                        "gateway {gateway} is {session_state} at the end, long after the last fault"
+                    ));
                 }
             }
         }
-        let (shut, alone) = (self.history.shut_out(), self.history.alone());
-        for gateway in &self.script.expected.shut_out {
-            if !shut.contains(gateway) {
-                self.breaches.push(format!("gateway {gateway} stayed behind and was never shut out"));
+        let (fenced, without_session) =
+            (self.history.fenced_gateways(), self.history.gateways_without_session());
+        for gateway in &self.script.expected.fenced {
+            if !fenced.contains(gateway) {
+                self.breaches.push(format!("gateway {gateway} was never fenced, as the script expects"));
             }
         }
-        for gateway in &self.script.expected.alone {
-            if !alone.contains(gateway) {
-                self.breaches.push(format!("gateway {gateway} was never without its session"));
+        for gateway in &self.script.expected.without_session {
+            if !without_session.contains(gateway) {
+                self.breaches
+                    .push(format!("gateway {gateway} was never without a session, as the script expects"));
             }
         }
-        let sticks = |e: &Event| matches!(e.what, What::Stick);
-        if !self.script.events.iter().any(sticks) {
-            for gateway in &shut {
+        let freezes_discovery = |fault: &Fault| matches!(fault.kind, FaultKind::FreezeDiscovery);
+        if !self.script.faults.iter().any(freezes_discovery) {
+            for gateway in &fenced {
                 self.breaches
-                    .push(format!("gateway {gateway} was shut out, and its discovery was never stuck"));
+                    .push(format!("gateway {gateway} was fenced, but its discovery was never frozen"));
             }
         }
-        self.figures.entries = self
+        self.figures.log_entries = self
             .gateways
             .iter()
             .flatten()
-            .filter_map(|p| p.agent.state_machine())
+            .filter_map(|running| running.node.state_machine())
             .map(weldworks_fleet::state_machine::StateMachine::log_index)
             .max()
             .unwrap_or_default();
-        let lasts = self.script.lasts.as_secs_f64();
-        (self.figures.frames_s, self.figures.bytes_s) =
-            (self.frames as f64 / lasts, self.bytes as f64 / lasts);
-        let mut first: Vec<f64> =
-            self.gateways.iter().flatten().filter_map(|p| p.first_session).map(|d| d.as_secs_f64()).collect();
-        first.sort_by(f64::total_cmp);
-        let median = first.get(first.len() / 2).copied().unwrap_or_default();
-        self.figures.first_session_s = (median, first.last().copied().unwrap_or_default());
-        (self.figures.in_session, self.figures.shut_out) = self.shares();
-        Played { breaches: self.breaches, figures: self.figures, history: self.history }
+        let duration_s = self.script.duration.as_secs_f64();
+        (self.figures.frames_per_s, self.figures.bytes_per_s) =
+            (self.frames_sent as f64 / duration_s, self.bytes_sent as f64 / duration_s);
+        let mut first_session_s: Vec<f64> = self
+            .gateways
+            .iter()
+            .flatten()
+            .filter_map(|running| running.time_to_first_session)
+            .map(|delay| delay.as_secs_f64())
+            .collect();
+        first_session_s.sort_by(f64::total_cmp);
+        let median = first_session_s.get(first_session_s.len() / 2).copied().unwrap_or_default();
+        self.figures.first_session_s = (median, first_session_s.last().copied().unwrap_or_default());
+        (self.figures.in_session_fraction, self.figures.fenced_fraction) = self.session_fractions();
+        RunResult { breaches: self.breaches, figures: self.figures, history: self.history }
     }
 
     /// Fractions of all gateways' time, from 3 s after the start of the run, spent in a session and spent fenced.
-    fn shares(&self) -> (f64, f64) {
-        let from = Duration::from_secs(3);
-        let mut stands: BTreeMap<usize, (Duration, Option<SessionState>)> = BTreeMap::new();
-        let (mut session, mut out) = (Duration::ZERO, Duration::ZERO);
-        let mut add = |since: Duration, until: Duration, acting: &Option<SessionState>| {
-            let lasted = until.saturating_sub(since.max(from));
-            match acting {
-                Some(SessionState::InSession(_)) => session += lasted,
-                Some(SessionState::Fenced(_)) => out += lasted,
+    fn session_fractions(&self) -> (f64, f64) {
+        let measured_from = Duration::from_secs(3);
+        let mut states: BTreeMap<usize, (Duration, Option<SessionState>)> = BTreeMap::new();
+        let (mut in_session, mut fenced) = (Duration::ZERO, Duration::ZERO);
+        let mut add = |since: Duration, until: Duration, state: &Option<SessionState>| {
+            let duration = until.saturating_sub(since.max(measured_from));
+            match state {
+                Some(SessionState::InSession(_)) => in_session += duration,
+                Some(SessionState::Fenced(_)) => fenced += duration,
                 _ => {}
             }
         };
-        for line in &self.history.lines {
-            let next = match &line.seen {
-                Seen::Stands(acting) => Some(acting.clone()),
-                Seen::Ended => None,
+        for record in &self.history.records {
+            let next = match &record.observation {
+                Observation::SessionStateChanged(state) => Some(state.clone()),
+                Observation::ProcessEnded => None,
                 _ => continue,
             };
-            let (since, acting) = stands.insert(line.gateway, (line.at, next)).unwrap_or_default();
-            add(since, line.at, &acting);
+            let (since, state) = states.insert(record.gateway, (record.at, next)).unwrap_or_default();
+            add(since, record.at, &state);
         }
-        for (since, acting) in stands.values() {
-            add(*since, self.script.lasts, acting);
+        for (since, state) in states.values() {
+            add(*since, self.script.duration, state);
         }
-        let all = self.script.lasts.saturating_sub(from).as_secs_f64() * self.script.gateways as f64;
-        (session.as_secs_f64() / all, out.as_secs_f64() / all)
+        let total_s = self.script.duration.saturating_sub(measured_from).as_secs_f64()
+            * self.script.gateway_count as f64;
+        (in_session.as_secs_f64() / total_s, fenced.as_secs_f64() / total_s)
     }
 }
 
@@ -859,7 +934,7 @@
     format!("g{gateway:03}")
 }
 
-fn number_of(name: &str) -> usize {
+fn gateway_number(name: &str) -> usize {
     name.trim_start_matches('g').parse().unwrap_or_default()
 }
 
@@ -874,17 +949,17 @@
 }
 
 /// Shortens a failing script by removing faults, as long as the remaining script still fails.
-pub fn shrunk(script: &Script, seed: u64, mistake: Mistake) -> Script {
-    let mut least = script.clone();
-    let mut n = 0;
-    while n < least.events.len() {
-        let mut fewer = least.clone();
-        fewer.events.remove(n);
-        if play(&fewer, seed, mistake).breaches.is_empty() {
-            n += 1;
+pub fn shrink_script(script: &Script, seed: u64, mistake: Mistake) -> Script {
+    let mut shortest = script.clone();
+    let mut index = 0;
+    while index < shortest.faults.len() {
+        let mut candidate = shortest.clone();
+        candidate.faults.remove(index);
+        if play(&candidate, seed, mistake).breaches.is_empty() {
+            index += 1;
         } else {
-            least = fewer;
+            shortest = candidate;
         }
     }
-    least
+    shortest
 }
