--- a/crates/gateway/tests/whole.rs
+++ b/crates/gateway/tests/whole.rs
@@ -2,8 +2,8 @@
 //! round them. What has to hold is judged by the rig, from what nodes, registers, clients and logs saw.
 
 use std::path::Path;
-use weldworks_testbed::whole::live;
-use weldworks_testbed::whole::script::Script;
+use weldworks_testbed::fleet_scenario::live;
+use weldworks_testbed::fleet_scenario::script::Script;
 
 /// Plays a script that ships; the gateways' logs are to say all of this.
 fn play(name: &str, said: &[&str]) {
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -8,6 +8,7 @@
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 use weldworks_testbed::count;
+use weldworks_testbed::fleet_scenario;
 use weldworks_testbed::live::gateways::Program;
 use weldworks_testbed::replay::replay;
 use weldworks_testbed::report::{Counts, Report};
@@ -16,7 +17,6 @@
 use weldworks_testbed::simulate::simulate;
 use weldworks_testbed::sweep::{self, plot, study, table, Study};
 use weldworks_testbed::timeline::svg;
-use weldworks_testbed::whole;
 
 /// Rehearse incidents of the booking service against stand-in nodes.
 ///
@@ -278,17 +278,21 @@
         }
         Sub::Fleet { script, seed, in_virtual_time, program: named, json, history } => {
             let text = std::fs::read_to_string(&script).map_err(|e| format!("{}: {e}", script.display()))?;
-            let script = whole::script::Script::parse(&script.display().to_string(), &text)?;
+            let script = fleet_scenario::script::Script::parse(&script.display().to_string(), &text)?;
             let (breaches, report, told) = if in_virtual_time {
-                let played = whole::virtual_time::play(&script, seed, whole::virtual_time::Mistake::None);
+                let played = fleet_scenario::virtual_time::play(
+                    &script,
+                    seed,
+                    fleet_scenario::virtual_time::Mistake::None,
+                );
                 let report = serde_json::json!({
                     "script": script.name, "seed": seed, "breaches": played.breaches, "figures": played.figures,
                 });
                 (played.breaches, report, played.history.text())
             } else {
                 let program = named.map_or_else(program, Ok)?;
-                let folder = whole::live::folder_of(&script, seed, &std::env::temp_dir())?;
-                let played = whole::live::play(&script, seed, &program, &folder);
+                let folder = fleet_scenario::live::folder_of(&script, seed, &std::env::temp_dir())?;
+                let played = fleet_scenario::live::play(&script, seed, &program, &folder);
                 let _ = std::fs::remove_dir_all(&folder); // what is left there harms nobody
                 let (report, told) = played?;
                 (report.breaches.clone(), serde_json::to_value(&report)?, told.join("\n") + "\n")
--- a/crates/testbed/tests/whole.rs
+++ b/crates/testbed/tests/fleet_scenarios.rs
@@ -3,9 +3,9 @@
 use std::panic::catch_unwind;
 use std::time::Duration;
 use weldworks_fleet::node::SessionState;
-use weldworks_testbed::whole::history::Observation;
-use weldworks_testbed::whole::script::{Fault, FaultKind, Script, Target};
-use weldworks_testbed::whole::virtual_time::{play, shrink_script, Mistake};
+use weldworks_testbed::fleet_scenario::history::Observation;
+use weldworks_testbed::fleet_scenario::script::{Fault, FaultKind, Script, Target};
+use weldworks_testbed::fleet_scenario::virtual_time::{play, shrink_script, Mistake};
 
 /// Runs random scripts; at the first that fails, panics with the shortest script that still fails.
 fn check_random_scripts(seeds: std::ops::Range<u64>, gateway_count: usize, voter_count: usize) {
@@ -201,7 +201,7 @@
     format!("{:.2} {:.2} {:.2}", quantile(0.5), quantile(0.95), quantile(1.0))
 }
 
-/// The figures of docs/measurements/fleet.md. `cargo test --release -p weldworks-testbed --test whole -- --ignored --nocapture`
+/// The figures of docs/measurements/fleet.md. `cargo test --release -p weldworks-testbed --test fleet_scenarios -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement"]
 fn measure_fault_recovery() {
@@ -252,7 +252,7 @@
 }
 
 /// Distribution of the time until the voters count the session of a lost gateway as expired:
-/// `cargo test --release -p weldworks-testbed --test whole measure_session_expiry -- --ignored --nocapture`
+/// `cargo test --release -p weldworks-testbed --test fleet_scenarios measure_session_expiry -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement"]
 fn measure_session_expiry() {
@@ -292,7 +292,7 @@
 }
 
 /// Disk space that the audit log takes:
-/// `cargo test --release -p weldworks-testbed --test whole measure_audit_log_size -- --ignored --nocapture`
+/// `cargo test --release -p weldworks-testbed --test fleet_scenarios measure_audit_log_size -- --ignored --nocapture`
 #[test]
 #[ignore = "a measurement"]
 fn measure_audit_log_size() {
