--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,8 +1,8 @@
 //! Builds the endpoint models of a script from the seed. The models are identical in virtual time and on sockets.
 
-use crate::draws::{Draws, For};
 use crate::ledger::{ClassTerms, Ledger};
 use crate::model::{Memories, Node, NodeSpec, Repeats, Report, ReportSpec};
+use crate::random_variates::{Draws, For};
 use crate::register::Deed;
 use crate::script::Script;
 use std::cell::RefCell;
--- a/crates/testbed/src/fleet_scenario/virtual_time.rs
+++ b/crates/testbed/src/fleet_scenario/virtual_time.rs
@@ -3,7 +3,7 @@
 
 use super::history::{Figures, History, Observation};
 use super::script::{Fault, FaultKind, Script, Target};
-use crate::draws::{Draws, For, Stream};
+use crate::random_variates::{Draws, For, Stream};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -14,7 +14,6 @@
 pub mod bulk;
 pub mod client;
 pub mod count;
-pub mod draws;
 pub mod fleet;
 pub mod fleet_scenario;
 pub mod ledger;
@@ -23,6 +22,7 @@
 pub mod model;
 pub mod plain;
 pub mod plan;
+pub mod random_variates;
 pub mod register;
 pub mod replay;
 pub mod report;
--- a/crates/testbed/src/live/mod.rs
+++ b/crates/testbed/src/live/mod.rs
@@ -7,9 +7,9 @@
 pub mod nodes;
 pub mod register;
 
-use crate::draws::Draws;
 use crate::ledger::Ledger;
 use crate::plan::Asked;
+use crate::random_variates::Draws;
 use crate::report::{Counts, Sample};
 use crate::script::Script;
 use rustc_hash::FxHashMap;
--- a/crates/testbed/src/model/node.rs
+++ b/crates/testbed/src/model/node.rs
@@ -9,7 +9,7 @@
 use super::repeats::{Meeting, Repeats};
 use super::reports::{Report, Reports};
 use super::spec::{NodeSpec, WarmBy};
-use crate::draws::{Draws, For, Stream};
+use crate::random_variates::{Draws, For, Stream};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/testbed/src/model/reports.rs
+++ b/crates/testbed/src/model/reports.rs
@@ -1,7 +1,7 @@
 //! What a node tells of its load: refreshed now and then, late, a little noisy.
 
 use super::spec::ReportSpec;
-use crate::draws::{Draws, For};
+use crate::random_variates::{Draws, For};
 use std::collections::VecDeque;
 use std::time::Duration;
 
--- a/crates/testbed/src/plain.rs
+++ b/crates/testbed/src/plain.rs
@@ -3,7 +3,7 @@
 //! It keeps what classes ask of repeats and sends nothing to nodes that drain. Cold nodes get as much as warm ones, and what
 //! can't be dialled is held until its time is up: the ledger books both. Never part of the program.
 
-use crate::draws::Stream;
+use crate::random_variates::Stream;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 use weldworks_balancer::{
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -3,8 +3,8 @@
 //! Arrivals don't wait for answers: what a slow gateway leaves unanswered is still asked for. Work belongs to the
 //! request, so a retry of a heavy one is as heavy, in every run.
 
-use crate::draws::{Draws, For};
 use crate::model::Distribution;
+use crate::random_variates::{Draws, For};
 use crate::script::{Class, Event, Script, Shape, What, Whom, OVER_SHARE_WORTH};
 use rand_distr::{Distribution as _, Zipf};
 use std::time::Duration;
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -2,8 +2,8 @@
 
 use super::{front, there, Happening, Mind, World};
 use crate::client::Seen;
-use crate::draws::For;
 use crate::plain::Plain;
+use crate::random_variates::For;
 use weldworks_balancer::parse_settings;
 use weldworks_balancer::Balancer;
 
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -7,12 +7,12 @@
 mod register;
 
 use crate::client::{next_try, patience, Seen};
-use crate::draws::{Draws, For};
 use crate::fleet::{carry_out, kinds, ledger, nodes};
 use crate::ledger::{Ask, AttemptSeen, Ended, Got, Ledger, Rules};
 use crate::model::{Answer, Node, Output, State, Work};
 use crate::plain::Plain;
 use crate::plan::{attempt_seconds, plan, Asked};
+use crate::random_variates::{Draws, For};
 use crate::register::{deeds, Deed, List, Register};
 use crate::report::{back, fresh, service, tallies, Counts, Report, Runner, Sample};
 use crate::script::Script;
--- a/crates/testbed/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -4,11 +4,11 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 use weldworks_balancer::KeyScope;
-use weldworks_testbed::draws::{Draws, For};
 use weldworks_testbed::model::{
     Answer, Budget, ChokeSpec, Memories, Node, NodeSpec, Output, PauseSpec, Refusal, Repeats, State, WarmBy,
     Work,
 };
+use weldworks_testbed::random_variates::{Draws, For};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
