--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod bulk;
 pub mod client;
 pub mod count;
-pub mod fleet;
+pub mod endpoint_models;
 pub mod fleet_scenario;
 pub mod ledger;
 pub mod live;
--- a/crates/testbed/src/live/mod.rs
+++ b/crates/testbed/src/live/mod.rs
@@ -74,7 +74,7 @@
             gateways,
             plan: crate::plan::plan(script, draws),
             clock: Clock(Cell::new(None)),
-            ledger: RefCell::new(crate::fleet::ledger(script)),
+            ledger: RefCell::new(crate::endpoint_models::ledger(script)),
             counts: Cell::default(),
             in_time: Cell::default(),
             timeline: RefCell::default(),
--- a/crates/testbed/src/live/nodes.rs
+++ b/crates/testbed/src/live/nodes.rs
@@ -6,7 +6,7 @@
 
 use super::http::{Connection, Kind, ReadError};
 use super::{node_address, Day};
-use crate::fleet::carry_out;
+use crate::endpoint_models::carry_out;
 use crate::ledger::{AttemptSeen, Ended};
 use crate::model::{Answer, AttemptId, ConnectionId, Node, Output, Refusal, Report, State, Work};
 use crate::plan::attempt_seconds;
--- a/crates/testbed/src/live/register.rs
+++ b/crates/testbed/src/live/register.rs
@@ -219,7 +219,7 @@
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             unix.saturating_sub(ago).as_millis() as u64
         });
-        let kind = crate::fleet::kinds(script)[entry.node];
+        let kind = crate::endpoint_models::kinds(script)[entry.node];
         json!({"name": script.node_name(entry.node), "address": address, "status": status,
             "weight": self.weights.borrow()[entry.node],
             "zone": script.fleet.zones[script.zone_of(entry.node)], "type": script.fleet.kinds[kind].name,
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -1,6 +1,6 @@
 //! A script on loopback sockets, with real gateway processes between the rig's clients and its nodes.
 
-use crate::fleet::nodes;
+use crate::endpoint_models::nodes;
 use crate::ledger::Rules;
 use crate::live::clients::Clients;
 use crate::live::gateways::{ready, GatewayError, RunningGateway, StartGateway};
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -7,7 +7,7 @@
 mod register;
 
 use crate::client::{next_try, patience, Seen};
-use crate::fleet::{carry_out, kinds, ledger, nodes};
+use crate::endpoint_models::{carry_out, kinds, ledger, nodes};
 use crate::ledger::{Ask, AttemptSeen, Ended, Got, Ledger, Rules};
 use crate::model::{Answer, Node, Output, State, Work};
 use crate::plain::Plain;
