--- a/crates/testbed/src/endpoint_models.rs
+++ b/crates/testbed/src/endpoint_models.rs
@@ -11,27 +11,30 @@
 
 /// The kind of each endpoint: the shares of the kinds become counts, and the endpoints of a kind are spread over the zones.
 pub fn kinds(script: &Script) -> Vec<usize> {
-    let all: f64 = script.fleet.kinds.iter().map(|k| k.share).sum();
+    let total_share: f64 = script.fleet.kinds.iter().map(|kind| kind.share).sum();
     let mut owed = vec![0.0; script.fleet.kinds.len()];
     let mut kinds = Vec::with_capacity(script.fleet.nodes);
     for _ in 0..script.fleet.nodes {
         for (owed, kind) in owed.iter_mut().zip(&script.fleet.kinds) {
-            *owed += kind.share / all;
+            *owed += kind.share / total_share;
         }
-        let most = (0..owed.len()).max_by(|&a, &b| owed[a].total_cmp(&owed[b]).then(b.cmp(&a))).unwrap_or(0);
-        owed[most] -= 1.0;
-        kinds.push(most);
+        let most_owed = (0..owed.len())
+            .max_by(|&first, &second| owed[first].total_cmp(&owed[second]).then(second.cmp(&first)))
+            .unwrap_or(0);
+        owed[most_owed] -= 1.0;
+        kinds.push(most_owed);
     }
     kinds
 }
 
-fn spec(script: &Script, draws: Draws, node: usize, kind: usize) -> NodeSpec {
+fn endpoint_spec(script: &Script, draws: Draws, endpoint: usize, kind: usize) -> NodeSpec {
     let kind = &script.fleet.kinds[kind];
-    let mut build = draws.stream(For::Build, node as u64);
-    let time = |range: (Duration, Duration), part: f64| range.0 + (range.1 - range.0).mul_f64(part);
-    let speed = build.within(kind.speed);
-    let period = time(kind.report_every, build.even());
-    let late = time(kind.report_late, build.even());
+    let mut random = draws.stream(For::Build, endpoint as u64);
+    let duration_in =
+        |range: (Duration, Duration), fraction: f64| range.0 + (range.1 - range.0).mul_f64(fraction);
+    let speed = random.within(kind.speed);
+    let period = duration_in(kind.report_every, random.even());
+    let late = duration_in(kind.report_late, random.even());
     let noise = kind.spec.report.noise;
     let mean_work = script.mean_work();
     NodeSpec { speed, report: ReportSpec { period, late, noise }, mean_work, ..kind.spec.clone() }
@@ -40,43 +43,51 @@
 /// Models of all endpoints, up and warm.
 pub fn nodes(script: &Script, draws: Draws) -> Vec<Node> {
     let kinds = kinds(script);
-    let all = Rc::<RefCell<Repeats>>::default();
-    let mut zones: Vec<Rc<RefCell<Repeats>>> = Vec::new();
-    let mut racks: Vec<Rc<RefCell<Repeats>>> = Vec::new();
-    let shared = |memories: &mut Vec<Rc<RefCell<Repeats>>>, number: usize| {
-        if memories.len() <= number {
-            memories.resize_with(number + 1, Rc::default);
+    let fleet_repeats = Rc::<RefCell<Repeats>>::default();
+    let mut zone_repeats: Vec<Rc<RefCell<Repeats>>> = Vec::new();
+    let mut rack_repeats: Vec<Rc<RefCell<Repeats>>> = Vec::new();
+    let shared_repeats = |group_repeats: &mut Vec<Rc<RefCell<Repeats>>>, number: usize| {
+        if group_repeats.len() <= number {
+            group_repeats.resize_with(number + 1, Rc::default);
         }
-        memories[number].clone()
+        group_repeats[number].clone()
     };
-    let node = |n: usize| {
-        let zone = shared(&mut zones, script.zone_of(n));
-        let rack = shared(&mut racks, script.rack_of(n));
-        let memories = Memories { all: all.clone(), zone, rack };
-        Node::new(n as u64, spec(script, draws, n, kinds[n]), draws, memories, Duration::ZERO)
+    let build_endpoint = |number: usize| {
+        let zone = shared_repeats(&mut zone_repeats, script.zone_of(number));
+        let rack = shared_repeats(&mut rack_repeats, script.rack_of(number));
+        let memories = Memories { all: fleet_repeats.clone(), zone, rack };
+        Node::new(
+            number as u64,
+            endpoint_spec(script, draws, number, kinds[number]),
+            draws,
+            memories,
+            Duration::ZERO,
+        )
     };
-    (0..script.fleet.nodes).map(node).collect()
+    (0..script.fleet.nodes).map(build_endpoint).collect()
 }
 
 /// Applies a scripted action to an endpoint.
-pub fn carry_out(node: &mut Node, now: Duration, deed: Deed) {
-    match deed {
-        Deed::Kill => node.kill(now),
-        Deed::CutOff => node.cut_off(now),
-        Deed::Start => node.start_cold(now),
-        Deed::Drain(on) => node.drain(now, on),
-        Deed::Fail(share) => node.fail(now, share),
-        Deed::Neighbour(share) => node.share_with_neighbour(now, share),
-        Deed::Slow(times) => node.slow_down(now, times),
-        Deed::Report(says) => node.report_always(now, says.map(|(qps, inflight)| Report { qps, inflight })),
-        Deed::Pause(lasts) => node.pause(now, lasts),
-        Deed::LetGo(limit) => node.let_go_after(now, limit),
+pub fn carry_out(model: &mut Node, now: Duration, action: Deed) {
+    match action {
+        Deed::Kill => model.kill(now),
+        Deed::CutOff => model.cut_off(now),
+        Deed::Start => model.start_cold(now),
+        Deed::Drain(enabled) => model.drain(now, enabled),
+        Deed::Fail(fraction) => model.fail(now, fraction),
+        Deed::Neighbour(fraction) => model.share_with_neighbour(now, fraction),
+        Deed::Slow(factor) => model.slow_down(now, factor),
+        Deed::Report(load) => model.report_always(now, load.map(|(qps, inflight)| Report { qps, inflight })),
+        Deed::Pause(duration) => model.pause(now, duration),
+        Deed::LetGo(limit) => model.let_go_after(now, limit),
     }
 }
 
 /// An empty ledger with the script's classes and with the zone and rack of each endpoint.
 pub fn ledger(script: &Script) -> Ledger {
-    let terms = |c: &crate::script::Class| ClassTerms { aim: c.aim, effect: c.effect };
-    let groups = (0..script.fleet.nodes).map(|n| (script.zone_of(n), script.rack_of(n))).collect();
+    let terms = |class: &crate::script::Class| ClassTerms { aim: class.aim, effect: class.effect };
+    let groups = (0..script.fleet.nodes)
+        .map(|endpoint| (script.zone_of(endpoint), script.rack_of(endpoint)))
+        .collect();
     Ledger::new(script.classes.iter().map(terms).collect(), groups)
 }
--- a/crates/testbed/src/random_variates.rs
+++ b/crates/testbed/src/random_variates.rs
@@ -57,19 +57,19 @@
     }
 
     /// The stream of one purpose and one subject, which is identified by a number such as that of a request.
-    pub fn stream(&self, what: For, whose: u64) -> Stream {
-        let seed = mix(self.seed ^ mix((what as u64) << 56 ^ whose));
+    pub fn stream(&self, purpose: For, subject: u64) -> Stream {
+        let seed = mix(self.seed ^ mix((purpose as u64) << 56 ^ subject));
         Stream(Pcg64Mcg::seed_from_u64(seed))
     }
 
     /// The stream for a pair of subjects, such as a request and an endpoint.
-    pub fn stream_of_two(&self, what: For, one: u64, other: u64) -> Stream {
-        self.stream(what, mix(one) ^ mix(other.wrapping_add(0x5bd1_e995)))
+    pub fn stream_of_two(&self, purpose: For, first: u64, second: u64) -> Stream {
+        self.stream(purpose, mix(first) ^ mix(second.wrapping_add(0x5bd1_e995)))
     }
 
     /// A 64-bit random number for one purpose and subject.
-    pub fn number(&self, what: For, whose: u64) -> u64 {
-        self.stream(what, whose).0.next_u64()
+    pub fn number(&self, purpose: For, subject: u64) -> u64 {
+        self.stream(purpose, subject).0.next_u64()
     }
 }
 
@@ -84,13 +84,13 @@
     }
 
     /// Uniformly distributed within a range.
-    pub fn within(&mut self, (least, most): (f64, f64)) -> f64 {
-        least + (most - least) * self.even()
+    pub fn within(&mut self, (min, max): (f64, f64)) -> f64 {
+        min + (max - min) * self.even()
     }
 
     /// True with this probability.
-    pub fn chance(&mut self, chance: f64) -> bool {
-        self.even() < chance
+    pub fn chance(&mut self, probability: f64) -> bool {
+        self.even() < probability
     }
 
     /// A uniformly distributed integer below `end`; 0 if `end` is 0.
@@ -113,8 +113,8 @@
     }
 
     /// Log-normally distributed with mean 1 and this coefficient of variation.
-    pub fn log_normal(&mut self, variation: f64) -> f64 {
-        let variance = (1.0 + variation * variation).ln();
+    pub fn log_normal(&mut self, coefficient_of_variation: f64) -> f64 {
+        let variance = (1.0 + coefficient_of_variation * coefficient_of_variation).ln();
         match LogNormal::new(-variance / 2.0, variance.sqrt()) {
             Ok(distribution) => distribution.sample(&mut self.0),
             Err(_) => 1.0, // a coefficient of variation that is not finite; scripts are checked for that
@@ -128,12 +128,12 @@
 
     /// A random index of a list of weights, with probabilities proportional to the weights; 0 if all weights are 0.
     pub fn place(&mut self, weights: &[f64]) -> usize {
-        let all: f64 = weights.iter().sum();
-        let mut left = self.even() * all;
-        for (n, weight) in weights.iter().enumerate() {
-            left -= weight;
-            if left < 0.0 {
-                return n;
+        let total: f64 = weights.iter().sum();
+        let mut remaining = self.even() * total;
+        for (index, weight) in weights.iter().enumerate() {
+            remaining -= weight;
+            if remaining < 0.0 {
+                return index;
             }
         }
         0
