--- a/crates/testbed/src/fleet_scenario/virtual_time.rs
+++ b/crates/testbed/src/fleet_scenario/virtual_time.rs
@@ -26,7 +26,7 @@
 
 /// A defect inserted on purpose, to test that the checks find it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mistake {
+pub enum Mutation {
     /// No defect.
     #[default]
     None,
@@ -109,7 +109,7 @@
 
 struct FleetSimulation<'a> {
     script: &'a Script,
-    mistake: Mistake,
+    mutation: Mutation,
     random_streams: Draws,
     random: Stream,
     now: Duration,
@@ -140,11 +140,11 @@
 }
 
 /// Runs a script in virtual time.
-pub fn play(script: &Script, seed: u64, mistake: Mistake) -> RunResult {
+pub fn play(script: &Script, seed: u64, mutation: Mutation) -> RunResult {
     let random_streams = Draws::new(seed);
     let mut simulation = FleetSimulation {
         script,
-        mistake,
+        mutation,
         random_streams,
         random: random_streams.stream(For::Network, 1),
         now: Duration::ZERO,
@@ -245,13 +245,13 @@
         let margin = self.script.clock_margin;
         // The rate of each clock is off by up to 0.99 of the clock margin, in either direction.
         let mut clock_rate = 1.0 + margin * 0.99 * (2.0 * self.random.even() - 1.0);
-        match self.mistake {
-            Mistake::ClocksBeyondMargin if gateway % 2 == 1 => clock_rate -= 0.3,
-            Mistake::ReversedMargin => settings.lease.margin *= -5.0,
+        match self.mutation {
+            Mutation::ClocksBeyondMargin if gateway % 2 == 1 => clock_rate -= 0.3,
+            Mutation::ReversedMargin => settings.lease.margin *= -5.0,
             _ => {}
         }
-        let process = match self.mistake {
-            Mistake::ForgottenVotes => Incarnation(gateway as u64 + 1),
+        let process = match self.mutation {
+            Mutation::ForgottenVotes => Incarnation(gateway as u64 + 1),
             _ => Incarnation(self.random_streams.number(For::Gateway, (gateway * 1000 + number) as u64) | 1),
         };
         let list_index = if self.frozen_discovery.contains(&gateway) {
@@ -517,7 +517,7 @@
         let mut pending_write: Option<PendingWrite> = None;
         for action in out {
             match action {
-                NodeAction::Send { to, frame } if self.mistake == Mistake::SendBeforeStore => {
+                NodeAction::Send { to, frame } if self.mutation == Mutation::SendBeforeStore => {
                     self.send(gateway, gateway_number(&to), frame);
                 }
                 NodeAction::Store(records) if self.script.has_disks => {
@@ -555,7 +555,7 @@
         }
         if let Some((records, frames)) = pending_write {
             // Most writes to disk take less than 5 ms, and a few of them up to 150 ms.
-            let slow_chance = if self.mistake == Mistake::SendBeforeStore { 1.0 } else { 0.02 };
+            let slow_chance = if self.mutation == Mutation::SendBeforeStore { 1.0 } else { 0.02 };
             let max_delay_ms = if self.random.chance(slow_chance) { 150 } else { 5 };
             let write_duration =
                 Duration::from_micros(200) + Duration::from_millis(self.random.below(max_delay_ms) as u64);
@@ -949,13 +949,13 @@
 }
 
 /// Shortens a failing script by removing faults, as long as the remaining script still fails.
-pub fn shrink_script(script: &Script, seed: u64, mistake: Mistake) -> Script {
+pub fn shrink_script(script: &Script, seed: u64, mutation: Mutation) -> Script {
     let mut shortest = script.clone();
     let mut index = 0;
     while index < shortest.faults.len() {
         let mut candidate = shortest.clone();
         candidate.faults.remove(index);
-        if play(&candidate, seed, mistake).breaches.is_empty() {
+        if play(&candidate, seed, mutation).breaches.is_empty() {
             index += 1;
         } else {
             shortest = candidate;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -283,7 +283,7 @@
                 let played = fleet_scenario::virtual_time::play(
                     &script,
                     seed,
-                    fleet_scenario::virtual_time::Mistake::None,
+                    fleet_scenario::virtual_time::Mutation::None,
                 );
                 let report = serde_json::json!({
                     "script": script.name, "seed": seed, "breaches": played.breaches, "figures": played.figures,
