--- a/crates/testbed/src/fleet_scenario/live.rs
+++ b/crates/testbed/src/fleet_scenario/live.rs
@@ -151,7 +151,12 @@
 ///
 /// # Errors
 /// If a gateway process or a stand-in can't be started, or the fleet is not up in time.
-pub fn play(script: &Script, seed: u64, program: &Path, folder: &Path) -> io::Result<(Report, Vec<String>)> {
+pub fn run_script(
+    script: &Script,
+    seed: u64,
+    program: &Path,
+    folder: &Path,
+) -> io::Result<(Report, Vec<String>)> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let run = Rc::new(ScenarioRun::prepare(script, seed, program, folder).await?);
--- a/crates/testbed/src/fleet_scenario/virtual_time.rs
+++ b/crates/testbed/src/fleet_scenario/virtual_time.rs
@@ -140,7 +140,7 @@
 }
 
 /// Runs a script in virtual time.
-pub fn play(script: &Script, seed: u64, mutation: Mutation) -> RunResult {
+pub fn run_script(script: &Script, seed: u64, mutation: Mutation) -> RunResult {
     let random_streams = Draws::new(seed);
     let mut simulation = FleetSimulation {
         script,
@@ -955,7 +955,7 @@
     while index < shortest.faults.len() {
         let mut candidate = shortest.clone();
         candidate.faults.remove(index);
-        if play(&candidate, seed, mutation).breaches.is_empty() {
+        if run_script(&candidate, seed, mutation).breaches.is_empty() {
             index += 1;
         } else {
             shortest = candidate;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -280,7 +280,7 @@
             let text = std::fs::read_to_string(&script).map_err(|e| format!("{}: {e}", script.display()))?;
             let script = fleet_scenario::script::Script::parse(&script.display().to_string(), &text)?;
             let (breaches, report, told) = if in_virtual_time {
-                let played = fleet_scenario::virtual_time::play(
+                let played = fleet_scenario::virtual_time::run_script(
                     &script,
                     seed,
                     fleet_scenario::virtual_time::Mutation::None,
@@ -292,7 +292,7 @@
             } else {
                 let program = named.map_or_else(program, Ok)?;
                 let folder = fleet_scenario::live::folder_of(&script, seed, &std::env::temp_dir())?;
-                let played = fleet_scenario::live::play(&script, seed, &program, &folder);
+                let played = fleet_scenario::live::run_script(&script, seed, &program, &folder);
                 let _ = std::fs::remove_dir_all(&folder); // what is left there harms nobody
                 let (report, told) = played?;
                 (report.breaches.clone(), serde_json::to_value(&report)?, told.join("\n") + "\n")
--- a/crates/testbed/tests/fleet_scenarios.rs
+++ b/crates/testbed/tests/fleet_scenarios.rs
@@ -5,16 +5,16 @@
 use weldworks_fleet::node::SessionState;
 use weldworks_testbed::fleet_scenario::history::Observation;
 use weldworks_testbed::fleet_scenario::script::{Fault, FaultKind, Script, Target};
-use weldworks_testbed::fleet_scenario::virtual_time::{play, shrink_script, Mutation};
+use weldworks_testbed::fleet_scenario::virtual_time::{run_script, shrink_script, Mutation};
 
 /// Runs random scripts; at the first that fails, panics with the shortest script that still fails.
 fn check_random_scripts(seeds: std::ops::Range<u64>, gateway_count: usize, voter_count: usize) {
     for seed in seeds {
         let script = Script::random(seed, gateway_count, voter_count);
-        let result = play(&script, seed, Mutation::None);
+        let result = run_script(&script, seed, Mutation::None);
         if !result.breaches.is_empty() {
             let shortest = shrink_script(&script, seed, Mutation::None);
-            let shortest_result = play(&shortest, seed, Mutation::None);
+            let shortest_result = run_script(&shortest, seed, Mutation::None);
             panic!(
                 "seed {seed}: {:#?}\n{:#?}\n{}",
                 shortest_result.breaches,
@@ -88,7 +88,7 @@
     ] {
         // The consensus library has assertions of its own in test builds, which panic before the checks see the violation.
         let is_found = |mutation| {
-            let mut results = scripts.iter().map(|script| catch_unwind(|| play(script, 1, mutation)));
+            let mut results = scripts.iter().map(|script| catch_unwind(|| run_script(script, 1, mutation)));
             results.any(|result| {
                 result.is_err()
                     || result.is_ok_and(|run| {
@@ -114,7 +114,7 @@
         let text = std::fs::read_to_string(&path).expect("the script file can be read");
         let script = Script::parse(&path.display().to_string(), &text).expect("the script is valid");
         for seed in 1..=3 {
-            let result = play(&script, seed, Mutation::None);
+            let result = run_script(&script, seed, Mutation::None);
             assert!(
                 result.breaches.is_empty(),
                 "{} {seed}: {:#?}\n{}",
@@ -133,10 +133,10 @@
 fn agreed_entries_survive_any_kills_when_voters_have_disks() {
     for seed in 0..60 {
         let script = Script::random_with_disks(seed, 5, 3);
-        let result = play(&script, seed, Mutation::None);
+        let result = run_script(&script, seed, Mutation::None);
         if !result.breaches.is_empty() {
             let shortest = shrink_script(&script, seed, Mutation::None);
-            let shortest_result = play(&shortest, seed, Mutation::None);
+            let shortest_result = run_script(&shortest, seed, Mutation::None);
             panic!(
                 "seed {seed}: {:#?}\n{:#?}\n{}",
                 shortest_result.breaches,
@@ -166,14 +166,14 @@
         script_with_faults(45, 3, vec![fault(4.0, 20.0, &(0..45).collect::<Vec<_>>(), None, replace_all)]);
     (script.has_disks, script.duration) = (true, seconds(40.0));
     for seed in 1..=3 {
-        let result = play(&script, seed, Mutation::None);
+        let result = run_script(&script, seed, Mutation::None);
         assert!(result.breaches.is_empty(), "{seed}: {:#?}", result.breaches);
     }
 }
 
 #[test]
 fn lagging_gateway_among_45_is_fenced_and_unfenced() {
-    let result = play(&script_with_frozen_discovery(45, 3), 1, Mutation::None);
+    let result = run_script(&script_with_frozen_discovery(45, 3), 1, Mutation::None);
     assert!(result.breaches.is_empty(), "{:#?}\n{}", result.breaches, result.history.text());
     assert_eq!((result.figures.time_to_fence_s.len(), result.figures.time_to_unfence_s.len()), (1, 1));
 }
@@ -188,7 +188,7 @@
         vec![fault(4.0, 10.0, &[2, 3, 4, 5, 6, 7, 8], None, FaultKind::FreezeDiscovery)],
     );
     script.duration = seconds(24.0);
-    let result = play(&script, 1, Mutation::None);
+    let result = run_script(&script, 1, Mutation::None);
     assert!(result.breaches.is_empty(), "{:#?}", result.breaches);
     assert!(result.history.fenced_gateways().is_empty(), "{:?}", result.history.fenced_gateways());
 }
@@ -217,7 +217,7 @@
         ] {
             let results: Vec<_> = (1..=20)
                 .map(|seed| {
-                    play(
+                    run_script(
                         &script_with_faults(gateway_count, voter_count, faults.clone()),
                         seed,
                         Mutation::None,
@@ -238,10 +238,12 @@
         }
     }
     for (gateway_count, voter_count) in [(5, 3), (45, 3), (300, 5)] {
-        let calm = play(&script_with_faults(gateway_count, voter_count, vec![]), 1, Mutation::None).figures;
+        let calm =
+            run_script(&script_with_faults(gateway_count, voter_count, vec![]), 1, Mutation::None).figures;
         let results: Vec<_> = (1..=10)
             .map(|seed| {
-                play(&script_with_frozen_discovery(gateway_count, voter_count), seed, Mutation::None).figures
+                run_script(&script_with_frozen_discovery(gateway_count, voter_count), seed, Mutation::None)
+                    .figures
             })
             .collect();
         let time_to_fence_s = results.iter().flat_map(|figures| figures.time_to_fence_s.clone()).collect();
@@ -272,7 +274,7 @@
                     voter_count,
                     vec![fault(5.0 + 0.1 * seed as f64, 10.0, &[lost_gateway], None, kind.clone())],
                 );
-                let result = play(&script, seed, Mutation::None);
+                let result = run_script(&script, seed, Mutation::None);
                 assert!(result.breaches.is_empty(), "{:?}", result.breaches);
                 let lost_at = script.faults[0].start;
                 let records = &result.history.records;
