--- a/crates/gateway/tests/whole.rs
+++ b/crates/gateway/tests/whole.rs
@@ -13,7 +13,7 @@
     let folder = live::folder_of(&script, 1, Path::new(env!("CARGO_TARGET_TMPDIR"))).expect("a folder");
     let program = Path::new(env!("CARGO_BIN_EXE_weldworks-gateway"));
     let (report, told) = live::run_script(&script, 1, program, &folder).expect("it can be played");
-    assert!(report.breaches.is_empty(), "{:#?}\n{}", report.breaches, told.join("\n"));
+    assert!(report.violations.is_empty(), "{:#?}\n{}", report.violations, told.join("\n"));
     for said in said {
         assert!(told.iter().any(|line| line.contains(said)), "nobody says {said:?}\n{}", told.join("\n"));
     }
--- a/crates/testbed/src/fleet_scenario/checker.rs
+++ b/crates/testbed/src/fleet_scenario/checker.rs
@@ -20,35 +20,35 @@
 impl ScenarioRun {
     /// Checks all rules and returns their violations.
     pub(super) async fn check(&self) -> Vec<String> {
-        let mut breaches = Vec::new();
+        let mut violations = Vec::new();
         for gateway in 0..self.gateways.len() {
             match self.query_admin(gateway, AdminQuery::Status).await {
                 Some(status)
                     if status["standing"].as_str().is_some_and(|state| state.starts_with("in session")) => {}
-                Some(status) => breaches.push(format!("gateway {gateway}: {} at end", status["standing"])),
-                None => breaches.push(format!("gateway {gateway} does not answer at the end")),
+                Some(status) => violations.push(format!("gateway {gateway}: {} at end", status["standing"])),
+                None => violations.push(format!("gateway {gateway} does not answer at the end")),
             }
         }
         let groups_formed =
             self.logs.borrow().iter().filter(|line| line.contains("consensus group founded")).count();
         if groups_formed != 1 {
-            breaches.push(format!("{groups_formed} consensus groups were formed, expected 1"));
+            violations.push(format!("{groups_formed} consensus groups were formed, expected 1"));
         }
-        self.check_configurations(&mut breaches).await;
-        self.check_sessions(&mut breaches);
-        self.check_client_requests(&mut breaches);
-        self.check_draining(&mut breaches);
-        self.check_audit(&mut breaches).await;
+        self.check_configurations(&mut violations).await;
+        self.check_sessions(&mut violations);
+        self.check_client_requests(&mut violations);
+        self.check_draining(&mut violations);
+        self.check_audit(&mut violations).await;
         let history = self.history.borrow();
         let (fenced, without_session) = (history.fenced_gateways(), history.gateways_without_session());
         for gateway in &self.script.expected.fenced {
             if !fenced.contains(gateway) {
-                breaches.push(format!("gateway {gateway} was never fenced, as the script expects"));
+                violations.push(format!("gateway {gateway} was never fenced, as the script expects"));
             }
         }
         for gateway in &self.script.expected.without_session {
             if !without_session.contains(gateway) {
-                breaches
+                violations
                     .push(format!("gateway {gateway} was never without a session, as the script expects"));
             }
         }
@@ -61,15 +61,15 @@
             .flat_map(|(_, targets)| targets.clone())
             .collect();
         for gateway in fenced.iter().filter(|gateway| !frozen.contains(gateway)) {
-            breaches.push(format!("gateway {gateway} was fenced, but its discovery was never frozen"));
+            violations.push(format!("gateway {gateway} was fenced, but its discovery was never frozen"));
         }
         let mut figures = self.figures.borrow_mut();
         figures.leaderless_s = self.leaderless_time.get().1.as_secs_f64();
-        breaches
+        violations
     }
 
     /// Checks that a valid new configuration is in force exactly at the gateways where it was written.
-    async fn check_configurations(&self, breaches: &mut Vec<String>) {
+    async fn check_configurations(&self, violations: &mut Vec<String>) {
         let rewritten_configs = self.rewritten_configs.borrow().clone();
         let mut in_force = Vec::new();
         for gateway in 0..self.gateways.len() {
@@ -85,7 +85,7 @@
         for (gateway, config_version) in in_force.iter().enumerate() {
             let expects_new = rewritten_configs.get(&gateway).is_some_and(|is_invalid| !is_invalid);
             if (*config_version == common_version) == expects_new {
-                breaches.push(format!(
+                violations.push(format!(
                     "gateway {gateway} has configuration {config_version:x?}, gateways without a new file have {common_version:x?}"
                 ));
             }
@@ -94,7 +94,7 @@
 
     /// Checks that no gateway serves a request that arrived after its session had expired and before it had a new one, if the script has
     /// gateways without a session reject requests.
-    fn check_sessions(&self, breaches: &mut Vec<String>) {
+    fn check_sessions(&self, violations: &mut Vec<String>) {
         let history = self.history.borrow();
         let mut holders: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
         for record in &history.records {
@@ -126,7 +126,7 @@
                             && request.ended_at < until
                     });
                     for late in served_too_late.take(3) {
-                        breaches.push(format!(
+                        violations.push(format!(
                             "{:?}: gateway {gateway} served request {}, sent after session {session} had expired at {:?}",
                             late.ended_at, late.request_id, record.at
                         ));
@@ -137,7 +137,7 @@
         }
     }
 
-    fn check_client_requests(&self, breaches: &mut Vec<String>) {
+    fn check_client_requests(&self, violations: &mut Vec<String>) {
         let requests = self.observations.client_requests.borrow();
         let mut figures = self.figures.borrow_mut();
         let mut seconds: BTreeMap<u64, (usize, usize)> = BTreeMap::new();
@@ -153,7 +153,7 @@
             if request.status.is_none() && !is_affected {
                 figures.unanswered_requests += 1;
                 if figures.unanswered_requests <= 3 {
-                    breaches.push(format!(
+                    violations.push(format!(
                         "{:?}: request {} got no response from gateway {}, which no fault affected",
                         request.sent_at, request.request_id, request.gateway
                     ));
@@ -162,7 +162,7 @@
             if request.status.is_some_and(|status| status != 200 && status != 503 && status != 429)
                 && !is_affected
             {
-                breaches.push(format!(
+                violations.push(format!(
                     "{:?}: request {} got the unexpected status {:?}",
                     request.sent_at, request.request_id, request.status
                 ));
@@ -179,7 +179,7 @@
     }
 
     /// Checks that a draining endpoint gets no new request from any gateway, once the delay for the gateways with an older list is over.
-    fn check_draining(&self, breaches: &mut Vec<String>) {
+    fn check_draining(&self, violations: &mut Vec<String>) {
         let Some(drained_at) = self.drained_at.get() else { return };
         let served_requests = self.observations.served_requests.borrow();
         let late_requests: Vec<_> = served_requests
@@ -189,7 +189,7 @@
             })
             .collect();
         if let Some(first) = late_requests.first() {
-            breaches.push(format!(
+            violations.push(format!(
                 "{:?}: endpoint {} received request {} and {} more, later than {MAX_DRAIN_DELAY:?} after the lists marked it as draining at {drained_at:?}",
                 first.received_at,
                 ENDPOINT_COUNT - 1,
@@ -201,7 +201,7 @@
 
     /// Checks that each request that endpoints received is in the audit of the gateway that forwarded it, with that endpoint and with an
     /// endpoint list that was in force there.
-    async fn check_audit(&self, breaches: &mut Vec<String>) {
+    async fn check_audit(&self, violations: &mut Vec<String>) {
         let served_requests = self.observations.served_requests.borrow().clone();
         let gateway_of_request: BTreeMap<String, usize> = self
             .observations
@@ -224,7 +224,7 @@
                 .query_admin(gateway_number, AdminQuery::Audit { from_index: 0, to_index: u64::MAX })
                 .await
             else {
-                breaches.push(format!("gateway {gateway_number} does not return its audit"));
+                violations.push(format!("gateway {gateway_number} does not return its audit"));
                 continue;
             };
             let send_count = count_sends(&audit);
@@ -236,10 +236,11 @@
                             && request.received_at < gateway.serving_since.get()
                     })
                     .collect();
-                self.check_audit_of_ended_processes(gateway_number, &audit, &ended_requests, breaches).await;
+                self.check_audit_of_ended_processes(gateway_number, &audit, &ended_requests, violations)
+                    .await;
             }
             if send_count < own_requests.len() as u64 {
-                breaches.push(format!(
+                violations.push(format!(
                     "endpoints received {} requests from gateway {gateway_number}, but its audit has {send_count}",
                     own_requests.len()
                 ));
@@ -253,7 +254,7 @@
                 let endpoint_name = json!(format!("n{}", request.endpoint));
                 let steps = response["steps"].as_array().cloned().unwrap_or_default();
                 let Some(step) = steps.iter().find(|step| step["host"] == endpoint_name) else {
-                    breaches.push(format!(
+                    violations.push(format!(
                         "endpoint {} received request {} from gateway {gateway_number}, whose audit does not contain it",
                         request.endpoint, request.request_id
                     ));
@@ -276,7 +277,7 @@
                     (before(since.saturating_sub(OBSERVATION_TOLERANCE)), before(request.received_at));
                 if newest.is_some_and(|newest| index > newest) || oldest.is_some_and(|oldest| index < oldest)
                 {
-                    breaches.push(format!(
+                    violations.push(format!(
                         "{:?}: gateway {gateway_number} booked {} under list {index}, where {oldest:?} to {newest:?} was in force",
                         request.received_at, request.request_id
                     ));
@@ -292,10 +293,10 @@
         gateway_number: usize,
         audit: &Value,
         ended_requests: &[&ServedRequest],
-        breaches: &mut Vec<String>,
+        violations: &mut Vec<String>,
     ) {
         if let Some(error) = audit["earlier_unread"].as_str() {
-            breaches.push(format!(
+            violations.push(format!(
                 "gateway {gateway_number} does not return the audit of its earlier processes: {error}"
             ));
         }
@@ -321,7 +322,7 @@
             let Some((from, _)) = unknown.iter().find(|(from, to)| {
                 *from <= killed_at + OBSERVATION_TOLERANCE && killed_at <= *to + OBSERVATION_TOLERANCE
             }) else {
-                breaches.push(format!(
+                violations.push(format!(
                     "gateway {gateway_number} was killed at {killed_at:?}, but its audit reports no unknown time around the kill"
                 ));
                 continue;
@@ -329,7 +330,7 @@
             let unknown_time = killed_at.saturating_sub(*from);
             self.figures.borrow_mut().unknown_before_kill_s.push(unknown_time.as_secs_f64());
             if unknown_time > MAX_UNKNOWN_BEFORE_KILL {
-                breaches.push(format!(
+                violations.push(format!(
                     "gateway {gateway_number} was killed at {killed_at:?}, but its audit is unknown from {from:?} on"
                 ));
             }
@@ -346,7 +347,7 @@
         let send_count = processes.iter().map(count_sends).sum::<u64>();
         if send_count < known_requests.len() as u64 {
             let request_count = known_requests.len();
-            breaches.push(format!(
+            violations.push(format!(
                 "endpoints received {request_count} requests from ended processes of gateway {gateway_number}, whose audit has {send_count}"
             ));
         }
@@ -369,7 +370,7 @@
                 .map(|step| step["version"]["list"]["index"].clone())
                 .collect();
             if !list_indices.iter().any(Value::is_u64) {
-                breaches.push(format!(
+                violations.push(format!(
                     "{:?}: endpoint {} received request {} from an ended process of gateway {gateway_number}, whose audit has list indices {list_indices:?} for it",
                     request.received_at, request.endpoint, request.request_id
                 ));
--- a/crates/testbed/src/fleet_scenario/history.rs
+++ b/crates/testbed/src/fleet_scenario/history.rs
@@ -89,8 +89,8 @@
     }
 
     /// Violations of the rules that hold in every run, whatever its faults.
-    pub fn breaches(&self) -> Vec<String> {
-        let mut breaches = Vec::new();
+    pub fn violations(&self) -> Vec<String> {
+        let mut violations = Vec::new();
         let mut first_digests: BTreeMap<(u64, u64), (u64, usize)> = BTreeMap::new();
         let mut group_ids: BTreeSet<u64> = BTreeSet::new();
         let mut expired: BTreeSet<SessionId> = BTreeSet::new();
@@ -104,7 +104,7 @@
                     let (first_digest, first_gateway) =
                         *first_digests.entry((*group_id, *log_index)).or_insert((*digest, gateway));
                     if first_digest != *digest {
-                        breaches.push(format!(
+                        violations.push(format!(
                             "{at:?}: the state machines of gateways {first_gateway} and {gateway} differ after entry {log_index}"
                         ));
                     }
@@ -115,21 +115,21 @@
                         sessions.values().any(|active_session| active_session == session)
                     });
                     if let Some((holder, _)) = active {
-                        breaches.push(format!(
+                        violations.push(format!(
                             "{at:?}: session {session} has expired at gateway {gateway}, but gateway {holder} still acts in it"
                         ));
                     }
                 }
                 Observation::SessionStateChanged(SessionState::InSession(session)) => {
                     if expired.contains(session) {
-                        breaches.push(format!(
+                        violations.push(format!(
                             "{at:?}: gateway {gateway} acts in session {session}, which has expired"
                         ));
                     }
                     let sessions = active_sessions.entry(gateway).or_default();
                     sessions.insert(process, *session);
                     if sessions.len() > 1 {
-                        breaches.push(format!(
+                        violations.push(format!(
                             "{at:?}: two processes of gateway {gateway} act in sessions at once"
                         ));
                     }
@@ -143,9 +143,9 @@
             }
         }
         if group_ids.len() > 1 {
-            breaches.push(format!("{} consensus groups were formed, expected at most 1", group_ids.len()));
+            violations.push(format!("{} consensus groups were formed, expected at most 1", group_ids.len()));
         }
-        breaches
+        violations
     }
 
     /// Gateways that were fenced for version lag at any time of the run.
--- a/crates/testbed/src/fleet_scenario/live.rs
+++ b/crates/testbed/src/fleet_scenario/live.rs
@@ -50,7 +50,8 @@
     /// Seed of the run.
     pub seed: u64,
     /// Violated rules, as text.
-    pub breaches: Vec<String>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<String>,
     /// Figures of the run.
     pub figures: Figures,
 }
@@ -162,9 +163,9 @@
         let run = Rc::new(ScenarioRun::prepare(script, seed, program, folder).await?);
         run.clone().run().await?;
         run.measure_processes();
-        let breaches = run.check().await;
+        let violations = run.check().await;
         let figures = run.figures.borrow().clone();
-        let report = Report { script: script.name.clone(), seed, breaches, figures };
+        let report = Report { script: script.name.clone(), seed, violations, figures };
         run.stop_processes().await;
         let history_text = run.history.borrow().text();
         let mut lines: Vec<String> = history_text.lines().map(str::to_owned).collect();
--- a/crates/testbed/src/fleet_scenario/virtual_time.rs
+++ b/crates/testbed/src/fleet_scenario/virtual_time.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug)]
 pub struct RunResult {
     /// Violated rules, as text.
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
     /// Figures of the run.
     pub figures: Figures,
     /// All observations of the run.
@@ -124,7 +124,7 @@
     newest_list_index: u64,
     fault_targets: BTreeMap<usize, Vec<usize>>,
     history: History,
-    breaches: Vec<String>,
+    violations: Vec<String>,
     figures: Figures,
     frames_sent: u64,
     bytes_sent: u64,
@@ -159,7 +159,7 @@
         newest_list_index: 1,
         fault_targets: BTreeMap::new(),
         history: History::default(),
-        breaches: Vec::new(),
+        violations: Vec::new(),
         figures: Figures::default(),
         frames_sent: 0,
         bytes_sent: 0,
@@ -617,7 +617,7 @@
                     let Some(holder) = holder else { continue };
                     let session_state = holder.node.session_state(holder.clock(self.now));
                     if session_state == SessionState::InSession(session) {
-                        self.breaches.push(format!(
+                        self.violations.push(format!(
                             "{:?}: session {session} has expired at gateway {gateway}, but gateway {holder_number} still acts in it",
                             self.now
                         ));
@@ -839,7 +839,7 @@
     }
 
     fn finish(mut self) -> RunResult {
-        self.breaches.extend(self.history.breaches());
+        self.violations.extend(self.history.violations());
         let last_fault_end =
             self.script.faults.iter().map(|fault| fault.end().unwrap_or(self.script.duration)).max();
         let recovered_by = last_fault_end.unwrap_or_default() + RECOVERY_TIME;
@@ -848,7 +848,7 @@
                 let Some(process) = process.as_ref().filter(|running| !running.paused) else { continue };
                 let session_state = process.node.session_state(process.clock(self.script.duration));
                 if !matches!(session_state, SessionState::InSession(_)) {
-                    self.breaches.push(format!(
+                    self.violations.push(format!(
                         "gateway {gateway} is {session_state} at the end, long after the last fault"
                     ));
                 }
@@ -858,19 +858,19 @@
             (self.history.fenced_gateways(), self.history.gateways_without_session());
         for gateway in &self.script.expected.fenced {
             if !fenced.contains(gateway) {
-                self.breaches.push(format!("gateway {gateway} was never fenced, as the script expects"));
+                self.violations.push(format!("gateway {gateway} was never fenced, as the script expects"));
             }
         }
         for gateway in &self.script.expected.without_session {
             if !without_session.contains(gateway) {
-                self.breaches
+                self.violations
                     .push(format!("gateway {gateway} was never without a session, as the script expects"));
             }
         }
         let freezes_discovery = |fault: &Fault| matches!(fault.kind, FaultKind::FreezeDiscovery);
         if !self.script.faults.iter().any(freezes_discovery) {
             for gateway in &fenced {
-                self.breaches
+                self.violations
                     .push(format!("gateway {gateway} was fenced, but its discovery was never frozen"));
             }
         }
@@ -896,7 +896,7 @@
         let median = first_session_s.get(first_session_s.len() / 2).copied().unwrap_or_default();
         self.figures.first_session_s = (median, first_session_s.last().copied().unwrap_or_default());
         (self.figures.in_session_fraction, self.figures.fenced_fraction) = self.session_fractions();
-        RunResult { breaches: self.breaches, figures: self.figures, history: self.history }
+        RunResult { violations: self.violations, figures: self.figures, history: self.history }
     }
 
     /// Fractions of all gateways' time, from 3 s after the start of the run, spent in a session and spent fenced.
@@ -955,7 +955,7 @@
     while index < shortest.faults.len() {
         let mut candidate = shortest.clone();
         candidate.faults.remove(index);
-        if run_script(&candidate, seed, mutation).breaches.is_empty() {
+        if run_script(&candidate, seed, mutation).violations.is_empty() {
             index += 1;
         } else {
             shortest = candidate;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -286,16 +286,16 @@
                     fleet_scenario::virtual_time::Mutation::None,
                 );
                 let report = serde_json::json!({
-                    "script": script.name, "seed": seed, "breaches": played.breaches, "figures": played.figures,
+                    "script": script.name, "seed": seed, "breaches": played.violations, "figures": played.figures,
                 });
-                (played.breaches, report, played.history.text())
+                (played.violations, report, played.history.text())
             } else {
                 let program = named.map_or_else(program, Ok)?;
                 let folder = fleet_scenario::live::folder_of(&script, seed, &std::env::temp_dir())?;
                 let played = fleet_scenario::live::run_script(&script, seed, &program, &folder);
                 let _ = std::fs::remove_dir_all(&folder); // what is left there harms nobody
                 let (report, told) = played?;
-                (report.breaches.clone(), serde_json::to_value(&report)?, told.join("\n") + "\n")
+                (report.violations.clone(), serde_json::to_value(&report)?, told.join("\n") + "\n")
             };
             println!("{report:#}");
             if let Some(path) = &json {
--- a/crates/testbed/tests/fleet_scenarios.rs
+++ b/crates/testbed/tests/fleet_scenarios.rs
@@ -12,12 +12,12 @@
     for seed in seeds {
         let script = Script::random(seed, gateway_count, voter_count);
         let result = run_script(&script, seed, Mutation::None);
-        if !result.breaches.is_empty() {
+        if !result.violations.is_empty() {
             let shortest = shrink_script(&script, seed, Mutation::None);
             let shortest_result = run_script(&shortest, seed, Mutation::None);
             panic!(
                 "seed {seed}: {:#?}\n{:#?}\n{}",
-                shortest_result.breaches,
+                shortest_result.violations,
                 shortest.faults,
                 shortest_result.history.text()
             );
@@ -92,7 +92,7 @@
             results.any(|result| {
                 result.is_err()
                     || result.is_ok_and(|run| {
-                        run.breaches.iter().any(|violation| violation.contains(expected_text))
+                        run.violations.iter().any(|violation| violation.contains(expected_text))
                     })
             })
         };
@@ -116,10 +116,10 @@
         for seed in 1..=3 {
             let result = run_script(&script, seed, Mutation::None);
             assert!(
-                result.breaches.is_empty(),
+                result.violations.is_empty(),
                 "{} {seed}: {:#?}\n{}",
                 script.name,
-                result.breaches,
+                result.violations,
                 result.history.text()
             );
         }
@@ -134,12 +134,12 @@
     for seed in 0..60 {
         let script = Script::random_with_disks(seed, 5, 3);
         let result = run_script(&script, seed, Mutation::None);
-        if !result.breaches.is_empty() {
+        if !result.violations.is_empty() {
             let shortest = shrink_script(&script, seed, Mutation::None);
             let shortest_result = run_script(&shortest, seed, Mutation::None);
             panic!(
                 "seed {seed}: {:#?}\n{:#?}\n{}",
-                shortest_result.breaches,
+                shortest_result.violations,
                 shortest.faults,
                 shortest_result.history.text()
             );
@@ -167,14 +167,14 @@
     (script.has_disks, script.duration) = (true, seconds(40.0));
     for seed in 1..=3 {
         let result = run_script(&script, seed, Mutation::None);
-        assert!(result.breaches.is_empty(), "{seed}: {:#?}", result.breaches);
+        assert!(result.violations.is_empty(), "{seed}: {:#?}", result.violations);
     }
 }
 
 #[test]
 fn lagging_gateway_among_45_is_fenced_and_unfenced() {
     let result = run_script(&script_with_frozen_discovery(45, 3), 1, Mutation::None);
-    assert!(result.breaches.is_empty(), "{:#?}\n{}", result.breaches, result.history.text());
+    assert!(result.violations.is_empty(), "{:#?}\n{}", result.violations, result.history.text());
     assert_eq!((result.figures.time_to_fence_s.len(), result.figures.time_to_unfence_s.len()), (1, 1));
 }
 
@@ -189,7 +189,7 @@
     );
     script.duration = seconds(24.0);
     let result = run_script(&script, 1, Mutation::None);
-    assert!(result.breaches.is_empty(), "{:#?}", result.breaches);
+    assert!(result.violations.is_empty(), "{:#?}", result.violations);
     assert!(result.history.fenced_gateways().is_empty(), "{:?}", result.history.fenced_gateways());
 }
 
@@ -226,7 +226,7 @@
                 .collect();
             let (mut leaderless_s, mut in_session_fractions) = (Vec::new(), Vec::new());
             for result in &results {
-                assert!(result.breaches.is_empty(), "{:?}", result.breaches);
+                assert!(result.violations.is_empty(), "{:?}", result.violations);
                 leaderless_s.push(result.figures.leaderless_s);
                 in_session_fractions.push(result.figures.in_session_fraction);
             }
@@ -275,7 +275,7 @@
                     vec![fault(5.0 + 0.1 * seed as f64, 10.0, &[lost_gateway], None, kind.clone())],
                 );
                 let result = run_script(&script, seed, Mutation::None);
-                assert!(result.breaches.is_empty(), "{:?}", result.breaches);
+                assert!(result.violations.is_empty(), "{:?}", result.violations);
                 let lost_at = script.faults[0].start;
                 let records = &result.history.records;
                 let mut sessions_before = records
