--- a/crates/gateway/tests/whole.rs
+++ b/crates/gateway/tests/whole.rs
@@ -10,7 +10,8 @@
     let path = format!("{}/../testbed/fleet/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&path).expect("the script");
     let script = Script::parse(&path, &text).expect("as it should be");
-    let folder = live::folder_of(&script, 1, Path::new(env!("CARGO_TARGET_TMPDIR"))).expect("a folder");
+    let folder =
+        live::create_run_folder(&script, 1, Path::new(env!("CARGO_TARGET_TMPDIR"))).expect("a folder");
     let program = Path::new(env!("CARGO_BIN_EXE_weldworks-gateway"));
     let (report, told) = live::run_script(&script, 1, program, &folder).expect("it can be played");
     assert!(report.violations.is_empty(), "{:#?}\n{}", report.violations, told.join("\n"));
--- a/crates/testbed/src/fleet_scenario/live.rs
+++ b/crates/testbed/src/fleet_scenario/live.rs
@@ -824,7 +824,7 @@
 ///
 /// # Errors
 /// If the folder can't be created.
-pub fn folder_of(script: &Script, seed: u64, under: &Path) -> io::Result<PathBuf> {
+pub fn create_run_folder(script: &Script, seed: u64, under: &Path) -> io::Result<PathBuf> {
     let folder = under.join(format!("whole-{}-{seed}-{}", script.name, std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder)?;
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -291,7 +291,7 @@
                 (played.violations, report, played.history.text())
             } else {
                 let program = named.map_or_else(program, Ok)?;
-                let folder = fleet_scenario::live::folder_of(&script, seed, &std::env::temp_dir())?;
+                let folder = fleet_scenario::live::create_run_folder(&script, seed, &std::env::temp_dir())?;
                 let played = fleet_scenario::live::run_script(&script, seed, &program, &folder);
                 let _ = std::fs::remove_dir_all(&folder); // what is left there harms nobody
                 let (report, told) = played?;
