--- a/crates/testbed/src/fleet_scenario/checker.rs
+++ b/crates/testbed/src/fleet_scenario/checker.rs
@@ -168,7 +168,7 @@
                 ));
             }
         }
-        figures.asked = requests.len();
+        figures.requests_sent = requests.len();
         figures.served_fraction = requests.iter().filter(|request| request.status == Some(200)).count()
             as f64
             / requests.len().max(1) as f64;
--- a/crates/testbed/src/fleet_scenario/live.rs
+++ b/crates/testbed/src/fleet_scenario/live.rs
@@ -60,7 +60,8 @@
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Figures {
     /// Number of requests that clients sent.
-    pub asked: usize,
+    #[serde(rename = "asked")]
+    pub requests_sent: usize,
     /// Fraction of the requests that were served.
     #[serde(rename = "served")]
     pub served_fraction: f64,
