--- a/crates/testbed/src/fleet_scenario/history.rs
+++ b/crates/testbed/src/fleet_scenario/history.rs
@@ -180,7 +180,7 @@
     }
 
     /// The history as text for a reader, without the applied log entries.
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         let mut text = String::new();
         for record in &self.records {
             let description = match &record.observation {
--- a/crates/testbed/src/fleet_scenario/live.rs
+++ b/crates/testbed/src/fleet_scenario/live.rs
@@ -168,7 +168,7 @@
         let figures = run.figures.borrow().clone();
         let report = Report { script: script.name.clone(), seed, violations, figures };
         run.stop_processes().await;
-        let history_text = run.history.borrow().text();
+        let history_text = run.history.borrow().to_text();
         let mut lines: Vec<String> = history_text.lines().map(str::to_owned).collect();
         lines.extend(run.logs.borrow().iter().cloned());
         Ok((report, lines))
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -288,7 +288,7 @@
                 let report = serde_json::json!({
                     "script": script.name, "seed": seed, "breaches": played.violations, "figures": played.figures,
                 });
-                (played.violations, report, played.history.text())
+                (played.violations, report, played.history.to_text())
             } else {
                 let program = named.map_or_else(program, Ok)?;
                 let folder = fleet_scenario::live::create_run_folder(&script, seed, &std::env::temp_dir())?;
--- a/crates/testbed/tests/fleet_scenarios.rs
+++ b/crates/testbed/tests/fleet_scenarios.rs
@@ -19,7 +19,7 @@
                 "seed {seed}: {:#?}\n{:#?}\n{}",
                 shortest_result.violations,
                 shortest.faults,
-                shortest_result.history.text()
+                shortest_result.history.to_text()
             );
         }
     }
@@ -120,7 +120,7 @@
                 "{} {seed}: {:#?}\n{}",
                 script.name,
                 result.violations,
-                result.history.text()
+                result.history.to_text()
             );
         }
         script_count += 1;
@@ -141,7 +141,7 @@
                 "seed {seed}: {:#?}\n{:#?}\n{}",
                 shortest_result.violations,
                 shortest.faults,
-                shortest_result.history.text()
+                shortest_result.history.to_text()
             );
         }
     }
@@ -174,7 +174,7 @@
 #[test]
 fn lagging_gateway_among_45_is_fenced_and_unfenced() {
     let result = run_script(&script_with_frozen_discovery(45, 3), 1, Mutation::None);
-    assert!(result.violations.is_empty(), "{:#?}\n{}", result.violations, result.history.text());
+    assert!(result.violations.is_empty(), "{:#?}\n{}", result.violations, result.history.to_text());
     assert_eq!((result.figures.time_to_fence_s.len(), result.figures.time_to_unfence_s.len()), (1, 1));
 }
 
