--- a/crates/gateway/tests/whole.rs
+++ b/crates/gateway/tests/whole.rs
@@ -18,7 +18,11 @@
     for said in said {
         assert!(told.iter().any(|line| line.contains(said)), "nobody says {said:?}\n{}", told.join("\n"));
     }
-    assert!(report.figures.requests_sent > 1000 && report.figures.audited > 100, "{:?}", report.figures);
+    assert!(
+        report.figures.requests_sent > 1000 && report.figures.audited_steps > 100,
+        "{:?}",
+        report.figures
+    );
 }
 
 #[test]
