--- a/crates/testbed/src/endpoint_models.rs
+++ b/crates/testbed/src/endpoint_models.rs
@@ -2,7 +2,7 @@
 
 use crate::ledger::{ClassTerms, Ledger};
 use crate::model::{Memories, Node, NodeSpec, Repeats, Report, ReportSpec};
-use crate::random_variates::{Draws, For};
+use crate::random_variates::{For, RandomStreams};
 use crate::register::Deed;
 use crate::script::Script;
 use std::cell::RefCell;
@@ -27,7 +27,7 @@
     kinds
 }
 
-fn endpoint_spec(script: &Script, draws: Draws, endpoint: usize, kind: usize) -> NodeSpec {
+fn endpoint_spec(script: &Script, draws: RandomStreams, endpoint: usize, kind: usize) -> NodeSpec {
     let kind = &script.fleet.kinds[kind];
     let mut random = draws.stream(For::Build, endpoint as u64);
     let duration_in =
@@ -41,7 +41,7 @@
 }
 
 /// Models of all endpoints, up and warm.
-pub fn nodes(script: &Script, draws: Draws) -> Vec<Node> {
+pub fn nodes(script: &Script, draws: RandomStreams) -> Vec<Node> {
     let kinds = kinds(script);
     let fleet_repeats = Rc::<RefCell<Repeats>>::default();
     let mut zone_repeats: Vec<Rc<RefCell<Repeats>>> = Vec::new();
--- a/crates/testbed/src/fleet_scenario/virtual_time.rs
+++ b/crates/testbed/src/fleet_scenario/virtual_time.rs
@@ -3,7 +3,7 @@
 
 use super::history::{Figures, History, Observation};
 use super::script::{Fault, FaultKind, Script, Target};
-use crate::random_variates::{Draws, For, Stream};
+use crate::random_variates::{For, RandomStreams, Stream};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
@@ -110,7 +110,7 @@
 struct FleetSimulation<'a> {
     script: &'a Script,
     mutation: Mutation,
-    random_streams: Draws,
+    random_streams: RandomStreams,
     random: Stream,
     now: Duration,
     last_event_id: u64,
@@ -141,7 +141,7 @@
 
 /// Runs a script in virtual time.
 pub fn run_script(script: &Script, seed: u64, mutation: Mutation) -> RunResult {
-    let random_streams = Draws::new(seed);
+    let random_streams = RandomStreams::new(seed);
     let mut simulation = FleetSimulation {
         script,
         mutation,
--- a/crates/testbed/src/live/mod.rs
+++ b/crates/testbed/src/live/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::ledger::Ledger;
 use crate::plan::Asked;
-use crate::random_variates::Draws;
+use crate::random_variates::RandomStreams;
 use crate::report::{Counts, Sample};
 use crate::script::Script;
 use rustc_hash::FxHashMap;
@@ -45,7 +45,7 @@
     /// The script.
     pub script: Script,
     /// The draws of its seed.
-    pub draws: Draws,
+    pub draws: RandomStreams,
     /// How many gateways there are.
     pub gateways: usize,
     /// The first tries.
@@ -67,7 +67,7 @@
 impl Day {
     /// A day that has not begun.
     pub fn new(script: &Script, seed: u64, gateways: usize) -> Day {
-        let draws = Draws::new(seed);
+        let draws = RandomStreams::new(seed);
         Day {
             script: script.clone(),
             draws,
--- a/crates/testbed/src/model/node.rs
+++ b/crates/testbed/src/model/node.rs
@@ -9,7 +9,7 @@
 use super::repeats::{Meeting, Repeats};
 use super::reports::{Report, Reports};
 use super::spec::{NodeSpec, WarmBy};
-use crate::random_variates::{Draws, For, Stream};
+use crate::random_variates::{For, RandomStreams, Stream};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -166,7 +166,7 @@
 pub struct Node {
     number: u64,
     spec: NodeSpec,
-    draws: Draws,
+    draws: RandomStreams,
     memories: Memories,
     state: State,
     now: f64,
@@ -206,7 +206,7 @@
 
 impl Node {
     /// A node that has been up and warm for long.
-    pub fn new(number: u64, spec: NodeSpec, draws: Draws, memories: Memories, now: Duration) -> Node {
+    pub fn new(number: u64, spec: NodeSpec, draws: RandomStreams, memories: Memories, now: Duration) -> Node {
         let t = now.as_secs_f64();
         let mut pauses = spec.pause.map(|p| (draws.stream(For::Pause, number), p.every.as_secs_f64()));
         let pauses = pauses.take().map(|(mut s, every)| {
--- a/crates/testbed/src/model/reports.rs
+++ b/crates/testbed/src/model/reports.rs
@@ -1,7 +1,7 @@
 //! What a node tells of its load: refreshed now and then, late, a little noisy.
 
 use super::spec::ReportSpec;
-use crate::random_variates::{Draws, For};
+use crate::random_variates::{For, RandomStreams};
 use std::collections::VecDeque;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub struct Reports {
     spec: ReportSpec,
-    draws: Draws,
+    draws: RandomStreams,
     node: u64,
     next: u64,
     phase: Duration,
@@ -30,7 +30,7 @@
 
 impl Reports {
     /// The reports of a node, the first one due within a period.
-    pub fn new(spec: ReportSpec, draws: Draws, node: u64, now: Duration) -> Reports {
+    pub fn new(spec: ReportSpec, draws: RandomStreams, node: u64, now: Duration) -> Reports {
         let phase = now + spec.period.mul_f64(draws.stream(For::Report, node).even());
         Reports {
             spec,
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -4,7 +4,7 @@
 //! request, so a retry of a heavy one is as heavy, in every run.
 
 use crate::model::Distribution;
-use crate::random_variates::{Draws, For};
+use crate::random_variates::{For, RandomStreams};
 use crate::script::{Class, Event, Script, Shape, What, Whom, OVER_SHARE_WORTH};
 use rand_distr::{Distribution as _, Zipf};
 use std::time::Duration;
@@ -45,13 +45,13 @@
 
 impl Asked {
     /// The number of a try of it, counted from 0: never 0 itself, and the same in every run of a seed.
-    pub fn number(&self, draws: Draws, attempt: u32) -> u64 {
+    pub fn number(&self, draws: RandomStreams, attempt: u32) -> u64 {
         draws.number(For::Number, self.place as u64 * TRIES + u64::from(attempt)) | 1
     }
 }
 
 /// The work of one attempt at a node: what the request costs, a little more or less there.
-pub fn attempt_seconds(draws: Draws, class: &Class, asked: &Asked, node: u64) -> f64 {
+pub fn attempt_seconds(draws: RandomStreams, class: &Class, asked: &Asked, node: u64) -> f64 {
     asked.seconds
         * draws.stream_of_two(For::Attempt, asked.place as u64, node).log_normal(class.attempt_spread)
 }
@@ -73,7 +73,7 @@
 }
 
 /// The nodes that an event meets.
-pub fn met(script: &Script, draws: Draws, event: usize) -> Vec<usize> {
+pub fn met(script: &Script, draws: RandomStreams, event: usize) -> Vec<usize> {
     let all = 0..script.fleet.nodes;
     match &script.events[event].whom {
         Whom::All => all.collect(),
@@ -92,7 +92,7 @@
 }
 
 /// All first tries of the day, in order.
-pub fn plan(script: &Script, draws: Draws) -> Vec<Asked> {
+pub fn plan(script: &Script, draws: RandomStreams) -> Vec<Asked> {
     let mut stream = draws.stream(For::Arrivals, 0);
     // Arrivals are thinned from the highest rate of the day, so that its shape moves none of the others' draws.
     let steps = 2000;
--- a/crates/testbed/src/random_variates.rs
+++ b/crates/testbed/src/random_variates.rs
@@ -46,14 +46,14 @@
 
 /// The random streams of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Draws {
+pub struct RandomStreams {
     seed: u64,
 }
 
-impl Draws {
+impl RandomStreams {
     /// The random streams of the run with this seed.
-    pub fn new(seed: u64) -> Draws {
-        Draws { seed: mix(seed ^ 0x9e37_79b9_7f4a_7c15) }
+    pub fn new(seed: u64) -> RandomStreams {
+        RandomStreams { seed: mix(seed ^ 0x9e37_79b9_7f4a_7c15) }
     }
 
     /// The stream of one purpose and one subject, which is identified by a number such as that of a request.
--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/register.rs
@@ -5,7 +5,7 @@
 
 use crate::ledger::Told;
 use crate::plan::met;
-use crate::random_variates::{Draws, For};
+use crate::random_variates::{For, RandomStreams};
 use crate::script::{Script, What};
 use std::time::Duration;
 
@@ -86,7 +86,7 @@
 }
 
 /// Everything that a script does to nodes, in order of time.
-pub fn deeds(script: &Script, draws: Draws) -> Vec<(Duration, usize, Deed)> {
+pub fn deeds(script: &Script, draws: RandomStreams) -> Vec<(Duration, usize, Deed)> {
     let mut deeds = Vec::new();
     for (n, event) in script.events.iter().enumerate() {
         let (from, until) = (event.at, event.until());
@@ -155,7 +155,7 @@
 
 impl Register {
     /// The register of a script.
-    pub fn new(script: &Script, draws: Draws) -> Register {
+    pub fn new(script: &Script, draws: RandomStreams) -> Register {
         let mut changes = Vec::new();
         let mut notices = 0;
         let mut notice = |range: (Duration, Duration)| {
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -12,7 +12,7 @@
 use crate::model::{Answer, Node, Output, State, Work};
 use crate::plain::Plain;
 use crate::plan::{attempt_seconds, plan, Asked};
-use crate::random_variates::{Draws, For};
+use crate::random_variates::{For, RandomStreams};
 use crate::register::{deeds, Deed, List, Register};
 use crate::report::{back, fresh, service, tallies, Counts, Report, Runner, Sample};
 use crate::script::Script;
@@ -210,7 +210,7 @@
 
 struct World<'s> {
     script: &'s Script,
-    draws: Draws,
+    draws: RandomStreams,
     now: Duration,
     due: BinaryHeap<Due>,
     order: u64,
@@ -279,7 +279,7 @@
     minds: Minds,
 ) -> Result<(Report, Cost), SimulateError> {
     let count = gateways.unwrap_or(script.fleet.gateways);
-    let mut world = World::new(script, Draws::new(seed), count, storm, minds)?;
+    let mut world = World::new(script, RandomStreams::new(seed), count, storm, minds)?;
     let end = script.end();
     while let Some(next) = world.due.pop() {
         if next.at > end {
@@ -294,7 +294,7 @@
 impl<'s> World<'s> {
     fn new(
         script: &'s Script,
-        draws: Draws,
+        draws: RandomStreams,
         count: usize,
         storm: Option<StormSettings>,
         minds: Minds,
--- a/crates/testbed/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -8,7 +8,7 @@
     Answer, Budget, ChokeSpec, Memories, Node, NodeSpec, Output, PauseSpec, Refusal, Repeats, State, WarmBy,
     Work,
 };
-use weldworks_testbed::random_variates::{Draws, For};
+use weldworks_testbed::random_variates::{For, RandomStreams};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -21,7 +21,7 @@
 }
 
 fn node(spec: NodeSpec) -> Node {
-    Node::new(0, spec, Draws::new(7), Memories::default(), Duration::ZERO)
+    Node::new(0, spec, RandomStreams::new(7), Memories::default(), Duration::ZERO)
 }
 
 /// Lets time pass step by step and gives what comes out, each with its time.
@@ -62,7 +62,7 @@
     for (servers, load, requests) in [(2, 0.5, 200_000), (2, 0.8, 400_000), (4, 0.7, 300_000)] {
         let queue = 1_000_000;
         let mut node = node(NodeSpec { cores: servers, slots: servers, queue, ..NodeSpec::default() });
-        let mut draws = Draws::new(11).stream(For::Arrivals, u64::from(servers));
+        let mut draws = RandomStreams::new(11).stream(For::Arrivals, u64::from(servers));
         let (service, mut at) = (0.05, 0.0);
         let (mut came, mut waited, mut began) = (HashMap::new(), 0.0, 0u32);
         let mut book = |out: Vec<(Duration, Output)>, came: &mut HashMap<u64, Duration>| {
@@ -198,7 +198,9 @@
     // Two nodes of one rack, and a third of another.
     let (rack, all) = (Memories::default(), Memories::default());
     let other = Memories { all: rack.all.clone(), ..all };
-    let of = |memories: &Memories| Node::new(0, NodeSpec::default(), Draws::new(1), memories.clone(), ms(0));
+    let of = |memories: &Memories| {
+        Node::new(0, NodeSpec::default(), RandomStreams::new(1), memories.clone(), ms(0))
+    };
     let mut nodes = [of(&rack), of(&rack), of(&other)];
     let mut ask = |n: usize, at: Duration, key: u64, group: KeyScope| {
         let (id, node) = (at.as_millis() as u64 + key * 1_000_000, &mut nodes[n]);
@@ -234,7 +236,7 @@
     let mut failing = Node::new(
         0,
         NodeSpec { error_rate: 1.0, ..NodeSpec::default() },
-        Draws::new(7),
+        RandomStreams::new(7),
         Memories::default(),
         Duration::ZERO,
     );
@@ -350,7 +352,7 @@
     let mut paused = Node::new(
         3,
         NodeSpec { pause: Some(pause), ..NodeSpec::default() },
-        Draws::new(1),
+        RandomStreams::new(1),
         Memories::default(),
         ms(0),
     );
@@ -462,7 +464,7 @@
         let pause = Some(PauseSpec { every: ms(700), lasts: ms(40), grows: 1.0 });
         let spec = NodeSpec { slots: 3, queue: 2, connections: 12, handshake: 0.002, choke, pause,
             keep_alive: ms(900), error_rate: 0.1, ..NodeSpec::default() };
-        let mut node = Node::new(1, spec, Draws::new(seed), Memories::default(), Duration::ZERO);
+        let mut node = Node::new(1, spec, RandomStreams::new(seed), Memories::default(), Duration::ZERO);
         let (mut now, mut ids) = (Duration::ZERO, 0u64);
         let (mut open, mut out): (Vec<u64>, HashMap<u64, u64>) = (Vec::new(), HashMap::new());
         let mut ended = HashSet::new();
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -6,7 +6,7 @@
 use weldworks_control::retry_storm::StormSettings;
 use weldworks_testbed::ledger::Rule;
 use weldworks_testbed::plan::{met, plan};
-use weldworks_testbed::random_variates::Draws;
+use weldworks_testbed::random_variates::RandomStreams;
 use weldworks_testbed::report::Report;
 use weldworks_testbed::script::Script;
 use weldworks_testbed::simulate::{simulate, simulate_with, Minds};
@@ -106,7 +106,7 @@
     let calm = script("name = \"a\"\nlasts = \"5s\"");
     let rough =
         script("name = \"a\"\nlasts = \"5s\"\n[[event]]\nat = \"1s\"\nwhat = \"kill\"\nshare = 0.5\n");
-    let draws = Draws::new(9);
+    let draws = RandomStreams::new(9);
     let (one, other) = (plan(&calm, draws), plan(&rough, draws));
     assert_eq!(one, other, "what nodes do moves no request");
     let numbers: HashSet<u64> = one.iter().flat_map(|a| (0..4).map(|t| a.number(draws, t))).collect();
@@ -121,7 +121,7 @@
 fn a_surge_multiplies_the_load_while_it_lasts() {
     let surge =
         "name = \"a\"\nlasts = \"9s\"\n[[event]]\nat = \"3s\"\nlasts = \"3s\"\nwhat = \"surge\"\ntimes = 3\n";
-    let day = plan(&script(surge), Draws::new(1));
+    let day = plan(&script(surge), RandomStreams::new(1));
     let third = |n: u64| day.iter().filter(|a| a.at.as_secs() / 3 == n).count() as f64;
     let times = third(1) / ((third(0) + third(2)) / 2.0);
     assert!((2.6..3.4).contains(&times), "{times}");
@@ -202,7 +202,7 @@
         if let Ok(mut script) = Script::parse(file, &lines.join("\n")) {
             script.lasts = script.lasts.min(std::time::Duration::from_secs(1));
             script.load.rate = script.load.rate.min(50.0);
-            prop_assert!(plan(&script, Draws::new(1)).len() < 10_000);
+            prop_assert!(plan(&script, RandomStreams::new(1)).len() < 10_000);
         }
     }
 }
