--- a/crates/testbed/src/endpoint_models.rs
+++ b/crates/testbed/src/endpoint_models.rs
@@ -2,7 +2,7 @@
 
 use crate::ledger::{ClassTerms, Ledger};
 use crate::model::{Memories, Node, NodeSpec, Repeats, Report, ReportSpec};
-use crate::random_variates::{For, RandomStreams};
+use crate::random_variates::{Purpose, RandomStreams};
 use crate::register::Deed;
 use crate::script::Script;
 use std::cell::RefCell;
@@ -29,7 +29,7 @@
 
 fn endpoint_spec(script: &Script, draws: RandomStreams, endpoint: usize, kind: usize) -> NodeSpec {
     let kind = &script.fleet.kinds[kind];
-    let mut random = draws.stream(For::Build, endpoint as u64);
+    let mut random = draws.stream(Purpose::EndpointProperties, endpoint as u64);
     let duration_in =
         |range: (Duration, Duration), fraction: f64| range.0 + (range.1 - range.0).mul_f64(fraction);
     let speed = random.within(kind.speed);
--- a/crates/testbed/src/fleet_scenario/script.rs
+++ b/crates/testbed/src/fleet_scenario/script.rs
@@ -267,7 +267,7 @@
     /// killed, and whenever, no agreed entry may be lost.
     pub fn random_with_disks(seed: u64, gateway_count: usize, voter_count: usize) -> Script {
         let mut script = Script::random(seed, gateway_count, voter_count);
-        let mut random = RandomStreams::new(seed).stream(crate::random_variates::For::Event, 1);
+        let mut random = RandomStreams::new(seed).stream(crate::random_variates::Purpose::ScriptedEvent, 1);
         let ms = |count: usize| Duration::from_millis(count as u64);
         for _ in 0..3 + random.below(6) {
             let (start, duration) = (ms(100 + random.below(16_000)), Some(ms(20 + random.below(2500))));
@@ -292,7 +292,7 @@
     /// A script with random faults, determined by `seed`, for searching violations. All faults end within the first two thirds of the
     /// script, so that the rest of it shows the recovery.
     pub fn random(seed: u64, gateway_count: usize, voter_count: usize) -> Script {
-        let mut random = RandomStreams::new(seed).stream(crate::random_variates::For::Event, 0);
+        let mut random = RandomStreams::new(seed).stream(crate::random_variates::Purpose::ScriptedEvent, 0);
         let duration = Duration::from_secs(30);
         let mut below = |end: usize| random.below(end);
         let ms = |count: usize| Duration::from_millis(count as u64);
--- a/crates/testbed/src/fleet_scenario/virtual_time.rs
+++ b/crates/testbed/src/fleet_scenario/virtual_time.rs
@@ -3,7 +3,7 @@
 
 use super::history::{Figures, History, Observation};
 use super::script::{Fault, FaultKind, Script, Target};
-use crate::random_variates::{For, RandomStreams, Stream};
+use crate::random_variates::{Purpose, RandomStreams, Stream};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
@@ -146,7 +146,7 @@
         script,
         mutation,
         random_streams,
-        random: random_streams.stream(For::Network, 1),
+        random: random_streams.stream(Purpose::NetworkDelay, 1),
         now: Duration::ZERO,
         last_event_id: 0,
         queue: BinaryHeap::new(),
@@ -252,14 +252,17 @@
         }
         let process = match self.mutation {
             Mutation::ForgottenVotes => Incarnation(gateway as u64 + 1),
-            _ => Incarnation(self.random_streams.number(For::Gateway, (gateway * 1000 + number) as u64) | 1),
+            _ => Incarnation(
+                self.random_streams.number(Purpose::GatewaySeed, (gateway * 1000 + number) as u64) | 1,
+            ),
         };
         let list_index = if self.frozen_discovery.contains(&gateway) {
             self.newest_list_index.saturating_sub(1)
         } else {
             self.newest_list_index
         };
-        let seed = self.random_streams.number(For::Gateway, 7_000_000 + (gateway * 1000 + number) as u64);
+        let seed =
+            self.random_streams.number(Purpose::GatewaySeed, 7_000_000 + (gateway * 1000 + number) as u64);
         let stored_records = self.disks[gateway].clone();
         // Without a disk each process is a voter of its own; with a disk a process continues as the voter that first used the disk.
         let voter = if self.script.has_disks { Incarnation(gateway as u64 + 1) } else { process };
--- a/crates/testbed/src/model/node.rs
+++ b/crates/testbed/src/model/node.rs
@@ -9,7 +9,7 @@
 use super::repeats::{Meeting, Repeats};
 use super::reports::{Report, Reports};
 use super::spec::{NodeSpec, WarmBy};
-use crate::random_variates::{For, RandomStreams, Stream};
+use crate::random_variates::{Purpose, RandomStreams, Stream};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -208,7 +208,8 @@
     /// A node that has been up and warm for long.
     pub fn new(number: u64, spec: NodeSpec, draws: RandomStreams, memories: Memories, now: Duration) -> Node {
         let t = now.as_secs_f64();
-        let mut pauses = spec.pause.map(|p| (draws.stream(For::Pause, number), p.every.as_secs_f64()));
+        let mut pauses =
+            spec.pause.map(|p| (draws.stream(Purpose::EndpointPauses, number), p.every.as_secs_f64()));
         let pauses = pauses.take().map(|(mut s, every)| {
             let first = t + s.exponential() * every;
             (s, first)
@@ -506,7 +507,7 @@
         }
         let seconds = work.seconds;
         let fails = {
-            let mut draws = self.draws.stream_of_two(For::Failure, work.request, self.number);
+            let mut draws = self.draws.stream_of_two(Purpose::AttemptFailure, work.request, self.number);
             let (at_once, at_the_end) = (draws.chance(self.failing), draws.chance(self.spec.error_rate));
             (at_once, at_the_end)
         };
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -4,7 +4,7 @@
 //! request, so a retry of a heavy one is as heavy, in every run.
 
 use crate::model::Distribution;
-use crate::random_variates::{For, RandomStreams};
+use crate::random_variates::{Purpose, RandomStreams};
 use crate::script::{Class, Event, Script, Shape, What, Whom, OVER_SHARE_WORTH};
 use rand_distr::{Distribution as _, Zipf};
 use std::time::Duration;
@@ -46,14 +46,14 @@
 impl Asked {
     /// The number of a try of it, counted from 0: never 0 itself, and the same in every run of a seed.
     pub fn number(&self, draws: RandomStreams, attempt: u32) -> u64 {
-        draws.number(For::Number, self.place as u64 * TRIES + u64::from(attempt)) | 1
+        draws.number(Purpose::RequestId, self.place as u64 * TRIES + u64::from(attempt)) | 1
     }
 }
 
 /// The work of one attempt at a node: what the request costs, a little more or less there.
 pub fn attempt_seconds(draws: RandomStreams, class: &Class, asked: &Asked, node: u64) -> f64 {
     asked.seconds
-        * draws.stream_of_two(For::Attempt, asked.place as u64, node).log_normal(class.attempt_spread)
+        * draws.stream_of_two(Purpose::AttemptCost, asked.place as u64, node).log_normal(class.attempt_spread)
 }
 
 /// The load at a time, as a multiple of the mean.
@@ -81,8 +81,9 @@
         Whom::Zone(zone) => all.filter(|&n| script.zone_of(n) == *zone).collect(),
         Whom::Share(share) => {
             let count = (share * script.fleet.nodes as f64).round() as usize;
-            let mut drawn: Vec<_> =
-                all.map(|n| (draws.stream_of_two(For::Event, event as u64, n as u64).even(), n)).collect();
+            let mut drawn: Vec<_> = all
+                .map(|n| (draws.stream_of_two(Purpose::ScriptedEvent, event as u64, n as u64).even(), n))
+                .collect();
             drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
             let mut met: Vec<_> = drawn.into_iter().take(count).map(|(_, n)| n).collect();
             met.sort_unstable();
@@ -93,7 +94,7 @@
 
 /// All first tries of the day, in order.
 pub fn plan(script: &Script, draws: RandomStreams) -> Vec<Asked> {
-    let mut stream = draws.stream(For::Arrivals, 0);
+    let mut stream = draws.stream(Purpose::Arrivals, 0);
     // Arrivals are thinned from the highest rate of the day, so that its shape moves none of the others' draws.
     let steps = 2000;
     let peak = (0..=steps).map(|n| shape(script, script.lasts * n / steps)).fold(0.0, f64::max).max(1e-9);
@@ -120,7 +121,7 @@
         }
         let place = day.len();
         let spec = &script.classes[class];
-        let mut work = draws.stream(For::Work, place as u64);
+        let mut work = draws.stream(Purpose::RequestWork, place as u64);
         let mut seconds = spec.work.as_secs_f64();
         seconds *= match spec.distribution {
             Distribution::Fixed => 1.0,
@@ -144,7 +145,7 @@
         filled = at;
         let in_share = buckets[tenant] >= 1.0;
         buckets[tenant] -= f64::from(u8::from(in_share));
-        let mut habits = draws.stream(For::Habits, place as u64);
+        let mut habits = draws.stream(Purpose::ClientBehaviour, place as u64);
         let patience = spec.deadline.mul_f64(habits.within(script.clients.try_share));
         day.push(Asked {
             place,
--- a/crates/testbed/src/random_variates.rs
+++ b/crates/testbed/src/random_variates.rs
@@ -11,37 +11,37 @@
 
 /// The purpose of a random stream. Its number is part of the stream's seed and therefore never changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum For {
+pub enum Purpose {
     /// All arrivals of a run: times, classes, tenants, idempotency keys.
     Arrivals = 1,
     /// The work of a request.
-    Work = 2,
+    RequestWork = 2,
     /// The behaviour of a client, such as its timeout and whether it observes `Retry-After`.
-    Habits = 3,
+    ClientBehaviour = 3,
     /// How much more or less a request costs at one endpoint than at another.
-    Attempt = 4,
+    AttemptCost = 4,
     /// Whether a failing endpoint fails an attempt.
-    Failure = 5,
+    AttemptFailure = 5,
     /// Properties of an endpoint: its kind, its speed and the phase of its load reports.
-    Build = 6,
+    EndpointProperties = 6,
     /// The pauses of an endpoint.
-    Pause = 7,
+    EndpointPauses = 7,
     /// The noise of one load report.
-    Report = 8,
+    LoadReportNoise = 8,
     /// When a noisy neighbour of an endpoint starts and stops.
-    Neighbour = 9,
+    NoisyNeighbour = 9,
     /// The network delay of one message.
-    Network = 10,
+    NetworkDelay = 10,
     /// Which endpoints a scripted event affects.
-    Event = 11,
+    ScriptedEvent = 11,
     /// The delay until discovery reports a change.
-    Register = 12,
+    DiscoveryDelay = 12,
     /// The seed of a gateway's own random numbers.
-    Gateway = 13,
+    GatewaySeed = 13,
     /// The identifier of a request.
-    Number = 14,
+    RequestId = 14,
     /// The jitter of a gateway's `Retry-After` schedule.
-    Advice = 15,
+    RetryAfterJitter = 15,
 }
 
 /// The random streams of a run.
@@ -57,18 +57,18 @@
     }
 
     /// The stream of one purpose and one subject, which is identified by a number such as that of a request.
-    pub fn stream(&self, purpose: For, subject: u64) -> Stream {
+    pub fn stream(&self, purpose: Purpose, subject: u64) -> Stream {
         let seed = mix(self.seed ^ mix((purpose as u64) << 56 ^ subject));
         Stream(Pcg64Mcg::seed_from_u64(seed))
     }
 
     /// The stream for a pair of subjects, such as a request and an endpoint.
-    pub fn stream_of_two(&self, purpose: For, first: u64, second: u64) -> Stream {
+    pub fn stream_of_two(&self, purpose: Purpose, first: u64, second: u64) -> Stream {
         self.stream(purpose, mix(first) ^ mix(second.wrapping_add(0x5bd1_e995)))
     }
 
     /// A 64-bit random number for one purpose and subject.
-    pub fn number(&self, purpose: For, subject: u64) -> u64 {
+    pub fn number(&self, purpose: Purpose, subject: u64) -> u64 {
         self.stream(purpose, subject).0.next_u64()
     }
 }
--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/register.rs
@@ -5,7 +5,7 @@
 
 use crate::ledger::Told;
 use crate::plan::met;
-use crate::random_variates::{For, RandomStreams};
+use crate::random_variates::{Purpose, RandomStreams};
 use crate::script::{Script, What};
 use std::time::Duration;
 
@@ -114,7 +114,7 @@
                     deeds.push((at + gone, node, Deed::Start));
                 }
                 What::Neighbour { takes, turns } => {
-                    let mut stream = draws.stream_of_two(For::Neighbour, n as u64, node as u64);
+                    let mut stream = draws.stream_of_two(Purpose::NoisyNeighbour, n as u64, node as u64);
                     let range = (turns.0.as_secs_f64(), turns.1.as_secs_f64());
                     let (mut at, mut on) = (from, true);
                     let end = until.unwrap_or(script.lasts);
@@ -160,7 +160,7 @@
         let mut notices = 0;
         let mut notice = |range: (Duration, Duration)| {
             notices += 1;
-            let mut stream = draws.stream(For::Register, notices);
+            let mut stream = draws.stream(Purpose::DiscoveryDelay, notices);
             Duration::from_secs_f64(stream.within((range.0.as_secs_f64(), range.1.as_secs_f64())))
         };
         let mut started = vec![None; script.fleet.nodes];
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -3,7 +3,7 @@
 use super::{front, there, Happening, Mind, World};
 use crate::client::Seen;
 use crate::plain::Plain;
-use crate::random_variates::For;
+use crate::random_variates::Purpose;
 use weldworks_balancer::parse_settings;
 use weldworks_balancer::Balancer;
 
@@ -75,14 +75,14 @@
             }
             let (script, draws) = (self.script, self.draws);
             let life = self.gateways[g].life + 1;
-            let seed = draws.number(For::Gateway, g as u64).wrapping_add(u64::from(life));
+            let seed = draws.number(Purpose::GatewaySeed, g as u64).wrapping_add(u64::from(life));
             let settings = parse_settings(&script.settings(g, count).to_string());
             // The same settings were read at the start of the day.
             let Ok(settings) = settings else { continue };
             let gateway = &mut self.gateways[g];
             gateway.mind = match gateway.mind {
                 Mind::Plain(_) => {
-                    Mind::Plain(Box::new(Plain::new(settings, draws.stream(For::Gateway, seed))))
+                    Mind::Plain(Box::new(Plain::new(settings, draws.stream(Purpose::GatewaySeed, seed))))
                 }
                 Mind::Module(_) => Mind::Module(Box::new(Balancer::new(settings, seed))),
             };
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -12,7 +12,7 @@
 use crate::model::{Answer, Node, Output, State, Work};
 use crate::plain::Plain;
 use crate::plan::{attempt_seconds, plan, Asked};
-use crate::random_variates::{For, RandomStreams};
+use crate::random_variates::{Purpose, RandomStreams};
 use crate::register::{deeds, Deed, List, Register};
 use crate::report::{back, fresh, service, tallies, Counts, Report, Runner, Sample};
 use crate::script::Script;
@@ -315,14 +315,15 @@
                         tenant_quotas: &settings.tenant_quotas,
                         gateway_count: settings.gateway_count,
                     };
-                    RetryStormControl::new(s, terms, draws.number(For::Advice, g as u64))
+                    RetryStormControl::new(s, terms, draws.number(Purpose::RetryAfterJitter, g as u64))
                 }),
                 mind: {
-                    let seed = draws.number(For::Gateway, g as u64);
+                    let seed = draws.number(Purpose::GatewaySeed, g as u64);
                     match minds {
-                        Minds::Plain => {
-                            Mind::Plain(Box::new(Plain::new(settings, draws.stream(For::Gateway, g as u64))))
-                        }
+                        Minds::Plain => Mind::Plain(Box::new(Plain::new(
+                            settings,
+                            draws.stream(Purpose::GatewaySeed, g as u64),
+                        ))),
                         _ => Mind::Module(Box::new(Balancer::new(settings, seed))),
                     }
                 },
@@ -400,7 +401,7 @@
 
     /// The way of a message: its draw belongs to what it is about.
     fn way(&self, base: Duration, whose: u64, hop: Hop) -> Duration {
-        let mut stream = self.draws.stream_of_two(For::Network, whose, hop as u64);
+        let mut stream = self.draws.stream_of_two(Purpose::NetworkDelay, whose, hop as u64);
         let jitter = (1.0 + self.script.network.jitter * stream.normal()).clamp(0.3, 4.0);
         base.mul_f64(jitter)
     }
--- a/crates/testbed/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -8,7 +8,7 @@
     Answer, Budget, ChokeSpec, Memories, Node, NodeSpec, Output, PauseSpec, Refusal, Repeats, State, WarmBy,
     Work,
 };
-use weldworks_testbed::random_variates::{For, RandomStreams};
+use weldworks_testbed::random_variates::{Purpose, RandomStreams};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -62,7 +62,7 @@
     for (servers, load, requests) in [(2, 0.5, 200_000), (2, 0.8, 400_000), (4, 0.7, 300_000)] {
         let queue = 1_000_000;
         let mut node = node(NodeSpec { cores: servers, slots: servers, queue, ..NodeSpec::default() });
-        let mut draws = RandomStreams::new(11).stream(For::Arrivals, u64::from(servers));
+        let mut draws = RandomStreams::new(11).stream(Purpose::Arrivals, u64::from(servers));
         let (service, mut at) = (0.05, 0.0);
         let (mut came, mut waited, mut began) = (HashMap::new(), 0.0, 0u32);
         let mut book = |out: Vec<(Duration, Output)>, came: &mut HashMap<u64, Duration>| {
