--- a/crates/testbed/src/fleet_scenario/virtual_time.rs
+++ b/crates/testbed/src/fleet_scenario/virtual_time.rs
@@ -3,7 +3,7 @@
 
 use super::history::{Figures, History, Observation};
 use super::script::{Fault, FaultKind, Script, Target};
-use crate::random_variates::{Purpose, RandomStreams, Stream};
+use crate::random_variates::{Purpose, RandomStream, RandomStreams};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
@@ -111,7 +111,7 @@
     script: &'a Script,
     mutation: Mutation,
     random_streams: RandomStreams,
-    random: Stream,
+    random: RandomStream,
     now: Duration,
     last_event_id: u64,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
--- a/crates/testbed/src/model/node.rs
+++ b/crates/testbed/src/model/node.rs
@@ -9,7 +9,7 @@
 use super::repeats::{Meeting, Repeats};
 use super::reports::{Report, Reports};
 use super::spec::{NodeSpec, WarmBy};
-use crate::random_variates::{Purpose, RandomStreams, Stream};
+use crate::random_variates::{Purpose, RandomStream, RandomStreams};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -189,7 +189,7 @@
     connections: FxHashMap<ConnectionId, Connection>,
     idle: BTreeSet<(u64, ConnectionId)>,
     open: usize,
-    pauses: Option<(Stream, f64)>,
+    pauses: Option<(RandomStream, f64)>,
     paused_until: Option<f64>,
     neighbour: f64,
     slowed: f64,
--- a/crates/testbed/src/plain.rs
+++ b/crates/testbed/src/plain.rs
@@ -3,7 +3,7 @@
 //! It keeps what classes ask of repeats and sends nothing to nodes that drain. Cold nodes get as much as warm ones, and what
 //! can't be dialled is held until its time is up: the ledger books both. Never part of the program.
 
-use crate::random_variates::Stream;
+use crate::random_variates::RandomStream;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 use weldworks_balancer::{
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct Plain {
     settings: Settings,
-    draws: Stream,
+    draws: RandomStream,
     hosts: FxHashMap<EndpointId, Endpoint>,
     up: Vec<EndpointId>,
     open: FxHashMap<RequestId, Open>,
@@ -37,7 +37,7 @@
 
 impl Plain {
     /// One that knows no host yet.
-    pub fn new(settings: Settings, draws: Stream) -> Plain {
+    pub fn new(settings: Settings, draws: RandomStream) -> Plain {
         let (hosts, up, open) = Default::default();
         Plain { settings, draws, hosts, up, open, asked: false }
     }
--- a/crates/testbed/src/random_variates.rs
+++ b/crates/testbed/src/random_variates.rs
@@ -57,13 +57,13 @@
     }
 
     /// The stream of one purpose and one subject, which is identified by a number such as that of a request.
-    pub fn stream(&self, purpose: Purpose, subject: u64) -> Stream {
+    pub fn stream(&self, purpose: Purpose, subject: u64) -> RandomStream {
         let seed = mix(self.seed ^ mix((purpose as u64) << 56 ^ subject));
-        Stream(Pcg64Mcg::seed_from_u64(seed))
+        RandomStream(Pcg64Mcg::seed_from_u64(seed))
     }
 
     /// The stream for a pair of subjects, such as a request and an endpoint.
-    pub fn stream_of_two(&self, purpose: Purpose, first: u64, second: u64) -> Stream {
+    pub fn stream_of_two(&self, purpose: Purpose, first: u64, second: u64) -> RandomStream {
         self.stream(purpose, mix(first) ^ mix(second.wrapping_add(0x5bd1_e995)))
     }
 
@@ -75,9 +75,9 @@
 
 /// A stream of random variates.
 #[derive(Clone, Debug)]
-pub struct Stream(Pcg64Mcg);
+pub struct RandomStream(Pcg64Mcg);
 
-impl Stream {
+impl RandomStream {
     /// Uniformly distributed, from 0 up to but not including 1.
     pub fn even(&mut self) -> f64 {
         self.0.random::<f64>()
