--- a/crates/testbed/src/endpoint_models.rs
+++ b/crates/testbed/src/endpoint_models.rs
@@ -32,9 +32,9 @@
     let mut random = draws.stream(Purpose::EndpointProperties, endpoint as u64);
     let duration_in =
         |range: (Duration, Duration), fraction: f64| range.0 + (range.1 - range.0).mul_f64(fraction);
-    let speed = random.within(kind.speed);
-    let period = duration_in(kind.report_every, random.even());
-    let late = duration_in(kind.report_late, random.even());
+    let speed = random.uniform_in(kind.speed);
+    let period = duration_in(kind.report_every, random.uniform());
+    let late = duration_in(kind.report_late, random.uniform());
     let noise = kind.spec.report.noise;
     let mean_work = script.mean_work();
     NodeSpec { speed, report: ReportSpec { period, late, noise }, mean_work, ..kind.spec.clone() }
--- a/crates/testbed/src/fleet_scenario/script.rs
+++ b/crates/testbed/src/fleet_scenario/script.rs
@@ -269,12 +269,13 @@
         let mut script = Script::random(seed, gateway_count, voter_count);
         let mut random = RandomStreams::new(seed).stream(crate::random_variates::Purpose::ScriptedEvent, 1);
         let ms = |count: usize| Duration::from_millis(count as u64);
-        for _ in 0..3 + random.below(6) {
-            let (start, duration) = (ms(100 + random.below(16_000)), Some(ms(20 + random.below(2500))));
-            let target = match random.below(4) {
+        for _ in 0..3 + random.uniform_below(6) {
+            let (start, duration) =
+                (ms(100 + random.uniform_below(16_000)), Some(ms(20 + random.uniform_below(2500))));
+            let target = match random.uniform_below(4) {
                 0 => Target::All,
                 1 => Target::Leader,
-                _ => Target::Gateways(vec![random.below(voter_count)]),
+                _ => Target::Gateways(vec![random.uniform_below(voter_count)]),
             };
             script.faults.push(Fault {
                 start,
@@ -294,7 +295,7 @@
     pub fn random(seed: u64, gateway_count: usize, voter_count: usize) -> Script {
         let mut random = RandomStreams::new(seed).stream(crate::random_variates::Purpose::ScriptedEvent, 0);
         let duration = Duration::from_secs(30);
-        let mut below = |end: usize| random.below(end);
+        let mut below = |end: usize| random.uniform_below(end);
         let ms = |count: usize| Duration::from_millis(count as u64);
         let fault_count = 2 + below(8);
         let mut faults = Vec::new();
--- a/crates/testbed/src/fleet_scenario/virtual_time.rs
+++ b/crates/testbed/src/fleet_scenario/virtual_time.rs
@@ -184,7 +184,7 @@
 
     fn run(&mut self) {
         for gateway in 0..self.script.gateway_count {
-            let delay = Duration::from_millis(self.random.below(200) as u64);
+            let delay = Duration::from_millis(self.random.uniform_below(200) as u64);
             self.schedule(delay, Event::StartProcess(gateway));
         }
         for (index, fault) in self.script.faults.iter().enumerate() {
@@ -244,7 +244,7 @@
         let mut settings = self.settings(gateway);
         let margin = self.script.clock_margin;
         // The rate of each clock is off by up to 0.99 of the clock margin, in either direction.
-        let mut clock_rate = 1.0 + margin * 0.99 * (2.0 * self.random.even() - 1.0);
+        let mut clock_rate = 1.0 + margin * 0.99 * (2.0 * self.random.uniform() - 1.0);
         match self.mutation {
             Mutation::ClocksBeyondMargin if gateway % 2 == 1 => clock_rate -= 0.3,
             Mutation::ReversedMargin => settings.lease.margin *= -5.0,
@@ -327,7 +327,7 @@
             }
             Event::Tick { gateway, process } if self.is_alive(gateway, process) => {
                 // Ticks are up to 3 ms late.
-                let lateness = Duration::from_micros(self.random.below(3000) as u64);
+                let lateness = Duration::from_micros(self.random.uniform_below(3000) as u64);
                 self.schedule(TICK_INTERVAL + lateness, Event::Tick { gateway, process });
                 self.apply(gateway, |node, now, out| node.tick(now, out));
                 self.update_leader();
@@ -362,7 +362,7 @@
                 let index = self.newest_list_index;
                 for gateway in 0..self.script.gateway_count {
                     if let Some(process) = self.gateways[gateway].as_ref().map(|running| running.number) {
-                        let delay = Duration::from_millis(5 + self.random.below(80) as u64);
+                        let delay = Duration::from_millis(5 + self.random.uniform_below(80) as u64);
                         self.schedule(delay, Event::ReceiveList { gateway, process, index });
                     }
                 }
@@ -417,7 +417,7 @@
     }
 
     fn schedule_redial(&mut self, from: usize, to: usize, process: usize) {
-        let delay = Duration::from_millis(100 + self.random.below(300) as u64);
+        let delay = Duration::from_millis(100 + self.random.uniform_below(300) as u64);
         self.schedule(delay, Event::Dial { from, to, process });
     }
 
@@ -464,14 +464,14 @@
 
     /// Schedules the arrival of an event over the network path between two gateways, with the delays of that direction.
     fn send_over_link(&mut self, from: usize, to: usize, event: Event) {
-        let jitter = LINK_DELAY.mul_f64(0.5 + self.random.even());
+        let jitter = LINK_DELAY.mul_f64(0.5 + self.random.uniform());
         let direction = self.link_directions.entry((from, to)).or_default();
         if direction.active_cuts > 0 && matches!(event, Event::LinkDown { .. }) {
             return direction.held_events.push(event);
         }
         let delay_range = direction.delay_ranges.last().copied();
         let added_delay = delay_range.map_or(Duration::ZERO, |(min_delay, max_delay)| {
-            min_delay + (max_delay - min_delay).mul_f64(self.random.even())
+            min_delay + (max_delay - min_delay).mul_f64(self.random.uniform())
         });
         let direction = self.link_directions.entry((from, to)).or_default();
         let arrival = (self.now + jitter + added_delay).max(direction.last_arrival);
@@ -559,9 +559,9 @@
         if let Some((records, frames)) = pending_write {
             // Most writes to disk take less than 5 ms, and a few of them up to 150 ms.
             let slow_chance = if self.mutation == Mutation::SendBeforeStore { 1.0 } else { 0.02 };
-            let max_delay_ms = if self.random.chance(slow_chance) { 150 } else { 5 };
-            let write_duration =
-                Duration::from_micros(200) + Duration::from_millis(self.random.below(max_delay_ms) as u64);
+            let max_delay_ms = if self.random.bernoulli(slow_chance) { 150 } else { 5 };
+            let write_duration = Duration::from_micros(200)
+                + Duration::from_millis(self.random.uniform_below(max_delay_ms) as u64);
             let completed_at = (self.now + write_duration).max(self.write_completed_at[gateway]);
             self.write_completed_at[gateway] = completed_at;
             self.schedule(
@@ -823,7 +823,7 @@
         process.paused = false;
         let mut deferred_events = std::mem::take(&mut process.deferred_events);
         // Timers and sockets of a process that continues are served in either order.
-        if self.random.chance(0.5) {
+        if self.random.bernoulli(0.5) {
             deferred_events.sort_by_key(|event| !matches!(event, Event::Tick { .. }));
         }
         for event in deferred_events {
--- a/crates/testbed/src/model/node.rs
+++ b/crates/testbed/src/model/node.rs
@@ -507,8 +507,9 @@
         }
         let seconds = work.seconds;
         let fails = {
-            let mut draws = self.draws.stream_of_two(Purpose::AttemptFailure, work.request, self.number);
-            let (at_once, at_the_end) = (draws.chance(self.failing), draws.chance(self.spec.error_rate));
+            let mut draws = self.draws.stream_for_pair(Purpose::AttemptFailure, work.request, self.number);
+            let (at_once, at_the_end) =
+                (draws.bernoulli(self.failing), draws.bernoulli(self.spec.error_rate));
             (at_once, at_the_end)
         };
         self.held.insert(
--- a/crates/testbed/src/model/reports.rs
+++ b/crates/testbed/src/model/reports.rs
@@ -31,7 +31,7 @@
 impl Reports {
     /// The reports of a node, the first one due within a period.
     pub fn new(spec: ReportSpec, draws: RandomStreams, node: u64, now: Duration) -> Reports {
-        let phase = now + spec.period.mul_f64(draws.stream(Purpose::LoadReportNoise, node).even());
+        let phase = now + spec.period.mul_f64(draws.stream(Purpose::LoadReportNoise, node).uniform());
         Reports {
             spec,
             draws,
@@ -58,7 +58,7 @@
     /// Looks at the node's state: it holds `held` requests now.
     pub fn look(&mut self, now: Duration, held: usize) {
         let over = now.saturating_sub(self.since).as_secs_f64().max(1e-3);
-        let mut draws = self.draws.stream_of_two(Purpose::LoadReportNoise, self.node, self.next + 1);
+        let mut draws = self.draws.stream_for_pair(Purpose::LoadReportNoise, self.node, self.next + 1);
         let mut noisy = |value: f64| (value * (1.0 + self.spec.noise * draws.normal())).max(0.0);
         let report = Report { qps: noisy(self.served as f64 / over), inflight: noisy(held as f64).round() };
         self.taken.push_back((now + self.spec.late, report));
--- a/crates/testbed/src/plain.rs
+++ b/crates/testbed/src/plain.rs
@@ -81,7 +81,7 @@
 
     fn learn(&mut self, full: bool, hosts: &[Endpoint], actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.asked, true) && self.settings.discovery_poll_interval.is_some() {
-            actions.push(Action::SetTimer { after: ASK_AGAIN.mul_f64(self.draws.even()), token: ASK });
+            actions.push(Action::SetTimer { after: ASK_AGAIN.mul_f64(self.draws.uniform()), token: ASK });
         }
         if full {
             self.hosts.clear();
@@ -120,7 +120,7 @@
                 false => Action::Fail { request },
             });
         }
-        let host = fit[self.draws.below(fit.len())];
+        let host = fit[self.draws.uniform_below(fit.len())];
         let write_by = match effect {
             Idempotency::IdempotencyKey { window, .. } => {
                 open.ran.iter().map(|(_, sent)| *sent + window).min()
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -53,7 +53,9 @@
 /// The work of one attempt at a node: what the request costs, a little more or less there.
 pub fn attempt_seconds(draws: RandomStreams, class: &Class, asked: &Asked, node: u64) -> f64 {
     asked.seconds
-        * draws.stream_of_two(Purpose::AttemptCost, asked.place as u64, node).log_normal(class.attempt_spread)
+        * draws
+            .stream_for_pair(Purpose::AttemptCost, asked.place as u64, node)
+            .log_normal(class.attempt_spread)
 }
 
 /// The load at a time, as a multiple of the mean.
@@ -82,7 +84,7 @@
         Whom::Share(share) => {
             let count = (share * script.fleet.nodes as f64).round() as usize;
             let mut drawn: Vec<_> = all
-                .map(|n| (draws.stream_of_two(Purpose::ScriptedEvent, event as u64, n as u64).even(), n))
+                .map(|n| (draws.stream_for_pair(Purpose::ScriptedEvent, event as u64, n as u64).uniform(), n))
                 .collect();
             drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
             let mut met: Vec<_> = drawn.into_iter().take(count).map(|(_, n)| n).collect();
@@ -112,9 +114,9 @@
         if at >= script.lasts {
             return day;
         }
-        let kept = stream.even() * peak < shape(script, at);
-        let (class, tenant) = (stream.place(&class_weights), stream.place(&tenant_weights));
-        let zone = stream.place(&zone_weights);
+        let kept = stream.uniform() * peak < shape(script, at);
+        let (class, tenant) = (stream.weighted_index(&class_weights), stream.weighted_index(&tenant_weights));
+        let zone = stream.weighted_index(&zone_weights);
         let subject = keys.as_ref().map(|zipf| zipf.sample(stream.generator()) as u64);
         if !kept {
             continue;
@@ -130,7 +132,7 @@
         };
         for event in script.events.iter().filter(|e| is_on(e, at)) {
             if let What::Heavy { class: heavy, part, times } = event.what {
-                let (meant, times) = (work.chance(part), work.within(times));
+                let (meant, times) = (work.bernoulli(part), work.uniform_in(times));
                 if heavy == class && meant {
                     seconds *= times;
                 }
@@ -146,7 +148,7 @@
         let in_share = buckets[tenant] >= 1.0;
         buckets[tenant] -= f64::from(u8::from(in_share));
         let mut habits = draws.stream(Purpose::ClientBehaviour, place as u64);
-        let patience = spec.deadline.mul_f64(habits.within(script.clients.try_share));
+        let patience = spec.deadline.mul_f64(habits.uniform_in(script.clients.try_share));
         day.push(Asked {
             place,
             at,
@@ -156,8 +158,8 @@
             subject: subject.filter(|_| script.load.keys > 0),
             seconds,
             patience,
-            heeds: habits.chance(script.clients.heed),
-            fresh: habits.chance(script.clients.fresh_connections),
+            heeds: habits.bernoulli(script.clients.heed),
+            fresh: habits.bernoulli(script.clients.fresh_connections),
             worth: spec.worth
                 * if in_share { 1.0 } else { OVER_SHARE_WORTH }
                 * if script.load.worth_by_work { seconds / spec.work.as_secs_f64() } else { 1.0 },
--- a/crates/testbed/src/random_variates.rs
+++ b/crates/testbed/src/random_variates.rs
@@ -63,7 +63,7 @@
     }
 
     /// The stream for a pair of subjects, such as a request and an endpoint.
-    pub fn stream_of_two(&self, purpose: Purpose, first: u64, second: u64) -> RandomStream {
+    pub fn stream_for_pair(&self, purpose: Purpose, first: u64, second: u64) -> RandomStream {
         self.stream(purpose, mix(first) ^ mix(second.wrapping_add(0x5bd1_e995)))
     }
 
@@ -79,22 +79,22 @@
 
 impl RandomStream {
     /// Uniformly distributed, from 0 up to but not including 1.
-    pub fn even(&mut self) -> f64 {
+    pub fn uniform(&mut self) -> f64 {
         self.0.random::<f64>()
     }
 
     /// Uniformly distributed within a range.
-    pub fn within(&mut self, (min, max): (f64, f64)) -> f64 {
-        min + (max - min) * self.even()
+    pub fn uniform_in(&mut self, (min, max): (f64, f64)) -> f64 {
+        min + (max - min) * self.uniform()
     }
 
     /// True with this probability.
-    pub fn chance(&mut self, probability: f64) -> bool {
-        self.even() < probability
+    pub fn bernoulli(&mut self, probability: f64) -> bool {
+        self.uniform() < probability
     }
 
     /// A uniformly distributed integer below `end`; 0 if `end` is 0.
-    pub fn below(&mut self, end: usize) -> usize {
+    pub fn uniform_below(&mut self, end: usize) -> usize {
         if end == 0 {
             0
         } else {
@@ -127,9 +127,9 @@
     }
 
     /// A random index of a list of weights, with probabilities proportional to the weights; 0 if all weights are 0.
-    pub fn place(&mut self, weights: &[f64]) -> usize {
+    pub fn weighted_index(&mut self, weights: &[f64]) -> usize {
         let total: f64 = weights.iter().sum();
-        let mut remaining = self.even() * total;
+        let mut remaining = self.uniform() * total;
         for (index, weight) in weights.iter().enumerate() {
             remaining -= weight;
             if remaining < 0.0 {
--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/register.rs
@@ -114,13 +114,13 @@
                     deeds.push((at + gone, node, Deed::Start));
                 }
                 What::Neighbour { takes, turns } => {
-                    let mut stream = draws.stream_of_two(Purpose::NoisyNeighbour, n as u64, node as u64);
+                    let mut stream = draws.stream_for_pair(Purpose::NoisyNeighbour, n as u64, node as u64);
                     let range = (turns.0.as_secs_f64(), turns.1.as_secs_f64());
                     let (mut at, mut on) = (from, true);
                     let end = until.unwrap_or(script.lasts);
                     while at < end {
                         deeds.push((at, node, Deed::Neighbour(if on { takes } else { 0.0 })));
-                        (at, on) = (at + Duration::from_secs_f64(stream.within(range)), !on);
+                        (at, on) = (at + Duration::from_secs_f64(stream.uniform_in(range)), !on);
                     }
                     deeds.push((end, node, Deed::Neighbour(0.0)));
                 }
@@ -161,7 +161,7 @@
         let mut notice = |range: (Duration, Duration)| {
             notices += 1;
             let mut stream = draws.stream(Purpose::DiscoveryDelay, notices);
-            Duration::from_secs_f64(stream.within((range.0.as_secs_f64(), range.1.as_secs_f64())))
+            Duration::from_secs_f64(stream.uniform_in((range.0.as_secs_f64(), range.1.as_secs_f64())))
         };
         let mut started = vec![None; script.fleet.nodes];
         let mut silent = vec![false; script.fleet.nodes];
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -401,7 +401,7 @@
 
     /// The way of a message: its draw belongs to what it is about.
     fn way(&self, base: Duration, whose: u64, hop: Hop) -> Duration {
-        let mut stream = self.draws.stream_of_two(Purpose::NetworkDelay, whose, hop as u64);
+        let mut stream = self.draws.stream_for_pair(Purpose::NetworkDelay, whose, hop as u64);
         let jitter = (1.0 + self.script.network.jitter * stream.normal()).clamp(0.3, 4.0);
         base.mul_f64(jitter)
     }
