--- a/crates/testbed/src/fleet_scenario/checker.rs
+++ b/crates/testbed/src/fleet_scenario/checker.rs
@@ -172,7 +172,7 @@
         figures.served_fraction = requests.iter().filter(|request| request.status == Some(200)).count()
             as f64
             / requests.len().max(1) as f64;
-        seconds.pop_last(); // the last second is incomplete
+        seconds.pop_last(); // the last second of the run is incomplete
         let served_fraction =
             |(sent, served_count): &(usize, usize)| *served_count as f64 / (*sent).max(1) as f64;
         figures.worst_second_served_fraction = seconds.values().map(served_fraction).fold(1.0, f64::min);
--- a/crates/testbed/src/fleet_scenario/history.rs
+++ b/crates/testbed/src/fleet_scenario/history.rs
@@ -11,7 +11,7 @@
 /// What a runner observed of one gateway process.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Observation {
-    /// The session state of a gateway process changed to this one.
+    /// The session state of a gateway process changed to the given state.
     SessionStateChanged(SessionState),
     /// A gateway process ended.
     ProcessEnded,
@@ -24,9 +24,9 @@
         /// Digest of the state machine after the entry was applied.
         digest: u64,
     },
-    /// A voter counts this session as expired.
+    /// A voter counts the session with this identifier as expired.
     SessionExpired(SessionId),
-    /// A voter has fenced this session.
+    /// A voter has fenced the session with this identifier.
     SessionFenced(SessionId),
     /// A voter became the leader.
     BecameLeader,
@@ -159,7 +159,7 @@
         self.records.iter().filter(fenced_for_lag).map(|record| record.gateway).collect()
     }
 
-    /// Gateways with a process that lost its session: it was without one at any time after its first one.
+    /// Gateways with a process that lost its session, and so was without a session at any time after its first session.
     pub fn gateways_without_session(&self) -> BTreeSet<usize> {
         let mut had_session = BTreeSet::new();
         let mut without_session = BTreeSet::new();
--- a/crates/testbed/src/fleet_scenario/live.rs
+++ b/crates/testbed/src/fleet_scenario/live.rs
@@ -505,8 +505,8 @@
         targets.clone()
     }
 
-    /// The relays of the links that a fault affects, each with the direction that leads away from the fault's target and the opposite
-    /// one.
+    /// The relays of the links that a fault affects, each with the direction away from the fault's target and the direction toward the
+    /// target.
     fn affected_links(
         &self,
         fault_index: usize,
--- a/crates/testbed/src/fleet_scenario/relay.rs
+++ b/crates/testbed/src/fleet_scenario/relay.rs
@@ -34,7 +34,7 @@
         Some(min_delay + (max_delay - min_delay).mul_f64((random_state >> 11) as f64 / (1u64 << 53) as f64))
     }
 
-    /// Ends one of the active cuts.
+    /// Ends one of the active cuts of this direction of the link.
     pub fn end_cut(&self) {
         self.active_cuts.set(self.active_cuts.get().saturating_sub(1));
         if self.active_cuts.get() == 0 {
--- a/crates/testbed/src/fleet_scenario/script.rs
+++ b/crates/testbed/src/fleet_scenario/script.rs
@@ -7,28 +7,28 @@
 /// Kinds of faults and of operations that a script can schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// The processes are killed at the start of the fault and started again at its end.
+    /// Kills the gateways' processes at the start of the fault and starts new ones at the end of the fault.
     KillProcess,
-    /// The processes are stopped by a signal at the start of the fault and continued at its end.
+    /// Stops the gateways' processes at the start of the fault, as by SIGSTOP, and lets them continue at the end of the fault.
     PauseProcess,
-    /// The links between two groups of gateways carry nothing, and no gateway is notified of that.
+    /// Links between two groups of gateways carry nothing, and no gateway is notified of that.
     CutLinks {
         /// Whether only the direction from the fault's targets to the other gateways is cut.
         one_way: bool,
     },
-    /// The links deliver everything with an added delay.
+    /// Links between gateways deliver everything with an added delay.
     DelayLinks {
         /// Least and greatest added delay; the delay of each frame is drawn between them.
         delay_range: (Duration, Duration),
     },
-    /// The links are closed and reconnected repeatedly.
+    /// Links between gateways are closed and reconnected repeatedly.
     FlapLinks {
-        /// Time between two closings of the links.
+        /// Interval at which the flapping links are closed.
         interval: Duration,
     },
     /// Discovery delivers no newer endpoint list to the gateways.
     FreezeDiscovery,
-    /// The links carry at most this many bytes a second; only on real processes.
+    /// Links between gateways carry a limited number of bytes a second; only on real processes.
     LimitBandwidth {
         /// Limit of each direction of a link, in bytes a second.
         bytes_per_s: u64,
@@ -43,7 +43,7 @@
     },
     /// Writes to the gateways' disks fail; only on real processes.
     FillDisk,
-    /// The gateways' processes are replaced one after the other, each by a graceful shutdown and a new start.
+    /// The gateways' processes are replaced one after the other, each by a graceful shutdown and the start of a new process.
     ReplaceProcesses {
         /// Time from the start of one replacement to the next.
         interval: Duration,
@@ -53,7 +53,7 @@
 /// The gateways that a fault affects.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Target {
-    /// The gateways with these numbers, counted from 0.
+    /// The gateways with the listed numbers, counted from 0.
     Gateways(Vec<usize>),
     /// The gateway that leads the consensus group when the fault starts.
     Leader,
@@ -114,7 +114,7 @@
     pub lease_length: Duration,
     /// Clock margin of the lease: the fraction by which the clock of any gateway may run fast or slow.
     pub clock_margin: f64,
-    /// A gateway is lagging once it is this many versions of the endpoint list behind for this long.
+    /// A gateway is lagging once its endpoint list is this number of versions behind for this duration.
     pub lag_limit: (u64, Duration),
     /// Greatest fraction of the fleet's sessions that may be fenced at once.
     pub max_fenced_fraction: f64,
--- a/crates/testbed/src/fleet_scenario/stand_ins.rs
+++ b/crates/testbed/src/fleet_scenario/stand_ins.rs
@@ -36,7 +36,7 @@
     pub sent_at: Duration,
     /// When the client received the response or gave up.
     pub ended_at: Duration,
-    /// Status of the response; none if there was no response or no connection.
+    /// HTTP status of the response; none if there was no response or no connection.
     pub status: Option<u16>,
 }
 
@@ -106,7 +106,7 @@
 }
 
 impl EndpointLists {
-    /// The first list, of these endpoints, none of them draining.
+    /// Creates the first list, in which no endpoint is draining.
     pub fn new(endpoints: Vec<SocketAddr>) -> Rc<EndpointLists> {
         Rc::new(EndpointLists {
             endpoints,
@@ -125,7 +125,7 @@
         self.index_changes.send_replace(self.newest_index.get());
     }
 
-    /// Index of the newest list.
+    /// Index of the newest endpoint list.
     pub fn newest_index(&self) -> u64 {
         self.newest_index.get()
     }
--- a/crates/testbed/src/fleet_scenario/virtual_time.rs
+++ b/crates/testbed/src/fleet_scenario/virtual_time.rs
@@ -27,7 +27,7 @@
 /// A defect inserted on purpose, to test that the checks find it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mutation {
-    /// No defect.
+    /// The code is tested without an inserted defect.
     #[default]
     None,
     /// The clock margin is applied with the wrong sign and five times as large: holders rely on a lease too long, and voters wait too
@@ -326,7 +326,7 @@
                 }
             }
             Event::Tick { gateway, process } if self.is_alive(gateway, process) => {
-                // Ticks are up to 3 ms late.
+                // Timer ticks of a gateway are up to 3 ms late.
                 let lateness = Duration::from_micros(self.random.uniform_below(3000) as u64);
                 self.schedule(TICK_INTERVAL + lateness, Event::Tick { gateway, process });
                 self.apply(gateway, |node, now, out| node.tick(now, out));
--- a/crates/testbed/src/random_variates.rs
+++ b/crates/testbed/src/random_variates.rs
@@ -78,22 +78,22 @@
 pub struct RandomStream(Pcg64Mcg);
 
 impl RandomStream {
-    /// Uniformly distributed, from 0 up to but not including 1.
+    /// A random number uniformly distributed from 0 up to but not including 1.
     pub fn uniform(&mut self) -> f64 {
         self.0.random::<f64>()
     }
 
-    /// Uniformly distributed within a range.
+    /// A random number uniformly distributed within a range.
     pub fn uniform_in(&mut self, (min, max): (f64, f64)) -> f64 {
         min + (max - min) * self.uniform()
     }
 
-    /// True with this probability.
+    /// A random boolean that is true with the given probability.
     pub fn bernoulli(&mut self, probability: f64) -> bool {
         self.uniform() < probability
     }
 
-    /// A uniformly distributed integer below `end`; 0 if `end` is 0.
+    /// A random integer uniformly distributed below `end`; 0 if `end` is 0.
     pub fn uniform_below(&mut self, end: usize) -> usize {
         if end == 0 {
             0
@@ -102,26 +102,26 @@
         }
     }
 
-    /// Exponentially distributed with mean 1.
+    /// A random number exponentially distributed with mean 1.
     pub fn exponential(&mut self) -> f64 {
         Exp1.sample(&mut self.0)
     }
 
-    /// Normally distributed with mean 0 and standard deviation 1.
+    /// A random number normally distributed with mean 0 and standard deviation 1.
     pub fn normal(&mut self) -> f64 {
         StandardNormal.sample(&mut self.0)
     }
 
-    /// Log-normally distributed with mean 1 and this coefficient of variation.
+    /// A random number log-normally distributed with mean 1 and this coefficient of variation.
     pub fn log_normal(&mut self, coefficient_of_variation: f64) -> f64 {
         let variance = (1.0 + coefficient_of_variation * coefficient_of_variation).ln();
         match LogNormal::new(-variance / 2.0, variance.sqrt()) {
             Ok(distribution) => distribution.sample(&mut self.0),
-            Err(_) => 1.0, // a coefficient of variation that is not finite; scripts are checked for that
+            Err(_) => 1.0, // the coefficient of variation is not finite, which scripts are checked for
         }
     }
 
-    /// A uniformly distributed 64-bit integer.
+    /// A random 64-bit integer.
     pub fn number(&mut self) -> u64 {
         self.0.next_u64()
     }
