--- a/crates/gateway/tests/whole.rs
+++ b/crates/gateway/tests/whole.rs
@@ -3,19 +3,20 @@
 //! The test bed checks the requirements against what endpoints, discovery, clients and logs recorded.
 
 use std::path::Path;
-use weldworks_testbed::whole::live;
-use weldworks_testbed::whole::script::Script;
+use weldworks_testbed::fleet_scenario::live;
+use weldworks_testbed::fleet_scenario::script::Script;
 
 /// Runs a scenario script from the repository; the gateways' logs must contain all of `expected_log_texts`.
 fn run_scenario(name: &str, expected_log_texts: &[&str]) {
     let path = format!("{}/../testbed/fleet/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&path).expect("cannot read the scenario script");
     let script = Script::parse(&path, &text).expect("invalid scenario script");
-    let folder = live::folder_of(&script, 1, Path::new(env!("CARGO_TARGET_TMPDIR")))
+    let folder = live::create_run_folder(&script, 1, Path::new(env!("CARGO_TARGET_TMPDIR")))
         .expect("cannot create the directory");
     let program = Path::new(env!("CARGO_BIN_EXE_weldworks-gateway"));
-    let (report, log_lines) = live::play(&script, 1, program, &folder).expect("the scenario run failed");
-    assert!(report.breaches.is_empty(), "{:#?}\n{}", report.breaches, log_lines.join("\n"));
+    let (report, log_lines) =
+        live::run_script(&script, 1, program, &folder).expect("the scenario run failed");
+    assert!(report.violations.is_empty(), "{:#?}\n{}", report.violations, log_lines.join("\n"));
     for expected_text in expected_log_texts {
         assert!(
             log_lines.iter().any(|line| line.contains(expected_text)),
@@ -23,7 +24,11 @@
             log_lines.join("\n")
         );
     }
-    assert!(report.figures.asked > 1000 && report.figures.audited > 100, "{:?}", report.figures);
+    assert!(
+        report.figures.requests_sent > 1000 && report.figures.audited_steps > 100,
+        "{:?}",
+        report.figures
+    );
 }
 
 #[test]
--- /dev/null
+++ b/crates/testbed/src/endpoint_models.rs
@@ -0,0 +1,93 @@
+//! Builds the endpoint models of a script from the seed. The models are identical in virtual time and on sockets.
+
+use crate::ledger::{ClassTerms, Ledger};
+use crate::model::{Memories, Node, NodeSpec, Repeats, Report, ReportSpec};
+use crate::random_variates::{Purpose, RandomStreams};
+use crate::register::Deed;
+use crate::script::Script;
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// The kind of each endpoint: the shares of the kinds become counts, and the endpoints of a kind are spread over the zones.
+pub fn kinds(script: &Script) -> Vec<usize> {
+    let total_share: f64 = script.fleet.kinds.iter().map(|kind| kind.share).sum();
+    let mut owed = vec![0.0; script.fleet.kinds.len()];
+    let mut kinds = Vec::with_capacity(script.fleet.nodes);
+    for _ in 0..script.fleet.nodes {
+        for (owed, kind) in owed.iter_mut().zip(&script.fleet.kinds) {
+            *owed += kind.share / total_share;
+        }
+        let most_owed = (0..owed.len())
+            .max_by(|&first, &second| owed[first].total_cmp(&owed[second]).then(second.cmp(&first)))
+            .unwrap_or(0);
+        owed[most_owed] -= 1.0;
+        kinds.push(most_owed);
+    }
+    kinds
+}
+
+fn endpoint_spec(script: &Script, draws: RandomStreams, endpoint: usize, kind: usize) -> NodeSpec {
+    let kind = &script.fleet.kinds[kind];
+    let mut random = draws.stream(Purpose::EndpointProperties, endpoint as u64);
+    let duration_in =
+        |range: (Duration, Duration), fraction: f64| range.0 + (range.1 - range.0).mul_f64(fraction);
+    let speed = random.uniform_in(kind.speed);
+    let period = duration_in(kind.report_every, random.uniform());
+    let late = duration_in(kind.report_late, random.uniform());
+    let noise = kind.spec.report.noise;
+    let mean_work = script.mean_work();
+    NodeSpec { speed, report: ReportSpec { period, late, noise }, mean_work, ..kind.spec.clone() }
+}
+
+/// Models of all endpoints, up and warm.
+pub fn nodes(script: &Script, draws: RandomStreams) -> Vec<Node> {
+    let kinds = kinds(script);
+    let fleet_repeats = Rc::<RefCell<Repeats>>::default();
+    let mut zone_repeats: Vec<Rc<RefCell<Repeats>>> = Vec::new();
+    let mut rack_repeats: Vec<Rc<RefCell<Repeats>>> = Vec::new();
+    let shared_repeats = |group_repeats: &mut Vec<Rc<RefCell<Repeats>>>, number: usize| {
+        if group_repeats.len() <= number {
+            group_repeats.resize_with(number + 1, Rc::default);
+        }
+        group_repeats[number].clone()
+    };
+    let build_endpoint = |number: usize| {
+        let zone = shared_repeats(&mut zone_repeats, script.zone_of(number));
+        let rack = shared_repeats(&mut rack_repeats, script.rack_of(number));
+        let memories = Memories { all: fleet_repeats.clone(), zone, rack };
+        Node::new(
+            number as u64,
+            endpoint_spec(script, draws, number, kinds[number]),
+            draws,
+            memories,
+            Duration::ZERO,
+        )
+    };
+    (0..script.fleet.nodes).map(build_endpoint).collect()
+}
+
+/// Applies a scripted action to an endpoint.
+pub fn carry_out(model: &mut Node, now: Duration, action: Deed) {
+    match action {
+        Deed::Kill => model.kill(now),
+        Deed::CutOff => model.cut_off(now),
+        Deed::Start => model.start_cold(now),
+        Deed::Drain(enabled) => model.drain(now, enabled),
+        Deed::Fail(fraction) => model.fail(now, fraction),
+        Deed::Neighbour(fraction) => model.share_with_neighbour(now, fraction),
+        Deed::Slow(factor) => model.slow_down(now, factor),
+        Deed::Report(load) => model.report_always(now, load.map(|(qps, inflight)| Report { qps, inflight })),
+        Deed::Pause(duration) => model.pause(now, duration),
+        Deed::LetGo(limit) => model.let_go_after(now, limit),
+    }
+}
+
+/// An empty ledger with the script's classes and with the zone and rack of each endpoint.
+pub fn ledger(script: &Script) -> Ledger {
+    let terms = |class: &crate::script::Class| ClassTerms { aim: class.aim, effect: class.effect };
+    let groups = (0..script.fleet.nodes)
+        .map(|endpoint| (script.zone_of(endpoint), script.rack_of(endpoint)))
+        .collect();
+    Ledger::new(script.classes.iter().map(terms).collect(), groups)
+}
--- a/crates/testbed/src/live/mod.rs
+++ b/crates/testbed/src/live/mod.rs
@@ -7,9 +7,9 @@
 pub mod nodes;
 pub mod register;
 
-use crate::draws::Draws;
 use crate::ledger::Ledger;
 use crate::plan::Asked;
+use crate::random_variates::RandomStreams;
 use crate::report::{Counts, Sample};
 use crate::script::Script;
 use rustc_hash::FxHashMap;
@@ -45,7 +45,7 @@
     /// The script.
     pub script: Script,
     /// The draws of its seed.
-    pub draws: Draws,
+    pub draws: RandomStreams,
     /// How many gateways there are.
     pub gateways: usize,
     /// The first tries.
@@ -67,14 +67,14 @@
 impl Day {
     /// A day that has not begun.
     pub fn new(script: &Script, seed: u64, gateways: usize) -> Day {
-        let draws = Draws::new(seed);
+        let draws = RandomStreams::new(seed);
         Day {
             script: script.clone(),
             draws,
             gateways,
             plan: crate::plan::plan(script, draws),
             clock: Clock(Cell::new(None)),
-            ledger: RefCell::new(crate::fleet::ledger(script)),
+            ledger: RefCell::new(crate::endpoint_models::ledger(script)),
             counts: Cell::default(),
             in_time: Cell::default(),
             timeline: RefCell::default(),
--- a/crates/testbed/src/model/node.rs
+++ b/crates/testbed/src/model/node.rs
@@ -9,7 +9,7 @@
 use super::repeats::{Meeting, Repeats};
 use super::reports::{Report, Reports};
 use super::spec::{NodeSpec, WarmBy};
-use crate::draws::{Draws, For, Stream};
+use crate::random_variates::{Purpose, RandomStream, RandomStreams};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -166,7 +166,7 @@
 pub struct Node {
     number: u64,
     spec: NodeSpec,
-    draws: Draws,
+    draws: RandomStreams,
     memories: Memories,
     state: State,
     now: f64,
@@ -189,7 +189,7 @@
     connections: FxHashMap<ConnectionId, Connection>,
     idle: BTreeSet<(u64, ConnectionId)>,
     open: usize,
-    pauses: Option<(Stream, f64)>,
+    pauses: Option<(RandomStream, f64)>,
     paused_until: Option<f64>,
     neighbour: f64,
     slowed: f64,
@@ -206,9 +206,10 @@
 
 impl Node {
     /// A node that has been up and warm for long.
-    pub fn new(number: u64, spec: NodeSpec, draws: Draws, memories: Memories, now: Duration) -> Node {
+    pub fn new(number: u64, spec: NodeSpec, draws: RandomStreams, memories: Memories, now: Duration) -> Node {
         let t = now.as_secs_f64();
-        let mut pauses = spec.pause.map(|p| (draws.stream(For::Pause, number), p.every.as_secs_f64()));
+        let mut pauses =
+            spec.pause.map(|p| (draws.stream(Purpose::EndpointPauses, number), p.every.as_secs_f64()));
         let pauses = pauses.take().map(|(mut s, every)| {
             let first = t + s.exponential() * every;
             (s, first)
@@ -506,8 +507,9 @@
         }
         let seconds = work.seconds;
         let fails = {
-            let mut draws = self.draws.stream_of_two(For::Failure, work.request, self.number);
-            let (at_once, at_the_end) = (draws.chance(self.failing), draws.chance(self.spec.error_rate));
+            let mut draws = self.draws.stream_for_pair(Purpose::AttemptFailure, work.request, self.number);
+            let (at_once, at_the_end) =
+                (draws.bernoulli(self.failing), draws.bernoulli(self.spec.error_rate));
             (at_once, at_the_end)
         };
         self.held.insert(
--- a/crates/testbed/src/plain.rs
+++ b/crates/testbed/src/plain.rs
@@ -3,7 +3,7 @@
 //! It keeps what classes ask of repeats and sends nothing to nodes that drain. Cold nodes get as much as warm ones, and what
 //! can't be dialled is held until its time is up: the ledger books both. Never part of the program.
 
-use crate::draws::Stream;
+use crate::random_variates::RandomStream;
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 use weldworks_balancer::{
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug)]
 pub struct Plain {
     settings: Settings,
-    draws: Stream,
+    draws: RandomStream,
     hosts: FxHashMap<EndpointId, Endpoint>,
     up: Vec<EndpointId>,
     open: FxHashMap<RequestId, Open>,
@@ -37,7 +37,7 @@
 
 impl Plain {
     /// One that knows no host yet.
-    pub fn new(settings: Settings, draws: Stream) -> Plain {
+    pub fn new(settings: Settings, draws: RandomStream) -> Plain {
         let (hosts, up, open) = Default::default();
         Plain { settings, draws, hosts, up, open, asked: false }
     }
@@ -81,7 +81,7 @@
 
     fn learn(&mut self, full: bool, hosts: &[Endpoint], actions: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.asked, true) && self.settings.discovery_poll_interval.is_some() {
-            actions.push(Action::SetTimer { after: ASK_AGAIN.mul_f64(self.draws.even()), token: ASK });
+            actions.push(Action::SetTimer { after: ASK_AGAIN.mul_f64(self.draws.uniform()), token: ASK });
         }
         if full {
             self.hosts.clear();
@@ -120,7 +120,7 @@
                 false => Action::Fail { request },
             });
         }
-        let host = fit[self.draws.below(fit.len())];
+        let host = fit[self.draws.uniform_below(fit.len())];
         let write_by = match effect {
             Idempotency::IdempotencyKey { window, .. } => {
                 open.ran.iter().map(|(_, sent)| *sent + window).min()
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -3,8 +3,8 @@
 //! Arrivals don't wait for answers: what a slow gateway leaves unanswered is still asked for. Work belongs to the
 //! request, so a retry of a heavy one is as heavy, in every run.
 
-use crate::draws::{Draws, For};
 use crate::model::Distribution;
+use crate::random_variates::{Purpose, RandomStreams};
 use crate::script::{Class, Event, Script, Shape, What, Whom, OVER_SHARE_WORTH};
 use rand_distr::{Distribution as _, Zipf};
 use std::time::Duration;
@@ -45,15 +45,17 @@
 
 impl Asked {
     /// The number of a try of it, counted from 0: never 0 itself, and the same in every run of a seed.
-    pub fn number(&self, draws: Draws, attempt: u32) -> u64 {
-        draws.number(For::Number, self.place as u64 * TRIES + u64::from(attempt)) | 1
+    pub fn number(&self, draws: RandomStreams, attempt: u32) -> u64 {
+        draws.number(Purpose::RequestId, self.place as u64 * TRIES + u64::from(attempt)) | 1
     }
 }
 
 /// The work of one attempt at a node: what the request costs, a little more or less there.
-pub fn attempt_seconds(draws: Draws, class: &Class, asked: &Asked, node: u64) -> f64 {
+pub fn attempt_seconds(draws: RandomStreams, class: &Class, asked: &Asked, node: u64) -> f64 {
     asked.seconds
-        * draws.stream_of_two(For::Attempt, asked.place as u64, node).log_normal(class.attempt_spread)
+        * draws
+            .stream_for_pair(Purpose::AttemptCost, asked.place as u64, node)
+            .log_normal(class.attempt_spread)
 }
 
 /// The load at a time, as a multiple of the mean.
@@ -73,7 +75,7 @@
 }
 
 /// The nodes that an event meets.
-pub fn met(script: &Script, draws: Draws, event: usize) -> Vec<usize> {
+pub fn met(script: &Script, draws: RandomStreams, event: usize) -> Vec<usize> {
     let all = 0..script.fleet.nodes;
     match &script.events[event].whom {
         Whom::All => all.collect(),
@@ -81,8 +83,9 @@
         Whom::Zone(zone) => all.filter(|&n| script.zone_of(n) == *zone).collect(),
         Whom::Share(share) => {
             let count = (share * script.fleet.nodes as f64).round() as usize;
-            let mut drawn: Vec<_> =
-                all.map(|n| (draws.stream_of_two(For::Event, event as u64, n as u64).even(), n)).collect();
+            let mut drawn: Vec<_> = all
+                .map(|n| (draws.stream_for_pair(Purpose::ScriptedEvent, event as u64, n as u64).uniform(), n))
+                .collect();
             drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
             let mut met: Vec<_> = drawn.into_iter().take(count).map(|(_, n)| n).collect();
             met.sort_unstable();
@@ -92,8 +95,8 @@
 }
 
 /// All first tries of the day, in order.
-pub fn plan(script: &Script, draws: Draws) -> Vec<Asked> {
-    let mut stream = draws.stream(For::Arrivals, 0);
+pub fn plan(script: &Script, draws: RandomStreams) -> Vec<Asked> {
+    let mut stream = draws.stream(Purpose::Arrivals, 0);
     // Arrivals are thinned from the highest rate of the day, so that its shape moves none of the others' draws.
     let steps = 2000;
     let peak = (0..=steps).map(|n| shape(script, script.lasts * n / steps)).fold(0.0, f64::max).max(1e-9);
@@ -111,16 +114,16 @@
         if at >= script.lasts {
             return day;
         }
-        let kept = stream.even() * peak < shape(script, at);
-        let (class, tenant) = (stream.place(&class_weights), stream.place(&tenant_weights));
-        let zone = stream.place(&zone_weights);
+        let kept = stream.uniform() * peak < shape(script, at);
+        let (class, tenant) = (stream.weighted_index(&class_weights), stream.weighted_index(&tenant_weights));
+        let zone = stream.weighted_index(&zone_weights);
         let subject = keys.as_ref().map(|zipf| zipf.sample(stream.generator()) as u64);
         if !kept {
             continue;
         }
         let place = day.len();
         let spec = &script.classes[class];
-        let mut work = draws.stream(For::Work, place as u64);
+        let mut work = draws.stream(Purpose::RequestWork, place as u64);
         let mut seconds = spec.work.as_secs_f64();
         seconds *= match spec.distribution {
             Distribution::Fixed => 1.0,
@@ -129,7 +132,7 @@
         };
         for event in script.events.iter().filter(|e| is_on(e, at)) {
             if let What::Heavy { class: heavy, part, times } = event.what {
-                let (meant, times) = (work.chance(part), work.within(times));
+                let (meant, times) = (work.bernoulli(part), work.uniform_in(times));
                 if heavy == class && meant {
                     seconds *= times;
                 }
@@ -144,8 +147,8 @@
         filled = at;
         let in_share = buckets[tenant] >= 1.0;
         buckets[tenant] -= f64::from(u8::from(in_share));
-        let mut habits = draws.stream(For::Habits, place as u64);
-        let patience = spec.deadline.mul_f64(habits.within(script.clients.try_share));
+        let mut habits = draws.stream(Purpose::ClientBehaviour, place as u64);
+        let patience = spec.deadline.mul_f64(habits.uniform_in(script.clients.try_share));
         day.push(Asked {
             place,
             at,
@@ -155,8 +158,8 @@
             subject: subject.filter(|_| script.load.keys > 0),
             seconds,
             patience,
-            heeds: habits.chance(script.clients.heed),
-            fresh: habits.chance(script.clients.fresh_connections),
+            heeds: habits.bernoulli(script.clients.heed),
+            fresh: habits.bernoulli(script.clients.fresh_connections),
             worth: spec.worth
                 * if in_share { 1.0 } else { OVER_SHARE_WORTH }
                 * if script.load.worth_by_work { seconds / spec.work.as_secs_f64() } else { 1.0 },
--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/register.rs
@@ -3,9 +3,9 @@
 //! What a script does to nodes is known ahead, so most changes stand on a timeline from the start. Nodes that fall
 //! over are added when they do. A version is a place on the timeline.
 
-use crate::draws::{Draws, For};
 use crate::ledger::Told;
 use crate::plan::met;
+use crate::random_variates::{Purpose, RandomStreams};
 use crate::script::{Script, What};
 use std::time::Duration;
 
@@ -86,7 +86,7 @@
 }
 
 /// Everything that a script does to nodes, in order of time.
-pub fn deeds(script: &Script, draws: Draws) -> Vec<(Duration, usize, Deed)> {
+pub fn deeds(script: &Script, draws: RandomStreams) -> Vec<(Duration, usize, Deed)> {
     let mut deeds = Vec::new();
     for (n, event) in script.events.iter().enumerate() {
         let (from, until) = (event.at, event.until());
@@ -114,13 +114,13 @@
                     deeds.push((at + gone, node, Deed::Start));
                 }
                 What::Neighbour { takes, turns } => {
-                    let mut stream = draws.stream_of_two(For::Neighbour, n as u64, node as u64);
+                    let mut stream = draws.stream_for_pair(Purpose::NoisyNeighbour, n as u64, node as u64);
                     let range = (turns.0.as_secs_f64(), turns.1.as_secs_f64());
                     let (mut at, mut on) = (from, true);
                     let end = until.unwrap_or(script.lasts);
                     while at < end {
                         deeds.push((at, node, Deed::Neighbour(if on { takes } else { 0.0 })));
-                        (at, on) = (at + Duration::from_secs_f64(stream.within(range)), !on);
+                        (at, on) = (at + Duration::from_secs_f64(stream.uniform_in(range)), !on);
                     }
                     deeds.push((end, node, Deed::Neighbour(0.0)));
                 }
@@ -155,13 +155,13 @@
 
 impl Register {
     /// The register of a script.
-    pub fn new(script: &Script, draws: Draws) -> Register {
+    pub fn new(script: &Script, draws: RandomStreams) -> Register {
         let mut changes = Vec::new();
         let mut notices = 0;
         let mut notice = |range: (Duration, Duration)| {
             notices += 1;
-            let mut stream = draws.stream(For::Register, notices);
-            Duration::from_secs_f64(stream.within((range.0.as_secs_f64(), range.1.as_secs_f64())))
+            let mut stream = draws.stream(Purpose::DiscoveryDelay, notices);
+            Duration::from_secs_f64(stream.uniform_in((range.0.as_secs_f64(), range.1.as_secs_f64())))
         };
         let mut started = vec![None; script.fleet.nodes];
         let mut silent = vec![false; script.fleet.nodes];
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -1,6 +1,6 @@
 //! A script on loopback sockets, with real gateway processes between the rig's clients and its nodes.
 
-use crate::fleet::nodes;
+use crate::endpoint_models::nodes;
 use crate::ledger::Rules;
 use crate::live::clients::Clients;
 use crate::live::gateways::{ready, GatewayError, RunningGateway, StartGateway};
@@ -78,7 +78,7 @@
         "name": format!("g{gateway}"),
         "listen": "127.0.0.1:0",
         "discovery": discovery,
-        "seed": format!("{:016x}", day.draws.number(crate::draws::For::Gateway, gateway as u64)),
+        "seed": format!("{:016x}", day.draws.number(crate::random_variates::Purpose::GatewaySeed, gateway as u64)),
         "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
         "known": known,
         "settings": day.script.settings(gateway, day.gateways),
