--- a/crates/testbed/src/model/budget.rs
+++ b/crates/testbed/src/model/budget.rs
@@ -1,73 +1,82 @@
-//! What a cold node may be sent before it falls over.
+//! The work that a stand-in endpoint may be sent during its slow start before it crashes.
 
 use std::collections::VecDeque;
 
-/// The work that has reached a node since it started, within a window that moves with time.
+/// The work that has reached a stand-in endpoint since its start, within a sliding window.
 ///
-/// Within any window of the stated length that lies wholly after the start, the work sent must stay under the stated
-/// multiple of what the node could do in that window. A window at the very start is shorter, so there the whole
-/// window's length counts: a short heavy burst can spend the budget, a single request can't.
+/// Within any window of the configured length, the work sent must stay under the configured multiple of the endpoint's capacity in that window.
+/// A window at the very start is shorter but is granted the budget of a full one:
+/// a short heavy burst can exceed the budget, a single request cannot.
 #[derive(Clone, Debug)]
 pub struct Budget {
     multiple: f64,
     window: f64,
     sent: VecDeque<(f64, f64)>,
-    sum: f64,
-    /// The work of a mean request, and the most that a window has held as a part of what `allowance` grants.
-    mean: f64,
+    work_in_window: f64,
+    /// The work of a mean request, in seconds of work.
+    mean_work: f64,
+    /// The highest work in a window so far, divided by the `allowance` of that window.
     peak: f64,
-    /// Whether it is overspent beyond its allowance only.
+    /// Whether the budget is exceeded only above `allowance`, which includes random variation.
     grants_chance: bool,
 }
 
-/// The most requests of mean work that may come in a window, by the operators' terms, where the multiple of what the node can do in it
-/// is `expected` requests: what chance may add is granted.
+/// The number of requests of mean work that a window may hold by the operators' terms:
+/// `expected` requests (the allowed multiple of the endpoint's capacity in the window) and an allowance for random variation.
 pub fn allowance(expected: f64) -> f64 {
-    let spread = expected.max(0.0).sqrt();
+    let standard_deviation = expected.max(0.0).sqrt();
     if expected < 30.0 {
-        expected + 3.0 * spread + 3.0
+        expected + 3.0 * standard_deviation + 3.0
     } else {
-        expected + 2.0 * spread + 2.0
+        expected + 2.0 * standard_deviation + 2.0
     }
 }
 
 impl Budget {
-    /// A budget of `multiple` times the capacity over `window` seconds, for requests of `mean` seconds of work.
-    pub fn new(multiple: f64, window: f64, mean: f64) -> Budget {
-        Budget { multiple, window, sent: VecDeque::new(), sum: 0.0, mean, peak: 0.0, grants_chance: false }
+    /// A budget of `multiple` times the capacity over `window` seconds, for requests of `mean_work` seconds of work.
+    pub fn new(multiple: f64, window: f64, mean_work: f64) -> Budget {
+        Budget {
+            multiple,
+            window,
+            sent: VecDeque::new(),
+            work_in_window: 0.0,
+            mean_work,
+            peak: 0.0,
+            grants_chance: false,
+        }
     }
 
-    /// The same, overspent beyond its allowance only, as the operators' terms have it; else chance is granted nothing.
+    /// Sets whether an allowance for random variation is added to the budget, as the operators' terms grant it.
     pub fn granting_chance(self, grants_chance: bool) -> Budget {
         Budget { grants_chance, ..self }
     }
 
-    /// The most that any window has held so far, as a part of its allowance.
+    /// The highest work in any window so far, divided by the allowance of that window.
     pub fn peak(&self) -> f64 {
         self.peak
     }
 
-    /// Books work that has come at `now`, in seconds, while the node could do `capacity` a second; true where it is
-    /// too much.
+    /// Records `work` (in seconds) that arrived at `now`, while the endpoint can do `capacity` seconds of work a second.
+    /// True if the budget is exceeded.
     pub fn overspent(&mut self, now: f64, work: f64, capacity: f64) -> bool {
-        while let Some(&(at, old)) = self.sent.front().filter(|(at, _)| *at <= now - self.window) {
+        while let Some(&(at, old_work)) = self.sent.front().filter(|(at, _)| *at <= now - self.window) {
             debug_assert!(at <= now);
-            self.sum -= old;
+            self.work_in_window -= old_work;
             self.sent.pop_front();
         }
         self.sent.push_back((now, work));
-        self.sum += work;
+        self.work_in_window += work;
         let limit = self.limit(capacity);
-        let part = self.sum / self.mean / allowance(limit / self.mean);
-        self.peak = self.peak.max(part);
+        let fraction = self.work_in_window / self.mean_work / allowance(limit / self.mean_work);
+        self.peak = self.peak.max(fraction);
         if self.grants_chance {
-            part > 1.0
+            fraction > 1.0
         } else {
-            self.sum > limit
+            self.work_in_window > limit
         }
     }
 
-    /// The most work that a window may hold.
+    /// The work that a window may hold, in seconds, without the allowance for random variation.
     pub fn limit(&self, capacity: f64) -> f64 {
         self.multiple * capacity * self.window
     }
--- a/crates/testbed/src/model/choke.rs
+++ b/crates/testbed/src/model/choke.rs
@@ -1,96 +1,99 @@
-//! A node that holds far more than it can work on turns slower, and stays so until it has rested.
+//! Choking: a stand-in endpoint with far more requests in flight than it can process becomes slower, until it has been mostly idle for a while.
 
 use super::spec::ChokeSpec;
 use std::collections::VecDeque;
 
-/// The mean of a figure over a window, in steps.
+/// The mean of a quantity over a sliding window, kept as the sums of short steps.
 #[derive(Clone, Debug)]
 pub struct Load {
     window: f64,
-    steps: VecDeque<(f64, f64)>, // when each began, and its integral
-    last: f64,
+    steps: VecDeque<(f64, f64)>, // start time and integral of each step
+    updated_at: f64,
 }
 
+/// Steps that a window of [`Load`] is divided into.
 const STEPS: f64 = 20.0;
 
 impl Load {
-    /// The mean over `window` seconds from `now` on.
+    /// A mean over the last `window` seconds, without values before `now`.
     pub fn new(window: f64, now: f64) -> Load {
-        Load { window, steps: VecDeque::from([(now, 0.0)]), last: now }
+        Load { window, steps: VecDeque::from([(now, 0.0)]), updated_at: now }
     }
 
-    /// The figure was `value` from the last call until `now`.
+    /// Records that the quantity was `value` from the previous call until `now`.
     pub fn add(&mut self, now: f64, value: f64) {
         let step = self.window / STEPS;
-        while self.last < now {
-            let began = self.steps.back().map_or(self.last, |s| s.0);
-            let until = now.min(began + step);
-            if until <= self.last {
-                self.steps.push_back((self.last, 0.0));
+        while self.updated_at < now {
+            let step_start = self.steps.back().map_or(self.updated_at, |s| s.0);
+            let add_until = now.min(step_start + step);
+            if add_until <= self.updated_at {
+                self.steps.push_back((self.updated_at, 0.0));
                 continue;
             }
-            if let Some(last) = self.steps.back_mut() {
-                last.1 += value * (until - self.last);
+            if let Some(current) = self.steps.back_mut() {
+                current.1 += value * (add_until - self.updated_at);
             }
-            self.last = until;
+            self.updated_at = add_until;
         }
         while self.steps.len() > 1 && self.steps.front().is_some_and(|s| s.0 + step <= now - self.window) {
             self.steps.pop_front();
         }
     }
 
-    /// The mean, once a whole window has passed.
+    /// The mean over the window; `None` until a full window has passed.
     pub fn mean(&self) -> Option<f64> {
-        let began = self.steps.front()?.0;
-        let length = self.last - began;
+        let window_start = self.steps.front()?.0;
+        let length = self.updated_at - window_start;
         (length >= self.window * (1.0 - 1.0 / STEPS))
             .then(|| self.steps.iter().map(|s| s.1).sum::<f64>() / length)
     }
 }
 
-/// Whether a node is choked.
+/// Whether a stand-in endpoint is choked, and the load history that decides it.
 #[derive(Clone, Debug)]
 pub struct Choke {
     spec: ChokeSpec,
-    held: Load,
+    in_flight: Load,
     busy: Load,
-    since: Option<f64>,
-    done: bool,
+    choked_since: Option<f64>,
+    has_recovered: bool,
 }
 
 impl Choke {
-    /// A node that is not.
+    /// The state of an endpoint that is not choked at `now`.
     pub fn new(spec: ChokeSpec, now: f64) -> Choke {
-        let (held, busy) = (Load::new(spec.over.as_secs_f64(), now), Load::new(spec.rest.as_secs_f64(), now));
-        Choke { spec, held, busy, since: None, done: false }
+        let (in_flight, busy) =
+            (Load::new(spec.over.as_secs_f64(), now), Load::new(spec.rest.as_secs_f64(), now));
+        Choke { spec, in_flight, busy, choked_since: None, has_recovered: false }
     }
 
-    /// So many times slower than it would be.
+    /// The factor by which choking slows the endpoint down; 1 while it is not choked.
     pub fn slower(&self) -> f64 {
-        if self.since.is_some() {
+        if self.choked_since.is_some() {
             self.spec.slower
         } else {
             1.0
         }
     }
 
-    /// From the last call until `now` it held `held` requests on `cores` cores, of which this share was busy.
-    pub fn pass(&mut self, now: f64, held: f64, cores: f64, busy: f64) {
-        self.held.add(now, held);
+    /// Records that from the previous call until `now` the endpoint had `in_flight` requests on `cores` cores,
+    /// and that the fraction `busy` of its cores was busy.
+    pub fn pass(&mut self, now: f64, in_flight: f64, cores: f64, busy: f64) {
+        self.in_flight.add(now, in_flight);
         self.busy.add(now, busy);
-        match self.since {
+        match self.choked_since {
             None => {
                 let limit = cores + self.spec.at * cores.sqrt();
-                // Once is enough for a day: what has been choked and has rested is left alone.
-                if !self.done && self.held.mean().is_some_and(|mean| mean > limit) {
-                    self.since = Some(now);
+                // An endpoint chokes at most once in a run.
+                if !self.has_recovered && self.in_flight.mean().is_some_and(|mean| mean > limit) {
+                    self.choked_since = Some(now);
                     self.busy = Load::new(self.spec.rest.as_secs_f64(), now);
                 }
             }
-            Some(since) => {
+            Some(choked_since) => {
                 let rested = self.busy.mean().is_some_and(|mean| mean < self.spec.below);
-                if rested || now - since >= self.spec.most.as_secs_f64() {
-                    (self.since, self.done) = (None, true);
+                if rested || now - choked_since >= self.spec.most.as_secs_f64() {
+                    (self.choked_since, self.has_recovered) = (None, true);
                 }
             }
         }
--- a/crates/testbed/src/model/keys.rs
+++ b/crates/testbed/src/model/keys.rs
@@ -1,31 +1,31 @@
-//! The keys that a node has met lately: work for them costs less.
+//! The cache of a stand-in endpoint: requests about recently used subjects take less work.
 
 use rustc_hash::FxHashMap;
 
-/// A bounded memory of keys; the one met longest ago makes room.
+/// A bounded cache of keys; the least recently used key is evicted.
 #[derive(Clone, Debug)]
 pub struct Keys {
-    places: usize,
-    lasts: f64,
-    met: FxHashMap<u64, f64>,
+    max_keys: usize,
+    lifetime_s: f64,
+    last_used: FxHashMap<u64, f64>,
 }
 
 impl Keys {
-    /// Remembers `places` keys for `lasts` seconds each.
-    pub fn new(places: usize, lasts: f64) -> Keys {
-        Keys { places, lasts, met: FxHashMap::default() }
+    /// A cache of up to `max_keys` keys, each retained for `lifetime_s` seconds after its last use.
+    pub fn new(max_keys: usize, lifetime_s: f64) -> Keys {
+        Keys { max_keys, lifetime_s, last_used: FxHashMap::default() }
     }
 
-    /// Meets a key; whether it was known still.
+    /// Records a use of `key` at `now`; true if the key was cached and had not expired.
     pub fn meet(&mut self, now: f64, key: u64) -> bool {
-        let known = self.met.insert(key, now).is_some_and(|at| now - at <= self.lasts);
-        if self.met.len() > self.places {
-            // A scan: the places are some dozens. Of equals the lower key goes, so that runs agree.
-            let oldest = self.met.iter().min_by(|a, b| a.1.total_cmp(b.1).then(a.0.cmp(b.0)));
+        let was_cached = self.last_used.insert(key, now).is_some_and(|at| now - at <= self.lifetime_s);
+        if self.last_used.len() > self.max_keys {
+            // A scan, since the cache holds some dozens of keys. Of keys with equal times the lowest is evicted, so that runs are deterministic.
+            let oldest = self.last_used.iter().min_by(|a, b| a.1.total_cmp(b.1).then(a.0.cmp(b.0)));
             if let Some(key) = oldest.map(|(key, _)| *key) {
-                self.met.remove(&key);
+                self.last_used.remove(&key);
             }
         }
-        known
+        was_cached
     }
 }
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,7 +1,7 @@
-//! A booking node without any I/O: what comes in is told with its time, what goes out is asked for.
+//! A model of a stand-in endpoint without I/O: callers pass it events with their times and collect its outputs.
 //!
-//! The same model serves the runner in virtual time and the nodes on sockets, so that what is found in one can be
-//! looked for in the other.
+//! The simulation in virtual time and the stand-in endpoints on sockets use the same model,
+//! so that a failure found with one of them can be reproduced with the other.
 
 mod budget;
 mod choke;
--- a/crates/testbed/src/model/node.rs
+++ b/crates/testbed/src/model/node.rs
@@ -1,7 +1,7 @@
-//! The node itself: connections, slots, the waiting room, and how fast work gets done.
+//! The stand-in endpoint model itself: connections, slots, the queue, and the speed at which work is done.
 //!
-//! All that runs shares the cores evenly, each at most one core (processor sharing up to the slots, first come first
-//! served beyond). Speed changes in steps; between two steps it is constant, so ends are computed and not searched.
+//! Running jobs share the cores evenly, each at most one core: processor sharing up to the number of slots, first come first served beyond.
+//! Speed changes in steps and is constant between two steps, so the times at which jobs end are computed directly.
 
 use super::budget::Budget;
 use super::choke::Choke;
@@ -17,115 +17,115 @@
 use std::time::Duration;
 use weldworks_balancer::KeyScope;
 
-/// An attempt, by a number that is used once.
+/// Identifies an attempt; never reused.
 pub type AttemptId = u64;
-/// A connection, by a number that is used once.
+/// Identifies a connection; never reused.
 pub type ConnectionId = u64;
 
-/// What changes by itself (warming up, load) is looked at this often, in seconds.
-const STEP: f64 = 0.05;
-/// Work that is this near to its end is done: times are rounded to nanoseconds outside.
-const NEAR: f64 = 2e-9;
+/// Interval, in seconds, at which gradual changes (warm-up, the load averages of choking) are updated.
+const UPDATE_INTERVAL_S: f64 = 0.05;
+/// Seconds of remaining work below which a job counts as done, since callers round times to nanoseconds.
+const WORK_TOLERANCE_S: f64 = 2e-9;
 
-/// What a request asks of a node.
+/// The work of a request at a stand-in endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Work {
-    /// The request's number, the same at every node.
+    /// The request's number, the same at every endpoint.
     pub request: u64,
-    /// Its work, in seconds of a core of speed 1.
+    /// The request's work, in seconds of a core of speed 1.
     pub seconds: f64,
-    /// What it is about.
+    /// The subject of the request, by which the endpoint's cache is keyed.
     pub subject: Option<u64>,
-    /// The key by which repeats are known, who drops them and for how long.
+    /// The idempotency key, the scope of endpoints that drop its repeats, and the idempotency window.
     pub keyed: Option<(u64, KeyScope, Duration)>,
-    /// When it is over.
+    /// The request's deadline.
     pub until: Duration,
 }
 
-/// Why a node turns a request away unseen.
+/// Why an endpoint rejected a request without processing it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No slot and no place in the waiting room.
+    /// No free slot, and the queue is full.
     QueueFull,
-    /// It finishes what it has and takes nothing new.
+    /// The endpoint is draining: it finishes the requests that it has and takes no new ones.
     Draining,
-    /// The request's time was up before it ran.
+    /// The request's deadline passed before processing began.
     Expired,
 }
 
-/// What a node answers.
+/// How an endpoint answers a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
-    /// Done; or a repeat, dropped and answered like the first.
+    /// The request was processed, or was a repeat that is dropped and answered like the first request.
     Served {
-        /// It was a repeat.
+        /// Whether the request was a dropped repeat.
         dropped: bool,
     },
-    /// An error: it may have run.
+    /// An error: the request was possibly processed.
     Error,
-    /// Never run.
+    /// The request was rejected and not processed.
     TurnedAway(Refusal),
 }
 
-/// What comes out of a node.
+/// An output of the endpoint model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Output {
-    /// An attempt begins to run; a repeat that is dropped does not.
+    /// The processing of an attempt begins. Not emitted for a dropped repeat.
     Began {
-        /// Which.
+        /// The attempt whose processing begins.
         attempt: AttemptId,
     },
-    /// An attempt is answered.
+    /// The endpoint answers an attempt.
     Answered {
-        /// Which.
+        /// The answered attempt.
         attempt: AttemptId,
-        /// On which connection.
+        /// The connection of the attempt.
         connection: ConnectionId,
-        /// How.
+        /// The answer.
         answer: Answer,
-        /// The load report that goes with it.
+        /// The load report in the answer.
         report: Report,
     },
-    /// A connection ends. What was out on it gets no answer.
+    /// The endpoint ends a connection. An attempt in flight on the connection gets no answer.
     Ended {
-        /// Which.
+        /// The ended connection.
         connection: ConnectionId,
-        /// The attempt that was out on it.
+        /// The attempt that was in flight on the connection.
         attempt: Option<AttemptId>,
     },
-    /// It was sent too much while it was cold, and stays down.
+    /// The endpoint was sent too much work in its slow start; it has crashed and stays down.
     FellOver,
 }
 
-/// Whether a node is there.
+/// The state of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It takes work.
+    /// The endpoint takes requests.
     Up,
-    /// It finishes what it has.
+    /// The endpoint finishes the requests that it has and rejects new ones.
     Draining,
-    /// Its process has ended: connections are refused.
+    /// The process has ended: connections are refused.
     Down,
-    /// Its machine is cut off: nothing comes and nothing goes.
+    /// The machine is cut off: nothing is received and nothing is sent.
     Silent,
-    /// It was pushed over: as if its process had ended, and no restart of its own.
+    /// The endpoint crashed from too much work in its slow start: connections are refused, and the endpoint does not restart.
     Fallen,
 }
 
-/// The memories of repeats that the nodes of a group share.
+/// The repeat caches that an endpoint shares with others, one for each key scope.
 #[derive(Clone, Debug, Default)]
 pub struct Memories {
-    /// Of all nodes.
+    /// Shared by all endpoints.
     pub all: Rc<RefCell<Repeats>>,
-    /// Of the nodes of its zone.
+    /// Shared by the endpoints of the zone.
     pub zone: Rc<RefCell<Repeats>>,
-    /// Of the nodes of its rack.
+    /// Shared by the endpoints of the rack.
     pub rack: Rc<RefCell<Repeats>>,
 }
 
 impl Memories {
-    fn of(&self, group: KeyScope) -> &Rc<RefCell<Repeats>> {
-        match group {
+    fn in_scope(&self, scope: KeyScope) -> &Rc<RefCell<Repeats>> {
+        match scope {
             KeyScope::All => &self.all,
             KeyScope::Zone => &self.zone,
             KeyScope::Cell => &self.rack,
@@ -135,20 +135,21 @@
 
 #[derive(Clone, Debug, Default)]
 struct Connection {
-    /// Its handshake is done.
+    /// Whether the handshake is done.
     ready: bool,
-    /// It is in the table no more, and the other side has not been told.
-    forgotten: bool,
+    /// Whether the endpoint has dropped the connection without closing it, so that the gateway does not know.
+    silently_dropped: bool,
     attempt: Option<AttemptId>,
     idle_since: f64,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+/// An attempt that is running or queued.
+struct AttemptInFlight {
     connection: ConnectionId,
     work: Work,
-    /// The virtual time at which it is done, while it runs.
-    running: Option<f64>,
+    /// The value of [`Node::work_per_job`] at which the attempt is done, while it is running.
+    job_end: Option<f64>,
     fails: bool,
     dropped: bool,
 }
@@ -157,11 +158,11 @@
 enum Job {
     Handshake(ConnectionId),
     Request(AttemptId),
-    /// Cancelled, and it goes on all the same.
-    Ghost(AttemptId),
+    /// A cancelled attempt that runs on to its end.
+    CancelledRequest(AttemptId),
 }
 
-/// A node. See the module's page.
+/// The model of a stand-in endpoint.
 #[derive(Debug)]
 pub struct Node {
     number: u64,
@@ -170,161 +171,163 @@
     memories: Memories,
     state: State,
     now: f64,
-    started: Option<f64>,
-    worked: f64,
+    started_at: Option<f64>,
+    work_done: f64,
     budget: Budget,
-    /// The most that a window of its earlier starts has held, as [`Budget::peak`] has it.
+    /// The highest [`Budget::peak`] of earlier starts of this endpoint.
     cold_peak: f64,
     choke: Option<Choke>,
-    choke_seen: f64,
+    choke_updated_at: f64,
     keys: Keys,
     reports: Reports,
-    claims: Option<Report>,
-    /// The work that each running job has had since the node began, were it always running.
-    clock: f64,
+    reported_always: Option<Report>,
+    /// Work done since the model was created by a job that would have run all the time, in seconds: the clock of the jobs' progress.
+    work_per_job: f64,
     jobs: BTreeMap<(u64, Job), ()>,
-    held: FxHashMap<AttemptId, Held>,
+    in_flight: FxHashMap<AttemptId, AttemptInFlight>,
     running: usize,
     queue: VecDeque<AttemptId>,
     connections: FxHashMap<ConnectionId, Connection>,
     idle: BTreeSet<(u64, ConnectionId)>,
-    open: usize,
-    pauses: Option<(Stream, f64)>,
+    open_connections: usize,
+    next_pause: Option<(Stream, f64)>,
     paused_until: Option<f64>,
-    neighbour: f64,
-    slowed: f64,
-    failing: f64,
-    forgets: Option<(f64, bool)>,
-    out: Vec<Output>,
+    neighbour_share: f64,
+    slowdown: f64,
+    failure_share: f64,
+    idle_timeout_override: Option<(f64, bool)>,
+    outputs: Vec<Output>,
 }
 
-/// What a node of this kind may be sent while it is cold.
-fn budget(spec: &NodeSpec) -> Budget {
+/// The work that an endpoint with these properties may be sent during its slow start.
+fn slow_start_budget(spec: &NodeSpec) -> Budget {
     Budget::new(spec.fall_at, spec.fall_over.as_secs_f64(), spec.mean_work)
         .granting_chance(spec.grants_chance)
 }
 
 impl Node {
-    /// A node that has been up and warm for long.
+    /// An endpoint that has been up for long, so that its slow start is over.
     pub fn new(number: u64, spec: NodeSpec, draws: Draws, memories: Memories, now: Duration) -> Node {
-        let t = now.as_secs_f64();
-        let mut pauses = spec.pause.map(|p| (draws.stream(For::Pause, number), p.every.as_secs_f64()));
-        let pauses = pauses.take().map(|(mut s, every)| {
-            let first = t + s.exponential() * every;
-            (s, first)
+        let now_s = now.as_secs_f64();
+        let mut next_pause =
+            spec.pause.map(|pause| (draws.stream(For::Pause, number), pause.every.as_secs_f64()));
+        let next_pause = next_pause.take().map(|(mut stream, mean_interval_s)| {
+            let first = now_s + stream.exponential() * mean_interval_s;
+            (stream, first)
         });
         Node {
             number,
             draws,
             memories,
             state: State::Up,
-            now: t,
-            started: None,
-            worked: 0.0,
-            budget: budget(&spec),
+            now: now_s,
+            started_at: None,
+            work_done: 0.0,
+            budget: slow_start_budget(&spec),
             cold_peak: 0.0,
-            choke: spec.choke.map(|c| Choke::new(c, t)),
-            choke_seen: t,
+            choke: spec.choke.map(|choke| Choke::new(choke, now_s)),
+            choke_updated_at: now_s,
             keys: Keys::new(spec.key_places, spec.key_for.as_secs_f64()),
             reports: Reports::new(spec.report, draws, number, now),
-            claims: None,
-            clock: 0.0,
+            reported_always: None,
+            work_per_job: 0.0,
             jobs: BTreeMap::new(),
-            held: FxHashMap::default(),
+            in_flight: FxHashMap::default(),
             running: 0,
             queue: VecDeque::new(),
             connections: FxHashMap::default(),
             idle: BTreeSet::new(),
-            open: 0,
-            pauses,
+            open_connections: 0,
+            next_pause,
             paused_until: None,
-            neighbour: 0.0,
-            slowed: 1.0,
-            failing: 0.0,
-            forgets: None,
-            out: Vec::new(),
+            neighbour_share: 0.0,
+            slowdown: 1.0,
+            failure_share: 0.0,
+            idle_timeout_override: None,
+            outputs: Vec::new(),
             spec,
         }
     }
 
-    /// Whether it is there.
+    /// The state of the endpoint.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Requests that it holds, running or waiting.
+    /// Number of requests in flight, running or queued.
     pub fn held(&self) -> usize {
-        self.held.len()
+        self.in_flight.len()
     }
 
-    /// Its size, divided by 1 + the requests it holds a core.
+    /// The endpoint's live weight: its capacity divided by 1 + its requests in flight per core.
     pub fn live_weight(&self) -> f64 {
         let cores = f64::from(self.spec.cores);
         cores * self.spec.speed / (1.0 + self.held() as f64 / cores)
     }
 
-    /// Connections that are open as far as it knows.
+    /// Number of open connections as the endpoint knows them.
     pub fn open(&self) -> usize {
-        self.open
+        self.open_connections
     }
 
-    /// Whether it is choked.
+    /// Whether the endpoint is choked.
     pub fn choked(&self) -> bool {
-        self.choke.as_ref().is_some_and(|c| c.slower() > 1.0)
+        self.choke.as_ref().is_some_and(|choke| choke.slower() > 1.0)
     }
 
-    /// The share of its capacity that it has, for want of warmth.
+    /// The warm-up fraction: the fraction of its full capacity that slow start allows.
     pub fn warmth(&self) -> f64 {
-        let Some(started) = self.started else { return 1.0 };
+        let Some(started_at) = self.started_at else { return 1.0 };
         let cold_for = self.spec.cold_for.as_secs_f64().max(1e-6);
-        let by_time = (self.now - started) / cold_for;
-        let part = match self.spec.warm_by {
+        let by_time = (self.now - started_at) / cold_for;
+        let progress = match self.spec.warm_by {
             WarmBy::Time => by_time,
-            WarmBy::Work => by_time.max(self.worked / (self.spec.capacity() * cold_for * 0.5)),
+            WarmBy::Work => by_time.max(self.work_done / (self.spec.capacity() * cold_for * 0.5)),
         };
-        (self.spec.cold_from + (1.0 - self.spec.cold_from) * part).min(1.0)
+        (self.spec.cold_from + (1.0 - self.spec.cold_from) * progress).min(1.0)
     }
 
-    /// What has come out since the last call.
+    /// Takes the outputs since the previous call.
     pub fn outputs(&mut self) -> std::vec::Drain<'_, Output> {
-        self.out.drain(..)
+        self.outputs.drain(..)
     }
 
-    // ---- how fast ------------------------------------------------------------------------------------------
+    // ---- speed ----
 
     fn cores(&self) -> f64 {
         f64::from(self.spec.cores)
     }
 
-    /// The speed of one core now.
+    /// The current speed of one core.
     fn core_speed(&self) -> f64 {
         if self.paused_until.is_some() || !matches!(self.state, State::Up | State::Draining) {
             return 0.0;
         }
-        let per_core = self.held.len() as f64 / self.cores();
-        let full = (f64::from(self.spec.slots) / self.cores() - self.spec.crowded_at).max(1e-9);
-        let crowded = ((per_core - self.spec.crowded_at) / full).clamp(0.0, 1.0);
-        let tax = self.spec.connection_tax * self.open as f64 / f64::from(self.spec.connections.max(1));
+        let per_core = self.in_flight.len() as f64 / self.cores();
+        let crowding_range = (f64::from(self.spec.slots) / self.cores() - self.spec.crowded_at).max(1e-9);
+        let crowding_level = ((per_core - self.spec.crowded_at) / crowding_range).clamp(0.0, 1.0);
+        let tax =
+            self.spec.connection_tax * self.open_connections as f64 / f64::from(self.spec.connections.max(1));
         let choke = self.choke.as_ref().map_or(1.0, Choke::slower);
         self.spec.speed
             * self.warmth()
-            * (1.0 - self.spec.crowding * crowded)
-            * (1.0 - self.neighbour)
+            * (1.0 - self.spec.crowding * crowding_level)
+            * (1.0 - self.neighbour_share)
             * (1.0 - tax.min(1.0))
-            / (choke * self.slowed)
+            / (choke * self.slowdown)
     }
 
-    /// How fast one running job goes.
-    fn rate(&self) -> f64 {
+    /// The speed at which each running job proceeds.
+    fn job_speed(&self) -> f64 {
         let jobs = self.jobs.len().max(1) as f64;
         self.core_speed() * (self.cores() / jobs).min(1.0)
     }
 
-    // ---- time ----------------------------------------------------------------------------------------------
+    // ---- time ----
 
-    /// When something happens next by itself.
+    /// The time of the next change that needs no input.
     pub fn next(&self) -> Option<Duration> {
-        self.next_at().map(|t| Duration::from_secs_f64(t.max(0.0)))
+        self.next_at().map(|next_s| Duration::from_secs_f64(next_s.max(0.0)))
     }
 
     fn next_at(&self) -> Option<f64> {
@@ -333,387 +336,401 @@
         }
         let mut next = self.reports.next_look().as_secs_f64();
         if let Some(((end, _), ())) = self.jobs.first_key_value() {
-            let rate = self.rate();
+            let rate = self.job_speed();
             if rate > 0.0 {
-                next = next.min(self.now + (f64::from_bits(*end) - self.clock).max(0.0) / rate);
+                next = next.min(self.now + (f64::from_bits(*end) - self.work_per_job).max(0.0) / rate);
             }
         }
         if let Some(&(due, _)) = self.idle.first() {
             next = next.min(f64::from_bits(due));
         }
-        next = next.min(self.paused_until.or(self.pauses.as_ref().map(|p| p.1)).unwrap_or(f64::INFINITY));
-        let changes = self.warmth() < 1.0 || self.choke.is_some() && (!self.held.is_empty() || self.choked());
-        Some(if changes { next.min(self.choke_seen.max(self.now) + STEP) } else { next })
+        next = next.min(
+            self.paused_until.or(self.next_pause.as_ref().map(|pause| pause.1)).unwrap_or(f64::INFINITY),
+        );
+        let changes =
+            self.warmth() < 1.0 || self.choke.is_some() && (!self.in_flight.is_empty() || self.choked());
+        Some(if changes { next.min(self.choke_updated_at.max(self.now) + UPDATE_INTERVAL_S) } else { next })
     }
 
-    /// Lets time pass until `now`.
+    /// Advances the model to `now`.
     pub fn advance(&mut self, now: Duration) {
         let until = now.as_secs_f64();
         while let Some(at) = self.next_at().filter(|at| *at <= until + 1e-9) {
-            self.pass(at.max(self.now));
-            self.happen();
+            self.advance_to(at.max(self.now));
+            self.process_due();
         }
-        self.pass(until.max(self.now));
+        self.advance_to(until.max(self.now));
     }
 
-    /// Lets time pass in which nothing changes but the work done.
-    fn pass(&mut self, until: f64) {
-        let dt = until - self.now;
-        if dt <= 0.0 {
+    /// Advances the model through a time in which nothing changes but the work done.
+    fn advance_to(&mut self, until: f64) {
+        let elapsed_s = until - self.now;
+        if elapsed_s <= 0.0 {
             return;
         }
-        let (rate, jobs) = (self.rate(), self.jobs.len() as f64);
-        self.clock += rate * dt;
-        self.worked += rate * dt * jobs;
-        let (cores, held) = (self.cores(), self.held.len() as f64);
+        let (rate, jobs) = (self.job_speed(), self.jobs.len() as f64);
+        self.work_per_job += rate * elapsed_s;
+        self.work_done += rate * elapsed_s * jobs;
+        let (cores, in_flight) = (self.cores(), self.in_flight.len() as f64);
         let busy = if rate > 0.0 { (jobs / cores).min(1.0) } else { f64::from(u8::from(jobs > 0.0)) };
         self.now = until;
         if let Some(choke) = &mut self.choke {
-            choke.pass(until, held, cores, busy);
+            choke.pass(until, in_flight, cores, busy);
         }
-        self.choke_seen = until;
+        self.choke_updated_at = until;
     }
 
-    /// What is due now.
-    fn happen(&mut self) {
+    /// Processes everything that is due: finished jobs, idle connections, pauses, load reports.
+    fn process_due(&mut self) {
         while let Some((&(end, job), ())) = self.jobs.first_key_value() {
-            if f64::from_bits(end) > self.clock + NEAR {
+            if f64::from_bits(end) > self.work_per_job + WORK_TOLERANCE_S {
                 break;
             }
             self.jobs.remove(&(end, job));
-            self.finish(job);
+            self.finish_job(job);
         }
-        while let Some(&(due, connection)) = self.idle.first().filter(|i| f64::from_bits(i.0) <= self.now) {
+        while let Some(&(due, connection)) =
+            self.idle.first().filter(|idle| f64::from_bits(idle.0) <= self.now)
+        {
             self.idle.remove(&(due, connection));
-            self.let_go(connection);
+            self.close_idle(connection);
         }
         if self.paused_until.is_some_and(|until| until <= self.now) {
             self.paused_until = None;
         }
-        if let (Some(spec), Some((stream, at))) = (self.spec.pause, &mut self.pauses) {
-            if *at <= self.now && self.paused_until.is_none() {
-                let full = (self.running as f64 / f64::from(self.spec.slots.max(1))).min(1.0);
-                let lasts = spec.lasts.as_secs_f64() * (1.0 + spec.grows * full);
-                self.paused_until = Some(self.now + lasts);
-                *at = self.now + lasts + stream.exponential() * spec.every.as_secs_f64();
+        if let (Some(spec), Some((stream, pause_at))) = (self.spec.pause, &mut self.next_pause) {
+            if *pause_at <= self.now && self.paused_until.is_none() {
+                let slot_usage = (self.running as f64 / f64::from(self.spec.slots.max(1))).min(1.0);
+                let length_s = spec.lasts.as_secs_f64() * (1.0 + spec.grows * slot_usage);
+                self.paused_until = Some(self.now + length_s);
+                *pause_at = self.now + length_s + stream.exponential() * spec.every.as_secs_f64();
             }
         }
         let look = self.reports.next_look();
         if look.as_secs_f64() <= self.now + 1e-9 {
-            self.reports.look(look, self.held.len());
+            self.reports.look(look, self.in_flight.len());
         }
     }
 
-    // ---- connections ---------------------------------------------------------------------------------------
+    // ---- connections ----
 
-    /// A connection is wanted. Refused where the process is not there or its table is full.
+    /// Opens a connection; false if the process is not running or has the maximum number of connections.
     pub fn connect(&mut self, now: Duration, connection: ConnectionId) -> bool {
         self.advance(now);
-        let there = matches!(self.state, State::Up | State::Draining);
-        if !there || self.open >= self.spec.connections as usize {
+        let is_running = matches!(self.state, State::Up | State::Draining);
+        if !is_running || self.open_connections >= self.spec.connections as usize {
             return false;
         }
-        self.open += 1;
+        self.open_connections += 1;
         let idle_since = self.now;
         let ready = self.spec.handshake <= 0.0;
         self.connections.insert(connection, Connection { ready, idle_since, ..Connection::default() });
         if ready {
-            self.rest(connection);
+            self.mark_idle(connection);
         } else {
-            self.start(Job::Handshake(connection), self.spec.handshake);
-            self.bear(self.spec.handshake);
+            self.start_job(Job::Handshake(connection), self.spec.handshake);
+            self.record_work(self.spec.handshake);
         }
         self.connections.contains_key(&connection)
     }
 
-    /// The other side has ended a connection. What was out on it is cancelled.
+    /// The gateway has ended a connection. An attempt in flight on the connection is cancelled.
     pub fn disconnect(&mut self, now: Duration, connection: ConnectionId) {
         self.advance(now);
         let Some(ended) = self.connections.remove(&connection) else { return };
-        self.unrest(connection, &ended);
-        self.open -= usize::from(!ended.forgotten);
+        self.mark_busy(connection, &ended);
+        self.open_connections -= usize::from(!ended.silently_dropped);
         if let Some(attempt) = ended.attempt {
             self.drop_attempt(attempt);
         }
         self.jobs.retain(|(_, job), ()| *job != Job::Handshake(connection));
     }
 
-    /// One attempt is called off and its connection stays, as where a protocol carries several on one.
+    /// Cancels one attempt and keeps its connection, as in a protocol with several requests on one connection.
     pub fn cancel(&mut self, now: Duration, attempt: AttemptId) {
         self.advance(now);
-        let Some(held) = self.held.get(&attempt) else { return };
-        let connection = held.connection;
-        if let Some(c) = self.connections.get_mut(&connection) {
-            c.attempt = None;
+        let Some(attempt_state) = self.in_flight.get(&attempt) else { return };
+        let connection = attempt_state.connection;
+        if let Some(connection_state) = self.connections.get_mut(&connection) {
+            connection_state.attempt = None;
         }
         self.drop_attempt(attempt);
-        self.rest(connection);
+        self.mark_idle(connection);
     }
 
     fn idle_due(&self, since: f64) -> u64 {
-        let lasts = self.forgets.map_or(self.spec.keep_alive.as_secs_f64(), |f| f.0);
-        (since + lasts).to_bits()
+        let timeout_s =
+            self.idle_timeout_override.map_or(self.spec.keep_alive.as_secs_f64(), |timeout| timeout.0);
+        (since + timeout_s).to_bits()
     }
 
-    fn rest(&mut self, connection: ConnectionId) {
+    fn mark_idle(&mut self, connection: ConnectionId) {
         let now = self.now;
         let due = self.idle_due(now);
-        if let Some(c) = self.connections.get_mut(&connection).filter(|c| c.ready && c.attempt.is_none()) {
-            c.idle_since = now;
+        if let Some(connection_state) =
+            self.connections.get_mut(&connection).filter(|state| state.ready && state.attempt.is_none())
+        {
+            connection_state.idle_since = now;
             self.idle.insert((due, connection));
         }
     }
 
-    fn unrest(&mut self, connection: ConnectionId, of: &Connection) {
-        let due = self.idle_due(of.idle_since);
+    fn mark_busy(&mut self, connection: ConnectionId, connection_state: &Connection) {
+        let due = self.idle_due(connection_state.idle_since);
         if !self.idle.remove(&(due, connection)) {
-            // It came to rest under another limit.
-            self.idle.retain(|(_, c)| *c != connection);
+            // The connection became idle under another idle timeout, so it is listed with another time.
+            self.idle.retain(|(_, idle)| *idle != connection);
         }
     }
 
-    /// Ends a connection that has been idle for long, or forgets it and says nothing.
-    fn let_go(&mut self, connection: ConnectionId) {
-        let silently = self.forgets.is_some_and(|f| f.1);
+    /// Closes a connection whose idle timeout has passed, or drops it without closing it.
+    fn close_idle(&mut self, connection: ConnectionId) {
+        let silently = self.idle_timeout_override.is_some_and(|timeout| timeout.1);
         if silently {
-            if let Some(c) = self.connections.get_mut(&connection) {
-                c.forgotten = true;
-                self.open -= 1;
+            if let Some(connection_state) = self.connections.get_mut(&connection) {
+                connection_state.silently_dropped = true;
+                self.open_connections -= 1;
             }
         } else if self.connections.remove(&connection).is_some() {
-            self.open -= 1;
-            self.out.push(Output::Ended { connection, attempt: None });
+            self.open_connections -= 1;
+            self.outputs.push(Output::Ended { connection, attempt: None });
         }
     }
 
-    // ---- requests ------------------------------------------------------------------------------------------
+    // ---- requests ----
 
-    /// The last byte of a request has come.
+    /// A request has been received up to its last byte.
     pub fn request(&mut self, now: Duration, connection: ConnectionId, attempt: AttemptId, work: Work) {
         self.advance(now);
         if self.state == State::Silent {
             return;
         }
-        let Some(c) = self.connections.get(&connection) else { return };
-        let c = c.clone();
-        self.unrest(connection, &c);
-        if c.forgotten {
+        let Some(connection_state) = self.connections.get(&connection) else { return };
+        let connection_state = connection_state.clone();
+        self.mark_busy(connection, &connection_state);
+        if connection_state.silently_dropped {
             self.connections.remove(&connection);
-            return self.out.push(Output::Ended { connection, attempt: Some(attempt) });
+            return self.outputs.push(Output::Ended { connection, attempt: Some(attempt) });
         }
-        if let Some(c) = self.connections.get_mut(&connection) {
-            c.attempt = Some(attempt);
+        if let Some(connection_state) = self.connections.get_mut(&connection) {
+            connection_state.attempt = Some(attempt);
         }
         let seconds = work.seconds;
         let fails = {
             let mut draws = self.draws.stream_of_two(For::Failure, work.request, self.number);
-            let (at_once, at_the_end) = (draws.chance(self.failing), draws.chance(self.spec.error_rate));
-            (at_once, at_the_end)
+            let (fails_at_once, fails_at_end) =
+                (draws.chance(self.failure_share), draws.chance(self.spec.error_rate));
+            (fails_at_once, fails_at_end)
         };
-        self.held.insert(
+        self.in_flight.insert(
             attempt,
-            Held { connection, work, running: None, fails: fails.0 || fails.1, dropped: false },
+            AttemptInFlight { connection, work, job_end: None, fails: fails.0 || fails.1, dropped: false },
         );
-        self.bear(seconds);
-        if !self.held.contains_key(&attempt) {
-            return; // that was too much, and it is down
+        self.record_work(seconds);
+        if !self.in_flight.contains_key(&attempt) {
+            return; // the endpoint has crashed from too much work in its slow start
         }
         if self.state == State::Draining {
-            return self.answer(attempt, Answer::TurnedAway(Refusal::Draining));
+            return self.send_answer(attempt, Answer::TurnedAway(Refusal::Draining));
         }
         if fails.0 {
-            self.out.push(Output::Began { attempt });
-            return self.answer(attempt, Answer::Error);
+            self.outputs.push(Output::Began { attempt });
+            return self.send_answer(attempt, Answer::Error);
         }
-        if c.ready {
+        if connection_state.ready {
             self.admit(attempt);
         }
     }
 
-    /// Gives the attempt a slot or a place in the waiting room.
+    /// Starts the attempt if a slot is free, otherwise queues it, or rejects it if the queue is full.
     fn admit(&mut self, attempt: AttemptId) {
         if self.running < self.spec.slots as usize {
-            self.run(attempt);
+            self.start_attempt(attempt);
         } else if self.queue.len() < self.spec.queue as usize {
             self.queue.push_back(attempt);
         } else {
-            self.answer(attempt, Answer::TurnedAway(Refusal::QueueFull));
+            self.send_answer(attempt, Answer::TurnedAway(Refusal::QueueFull));
         }
     }
 
-    fn run(&mut self, attempt: AttemptId) {
+    fn start_attempt(&mut self, attempt: AttemptId) {
         let now = Duration::from_secs_f64(self.now);
-        let Some(held) = self.held.get_mut(&attempt) else { return };
-        if self.spec.drops_expired && held.work.until <= now {
-            return self.answer(attempt, Answer::TurnedAway(Refusal::Expired));
+        let Some(attempt_state) = self.in_flight.get_mut(&attempt) else { return };
+        if self.spec.drops_expired && attempt_state.work.until <= now {
+            return self.send_answer(attempt, Answer::TurnedAway(Refusal::Expired));
         }
-        let mut seconds = held.work.seconds;
-        if let Some((key, group, window)) = held.work.keyed {
-            let memory = self.memories.of(group);
-            held.dropped = memory.borrow_mut().meet(now, key, window) == Meeting::Dropped;
+        let mut seconds = attempt_state.work.seconds;
+        if let Some((key, scope, window)) = attempt_state.work.keyed {
+            let repeats = self.memories.in_scope(scope);
+            attempt_state.dropped = repeats.borrow_mut().meet(now, key, window) == Meeting::Dropped;
         }
-        if held.dropped {
+        if attempt_state.dropped {
             seconds = self.spec.repeat_work;
         } else {
-            if held.work.subject.is_some_and(|key| self.keys.meet(self.now, key)) {
+            if attempt_state.work.subject.is_some_and(|key| self.keys.meet(self.now, key)) {
                 seconds *= 1.0 - self.spec.key_gain;
             }
-            self.out.push(Output::Began { attempt });
+            self.outputs.push(Output::Began { attempt });
         }
         self.running += 1;
-        let end = self.start(Job::Request(attempt), seconds);
-        if let Some(held) = self.held.get_mut(&attempt) {
-            held.running = Some(end);
+        let end = self.start_job(Job::Request(attempt), seconds);
+        if let Some(attempt_state) = self.in_flight.get_mut(&attempt) {
+            attempt_state.job_end = Some(end);
         }
     }
 
-    fn start(&mut self, job: Job, seconds: f64) -> f64 {
-        let end = self.clock + seconds.max(0.0);
+    fn start_job(&mut self, job: Job, seconds: f64) -> f64 {
+        let end = self.work_per_job + seconds.max(0.0);
         self.jobs.insert((end.to_bits(), job), ());
         end
     }
 
-    fn finish(&mut self, job: Job) {
+    fn finish_job(&mut self, job: Job) {
         match job {
             Job::Handshake(connection) => {
-                let Some(c) = self.connections.get_mut(&connection) else { return };
-                c.ready = true;
-                match c.attempt {
+                let Some(connection_state) = self.connections.get_mut(&connection) else { return };
+                connection_state.ready = true;
+                match connection_state.attempt {
                     Some(attempt) => self.admit(attempt),
-                    None => self.rest(connection),
+                    None => self.mark_idle(connection),
                 }
             }
             Job::Request(attempt) => {
-                let Some(held) = self.held.get(&attempt) else { return };
-                let (fails, dropped) = (held.fails, held.dropped);
+                let Some(attempt_state) = self.in_flight.get(&attempt) else { return };
+                let (fails, dropped) = (attempt_state.fails, attempt_state.dropped);
                 if !fails {
                     self.reports.count();
-                    if let Some((key, group, _)) = held.work.keyed.filter(|_| !dropped) {
+                    if let Some((key, scope, _)) = attempt_state.work.keyed.filter(|_| !dropped) {
                         let now = Duration::from_secs_f64(self.now);
-                        self.memories.of(group).borrow_mut().done(now, key);
+                        self.memories.in_scope(scope).borrow_mut().done(now, key);
                     }
                 }
                 let answer = if fails && !dropped { Answer::Error } else { Answer::Served { dropped } };
-                self.answer(attempt, answer);
+                self.send_answer(attempt, answer);
             }
-            Job::Ghost(_) => {
+            Job::CancelledRequest(_) => {
                 self.running -= 1;
-                self.next_in_line();
+                self.start_queued();
             }
         }
     }
 
-    fn answer(&mut self, attempt: AttemptId, answer: Answer) {
-        let Some(held) = self.held.remove(&attempt) else { return };
+    fn send_answer(&mut self, attempt: AttemptId, answer: Answer) {
+        let Some(attempt_state) = self.in_flight.remove(&attempt) else { return };
         let report = self.reports.at(Duration::from_secs_f64(self.now));
-        let report = self.claims.unwrap_or(report);
-        let connection = held.connection;
-        self.out.push(Output::Answered { attempt, connection, answer, report });
-        if let Some(c) = self.connections.get_mut(&connection) {
-            c.attempt = None;
-        }
-        self.rest(connection);
-        if held.running.is_some() {
+        let report = self.reported_always.unwrap_or(report);
+        let connection = attempt_state.connection;
+        self.outputs.push(Output::Answered { attempt, connection, answer, report });
+        if let Some(connection_state) = self.connections.get_mut(&connection) {
+            connection_state.attempt = None;
+        }
+        self.mark_idle(connection);
+        if attempt_state.job_end.is_some() {
             self.running -= 1;
-            self.next_in_line();
+            self.start_queued();
         }
     }
 
-    fn next_in_line(&mut self) {
+    fn start_queued(&mut self) {
         while self.running < self.spec.slots as usize {
             let Some(attempt) = self.queue.pop_front() else { return };
-            self.run(attempt);
+            self.start_attempt(attempt);
         }
     }
 
-    /// Forgets an attempt that nobody waits for any more.
+    /// Removes a cancelled attempt.
     fn drop_attempt(&mut self, attempt: AttemptId) {
-        let Some(held) = self.held.remove(&attempt) else { return };
-        match held.running {
+        let Some(attempt_state) = self.in_flight.remove(&attempt) else { return };
+        match attempt_state.job_end {
             Some(end) => {
                 self.jobs.remove(&(end.to_bits(), Job::Request(attempt)));
                 if self.spec.cancels {
                     self.running -= 1;
-                    self.next_in_line();
+                    self.start_queued();
                 } else {
-                    // It runs on to its end, so its repeat need not: booked here, a moment ahead of that.
-                    if let Some((key, group, _)) = held.work.keyed.filter(|_| !held.fails && !held.dropped) {
+                    // The cancelled attempt runs on to its end, so its repeats must be dropped.
+                    // Its key is recorded here, slightly before the attempt ends.
+                    if let Some((key, scope, _)) =
+                        attempt_state.work.keyed.filter(|_| !attempt_state.fails && !attempt_state.dropped)
+                    {
                         let now = Duration::from_secs_f64(self.now);
-                        self.memories.of(group).borrow_mut().done(now, key);
+                        self.memories.in_scope(scope).borrow_mut().done(now, key);
                     }
-                    self.jobs.insert((end.to_bits(), Job::Ghost(attempt)), ());
+                    self.jobs.insert((end.to_bits(), Job::CancelledRequest(attempt)), ());
                 }
             }
-            None => self.queue.retain(|a| *a != attempt),
+            None => self.queue.retain(|queued| *queued != attempt),
         }
     }
 
-    /// Books work that has reached it; while it is cold that may be too much.
-    fn bear(&mut self, seconds: f64) {
-        let warmth = self.warmth();
-        if warmth < 1.0 && self.budget.overspent(self.now, seconds, self.spec.capacity() * warmth) {
-            self.out.push(Output::FellOver);
-            self.end_all(State::Fallen);
+    /// Records work that was sent to the endpoint. During slow start, too much work makes the endpoint crash.
+    fn record_work(&mut self, seconds: f64) {
+        let warm_up_fraction = self.warmth();
+        if warm_up_fraction < 1.0
+            && self.budget.overspent(self.now, seconds, self.spec.capacity() * warm_up_fraction)
+        {
+            self.outputs.push(Output::FellOver);
+            self.close_everything(State::Fallen);
         }
     }
 
-    /// The most that it was sent while it was cold, as a part of what it may be sent in a window; 0 where it never was cold.
+    /// The highest work sent in a window during slow start, divided by the allowance of that window; 0 if the endpoint had no slow start.
     pub fn cold_peak(&self) -> f64 {
         self.cold_peak.max(self.budget.peak())
     }
 
-    // ---- what the script does to it ------------------------------------------------------------------------
+    // ---- faults of the script ----
 
-    fn end_all(&mut self, state: State) {
+    fn close_everything(&mut self, state: State) {
         self.state = state;
         let mut connections: Vec<_> = self.connections.drain().collect();
         connections.sort_unstable_by_key(|(id, _)| *id);
-        for (connection, c) in connections {
-            self.out.push(Output::Ended { connection, attempt: c.attempt });
+        for (connection, ended) in connections {
+            self.outputs.push(Output::Ended { connection, attempt: ended.attempt });
         }
-        self.held.clear();
+        self.in_flight.clear();
         self.jobs.clear();
         self.queue.clear();
         self.idle.clear();
-        (self.running, self.open) = (0, 0);
+        (self.running, self.open_connections) = (0, 0);
     }
 
-    /// Its process ends.
+    /// The process of the endpoint ends.
     pub fn kill(&mut self, now: Duration) {
         self.advance(now);
         if self.state != State::Fallen {
-            self.end_all(State::Down);
+            self.close_everything(State::Down);
         }
     }
 
-    /// Its machine is cut off. What it holds is lost; connections stay open and silent.
+    /// The machine of the endpoint is cut off. Its requests are lost; its connections stay open but carry nothing.
     pub fn cut_off(&mut self, now: Duration) {
         self.advance(now);
         if self.state == State::Fallen {
             return;
         }
-        self.held.clear();
+        self.in_flight.clear();
         self.jobs.clear();
         self.queue.clear();
         self.idle.clear();
         (self.state, self.running) = (State::Silent, 0);
     }
 
-    /// It starts, cold. One that has fallen over stays down.
+    /// The endpoint starts with a slow start. An endpoint that has crashed from too much work stays down.
     pub fn start_cold(&mut self, now: Duration) {
         self.advance(now);
         if self.state == State::Fallen {
             return;
         }
-        self.end_all(State::Up);
-        (self.started, self.worked) = (Some(self.now), 0.0);
+        self.close_everything(State::Up);
+        (self.started_at, self.work_done) = (Some(self.now), 0.0);
         self.cold_peak = self.cold_peak();
-        self.budget = budget(&self.spec);
-        self.choke = self.spec.choke.map(|c| Choke::new(c, self.now));
+        self.budget = slow_start_budget(&self.spec);
+        self.choke = self.spec.choke.map(|choke| Choke::new(choke, self.now));
         self.keys = Keys::new(self.spec.key_places, self.spec.key_for.as_secs_f64());
     }
 
-    /// It finishes what it has and takes nothing new, or takes work again.
+    /// The endpoint starts to drain (finishes the requests that it has and rejects new ones), or takes requests again.
     pub fn drain(&mut self, now: Duration, on: bool) {
         self.advance(now);
         self.state = match (self.state, on) {
@@ -723,46 +740,46 @@
         };
     }
 
-    /// Another program takes this share of its machine.
+    /// Another program on the machine takes this share of the endpoint's speed.
     pub fn share_with_neighbour(&mut self, now: Duration, share: f64) {
         self.advance(now);
-        self.neighbour = share;
+        self.neighbour_share = share;
     }
 
-    /// It is so many times slower than it was built.
+    /// The endpoint becomes `times` times slower than its properties say.
     pub fn slow_down(&mut self, now: Duration, times: f64) {
         self.advance(now);
-        self.slowed = times.max(1e-3);
+        self.slowdown = times.max(1e-3);
     }
 
-    /// Its load reports always say this, or what is true.
-    pub fn report_always(&mut self, now: Duration, says: Option<Report>) {
+    /// All load reports of the endpoint carry these values; `None` for true reports.
+    pub fn report_always(&mut self, now: Duration, report: Option<Report>) {
         self.advance(now);
-        self.claims = says;
+        self.reported_always = report;
     }
 
-    /// It fails this share of its requests at once.
+    /// The endpoint answers this share of its requests with an error at once.
     pub fn fail(&mut self, now: Duration, share: f64) {
         self.advance(now);
-        self.failing = share;
+        self.failure_share = share;
     }
 
-    /// It lets idle connections go after this time, and may say nothing of it; or as it was built.
+    /// Sets the idle timeout, and whether idle connections are dropped without being closed; `None` for the idle timeout of the properties.
     pub fn let_go_after(&mut self, now: Duration, limit: Option<(Duration, bool)>) {
         self.advance(now);
-        self.forgets = limit.map(|(time, silently)| (time.as_secs_f64(), silently));
-        let resting: Vec<_> = self.idle.iter().map(|(_, c)| *c).collect();
+        self.idle_timeout_override = limit.map(|(time, silently)| (time.as_secs_f64(), silently));
+        let idle_connections: Vec<_> = self.idle.iter().map(|(_, connection)| *connection).collect();
         self.idle.clear();
-        for connection in resting {
-            let since = self.connections.get(&connection).map_or(self.now, |c| c.idle_since);
+        for connection in idle_connections {
+            let since = self.connections.get(&connection).map_or(self.now, |state| state.idle_since);
             self.idle.insert((self.idle_due(since), connection));
         }
     }
 
-    /// It does nothing for a while.
-    pub fn pause(&mut self, now: Duration, lasts: Duration) {
+    /// The endpoint processes nothing for a while.
+    pub fn pause(&mut self, now: Duration, length: Duration) {
         self.advance(now);
-        let until = self.now + lasts.as_secs_f64();
-        self.paused_until = Some(self.paused_until.map_or(until, |p| p.max(until)));
+        let until = self.now + length.as_secs_f64();
+        self.paused_until = Some(self.paused_until.map_or(until, |paused_until| paused_until.max(until)));
     }
 }
--- a/crates/testbed/src/model/repeats.rs
+++ b/crates/testbed/src/model/repeats.rs
@@ -1,47 +1,48 @@
-//! The keys of requests that have run, as the nodes of a group know them: a repeat within the window is dropped.
+//! Idempotency keys of processed requests, shared by the stand-in endpoints of a key scope: a repeat within the idempotency window is dropped.
 
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// What a group makes of a keyed request.
+/// Whether a request with an idempotency key is processed or dropped as a repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Meeting {
-    /// It is new here, was forgotten, or none of its like has been done: it runs.
+    /// The request is processed: no request with its key was completed within the idempotency window.
     Runs,
-    /// It was done within the window: it is dropped, and answered like the first.
+    /// A request with the same key was completed within the idempotency window: the repeat is dropped and answered like the first.
     Dropped,
 }
 
-/// The memory of one group. Every node of it asks here before it runs a keyed request.
+/// The repeat cache of one key scope. Its stand-in endpoints check it before they process a request with an idempotency key.
 #[derive(Clone, Debug, Default)]
 pub struct Repeats {
-    done: FxHashMap<u64, Duration>,
+    completed: FxHashMap<u64, Duration>,
     order: VecDeque<(Duration, u64)>,
 }
 
 impl Repeats {
-    /// A request with this key is about to run at a node of the group at `now`.
+    /// Checks a request with this key that an endpoint of the key scope is about to process at `now`.
     ///
-    /// Only what was done is dropped: one that was called off half way, or ended with an error, has had no effect, and
-    /// answering its repeat as served would lose it.
+    /// Only completed requests count: a request that was cancelled half way or ended with an error has had no effect,
+    /// and answering its repeat as served would lose the request.
     pub fn meet(&mut self, now: Duration, key: u64, window: Duration) -> Meeting {
-        while let Some(&(at, old)) = self.order.front().filter(|(at, _)| *at + window < now) {
+        while let Some(&(completed_at, expired_key)) =
+            self.order.front().filter(|(completed_at, _)| *completed_at + window < now)
+        {
             self.order.pop_front();
-            if self.done.get(&old) == Some(&at) {
-                self.done.remove(&old);
+            if self.completed.get(&expired_key) == Some(&completed_at) {
+                self.completed.remove(&expired_key);
             }
         }
-        match self.done.get(&key) {
-            Some(at) if now <= *at + window => Meeting::Dropped,
+        match self.completed.get(&key) {
+            Some(completed_at) if now <= *completed_at + window => Meeting::Dropped,
             _ => Meeting::Runs,
         }
     }
 
-    /// A request with this key has been done at `now`. The window is counted from here and is not drawn out by
-    /// repeats.
+    /// Records that a request with this key was completed at `now`. The idempotency window starts here; repeats do not extend it.
     pub fn done(&mut self, now: Duration, key: u64) {
-        self.done.insert(key, now);
+        self.completed.insert(key, now);
         self.order.push_back((now, key));
     }
 }
--- a/crates/testbed/src/model/reports.rs
+++ b/crates/testbed/src/model/reports.rs
@@ -1,76 +1,77 @@
-//! What a node tells of its load: refreshed now and then, late, a little noisy.
+//! Load reports of a stand-in endpoint: refreshed periodically, delayed, with some noise.
 
 use super::spec::ReportSpec;
 use crate::draws::{Draws, For};
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A report, as it goes into an answer.
+/// A load report, as it is attached to a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Requests served a second.
+    /// Requests served per second.
     pub qps: f64,
-    /// Requests held.
+    /// Requests in flight.
     pub inflight: f64,
 }
 
-/// The reports of one node.
+/// The load reports of one stand-in endpoint.
 #[derive(Clone, Debug)]
 pub struct Reports {
     spec: ReportSpec,
     draws: Draws,
-    node: u64,
-    next: u64,
-    phase: Duration,
-    since: Duration,
+    endpoint: u64,
+    refreshes: u64,
+    first_refresh: Duration,
+    last_refresh: Duration,
     served: u64,
-    taken: VecDeque<(Duration, Report)>,
-    shown: Report,
+    pending: VecDeque<(Duration, Report)>,
+    current: Report,
 }
 
 impl Reports {
-    /// The reports of a node, the first one due within a period.
-    pub fn new(spec: ReportSpec, draws: Draws, node: u64, now: Duration) -> Reports {
-        let phase = now + spec.period.mul_f64(draws.stream(For::Report, node).even());
+    /// The load reports of an endpoint that starts at `now`; the first refresh is due within one period.
+    pub fn new(spec: ReportSpec, draws: Draws, endpoint: u64, now: Duration) -> Reports {
+        let first_refresh = now + spec.period.mul_f64(draws.stream(For::Report, endpoint).even());
         Reports {
             spec,
             draws,
-            node,
-            next: 0,
-            phase,
-            since: now,
+            endpoint,
+            refreshes: 0,
+            first_refresh,
+            last_refresh: now,
             served: 0,
-            taken: VecDeque::new(),
-            shown: Report::default(),
+            pending: VecDeque::new(),
+            current: Report::default(),
         }
     }
 
-    /// A request has been served.
+    /// Counts a served request.
     pub fn count(&mut self) {
         self.served += 1;
     }
 
-    /// When the node's state is next looked at.
+    /// The time of the next refresh.
     pub fn next_look(&self) -> Duration {
-        self.phase + self.spec.period * self.next as u32
+        self.first_refresh + self.spec.period * self.refreshes as u32
     }
 
-    /// Looks at the node's state: it holds `held` requests now.
-    pub fn look(&mut self, now: Duration, held: usize) {
-        let over = now.saturating_sub(self.since).as_secs_f64().max(1e-3);
-        let mut draws = self.draws.stream_of_two(For::Report, self.node, self.next + 1);
+    /// Refreshes the load report at `now`, with `in_flight` requests in flight.
+    pub fn look(&mut self, now: Duration, in_flight: usize) {
+        let elapsed_s = now.saturating_sub(self.last_refresh).as_secs_f64().max(1e-3);
+        let mut draws = self.draws.stream_of_two(For::Report, self.endpoint, self.refreshes + 1);
         let mut noisy = |value: f64| (value * (1.0 + self.spec.noise * draws.normal())).max(0.0);
-        let report = Report { qps: noisy(self.served as f64 / over), inflight: noisy(held as f64).round() };
-        self.taken.push_back((now + self.spec.late, report));
-        (self.since, self.served, self.next) = (now, 0, self.next + 1);
+        let report =
+            Report { qps: noisy(self.served as f64 / elapsed_s), inflight: noisy(in_flight as f64).round() };
+        self.pending.push_back((now + self.spec.late, report));
+        (self.last_refresh, self.served, self.refreshes) = (now, 0, self.refreshes + 1);
     }
 
-    /// What an answer carries at `now`.
+    /// The load report that a response carries at `now`.
     pub fn at(&mut self, now: Duration) -> Report {
-        while let Some((_, report)) = self.taken.front().filter(|(due, _)| *due <= now) {
-            self.shown = *report;
-            self.taken.pop_front();
+        while let Some((_, report)) = self.pending.front().filter(|(due, _)| *due <= now) {
+            self.current = *report;
+            self.pending.pop_front();
         }
-        self.shown
+        self.current
     }
 }
--- a/crates/testbed/src/model/spec.rs
+++ b/crates/testbed/src/model/spec.rs
@@ -1,128 +1,128 @@
-//! What a node is made of.
+//! Properties of a stand-in endpoint.
 
 use std::time::Duration;
 
-/// How the work of a class is spread about its mean.
+/// The distribution of the work of a request class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Distribution {
-    /// Always the mean.
+    /// Every request has the mean work.
     Fixed,
-    /// Exponential.
+    /// Exponential distribution of the work.
     Exponential,
-    /// Log-normal.
+    /// Log-normal distribution of the work.
     LogNormal,
 }
 
-/// What warms a cold node.
+/// What makes the slow start of an endpoint progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarmBy {
-    /// Time alone.
+    /// Time since the start.
     Time,
-    /// The work it has done, and never slower than time.
+    /// Work done since the start, and never slower than by time.
     Work,
 }
 
-/// When a node that holds too much turns slower, and until when.
+/// The conditions under which an endpoint with too many requests in flight chokes (becomes slower) and recovers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ChokeSpec {
-    /// It turns slower when the mean of what it holds exceeds its cores and this many times their root ...
+    /// The endpoint chokes when its mean number of requests in flight exceeds its cores by more than `at` times their square root.
     pub at: f64,
-    /// ... over this time.
+    /// Time over which the requests in flight are averaged.
     pub over: Duration,
-    /// So many times slower.
+    /// Factor by which a choked endpoint is slower.
     pub slower: f64,
-    /// Until its cores were busy for less than this share ...
+    /// A choked endpoint recovers when the busy fraction of its cores is below this value.
     pub below: f64,
-    /// ... over this time,
+    /// Time over which the busy fraction is averaged.
     pub rest: Duration,
-    /// or this time is up.
+    /// Time after which a choked endpoint recovers in any case.
     pub most: Duration,
 }
 
-/// Pauses in which a node does nothing at all, as for the collection of garbage.
+/// Pauses in which an endpoint processes nothing, as in a garbage collection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PauseSpec {
-    /// The mean time between two of them.
+    /// Mean time between two pauses.
     pub every: Duration,
-    /// How long one lasts while the node is idle.
+    /// Length of a pause while the endpoint is idle.
     pub lasts: Duration,
-    /// It is longer by this share when all slots are taken.
+    /// Fraction by which a pause is longer when all slots are in use.
     pub grows: f64,
 }
 
-/// How a node tells its load.
+/// Timing and noise of an endpoint's load reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReportSpec {
-    /// The time between two refreshes.
+    /// Time between two refreshes of the load report.
     pub period: Duration,
-    /// How much older than its refresh a report is.
+    /// Delay between a refresh and the first response that carries it.
     pub late: Duration,
-    /// The deviation of its noise, as a share.
+    /// Standard deviation of the noise, as a fraction of the reported value.
     pub noise: f64,
 }
 
-/// What a node is made of. Work is counted in seconds of a core of speed 1.
+/// Properties of a stand-in endpoint. Work is given in seconds of a core of speed 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSpec {
-    /// Its cores.
+    /// Number of cores.
     pub cores: u32,
-    /// The speed of each.
+    /// Speed of each core.
     pub speed: f64,
-    /// Requests that run at one time.
+    /// Requests that are processed concurrently.
     pub slots: u32,
-    /// Requests that may wait for a slot.
+    /// Length of the queue of requests that wait for a slot.
     pub queue: u32,
-    /// The share of its efficiency that it loses while it holds more than `crowded_at` requests a core; a full
-    /// slot table loses all of this share.
+    /// Fraction of its speed that the endpoint loses with all slots in use.
+    /// With fewer requests, but more than `crowded_at` a core, the loss is proportionally smaller.
     pub crowding: f64,
-    /// See `crowding`.
+    /// Requests in flight per core above which the endpoint loses speed by `crowding`.
     pub crowded_at: f64,
-    /// The share of its capacity with which it starts.
+    /// Fraction of its capacity that the endpoint has at the beginning of its slow start.
     pub cold_from: f64,
-    /// It is warm after this time at the latest.
+    /// Longest duration of the slow start.
     pub cold_for: Duration,
-    /// What warms it.
+    /// What makes the slow start progress.
     pub warm_by: WarmBy,
-    /// While it is cold, more than this many times its present capacity ...
+    /// In its slow start the endpoint crashes when it is sent more than this multiple of its current capacity within `fall_over`.
     pub fall_at: f64,
-    /// ... sent over this time makes it fall over.
+    /// Length of the sliding window over which `fall_at` is checked.
     pub fall_over: Duration,
-    /// Whether it bears what chance adds to that, as the operators' terms grant it; by default it bears nothing more.
+    /// Whether an allowance for random variation is added to `fall_at`, as the operators' terms grant it; by default none is added.
     pub grants_chance: bool,
-    /// The work of a mean request, in seconds of a core of speed 1.
+    /// Work of a mean request, in seconds of a core of speed 1.
     pub mean_work: f64,
-    /// Whether and when it chokes.
+    /// When the endpoint chokes; `None` if it never does.
     pub choke: Option<ChokeSpec>,
-    /// Whether and how it pauses.
+    /// Pauses of the endpoint; `None` if it has none.
     pub pause: Option<PauseSpec>,
-    /// The share of attempts that end in an error on an ordinary day.
+    /// Fraction of attempts that end in an error without any fault of the script.
     pub error_rate: f64,
-    /// Connections that it takes at one time.
+    /// Maximum number of open connections.
     pub connections: u32,
-    /// What a new connection costs it, in seconds of work.
+    /// Work of a connection handshake, in seconds.
     pub handshake: f64,
-    /// The share of its capacity that a full table of connections takes.
+    /// Fraction of its speed that the endpoint loses with the maximum number of open connections.
     pub connection_tax: f64,
-    /// It ends a connection that has been idle for so long.
+    /// Idle time after which the endpoint closes a connection.
     pub keep_alive: Duration,
-    /// It drops a request whose time is up before it runs.
+    /// Whether the endpoint rejects a request whose deadline has passed before processing begins.
     pub drops_expired: bool,
-    /// Work stops when its request is cancelled.
+    /// Whether work stops when its request is cancelled.
     pub cancels: bool,
-    /// The share of work that a key saves which was met lately.
+    /// Fraction of the work that is saved when the subject of a request is in the cache.
     pub key_gain: f64,
-    /// How long it remembers a key.
+    /// Time for which a key stays in the cache.
     pub key_for: Duration,
-    /// How many keys it remembers.
+    /// Number of keys that the cache holds.
     pub key_places: usize,
-    /// The work of a repeat that it drops, in seconds.
+    /// Work of a dropped repeat, in seconds.
     pub repeat_work: f64,
-    /// How it tells its load.
+    /// Timing and noise of the load reports.
     pub report: ReportSpec,
 }
 
 impl Default for NodeSpec {
-    /// A warm node of two cores of speed 1 on a good day, which loses nothing to anything.
+    /// A warm endpoint with two cores of speed 1 that has no errors, no pauses and no loss of speed.
     fn default() -> Self {
         NodeSpec {
             cores: 2,
@@ -157,7 +157,7 @@
 }
 
 impl NodeSpec {
-    /// The work a warm node can do, in seconds of work a second.
+    /// Capacity without slow start, in seconds of work per second.
     pub fn capacity(&self) -> f64 {
         f64::from(self.cores) * self.speed
     }
