--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,63 +1,65 @@
-//! What a client does after a try that was not served.
+//! What a client does after a request that was not served.
 
 use crate::plan::Asked;
 use crate::script::Script;
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, KeyScope};
 
-/// Nobody asks again with less time left than an answer needs on its way.
-const LEAST: Duration = Duration::from_millis(50);
+/// A client does not retry with less time left than this, since an answer could not arrive in time.
+const MIN_TIME_FOR_ANSWER: Duration = Duration::from_millis(50);
 
-/// How a try ended, as its client saw it.
+/// How a request ended, as its client observed it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
-    /// Served.
+pub enum ClientOutcome {
+    /// The request was served.
     Served,
-    /// Refused, perhaps with advice on when to come back.
-    Refused {
-        /// The advice.
-        come_back: Option<Duration>,
+    /// The request was rejected, possibly with a `Retry-After`.
+    Rejected {
+        /// The `Retry-After` of the answer.
+        retry_after: Option<Duration>,
     },
-    /// Failed, or no answer by the time it gave up.
+    /// The request failed, or the client's timeout passed without an answer.
     Failed,
-    /// No gateway took it.
+    /// No gateway could be reached.
     Unreachable,
 }
 
-/// When the client tries again, if it does. Its first try was sent at `first`, `tries` have been made, and the last
-/// one ended at `now`.
-pub fn next_try(
+/// When the client retries a planned request; `None` if it does not.
+/// The request was first sent at `first` and has been sent `sent_count` times, the last of which ended at `now`.
+pub fn next_retry(
     script: &Script,
-    asked: &Asked,
+    planned: &Asked,
     first: Duration,
-    tries: u32,
-    seen: Seen,
+    sent_count: u32,
+    outcome: ClientOutcome,
     now: Duration,
 ) -> Option<Duration> {
-    let class = &script.classes[asked.class];
-    let (harmless, until) = match (class.effect, seen) {
-        (_, Seen::Served) => (false, first),
-        (Idempotency::Idempotent, _) | (_, Seen::Refused { .. } | Seen::Unreachable) => {
+    let class = &script.classes[planned.class];
+    let (may_retry, until) = match (class.effect, outcome) {
+        (_, ClientOutcome::Served) => (false, first),
+        (Idempotency::Idempotent, _) | (_, ClientOutcome::Rejected { .. } | ClientOutcome::Unreachable) => {
             (true, first + class.deadline)
         }
-        // The key keeps a repeat from running twice, as long as every node remembers it.
-        (Idempotency::IdempotencyKey { scope: KeyScope::All, window }, Seen::Failed) => {
+        // A repeat is not processed twice as long as every endpoint retains the idempotency key.
+        (Idempotency::IdempotencyKey { scope: KeyScope::All, window }, ClientOutcome::Failed) => {
             (true, first + window.min(class.deadline))
         }
-        (Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent, Seen::Failed) => (false, first),
+        (Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent, ClientOutcome::Failed) => {
+            (false, first)
+        }
     };
-    let wait = match seen {
-        Seen::Refused { come_back: Some(advice) } if asked.heeds => {
-            advice.min(script.limits.retry_after.unwrap_or_default()).max(script.clients.wait)
+    let wait = match outcome {
+        ClientOutcome::Rejected { retry_after: Some(delay) } if planned.heeds => {
+            delay.min(script.limits.retry_after.unwrap_or_default()).max(script.clients.wait)
         }
         _ => script.clients.wait,
     };
     let at = now + wait;
-    (harmless && tries <= script.clients.retries && at + LEAST < until).then_some(at)
+    (may_retry && sent_count <= script.clients.retries && at + MIN_TIME_FOR_ANSWER < until).then_some(at)
 }
 
-/// How long a try that is sent at `now` is waited for.
-pub fn patience(script: &Script, asked: &Asked, first: Duration, now: Duration) -> Duration {
-    let left = (first + script.classes[asked.class].deadline).saturating_sub(now);
-    asked.patience.min(left)
+/// How long a client waits for the answer to a request that is sent at `now`.
+pub fn client_timeout(script: &Script, planned: &Asked, first: Duration, now: Duration) -> Duration {
+    let left = (first + script.classes[planned.class].deadline).saturating_sub(now);
+    planned.patience.min(left)
 }
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -3,7 +3,7 @@
 use super::http::{Connection, Kind, Message, ReadError};
 use super::nodes::number;
 use super::Day;
-use crate::client::{next_try, patience, Seen};
+use crate::client::{client_timeout, next_retry, ClientOutcome};
 use crate::ledger::{Ask, Got};
 use crate::plan::Asked;
 use serde::Deserialize;
@@ -137,16 +137,16 @@
             tries += 1;
             let now = day.clock.now();
             match seen {
-                Seen::Served => {
+                ClientOutcome::Served => {
                     day.count(|c| c.served += 1);
                     let aim = first + day.script.classes[asked.class].aim;
                     day.in_time.set(day.in_time.get() + u64::from(now <= aim));
                 }
-                Seen::Refused { .. } => day.count(|c| c.refused += 1),
-                Seen::Failed => day.count(|c| c.failed += 1),
-                Seen::Unreachable => day.count(|c| c.unreachable += 1),
+                ClientOutcome::Rejected { .. } => day.count(|c| c.refused += 1),
+                ClientOutcome::Failed => day.count(|c| c.failed += 1),
+                ClientOutcome::Unreachable => day.count(|c| c.unreachable += 1),
             }
-            match next_try(&day.script, asked, first, tries, seen, now) {
+            match next_retry(&day.script, asked, first, tries, seen, now) {
                 Some(at) => sleep_until(day.clock.instant(at)).await,
                 None => return,
             }
@@ -163,9 +163,9 @@
         among.get(weldworks_balancer::mix(number) as usize % among.len().max(1)).copied()
     }
 
-    async fn ask_once(&self, asked: &Asked, number: u64, first: Duration, tries: u32) -> Seen {
+    async fn ask_once(&self, asked: &Asked, number: u64, first: Duration, tries: u32) -> ClientOutcome {
         let day = &self.day;
-        let Some(gateway) = self.deal(asked, number) else { return Seen::Unreachable };
+        let Some(gateway) = self.deal(asked, number) else { return ClientOutcome::Unreachable };
         let behind = &self.gateways[gateway];
         let mut reuse = !asked.fresh;
         loop {
@@ -179,12 +179,12 @@
                         Ok(Ok(stream)) => Connection::new(stream),
                         _ => {
                             behind.out_until.set(day.clock.now() + LEFT_OUT);
-                            return Seen::Unreachable;
+                            return ClientOutcome::Unreachable;
                         }
                     }
                 }
             };
-            let wait = patience(&day.script, asked, first, day.clock.now());
+            let wait = client_timeout(&day.script, asked, first, day.clock.now());
             let text = request(day, asked, number, wait, tries);
             let written = wire.write(text.as_bytes()).await.is_ok();
             let at = day.clock.now();
@@ -203,17 +203,17 @@
                 Ok(Err(ReadError::Ended { partly: false })) if reused || !written => reuse = false,
                 Ok(Err(_)) => {
                     day.ledger.borrow_mut().lost(number, now);
-                    return Seen::Failed;
+                    return ClientOutcome::Failed;
                 }
                 Err(_) => {
                     day.ledger.borrow_mut().gave_up(number, now);
-                    return Seen::Failed;
+                    return ClientOutcome::Failed;
                 }
             }
             if !reused {
                 behind.out_until.set(now + LEFT_OUT);
                 day.ledger.borrow_mut().lost(number, now);
-                return Seen::Unreachable;
+                return ClientOutcome::Unreachable;
             }
         }
     }
@@ -243,7 +243,7 @@
     }
 
     /// Books an answer.
-    fn took(&self, request: u64, answer: &Message, now: Duration) -> Seen {
+    fn took(&self, request: u64, answer: &Message, now: Duration) -> ClientOutcome {
         let mut ledger = self.day.ledger.borrow_mut();
         match answer.status() {
             200 => {
@@ -253,17 +253,17 @@
                         && ledger.is_attempt_of(made.attempt, request)
                 });
                 ledger.got(request, now, if own { Got::Served } else { Got::Foreign });
-                Seen::Served
+                ClientOutcome::Served
             }
             429 | 503 => {
                 ledger.got(request, now, Got::Refused);
                 let after = answer.header("retry-after").and_then(|a| a.parse().ok());
-                let come_back = after.and_then(|s: f64| Duration::try_from_secs_f64(s).ok());
-                Seen::Refused { come_back: come_back.filter(|t| !t.is_zero()) }
+                let retry_after = after.and_then(|s: f64| Duration::try_from_secs_f64(s).ok());
+                ClientOutcome::Rejected { retry_after: retry_after.filter(|t| !t.is_zero()) }
             }
             _ => {
                 ledger.got(request, now, Got::Failed);
-                Seen::Failed
+                ClientOutcome::Failed
             }
         }
     }
--- a/crates/testbed/src/model/node.rs
+++ b/crates/testbed/src/model/node.rs
@@ -143,8 +143,8 @@
     idle_since: f64,
 }
 
-#[derive(Clone, Debug)]
 /// An attempt that is running or queued.
+#[derive(Clone, Debug)]
 struct AttemptInFlight {
     connection: ConnectionId,
     work: Work,
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -1,97 +1,101 @@
-//! Gateways that are killed with requests in hand, and come back knowing nothing.
+//! Gateways that are killed with requests in flight and restart without any state.
 
-use super::{front, there, Happening, Mind, World};
-use crate::client::Seen;
+use super::{front_targets, initial_gateways, DecisionModule, Simulation, SimulationEvent};
+use crate::client::ClientOutcome;
 use crate::draws::For;
 use crate::plain::Plain;
 use weldworks_balancer::parse_settings;
 use weldworks_balancer::Balancer;
 
-impl World<'_> {
-    /// Which ones: every other one from the first, so that each zone loses its part.
-    fn to_kill(&self) -> Vec<usize> {
-        let count = there(self.script, self.gateways.len());
-        let in_turn = (0..count).step_by(2).chain((1..count).step_by(2));
-        in_turn.take(self.script.fleet.killed.min(count - 1)).collect()
+impl Simulation<'_> {
+    /// The gateways to kill: every other gateway from the first, so that every zone loses some.
+    fn gateways_to_kill(&self) -> Vec<usize> {
+        let count = initial_gateways(self.script, self.gateways.len());
+        let every_other = (0..count).step_by(2).chain((1..count).step_by(2));
+        every_other.take(self.script.fleet.killed.min(count - 1)).collect()
     }
 
-    /// Their machines reset what they hold open: clients and nodes see it at once. What was in hand is for the client to try again.
-    pub(super) fn kill(&mut self) {
-        let killed = self.to_kill();
-        for &g in &killed {
-            self.gateways[g].alive = false;
-            self.gateways[g].watching = false;
+    /// Kills gateways. Their machines reset all connections, which clients and endpoints observe at once.
+    /// Requests in flight are left to their clients to retry.
+    pub(super) fn kill_gateways(&mut self) {
+        let killed = self.gateways_to_kill();
+        for &gateway_index in &killed {
+            self.gateways[gateway_index].alive = false;
+            self.gateways[gateway_index].watching = false;
             for node in 0..self.nodes.len() {
-                for (connection, _) in std::mem::take(&mut self.gateways[g].idle[node]) {
-                    self.at(self.now, Happening::Left { node, connection, attempt: None });
+                for (connection, _) in std::mem::take(&mut self.gateways[gateway_index].idle[node]) {
+                    self.schedule(
+                        self.now,
+                        SimulationEvent::ConnectionClosed { node, connection, attempt: None },
+                    );
                 }
             }
         }
-        let of_them = |g: usize| killed.contains(&g);
-        let held: Vec<usize> = (0..self.tries.len())
-            .filter(|&n| !self.tries[n].answered && of_them(self.tries[n].gateway))
+        let is_killed = |gateway_index: usize| killed.contains(&gateway_index);
+        let in_flight: Vec<usize> = (0..self.requests.len())
+            .filter(|&index| !self.requests[index].answered && is_killed(self.requests[index].gateway))
             .collect();
-        for n in held {
-            for a in self.tries[n].attempts.clone() {
-                if !self.attempts[a].over {
-                    self.leave(a);
-                    self.attempts[a].over = true;
+        for request_index in in_flight {
+            for attempt_index in self.requests[request_index].attempts.clone() {
+                if !self.attempts[attempt_index].ended {
+                    self.close_connection(attempt_index);
+                    self.attempts[attempt_index].ended = true;
                 }
             }
-            self.lose(n, Seen::Failed);
+            self.fail_request(request_index, ClientOutcome::Failed);
         }
         let fleet = &self.script.fleet;
-        let (noticed, back) = (self.now + fleet.noticed, self.now + fleet.back_after);
-        self.at(noticed, Happening::Noticed);
-        self.at(back, Happening::Back);
+        let (notice_at, restart_at) = (self.now + fleet.noticed, self.now + fleet.back_after);
+        self.schedule(notice_at, SimulationEvent::KillNoticed);
+        self.schedule(restart_at, SimulationEvent::RestartGateways);
     }
 
-    /// A try that its gateway will never answer, and whose client knows.
-    pub(super) fn lose(&mut self, n: usize, seen: Seen) {
-        self.tries[n].answered = true;
-        if !self.tries[n].closed {
-            self.ledger.gave_up(self.tries[n].number, self.now);
-            self.close(n, seen);
+    /// Ends a request that its gateway will never answer, with the outcome that its client observes.
+    pub(super) fn fail_request(&mut self, request_index: usize, outcome: ClientOutcome) {
+        self.requests[request_index].answered = true;
+        if !self.requests[request_index].closed {
+            self.ledger.gave_up(self.requests[request_index].number, self.now);
+            self.close_request(request_index, outcome);
         }
     }
 
-    /// The front deals to those that are there.
-    pub(super) fn deal(&mut self) {
-        let mut by_zone = front(self.script, self.gateways.len());
-        for own in &mut by_zone {
-            if own.iter().any(|&g| self.gateways[g].alive) {
-                own.retain(|&g| self.gateways[g].alive);
+    /// The front sends requests only to the gateways of a zone that are alive, if there are any.
+    pub(super) fn update_front(&mut self) {
+        let mut gateways_by_zone = front_targets(self.script, self.gateways.len());
+        for targets in &mut gateways_by_zone {
+            if targets.iter().any(|&gateway_index| self.gateways[gateway_index].alive) {
+                targets.retain(|&gateway_index| self.gateways[gateway_index].alive);
             }
         }
-        self.by_zone = by_zone;
+        self.gateways_by_zone = gateways_by_zone;
     }
 
-    /// New processes in their places, with the list as the register has it.
-    pub(super) fn back(&mut self) {
+    /// Restarts the killed gateways with new processes, which get the current endpoint list from discovery.
+    pub(super) fn restart_gateways(&mut self) {
         let count = self.gateways.len();
-        for g in 0..count {
-            if self.gateways[g].alive {
+        for gateway_index in 0..count {
+            if self.gateways[gateway_index].alive {
                 continue;
             }
             let (script, draws) = (self.script, self.draws);
-            let life = self.gateways[g].life + 1;
-            let seed = draws.number(For::Gateway, g as u64).wrapping_add(u64::from(life));
-            let settings = parse_settings(&script.settings(g, count).to_string());
-            // The same settings were read at the start of the day.
+            let incarnation = self.gateways[gateway_index].incarnation + 1;
+            let seed = draws.number(For::Gateway, gateway_index as u64).wrapping_add(u64::from(incarnation));
+            let settings = parse_settings(&script.settings(gateway_index, count).to_string());
+            // This cannot fail: the settings were read at the start of the run.
             let Ok(settings) = settings else { continue };
-            let gateway = &mut self.gateways[g];
-            gateway.mind = match gateway.mind {
-                Mind::Plain(_) => {
-                    Mind::Plain(Box::new(Plain::new(settings, draws.stream(For::Gateway, seed))))
+            let gateway = &mut self.gateways[gateway_index];
+            gateway.module = match gateway.module {
+                DecisionModule::Baseline(_) => {
+                    DecisionModule::Baseline(Box::new(Plain::new(settings, draws.stream(For::Gateway, seed))))
                 }
-                Mind::Module(_) => Mind::Module(Box::new(Balancer::new(settings, seed))),
+                DecisionModule::Real(_) => DecisionModule::Real(Box::new(Balancer::new(settings, seed))),
             };
-            (gateway.alive, gateway.life, gateway.version) = (true, life, 0);
-            gateway.hosts.clear();
+            (gateway.alive, gateway.incarnation, gateway.version) = (true, incarnation, 0);
+            gateway.endpoints.clear();
             gateway.watching = script.register.pushed;
             let list = self.register.since(self.now, 0);
-            self.tell(g, list);
+            self.deliver_list(gateway_index, list);
         }
-        self.deal();
+        self.update_front();
     }
 }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -1,12 +1,12 @@
-//! A script in virtual time: nodes, register, clients and the decision module of every gateway in one process.
+//! Simulates a script in virtual time: endpoints, discovery, clients and the decision modules of all gateways run in one process.
 //!
-//! Sockets are left out, and with them all that the program round the module does; what is found here is found about
-//! decisions. Sizes that no machine holds are played in seconds, and two runs of a seed are the same to the byte.
+//! Sockets and the rest of the gateway program are left out, so a simulation only tests decisions.
+//! Fleets too large for one machine are simulated in seconds, and two simulations with the same seed give the same report to the byte.
 
 mod killed;
 mod register;
 
-use crate::client::{next_try, patience, Seen};
+use crate::client::{client_timeout, next_retry, ClientOutcome};
 use crate::draws::{Draws, For};
 use crate::fleet::{carry_out, kinds, ledger, nodes};
 use crate::ledger::{Ask, AttemptSeen, Ended, Got, Ledger, Rules};
@@ -28,236 +28,244 @@
     ArrivingRequest, PlatformSettings, RequestResult, RetryStormControl, StormSettings,
 };
 
-/// A gateway's clock starts so long before the day, so that what started before it has a time.
-const BEFORE: Duration = Duration::from_secs(86_400);
-/// The gateway answers so long before its client gives up.
-const AHEAD: Duration = Duration::from_millis(15);
-/// A timer comes no sooner: the program's have this grain, and a module that asks for one at once must see time pass.
-const TICK: Duration = Duration::from_millis(1);
+/// Clock of a gateway at the start of a run, so that endpoints that started before the run have a start time.
+const CLOCK_AT_START: Duration = Duration::from_secs(86_400);
+/// The gateway answers this long before its client's timeout.
+const ANSWER_MARGIN: Duration = Duration::from_millis(15);
+/// Shortest timer: the timers of the gateway program have this resolution, and time must pass before a timer that is set for now.
+const TIMER_RESOLUTION: Duration = Duration::from_millis(1);
 
-/// Why a script can't be played.
+/// Why a script cannot be simulated.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulateError {
-    /// The decision module does not take the settings that the script makes.
-    #[error("the decision module does not take the script's settings: {0}")]
+    /// The decision module cannot read the settings that the script makes for it.
+    #[error("the decision module cannot read the settings made from the script: {0}")]
     Settings(#[from] serde_json::Error),
 }
 
-/// What the decisions took of this machine; no part of the report, for it differs from run to run.
+/// Processor time that decisions took. Not part of the report, since it differs from run to run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
-    /// Time inside the decision module, all gateways together.
+    /// Time inside the decision modules of all gateways.
     pub deciding: Duration,
-    /// Requests decided.
+    /// Number of requests that the decision modules handled.
     pub requests: u64,
 }
 
 impl Cost {
-    /// The mean for a request with all its outcomes and timers.
+    /// The mean decision time per request, with all its outcomes and timers.
     pub fn per_request(&self) -> Duration {
         self.deciding / self.requests.max(1) as u32
     }
 }
 
-/// Which way a message goes; part of what its draw belongs to.
+/// What a message is. With the request's or attempt's number, the kind selects the random draw of the message's delay.
 #[derive(Clone, Copy, Debug)]
-enum Hop {
+enum MessageKind {
     ToGateway = 1,
     ToClient = 2,
     Dial = 3,
-    Dialled = 4,
-    ToNode = 5,
-    FromNode = 6,
-    Leave = 7,
+    DialEnded = 4,
+    ToEndpoint = 5,
+    FromEndpoint = 6,
+    Disconnect = 7,
 }
 
+/// An event of the simulation. Requests, attempts, endpoints and gateways are given by their indices.
 #[derive(Debug)]
-enum Happening {
-    /// A client sends a try.
-    Ask { place: usize, tries: u32 },
-    /// It reaches its gateway.
-    Arrive { n: usize },
-    /// Its client has waited long enough.
-    GiveUp { n: usize },
-    /// The gateway's last moment for it.
-    Backstop { n: usize },
-    /// A timer of a gateway's module.
-    Timer { gateway: usize, life: u32, token: u64 },
-    /// A dial reaches a node.
-    Dial { a: usize },
-    /// It has come up, or not.
-    Dialled { a: usize, up: bool },
-    /// A dial has taken too long.
-    DialTimeout { a: usize },
-    /// A request reaches a node.
-    Reach { a: usize },
-    /// A node does something by itself.
-    Node { node: usize, due: Duration },
-    /// A node's answer reaches the gateway, or the end of its connection does.
-    Reply { a: usize, outcome: Outcome, report: Option<LoadReport> },
-    /// An attempt's time is up.
-    AttemptTimeout { a: usize },
-    /// The end of a connection reaches its node.
-    Left { node: usize, connection: u64, attempt: Option<u64> },
-    /// The end of an idle connection reaches its gateway.
-    IdleEnded { gateway: usize, node: usize, connection: u64 },
+enum SimulationEvent {
+    /// A client sends a planned request, for the first time or as a retry.
+    SendRequest { plan_index: usize, retries: u32 },
+    /// A request reaches its gateway.
+    RequestArrives { request_index: usize },
+    /// The client of a request stops waiting for the answer.
+    ClientTimeout { request_index: usize },
+    /// The time by which the gateway must have answered a request.
+    GatewayTimeout { request_index: usize },
+    /// A timer of a gateway's decision module fires.
+    Timer { gateway: usize, incarnation: u32, token: u64 },
+    /// A connection attempt reaches an endpoint.
+    DialArrives { attempt_index: usize },
+    /// The gateway learns whether its connection attempt was accepted.
+    DialEnded { attempt_index: usize, is_up: bool },
+    /// The time limit of a connection attempt has passed.
+    DialTimeout { attempt_index: usize },
+    /// The request of an attempt reaches its endpoint.
+    AttemptArrives { attempt_index: usize },
+    /// The next internal change of an endpoint is due.
+    EndpointChange { node: usize, due: Duration },
+    /// An endpoint's answer, or the end of the connection to the endpoint, reaches the gateway.
+    AttemptReply { attempt_index: usize, outcome: Outcome, report: Option<LoadReport> },
+    /// The time limit of an attempt has passed.
+    AttemptTimeout { attempt_index: usize },
+    /// An endpoint learns that a gateway has closed a connection.
+    ConnectionClosed { node: usize, connection: u64, attempt: Option<u64> },
+    /// A gateway learns that an endpoint has closed an idle connection.
+    IdleConnectionEnded { gateway: usize, node: usize, connection: u64 },
     /// An answer reaches its client.
-    Answer { n: usize, seen: Seen },
-    /// A call reaches the register.
-    RegisterCall { gateway: usize },
-    /// The register's word reaches a gateway.
-    RegisterSays { gateway: usize, list: Option<List> },
-    /// The register's list or its health has changed.
-    RegisterTurns,
-    /// The register looks at what nodes hold.
-    Weigh,
-    /// What it saw reaches the gateways.
-    Weights { weights: Vec<f64> },
-    /// The script does something to a node.
-    Deed { node: usize, deed: Deed },
-    /// The gateways that start later do.
-    Join,
-    /// Gateways are killed.
-    Kill,
-    /// The front has noticed that they are not there.
-    Noticed,
-    /// They start again.
-    Back,
-    /// The state is looked at.
-    Sample,
+    Answered { request_index: usize, outcome: ClientOutcome },
+    /// A gateway's poll reaches discovery.
+    DiscoveryPolled { gateway: usize },
+    /// The endpoint list of discovery, or its failure (`None`), reaches a gateway.
+    DiscoveryResponse { gateway: usize, list: Option<List> },
+    /// The endpoint list has changed, or discovery has gone down or come back.
+    DiscoveryChange,
+    /// Discovery samples the live weights of the endpoints.
+    SampleWeights,
+    /// Sampled live weights reach the gateways.
+    WeightUpdate { weights: Vec<f64> },
+    /// An action of the script is applied to an endpoint.
+    EndpointAction { node: usize, action: Deed },
+    /// The gateways that join during the run start.
+    GatewaysJoin,
+    /// The gateways that the script names are killed.
+    KillGateways,
+    /// The front notices which gateways were killed.
+    KillNoticed,
+    /// The killed gateways start again.
+    RestartGateways,
+    /// A sample of the timeline is recorded.
+    RecordSample,
 }
 
-struct Due {
+/// An event and when it is due. Events at one time are processed in the order in which they were scheduled.
+struct ScheduledEvent {
     at: Duration,
     order: u64,
-    what: Happening,
+    event: SimulationEvent,
 }
 
-impl PartialEq for Due {
-    fn eq(&self, other: &Due) -> bool {
+impl PartialEq for ScheduledEvent {
+    fn eq(&self, other: &ScheduledEvent) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
 
-impl Eq for Due {}
+impl Eq for ScheduledEvent {}
 
-impl PartialOrd for Due {
-    fn partial_cmp(&self, other: &Due) -> Option<Ordering> {
+impl PartialOrd for ScheduledEvent {
+    fn partial_cmp(&self, other: &ScheduledEvent) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
-    /// The earliest is the greatest: the heap gives that first.
-    fn cmp(&self, other: &Due) -> Ordering {
+impl Ord for ScheduledEvent {
+    /// Reversed: the binary heap pops the greatest element first, which must be the earliest event.
+    fn cmp(&self, other: &ScheduledEvent) -> Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
 
-/// What decides for a gateway.
-enum Mind {
-    Module(Box<Balancer>),
-    Plain(Box<Plain>),
+/// The implementation that makes a gateway's decisions.
+enum DecisionModule {
+    Real(Box<Balancer>),
+    Baseline(Box<Plain>),
 }
 
-impl Mind {
+impl DecisionModule {
     fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         match self {
-            Mind::Module(balancer) => balancer.handle(now, event, actions),
-            Mind::Plain(plain) => plain.handle(now, event, actions),
+            DecisionModule::Real(balancer) => balancer.handle(now, event, actions),
+            DecisionModule::Baseline(baseline) => baseline.handle(now, event, actions),
         }
     }
 }
 
+/// A simulated gateway.
 struct Gateway {
-    mind: Mind,
+    module: DecisionModule,
     storm: Option<RetryStormControl>,
     zone: usize,
-    hosts: Vec<weldworks_balancer::Endpoint>,
+    endpoints: Vec<weldworks_balancer::Endpoint>,
+    /// For each endpoint, the idle connections and since when each is idle.
     idle: Vec<Vec<(u64, Duration)>>,
+    /// Version of the endpoint list that the gateway last received.
     version: u64,
     watching: bool,
-    /// Which of its processes runs, counted from 0, if one does.
-    life: u32,
+    /// Number of the gateway's current process, counted from 0.
+    incarnation: u32,
     alive: bool,
 }
 
-/// One try of a client.
-struct Try {
-    place: usize,
+/// A request of a client as its gateway sees it: a planned request, sent for the first time or as a retry.
+struct ClientRequest {
+    plan_index: usize,
     number: u64,
-    tries: u32,
+    retries: u32,
     gateway: usize,
+    /// When the client stops waiting.
     until: Duration,
-    /// Nobody waits for it any more, at the client.
+    /// Whether the client no longer waits for an answer.
     closed: bool,
-    /// The gateway has given its final answer.
+    /// Whether the gateway has given its final answer.
     answered: bool,
     attempts: Vec<usize>,
 }
 
+/// An attempt of a gateway to have a request served by an endpoint.
 struct Attempt {
-    n: usize,
-    in_try: u32,
+    request_index: usize,
+    attempt_number: u32,
     node: usize,
     connection: u64,
     sent: Duration,
     until: Duration,
     write_by: Option<Duration>,
     written: bool,
-    over: bool,
+    ended: bool,
 }
 
-struct World<'s> {
+struct Simulation<'s> {
     script: &'s Script,
     draws: Draws,
     now: Duration,
-    due: BinaryHeap<Due>,
+    scheduled: BinaryHeap<ScheduledEvent>,
     order: u64,
-    day: Vec<Asked>,
-    firsts: Vec<Duration>,
-    tries_of: Vec<Vec<(u64, Duration)>>,
-    tries: Vec<Try>,
+    planned: Vec<Asked>,
+    first_sent: Vec<Duration>,
+    sends: Vec<Vec<(u64, Duration)>>,
+    requests: Vec<ClientRequest>,
     attempts: Vec<Attempt>,
-    /// Which gateway opened each connection.
-    openers: Vec<usize>,
+    /// The gateway that opened each connection.
+    connection_gateways: Vec<usize>,
     kinds: Vec<usize>,
     nodes: Vec<Node>,
     node_due: Vec<Option<Duration>>,
     gateways: Vec<Gateway>,
-    minds: Minds,
-    by_zone: Vec<Vec<usize>>,
-    mean_worth: f64,
+    modules: Minds,
+    gateways_by_zone: Vec<Vec<usize>>,
+    mean_weight: f64,
     register: Register,
-    /// Each node's weight, as last told.
+    /// The weight of each endpoint that gateways last received.
     weights: Vec<f64>,
-    /// The version that the gateways' agents have, where news are pushed.
-    agents: u64,
+    /// The version of the endpoint list that the gateways' agents have, if discovery pushes changes.
+    agent_version: u64,
     ledger: Ledger,
     counts: Counts,
     timeline: Vec<Sample>,
-    sampled: Counts,
+    sampled_counts: Counts,
+    /// Requests served in time, and how many of them there were at the last sample.
     in_time: (u64, u64),
     cost: Cost,
     actions: Vec<Action>,
 }
 
-/// Who decides.
+/// Which decision modules the gateways use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Minds {
-    /// Each gateway for itself, as in service.
+    /// Each gateway has its own decision module, as in production.
     Own,
-    /// One decision module is fed the events of all gateways, with no delay: the bound to measure against. Connections
-    /// stay each gateway's own.
+    /// One decision module handles the events of all gateways without delay: the upper bound to compare with.
+    /// Connections still belong to single gateways.
     Shared,
-    /// Each gateway for itself, plainly: at random, with retries at once and no admission.
+    /// Each gateway has its own baseline module, which picks endpoints at random, retries at once and admits every request.
     Plain,
 }
 
-/// Plays a script with so many gateways, or with as many as it names, with storm control or without.
+/// Simulates a script with the given number of gateways (`None` for the number in the script), with or without retry storm control.
 ///
 /// # Errors
-/// Where the decision module does not take the settings that the script makes.
+/// If the decision module cannot read the settings that the script makes for it.
 pub fn simulate(
     script: &Script,
     seed: u64,
@@ -267,418 +275,468 @@
     simulate_with(script, seed, gateways, storm, Minds::Own)
 }
 
-/// The same, with a choice of who decides.
+/// Simulates a script as [`simulate`] does, with a choice of decision modules.
 ///
 /// # Errors
-/// Where the decision module does not take the settings that the script makes.
+/// If the decision module cannot read the settings that the script makes for it.
 pub fn simulate_with(
     script: &Script,
     seed: u64,
     gateways: Option<usize>,
     storm: Option<StormSettings>,
-    minds: Minds,
+    modules: Minds,
 ) -> Result<(Report, Cost), SimulateError> {
     let count = gateways.unwrap_or(script.fleet.gateways);
-    let mut world = World::new(script, Draws::new(seed), count, storm, minds)?;
+    let mut simulation = Simulation::new(script, Draws::new(seed), count, storm, modules)?;
     let end = script.end();
-    while let Some(next) = world.due.pop() {
+    while let Some(next) = simulation.scheduled.pop() {
         if next.at > end {
             break;
         }
-        world.now = next.at;
-        world.happen(next.what);
+        simulation.now = next.at;
+        simulation.process(next.event);
     }
-    Ok(world.report(seed))
+    Ok(simulation.report(seed))
 }
 
-impl<'s> World<'s> {
+impl<'s> Simulation<'s> {
     fn new(
         script: &'s Script,
         draws: Draws,
         count: usize,
         storm: Option<StormSettings>,
-        minds: Minds,
-    ) -> Result<World<'s>, SimulateError> {
-        let day = plan(script, draws);
-        let there = there(script, count);
+        modules: Minds,
+    ) -> Result<Simulation<'s>, SimulateError> {
+        let planned = plan(script, draws);
+        let initial_count = initial_gateways(script, count);
         let mut gateways = Vec::with_capacity(count);
-        for g in 0..count {
-            // One mind for all is told what a single gateway is told.
-            let of = if minds == Minds::Shared { 1 } else { count };
-            let settings: Settings = parse_settings(&script.settings(g, of).to_string())?;
+        for gateway_index in 0..count {
+            // A decision module shared by all gateways gets the settings of a single gateway.
+            let counted = if modules == Minds::Shared { 1 } else { count };
+            let settings: Settings = parse_settings(&script.settings(gateway_index, counted).to_string())?;
             gateways.push(Gateway {
-                storm: storm.map(|s| {
-                    let terms = PlatformSettings {
+                storm: storm.map(|storm_settings| {
+                    let platform_settings = PlatformSettings {
                         slow_start_min_capacity: settings.slow_start_min_capacity,
                         slow_start_duration: settings.slow_start_duration,
                         max_retry_after: settings.max_retry_after,
                         tenant_quotas: &settings.tenant_quotas,
                         gateway_count: settings.gateway_count,
                     };
-                    RetryStormControl::new(s, terms, draws.number(For::Advice, g as u64))
+                    RetryStormControl::new(
+                        storm_settings,
+                        platform_settings,
+                        draws.number(For::Advice, gateway_index as u64),
+                    )
                 }),
-                mind: {
-                    let seed = draws.number(For::Gateway, g as u64);
-                    match minds {
-                        Minds::Plain => {
-                            Mind::Plain(Box::new(Plain::new(settings, draws.stream(For::Gateway, g as u64))))
-                        }
-                        _ => Mind::Module(Box::new(Balancer::new(settings, seed))),
+                module: {
+                    let seed = draws.number(For::Gateway, gateway_index as u64);
+                    match modules {
+                        Minds::Plain => DecisionModule::Baseline(Box::new(Plain::new(
+                            settings,
+                            draws.stream(For::Gateway, gateway_index as u64),
+                        ))),
+                        _ => DecisionModule::Real(Box::new(Balancer::new(settings, seed))),
                     }
                 },
-                zone: script.zone_of(g),
-                hosts: Vec::new(),
+                zone: script.zone_of(gateway_index),
+                endpoints: Vec::new(),
                 idle: vec![Vec::new(); script.fleet.nodes],
                 version: 0,
-                watching: script.register.pushed && g < there,
-                life: 0,
+                watching: script.register.pushed && gateway_index < initial_count,
+                incarnation: 0,
                 alive: true,
             });
         }
-        let (nodes, places) = (nodes(script, draws), day.len());
-        let mut world = World {
+        let (nodes, planned_count) = (nodes(script, draws), planned.len());
+        let mut simulation = Simulation {
             script,
             draws,
             now: Duration::ZERO,
-            due: BinaryHeap::new(),
+            scheduled: BinaryHeap::new(),
             order: 0,
-            firsts: vec![Duration::ZERO; places],
-            tries_of: vec![Vec::new(); places],
-            day,
-            tries: Vec::new(),
+            first_sent: vec![Duration::ZERO; planned_count],
+            sends: vec![Vec::new(); planned_count],
+            planned,
+            requests: Vec::new(),
             attempts: Vec::new(),
-            openers: Vec::new(),
+            connection_gateways: Vec::new(),
             kinds: kinds(script),
             node_due: vec![None; nodes.len()],
             nodes,
             gateways,
-            minds,
-            by_zone: front(script, there),
-            mean_worth: mean_worth(script),
+            modules,
+            gateways_by_zone: front_targets(script, initial_count),
+            mean_weight: mean_weight(script),
             register: Register::new(script, draws),
             weights: vec![1.0; script.fleet.nodes],
-            agents: 1,
+            agent_version: 1,
             ledger: ledger(script),
             counts: Counts::default(),
             timeline: Vec::new(),
-            sampled: Counts::default(),
+            sampled_counts: Counts::default(),
             in_time: (0, 0),
             cost: Cost::default(),
             actions: Vec::new(),
         };
-        world.weights = world.nodes.iter().map(|node| world.weight(node)).collect();
-        for g in 0..world.minds().min(there) {
-            let list = world.register.since(Duration::ZERO, 0);
-            world.tell(g, list);
+        simulation.weights = simulation.nodes.iter().map(|node| simulation.weight(node)).collect();
+        for gateway_index in 0..simulation.module_count().min(initial_count) {
+            let list = simulation.register.since(Duration::ZERO, 0);
+            simulation.deliver_list(gateway_index, list);
         }
-        if there < count {
-            world.at(script.fleet.joins_at, Happening::Join);
+        if initial_count < count {
+            simulation.schedule(script.fleet.joins_at, SimulationEvent::GatewaysJoin);
         }
         if script.fleet.killed > 0 {
-            world.at(script.fleet.killed_at, Happening::Kill);
+            simulation.schedule(script.fleet.killed_at, SimulationEvent::KillGateways);
         }
-        for place in 0..places {
-            let at = world.day[place].at;
-            world.at(at, Happening::Ask { place, tries: 0 });
+        for plan_index in 0..planned_count {
+            let at = simulation.planned[plan_index].at;
+            simulation.schedule(at, SimulationEvent::SendRequest { plan_index, retries: 0 });
         }
-        for (at, node, deed) in deeds(script, draws) {
-            world.at(at, Happening::Deed { node, deed });
+        for (at, node, action) in deeds(script, draws) {
+            simulation.schedule(at, SimulationEvent::EndpointAction { node, action });
         }
-        (0..world.nodes.len()).for_each(|n| world.watch_node(n));
-        world.await_register();
+        (0..simulation.nodes.len()).for_each(|node| simulation.schedule_endpoint(node));
+        simulation.schedule_discovery_change();
         if script.register.weights.is_some() {
-            world.at(Duration::ZERO, Happening::Weigh);
+            simulation.schedule(Duration::ZERO, SimulationEvent::SampleWeights);
         }
-        world.at(Duration::ZERO, Happening::Sample);
-        Ok(world)
+        simulation.schedule(Duration::ZERO, SimulationEvent::RecordSample);
+        Ok(simulation)
     }
 
-    fn at(&mut self, at: Duration, what: Happening) {
+    fn schedule(&mut self, at: Duration, event: SimulationEvent) {
         self.order += 1;
-        self.due.push(Due { at: at.max(self.now), order: self.order, what });
+        self.scheduled.push(ScheduledEvent { at: at.max(self.now), order: self.order, event });
     }
 
-    /// The way of a message: its draw belongs to what it is about.
-    fn way(&self, base: Duration, whose: u64, hop: Hop) -> Duration {
-        let mut stream = self.draws.stream_of_two(For::Network, whose, hop as u64);
+    /// The network delay of a message. Its random draw depends only on the seed, `stream_index` and the kind of message.
+    fn network_delay(&self, base: Duration, stream_index: u64, kind: MessageKind) -> Duration {
+        let mut stream = self.draws.stream_of_two(For::Network, stream_index, kind as u64);
         let jitter = (1.0 + self.script.network.jitter * stream.normal()).clamp(0.3, 4.0);
         base.mul_f64(jitter)
     }
 
-    fn client_way(&self, n: usize, hop: Hop) -> Duration {
-        self.way(self.script.network.client, self.tries[n].number, hop)
+    fn client_delay(&self, request_index: usize, kind: MessageKind) -> Duration {
+        self.network_delay(self.script.network.client, self.requests[request_index].number, kind)
     }
 
-    fn node_way(&self, a: usize, hop: Hop) -> Duration {
-        let attempt = &self.attempts[a];
-        let gateway = &self.gateways[self.tries[attempt.n].gateway];
+    fn endpoint_delay(&self, attempt_index: usize, kind: MessageKind) -> Duration {
+        let attempt = &self.attempts[attempt_index];
+        let gateway = &self.gateways[self.requests[attempt.request_index].gateway];
         let network = &self.script.network;
         let base =
             if gateway.zone == self.script.zone_of(attempt.node) { network.same } else { network.cross };
-        self.way(base, self.tries[attempt.n].number.wrapping_add(u64::from(attempt.in_try)), hop)
+        self.network_delay(
+            base,
+            self.requests[attempt.request_index].number.wrapping_add(u64::from(attempt.attempt_number)),
+            kind,
+        )
     }
 
-    fn happen(&mut self, what: Happening) {
-        match what {
-            Happening::Ask { place, tries } => self.ask(place, tries),
-            Happening::Arrive { n } => self.arrive(n),
-            Happening::GiveUp { n } => self.give_up(n),
-            Happening::Backstop { n } => {
-                if !self.tries[n].answered {
-                    self.answer(n, Seen::Failed);
-                    self.decide(self.tries[n].gateway, Event::ClientDisconnected { request: id(n) });
+    fn process(&mut self, event: SimulationEvent) {
+        match event {
+            SimulationEvent::SendRequest { plan_index, retries } => self.send_request(plan_index, retries),
+            SimulationEvent::RequestArrives { request_index } => self.on_request_arrival(request_index),
+            SimulationEvent::ClientTimeout { request_index } => self.on_client_timeout(request_index),
+            SimulationEvent::GatewayTimeout { request_index } => {
+                if !self.requests[request_index].answered {
+                    self.send_answer(request_index, ClientOutcome::Failed);
+                    self.handle(
+                        self.requests[request_index].gateway,
+                        Event::ClientDisconnected { request: request_id(request_index) },
+                    );
                 }
             }
-            // One set by a process that is no more is nobody's.
-            Happening::Timer { gateway, life, token } => {
-                if life == self.gateways[gateway].life {
-                    self.decide(gateway, Event::Timer { token });
+            // A timer that an earlier process of the gateway set is ignored.
+            SimulationEvent::Timer { gateway, incarnation, token } => {
+                if incarnation == self.gateways[gateway].incarnation {
+                    self.handle(gateway, Event::Timer { token });
                 }
             }
-            Happening::Dial { a } => self.dial(a),
-            Happening::Dialled { a, up } => self.dialled(a, up),
-            Happening::DialTimeout { a } => {
-                let attempt = &self.attempts[a];
-                if !attempt.over && !attempt.written {
-                    self.leave(a);
-                    self.end_attempt(a, Outcome::NoConnection);
+            SimulationEvent::DialArrives { attempt_index } => self.on_dial(attempt_index),
+            SimulationEvent::DialEnded { attempt_index, is_up } => self.on_dial_ended(attempt_index, is_up),
+            SimulationEvent::DialTimeout { attempt_index } => {
+                let attempt = &self.attempts[attempt_index];
+                if !attempt.ended && !attempt.written {
+                    self.close_connection(attempt_index);
+                    self.end_attempt(attempt_index, Outcome::NoConnection);
                 }
             }
-            Happening::Reach { a } => self.reach(a),
-            Happening::Node { node, due } => {
+            SimulationEvent::AttemptArrives { attempt_index } => self.on_attempt_arrival(attempt_index),
+            SimulationEvent::EndpointChange { node, due } => {
                 if self.node_due[node] == Some(due) {
                     self.node_due[node] = None;
                     self.nodes[node].advance(self.now);
-                    self.hear(node);
+                    self.take_outputs(node);
                 }
             }
-            Happening::Reply { a, outcome, report } => self.reply(a, outcome, report),
-            Happening::AttemptTimeout { a } => {
-                if !self.attempts[a].over {
-                    let outcome =
-                        if self.attempts[a].written { Outcome::TimedOut } else { Outcome::NoConnection };
-                    self.leave(a);
-                    self.end_attempt(a, outcome);
+            SimulationEvent::AttemptReply { attempt_index, outcome, report } => {
+                self.on_reply(attempt_index, outcome, report);
+            }
+            SimulationEvent::AttemptTimeout { attempt_index } => {
+                if !self.attempts[attempt_index].ended {
+                    let outcome = if self.attempts[attempt_index].written {
+                        Outcome::TimedOut
+                    } else {
+                        Outcome::NoConnection
+                    };
+                    self.close_connection(attempt_index);
+                    self.end_attempt(attempt_index, outcome);
                 }
             }
-            Happening::Left { node, connection, attempt } => {
+            SimulationEvent::ConnectionClosed { node, connection, attempt } => {
                 if let Some(attempt) = attempt {
                     self.ledger.ended(attempt, self.now, Ended::Left);
                 }
                 self.nodes[node].disconnect(self.now, connection);
-                self.hear(node);
+                self.take_outputs(node);
             }
-            Happening::IdleEnded { gateway, node, connection } => self.idle_ended(gateway, node, connection),
-            Happening::Answer { n, seen } => self.take_answer(n, seen),
-            Happening::RegisterCall { gateway } => self.register_called(gateway),
-            Happening::RegisterSays { gateway, list } => self.register_says(gateway, list),
-            Happening::RegisterTurns => self.register_turns(),
-            Happening::Weigh => self.weigh(),
-            Happening::Weights { weights } => self.hear_weights(weights),
-            Happening::Deed { node, deed } => {
-                carry_out(&mut self.nodes[node], self.now, deed);
-                if deed == Deed::Start && self.nodes[node].state() == State::Up {
+            SimulationEvent::IdleConnectionEnded { gateway, node, connection } => {
+                self.on_idle_connection_ended(gateway, node, connection);
+            }
+            SimulationEvent::Answered { request_index, outcome } => self.on_answer(request_index, outcome),
+            SimulationEvent::DiscoveryPolled { gateway } => self.on_discovery_poll(gateway),
+            SimulationEvent::DiscoveryResponse { gateway, list } => self.on_discovery_response(gateway, list),
+            SimulationEvent::DiscoveryChange => self.on_discovery_change(),
+            SimulationEvent::SampleWeights => self.sample_weights(),
+            SimulationEvent::WeightUpdate { weights } => self.on_weight_update(weights),
+            SimulationEvent::EndpointAction { node, action } => {
+                carry_out(&mut self.nodes[node], self.now, action);
+                if action == Deed::Start && self.nodes[node].state() == State::Up {
                     self.ledger.started(node, self.now);
                 }
-                self.hear(node);
+                self.take_outputs(node);
             }
-            Happening::Join => self.join(),
-            Happening::Kill => self.kill(),
-            Happening::Noticed => self.deal(),
-            Happening::Back => self.back(),
-            Happening::Sample => self.sample(),
+            SimulationEvent::GatewaysJoin => self.start_joining_gateways(),
+            SimulationEvent::KillGateways => self.kill_gateways(),
+            SimulationEvent::KillNoticed => self.update_front(),
+            SimulationEvent::RestartGateways => self.restart_gateways(),
+            SimulationEvent::RecordSample => self.record_sample(),
         }
     }
 
-    // ---- clients -------------------------------------------------------------------------------------------
+    // ---- clients ----
 
-    fn ask(&mut self, place: usize, tries: u32) {
-        let asked = &self.day[place];
-        if tries == 0 {
-            self.firsts[place] = self.now;
+    fn send_request(&mut self, plan_index: usize, retries: u32) {
+        let planned = &self.planned[plan_index];
+        if retries == 0 {
+            self.first_sent[plan_index] = self.now;
             self.counts.asked += 1;
         }
         self.counts.tries += 1;
-        let number = asked.number(self.draws, tries);
-        self.tries_of[place].push((number, self.now));
-        let until = self.now + patience(self.script, asked, self.firsts[place], self.now);
-        let class = asked.class;
-        let own = &self.by_zone[asked.zone];
+        let number = planned.number(self.draws, retries);
+        self.sends[plan_index].push((number, self.now));
+        let until = self.now + client_timeout(self.script, planned, self.first_sent[plan_index], self.now);
+        let class = planned.class;
+        let own = &self.gateways_by_zone[planned.zone];
         let gateway = own[weldworks_balancer::mix(number) as usize % own.len()];
         self.ledger.asked(number, Ask { gateway, class, at: self.now, until });
-        let n = self.tries.len();
+        let request_index = self.requests.len();
         let (closed, answered, attempts) = Default::default();
-        self.tries.push(Try { place, number, tries, gateway, until, closed, answered, attempts });
-        let way = self.client_way(n, Hop::ToGateway);
-        self.at(self.now + way, Happening::Arrive { n });
-        self.at(until, Happening::GiveUp { n });
+        self.requests.push(ClientRequest {
+            plan_index,
+            number,
+            retries,
+            gateway,
+            until,
+            closed,
+            answered,
+            attempts,
+        });
+        let delay = self.client_delay(request_index, MessageKind::ToGateway);
+        self.schedule(self.now + delay, SimulationEvent::RequestArrives { request_index });
+        self.schedule(until, SimulationEvent::ClientTimeout { request_index });
     }
 
-    /// The gateways that start later hear their first list, and the front deals to them too.
-    fn join(&mut self) {
+    /// The gateways that join during the run receive their first endpoint list, and the front begins to send them requests.
+    fn start_joining_gateways(&mut self) {
         let count = self.gateways.len();
-        for g in there(self.script, count)..self.minds() {
-            self.gateways[g].watching = self.script.register.pushed;
+        for gateway_index in initial_gateways(self.script, count)..self.module_count() {
+            self.gateways[gateway_index].watching = self.script.register.pushed;
             let list = self.register.since(self.now, 0);
-            self.tell(g, list);
+            self.deliver_list(gateway_index, list);
         }
-        self.deal();
+        self.update_front();
     }
 
-    fn give_up(&mut self, n: usize) {
-        if self.tries[n].closed {
+    fn on_client_timeout(&mut self, request_index: usize) {
+        if self.requests[request_index].closed {
             return;
         }
-        self.ledger.gave_up(self.tries[n].number, self.now);
-        self.close(n, Seen::Failed);
-        if !self.tries[n].answered {
-            self.tries[n].answered = true;
-            self.decide(self.tries[n].gateway, Event::ClientDisconnected { request: id(n) });
+        self.ledger.gave_up(self.requests[request_index].number, self.now);
+        self.close_request(request_index, ClientOutcome::Failed);
+        if !self.requests[request_index].answered {
+            self.requests[request_index].answered = true;
+            self.handle(
+                self.requests[request_index].gateway,
+                Event::ClientDisconnected { request: request_id(request_index) },
+            );
         }
     }
 
-    fn take_answer(&mut self, n: usize, seen: Seen) {
-        let number = self.tries[n].number;
-        let got = match seen {
-            Seen::Served => Got::Served,
-            Seen::Refused { .. } => Got::Refused,
-            Seen::Failed | Seen::Unreachable => Got::Failed,
+    fn on_answer(&mut self, request_index: usize, outcome: ClientOutcome) {
+        let number = self.requests[request_index].number;
+        let got = match outcome {
+            ClientOutcome::Served => Got::Served,
+            ClientOutcome::Rejected { .. } => Got::Refused,
+            ClientOutcome::Failed | ClientOutcome::Unreachable => Got::Failed,
         };
         self.ledger.got(number, self.now, got);
-        if !self.tries[n].closed {
-            self.close(n, seen);
+        if !self.requests[request_index].closed {
+            self.close_request(request_index, outcome);
         }
     }
 
-    fn close(&mut self, n: usize, seen: Seen) {
-        self.tries[n].closed = true;
-        let (place, tries) = (self.tries[n].place, self.tries[n].tries + 1);
-        let (asked, first) = (&self.day[place], self.firsts[place]);
-        match seen {
-            Seen::Served => {
+    fn close_request(&mut self, request_index: usize, outcome: ClientOutcome) {
+        self.requests[request_index].closed = true;
+        let (plan_index, retries) =
+            (self.requests[request_index].plan_index, self.requests[request_index].retries + 1);
+        let (planned, first) = (&self.planned[plan_index], self.first_sent[plan_index]);
+        match outcome {
+            ClientOutcome::Served => {
                 self.counts.served += 1;
-                let aim = first + self.script.classes[asked.class].aim;
-                self.in_time.0 += u64::from(self.now <= aim);
+                let in_time_until = first + self.script.classes[planned.class].aim;
+                self.in_time.0 += u64::from(self.now <= in_time_until);
             }
-            Seen::Refused { .. } => self.counts.refused += 1,
-            Seen::Failed => self.counts.failed += 1,
-            Seen::Unreachable => self.counts.unreachable += 1,
+            ClientOutcome::Rejected { .. } => self.counts.refused += 1,
+            ClientOutcome::Failed => self.counts.failed += 1,
+            ClientOutcome::Unreachable => self.counts.unreachable += 1,
         }
-        if let Some(at) = next_try(self.script, asked, first, tries, seen, self.now) {
-            self.at(at, Happening::Ask { place, tries });
+        if let Some(at) = next_retry(self.script, planned, first, retries, outcome, self.now) {
+            self.schedule(at, SimulationEvent::SendRequest { plan_index, retries });
         }
     }
 
-    // ---- gateways ------------------------------------------------------------------------------------------
+    // ---- gateways ----
 
-    fn arrive(&mut self, n: usize) {
-        let Try { place, tries, gateway, until, closed, .. } = self.tries[n];
+    fn on_request_arrival(&mut self, request_index: usize) {
+        let ClientRequest { plan_index, retries, gateway, until, closed, .. } = self.requests[request_index];
         if closed {
-            return; // its gateway was killed while it was on its way
+            return; // the gateway was killed while the request was on its way
         }
         if !self.gateways[gateway].alive {
-            return self.lose(n, Seen::Unreachable);
+            return self.fail_request(request_index, ClientOutcome::Unreachable);
         }
-        let asked = &self.day[place];
-        let give_up = until.saturating_sub(AHEAD);
-        let (worth, mean) = (self.script.classes[asked.class].worth, self.mean_worth);
+        let planned = &self.planned[plan_index];
+        let answer_by = until.saturating_sub(ANSWER_MARGIN);
+        let (weight, mean) = (self.script.classes[planned.class].worth, self.mean_weight);
         let arriving = ArrivingRequest {
-            is_client_retry: tries > 0,
-            identity: identity(asked),
-            relative_weight: worth / mean,
-            tenant: asked.tenant,
+            is_client_retry: retries > 0,
+            identity: retry_identity(planned),
+            relative_weight: weight / mean,
+            tenant: planned.tenant,
         };
-        let allowance = match &mut self.gateways[gateway].storm {
-            Some(storm) => storm.admit(BEFORE + self.now, arriving).admission_share,
+        let admitted_share = match &mut self.gateways[gateway].storm {
+            Some(storm) => storm.admit(CLOCK_AT_START + self.now, arriving).admission_share,
             None => 1.0,
         };
-        let asked = &self.day[place];
+        let planned = &self.planned[plan_index];
         let request = Request {
-            id: id(n),
-            class: asked.class,
-            tenant: asked.tenant,
-            key: asked.subject.map(weldworks_balancer::mix),
-            cost_hint: self.script.clients.hints.then(|| Duration::from_secs_f64(asked.seconds)),
-            is_client_retry: tries > 0,
-            admission_share: allowance,
-            client_deadline: BEFORE + give_up,
+            id: request_id(request_index),
+            class: planned.class,
+            tenant: planned.tenant,
+            key: planned.subject.map(weldworks_balancer::mix),
+            cost_hint: self.script.clients.hints.then(|| Duration::from_secs_f64(planned.seconds)),
+            is_client_retry: retries > 0,
+            admission_share: admitted_share,
+            client_deadline: CLOCK_AT_START + answer_by,
             body_streaming: false,
         };
         self.cost.requests += 1;
-        self.at(give_up, Happening::Backstop { n });
-        self.decide(gateway, Event::Request(request));
+        self.schedule(answer_by, SimulationEvent::GatewayTimeout { request_index });
+        self.handle(gateway, Event::Request(request));
     }
 
-    fn decide(&mut self, gateway: usize, event: Event<'_>) {
-        let gateway = self.mind_of(gateway);
+    fn handle(&mut self, gateway: usize, event: Event<'_>) {
+        let gateway = self.module_of(gateway);
         if !self.gateways[gateway].alive {
             return;
         }
         let mut actions = std::mem::take(&mut self.actions);
         let began = Instant::now();
-        self.gateways[gateway].mind.handle(BEFORE + self.now, event, &mut actions);
+        self.gateways[gateway].module.handle(CLOCK_AT_START + self.now, event, &mut actions);
         self.cost.deciding += began.elapsed();
         for action in actions.drain(..) {
-            self.act(gateway, action);
+            self.apply_action(gateway, action);
         }
         if self.actions.capacity() < actions.capacity() {
             self.actions = actions;
         }
     }
 
-    /// How many decision modules there are.
-    fn minds(&self) -> usize {
-        match self.minds {
+    /// The number of decision modules.
+    fn module_count(&self) -> usize {
+        match self.modules {
             Minds::Own | Minds::Plain => self.gateways.len(),
             Minds::Shared => 1,
         }
     }
 
-    /// Whose decision module decides for a gateway.
-    fn mind_of(&self, gateway: usize) -> usize {
-        match self.minds {
+    /// The index of the decision module that decides for a gateway.
+    fn module_of(&self, gateway: usize) -> usize {
+        match self.modules {
             Minds::Own | Minds::Plain => gateway,
             Minds::Shared => 0,
         }
     }
 
-    fn act(&mut self, gateway: usize, action: Action) {
+    fn apply_action(&mut self, gateway: usize, action: Action) {
         match action {
-            Action::Send { request, endpoint: host, deadline: until, write_by } => {
-                let n = place_of(request);
-                let write_by = write_by.map(|by| by.saturating_sub(BEFORE));
-                self.send(self.tries[n].gateway, n, host, until.saturating_sub(BEFORE), write_by);
+            Action::Send { request, endpoint: endpoint_id, deadline: until, write_by } => {
+                let request_index = request_index_of(request);
+                let write_by = write_by.map(|by| by.saturating_sub(CLOCK_AT_START));
+                self.send_attempt(
+                    self.requests[request_index].gateway,
+                    request_index,
+                    endpoint_id,
+                    until.saturating_sub(CLOCK_AT_START),
+                    write_by,
+                );
             }
-            // No body of a script comes in pieces.
+            // Ignored, since request bodies of scripts are never streamed.
             Action::SetAttemptDeadline { .. } => {}
             Action::Cancel { request, attempt } => {
-                let n = place_of(request);
-                let found = self.tries.get(n).and_then(|t| t.attempts.get(attempt as usize)).copied();
-                if let Some(a) = found.filter(|a| !self.attempts[*a].over) {
-                    self.leave(a);
-                    self.end_attempt(a, Outcome::Cancelled);
+                let request_index = request_index_of(request);
+                let found = self
+                    .requests
+                    .get(request_index)
+                    .and_then(|request| request.attempts.get(attempt as usize))
+                    .copied();
+                if let Some(attempt_index) =
+                    found.filter(|attempt_index| !self.attempts[*attempt_index].ended)
+                {
+                    self.close_connection(attempt_index);
+                    self.end_attempt(attempt_index, Outcome::Cancelled);
                 }
             }
-            Action::Reject { request, retry_after: keep_away } => {
-                let come_back = Some(keep_away).filter(|t| !t.is_zero());
-                self.answer(place_of(request), Seen::Refused { come_back });
+            Action::Reject { request, retry_after: advised_delay } => {
+                let retry_after = Some(advised_delay).filter(|delay| !delay.is_zero());
+                self.send_answer(request_index_of(request), ClientOutcome::Rejected { retry_after });
             }
-            Action::Fail { request } => self.answer(place_of(request), Seen::Failed),
+            Action::Fail { request } => self.send_answer(request_index_of(request), ClientOutcome::Failed),
             Action::SetTimer { after, token } => {
-                let life = self.gateways[gateway].life;
-                self.at(self.now + after.max(TICK), Happening::Timer { gateway, life, token });
+                let incarnation = self.gateways[gateway].incarnation;
+                self.schedule(
+                    self.now + after.max(TIMER_RESOLUTION),
+                    SimulationEvent::Timer { gateway, incarnation, token },
+                );
             }
-            Action::Probe { endpoint: host } => {
+            Action::Probe { endpoint: endpoint_id } => {
                 let (outcome, latency) = (Outcome::NotSent, Duration::ZERO);
-                self.decide(gateway, Event::ProbeEnded { endpoint: host, outcome, latency });
+                self.handle(gateway, Event::ProbeEnded { endpoint: endpoint_id, outcome, latency });
             }
-            Action::CloseIdleConnections { endpoint: host } => {
-                let node = host.0 as usize;
-                for g in 0..self.gateways.len() {
-                    if self.mind_of(g) == gateway {
-                        let idle = std::mem::take(&mut self.gateways[g].idle[node]);
+            Action::CloseIdleConnections { endpoint: endpoint_id } => {
+                let node = endpoint_id.0 as usize;
+                for gateway_index in 0..self.gateways.len() {
+                    if self.module_of(gateway_index) == gateway {
+                        let idle = std::mem::take(&mut self.gateways[gateway_index].idle[node]);
                         for (connection, _) in idle {
-                            self.at(self.now, Happening::Left { node, connection, attempt: None });
+                            self.schedule(
+                                self.now,
+                                SimulationEvent::ConnectionClosed { node, connection, attempt: None },
+                            );
                         }
                     }
                 }
@@ -686,201 +744,232 @@
             Action::PollDiscovery => {
                 self.gateways[gateway].watching = false;
                 let at = self.now + self.script.network.same;
-                self.at(at, Happening::RegisterCall { gateway });
+                self.schedule(at, SimulationEvent::DiscoveryPolled { gateway });
             }
         }
     }
 
-    /// The gateway's final answer leaves for the client. Only the first one does.
-    fn answer(&mut self, n: usize, mut seen: Seen) {
-        if !std::mem::replace(&mut self.tries[n].answered, true) {
-            let Try { gateway, place, .. } = self.tries[n];
-            let now = BEFORE + self.now;
+    /// Sends the gateway's final answer to the client; later answers to the same request are ignored.
+    fn send_answer(&mut self, request_index: usize, mut outcome: ClientOutcome) {
+        if !std::mem::replace(&mut self.requests[request_index].answered, true) {
+            let ClientRequest { gateway, plan_index, .. } = self.requests[request_index];
+            let now = CLOCK_AT_START + self.now;
             if let Some(storm) = &mut self.gateways[gateway].storm {
-                storm.record_result(now, answered(seen));
-                if let Seen::Refused { come_back } = &mut seen {
-                    let advice =
-                        storm.retry_after(now, identity(&self.day[place]), come_back.unwrap_or_default());
-                    *come_back = Some(advice).filter(|t| !t.is_zero());
+                storm.record_result(now, request_result(outcome));
+                if let ClientOutcome::Rejected { retry_after } = &mut outcome {
+                    let request_retry_after = storm.retry_after(
+                        now,
+                        retry_identity(&self.planned[plan_index]),
+                        retry_after.unwrap_or_default(),
+                    );
+                    *retry_after = Some(request_retry_after).filter(|delay| !delay.is_zero());
                 }
             }
-            let way = self.client_way(n, Hop::ToClient);
-            self.at(self.now + way, Happening::Answer { n, seen });
+            let delay = self.client_delay(request_index, MessageKind::ToClient);
+            self.schedule(self.now + delay, SimulationEvent::Answered { request_index, outcome });
         }
     }
 
-    fn send(
+    fn send_attempt(
         &mut self,
         gateway: usize,
-        n: usize,
-        host: EndpointId,
+        request_index: usize,
+        endpoint_id: EndpointId,
         until: Duration,
         write_by: Option<Duration>,
     ) {
-        let node = host.0 as usize;
-        let until = until.min(self.tries[n].until.saturating_sub(AHEAD));
-        let a = self.attempts.len();
-        let in_try = self.tries[n].attempts.len() as u32;
-        self.tries[n].attempts.push(a);
-        let fresh = self.fresh(); // as the program does it: the one used last
+        let node = endpoint_id.0 as usize;
+        let until = until.min(self.requests[request_index].until.saturating_sub(ANSWER_MARGIN));
+        let attempt_index = self.attempts.len();
+        let attempt_number = self.requests[request_index].attempts.len() as u32;
+        self.requests[request_index].attempts.push(attempt_index);
+        let reuse_limit = self.reuse_limit(); // like the gateway program, prefers the connection that was used last
         let idle = &mut self.gateways[gateway].idle[node];
         let reused = loop {
             match idle.pop() {
-                Some((connection, since)) if self.now - since < fresh => break Some(connection),
+                Some((connection, since)) if self.now - since < reuse_limit => break Some(connection),
                 Some(_) => {}
                 None => break None,
             }
         };
         let connection = reused.unwrap_or_else(|| {
-            self.openers.push(gateway);
-            self.openers.len() as u64 - 1
+            self.connection_gateways.push(gateway);
+            self.connection_gateways.len() as u64 - 1
         });
-        let (sent, written, over) = (self.now, reused.is_some(), false);
-        self.attempts.push(Attempt { n, in_try, node, connection, sent, until, write_by, written, over });
-        self.at(until, Happening::AttemptTimeout { a });
+        let (sent, written, ended) = (self.now, reused.is_some(), false);
+        self.attempts.push(Attempt {
+            request_index,
+            attempt_number,
+            node,
+            connection,
+            sent,
+            until,
+            write_by,
+            written,
+            ended,
+        });
+        self.schedule(until, SimulationEvent::AttemptTimeout { attempt_index });
         if written {
-            let way = self.node_way(a, Hop::ToNode);
-            self.at(self.now + way, Happening::Reach { a });
+            let delay = self.endpoint_delay(attempt_index, MessageKind::ToEndpoint);
+            self.schedule(self.now + delay, SimulationEvent::AttemptArrives { attempt_index });
         } else {
             self.counts.connections += 1;
-            let way = self.node_way(a, Hop::Dial);
-            self.at(self.now + way, Happening::Dial { a });
-            self.at(self.now + self.script.limits.dial, Happening::DialTimeout { a });
+            let delay = self.endpoint_delay(attempt_index, MessageKind::Dial);
+            self.schedule(self.now + delay, SimulationEvent::DialArrives { attempt_index });
+            self.schedule(self.now + self.script.limits.dial, SimulationEvent::DialTimeout { attempt_index });
         }
     }
 
-    fn dial(&mut self, a: usize) {
-        let Attempt { node, connection, .. } = self.attempts[a];
+    fn on_dial(&mut self, attempt_index: usize) {
+        let Attempt { node, connection, .. } = self.attempts[attempt_index];
         if self.nodes[node].state() == State::Silent {
             return;
         }
-        let up = self.nodes[node].connect(self.now, connection);
-        self.hear(node);
-        let way = self.node_way(a, Hop::Dialled);
-        self.at(self.now + way, Happening::Dialled { a, up });
+        let is_up = self.nodes[node].connect(self.now, connection);
+        self.take_outputs(node);
+        let delay = self.endpoint_delay(attempt_index, MessageKind::DialEnded);
+        self.schedule(self.now + delay, SimulationEvent::DialEnded { attempt_index, is_up });
     }
 
-    fn dialled(&mut self, a: usize, up: bool) {
-        let Attempt { n, node, connection, write_by, over, .. } = self.attempts[a];
-        let gateway = self.tries[n].gateway;
-        if over {
-            if up {
-                self.at(self.now, Happening::Left { node, connection, attempt: None });
+    fn on_dial_ended(&mut self, attempt_index: usize, is_up: bool) {
+        let Attempt { request_index, node, connection, write_by, ended, .. } = self.attempts[attempt_index];
+        let gateway = self.requests[request_index].gateway;
+        if ended {
+            if is_up {
+                self.schedule(
+                    self.now,
+                    SimulationEvent::ConnectionClosed { node, connection, attempt: None },
+                );
             }
             return;
         }
-        if !up {
-            return self.end_attempt(a, Outcome::NoConnection);
+        if !is_up {
+            return self.end_attempt(attempt_index, Outcome::NoConnection);
         }
-        // The request may have been answered, and the node begun to drain, while the connection came up.
-        let takes_work = self.gateways[self.mind_of(gateway)]
-            .hosts
+        // The request may have been answered, or the endpoint may have begun to drain, while the connection was established.
+        let takes_work = self.gateways[self.module_of(gateway)]
+            .endpoints
             .iter()
-            .any(|h| h.id.0 as usize == node && h.state == EndpointState::Up);
-        if self.tries[n].answered || !takes_work || write_by.is_some_and(|by| self.now >= by) {
+            .any(|endpoint| endpoint.id.0 as usize == node && endpoint.state == EndpointState::Up);
+        if self.requests[request_index].answered || !takes_work || write_by.is_some_and(|by| self.now >= by) {
             self.gateways[gateway].idle[node].push((connection, self.now));
-            return self.end_attempt(a, Outcome::NotSent);
+            return self.end_attempt(attempt_index, Outcome::NotSent);
         }
-        self.attempts[a].written = true;
-        let way = self.node_way(a, Hop::ToNode);
-        self.at(self.now + way, Happening::Reach { a });
+        self.attempts[attempt_index].written = true;
+        let delay = self.endpoint_delay(attempt_index, MessageKind::ToEndpoint);
+        self.schedule(self.now + delay, SimulationEvent::AttemptArrives { attempt_index });
     }
 
-    fn reach(&mut self, a: usize) {
-        let Attempt { n, node, connection, until, .. } = self.attempts[a];
-        if self.nodes[node].state() == State::Silent || self.attempts[a].over {
+    fn on_attempt_arrival(&mut self, attempt_index: usize) {
+        let Attempt { request_index, node, connection, until, .. } = self.attempts[attempt_index];
+        if self.nodes[node].state() == State::Silent || self.attempts[attempt_index].ended {
             return;
         }
-        let Try { number, place, gateway, .. } = self.tries[n];
-        let asked = &self.day[place];
-        let class = &self.script.classes[asked.class];
-        let seconds = attempt_seconds(self.draws, class, asked, node as u64);
+        let ClientRequest { number, plan_index, gateway, .. } = self.requests[request_index];
+        let planned = &self.planned[plan_index];
+        let class = &self.script.classes[planned.class];
+        let seconds = attempt_seconds(self.draws, class, planned, node as u64);
         let keyed = match class.effect {
-            Idempotency::IdempotencyKey { scope: group, window } => Some((asked.key, group, window)),
+            Idempotency::IdempotencyKey { scope: key_scope, window } => {
+                Some((planned.key, key_scope, window))
+            }
             _ => None,
         };
-        let (attempt, whole) = (a as u64, Some(self.now));
+        let (attempt, whole) = (attempt_index as u64, Some(self.now));
         let (first, began, ended) = (self.now, None, None);
         self.ledger
             .attempt(number, AttemptSeen { attempt, node, gateway, first, whole, began, ended, seconds });
         self.counts.attempts += 1;
-        let work = Work { request: number, seconds, subject: asked.subject, keyed, until };
-        let there = matches!(self.nodes[node].state(), State::Up | State::Draining);
+        let work = Work { request: number, seconds, subject: planned.subject, keyed, until };
+        let is_running = matches!(self.nodes[node].state(), State::Up | State::Draining);
         self.nodes[node].request(self.now, connection, attempt, work);
-        self.hear(node);
-        if !there {
+        self.take_outputs(node);
+        if !is_running {
             self.ledger.ended(attempt, self.now, Ended::Broken);
-            let way = self.node_way(a, Hop::FromNode);
-            self.at(self.now + way, Happening::Reply { a, outcome: Outcome::Reset, report: None });
+            let delay = self.endpoint_delay(attempt_index, MessageKind::FromEndpoint);
+            self.schedule(
+                self.now + delay,
+                SimulationEvent::AttemptReply { attempt_index, outcome: Outcome::Reset, report: None },
+            );
         }
     }
 
-    fn reply(&mut self, a: usize, outcome: Outcome, report: Option<LoadReport>) {
-        let Attempt { n, node, connection, over, .. } = self.attempts[a];
-        if over {
+    fn on_reply(&mut self, attempt_index: usize, outcome: Outcome, report: Option<LoadReport>) {
+        let Attempt { request_index, node, connection, ended, .. } = self.attempts[attempt_index];
+        if ended {
             return;
         }
         if let Some(report) = report {
-            let host = EndpointId(node as u32);
-            self.decide(self.tries[n].gateway, Event::LoadReport { endpoint: host, report });
+            let endpoint_id = EndpointId(node as u32);
+            self.handle(
+                self.requests[request_index].gateway,
+                Event::LoadReport { endpoint: endpoint_id, report },
+            );
         }
         if outcome != Outcome::Reset {
-            self.gateways[self.tries[n].gateway].idle[node].push((connection, self.now));
+            self.gateways[self.requests[request_index].gateway].idle[node].push((connection, self.now));
         }
         if outcome == Outcome::Served {
-            self.answer(n, Seen::Served);
+            self.send_answer(request_index, ClientOutcome::Served);
         }
-        self.end_attempt(a, outcome);
+        self.end_attempt(attempt_index, outcome);
     }
 
-    /// A node has ended an idle connection.
-    fn idle_ended(&mut self, gateway: usize, node: usize, connection: u64) {
-        let (now, fresh, mind) = (self.now, self.fresh(), self.mind_of(gateway));
+    /// A gateway learns that an endpoint has closed an idle connection.
+    fn on_idle_connection_ended(&mut self, gateway: usize, node: usize, connection: u64) {
+        let (now, reuse_limit, module) = (self.now, self.reuse_limit(), self.module_of(gateway));
         let idle = &mut self.gateways[gateway].idle[node];
-        let Some(at) = idle.iter().position(|(c, _)| *c == connection) else { return };
+        let Some(at) = idle.iter().position(|(id, _)| *id == connection) else { return };
         let (_, since) = idle.remove(at);
-        // The program lets go by itself what has been idle for so long: no word of the node.
-        if now - since < fresh {
-            let of_mind = (0..self.gateways.len()).filter(|g| self.mind_of(*g) == mind);
-            let held = of_mind.flat_map(|g| &self.gateways[g].idle[node]);
-            let left = held.filter(|(_, since)| now - *since < fresh).count();
-            self.decide(
+        // A connection that has been idle for longer is closed by the gateway program itself, so its end says nothing about the endpoint.
+        if now - since < reuse_limit {
+            let gateways_of_module =
+                (0..self.gateways.len()).filter(|gateway_index| self.module_of(*gateway_index) == module);
+            let idle_of_module =
+                gateways_of_module.flat_map(|gateway_index| &self.gateways[gateway_index].idle[node]);
+            let remaining_count = idle_of_module.filter(|(_, since)| now - *since < reuse_limit).count();
+            self.handle(
                 gateway,
                 Event::IdleConnectionClosed {
                     endpoint: EndpointId(node as u32),
                     idle: now - since,
-                    remaining: left,
+                    remaining: remaining_count,
                 },
             );
         }
     }
 
-    /// A connection that has been idle for less is used again: none that its node may be about to close.
-    fn fresh(&self) -> Duration {
-        self.script.fleet.kinds.iter().map(|k| k.spec.keep_alive).min().unwrap_or_default() / 2
+    /// The idle time from which a connection is not reused, because its endpoint may be about to close it.
+    fn reuse_limit(&self) -> Duration {
+        self.script.fleet.kinds.iter().map(|kind| kind.spec.keep_alive).min().unwrap_or_default() / 2
     }
 
-    /// The gateway ends the attempt's connection.
-    fn leave(&mut self, a: usize) {
-        let Attempt { node, connection, written, .. } = self.attempts[a];
-        let way = self.node_way(a, Hop::Leave);
-        let attempt = written.then_some(a as u64);
-        self.at(self.now + way, Happening::Left { node, connection, attempt });
+    /// The gateway closes the connection of an attempt.
+    fn close_connection(&mut self, attempt_index: usize) {
+        let Attempt { node, connection, written, .. } = self.attempts[attempt_index];
+        let delay = self.endpoint_delay(attempt_index, MessageKind::Disconnect);
+        let attempt = written.then_some(attempt_index as u64);
+        self.schedule(self.now + delay, SimulationEvent::ConnectionClosed { node, connection, attempt });
     }
 
-    fn end_attempt(&mut self, a: usize, outcome: Outcome) {
-        let Attempt { n, in_try, sent, .. } = self.attempts[a];
-        self.attempts[a].over = true;
-        let (latency, over) = (self.now - sent, self.tries[n].answered);
-        let event =
-            Event::AttemptEnded { request: id(n), attempt: in_try, latency, outcome, request_ended: over };
-        self.decide(self.tries[n].gateway, event);
+    fn end_attempt(&mut self, attempt_index: usize, outcome: Outcome) {
+        let Attempt { request_index, attempt_number, sent, .. } = self.attempts[attempt_index];
+        self.attempts[attempt_index].ended = true;
+        let (latency, is_answered) = (self.now - sent, self.requests[request_index].answered);
+        let event = Event::AttemptEnded {
+            request: request_id(request_index),
+            attempt: attempt_number,
+            latency,
+            outcome,
+            request_ended: is_answered,
+        };
+        self.handle(self.requests[request_index].gateway, event);
     }
 
-    // ---- nodes ---------------------------------------------------------------------------------------------
+    // ---- endpoints ----
 
-    /// Takes what a node has to say, and asks when it speaks next.
-    fn hear(&mut self, node: usize) {
+    /// Processes the outputs of an endpoint and schedules its next internal change.
+    fn take_outputs(&mut self, node: usize) {
         let outputs: Vec<Output> = self.nodes[node].outputs().collect();
         for output in outputs {
             match output {
@@ -895,48 +984,58 @@
                         Answer::TurnedAway(_) => (Ended::TurnedAway, Outcome::Rejected),
                     };
                     self.ledger.ended(attempt, self.now, ended);
-                    let a = attempt as usize;
-                    let way = self.node_way(a, Hop::FromNode);
+                    let attempt_index = attempt as usize;
+                    let delay = self.endpoint_delay(attempt_index, MessageKind::FromEndpoint);
                     let report =
                         LoadReport { requests_per_second: report.qps, in_flight: report.inflight }.checked();
-                    self.at(self.now + way, Happening::Reply { a, outcome, report });
+                    self.schedule(
+                        self.now + delay,
+                        SimulationEvent::AttemptReply { attempt_index, outcome, report },
+                    );
                 }
                 Output::Ended { attempt: Some(attempt), .. } => {
                     self.ledger.ended(attempt, self.now, Ended::Broken);
-                    let a = attempt as usize;
-                    let way = self.node_way(a, Hop::FromNode);
-                    self.at(self.now + way, Happening::Reply { a, outcome: Outcome::Reset, report: None });
+                    let attempt_index = attempt as usize;
+                    let delay = self.endpoint_delay(attempt_index, MessageKind::FromEndpoint);
+                    self.schedule(
+                        self.now + delay,
+                        SimulationEvent::AttemptReply {
+                            attempt_index,
+                            outcome: Outcome::Reset,
+                            report: None,
+                        },
+                    );
                 }
                 Output::Ended { connection, attempt: None } => {
                     let at = self.now + self.script.network.same;
-                    let gateway = self.openers[connection as usize];
-                    self.at(at, Happening::IdleEnded { gateway, node, connection });
+                    let gateway = self.connection_gateways[connection as usize];
+                    self.schedule(at, SimulationEvent::IdleConnectionEnded { gateway, node, connection });
                 }
                 Output::FellOver => {
                     self.counts.fallen += 1;
                     self.ledger.fell(node, self.now);
                     self.register.fell(node, self.now);
-                    self.await_register();
+                    self.schedule_discovery_change();
                 }
             }
         }
-        self.watch_node(node);
+        self.schedule_endpoint(node);
     }
 
-    fn watch_node(&mut self, node: usize) {
+    fn schedule_endpoint(&mut self, node: usize) {
         let next = self.nodes[node].next();
         if let Some(due) = next.filter(|_| self.node_due[node] != next) {
-            self.at(due, Happening::Node { node, due });
+            self.schedule(due, SimulationEvent::EndpointChange { node, due });
         }
         self.node_due[node] = next;
     }
 
-    // ---- what it has shown ---------------------------------------------------------------------------------
+    // ---- reporting ----
 
-    fn sample(&mut self) {
+    fn record_sample(&mut self) {
         let step = (self.script.lasts / 240).max(Duration::from_millis(100));
-        let (now, before, per) = (self.counts, self.sampled, step.as_secs_f64());
-        let rate = |now: u64, before: u64| ((now - before) as f64 / per * 10.0).round() / 10.0;
+        let (now, before, step_s) = (self.counts, self.sampled_counts, step.as_secs_f64());
+        let rate = |now: u64, before: u64| ((now - before) as f64 / step_s * 10.0).round() / 10.0;
         let mut sample = Sample {
             at_s: (self.now.as_secs_f64() * 1000.0).round() / 1000.0,
             asked: rate(now.tries, before.tries),
@@ -947,17 +1046,17 @@
         };
         self.nodes.iter().for_each(|node| sample.see(node));
         self.timeline.push(sample);
-        (self.sampled, self.in_time.1) = (now, self.in_time.0);
+        (self.sampled_counts, self.in_time.1) = (now, self.in_time.0);
         if self.now + step <= self.script.end() {
-            self.at(self.now + step, Happening::Sample);
+            self.schedule(self.now + step, SimulationEvent::RecordSample);
         }
     }
 
     fn report(self, seed: u64) -> (Report, Cost) {
-        let tallies = tallies(self.script, &self.day, &self.ledger, &self.tries_of);
-        let there = there(self.script, self.gateways.len());
-        let fresh = (there < self.gateways.len())
-            .then(|| fresh(self.script, &tallies, there, |place| self.taken_by(place)));
+        let tallies = tallies(self.script, &self.planned, &self.ledger, &self.sends);
+        let initial_count = initial_gateways(self.script, self.gateways.len());
+        let fresh = (initial_count < self.gateways.len())
+            .then(|| fresh(self.script, &tallies, initial_count, |plan_index| self.taken_by(plan_index)));
         let report = Report {
             script: self.script.name.clone(),
             seed,
@@ -980,15 +1079,15 @@
         (report, self.cost)
     }
 
-    /// The gateway that took a first try.
-    fn taken_by(&self, place: usize) -> Option<usize> {
-        let (number, _) = self.tries_of.get(place)?.first()?;
+    /// The gateway to which a planned request was first sent.
+    fn taken_by(&self, plan_index: usize) -> Option<usize> {
+        let (number, _) = self.sends.get(plan_index)?.first()?;
         self.ledger.of(*number)?.ask.as_ref().map(|ask| ask.gateway)
     }
 }
 
 impl Sample {
-    /// Counts a node in.
+    /// Adds an endpoint to the counts of this sample.
     pub fn see(&mut self, node: &Node) {
         self.held += node.held();
         match node.state() {
@@ -1001,50 +1100,51 @@
     }
 }
 
-/// How many of `count` gateways are there from the beginning.
-fn there(script: &Script, count: usize) -> usize {
+/// How many of `count` gateways run from the start.
+fn initial_gateways(script: &Script, count: usize) -> usize {
     count - script.fleet.joining.min(count.saturating_sub(1))
 }
 
-/// To which of the first `count` gateways the front deals the requests of each zone.
-fn front(script: &Script, count: usize) -> Vec<Vec<usize>> {
-    let mut by_zone = vec![Vec::new(); script.fleet.zones.len()];
-    for g in 0..count {
-        // Among those of a zone every other one stands several times in the front's list.
-        let favoured = (g / script.fleet.zones.len()).is_multiple_of(2);
-        let places = if favoured { script.load.uneven } else { 1 };
-        by_zone[script.zone_of(g)].extend(std::iter::repeat_n(g, places));
+/// For each zone, the gateways among the first `count` to which the front sends the zone's requests.
+fn front_targets(script: &Script, count: usize) -> Vec<Vec<usize>> {
+    let mut gateways_by_zone = vec![Vec::new(); script.fleet.zones.len()];
+    for gateway_index in 0..count {
+        // With uneven load, every other gateway of a zone is in the front's list several times.
+        let is_favoured = (gateway_index / script.fleet.zones.len()).is_multiple_of(2);
+        let copies = if is_favoured { script.load.uneven } else { 1 };
+        gateways_by_zone[script.zone_of(gateway_index)].extend(std::iter::repeat_n(gateway_index, copies));
     }
-    // Where a zone has none, to all.
-    by_zone.iter_mut().filter(|own| own.is_empty()).for_each(|own| own.extend(0..count));
-    by_zone
+    // The requests of a zone without gateways go to all gateways.
+    gateways_by_zone.iter_mut().filter(|own| own.is_empty()).for_each(|own| own.extend(0..count));
+    gateways_by_zone
 }
 
-/// What tells a request from the others: a retry has the same.
-fn identity(asked: &Asked) -> Option<u64> {
-    Some(asked.key)
+/// The identity of a planned request, which its retries share.
+fn retry_identity(planned: &Asked) -> Option<u64> {
+    Some(planned.key)
 }
 
-/// The mean worth of a request, by the classes' shares.
-fn mean_worth(script: &Script) -> f64 {
-    let (worth, shares) =
-        script.classes.iter().fold((0.0, 0.0), |(w, s), c| (w + c.worth * c.share, s + c.share));
-    worth / shares
+/// The mean priority weight of a request, by the classes' shares of the load.
+fn mean_weight(script: &Script) -> f64 {
+    let (weight_sum, share_sum) = script.classes.iter().fold((0.0, 0.0), |(weights, shares), class| {
+        (weights + class.worth * class.share, shares + class.share)
+    });
+    weight_sum / share_sum
 }
 
-fn answered(seen: Seen) -> RequestResult {
-    match seen {
-        Seen::Served => RequestResult::Served,
-        Seen::Refused { .. } => RequestResult::Rejected,
-        Seen::Failed | Seen::Unreachable => RequestResult::Failed,
+fn request_result(outcome: ClientOutcome) -> RequestResult {
+    match outcome {
+        ClientOutcome::Served => RequestResult::Served,
+        ClientOutcome::Rejected { .. } => RequestResult::Rejected,
+        ClientOutcome::Failed | ClientOutcome::Unreachable => RequestResult::Failed,
     }
 }
 
-/// The module's number of a try; never 0.
-fn id(n: usize) -> RequestId {
-    RequestId(n as u64 + 1)
+/// The id of a request in the decision module; never 0.
+fn request_id(request_index: usize) -> RequestId {
+    RequestId(request_index as u64 + 1)
 }
 
-fn place_of(request: RequestId) -> usize {
+fn request_index_of(request: RequestId) -> usize {
     request.0 as usize - 1
 }
--- a/crates/testbed/src/simulate/register.rs
+++ b/crates/testbed/src/simulate/register.rs
@@ -1,116 +1,125 @@
-//! The register in virtual time: calls, news, and the weights that it gives nodes by what they hold.
+//! Discovery in virtual time: polls, pushed changes of the endpoint list, and live weights of the endpoints.
 
-use super::{Happening, World, BEFORE};
+use super::{Simulation, SimulationEvent, CLOCK_AT_START};
 use crate::ledger::Told;
 use crate::model::Node;
 use crate::register::{Call, Entry, List, Status};
 use weldworks_balancer::{EndpointId, EndpointState, Event};
 
-impl World<'_> {
-    /// A gateway's call has come.
-    pub(super) fn register_called(&mut self, gateway: usize) {
-        let way = self.script.network.same;
+impl Simulation<'_> {
+    /// A gateway's poll has reached discovery.
+    pub(super) fn on_discovery_poll(&mut self, gateway: usize) {
+        let delay = self.script.network.same;
         match self.register.call(self.now) {
             Call::Answered(at) => {
                 let list = self.register.since(at, self.gateways[gateway].version);
-                self.at(at + way, Happening::RegisterSays { gateway, list: Some(list) });
+                self.schedule(at + delay, SimulationEvent::DiscoveryResponse { gateway, list: Some(list) });
+            }
+            Call::Failed(at) => {
+                self.schedule(at + delay, SimulationEvent::DiscoveryResponse { gateway, list: None });
             }
-            Call::Failed(at) => self.at(at + way, Happening::RegisterSays { gateway, list: None }),
         }
     }
 
-    /// A gateway hears the register's word, or that there is none.
-    pub(super) fn register_says(&mut self, gateway: usize, list: Option<List>) {
+    /// A gateway receives the endpoint list of a poll or watch, or learns that discovery failed.
+    pub(super) fn on_discovery_response(&mut self, gateway: usize, list: Option<List>) {
         if !self.gateways[gateway].alive {
             return;
         }
         self.gateways[gateway].watching = list.is_some();
         match list {
-            Some(list) => self.tell(gateway, list),
-            None => self.decide(gateway, Event::DiscoveryFailed { silent_for: std::time::Duration::ZERO }),
+            Some(list) => self.deliver_list(gateway, list),
+            None => self.handle(gateway, Event::DiscoveryFailed { silent_for: std::time::Duration::ZERO }),
         }
     }
 
-    pub(super) fn await_register(&mut self) {
-        let (change, turn) = (self.register.next_change(self.now), self.register.next_turn(self.now));
-        if let Some(at) = change.into_iter().chain(turn).min() {
-            self.at(at, Happening::RegisterTurns);
+    pub(super) fn schedule_discovery_change(&mut self) {
+        let (change, outage_change) =
+            (self.register.next_change(self.now), self.register.next_turn(self.now));
+        if let Some(at) = change.into_iter().chain(outage_change).min() {
+            self.schedule(at, SimulationEvent::DiscoveryChange);
         }
     }
 
-    pub(super) fn register_turns(&mut self) {
-        let (down, way) = (self.register.is_down(self.now), self.script.network.same);
+    pub(super) fn on_discovery_change(&mut self) {
+        let (down, delay) = (self.register.is_down(self.now), self.script.network.same);
         if self.script.register.pushed && !down {
-            self.tell_agents();
+            self.update_agents();
         }
         for gateway in 0..self.gateways.len() {
             if !self.gateways[gateway].watching {
                 continue;
             }
             if down && self.script.register.pushed {
-                continue; // silent, for who is told unasked notices nothing
+                continue; // with pushed changes, a gateway does not notice that discovery is down
             }
             if down {
-                self.at(self.now + way, Happening::RegisterSays { gateway, list: None });
+                self.schedule(self.now + delay, SimulationEvent::DiscoveryResponse { gateway, list: None });
                 continue;
             }
             let list = self.register.since(self.now, self.gateways[gateway].version);
             if list.whole || !list.entries.is_empty() {
-                self.at(self.now + way, Happening::RegisterSays { gateway, list: Some(list) });
+                self.schedule(
+                    self.now + delay,
+                    SimulationEvent::DiscoveryResponse { gateway, list: Some(list) },
+                );
             }
         }
-        self.await_register();
+        self.schedule_discovery_change();
     }
 
-    /// What an agent has been sent counts as told, whether or not its gateway reads it.
-    fn tell_agents(&mut self) {
-        let list = self.register.since(self.now, self.agents);
-        self.agents = list.version;
-        for gateway in 0..self.minds() {
+    /// A change that was sent to a gateway's agent counts as notified, whether or not the gateway reads the change.
+    fn update_agents(&mut self) {
+        let list = self.register.since(self.now, self.agent_version);
+        self.agent_version = list.version;
+        for gateway in 0..self.module_count() {
             for entry in &list.entries {
                 self.ledger.told(gateway, entry.node, self.now, entry.told());
             }
-            let listed = |node: &usize| list.entries.iter().any(|e| e.node == *node);
+            let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
             for node in (0..self.nodes.len()).filter(|n| list.whole && !listed(n)) {
                 self.ledger.told(gateway, node, self.now, Told::Gone);
             }
         }
     }
 
-    /// A gateway hears a list.
-    pub(super) fn tell(&mut self, gateway: usize, list: List) {
+    /// Delivers an endpoint list to a gateway.
+    pub(super) fn deliver_list(&mut self, gateway: usize, list: List) {
         if list.version < self.gateways[gateway].version {
-            return; // an older word, overtaken on its way
+            return; // an older list, overtaken on its way by a newer one
         }
-        let hosts: Vec<weldworks_balancer::Endpoint> = list.entries.iter().map(|e| self.host(e)).collect();
-        let g = &mut self.gateways[gateway];
-        g.version = list.version;
+        let endpoints: Vec<weldworks_balancer::Endpoint> =
+            list.entries.iter().map(|entry| self.endpoint(entry)).collect();
+        let gateway_state = &mut self.gateways[gateway];
+        gateway_state.version = list.version;
         if list.whole {
-            for known in &mut g.hosts {
-                if !hosts.iter().any(|h| h.id == known.id) {
+            for known in &mut gateway_state.endpoints {
+                if !endpoints.iter().any(|endpoint| endpoint.id == known.id) {
                     known.state = EndpointState::Removed;
                     self.ledger.told(gateway, known.id.0 as usize, self.now, Told::Gone);
                 }
             }
         }
-        for (host, entry) in hosts.iter().zip(&list.entries) {
-            match g.hosts.iter_mut().find(|h| h.id == host.id) {
-                Some(known) => *known = host.clone(),
-                None => g.hosts.push(host.clone()),
+        for (endpoint, entry) in endpoints.iter().zip(&list.entries) {
+            match gateway_state.endpoints.iter_mut().find(|known| known.id == endpoint.id) {
+                Some(known) => *known = endpoint.clone(),
+                None => gateway_state.endpoints.push(endpoint.clone()),
             }
             self.ledger.told(gateway, entry.node, self.now, entry.told());
         }
-        if let Some(storm) = &mut g.storm {
-            let up = g.hosts.iter().filter(|h| h.state == EndpointState::Up);
+        if let Some(storm) = &mut gateway_state.storm {
+            let up = gateway_state.endpoints.iter().filter(|endpoint| endpoint.state == EndpointState::Up);
             let up: Vec<_> = up
-                .map(|h| weldworks_control::retry_storm::StartedEndpoint { started_at: h.started })
+                .map(|endpoint| weldworks_control::retry_storm::StartedEndpoint {
+                    started_at: endpoint.started,
+                })
                 .collect();
-            storm.set_endpoints(BEFORE + self.now, &up);
+            storm.set_endpoints(CLOCK_AT_START + self.now, &up);
         }
-        self.decide(gateway, Event::EndpointList { is_snapshot: list.whole, endpoints: &hosts });
+        self.handle(gateway, Event::EndpointList { is_snapshot: list.whole, endpoints: &endpoints });
     }
 
-    /// What a node is worth now: its size, divided by 1 + what it holds a core.
+    /// The current live weight of an endpoint: its capacity divided by 1 + its requests in flight per core; 1 without live weights.
     pub(super) fn weight(&self, node: &Node) -> f64 {
         match self.script.register.weights {
             Some(_) => node.live_weight(),
@@ -118,37 +127,37 @@
         }
     }
 
-    /// Looks at all nodes and has the gateways told, later; then looks again.
-    pub(super) fn weigh(&mut self) {
+    /// Samples the live weights of all endpoints, which reach the gateways after a delay, and schedules the next sample.
+    pub(super) fn sample_weights(&mut self) {
         let Some(weights) = self.script.register.weights else { return };
-        let seen = self.nodes.iter().map(|node| self.weight(node)).collect();
-        self.at(self.now + weights.late, Happening::Weights { weights: seen });
+        let sampled = self.nodes.iter().map(|node| self.weight(node)).collect();
+        self.schedule(self.now + weights.late, SimulationEvent::WeightUpdate { weights: sampled });
         if self.now + weights.every <= self.script.end() {
-            self.at(self.now + weights.every, Happening::Weigh);
+            self.schedule(self.now + weights.every, SimulationEvent::SampleWeights);
         }
     }
 
-    /// The gateways that watch hear new weights, unless the register is down.
-    pub(super) fn hear_weights(&mut self, weights: Vec<f64>) {
+    /// The gateways that watch discovery receive new live weights, unless discovery is down.
+    pub(super) fn on_weight_update(&mut self, weights: Vec<f64>) {
         if self.register.is_down(self.now) {
             return;
         }
         self.weights = weights;
-        for gateway in 0..self.minds() {
+        for gateway in 0..self.module_count() {
             if !self.gateways[gateway].watching {
                 continue;
             }
-            let mut hosts = self.gateways[gateway].hosts.clone();
-            hosts.retain(|h| h.state != EndpointState::Removed);
-            for host in &mut hosts {
-                host.weight = self.weights[host.id.0 as usize];
+            let mut endpoints = self.gateways[gateway].endpoints.clone();
+            endpoints.retain(|endpoint| endpoint.state != EndpointState::Removed);
+            for endpoint in &mut endpoints {
+                endpoint.weight = self.weights[endpoint.id.0 as usize];
             }
-            self.decide(gateway, Event::EndpointList { is_snapshot: false, endpoints: &hosts });
+            self.handle(gateway, Event::EndpointList { is_snapshot: false, endpoints: &endpoints });
         }
     }
 
-    /// An entry in the module's terms.
-    fn host(&self, entry: &Entry) -> weldworks_balancer::Endpoint {
+    /// Converts a list entry to the endpoint type of the decision module.
+    fn endpoint(&self, entry: &Entry) -> weldworks_balancer::Endpoint {
         let script = self.script;
         let state = match entry.status {
             Status::Active => EndpointState::Up,
@@ -159,7 +168,7 @@
             state,
             zone: script.zone_of(entry.node) as u32,
             cell: script.rack_of(entry.node) as u32,
-            started: entry.started.map(|at| BEFORE + at),
+            started: entry.started.map(|at| CLOCK_AT_START + at),
             weight: self.weights[entry.node],
             kind: self.kinds[entry.node] as u32,
             ..weldworks_balancer::Endpoint::new(EndpointId(entry.node as u32), &script.node_name(entry.node))
