--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -1,4 +1,4 @@
-//! Clients on sockets, and the front that deals their connections to the gateways of a zone.
+//! Clients on sockets, and the front that distributes their connections over the gateways of a zone.
 
 use super::http::{Connection, Kind, Message, ReadError};
 use super::nodes::number;
@@ -17,249 +17,260 @@
 use tokio::time::{sleep_until, timeout_at};
 use weldworks_balancer::Idempotency;
 
-/// An answer is waited for so long after the client's time is up: late by a little is told from never.
-const LINGER: Duration = Duration::from_millis(60);
-/// The front leaves a gateway out so long after it could not be reached.
-const LEFT_OUT: Duration = Duration::from_secs(2);
-/// Connections that rest, with clients that asked once and keep them, at each gateway.
-const KEPT: usize = 40;
+/// Time after the client's timeout for which an answer is still read, so that a slightly late answer can be told from none.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(60);
+/// Time for which the front sends no requests to a gateway that could not be reached.
+const UNREACHABLE_EXCLUSION: Duration = Duration::from_secs(2);
+/// Idle connections kept open for each gateway by clients that send one request per connection.
+const MAX_UNUSED_CONNECTIONS: usize = 40;
 
-/// A gateway, as the front knows it.
+/// A gateway as the front knows it.
 #[derive(Debug)]
-struct Behind {
+struct FrontTarget {
     address: SocketAddr,
     zone: usize,
-    /// Connections that rest, the one used last at the end, each with the number of its last request.
+    /// Idle connections that are used again, each with the number of its last request; the connection used last is at the end.
     idle: RefCell<Vec<(Connection, u64)>>,
-    kept: RefCell<VecDeque<(Connection, u64)>>,
-    out_until: Cell<Duration>,
+    /// Connections that clients keep open and do not use again, each with the number of its last request.
+    unused_connections: RefCell<VecDeque<(Connection, u64)>>,
+    /// Until when the front sends this gateway no requests.
+    excluded_until: Cell<Duration>,
 }
 
 /// All clients of a run.
 #[derive(Debug)]
 pub struct Clients {
-    day: Rc<Day>,
-    gateways: Vec<Behind>,
+    run: Rc<Day>,
+    gateways: Vec<FrontTarget>,
     open: Cell<usize>,
     lateness: RefCell<Vec<Duration>>,
-    tries: RefCell<Vec<Vec<(u64, Duration)>>>,
+    sends: RefCell<Vec<Vec<(u64, Duration)>>>,
 }
 
-/// What a node writes into the body of an answer.
+/// The body of an answer, as a stand-in endpoint writes it.
 #[derive(Deserialize)]
-struct Made {
+struct AnswerBody {
     request: String,
     attempt: u64,
 }
 
 impl Clients {
-    /// Clients of these gateways, which stand in their zones in turn.
-    pub fn new(day: Rc<Day>, addresses: &[SocketAddr]) -> Rc<Clients> {
-        let behind = |(g, address): (usize, &SocketAddr)| Behind {
+    /// Clients of the gateways at these addresses, which are assigned to the zones in turn.
+    pub fn new(run: Rc<Day>, addresses: &[SocketAddr]) -> Rc<Clients> {
+        let target = |(gateway, address): (usize, &SocketAddr)| FrontTarget {
             address: *address,
-            zone: day.script.zone_of(g),
+            zone: run.script.zone_of(gateway),
             idle: RefCell::default(),
-            kept: RefCell::default(),
-            out_until: Cell::default(),
+            unused_connections: RefCell::default(),
+            excluded_until: Cell::default(),
         };
-        let gateways = addresses.iter().enumerate().map(behind).collect();
-        let tries = RefCell::new(vec![Vec::new(); day.plan.len()]);
-        Rc::new(Clients { day, gateways, open: Cell::new(0), lateness: RefCell::default(), tries })
+        let gateways = addresses.iter().enumerate().map(target).collect();
+        let sends = RefCell::new(vec![Vec::new(); run.plan.len()]);
+        Rc::new(Clients { run, gateways, open: Cell::new(0), lateness: RefCell::default(), sends })
     }
 
-    /// Sends every first try at its time, whatever became of those before.
+    /// Sends every planned request at its time, regardless of the outcomes of earlier requests.
     pub async fn run(self: &Rc<Self>) {
-        for place in 0..self.day.plan.len() {
-            let at = self.day.plan[place].at;
-            sleep_until(self.day.clock.instant(at)).await;
+        for plan_index in 0..self.run.plan.len() {
+            let at = self.run.plan[plan_index].at;
+            sleep_until(self.run.clock.instant(at)).await;
             self.open.set(self.open.get() + 1);
             let clients = self.clone();
             spawn_local(async move {
-                clients.ask(place).await;
+                clients.send_with_retries(plan_index).await;
                 clients.open.set(clients.open.get() - 1);
             });
         }
     }
 
-    /// Requests that are open still, their retries included.
+    /// Number of planned requests that have not ended, retries included.
     pub fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// How late each first try was sent.
+    /// How late each planned request was first sent.
     pub fn lateness(&self) -> Vec<Duration> {
         self.lateness.borrow().clone()
     }
 
-    /// Every try of every first try, with its number and when it was sent.
+    /// For every planned request, the numbers and times of the requests sent for it.
     pub fn tries(&self) -> Vec<Vec<(u64, Duration)>> {
-        self.tries.borrow().clone()
+        self.sends.borrow().clone()
     }
 
-    /// Looks at every connection that rests for answers that nobody has asked for.
+    /// Checks all idle connections for answers to no request.
     pub fn look_for_surplus(&self) {
         for gateway in &self.gateways {
-            for (wire, number) in gateway.idle.borrow_mut().iter_mut() {
-                self.look(wire, *number);
+            for (connection, number) in gateway.idle.borrow_mut().iter_mut() {
+                self.check_idle(connection, *number);
             }
-            for (wire, number) in gateway.kept.borrow_mut().iter_mut() {
-                self.look(wire, *number);
+            for (connection, number) in gateway.unused_connections.borrow_mut().iter_mut() {
+                self.check_idle(connection, *number);
             }
         }
     }
 
-    /// Whether a connection that rests is of use still. Whatever has come on it is one answer too many.
-    fn look(&self, wire: &mut Connection, last: u64) -> bool {
-        let open = wire.look();
-        if wire.has_surplus() {
-            self.day.ledger.borrow_mut().got(last, self.day.clock.now(), Got::Foreign);
+    /// Whether an idle connection can be used again. Bytes received on an idle connection are recorded as an answer to no request.
+    fn check_idle(&self, connection: &mut Connection, last: u64) -> bool {
+        let received = connection.look();
+        if connection.has_surplus() {
+            self.run.ledger.borrow_mut().got(last, self.run.clock.now(), Got::Foreign);
         }
-        open == Some(0)
+        received == Some(0)
     }
 
-    /// A first try and all that come after it.
-    async fn ask(self: &Rc<Self>, place: usize) {
-        let day = &self.day;
-        let asked = &day.plan[place];
-        let (mut first, mut tries) = (asked.at, 0);
-        day.count(|c| c.asked += 1);
+    /// Sends a planned request and its retries.
+    async fn send_with_retries(self: &Rc<Self>, plan_index: usize) {
+        let run = &self.run;
+        let planned = &run.plan[plan_index];
+        let (mut first, mut retries) = (planned.at, 0);
+        run.count(|counts| counts.asked += 1);
         loop {
-            let number = asked.number(day.draws, tries);
-            day.places.borrow_mut().insert(number, place);
-            let sent = day.clock.now();
-            if tries == 0 {
+            let number = planned.number(run.draws, retries);
+            run.places.borrow_mut().insert(number, plan_index);
+            let sent = run.clock.now();
+            if retries == 0 {
                 first = sent;
-                self.lateness.borrow_mut().push(sent.saturating_sub(asked.at));
+                self.lateness.borrow_mut().push(sent.saturating_sub(planned.at));
             }
-            self.tries.borrow_mut()[place].push((number, sent));
-            day.count(|c| c.tries += 1);
-            let seen = self.ask_once(asked, number, first, tries).await;
-            tries += 1;
-            let now = day.clock.now();
-            match seen {
+            self.sends.borrow_mut()[plan_index].push((number, sent));
+            run.count(|counts| counts.tries += 1);
+            let outcome = self.send_once(planned, number, first, retries).await;
+            retries += 1;
+            let now = run.clock.now();
+            match outcome {
                 ClientOutcome::Served => {
-                    day.count(|c| c.served += 1);
-                    let aim = first + day.script.classes[asked.class].aim;
-                    day.in_time.set(day.in_time.get() + u64::from(now <= aim));
+                    run.count(|counts| counts.served += 1);
+                    let in_time_until = first + run.script.classes[planned.class].aim;
+                    run.in_time.set(run.in_time.get() + u64::from(now <= in_time_until));
                 }
-                ClientOutcome::Rejected { .. } => day.count(|c| c.refused += 1),
-                ClientOutcome::Failed => day.count(|c| c.failed += 1),
-                ClientOutcome::Unreachable => day.count(|c| c.unreachable += 1),
+                ClientOutcome::Rejected { .. } => run.count(|counts| counts.refused += 1),
+                ClientOutcome::Failed => run.count(|counts| counts.failed += 1),
+                ClientOutcome::Unreachable => run.count(|counts| counts.unreachable += 1),
             }
-            match next_retry(&day.script, asked, first, tries, seen, now) {
-                Some(at) => sleep_until(day.clock.instant(at)).await,
+            match next_retry(&run.script, planned, first, retries, outcome, now) {
+                Some(at) => sleep_until(run.clock.instant(at)).await,
                 None => return,
             }
         }
     }
 
-    /// The gateway that the front deals a connection to: of the zone's own, else of any.
-    fn deal(&self, asked: &Asked, number: u64) -> Option<usize> {
-        let now = self.day.clock.now();
-        let there = |g: &usize| self.gateways[*g].out_until.get() <= now;
-        let all: Vec<usize> = (0..self.gateways.len()).filter(there).collect();
-        let own: Vec<usize> = all.iter().copied().filter(|g| self.gateways[*g].zone == asked.zone).collect();
-        let among = if own.is_empty() { all } else { own };
-        among.get(weldworks_balancer::mix(number) as usize % among.len().max(1)).copied()
+    /// The gateway to which the front sends a request: a reachable gateway of the request's zone, or of any zone if it has none.
+    fn choose_gateway(&self, planned: &Asked, number: u64) -> Option<usize> {
+        let now = self.run.clock.now();
+        let is_available = |gateway: &usize| self.gateways[*gateway].excluded_until.get() <= now;
+        let all: Vec<usize> = (0..self.gateways.len()).filter(is_available).collect();
+        let in_zone: Vec<usize> =
+            all.iter().copied().filter(|gateway| self.gateways[*gateway].zone == planned.zone).collect();
+        let candidates = if in_zone.is_empty() { all } else { in_zone };
+        candidates.get(weldworks_balancer::mix(number) as usize % candidates.len().max(1)).copied()
     }
 
-    async fn ask_once(&self, asked: &Asked, number: u64, first: Duration, tries: u32) -> ClientOutcome {
-        let day = &self.day;
-        let Some(gateway) = self.deal(asked, number) else { return ClientOutcome::Unreachable };
-        let behind = &self.gateways[gateway];
-        let mut reuse = !asked.fresh;
+    async fn send_once(&self, planned: &Asked, number: u64, first: Duration, retries: u32) -> ClientOutcome {
+        let run = &self.run;
+        let Some(gateway) = self.choose_gateway(planned, number) else { return ClientOutcome::Unreachable };
+        let target = &self.gateways[gateway];
+        let mut reuse = !planned.fresh;
         loop {
-            let rested = if reuse { self.rested(behind) } else { None };
-            let reused = rested.is_some();
-            let mut wire = match rested {
-                Some(wire) => wire,
+            let idle = if reuse { self.take_idle(target) } else { None };
+            let reused = idle.is_some();
+            let mut connection = match idle {
+                Some(connection) => connection,
                 None => {
-                    let until = day.clock.instant(day.clock.now() + asked.patience);
-                    match timeout_at(until, TcpStream::connect(behind.address)).await {
+                    let until = run.clock.instant(run.clock.now() + planned.patience);
+                    match timeout_at(until, TcpStream::connect(target.address)).await {
                         Ok(Ok(stream)) => Connection::new(stream),
                         _ => {
-                            behind.out_until.set(day.clock.now() + LEFT_OUT);
+                            target.excluded_until.set(run.clock.now() + UNREACHABLE_EXCLUSION);
                             return ClientOutcome::Unreachable;
                         }
                     }
                 }
             };
-            let wait = client_timeout(&day.script, asked, first, day.clock.now());
-            let text = request(day, asked, number, wait, tries);
-            let written = wire.write(text.as_bytes()).await.is_ok();
-            let at = day.clock.now();
+            let wait = client_timeout(&run.script, planned, first, run.clock.now());
+            let text = request(run, planned, number, wait, retries);
+            let written = connection.write(text.as_bytes()).await.is_ok();
+            let at = run.clock.now();
             let until = at + wait;
-            day.ledger.borrow_mut().asked(number, Ask { gateway, class: asked.class, at, until });
-            let reading = wire.read(Kind::Answer, || day.clock.now(), |_, _| {});
-            let answer = timeout_at(day.clock.instant(until + LINGER), reading).await;
-            let now = day.clock.now();
+            run.ledger.borrow_mut().asked(number, Ask { gateway, class: planned.class, at, until });
+            let reading = connection.read(Kind::Answer, || run.clock.now(), |_, _| {});
+            let answer = timeout_at(run.clock.instant(until + LATE_ANSWER_WAIT), reading).await;
+            let now = run.clock.now();
             match answer {
                 Ok(Ok(answer)) => {
-                    let seen = self.took(number, &answer, now);
-                    self.put_by(behind, wire, number, asked.fresh, &answer);
-                    return seen;
+                    let outcome = self.record_answer(number, &answer, now);
+                    self.keep_connection(target, connection, number, planned.fresh, &answer);
+                    return outcome;
                 }
-                // A gateway may close a connection between requests; what crosses that is sent once more.
+                // A gateway may close a connection between requests. A request that is sent at that moment is sent again on a new connection.
                 Ok(Err(ReadError::Ended { partly: false })) if reused || !written => reuse = false,
                 Ok(Err(_)) => {
-                    day.ledger.borrow_mut().lost(number, now);
+                    run.ledger.borrow_mut().lost(number, now);
                     return ClientOutcome::Failed;
                 }
                 Err(_) => {
-                    day.ledger.borrow_mut().gave_up(number, now);
+                    run.ledger.borrow_mut().gave_up(number, now);
                     return ClientOutcome::Failed;
                 }
             }
             if !reused {
-                behind.out_until.set(now + LEFT_OUT);
-                day.ledger.borrow_mut().lost(number, now);
+                target.excluded_until.set(now + UNREACHABLE_EXCLUSION);
+                run.ledger.borrow_mut().lost(number, now);
                 return ClientOutcome::Unreachable;
             }
         }
     }
 
-    /// A connection that rests and is open still.
-    fn rested(&self, behind: &Behind) -> Option<Connection> {
+    /// Takes an idle connection that is still open.
+    fn take_idle(&self, target: &FrontTarget) -> Option<Connection> {
         loop {
-            let (mut wire, last) = behind.idle.borrow_mut().pop()?;
-            if self.look(&mut wire, last) {
-                return Some(wire);
+            let (mut connection, last) = target.idle.borrow_mut().pop()?;
+            if self.check_idle(&mut connection, last) {
+                return Some(connection);
             }
         }
     }
 
-    fn put_by(&self, behind: &Behind, wire: Connection, number: u64, fresh: bool, answer: &Message) {
-        if answer.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close")) {
+    fn keep_connection(
+        &self,
+        target: &FrontTarget,
+        connection: Connection,
+        number: u64,
+        uses_new_connection: bool,
+        answer: &Message,
+    ) {
+        if answer.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close")) {
             return;
         }
-        if !fresh {
-            return behind.idle.borrow_mut().push((wire, number));
+        if !uses_new_connection {
+            return target.idle.borrow_mut().push((connection, number));
         }
-        let mut kept = behind.kept.borrow_mut();
-        kept.push_back((wire, number));
-        if kept.len() > KEPT {
-            kept.pop_front();
+        let mut unused_connections = target.unused_connections.borrow_mut();
+        unused_connections.push_back((connection, number));
+        if unused_connections.len() > MAX_UNUSED_CONNECTIONS {
+            unused_connections.pop_front();
         }
     }
 
-    /// Books an answer.
-    fn took(&self, request: u64, answer: &Message, now: Duration) -> ClientOutcome {
-        let mut ledger = self.day.ledger.borrow_mut();
+    /// Records an answer in the ledger and returns its outcome for the client.
+    fn record_answer(&self, request: u64, answer: &Message, now: Duration) -> ClientOutcome {
+        let mut ledger = self.run.ledger.borrow_mut();
         match answer.status() {
             200 => {
-                let made = serde_json::from_slice::<Made>(&answer.body);
-                let own = made.is_ok_and(|made| {
-                    number(Some(&made.request)) == Some(request)
-                        && ledger.is_attempt_of(made.attempt, request)
+                let body = serde_json::from_slice::<AnswerBody>(&answer.body);
+                let is_own = body.is_ok_and(|body| {
+                    number(Some(&body.request)) == Some(request)
+                        && ledger.is_attempt_of(body.attempt, request)
                 });
-                ledger.got(request, now, if own { Got::Served } else { Got::Foreign });
+                ledger.got(request, now, if is_own { Got::Served } else { Got::Foreign });
                 ClientOutcome::Served
             }
             429 | 503 => {
                 ledger.got(request, now, Got::Refused);
-                let after = answer.header("retry-after").and_then(|a| a.parse().ok());
-                let retry_after = after.and_then(|s: f64| Duration::try_from_secs_f64(s).ok());
-                ClientOutcome::Rejected { retry_after: retry_after.filter(|t| !t.is_zero()) }
+                let header_value = answer.header("retry-after").and_then(|text| text.parse().ok());
+                let retry_after =
+                    header_value.and_then(|seconds: f64| Duration::try_from_secs_f64(seconds).ok());
+                ClientOutcome::Rejected { retry_after: retry_after.filter(|delay| !delay.is_zero()) }
             }
             _ => {
                 ledger.got(request, now, Got::Failed);
@@ -269,30 +280,30 @@
     }
 }
 
-/// A request as the protocol has it.
-fn request(day: &Day, asked: &Asked, number: u64, wait: Duration, tries: u32) -> String {
-    let class = &day.script.classes[asked.class];
-    let tenant = day.script.tenants.get(asked.tenant).map_or("", |t| t.name.as_str());
-    let cookie = asked.subject.map_or(String::new(), |key| format!("Cookie: k={key:016x}\r\n"));
-    let retried = if tries > 0 { "X-Retried: 1\r\n" } else { "" };
-    let cost = if day.script.clients.hints {
-        format!("X-Cost: {}\r\n", (asked.seconds * 1e6).round())
+/// The text of a request in the platform's protocol.
+fn request(run: &Day, planned: &Asked, number: u64, wait: Duration, retries: u32) -> String {
+    let class = &run.script.classes[planned.class];
+    let tenant = run.script.tenants.get(planned.tenant).map_or("", |tenant| tenant.name.as_str());
+    let cookie = planned.subject.map_or(String::new(), |key| format!("Cookie: k={key:016x}\r\n"));
+    let retry_header = if retries > 0 { "X-Retried: 1\r\n" } else { "" };
+    let cost = if run.script.clients.hints {
+        format!("X-Cost: {}\r\n", (planned.seconds * 1e6).round())
     } else {
         String::new()
     };
     let common = format!(
         "Host: backend.local\r\nX-Request-ID: {number:016x}\r\nX-Priority-Class: {name}\r\nX-Tenant-Id: {tenant}\r\n\
-         {cookie}{retried}{cost}X-Timeout: {wait}u\r\n",
+         {cookie}{retry_header}{cost}X-Timeout: {wait}u\r\n",
         name = class.name,
         wait = wait.as_micros()
     );
-    let body = format!("{{\"place\":{}}}", asked.place);
+    let body = format!("{{\"place\":{}}}", planned.place);
     let length = body.len();
     match class.effect {
         Idempotency::Idempotent => format!("GET /{} HTTP/1.1\r\n{common}\r\n", class.name),
         Idempotency::IdempotencyKey { .. } => format!(
             "POST /{} HTTP/1.1\r\n{common}Idempotency-Key: {:016x}\r\nContent-Length: {length}\r\n\r\n{body}",
-            class.name, asked.key
+            class.name, planned.key
         ),
         Idempotency::NotIdempotent => {
             format!("POST /{} HTTP/1.1\r\n{common}Content-Length: {length}\r\n\r\n{body}", class.name)
--- a/crates/testbed/src/live/gateways.rs
+++ b/crates/testbed/src/live/gateways.rs
@@ -1,4 +1,4 @@
-//! The gateways under test: real processes, or anything else that keeps the platform's protocol.
+//! The gateways under test: real processes, or any other implementation of the platform's protocol.
 
 use super::http::{Connection, Kind};
 use serde_json::Value;
@@ -15,76 +15,76 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// The address that a gateway's log says it listens on, where the line does.
+/// The address that a gateway listens on, if this line of its log states it.
 pub fn listening(line: &str) -> Option<String> {
     let (_, address) = line.split_once(" listening address=")?;
     Some(address.trim().to_owned())
 }
 
-/// No start takes so long, on whatever machine.
-const LONG: Duration = Duration::from_secs(30);
+/// Timeout for the start and the stop of a gateway, longer than either takes on a slow machine.
+const START_STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a gateway could not be had.
+/// Why a gateway could not be started.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
-    /// It can't be started.
+    /// The program cannot be started.
     #[error("{program}: {source}")]
     Start {
-        /// The program.
+        /// The path of the program.
         program: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// It ended before it listened.
-    #[error("the gateway ended at its start, with this log:\n{log}")]
+    /// The gateway ended before it listened for requests.
+    #[error("the gateway ended before it listened, with this log:\n{log}")]
     Ended {
-        /// What it wrote.
+        /// The log that the gateway wrote.
         log: String,
     },
-    /// It does not become ready.
-    #[error("gateway {gateway} at {address} is not ready after {LONG:?}")]
+    /// The gateway did not become ready in time.
+    #[error("gateway {gateway} at {address} is not ready after {START_STOP_TIMEOUT:?}")]
     NotReady {
-        /// Which.
+        /// The index of the gateway.
         gateway: usize,
-        /// Where.
+        /// The address at which the gateway listens.
         address: SocketAddr,
     },
 }
 
-/// What a start comes to.
+/// The result of a start, as a future.
 pub type Starting<'a> = Pin<Box<dyn Future<Output = Result<Box<dyn RunningGateway>, GatewayError>> + 'a>>;
 
-/// What a stop comes to: what went wrong, where anything did.
+/// The result of a stop, as a future; the error says what went wrong.
 pub type Stopping<'a> = Pin<Box<dyn Future<Output = Result<(), String>> + 'a>>;
 
-/// Starts gateways.
+/// A way to start gateways.
 pub trait StartGateway {
-    /// Starts one on a configuration; gives it once it listens.
+    /// Starts a gateway with a configuration and returns it once it listens.
     fn start<'a>(&'a self, gateway: usize, config: Value) -> Starting<'a>;
 }
 
-/// A gateway that runs.
+/// A running gateway.
 pub trait RunningGateway {
-    /// Where it takes requests.
+    /// The address at which the gateway takes requests.
     fn address(&self) -> SocketAddr;
 
-    /// How it ended, if it has.
+    /// How the gateway ended, if it has.
     fn ended(&mut self) -> Option<String>;
 
-    /// The time that its processors have spent on it, where that is known.
+    /// The processor time that the gateway has used, if it is known.
     fn cpu(&self) -> Option<Duration>;
 
-    /// Asks it to stop, and waits for that; gives what went wrong.
+    /// Asks the gateway to stop and waits for its end.
     fn stop<'a>(&'a mut self) -> Stopping<'a>;
 }
 
-/// The built program.
+/// The built gateway program.
 pub struct Program {
-    /// Its path.
+    /// The path of the program.
     pub path: PathBuf,
-    /// Where its configurations go.
+    /// The folder for the configuration files.
     pub folder: PathBuf,
-    /// The operator's file.
+    /// The operator's settings file.
     pub settings: Option<PathBuf>,
 }
 
@@ -97,7 +97,7 @@
     }
 }
 
-/// A gateway's process; killed when it is dropped.
+/// A gateway process, which is killed when the value is dropped.
 struct Process {
     child: Child,
     address: SocketAddr,
@@ -106,9 +106,9 @@
 impl Process {
     async fn start(program: &Program, gateway: usize, config: &Value) -> Result<Process, GatewayError> {
         let Program { path, folder, settings } = program;
-        let failed = |source| GatewayError::Start { program: path.display().to_string(), source };
+        let start_error = |source| GatewayError::Start { program: path.display().to_string(), source };
         let file = folder.join(format!("gateway-{gateway}.json"));
-        std::fs::write(&file, config.to_string()).map_err(failed)?;
+        std::fs::write(&file, config.to_string()).map_err(start_error)?;
         let mut command = Command::new(path);
         command.env("ROUTER_CONFIG", &file).env_remove("ROUTER_LISTEN").env_remove("ROUTER_DISCOVERY");
         command
@@ -118,16 +118,16 @@
             .stderr(Stdio::piped())
             .kill_on_drop(true);
         command.envs(settings.iter().map(|file| ("OTTERVANE_SETTINGS", file)));
-        let mut child = command.spawn().map_err(failed)?;
+        let mut child = command.spawn().map_err(start_error)?;
         let mut log = Vec::new();
-        let Some(errors) = child.stderr.take() else {
+        let Some(stderr) = child.stderr.take() else {
             return Err(GatewayError::Ended { log: String::new() });
         };
-        let mut lines = BufReader::new(errors).lines();
+        let mut lines = BufReader::new(stderr).lines();
         while let Ok(Some(line)) = lines.next_line().await {
-            let address = listening(&line).and_then(|a| a.parse().ok());
+            let address = listening(&line).and_then(|address| address.parse().ok());
             if let Some(address) = address {
-                // Whatever it writes from here on is read, or its log would fill the pipe and stop it.
+                // The rest of the log is read and dropped: a full pipe would block the gateway.
                 spawn_local(async move { while let Ok(Some(_)) = lines.next_line().await {} });
                 return Ok(Process { child, address });
             }
@@ -152,47 +152,50 @@
     }
 
     fn cpu(&self) -> Option<Duration> {
-        // The first figure is the time on a processor, in nanoseconds, of the one thread that does the work.
+        // The first number is the time on a processor, in nanoseconds, of the one thread that does the work.
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.id()?)).ok()?;
         text.split_whitespace().next()?.parse().ok().map(Duration::from_nanos)
     }
 
     fn stop<'a>(&'a mut self) -> Stopping<'a> {
         Box::pin(async move {
-            let Some(id) = self.id() else { return Err("it had ended before it was asked to".to_owned()) };
+            let Some(id) = self.id() else { return Err("the gateway ended before the stop".to_owned()) };
             let process = i32::try_from(id).ok().and_then(rustix::process::Pid::from_raw);
-            let Some(process) = process else { return Err(format!("{id} is no process")) };
+            let Some(process) = process else { return Err(format!("{id} is not a process id")) };
             rustix::process::kill_process(process, rustix::process::Signal::TERM)
-                .map_err(|e| e.to_string())?;
-            let ended = timeout(LONG, self.child.wait()).await;
+                .map_err(|error| error.to_string())?;
+            let ended = timeout(START_STOP_TIMEOUT, self.child.wait()).await;
             match ended {
                 Ok(Ok(status)) if status.success() => Ok(()),
-                Ok(Ok(status)) => Err(format!("it ended with {status}")),
+                Ok(Ok(status)) => Err(format!("the gateway ended with {status}")),
                 Ok(Err(error)) => Err(error.to_string()),
-                Err(_) => Err(format!("it has not ended {LONG:?} after it was asked to")),
+                Err(_) => Err(format!(
+                    "the gateway has not ended {START_STOP_TIMEOUT:?} after it was asked to stop"
+                )),
             }
         })
     }
 }
 
-/// Waits until a gateway says that it is ready.
+/// Waits until a gateway reports that it is ready.
 ///
 /// # Errors
-/// Where it never does.
+/// If the gateway is not ready in time.
 pub async fn ready(gateway: usize, address: SocketAddr) -> Result<(), GatewayError> {
-    let asking = async {
+    let polling = async {
         loop {
             if let Ok(stream) = TcpStream::connect(address).await {
-                let mut wire = Connection::new(stream);
-                let asked =
-                    wire.write(b"GET /health/ready HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n").await;
-                let answer = wire.read(Kind::Answer, || Duration::ZERO, |_, _| {}).await;
-                if asked.is_ok() && answer.is_ok_and(|a| a.status() == 200) {
+                let mut connection = Connection::new(stream);
+                let written = connection
+                    .write(b"GET /health/ready HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n")
+                    .await;
+                let answer = connection.read(Kind::Answer, || Duration::ZERO, |_, _| {}).await;
+                if written.is_ok() && answer.is_ok_and(|answer| answer.status() == 200) {
                     return;
                 }
             }
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(LONG, asking).await.map_err(|_| GatewayError::NotReady { gateway, address })
+    timeout(START_STOP_TIMEOUT, polling).await.map_err(|_| GatewayError::NotReady { gateway, address })
 }
--- a/crates/testbed/src/live/mod.rs
+++ b/crates/testbed/src/live/mod.rs
@@ -1,5 +1,5 @@
-//! The stand-ins on loopback sockets. One thread carries them all, so the ledger needs no lock and its times are one
-//! clock's.
+//! Stand-in endpoints, discovery and clients on loopback sockets.
+//! All of them run on one thread, so the ledger needs no lock and all its times are of one clock.
 
 pub mod clients;
 pub mod gateways;
@@ -18,54 +18,54 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The clock of a run. The day begins at 0; what is before that is 0 too.
+/// The clock of a run. Its time is 0 until the run begins.
 #[derive(Debug)]
 pub struct Clock(Cell<Option<Instant>>);
 
 impl Clock {
-    /// The time of the day.
+    /// Time since the beginning of the run.
     pub fn now(&self) -> Duration {
         self.0.get().map_or(Duration::ZERO, |start| start.elapsed())
     }
 
-    /// The moment of a time of the day, once it has begun.
+    /// Converts a time of the run to an instant. Before the run has begun, the time counts from now.
     pub fn instant(&self, at: Duration) -> Instant {
         self.0.get().unwrap_or_else(Instant::now) + at
     }
 
-    /// The day begins.
+    /// Begins the run.
     pub fn begin(&self) {
         self.0.set(Some(Instant::now()));
     }
 }
 
-/// What all stand-ins of a run share.
+/// State that all stand-ins of a run share.
 #[derive(Debug)]
 pub struct Day {
-    /// The script.
+    /// The script of the run.
     pub script: Script,
-    /// The draws of its seed.
+    /// The random draws of the run's seed.
     pub draws: Draws,
-    /// How many gateways there are.
+    /// The number of gateways.
     pub gateways: usize,
-    /// The first tries.
+    /// The planned requests.
     pub plan: Vec<Asked>,
-    /// The time.
+    /// The clock of the run.
     pub clock: Clock,
-    /// What was seen.
+    /// What clients, endpoints and discovery have observed.
     pub ledger: RefCell<Ledger>,
-    /// How often things happened.
+    /// The counters of the report.
     pub counts: Cell<Counts>,
-    /// Tries that were served in time.
+    /// Number of requests that were served in time.
     pub in_time: Cell<u64>,
-    /// The state over time.
+    /// Samples of the run's state over time.
     pub timeline: RefCell<Vec<Sample>>,
-    /// Which first try a number belongs to.
+    /// The index in the plan of the planned request to which each request number belongs.
     pub places: RefCell<FxHashMap<u64, usize>>,
 }
 
 impl Day {
-    /// A day that has not begun.
+    /// A run that has not begun.
     pub fn new(script: &Script, seed: u64, gateways: usize) -> Day {
         let draws = Draws::new(seed);
         Day {
@@ -82,15 +82,15 @@
         }
     }
 
-    /// Counts something.
-    pub fn count(&self, what: impl FnOnce(&mut Counts)) {
+    /// Updates the counters of the report.
+    pub fn count(&self, update: impl FnOnce(&mut Counts)) {
         let mut counts = self.counts.get();
-        what(&mut counts);
+        update(&mut counts);
         self.counts.set(counts);
     }
 }
 
-/// The address at which a gateway sees a node: one of its own for each pair, so that a node knows who sends.
+/// The address of an endpoint for one gateway. Every pair has an address of its own, by which the endpoint knows which gateway sends.
 pub fn node_address(gateway: usize, node: usize) -> Ipv4Addr {
     let (gateway, node) = (gateway as u32, node as u32);
     Ipv4Addr::new(127, 16 + (gateway / 250) as u8, (gateway % 250) as u8, 1 + node as u8)
--- a/crates/testbed/src/live/nodes.rs
+++ b/crates/testbed/src/live/nodes.rs
@@ -1,8 +1,8 @@
-//! Booking nodes on sockets: the model behind HTTP/1.1 as the platform's protocol has it.
+//! Stand-in endpoints on sockets: the endpoint model behind the platform's HTTP/1.1 protocol.
 //!
-//! Each node listens once for each gateway, at an address of their own, so that an attempt's sender is known. The
-//! model says what happens; here it is only done. Room for another protocol is left: whoever reads
-//! requests from a connection gives them to [`LiveNode::submit`] and is sent what to answer.
+//! Each endpoint listens at a separate address for each gateway, so that the sender of an attempt is known.
+//! The model decides what happens, and this module carries it out on sockets.
+//! Another protocol can be added: its connection tasks pass requests to [`LiveNode::submit`] and are sent the answers to write.
 
 use super::http::{Connection, Kind, ReadError};
 use super::{node_address, Day};
@@ -23,47 +23,48 @@
 use tokio::time::sleep_until;
 use weldworks_balancer::Idempotency;
 
+/// Accept queue length of a listening endpoint.
 const BACKLOG: u32 = 4096;
 
-/// What a connection's task is told.
+/// A command to the task of a connection.
 #[derive(Debug)]
-pub enum Say {
-    /// Write this answer.
+pub enum ConnectionCommand {
+    /// Write an answer.
     Answer {
-        /// To which attempt.
+        /// The attempt that is answered.
         attempt: AttemptId,
-        /// What it is.
+        /// The answer to write.
         answer: Answer,
-        /// The load report beside it.
+        /// The load report in the answer.
         report: Report,
     },
-    /// End the connection, with a reset where its process has died.
+    /// End the connection.
     End {
-        /// With a reset.
+        /// Whether the connection ends with a reset, as when its process has died.
         reset: bool,
     },
 }
 
-/// A place where a node listens for one gateway.
+/// The address at which an endpoint listens for one gateway.
 struct Port {
     gateway: usize,
     address: SocketAddr,
     listening: RefCell<Option<JoinHandle<()>>>,
-    /// While the machine is cut off: a listener whose queue is full, so that nothing comes up.
+    /// While the machine is cut off: a listener with a full accept queue, so that no connection is established.
     stuffing: RefCell<Option<(TcpListener, Vec<TcpStream>)>>,
 }
 
-/// A node on sockets.
+/// A stand-in endpoint on sockets.
 pub struct LiveNode {
-    /// Its number.
+    /// The endpoint's number.
     pub number: usize,
-    day: Rc<Day>,
+    run: Rc<Day>,
     model: RefCell<Node>,
     ports: RefCell<Vec<Rc<Port>>>,
-    says: RefCell<FxHashMap<ConnectionId, mpsc::UnboundedSender<Say>>>,
+    commands: RefCell<FxHashMap<ConnectionId, mpsc::UnboundedSender<ConnectionCommand>>>,
     changed: Notify,
     ids: Rc<Cell<u64>>,
-    /// Called when it falls over.
+    /// Called when the endpoint crashes from too much work in its slow start.
     fell: Box<dyn Fn(usize, Duration)>,
 }
 
@@ -75,21 +76,21 @@
 }
 
 impl LiveNode {
-    /// A node that listens for each gateway; `ids` numbers the attempts and connections of all nodes.
+    /// Starts an endpoint that listens for each gateway; `ids` numbers the attempts and connections of all endpoints.
     ///
     /// # Errors
-    /// Where a port can't be had.
+    /// If a listener cannot be opened.
     pub fn start(
         number: usize,
         model: Node,
-        day: Rc<Day>,
+        run: Rc<Day>,
         ids: Rc<Cell<u64>>,
         fell: Box<dyn Fn(usize, Duration)>,
     ) -> io::Result<Rc<LiveNode>> {
-        let (model, ports, says, changed) =
+        let (model, ports, commands, changed) =
             (RefCell::new(model), RefCell::default(), RefCell::default(), Notify::new());
-        let node = Rc::new(LiveNode { number, day, model, ports, says, changed, ids, fell });
-        for gateway in 0..node.day.gateways {
+        let node = Rc::new(LiveNode { number, run, model, ports, commands, changed, ids, fell });
+        for gateway in 0..node.run.gateways {
             let listener = listen(SocketAddr::from((node_address(gateway, number), 0)), BACKLOG)?;
             let (address, listening) = (listener.local_addr()?, RefCell::default());
             let port = Rc::new(Port { gateway, address, listening, stuffing: RefCell::default() });
@@ -100,17 +101,17 @@
         Ok(node)
     }
 
-    /// Where it listens for a gateway.
+    /// The address at which the endpoint listens for a gateway.
     pub fn address(&self, gateway: usize) -> Option<SocketAddr> {
-        self.ports.borrow().iter().find(|p| p.gateway == gateway).map(|p| p.address)
+        self.ports.borrow().iter().find(|port| port.gateway == gateway).map(|port| port.address)
     }
 
-    /// Looks at the model.
-    pub fn see<T>(&self, look: impl FnOnce(&Node) -> T) -> T {
-        look(&self.model.borrow())
+    /// Reads something from the endpoint model.
+    pub fn see<T>(&self, read: impl FnOnce(&Node) -> T) -> T {
+        read(&self.model.borrow())
     }
 
-    fn id(&self) -> u64 {
+    fn next_id(&self) -> u64 {
         self.ids.set(self.ids.get() + 1);
         self.ids.get()
     }
@@ -124,47 +125,47 @@
                 }
             }
         });
-        if let Some(before) = port.listening.replace(Some(accepting)) {
-            before.abort();
+        if let Some(previous) = port.listening.replace(Some(accepting)) {
+            previous.abort();
         }
     }
 
-    /// Has the script's deed done, to the model and to the sockets.
-    pub fn carry_out(self: &Rc<Self>, deed: Deed) {
-        let now = self.day.clock.now();
+    /// Applies an action of the script to the model and to the sockets.
+    pub fn carry_out(self: &Rc<Self>, action: Deed) {
+        let now = self.run.clock.now();
         let before = self.model.borrow().state();
-        carry_out(&mut self.model.borrow_mut(), now, deed);
+        carry_out(&mut self.model.borrow_mut(), now, action);
         let after = self.model.borrow().state();
-        self.hear();
-        if deed == Deed::Start && after == State::Up {
-            self.day.ledger.borrow_mut().started(self.number, now);
+        self.process_outputs();
+        if action == Deed::Start && after == State::Up {
+            self.run.ledger.borrow_mut().started(self.number, now);
         }
         if before != after {
-            self.follow(before, after);
+            self.update_ports(before, after);
         }
         self.changed.notify_one();
     }
 
-    /// Makes the ports what the node's state makes of them.
-    fn follow(self: &Rc<Self>, before: State, after: State) {
+    /// Opens or closes the listeners as the endpoint's new state requires.
+    fn update_ports(self: &Rc<Self>, before: State, after: State) {
         for port in self.ports.borrow().iter() {
             if let Some(accepting) = port.listening.take() {
                 accepting.abort();
             }
             port.stuffing.take();
-            let node = (self.clone(), port.clone());
+            let captured = (self.clone(), port.clone());
             spawn_local(async move {
-                let (node, port) = node;
-                // The task that held the listener drops it when it next comes round.
+                let (node, port) = captured;
+                // The aborted task drops its listener the next time the runtime polls the task.
                 tokio::task::yield_now().await;
                 if let Err(error) = node.reopen(&port, after) {
-                    eprintln!("node {}: {} can't be had again: {error}", node.number, port.address);
+                    eprintln!("endpoint {}: cannot listen at {} again: {error}", node.number, port.address);
                 }
             });
         }
         if before == State::Silent {
-            self.says.borrow().values().for_each(|say| {
-                let _ = say.send(Say::End { reset: true });
+            self.commands.borrow().values().for_each(|sender| {
+                let _ = sender.send(ConnectionCommand::End { reset: true });
             });
         }
     }
@@ -173,29 +174,29 @@
         match state {
             State::Up | State::Draining => self.accept(port, listen(port.address, BACKLOG)?),
             State::Silent => {
-                // The kernel takes in what the queue has room for: with none left, a dial is never answered.
+                // The kernel accepts connections until the queue is full; further connection attempts are never answered.
                 let listener = listen(port.address, 0)?;
-                let mut held = Vec::new();
+                let mut queued = Vec::new();
                 for _ in 0..2 {
                     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)?;
                     socket.set_nonblocking(true)?;
-                    let _ = socket.connect(&port.address.into()); // comes up later, if ever
-                    held.push(TcpStream::from_std(socket.into())?);
+                    let _ = socket.connect(&port.address.into()); // pending; established only if the queue has space
+                    queued.push(TcpStream::from_std(socket.into())?);
                 }
-                port.stuffing.replace(Some((listener, held)));
+                port.stuffing.replace(Some((listener, queued)));
             }
             State::Down | State::Fallen => {}
         }
         Ok(())
     }
 
-    /// Drives the model for as long as the run lasts.
+    /// Advances the model as time passes, until the run ends.
     async fn run(self: Rc<Self>) {
         loop {
             let next = self.model.borrow().next();
             let due = async {
                 match next {
-                    Some(at) => sleep_until(self.day.clock.instant(at)).await,
+                    Some(at) => sleep_until(self.run.clock.instant(at)).await,
                     None => std::future::pending().await,
                 }
             };
@@ -203,35 +204,38 @@
                 () = due => {}
                 () = self.changed.notified() => {}
             }
-            self.model.borrow_mut().advance(self.day.clock.now());
-            self.hear();
+            self.model.borrow_mut().advance(self.run.clock.now());
+            self.process_outputs();
         }
     }
 
-    /// Passes on what the model has to say.
-    fn hear(&self) {
-        let now = self.day.clock.now();
+    /// Carries out the outputs of the model.
+    fn process_outputs(&self) {
+        let now = self.run.clock.now();
         let outputs: Vec<Output> = self.model.borrow_mut().outputs().collect();
         for output in outputs {
             match output {
-                Output::Began { attempt } => self.day.ledger.borrow_mut().began(attempt, now),
+                Output::Began { attempt } => self.run.ledger.borrow_mut().began(attempt, now),
                 Output::Answered { attempt, connection, answer, report } => {
                     if let Answer::Served { dropped: true } = answer {
-                        self.day.count(|c| c.repeats_dropped += 1);
+                        self.run.count(|counts| counts.repeats_dropped += 1);
                     }
-                    self.tell(connection, Say::Answer { attempt, answer, report });
+                    self.send_command(connection, ConnectionCommand::Answer { attempt, answer, report });
                 }
                 Output::Ended { connection, attempt } => {
                     if let Some(attempt) = attempt {
-                        self.day.ledger.borrow_mut().ended(attempt, now, Ended::Broken);
+                        self.run.ledger.borrow_mut().ended(attempt, now, Ended::Broken);
                     }
-                    // A process that dies resets its connections; an idle one is closed.
-                    let dead = !matches!(self.model.borrow().state(), State::Up | State::Draining);
-                    self.tell(connection, Say::End { reset: dead || attempt.is_some() });
+                    // A process that dies resets its connections; an idle connection is closed normally.
+                    let process_ended = !matches!(self.model.borrow().state(), State::Up | State::Draining);
+                    self.send_command(
+                        connection,
+                        ConnectionCommand::End { reset: process_ended || attempt.is_some() },
+                    );
                 }
                 Output::FellOver => {
-                    self.day.count(|c| c.fallen += 1);
-                    self.day.ledger.borrow_mut().fell(self.number, now);
+                    self.run.count(|counts| counts.fallen += 1);
+                    self.run.ledger.borrow_mut().fell(self.number, now);
                     (self.fell)(self.number, now);
                     for port in self.ports.borrow().iter() {
                         if let Some(accepting) = port.listening.take() {
@@ -243,65 +247,66 @@
         }
     }
 
-    fn tell(&self, connection: ConnectionId, what: Say) {
-        if let Some(say) = self.says.borrow().get(&connection) {
-            let _ = say.send(what); // its task may have just ended
+    fn send_command(&self, connection: ConnectionId, command: ConnectionCommand) {
+        if let Some(sender) = self.commands.borrow().get(&connection) {
+            let _ = sender.send(command); // fails if the task of the connection has just ended
         }
     }
 
-    /// A request has come whole on a connection.
+    /// Passes a completely received request to the model.
     pub fn submit(&self, connection: ConnectionId, attempt: AttemptId, work: Work) {
-        self.model.borrow_mut().request(self.day.clock.now(), connection, attempt, work);
-        self.hear();
+        self.model.borrow_mut().request(self.run.clock.now(), connection, attempt, work);
+        self.process_outputs();
         self.changed.notify_one();
     }
 
-    /// One connection, from its dial to its end.
-    async fn serve(self: Rc<Self>, mut wire: Connection, gateway: usize) {
-        let connection = self.id();
-        let now = || self.day.clock.now();
-        let (say, mut said) = mpsc::unbounded_channel();
+    /// Serves one connection until it ends.
+    async fn serve(self: Rc<Self>, mut stream_connection: Connection, gateway: usize) {
+        let connection = self.next_id();
+        let now = || self.run.clock.now();
+        let (sender, mut commands_received) = mpsc::unbounded_channel();
         let up = self.model.borrow_mut().connect(now(), connection);
-        self.hear();
+        self.process_outputs();
         if !up {
-            return wire.reset_on_drop();
+            return stream_connection.reset_on_drop();
         }
-        self.says.borrow_mut().insert(connection, say);
+        self.commands.borrow_mut().insert(connection, sender);
         self.changed.notify_one();
-        self.day.count(|c| c.connections += 1);
-        let out = self.talk(&mut wire, &mut said, connection, gateway).await;
-        self.says.borrow_mut().remove(&connection);
-        if let Some(attempt) = out {
-            // A machine that is cut off does not see that the other side has gone.
-            self.day.ledger.borrow_mut().ended(attempt, now(), Ended::Left);
+        self.run.count(|counts| counts.connections += 1);
+        let attempt_in_flight =
+            self.serve_requests(&mut stream_connection, &mut commands_received, connection, gateway).await;
+        self.commands.borrow_mut().remove(&connection);
+        if let Some(attempt) = attempt_in_flight {
+            // The gateway closed the connection before the answer. Recorded even if the endpoint's machine is cut off and could not observe the close.
+            self.run.ledger.borrow_mut().ended(attempt, now(), Ended::Left);
         }
         self.model.borrow_mut().disconnect(now(), connection);
-        self.hear();
+        self.process_outputs();
         self.changed.notify_one();
     }
 
-    /// Talks until the connection ends; gives the attempt that was out then.
-    async fn talk(
+    /// Serves requests until the gateway or the model ends the connection; returns the attempt that the gateway abandoned by closing.
+    async fn serve_requests(
         &self,
-        wire: &mut Connection,
-        said: &mut mpsc::UnboundedReceiver<Say>,
+        stream_connection: &mut Connection,
+        commands_received: &mut mpsc::UnboundedReceiver<ConnectionCommand>,
         connection: ConnectionId,
         gateway: usize,
     ) -> Option<AttemptId> {
-        let now = || self.day.clock.now();
+        let now = || self.run.clock.now();
         loop {
-            let attempt = self.id();
-            let reading = wire.read(Kind::Request, now, |head, first| {
-                // A request with no number is nobody's; a node says so and books nothing.
+            let attempt = self.next_id();
+            let reading = stream_connection.read(Kind::Request, now, |head, first| {
+                // A request without a number belongs to no client: it is answered with an error and not recorded.
                 if let Some(number) = number(head.header("x-request-id")) {
-                    self.note(number, attempt, gateway, first);
+                    self.record_attempt(number, attempt, gateway, first);
                 }
             });
             let request = tokio::select! {
                 biased;
-                word = said.recv() => {
-                    if let Some(Say::End { reset: true }) = word {
-                        wire.reset_on_drop();
+                command = commands_received.recv() => {
+                    if let Some(ConnectionCommand::End { reset: true }) = command {
+                        stream_connection.reset_on_drop();
                     }
                     return None;
                 }
@@ -309,63 +314,64 @@
                     Ok(request) => request,
                     Err(ReadError::Ended { partly }) => {
                         if partly {
-                            self.day.ledger.borrow_mut().ended(attempt, now(), Ended::Unsent);
+                            self.run.ledger.borrow_mut().ended(attempt, now(), Ended::Unsent);
                         }
                         return None;
                     }
                     Err(ReadError::Malformed(_)) => {
-                        let _ = wire.write(b"HTTP/1.1 400 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").await;
+                        let _ = stream_connection.write(b"HTTP/1.1 400 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").await;
                         return None;
                     }
                 },
             };
             if self.model.borrow().state() == State::Silent {
-                // Its machine is cut off: what comes has reached nobody. Only a reset ends this.
-                self.day.ledger.borrow_mut().ended(attempt, now(), Ended::Unsent);
-                while !matches!(said.recv().await, Some(Say::End { .. }) | None) {}
-                wire.reset_on_drop();
+                // The machine is cut off: the request counts as not sent, and the task waits until the connection is reset.
+                self.run.ledger.borrow_mut().ended(attempt, now(), Ended::Unsent);
+                while !matches!(commands_received.recv().await, Some(ConnectionCommand::End { .. }) | None) {}
+                stream_connection.reset_on_drop();
                 return None;
             }
-            self.day.ledger.borrow_mut().whole(attempt, now());
+            self.run.ledger.borrow_mut().whole(attempt, now());
             let number = number(request.header("x-request-id"));
-            let work = number.and_then(|n| self.work(n, request.header("x-timeout")).map(|work| (n, work)));
+            let work = number
+                .and_then(|number| self.work(number, request.header("x-timeout")).map(|work| (number, work)));
             let Some((number, work)) = work else {
-                self.day.ledger.borrow_mut().ended(attempt, now(), Ended::Error);
+                self.run.ledger.borrow_mut().ended(attempt, now(), Ended::Error);
                 let status = if number.is_some() { 400 } else { 404 };
                 let text = format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n");
-                if wire.write(text.as_bytes()).await.is_err() {
+                if stream_connection.write(text.as_bytes()).await.is_err() {
                     return None;
                 }
                 continue;
             };
-            self.day.count(|c| c.attempts += 1);
+            self.run.count(|counts| counts.attempts += 1);
             self.submit(connection, attempt, work);
-            let word = loop {
+            let command = loop {
                 tokio::select! {
                     biased;
-                    word = said.recv() => break word,
-                    more = wire.more() => if !more {
+                    command = commands_received.recv() => break command,
+                    is_open = stream_connection.more() => if !is_open {
                         return Some(attempt);
                     }
                 }
             };
-            match word {
-                Some(Say::Answer { attempt, answer, report }) => {
-                    let how = match answer {
+            match command {
+                Some(ConnectionCommand::Answer { attempt, answer, report }) => {
+                    let ended = match answer {
                         Answer::Served { .. } => Ended::Served,
                         Answer::Error => Ended::Error,
                         Answer::TurnedAway(_) => Ended::TurnedAway,
                     };
-                    // Booked before it is written: from then on the gateway may know.
-                    self.day.ledger.borrow_mut().ended(attempt, now(), how);
+                    // Recorded before the answer is written, because the gateway may receive it at any time from then on.
+                    self.run.ledger.borrow_mut().ended(attempt, now(), ended);
                     let text = answer_text(answer, report, number, attempt);
-                    if wire.write(text.as_bytes()).await.is_err() {
+                    if stream_connection.write(text.as_bytes()).await.is_err() {
                         return None;
                     }
                 }
-                Some(Say::End { reset }) => {
+                Some(ConnectionCommand::End { reset }) => {
                     if reset {
-                        wire.reset_on_drop();
+                        stream_connection.reset_on_drop();
                     }
                     return None;
                 }
@@ -374,36 +380,38 @@
         }
     }
 
-    fn note(&self, number: u64, attempt: AttemptId, gateway: usize, first: Duration) {
-        let seconds = self.work(number, None).map_or(0.0, |w| w.seconds);
+    fn record_attempt(&self, number: u64, attempt: AttemptId, gateway: usize, first: Duration) {
+        let seconds = self.work(number, None).map_or(0.0, |work| work.seconds);
         let (node, whole, began, ended) = (self.number, None, None, None);
         let seen = AttemptSeen { attempt, node, gateway, first, whole, began, ended, seconds };
-        self.day.ledger.borrow_mut().attempt(number, seen);
+        self.run.ledger.borrow_mut().attempt(number, seen);
     }
 
-    /// What a request asks of this node; none where no client sent it.
+    /// The work of a request at this endpoint; `None` if no client sent a request with this number.
     fn work(&self, number: u64, timeout: Option<&str>) -> Option<Work> {
-        let place = *self.day.places.borrow().get(&number)?;
-        let asked = self.day.plan.get(place)?;
-        let class = self.day.script.classes.get(asked.class)?;
+        let plan_index = *self.run.places.borrow().get(&number)?;
+        let planned = self.run.plan.get(plan_index)?;
+        let class = self.run.script.classes.get(planned.class)?;
         let keyed = match class.effect {
-            Idempotency::IdempotencyKey { scope: group, window } => Some((asked.key, group, window)),
+            Idempotency::IdempotencyKey { scope: key_scope, window } => {
+                Some((planned.key, key_scope, window))
+            }
             _ => None,
         };
-        let wait = timeout.and_then(wait).unwrap_or(class.deadline);
-        let until = self.day.clock.now() + wait;
-        let seconds = attempt_seconds(self.day.draws, class, asked, self.number as u64);
-        Some(Work { request: number, seconds, subject: asked.subject, keyed, until })
+        let timeout = timeout.and_then(parse_timeout).unwrap_or(class.deadline);
+        let until = self.run.clock.now() + timeout;
+        let seconds = attempt_seconds(self.run.draws, class, planned, self.number as u64);
+        Some(Work { request: number, seconds, subject: planned.subject, keyed, until })
     }
 }
 
-/// A request's number from its header.
+/// Parses a request's number from its header.
 pub fn number(header: Option<&str>) -> Option<u64> {
     u64::from_str_radix(header?, 16).ok()
 }
 
-/// A time to wait, as the protocol writes it: `m` for milliseconds or `u` for microseconds.
-fn wait(text: &str) -> Option<Duration> {
+/// Parses a timeout of the protocol: a number followed by `m` for milliseconds or `u` for microseconds.
+fn parse_timeout(text: &str) -> Option<Duration> {
     let (number, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let number: f64 = number.parse().ok()?;
     let seconds = match unit {
@@ -423,8 +431,8 @@
             format!("HTTP/1.1 200 OK\r\n{load}Content-Type: application/json\r\nContent-Length: {length}\r\n\r\n{body}")
         }
         Answer::Error => format!("HTTP/1.1 500 Error\r\n{load}Content-Length: 0\r\n\r\n"),
-        Answer::TurnedAway(why) => {
-            let status = if why == Refusal::Expired { 504 } else { 503 };
+        Answer::TurnedAway(reason) => {
+            let status = if reason == Refusal::Expired { 504 } else { 503 };
             format!("HTTP/1.1 {status} Not Now\r\n{load}X-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
         }
     }
--- a/crates/testbed/src/live/register.rs
+++ b/crates/testbed/src/live/register.rs
@@ -1,4 +1,4 @@
-//! The node register on sockets: one address for each gateway, so that it is known who was told what.
+//! The discovery stand-in on sockets. Each gateway has an address of its own, so that it is known which gateway was sent what.
 
 use super::http::{Connection, Kind};
 use super::nodes::LiveNode;
@@ -16,45 +16,51 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout};
 
-/// While nothing changes, an empty line comes this often.
-const HEARTBEAT: Duration = Duration::from_secs(2);
+/// Interval of the empty lines on a watch without changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The register of a run.
+/// The discovery stand-in of a run.
 pub struct LiveRegister {
-    day: Rc<Day>,
+    run: Rc<Day>,
     model: RefCell<Register>,
     nodes: Vec<Rc<LiveNode>>,
     changed: Notify,
-    /// Each node's weight, as last told, and how often they have been renewed.
+    /// The weight of each endpoint that gateways are sent.
     weights: RefCell<Vec<f64>>,
-    weighed: Cell<u64>,
+    /// How often the weights have been updated.
+    weight_updates: Cell<u64>,
 }
 
 impl LiveRegister {
-    /// A register that lists these nodes.
-    pub fn new(day: Rc<Day>, model: Register, nodes: Vec<Rc<LiveNode>>) -> Rc<LiveRegister> {
-        let (changed, weights) = (Notify::new(), RefCell::new(weights(&day, &nodes)));
-        let (model, weighed) = (RefCell::new(model), Cell::new(0));
-        Rc::new(LiveRegister { day, model, nodes, changed, weights, weighed })
+    /// Discovery that lists these endpoints.
+    pub fn new(run: Rc<Day>, model: Register, nodes: Vec<Rc<LiveNode>>) -> Rc<LiveRegister> {
+        let (changed, weights) = (Notify::new(), RefCell::new(weights(&run, &nodes)));
+        let (model, weight_updates) = (RefCell::new(model), Cell::new(0));
+        Rc::new(LiveRegister { run, model, nodes, changed, weights, weight_updates })
     }
 
-    /// Renews the weights for as long as it runs, where the script has any.
+    /// Updates the live weights until the run ends; returns at once if the script has none.
     pub async fn weigh(&self) {
-        let Some(live) = self.day.script.register.weights else { return };
+        let Some(live_weights) = self.run.script.register.weights else { return };
         for round in 0u32.. {
-            sleep_until(self.day.clock.instant(live.every * round)).await;
-            let seen = weights(&self.day, &self.nodes);
-            sleep_until(self.day.clock.instant(live.every * round + live.late.min(live.every))).await;
-            self.weights.replace(seen);
-            self.weighed.set(self.weighed.get() + 1);
+            sleep_until(self.run.clock.instant(live_weights.every * round)).await;
+            let sampled = weights(&self.run, &self.nodes);
+            sleep_until(
+                self.run
+                    .clock
+                    .instant(live_weights.every * round + live_weights.late.min(live_weights.every)),
+            )
+            .await;
+            self.weights.replace(sampled);
+            self.weight_updates.set(self.weight_updates.get() + 1);
             self.changed.notify_waiters();
         }
     }
 
-    /// Listens for a gateway; gives the address.
+    /// Listens for a gateway and returns the address.
     ///
     /// # Errors
-    /// Where no port can be had.
+    /// If a listener cannot be opened.
     pub async fn listen(self: &Rc<Self>, gateway: usize) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
@@ -62,41 +68,41 @@
         spawn_local(async move {
             loop {
                 if let Ok((stream, _)) = listener.accept().await {
-                    let (register, wire) = (register.clone(), Connection::new(stream));
-                    spawn_local(async move { register.serve(wire, gateway).await });
+                    let (register, connection) = (register.clone(), Connection::new(stream));
+                    spawn_local(async move { register.serve(connection, gateway).await });
                 }
             }
         });
         Ok(address)
     }
 
-    /// Where news are pushed, what an agent has been sent counts as told, whether or not its gateway reads it: books that
-    /// for as long as it runs.
+    /// If discovery pushes changes, records each list sent to the gateways' agents, until the run ends.
+    /// What was sent to an agent counts as notified, whether or not the gateway reads the change.
     pub async fn tell_agents(&self) {
-        if !self.day.script.register.pushed {
+        if !self.run.script.register.pushed {
             return;
         }
         let mut version = 1;
         loop {
-            let now = self.day.clock.now();
+            let now = self.run.clock.now();
             if !self.model.borrow().is_down(now) {
                 let list = self.model.borrow().since(now, version);
                 version = list.version;
-                (0..self.day.gateways).for_each(|gateway| self.book(gateway, &list));
+                (0..self.run.gateways).for_each(|gateway| self.record_list(gateway, &list));
             }
-            self.next_news(now).await;
+            self.next_change(now).await;
         }
     }
 
-    /// Waits until the list changes or the register goes down or comes back.
-    async fn next_news(&self, now: Duration) {
-        let (change, turn) = {
+    /// Waits until the list or the weights change, or discovery goes down or comes back.
+    async fn next_change(&self, now: Duration) {
+        let (change, outage_change) = {
             let model = self.model.borrow();
             (model.next_change(now), model.next_turn(now))
         };
         let due = async {
-            match change.into_iter().chain(turn).min() {
-                Some(at) => sleep_until(self.day.clock.instant(at)).await,
+            match change.into_iter().chain(outage_change).min() {
+                Some(at) => sleep_until(self.run.clock.instant(at)).await,
                 None => std::future::pending().await,
             }
         };
@@ -106,118 +112,121 @@
         }
     }
 
-    /// A node has fallen over.
+    /// Records that an endpoint has crashed from too much work in its slow start.
     pub fn fell(&self, node: usize, at: Duration) {
         self.model.borrow_mut().fell(node, at);
         self.changed.notify_waiters();
     }
 
-    async fn serve(&self, mut wire: Connection, gateway: usize) {
-        let now = || self.day.clock.now();
-        let Ok(request) = wire.read(Kind::Request, now, |_, _| {}).await else { return };
+    async fn serve(&self, mut connection: Connection, gateway: usize) {
+        let now = || self.run.clock.now();
+        let Ok(request) = connection.read(Kind::Request, now, |_, _| {}).await else { return };
         let crate::live::http::First::Request { path, .. } = &request.first else { return };
         let parameter = |name: &str| {
             let query = path.split_once('?').map_or("", |(_, query)| query);
             query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('=')).map(str::to_owned)
         };
-        let since = parameter("since").and_then(|n| n.parse().ok()).unwrap_or(0);
+        let since = parameter("since").and_then(|text| text.parse().ok()).unwrap_or(0);
         let follow = parameter("follow").as_deref() == Some("1");
         let call = self.model.borrow_mut().call(now());
         let (Call::Answered(at) | Call::Failed(at)) = call;
-        // Where news are pushed the caller has an agent of its own before it, which answers at once.
-        let pushed = self.day.script.register.pushed;
+        // If discovery pushes changes, the gateway polls an agent of its own, which answers at once.
+        let pushed = self.run.script.register.pushed;
         if !pushed {
-            sleep_until(self.day.clock.instant(at)).await;
+            sleep_until(self.run.clock.instant(at)).await;
         }
         if let (Call::Failed(_), false) = (call, pushed) {
-            let _ = wire.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").await;
+            let _ = connection
+                .write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
+                .await;
             return;
         }
         let list = self.model.borrow().since(now(), if follow { since } else { 0 });
         if !follow {
             let text = self.line(gateway, &list);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
-            if wire.write((head + &text).as_bytes()).await.is_ok() {
-                self.book(gateway, &list);
+            if connection.write((head + &text).as_bytes()).await.is_ok() {
+                self.record_list(gateway, &list);
             }
             return;
         }
-        if wire.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.is_err() {
+        if connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.is_err() {
             return;
         }
-        self.watch(&mut wire, gateway, list).await;
+        self.watch(&mut connection, gateway, list).await;
     }
 
-    async fn watch(&self, wire: &mut Connection, gateway: usize, first: List) {
+    async fn watch(&self, connection: &mut Connection, gateway: usize, first: List) {
         let mut list = first;
         let mut version = list.version;
-        let (mut said, mut weighed) = (false, self.weighed.get());
+        let (mut has_sent, mut weight_updates) = (false, self.weight_updates.get());
         loop {
-            let now = self.day.clock.now();
+            let now = self.run.clock.now();
             if self.model.borrow().is_down(now) {
-                return wire.reset_on_drop();
+                return connection.reset_on_drop();
             }
-            if weighed != self.weighed.get() {
-                weighed = self.weighed.get();
+            if weight_updates != self.weight_updates.get() {
+                weight_updates = self.weight_updates.get();
                 list = List { whole: true, entries: self.model.borrow().whole(now), ..list };
             }
-            let quiet = said && list.entries.is_empty() && !list.whole;
-            let line = if quiet { "\n".to_owned() } else { self.line(gateway, &list) };
+            let is_heartbeat = has_sent && list.entries.is_empty() && !list.whole;
+            let line = if is_heartbeat { "\n".to_owned() } else { self.line(gateway, &list) };
             let chunk = format!("{:x}\r\n{line}\r\n", line.len());
-            if wire.write(chunk.as_bytes()).await.is_err() {
+            if connection.write(chunk.as_bytes()).await.is_err() {
                 return;
             }
-            self.book(gateway, &list);
-            said = true;
+            self.record_list(gateway, &list);
+            has_sent = true;
             tokio::select! {
-                _ = timeout(HEARTBEAT, self.next_news(now)) => {}
-                more = wire.more() => if !more {
+                _ = timeout(HEARTBEAT_INTERVAL, self.next_change(now)) => {}
+                is_open = connection.more() => if !is_open {
                     return;
                 }
             }
-            list = self.model.borrow().since(self.day.clock.now(), version);
+            list = self.model.borrow().since(self.run.clock.now(), version);
             version = list.version;
         }
     }
 
-    /// What has been written to a gateway has been told to it.
-    fn book(&self, gateway: usize, list: &List) {
-        let (now, mut ledger) = (self.day.clock.now(), self.day.ledger.borrow_mut());
+    /// Records a list that was sent to a gateway.
+    fn record_list(&self, gateway: usize, list: &List) {
+        let (now, mut ledger) = (self.run.clock.now(), self.run.ledger.borrow_mut());
         for entry in &list.entries {
             ledger.told(gateway, entry.node, now, entry.told());
         }
         if list.whole {
-            let listed = |node: &usize| list.entries.iter().any(|e| e.node == *node);
-            for node in (0..self.nodes.len()).filter(|n| !listed(n)) {
+            let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
+            for node in (0..self.nodes.len()).filter(|node| !listed(node)) {
                 ledger.told(gateway, node, now, Told::Gone);
             }
         }
     }
 
     fn line(&self, gateway: usize, list: &List) -> String {
-        let entries: Vec<Value> = list.entries.iter().map(|e| self.entry(gateway, e)).collect();
+        let entries: Vec<Value> = list.entries.iter().map(|entry| self.entry(gateway, entry)).collect();
         json!({"index": list.version, "snapshot": list.whole, "endpoints": entries}).to_string() + "\n"
     }
 
-    /// The list as a gateway's configuration holds it at its start.
+    /// The endpoint list for a gateway's configuration file.
     pub fn known(&self, gateway: usize) -> Value {
-        let whole = self.model.borrow().whole(Duration::ZERO);
-        let entries: Vec<Value> = whole.iter().map(|e| self.entry(gateway, e)).collect();
+        let snapshot = self.model.borrow().whole(Duration::ZERO);
+        let entries: Vec<Value> = snapshot.iter().map(|entry| self.entry(gateway, entry)).collect();
         json!({"index": 1, "snapshot": true, "endpoints": entries})
     }
 
     fn entry(&self, gateway: usize, entry: &Entry) -> Value {
-        let script = &self.day.script;
-        let address = self.nodes[entry.node].address(gateway).map(|a| a.to_string()).unwrap_or_default();
+        let script = &self.run.script;
+        let address =
+            self.nodes[entry.node].address(gateway).map(|address| address.to_string()).unwrap_or_default();
         let status = match entry.status {
             Status::Active => "active",
             Status::Leaving => "leaving",
             Status::Left => "left",
         };
         let since = entry.started.map_or(0, |at| {
-            let ago = self.day.clock.now().saturating_sub(at);
+            let age = self.run.clock.now().saturating_sub(at);
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-            unix.saturating_sub(ago).as_millis() as u64
+            unix.saturating_sub(age).as_millis() as u64
         });
         let kind = crate::fleet::kinds(script)[entry.node];
         json!({"name": script.node_name(entry.node), "address": address, "status": status,
@@ -227,8 +236,11 @@
     }
 }
 
-/// What each node is worth now: its size, divided by 1 + what it holds a core.
-fn weights(day: &Day, nodes: &[Rc<LiveNode>]) -> Vec<f64> {
-    let live = day.script.register.weights.is_some();
-    nodes.iter().map(|node| if live { node.see(|model| model.live_weight()) } else { 1.0 }).collect()
+/// The current live weight of each endpoint: its capacity divided by 1 + its requests in flight per core; 1 without live weights.
+fn weights(run: &Day, nodes: &[Rc<LiveNode>]) -> Vec<f64> {
+    let has_live_weights = run.script.register.weights.is_some();
+    nodes
+        .iter()
+        .map(|node| if has_live_weights { node.see(|model| model.live_weight()) } else { 1.0 })
+        .collect()
 }
