--- a/crates/testbed/src/bulk.rs
+++ b/crates/testbed/src/bulk.rs
@@ -1,5 +1,6 @@
-//! Bodies of any length, pace and form, that nobody holds: a node and a client that make them up as they write and keep a
-//! digest of what they read. What is passed on must have the digest of what was sent, however it was cut.
+//! An endpoint and a client for bodies of any length, pace and framing, which neither of them holds in memory.
+//! They generate bodies while they write and compute a digest of what they read.
+//! A forwarded body must have the digest of the body that was sent, however it was split.
 
 use crate::scripted::Book;
 use std::io::{self, BufRead, BufReader, Write};
@@ -9,46 +10,46 @@
 use std::thread::{sleep, spawn};
 use std::time::Duration;
 
-/// How a body says where it ends.
+/// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Form {
-    /// By its length.
+    /// By a `Content-Length`.
     Length,
-    /// In chunks, with extensions, and a trailer.
+    /// In chunks with chunk extensions, followed by a trailer.
     Chunked,
-    /// By the end of the connection; answers only.
+    /// By the end of the connection; for responses only.
     Close,
-    /// The same, from a node that speaks HTTP/1.0.
+    /// By the end of the connection, from an endpoint that speaks HTTP/1.0.
     Old,
 }
 
-/// A body.
+/// The description of a body.
 #[derive(Clone, Copy, Debug)]
 pub struct Bulk {
-    /// Its length.
+    /// The length of the body, in bytes.
     pub length: u64,
-    /// How it ends.
+    /// How the end of the body is marked.
     pub form: Form,
-    /// It is written in pieces of so many bytes, with so long a rest after each; nothing for as fast as it goes.
+    /// The body is written in pieces of this many bytes with this pause after each; `None` for as fast as possible.
     pub pace: Option<(usize, Duration)>,
-    /// It breaks off after so much.
+    /// The body is truncated once this many bytes are written; `None` for a complete body.
     pub breaks: Option<u64>,
 }
 
 impl Bulk {
-    /// One that is written as fast as it goes.
+    /// A complete body that is written as fast as possible.
     pub fn new(length: u64, form: Form) -> Bulk {
         Bulk { length, form, pace: None, breaks: None }
     }
 
-    /// The digest of the whole.
+    /// The digest of the complete body.
     pub fn digest(&self) -> u64 {
         let mut digest = Digest::default();
-        let mut at = 0;
-        while at < self.length {
-            let piece = made_up(at, (self.length - at).min(PIECE as u64) as usize);
-            digest.take(&piece);
-            at += piece.len() as u64;
+        let mut offset = 0;
+        while offset < self.length {
+            let piece = generate(offset, (self.length - offset).min(PIECE_BYTES as u64) as usize);
+            digest.update(&piece);
+            offset += piece.len() as u64;
         }
         digest.0
     }
@@ -61,24 +62,24 @@
         }
     }
 
-    /// Writes it. Whether it is whole.
+    /// Writes the body; false if it was truncated.
     fn write(&self, to: &mut impl Write) -> io::Result<bool> {
-        let (size, rest) = self.pace.unwrap_or((PIECE, Duration::ZERO));
-        let mut at = 0;
-        while at < self.length {
-            if self.breaks.is_some_and(|breaks| at >= breaks) {
+        let (size, pause) = self.pace.unwrap_or((PIECE_BYTES, Duration::ZERO));
+        let mut offset = 0;
+        while offset < self.length {
+            if self.breaks.is_some_and(|truncated_at| offset >= truncated_at) {
                 return Ok(false);
             }
-            let piece = made_up(at, (self.length - at).min(size as u64) as usize);
+            let piece = generate(offset, (self.length - offset).min(size as u64) as usize);
             if self.form == Form::Chunked {
-                write!(to, "{:x};n={at}\r\n", piece.len())?;
+                write!(to, "{:x};n={offset}\r\n", piece.len())?;
             }
             to.write_all(&piece)?;
             if self.form == Form::Chunked {
                 to.write_all(b"\r\n")?;
             }
-            at += piece.len() as u64;
-            sleep(rest);
+            offset += piece.len() as u64;
+            sleep(pause);
         }
         if self.form == Form::Chunked {
             to.write_all(b"0\r\nX-Trailer: over\r\n\r\n")?;
@@ -87,15 +88,17 @@
     }
 }
 
-/// What is written at a time where nothing else is asked for.
-const PIECE: usize = 16 << 10;
+/// Size of the pieces in which bodies are written and read by default, in bytes.
+const PIECE_BYTES: usize = 16 << 10;
 
-/// The bytes of every body from a place on.
-fn made_up(at: u64, length: usize) -> Vec<u8> {
-    (at..at + length as u64).map(|n| (n ^ (n >> 8).wrapping_mul(31) ^ (n >> 16)) as u8).collect()
+/// The bytes of every body from an offset on.
+fn generate(offset: u64, length: usize) -> Vec<u8> {
+    (offset..offset + length as u64)
+        .map(|position| (position ^ (position >> 8).wrapping_mul(31) ^ (position >> 16)) as u8)
+        .collect()
 }
 
-/// FNV-1a over what has passed.
+/// An FNV-1a hash of the bytes so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Digest(u64);
 
@@ -106,30 +109,30 @@
 }
 
 impl Digest {
-    fn take(&mut self, bytes: &[u8]) {
+    fn update(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
         }
     }
 }
 
-/// A message that was read: its head, and what is known of its body.
+/// A message that was read: its head, and the length and digest of its body.
 #[derive(Clone, Debug)]
 pub struct Passed {
-    /// Its first line.
+    /// The start line of the message.
     pub first: String,
-    /// Its header lines, as they came.
+    /// The header lines, as they were received.
     pub headers: Vec<String>,
-    /// How much body came.
+    /// Number of body bytes received.
     pub length: u64,
-    /// Its digest.
+    /// The digest of the received body.
     pub digest: u64,
-    /// Whether its end came, as the message said it would.
+    /// Whether the body was received to its end as the message marks it.
     pub whole: bool,
 }
 
 impl Passed {
-    /// The value of a header.
+    /// The value of a header, by its name in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find_map(|line| {
             let (key, value) = line.split_once(':')?;
@@ -137,13 +140,13 @@
         })
     }
 
-    /// The status of an answer.
+    /// The status of a response; 0 if there is none.
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Reads a message; none where the connection ends first. An answer that says no length goes to the connection's end. After
-    /// each piece `rest` is taken.
+    /// Reads a message; `None` if the connection ends before its head is complete.
+    /// The body of a response without a length extends to the end of the connection. After each piece, reading pauses for `rest`.
     pub fn read(from: &mut impl BufRead, answer: bool, rest: Duration) -> Option<Passed> {
         let mut first = String::new();
         let mut headers = Vec::new();
@@ -156,7 +159,7 @@
             match (first.is_empty(), line.is_empty()) {
                 (true, _) => first = line,
                 (false, false) => headers.push(line),
-                // A 1xx has no body, and the answer follows.
+                // A 100 response has no body and is followed by the final response.
                 (false, true) if first.contains(" 100 ") => first.clear(),
                 (false, true) => break,
             }
@@ -164,35 +167,36 @@
         let mut passed = Passed { first, headers, length: 0, digest: 0, whole: false };
         let mut digest = Digest::default();
         let chunked = passed.header("transfer-encoding").is_some();
-        let said: Option<u64> = passed.header("content-length").and_then(|n| n.parse().ok());
-        let mut left = match (chunked, said, answer) {
+        let content_length: Option<u64> =
+            passed.header("content-length").and_then(|length| length.parse().ok());
+        let mut remaining = match (chunked, content_length, answer) {
             (true, ..) => next_chunk(from).ok()?,
-            (false, Some(said), _) => said,
+            (false, Some(content_length), _) => content_length,
             (false, None, true) => u64::MAX,
             (false, None, false) => 0,
         };
-        let mut piece = vec![0; PIECE];
+        let mut piece = vec![0; PIECE_BYTES];
         loop {
-            if left == 0 {
+            if remaining == 0 {
                 passed.whole = true;
                 break;
             }
-            let most = left.min(piece.len() as u64) as usize;
-            let read = match from.read(&mut piece[..most]) {
+            let piece_length = remaining.min(piece.len() as u64) as usize;
+            let read = match from.read(&mut piece[..piece_length]) {
                 Ok(0) => {
-                    passed.whole = left > u64::MAX / 2; // to the end of the connection
+                    passed.whole = remaining > u64::MAX / 2; // a body that extends to the end of the connection
                     break;
                 }
                 Ok(read) => read,
                 Err(_) => break,
             };
-            digest.take(&piece[..read]);
+            digest.update(&piece[..read]);
             passed.length += read as u64;
-            left -= read as u64;
-            if chunked && left == 0 {
+            remaining -= read as u64;
+            if chunked && remaining == 0 {
                 let mut end = [0; 2];
                 match from.read_exact(&mut end).and_then(|()| next_chunk(from)) {
-                    Ok(next) => left = next,
+                    Ok(next) => remaining = next,
                     Err(_) => break,
                 }
             }
@@ -203,58 +207,58 @@
     }
 }
 
-/// The size of the next chunk; 0 behind the last one and its trailer.
+/// The size of the next chunk; 0 after the last chunk and its trailer.
 fn next_chunk(from: &mut impl BufRead) -> io::Result<u64> {
     let mut line = String::new();
     from.read_line(&mut line)?;
     let digits: String = line.chars().take_while(char::is_ascii_hexdigit).collect();
     let size = u64::from_str_radix(&digits, 16).map_err(|_| io::ErrorKind::InvalidData)?;
-    // Behind the last one comes the trailer, to an empty line.
-    let mut over = size > 0;
-    while !over {
+    // The last chunk is followed by the trailer, which ends with an empty line.
+    let mut trailer_ended = size > 0;
+    while !trailer_ended {
         line.clear();
         if from.read_line(&mut line)? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        over = line.trim_end().is_empty();
+        trailer_ended = line.trim_end().is_empty();
     }
     Ok(size)
 }
 
-/// A node that answers every request with a body of its own.
+/// A stand-in endpoint that answers every request with the same generated body.
 #[derive(Clone)]
 pub struct BulkNode {
-    /// Where it listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// What it was sent whole.
+    /// The requests that the endpoint received completely.
     pub seen: Arc<Mutex<Vec<Passed>>>,
-    /// How many requests broke off on their way.
+    /// How many requests ended before they were complete.
     pub broken: Arc<AtomicUsize>,
-    /// How many answers it could not end, for the other side had gone.
+    /// How many answers could not be written completely, because the gateway had closed the connection.
     pub left: Arc<AtomicUsize>,
-    /// How many answers it has written whole.
+    /// How many answers have been written completely.
     pub done: Arc<AtomicUsize>,
 }
 
 impl BulkNode {
-    /// Starts one.
+    /// Starts an endpoint that answers with this body.
     pub fn start(answer: Bulk) -> BulkNode {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
+        let address = listener.local_addr().expect("reading the local address failed");
         let (seen, broken, left, done) = Default::default();
         let node = BulkNode { address, seen, broken, left, done };
-        let (me, book) = (node.clone(), Book::of_this_test());
+        let (accepting, book) = (node.clone(), Book::of_this_test());
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (me, book) = (me.clone(), book.clone());
-                spawn(move || me.serve(stream, answer, &book));
+                let (accepting, book) = (accepting.clone(), book.clone());
+                spawn(move || accepting.serve(stream, answer, &book));
             }
         });
         node
     }
 
     fn serve(&self, stream: TcpStream, answer: Bulk, book: &Book) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let mut reader = BufReader::new(stream.try_clone().expect("cloning the stream failed"));
         let mut stream = stream;
         while let Some(request) = Passed::read(&mut reader, false, Duration::ZERO) {
             if !request.whole {
@@ -262,7 +266,7 @@
                 return;
             }
             let attempt = book.sent_whole(request.header("x-request-id"));
-            self.seen.lock().expect("lock").push(request);
+            self.seen.lock().expect("the lock is poisoned").push(request);
             let version = if answer.form == Form::Old { "HTTP/1.0" } else { "HTTP/1.1" };
             let head = format!("{version} 200 Fine\r\n{}\r\n", answer.header());
             let written = stream.write_all(head.as_bytes()).and_then(|()| answer.write(&mut stream));
@@ -282,25 +286,25 @@
         }
     }
 
-    /// Its entry in a list.
+    /// The endpoint's entry in an endpoint list.
     pub fn entry(&self, name: &str) -> serde_json::Value {
         crate::scripted::entry(name, &self.address.to_string(), 1, "active")
     }
 }
 
-/// Sends a request with a body of this kind on a connection of its own. `head` is its text without framing, as
-/// [`crate::scripted::request`] words it. Gives what came back; none where nothing whole did.
+/// Sends a request with this body on a new connection and returns the answer; `None` if the connection ends before the answer's head is complete.
+/// `head` is the text of a request, as [`crate::scripted::request`] makes it; its length and body are replaced.
 pub fn ask(gateway: &str, head: &str, body: Option<Bulk>, rest: Duration) -> Option<Passed> {
-    let mut stream = TcpStream::connect(gateway).expect("a connection");
-    stream.set_read_timeout(Some(crate::scripted::LONG)).expect("a time-out");
-    let (head, _) = head.split_once("\r\n\r\n").expect("a head");
+    let mut stream = TcpStream::connect(gateway).expect("connecting to the gateway failed");
+    stream.set_read_timeout(Some(crate::scripted::LONG)).expect("setting the read timeout failed");
+    let (head, _) = head.split_once("\r\n\r\n").expect("the request text has no complete head");
     let lines = head.lines().filter(|line| !line.to_ascii_lowercase().starts_with("content-length"));
     let mut text = lines.collect::<Vec<_>>().join("\r\n") + "\r\n";
     text += &body.map(|body| body.header()).unwrap_or_default();
     stream.write_all((text + "\r\n").as_bytes()).ok()?;
-    let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+    let mut reader = BufReader::new(stream.try_clone().expect("cloning the stream failed"));
     let writing = body.map(|body| {
-        let mut stream = stream.try_clone().expect("a clone");
+        let mut stream = stream.try_clone().expect("cloning the stream failed");
         spawn(move || {
             let whole = body.write(&mut stream);
             if !matches!(whole, Ok(true)) {
--- a/crates/testbed/src/live/gateways.rs
+++ b/crates/testbed/src/live/gateways.rs
@@ -159,19 +159,17 @@
 
     fn stop<'a>(&'a mut self) -> Stopping<'a> {
         Box::pin(async move {
-            let Some(id) = self.id() else { return Err("the gateway ended before the stop".to_owned()) };
+            let Some(id) = self.id() else { return Err("it had ended before it was asked to".to_owned()) };
             let process = i32::try_from(id).ok().and_then(rustix::process::Pid::from_raw);
-            let Some(process) = process else { return Err(format!("{id} is not a process id")) };
+            let Some(process) = process else { return Err(format!("{id} is no process")) };
             rustix::process::kill_process(process, rustix::process::Signal::TERM)
                 .map_err(|error| error.to_string())?;
             let ended = timeout(START_STOP_TIMEOUT, self.child.wait()).await;
             match ended {
                 Ok(Ok(status)) if status.success() => Ok(()),
-                Ok(Ok(status)) => Err(format!("the gateway ended with {status}")),
+                Ok(Ok(status)) => Err(format!("it ended with {status}")),
                 Ok(Err(error)) => Err(error.to_string()),
-                Err(_) => Err(format!(
-                    "the gateway has not ended {START_STOP_TIMEOUT:?} after it was asked to stop"
-                )),
+                Err(_) => Err(format!("it has not ended {START_STOP_TIMEOUT:?} after it was asked to")),
             }
         })
     }
--- a/crates/testbed/src/plain.rs
+++ b/crates/testbed/src/plain.rs
@@ -1,7 +1,9 @@
-//! A plain gateway, to measure against: it picks at random, tries again at once, and lets everything in.
+//! A baseline balancer to compare with: it picks endpoints at random, retries at once and admits every request.
 //!
-//! It keeps what classes ask of repeats and sends nothing to nodes that drain. Cold nodes get as much as warm ones, and what
-//! can't be dialled is held until its time is up: the ledger books both. Never part of the program.
+//! It respects the idempotency of request classes and sends nothing to draining endpoints.
+//! Endpoints in slow start get as many requests as others, and a request to an unreachable endpoint is held up by the connection attempt.
+//! The ledger records both.
+//! The gateway program does not use this balancer.
 
 use crate::draws::Stream;
 use rustc_hash::FxHashMap;
@@ -10,57 +12,67 @@
     Action, Endpoint, EndpointId, EndpointState, Event, Idempotency, Outcome, RequestId, Settings,
 };
 
-/// The wait before discovery is asked again after a failure.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
-const ASK: u64 = 0;
+/// Delay before discovery is polled again after a failure.
+const DISCOVERY_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Token of the timer for the next poll of discovery.
+const POLL_TIMER: u64 = 0;
 
+/// An open request.
 #[derive(Clone, Debug)]
-struct Open {
+struct OpenRequest {
     class: usize,
     until: Duration,
     attempts: u32,
-    out: Option<(EndpointId, Duration)>,
-    /// The hosts at which it may have run, and when it was sent there.
-    ran: Vec<(EndpointId, Duration)>,
+    in_flight: Option<(EndpointId, Duration)>,
+    /// The endpoints at which the request was possibly processed, and when it was sent to each.
+    possibly_processed: Vec<(EndpointId, Duration)>,
 }
 
-/// A plain gateway. It is fed and obeyed as the decision module is.
+/// The baseline balancer. It handles the events and returns the actions of the decision module.
 #[derive(Clone, Debug)]
 pub struct Plain {
     settings: Settings,
     draws: Stream,
-    hosts: FxHashMap<EndpointId, Endpoint>,
-    up: Vec<EndpointId>,
-    open: FxHashMap<RequestId, Open>,
-    asked: bool,
+    endpoints: FxHashMap<EndpointId, Endpoint>,
+    ready: Vec<EndpointId>,
+    open: FxHashMap<RequestId, OpenRequest>,
+    has_scheduled_poll: bool,
 }
 
 impl Plain {
-    /// One that knows no host yet.
+    /// A baseline balancer without endpoints.
     pub fn new(settings: Settings, draws: Stream) -> Plain {
-        let (hosts, up, open) = Default::default();
-        Plain { settings, draws, hosts, up, open, asked: false }
+        let (endpoints, ready, open) = Default::default();
+        Plain { settings, draws, endpoints, ready, open, has_scheduled_poll: false }
     }
 
-    /// Takes an event at `now` and appends what is to be done.
+    /// Handles an event at `now` and appends the actions to carry out.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList { is_snapshot: full, endpoints: hosts } => self.learn(full, hosts, actions),
+            Event::EndpointList { is_snapshot: snapshot, endpoints: listed } => {
+                self.update(snapshot, listed, actions);
+            }
             Event::DiscoveryFailed { .. } | Event::DiscoveryChanged => {
-                actions.push(Action::SetTimer { after: ASK_AGAIN, token: ASK });
+                actions.push(Action::SetTimer { after: DISCOVERY_RETRY_DELAY, token: POLL_TIMER });
+            }
+            Event::Timer { token: POLL_TIMER } => actions.push(Action::PollDiscovery),
+            Event::Request(new) if new.class < self.settings.classes.len() => {
+                let (until, attempts, in_flight, possibly_processed) =
+                    (new.client_deadline, 0, None, Vec::new());
+                self.open.insert(
+                    new.id,
+                    OpenRequest { class: new.class, until, attempts, in_flight, possibly_processed },
+                );
+                self.advance(now, new.id, actions);
             }
-            Event::Timer { token: ASK } => actions.push(Action::PollDiscovery),
-            Event::Request(r) if r.class < self.settings.classes.len() => {
-                let (until, attempts, out, ran) = (r.client_deadline, 0, None, Vec::new());
-                self.open.insert(r.id, Open { class: r.class, until, attempts, out, ran });
-                self.advance(now, r.id, actions);
+            Event::Request(new) => {
+                actions.push(Action::Reject { request: new.id, retry_after: Duration::ZERO });
             }
-            Event::Request(r) => actions.push(Action::Reject { request: r.id, retry_after: Duration::ZERO }),
-            Event::AttemptEnded { request, outcome, request_ended: over, .. } => {
+            Event::AttemptEnded { request, outcome, request_ended: ended, .. } => {
                 let Some(open) = self.open.get_mut(&request) else { return };
-                let sent = open.out.take().filter(|_| !outcome.proves_not_processed());
-                open.ran.extend(sent);
-                if over || outcome == Outcome::Served {
+                let sent = open.in_flight.take().filter(|_| !outcome.proves_not_processed());
+                open.possibly_processed.extend(sent);
+                if ended || outcome == Outcome::Served {
                     self.open.remove(&request);
                 } else {
                     self.advance(now, request, actions);
@@ -79,58 +91,70 @@
         }
     }
 
-    fn learn(&mut self, full: bool, hosts: &[Endpoint], actions: &mut Vec<Action>) {
-        if !std::mem::replace(&mut self.asked, true) && self.settings.discovery_poll_interval.is_some() {
-            actions.push(Action::SetTimer { after: ASK_AGAIN.mul_f64(self.draws.even()), token: ASK });
+    fn update(&mut self, is_snapshot: bool, endpoints: &[Endpoint], actions: &mut Vec<Action>) {
+        if !std::mem::replace(&mut self.has_scheduled_poll, true)
+            && self.settings.discovery_poll_interval.is_some()
+        {
+            actions.push(Action::SetTimer {
+                after: DISCOVERY_RETRY_DELAY.mul_f64(self.draws.even()),
+                token: POLL_TIMER,
+            });
         }
-        if full {
-            self.hosts.clear();
+        if is_snapshot {
+            self.endpoints.clear();
         }
-        self.hosts.extend(hosts.iter().map(|h| (h.id, h.clone())));
-        self.up = self.hosts.values().filter(|h| h.state == EndpointState::Up).map(|h| h.id).collect();
-        self.up.sort_unstable(); // a hash map's order is not the same in every run
+        self.endpoints.extend(endpoints.iter().map(|endpoint| (endpoint.id, endpoint.clone())));
+        self.ready = self
+            .endpoints
+            .values()
+            .filter(|endpoint| endpoint.state == EndpointState::Up)
+            .map(|endpoint| endpoint.id)
+            .collect();
+        self.ready.sort_unstable(); // the iteration order of a hash map differs from run to run
     }
 
-    /// Sends it once more where that is allowed, or ends it.
+    /// Sends a request to a random permitted endpoint, or ends the request if no attempt is permitted.
     fn advance(&mut self, now: Duration, request: RequestId, actions: &mut Vec<Action>) {
         let Some(open) = self.open.get(&request) else { return };
-        let effect = self.settings.classes[open.class].idempotency;
-        let fits = |id: &EndpointId| {
-            open.ran.iter().all(|(host, sent)| match effect {
+        let idempotency = self.settings.classes[open.class].idempotency;
+        let is_permitted = |id: &EndpointId| {
+            open.possibly_processed.iter().all(|(earlier, sent)| match idempotency {
                 Idempotency::Idempotent => true,
                 Idempotency::NotIdempotent => false,
-                Idempotency::IdempotencyKey { scope: group, window } => {
-                    let of = (self.hosts.get(host), self.hosts.get(id));
-                    now < *sent + window && matches!(of, (Some(a), Some(b)) if group.shares_keys(a, b))
+                Idempotency::IdempotencyKey { scope: key_scope, window } => {
+                    let pair = (self.endpoints.get(earlier), self.endpoints.get(id));
+                    now < *sent + window
+                        && matches!(pair, (Some(earlier), Some(next)) if key_scope.shares_keys(earlier, next))
                 }
             })
         };
-        let fit: Vec<EndpointId> = self.up.iter().copied().filter(fits).collect();
-        let may = open.attempts < self.settings.max_attempts && now < open.until && !fit.is_empty();
-        if !may {
-            let all = matches!(
-                effect,
+        let permitted: Vec<EndpointId> = self.ready.iter().copied().filter(is_permitted).collect();
+        let may_send =
+            open.attempts < self.settings.max_attempts && now < open.until && !permitted.is_empty();
+        if !may_send {
+            let repeats_are_safe = matches!(
+                idempotency,
                 Idempotency::Idempotent
                     | Idempotency::IdempotencyKey { scope: weldworks_balancer::KeyScope::All, .. }
             );
-            let harmless = all || open.ran.is_empty();
+            let may_reject = repeats_are_safe || open.possibly_processed.is_empty();
             self.open.remove(&request);
-            return actions.push(match harmless {
+            return actions.push(match may_reject {
                 true => Action::Reject { request, retry_after: self.settings.max_retry_after },
                 false => Action::Fail { request },
             });
         }
-        let host = fit[self.draws.below(fit.len())];
-        let write_by = match effect {
+        let endpoint_id = permitted[self.draws.below(permitted.len())];
+        let write_by = match idempotency {
             Idempotency::IdempotencyKey { window, .. } => {
-                open.ran.iter().map(|(_, sent)| *sent + window).min()
+                open.possibly_processed.iter().map(|(_, sent)| *sent + window).min()
             }
             _ => None,
         };
         if let Some(open) = self.open.get_mut(&request) {
             open.attempts += 1;
-            open.out = Some((host, now));
-            actions.push(Action::Send { request, endpoint: host, deadline: open.until, write_by });
+            open.in_flight = Some((endpoint_id, now));
+            actions.push(Action::Send { request, endpoint: endpoint_id, deadline: open.until, write_by });
         }
     }
 }
--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/register.rs
@@ -1,7 +1,7 @@
-//! The node register without I/O: what it lists at a time, and which calls it answers when.
+//! A model of discovery without I/O: which endpoints it lists at a time, and which polls it answers when.
 //!
-//! What a script does to nodes is known ahead, so most changes stand on a timeline from the start. Nodes that fall
-//! over are added when they do. A version is a place on the timeline.
+//! The actions of a script on endpoints are known ahead, so most changes of the list are on a timeline from the start.
+//! Endpoints that crash from too much work are added to the timeline when they do. The version of a list is a position on the timeline.
 
 use crate::draws::{Draws, For};
 use crate::ledger::Told;
@@ -9,30 +9,30 @@
 use crate::script::{Script, What};
 use std::time::Duration;
 
-/// A node's state, as the register lists it.
+/// The state of an endpoint in the list of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Takes work.
+    /// The endpoint takes requests.
     Active,
-    /// Finishes what it has.
+    /// The endpoint drains: it finishes the requests that it has.
     Leaving,
-    /// Gone.
+    /// The endpoint was removed.
     Left,
 }
 
-/// One entry of a list.
+/// An entry of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// Which node.
+    /// The index of the endpoint.
     pub node: usize,
-    /// Its state.
+    /// The state of the endpoint.
     pub status: Status,
-    /// When it last started, if that is not long ago.
+    /// When the endpoint last started; `None` if it has not started during the run.
     pub started: Option<Duration>,
 }
 
 impl Entry {
-    /// What a gateway that hears it has been told.
+    /// What a gateway that receives this entry has been notified of.
     pub fn told(&self) -> Told {
         match self.status {
             Status::Active => Told::Up(self.started),
@@ -42,58 +42,58 @@
     }
 }
 
-/// A change, told from a time on.
+/// A change of the list, visible from a time on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Change {
     at: Duration,
     entry: Entry,
 }
 
-/// What a call brings.
+/// An endpoint list: a snapshot or a delta.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct List {
-    /// Its version.
+    /// The version of the list.
     pub version: u64,
-    /// Whether it is whole.
+    /// Whether the list is a snapshot; otherwise it is a delta.
     pub whole: bool,
-    /// The entries.
+    /// The entries of the list.
     pub entries: Vec<Entry>,
 }
 
-/// What the script does to one node, in order of time.
+/// An action of a script on one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Deed {
-    /// Its process ends.
+    /// The process of the endpoint ends.
     Kill,
-    /// Its machine is cut off.
+    /// The machine of the endpoint is cut off.
     CutOff,
-    /// It starts, cold.
+    /// The endpoint starts with a slow start.
     Start,
-    /// It drains, or no longer does.
+    /// The endpoint begins to drain (true) or takes requests again (false).
     Drain(bool),
-    /// It fails this share of its requests.
+    /// The endpoint fails this share of its requests.
     Fail(f64),
-    /// Its neighbour takes this share.
+    /// Another program on the endpoint's machine takes this share of its speed.
     Neighbour(f64),
-    /// It is so many times slower.
+    /// The endpoint becomes slower by this factor.
     Slow(f64),
-    /// It does nothing for so long.
+    /// The endpoint processes nothing for this time.
     Pause(Duration),
-    /// Its load reports always say this (requests served a second, requests held); or what is true.
+    /// All load reports of the endpoint carry these values (requests served per second, requests in flight); `None` for true reports.
     Report(Option<(f64, f64)>),
-    /// It lets connections go after this time, silently or not; or as it was built.
+    /// Sets the endpoint's idle timeout, and whether connections are dropped without being closed; `None` for its normal timeout.
     LetGo(Option<(Duration, bool)>),
 }
 
-/// Everything that a script does to nodes, in order of time.
+/// All actions of a script on endpoints, in order of time.
 pub fn deeds(script: &Script, draws: Draws) -> Vec<(Duration, usize, Deed)> {
-    let mut deeds = Vec::new();
-    for (n, event) in script.events.iter().enumerate() {
+    let mut actions = Vec::new();
+    for (event_index, event) in script.events.iter().enumerate() {
         let (from, until) = (event.at, event.until());
-        for (k, node) in met(script, draws, n).into_iter().enumerate() {
-            let mut during = |on: Deed, off: Deed| {
-                deeds.push((from, node, on));
-                deeds.extend(until.map(|until| (until, node, off)));
+        for (order, node) in met(script, draws, event_index).into_iter().enumerate() {
+            let mut during = |start: Deed, end: Deed| {
+                actions.push((from, node, start));
+                actions.extend(until.map(|until| (until, node, end)));
             };
             match event.what {
                 What::Fail { share } => during(Deed::Fail(share), Deed::Fail(0.0)),
@@ -107,75 +107,77 @@
                 What::LetGo { after, silently } => {
                     during(Deed::LetGo(Some((after, silently))), Deed::LetGo(None));
                 }
-                What::Pause => deeds.push((from, node, Deed::Pause(event.lasts.unwrap_or_default()))),
+                What::Pause => actions.push((from, node, Deed::Pause(event.lasts.unwrap_or_default()))),
                 What::Restart { gone, apart } => {
-                    let at = from + apart * k as u32;
-                    deeds.push((at, node, Deed::Kill));
-                    deeds.push((at + gone, node, Deed::Start));
+                    let restart_at = from + apart * order as u32;
+                    actions.push((restart_at, node, Deed::Kill));
+                    actions.push((restart_at + gone, node, Deed::Start));
                 }
                 What::Neighbour { takes, turns } => {
-                    let mut stream = draws.stream_of_two(For::Neighbour, n as u64, node as u64);
+                    let mut stream = draws.stream_of_two(For::Neighbour, event_index as u64, node as u64);
                     let range = (turns.0.as_secs_f64(), turns.1.as_secs_f64());
-                    let (mut at, mut on) = (from, true);
+                    let (mut at, mut is_active) = (from, true);
                     let end = until.unwrap_or(script.lasts);
                     while at < end {
-                        deeds.push((at, node, Deed::Neighbour(if on { takes } else { 0.0 })));
-                        (at, on) = (at + Duration::from_secs_f64(stream.within(range)), !on);
+                        actions.push((at, node, Deed::Neighbour(if is_active { takes } else { 0.0 })));
+                        (at, is_active) = (at + Duration::from_secs_f64(stream.within(range)), !is_active);
                     }
-                    deeds.push((end, node, Deed::Neighbour(0.0)));
+                    actions.push((end, node, Deed::Neighbour(0.0)));
                 }
                 What::Heavy { .. } | What::RegisterDown { .. } | What::Surge { .. } => {}
             }
         }
     }
-    deeds.sort_by_key(|(at, node, _)| (*at, *node));
-    deeds
+    actions.sort_by_key(|(at, node, _)| (*at, *node));
+    actions
 }
 
-/// The register of a run.
+/// Discovery in a run.
 #[derive(Clone, Debug)]
 pub struct Register {
     changes: Vec<Change>,
     nodes: usize,
-    down: Vec<(Duration, Duration, Vec<usize>)>,
-    call: Duration,
+    outages: Vec<(Duration, Duration, Vec<usize>)>,
+    /// Time that discovery needs to answer one poll.
+    call_time: Duration,
     timeout: Duration,
     busy_until: Duration,
+    /// Delay until an endpoint that stops responding is removed from the list.
     silent_notice: Duration,
 }
 
-/// What becomes of a call.
+/// The result of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// It is answered then.
+    /// The poll is answered at this time.
     Answered(Duration),
-    /// It fails then.
+    /// The poll fails at this time.
     Failed(Duration),
 }
 
 impl Register {
-    /// The register of a script.
+    /// Discovery of a script, with all changes and outages that are known ahead.
     pub fn new(script: &Script, draws: Draws) -> Register {
         let mut changes = Vec::new();
-        let mut notices = 0;
-        let mut notice = |range: (Duration, Duration)| {
-            notices += 1;
-            let mut stream = draws.stream(For::Register, notices);
+        let mut notice_count = 0;
+        let mut notice_delay = |range: (Duration, Duration)| {
+            notice_count += 1;
+            let mut stream = draws.stream(For::Register, notice_count);
             Duration::from_secs_f64(stream.within((range.0.as_secs_f64(), range.1.as_secs_f64())))
         };
         let mut started = vec![None; script.fleet.nodes];
-        let mut silent = vec![false; script.fleet.nodes];
-        for (at, node, deed) in deeds(script, draws) {
-            let status = match deed {
+        let mut is_silent = vec![false; script.fleet.nodes];
+        for (at, node, action) in deeds(script, draws) {
+            let status = match action {
                 Deed::Kill => Status::Left,
                 Deed::CutOff => {
-                    silent[node] = true;
+                    is_silent[node] = true;
                     let entry = Entry { node, status: Status::Left, started: started[node] };
-                    changes.push(Change { at: at + notice(script.register.silent_notice), entry });
+                    changes.push(Change { at: at + notice_delay(script.register.silent_notice), entry });
                     continue;
                 }
                 Deed::Start => {
-                    (started[node], silent[node]) = (Some(at), false);
+                    (started[node], is_silent[node]) = (Some(at), false);
                     Status::Active
                 }
                 Deed::Drain(true) => Status::Leaving,
@@ -183,107 +185,118 @@
                 _ => continue,
             };
             let entry = Entry { node, status, started: started[node] };
-            changes.push(Change { at: at + notice(script.register.notice), entry });
+            changes.push(Change { at: at + notice_delay(script.register.notice), entry });
         }
-        // A later deed is never told before an earlier one of the same node.
-        let mut last = vec![Duration::ZERO; script.fleet.nodes];
+        // A change of an endpoint is never listed before an earlier change of the same endpoint.
+        let mut last_change = vec![Duration::ZERO; script.fleet.nodes];
         for change in &mut changes {
-            change.at = change.at.max(last[change.entry.node]);
-            last[change.entry.node] = change.at;
+            change.at = change.at.max(last_change[change.entry.node]);
+            last_change[change.entry.node] = change.at;
         }
-        changes.sort_by_key(|c| (c.at, c.entry.node));
-        let down = script.events.iter().filter_map(|e| match &e.what {
+        changes.sort_by_key(|change| (change.at, change.entry.node));
+        let outages = script.events.iter().filter_map(|event| match &event.what {
             What::RegisterDown { without } => {
-                Some((e.at, e.until().unwrap_or(Duration::MAX), without.clone()))
+                Some((event.at, event.until().unwrap_or(Duration::MAX), without.clone()))
             }
             _ => None,
         });
         Register {
             changes,
             nodes: script.fleet.nodes,
-            down: down.collect(),
-            call: script.register.call,
+            outages: outages.collect(),
+            call_time: script.register.call,
             timeout: script.register.timeout,
             busy_until: Duration::ZERO,
             silent_notice: script.register.silent_notice.0,
         }
     }
 
-    /// A node has fallen over, which no script foresaw.
+    /// Adds to the timeline that an endpoint has crashed from too much work; a script does not say when this happens.
     pub fn fell(&mut self, node: usize, at: Duration) {
         let entry = Entry { node, status: Status::Left, started: None };
         let at = at + self.silent_notice;
-        self.changes.retain(|c| c.entry.node != node || c.at < at);
-        let place = self.changes.partition_point(|c| c.at <= at);
-        self.changes.insert(place, Change { at, entry });
+        self.changes.retain(|change| change.entry.node != node || change.at < at);
+        let position = self.changes.partition_point(|change| change.at <= at);
+        self.changes.insert(position, Change { at, entry });
     }
 
-    /// Whether it answers nobody.
+    /// Whether discovery is down.
     pub fn is_down(&self, now: Duration) -> bool {
-        self.down.iter().any(|(from, until, _)| (*from..*until).contains(&now))
+        self.outages.iter().any(|(from, until, _)| (*from..*until).contains(&now))
     }
 
-    /// When that changes next.
+    /// The next time at which discovery goes down or comes back.
     pub fn next_turn(&self, now: Duration) -> Option<Duration> {
-        let turns = self.down.iter().flat_map(|(from, until, _)| [*from, *until]);
+        let turns = self.outages.iter().flat_map(|(from, until, _)| [*from, *until]);
         turns.filter(|at| *at > now).min()
     }
 
-    /// The version at a time; 1 at the start.
+    /// The version of the list at a time; 1 at the start.
     pub fn version(&self, now: Duration) -> u64 {
-        1 + self.changes.partition_point(|c| c.at <= now) as u64 + self.losses(now)
+        1 + self.changes.partition_point(|change| change.at <= now) as u64 + self.outages_with_loss(now)
     }
 
-    fn losses(&self, now: Duration) -> u64 {
-        self.down.iter().filter(|(_, until, without)| *until <= now && !without.is_empty()).count() as u64
+    /// How many outages have ended after which discovery lacks some endpoints.
+    fn outages_with_loss(&self, now: Duration) -> u64 {
+        self.outages.iter().filter(|(_, until, without)| *until <= now && !without.is_empty()).count() as u64
     }
 
-    /// When the list changes next.
+    /// The next time at which the list changes.
     pub fn next_change(&self, now: Duration) -> Option<Duration> {
-        let told = self.changes.iter().map(|c| c.at).find(|at| *at > now);
-        let lost = self.down.iter().filter(|d| !d.2.is_empty()).map(|d| d.1).filter(|at| *at > now).min();
-        told.into_iter().chain(lost).min()
+        let changed = self.changes.iter().map(|change| change.at).find(|at| *at > now);
+        let lost = self
+            .outages
+            .iter()
+            .filter(|outage| !outage.2.is_empty())
+            .map(|outage| outage.1)
+            .filter(|at| *at > now)
+            .min();
+        changed.into_iter().chain(lost).min()
     }
 
-    /// What has changed since a version, or the whole list where that version is none of this register's.
+    /// The delta since a version, or a snapshot if discovery cannot give a delta for that version.
     pub fn since(&self, now: Duration, version: u64) -> List {
         let current = self.version(now);
-        let lost = self.losses(now) > 0;
-        // Once it has come back with another list, only the whole list tells what it lacks.
+        let lost = self.outages_with_loss(now) > 0;
+        // After an outage with lost endpoints, only a snapshot shows which endpoints are missing.
         if version == 0 || version > current || lost && version < current {
             return List { version: current, whole: true, entries: self.whole(now) };
         }
-        let told = self.changes.iter().filter(|c| c.at <= now).skip(version.saturating_sub(1) as usize);
-        let entries = if version == current { Vec::new() } else { told.map(|c| c.entry).collect() };
+        let visible =
+            self.changes.iter().filter(|change| change.at <= now).skip(version.saturating_sub(1) as usize);
+        let entries =
+            if version == current { Vec::new() } else { visible.map(|change| change.entry).collect() };
         List { version: current, whole: false, entries }
     }
 
-    /// The whole list.
+    /// The entries of a snapshot at a time.
     pub fn whole(&self, now: Duration) -> Vec<Entry> {
-        let fresh = |node| Entry { node, status: Status::Active, started: None };
-        let mut entries: Vec<Entry> = (0..self.nodes).map(fresh).collect();
-        for change in self.changes.iter().filter(|c| c.at <= now) {
+        let initial = |node| Entry { node, status: Status::Active, started: None };
+        let mut entries: Vec<Entry> = (0..self.nodes).map(initial).collect();
+        for change in self.changes.iter().filter(|change| change.at <= now) {
             entries[change.entry.node] = change.entry;
         }
-        let lost = |node: usize| self.down.iter().any(|(_, until, w)| *until <= now && w.contains(&node));
-        entries.retain(|e| e.status != Status::Left && !lost(e.node));
+        let lost = |node: usize| {
+            self.outages.iter().any(|(_, until, without)| *until <= now && without.contains(&node))
+        };
+        entries.retain(|entry| entry.status != Status::Left && !lost(entry.node));
         entries
     }
 
-    /// A call comes at `now`. Calls are worked through in turn; one that would wait too long fails.
+    /// Handles a poll that arrives at `now`. Polls are answered one after another; a poll whose answer would come after the timeout fails.
     pub fn call(&mut self, now: Duration) -> Call {
         if self.is_down(now) {
             return Call::Failed(now);
         }
-        let done = self.busy_until.max(now) + self.call;
-        if done > now + self.timeout {
+        let answered_at = self.busy_until.max(now) + self.call_time;
+        if answered_at > now + self.timeout {
             return Call::Failed(now + self.timeout);
         }
-        self.busy_until = done;
-        if self.is_down(done) {
-            Call::Failed(done)
+        self.busy_until = answered_at;
+        if self.is_down(answered_at) {
+            Call::Failed(answered_at)
         } else {
-            Call::Answered(done)
+            Call::Answered(answered_at)
         }
     }
 }
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -1,10 +1,11 @@
-//! Stand-ins that do what a test says, byte by byte, and the built gateway between them.
+//! Stand-ins that send exactly the bytes that a test gives them, and a handle for a process of the built gateway.
 //!
-//! Where [`crate::live`] plays a day, these play one moment: an answer that breaks off, a watch that falls silent, a
-//! request that hides in a body. Each has a thread of its own and blocks. What nodes and clients see goes into one
-//! ledger for each test, which is held against the rules when the test's [`Gateway`] is dropped.
+//! [`crate::live`] runs whole scenarios. These stand-ins reproduce single situations:
+//! a truncated answer, a watch that falls silent, a request hidden in the body of another.
+//! Each stand-in runs on a thread of its own with blocking I/O.
+//! What endpoints and clients observe is recorded in one ledger per test, which is checked against the rules when the test's [`Gateway`] is dropped.
 //!
-//! These functions are for tests: what can't be had (a port, a program) ends the test with a panic.
+//! These functions are for tests: a missing port or program ends the test with a panic.
 
 use crate::ledger::{Ask, AttemptSeen, ClassTerms, Ended, Got, Ledger, Rule, Rules};
 use crate::live::gateways::listening;
@@ -21,10 +22,10 @@
 use std::time::{Duration, Instant};
 use weldworks_balancer::{Idempotency, KeyScope};
 
-/// No condition takes this long, on whatever machine.
+/// Timeout for conditions and answers in tests, longer than any of them takes on a slow machine.
 pub const LONG: Duration = Duration::from_secs(60);
 
-/// What has been seen in a test, by all its stand-ins.
+/// What all stand-ins of a test have observed.
 #[derive(Clone)]
 pub struct Book {
     ledger: Arc<Mutex<Ledger>>,
@@ -33,16 +34,17 @@
 }
 
 thread_local! {
-    /// A test runs on a thread of its own, and makes its stand-ins there.
+    /// The record of the current test: each test runs on a thread of its own and creates its stand-ins there.
     static BOOK: Book = Book::new();
 }
 
-/// The classes of [`settings`], by name: the aim, and what a repeat does.
-const WINDOW: Duration = Duration::from_secs(40);
+/// Idempotency window of the classes in [`settings`].
+const IDEMPOTENCY_WINDOW: Duration = Duration::from_secs(40);
+/// The request classes of [`settings`]: name, latency objective in milliseconds, and idempotency.
 const CLASSES: [(&str, u64, Idempotency); 6] = [
     ("look", 30_000, Idempotency::Idempotent),
-    ("pay", 30_000, Idempotency::IdempotencyKey { scope: KeyScope::All, window: WINDOW }),
-    ("book", 30_000, Idempotency::IdempotencyKey { scope: KeyScope::Cell, window: WINDOW }),
+    ("pay", 30_000, Idempotency::IdempotencyKey { scope: KeyScope::All, window: IDEMPOTENCY_WINDOW }),
+    ("book", 30_000, Idempotency::IdempotencyKey { scope: KeyScope::Cell, window: IDEMPOTENCY_WINDOW }),
     ("once", 30_000, Idempotency::NotIdempotent),
     ("brief", 1500, Idempotency::Idempotent),
     ("brief-once", 1500, Idempotency::NotIdempotent),
@@ -50,29 +52,29 @@
 
 impl Book {
     fn new() -> Book {
-        let terms = |(_, aim, effect): &(&str, u64, Idempotency)| ClassTerms {
-            aim: Duration::from_millis(*aim),
-            effect: *effect,
+        let terms = |(_, objective_ms, idempotency): &(&str, u64, Idempotency)| ClassTerms {
+            aim: Duration::from_millis(*objective_ms),
+            effect: *idempotency,
         };
         let ledger = Ledger::new(CLASSES.iter().map(terms).collect(), Vec::new());
         Book { ledger: Arc::new(Mutex::new(ledger)), start: Instant::now(), attempts: Arc::default() }
     }
 
-    /// That of the present test.
+    /// The record of the current test.
     pub fn of_this_test() -> Book {
         BOOK.with(Book::clone)
     }
 
-    fn note(&self, what: impl FnOnce(&mut Ledger, Duration)) {
+    fn record(&self, update: impl FnOnce(&mut Ledger, Duration)) {
         let now = self.start.elapsed();
-        what(&mut self.ledger.lock().expect("lock"), now);
+        update(&mut self.ledger.lock().expect("the lock is poisoned"), now);
     }
 
-    /// A request has come whole to a node; gives the attempt's number.
+    /// Records that an endpoint has received a complete request; returns the attempt's number.
     fn arrived(&self, request: &Http, node: usize) -> Option<u64> {
         let request = number(request.header("x-request-id"))?;
         let attempt = self.attempts.fetch_add(1, Ordering::SeqCst);
-        self.note(|ledger, now| {
+        self.record(|ledger, now| {
             let (first, whole, began, ended) = (now, Some(now), Some(now), None);
             let (gateway, seconds) = (0, 0.0);
             ledger.attempt(
@@ -83,24 +85,24 @@
         Some(attempt)
     }
 
-    /// A request with this number has come whole to a stand-in that keeps no more of it.
+    /// Records that a stand-in which does not keep requests has received a complete request with this number.
     pub(crate) fn sent_whole(&self, id: Option<&str>) -> Option<u64> {
         let headers = HashMap::from([("x-request-id".to_owned(), id?.to_owned())]);
         self.arrived(&Http { first: String::new(), headers, body: Vec::new() }, usize::MAX)
     }
 
-    /// It has been answered, whole or not.
+    /// Records that an attempt has been answered, completely or partly.
     pub(crate) fn answered(&self, attempt: Option<u64>, whole: bool) {
         self.ended(attempt, if whole { Ended::Served } else { Ended::Broken });
     }
 
-    fn ended(&self, attempt: Option<u64>, how: Ended) {
+    fn ended(&self, attempt: Option<u64>, outcome: Ended) {
         if let Some(attempt) = attempt {
-            self.note(|ledger, now| ledger.ended(attempt, now, how));
+            self.record(|ledger, now| ledger.ended(attempt, now, outcome));
         }
     }
 
-    /// A client has written this; gives the number of the request, where it is just one.
+    /// Records that a client has written this text; returns the number of the request, if the text is exactly one request.
     fn asked(&self, text: &str) -> Option<u64> {
         let value = |name: &str| text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
         if text.matches("X-Request-ID: ").count() != 1 || text.matches(" HTTP/1.1").count() != 1 {
@@ -108,62 +110,68 @@
         }
         let request = number(value("X-Request-ID"))?;
         let class = CLASSES.iter().position(|(name, ..)| Some(*name) == value("X-Priority-Class"))?;
-        let wait = value("X-Timeout")?;
-        let unit = if wait.ends_with('u') { 1e-6 } else { 1e-3 };
-        let wait: f64 = wait[..wait.len() - 1].parse().ok()?;
-        let wait = Duration::try_from_secs_f64(wait * unit).ok()?;
-        // A text that is sent again, with something else wrong in it, is one test's own affair.
-        let known = self.ledger.lock().expect("lock").of(request).is_some_and(|r| r.ask.is_some());
-        if known {
+        let timeout = value("X-Timeout")?;
+        let unit = if timeout.ends_with('u') { 1e-6 } else { 1e-3 };
+        let timeout: f64 = timeout[..timeout.len() - 1].parse().ok()?;
+        let timeout = Duration::try_from_secs_f64(timeout * unit).ok()?;
+        // A text with a known request number is an altered copy, which the test that sends it checks itself.
+        let is_known = self
+            .ledger
+            .lock()
+            .expect("the lock is poisoned")
+            .of(request)
+            .is_some_and(|request| request.ask.is_some());
+        if is_known {
             return None;
         }
-        self.note(|ledger, at| ledger.asked(request, Ask { gateway: 0, class, at, until: at + wait }));
+        self.record(|ledger, at| ledger.asked(request, Ask { gateway: 0, class, at, until: at + timeout }));
         Some(request)
     }
 
-    /// Holds what was seen against the rules. The limits are generous: threads come late on a busy machine, and each
-    /// test has its own say on what is quick. Requests that a test words itself, or several at a time, are not booked,
-    /// so that an attempt without one proves nothing here.
+    /// Checks the record against the rules.
+    /// The time limits are generous, because threads are delayed on a busy machine and each test checks its own limits.
+    /// Requests whose text a test makes up, or that are sent several at a time, are not recorded,
+    /// so an attempt without a recorded request is no violation here.
     pub fn check(&self) {
         let slack = Duration::from_secs(2);
         let rules = Rules { slack, held_back: slack, ..Rules::sockets() };
-        let mut breaches = self.ledger.lock().expect("lock").breaches(rules);
-        breaches.retain(|b| b.rule != Rule::NobodyAsked);
+        let mut breaches = self.ledger.lock().expect("the lock is poisoned").breaches(rules);
+        breaches.retain(|breach| breach.rule != Rule::NobodyAsked);
         assert!(breaches.is_empty(), "{breaches:#?}");
     }
 }
 
-/// The program under test, and a folder for its files.
+/// The gateway program under test, and a folder for its files.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
-    /// Its path.
+    /// The path of the program.
     pub path: &'static str,
-    /// The folder.
+    /// The folder for configuration files.
     pub folder: &'static str,
 }
 
-/// Waits until the condition holds.
+/// Waits until the condition holds; panics with the description `what` after a timeout.
 pub fn wait_for(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < LONG, "waited in vain: {what}");
+        assert!(start.elapsed() < LONG, "timed out waiting for: {what}");
         sleep(Duration::from_millis(5));
     }
 }
 
-/// A message of HTTP/1.1, either way.
+/// An HTTP/1.1 message: a request or a response.
 #[derive(Clone, Debug)]
 pub struct Http {
-    /// Its first line.
+    /// The start line of the message.
     pub first: String,
-    /// Its headers, names in lower case.
+    /// The headers, with names in lower case.
     pub headers: HashMap<String, String>,
-    /// Its body.
+    /// The body of the message.
     pub body: Vec<u8>,
 }
 
 impl Http {
-    /// Reads one message; none where the connection ends first.
+    /// Reads one message; `None` if the connection ends first.
     pub fn read(from: &mut impl BufRead) -> Option<Http> {
         let mut line = || {
             let mut line = String::new();
@@ -176,15 +184,21 @@
             let Some((name, value)) = line.split_once(':') else { break };
             headers.insert(name.to_ascii_lowercase(), value.trim().to_owned());
         }
-        let length = headers.get("content-length").map_or(0, |n| n.parse().expect("a length"));
+        let length = headers
+            .get("content-length")
+            .map_or(0, |length| length.parse().expect("the content length should be a number"));
         let mut body = vec![0; length];
         from.read_exact(&mut body).ok()?;
         Some(Http { first, headers, body })
     }
 
-    /// The status of an answer.
+    /// The status of a response.
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).expect("a status")
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .expect("the response should have a status")
     }
 
     /// The value of a header.
@@ -193,23 +207,23 @@
     }
 }
 
-/// What a host does with a request.
+/// What an endpoint does with a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
     /// Answers with this status, these header lines and this body.
     Answer(u16, &'static str, Vec<u8>),
-    /// Ends the connection.
+    /// Ends the connection without an answer.
     Break,
     /// Sends part of an answer, then ends the connection.
     Half,
-    /// Says nothing until released or left.
+    /// Sends nothing until the endpoint is released or the gateway closes the connection.
     Hang,
-    /// Sends these bytes, one piece a while after another, and leaves the connection open.
+    /// Sends these pieces with a pause between them, and leaves the connection open.
     Raw(Vec<String>),
 }
 
 impl Reply {
-    /// An answer 200 with this body.
+    /// An answer with status 200 and this body.
     pub fn ok(body: &str) -> Reply {
         Reply::Answer(200, "", body.as_bytes().to_vec())
     }
@@ -217,16 +231,16 @@
 
 type Behaviour = dyn Fn(&Http) -> Reply + Send + Sync;
 
-/// A host. It remembers what it was sent.
+/// A stand-in endpoint that records the requests that it is sent.
 #[derive(Clone)]
 pub struct ScriptedNode {
-    /// Where it listens.
+    /// The address at which the endpoint listens.
     pub address: SocketAddr,
-    /// What it was sent.
+    /// The requests that the endpoint was sent.
     pub seen: Arc<Mutex<Vec<Http>>>,
-    /// How often it was left while it said nothing.
+    /// How often the gateway closed a connection while the endpoint sent nothing.
     pub left: Arc<AtomicUsize>,
-    /// How many raw replies have been written whole.
+    /// How many raw replies have been written completely.
     pub raw: Arc<AtomicUsize>,
     release: Arc<AtomicBool>,
     connections: Arc<Mutex<Vec<TcpStream>>>,
@@ -235,12 +249,12 @@
 }
 
 impl ScriptedNode {
-    /// A node that treats each request as told.
+    /// Starts an endpoint that handles each request as `behaviour` says.
     pub fn start(behaviour: impl Fn(&Http) -> Reply + Send + Sync + 'static) -> ScriptedNode {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let host = ScriptedNode {
-            address: listener.local_addr().expect("an address"),
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
+        let endpoint = ScriptedNode {
+            address: listener.local_addr().expect("reading the local address failed"),
             seen: Arc::default(),
             left: Arc::default(),
             raw: Arc::default(),
@@ -249,23 +263,23 @@
             book: Book::of_this_test(),
             number: NUMBER.fetch_add(1, Ordering::SeqCst),
         };
-        let (me, behaviour): (ScriptedNode, Arc<Behaviour>) = (host.clone(), Arc::new(behaviour));
+        let (accepting, behaviour): (ScriptedNode, Arc<Behaviour>) = (endpoint.clone(), Arc::new(behaviour));
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (me, behaviour) = (me.clone(), behaviour.clone());
-                me.connections.lock().expect("lock").extend(stream.try_clone());
-                spawn(move || me.serve(stream, &*behaviour));
+                let (accepting, behaviour) = (accepting.clone(), behaviour.clone());
+                accepting.connections.lock().expect("the lock is poisoned").extend(stream.try_clone());
+                spawn(move || accepting.serve(stream, &*behaviour));
             }
         });
-        host
+        endpoint
     }
 
     fn serve(&self, mut stream: TcpStream, behaviour: &Behaviour) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let mut reader = BufReader::new(stream.try_clone().expect("cloning the stream failed"));
         while let Some(request) = Http::read(&mut reader) {
             let reply = behaviour(&request);
             let attempt = self.book.arrived(&request, self.number);
-            self.seen.lock().expect("lock").push(request);
+            self.seen.lock().expect("the lock is poisoned").push(request);
             let (status, headers, body) = match reply {
                 Reply::Answer(status, headers, body) => (status, headers, body),
                 Reply::Break => {
@@ -285,133 +299,133 @@
                     }
                 },
                 Reply::Raw(pieces) => {
-                    for (n, piece) in pieces.iter().enumerate() {
-                        sleep(Duration::from_millis(if n == 0 { 0 } else { 250 }));
+                    for (index, piece) in pieces.iter().enumerate() {
+                        sleep(Duration::from_millis(if index == 0 { 0 } else { 250 }));
                         let _ = stream.write_all(piece.as_bytes());
                     }
                     self.raw.fetch_add(1, Ordering::SeqCst);
-                    // What is in it may be anything: the gateway is through with it by now, or leaves.
+                    // The bytes may be anything. By now the gateway has either finished with the reply or closes the connection.
                     self.book.ended(attempt, Ended::Error);
                     continue;
                 }
             };
-            let never_ran = headers.contains("X-Not-Processed: 1");
-            let how = match status {
+            let is_not_processed = headers.contains("X-Not-Processed: 1");
+            let outcome = match status {
                 200 => Ended::Served,
-                _ if never_ran => Ended::TurnedAway,
+                _ if is_not_processed => Ended::TurnedAway,
                 _ => Ended::Error,
             };
-            self.book.ended(attempt, how);
+            self.book.ended(attempt, outcome);
             let head = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
             let _ = stream.write_all(&[head.as_bytes(), &body].concat());
         }
-        // The clone kept for `close_all` must not hold the connection open.
+        // Needed because the clone of the stream that is kept for `close_all` would hold the connection open.
         let _ = stream.shutdown(std::net::Shutdown::Both);
     }
 
-    /// Waits for the release; false where the other side ends the connection first.
+    /// Waits for the release; false if the gateway closes the connection first.
     fn hang(&self, stream: &TcpStream) -> bool {
-        stream.set_read_timeout(Some(Duration::from_millis(10))).expect("a time-out");
+        stream.set_read_timeout(Some(Duration::from_millis(10))).expect("setting the read timeout failed");
         while !self.release.load(Ordering::SeqCst) {
             if matches!(stream.peek(&mut [0]), Ok(0)) {
                 self.left.fetch_add(1, Ordering::SeqCst);
                 return false;
             }
         }
-        stream.set_read_timeout(None).expect("no time-out");
+        stream.set_read_timeout(None).expect("removing the read timeout failed");
         true
     }
 
-    /// Has it answer whatever it has said nothing to.
+    /// Makes the endpoint answer the requests to which it has sent nothing.
     pub fn release(&self) {
         self.release.store(true, Ordering::SeqCst);
     }
 
     /// Ends all connections.
     pub fn close_all(&self) {
-        for stream in self.connections.lock().expect("lock").drain(..) {
+        for stream in self.connections.lock().expect("the lock is poisoned").drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
         }
     }
 
-    /// How many connections there have been since the last call of `close_all`.
+    /// How many connections were opened since the last call of `close_all`.
     pub fn connections(&self) -> usize {
-        self.connections.lock().expect("lock").len()
+        self.connections.lock().expect("the lock is poisoned").len()
     }
 
-    /// How many requests it was sent.
+    /// How many requests the endpoint was sent.
     pub fn count(&self) -> usize {
-        self.seen.lock().expect("lock").len()
+        self.seen.lock().expect("the lock is poisoned").len()
     }
 
-    /// Its entry in a list.
+    /// The endpoint's entry in an endpoint list.
     pub fn entry(&self, name: &str, group: u32) -> Value {
         entry(name, &self.address.to_string(), group, "active")
     }
 }
 
-/// An entry of a list.
+/// An entry of an endpoint list.
 pub fn entry(name: &str, address: &str, group: u32, status: &str) -> Value {
     json!({"name": name, "address": address, "zone": "a", "type": "m1", "group": group,
         "status": status, "weight": 1.0, "since_ms": 0})
 }
 
-/// A port that is taken but refuses connections for as long as the socket lives.
+/// The address of a bound port that refuses connections for as long as the returned socket exists.
 pub fn refusing() -> (tokio::net::TcpSocket, String) {
-    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
-    let address = socket.local_addr().expect("an address").to_string();
+    let socket = tokio::net::TcpSocket::new_v4().expect("opening a socket failed");
+    socket.bind(([127, 0, 0, 1], 0).into()).expect("binding a port failed");
+    let address = socket.local_addr().expect("reading the local address failed").to_string();
     (socket, address)
 }
 
-/// Marks a line that is broken off.
-const BROKEN_OFF: char = '\u{0}';
+/// First character of a line to send incompletely.
+const INCOMPLETE_LINE: char = '\u{0}';
 
-/// Discovery: a watch at a time, kept alive by empty lines until it is silenced.
+/// Discovery with one watch at a time, on which empty lines are sent until it is silenced.
 #[derive(Clone)]
 pub struct ScriptedRegister {
-    /// Where it listens.
+    /// The address at which discovery listens.
     pub address: SocketAddr,
-    /// The request lines of all calls.
+    /// The request lines of all polls.
     pub calls: Arc<Mutex<Vec<String>>>,
-    /// While this is set it says nothing, and keeps its watches open.
+    /// While set, discovery sends nothing and keeps its watches open.
     pub silent: Arc<AtomicBool>,
-    /// How many watches the other side has ended.
+    /// How many watches the gateway has closed.
     pub ended: Arc<AtomicUsize>,
     lines: Arc<Mutex<Vec<Sender<String>>>>,
 }
 
 impl ScriptedRegister {
-    /// A register that lists nothing by itself.
+    /// Starts discovery, which sends only the lists that a test pushes.
     pub fn start() -> ScriptedRegister {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
+        let address = listener.local_addr().expect("reading the local address failed");
         let (calls, silent, ended, lines) = Default::default();
         let discovery = ScriptedRegister { address, calls, silent, ended, lines };
-        let me = discovery.clone();
+        let accepting = discovery.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let me = me.clone();
-                spawn(move || me.serve(stream));
+                let accepting = accepting.clone();
+                spawn(move || accepting.serve(stream));
             }
         });
         discovery
     }
 
     fn serve(&self, mut stream: TcpStream) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let mut reader = BufReader::new(stream.try_clone().expect("cloning the stream failed"));
         let Some(call) = Http::read(&mut reader) else { return };
         let (sender, lines): (_, Receiver<String>) = channel();
-        self.lines.lock().expect("lock").push(sender);
-        self.calls.lock().expect("lock").push(call.first);
+        self.lines.lock().expect("the lock is poisoned").push(sender);
+        self.calls.lock().expect("the lock is poisoned").push(call.first);
         if stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").is_err() {
             return;
         }
         loop {
             let line = match lines.recv_timeout(Duration::from_millis(200)) {
-                Ok(line) if line.starts_with(BROKEN_OFF) => {
-                    let part = &line[BROKEN_OFF.len_utf8()..];
-                    // Who has left already sees no more of it either way.
+                Ok(line) if line.starts_with(INCOMPLETE_LINE) => {
+                    let part = &line[INCOMPLETE_LINE.len_utf8()..];
+                    // A write error only means that the gateway has already closed the connection.
                     let _ = write!(stream, "{:x}\r\n{part}", part.len() + 100);
                     return;
                 }
@@ -428,37 +442,37 @@
         }
     }
 
-    /// How many calls there have been.
+    /// How many polls there have been.
     pub fn calls(&self) -> usize {
-        self.calls.lock().expect("lock").len()
+        self.calls.lock().expect("the lock is poisoned").len()
     }
 
-    /// Ends every watch there is.
+    /// Ends all watches.
     pub fn hang_up(&self) {
-        self.lines.lock().expect("lock").clear();
+        self.lines.lock().expect("the lock is poisoned").clear();
     }
 
-    /// Waits for the watch, then writes a line to it.
+    /// Waits for the watch, then writes the list to it as a line.
     pub fn push(&self, list: Value) {
         self.write(list.to_string());
     }
 
-    /// Waits for the watch, then writes this as the beginning of a line and ends the connection.
+    /// Waits for the watch, then writes the beginning of a line and ends the connection.
     pub fn break_off(&self, part: &str) {
-        self.write(format!("{BROKEN_OFF}{part}"));
+        self.write(format!("{INCOMPLETE_LINE}{part}"));
     }
 
     fn write(&self, line: String) {
         wait_for("a watch", || self.calls() > 0);
-        let lines = self.lines.lock().expect("lock");
-        lines.last().expect("a watch").send(line).expect("an open watch");
+        let lines = self.lines.lock().expect("the lock is poisoned");
+        lines.last().expect("there is no watch").send(line).expect("the watch has ended");
     }
 }
 
-/// Settings in which nothing is hurried unless its class says so.
+/// Settings with long deadlines, except for the classes named `brief`.
 pub fn settings() -> Value {
-    let class = |name: &str, aim: f64, effect: &str, group: &str| {
-        json!({"name": name, "promise_s": aim, "deadline_s": 50.0, "effect": effect, "group": group,
+    let class = |name: &str, objective_s: f64, idempotency: &str, key_scope: &str| {
+        json!({"name": name, "promise_s": objective_s, "deadline_s": 50.0, "effect": idempotency, "group": key_scope,
             "dedup_window_s": 40.0, "importance": 1.0, "late_worth": 0.0, "streaming": false})
     };
     json!({
@@ -478,18 +492,18 @@
     })
 }
 
-/// The gateway's process; killed with its test.
+/// A gateway process, which is killed when the value is dropped.
 pub struct Gateway {
     child: Child,
-    /// Where it takes requests.
+    /// The address at which the gateway takes requests.
     pub address: String,
-    /// Its second address, where it has one.
+    /// The address of the gateway's admin API, if it has one.
     pub management: Option<String>,
 }
 
-/// Starts the built program on a configuration file with this text.
+/// Starts the built program with a configuration file of this text.
 pub fn spawn_gateway(program: &Program, name: &str, text: &str) -> Child {
-    command(program, name, text).spawn().expect("the built gateway")
+    command(program, name, text).spawn().expect("starting the built gateway failed")
 }
 
 fn command(program: &Program, name: &str, text: &str) -> Command {
@@ -504,14 +518,14 @@
     format!("{}/{name}.json", program.folder)
 }
 
-/// Puts another file in the place of the configuration.
+/// Replaces the configuration file with a file of this text.
 pub fn write_config(program: &Program, name: &str, text: &str) {
     let new = format!("{}.new", config_path(program, name));
-    std::fs::write(&new, text).expect("a file");
-    std::fs::rename(new, config_path(program, name)).expect("a file in its place");
+    std::fs::write(&new, text).expect("writing the configuration failed");
+    std::fs::rename(new, config_path(program, name)).expect("replacing the configuration failed");
 }
 
-/// A configuration with this discovery, limit and known hosts.
+/// A configuration with this discovery address, limit of sockets and known endpoints.
 pub fn config(discovery: &str, sockets: usize, known: &[Value]) -> Value {
     json!({"name": "n1", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964", "discovery": discovery,
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets},
@@ -519,7 +533,7 @@
 }
 
 impl Gateway {
-    /// Starts a gateway that knows these hosts, and waits until it is ready.
+    /// Starts a gateway with these known endpoints and waits until it listens.
     pub fn start(
         program: &Program,
         name: &str,
@@ -527,11 +541,11 @@
         sockets: usize,
         known: &[Value],
     ) -> Gateway {
-        // The variable wins over the file at the start: nobody is at the file's address.
+        // The environment variable has precedence over the file: nothing listens at the address in the file.
         Gateway::start_with(program, name, discovery, &config("127.0.0.1:1", sockets, known))
     }
 
-    /// The same, with a configuration of its own.
+    /// Starts a gateway with the given configuration and waits until it listens.
     pub fn start_with(
         program: &Program,
         name: &str,
@@ -543,7 +557,7 @@
         Gateway::running(command)
     }
 
-    /// Starts one on the clients' listener that this process holds, as descriptor 4.
+    /// Starts a gateway that inherits the client listener of this process, as descriptor 4.
     pub fn start_shared(
         program: &Program,
         name: &str,
@@ -554,7 +568,7 @@
         Gateway::start_sharing(program, name, discovery, config, listener, "")
     }
 
-    /// The same, with a folder that all processes of the gateway share; none where it is empty.
+    /// Starts a gateway that inherits the client listener of this process, with a folder that all processes of the gateway share; no folder if the name is empty.
     pub fn start_sharing(
         program: &Program,
         name: &str,
@@ -563,17 +577,17 @@
         listener: &TcpListener,
         folder: &str,
     ) -> Gateway {
-        let plain = command(program, name, &config.to_string());
+        let direct = command(program, name, &config.to_string());
         let mut command = Command::new("sh");
         command.args(["-c", "exec 4<&0 </dev/null; exec \"$0\"", program.path]);
-        for (key, value) in plain.get_envs() {
+        for (key, value) in direct.get_envs() {
             match value {
                 Some(value) => command.env(key, value),
                 None => command.env_remove(key),
             };
         }
-        let handed: std::os::fd::OwnedFd = listener.try_clone().expect("a clone").into();
-        command.stdin(handed).stderr(Stdio::piped()).env("ROUTER_INHERITED_FD", "4");
+        let inherited: std::os::fd::OwnedFd = listener.try_clone().expect("cloning the stream failed").into();
+        command.stdin(inherited).stderr(Stdio::piped()).env("ROUTER_INHERITED_FD", "4");
         command.env("ROUTER_DISCOVERY", discovery.address.to_string()).env_remove("TMPDIR");
         if !folder.is_empty() {
             command.env("TMPDIR", folder);
@@ -582,90 +596,102 @@
     }
 
     fn running(mut command: Command) -> Gateway {
-        let mut child = command.spawn().expect("the built gateway");
+        let mut child = command.spawn().expect("starting the built gateway failed");
         let mut management = None;
-        let mut log = BufReader::new(child.stderr.take().expect("a log")).lines().map_while(Result::ok);
-        let address = log.find_map(|l| {
-            let calls = l.split_once(" calls are answered address=");
-            management = calls.map(|(_, address)| address.trim().to_owned()).or(management.take());
-            listening(&l)
+        let mut log = BufReader::new(child.stderr.take().expect("the gateway's log is not captured"))
+            .lines()
+            .map_while(Result::ok);
+        let address = log.find_map(|line| {
+            let admin_address = line.split_once(" calls are answered address=");
+            management = admin_address.map(|(_, address)| address.trim().to_owned()).or(management.take());
+            listening(&line)
         });
         spawn(move || log.for_each(|line| eprintln!("gateway: {line}")));
-        Gateway { child, address: address.expect("an address in the log"), management }
+        Gateway { child, address: address.expect("the gateway's log states no address"), management }
     }
 
-    /// A call at the second address: its answer.
+    /// Sends a request to the admin API and returns its answer.
     pub fn call(&self, method: &str, path: &str) -> Http {
         let mut stream = self.caller();
-        write!(stream, "{method} {path} HTTP/1.1\r\nHost: staff\r\n\r\n").expect("a call");
-        Http::read(&mut BufReader::new(stream)).expect("an answer to a call")
+        write!(stream, "{method} {path} HTTP/1.1\r\nHost: staff\r\n\r\n")
+            .expect("writing to the admin API failed");
+        Http::read(&mut BufReader::new(stream)).expect("the admin API did not answer")
     }
 
-    /// A connection to the second address.
+    /// A connection to the admin API.
     pub fn caller(&self) -> TcpStream {
-        let address = self.management.as_ref().expect("a second address");
-        let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
+        let address = self.management.as_ref().expect("the gateway has no admin API");
+        let stream = TcpStream::connect(address).expect("connecting to the gateway failed");
+        stream.set_read_timeout(Some(LONG)).expect("setting the read timeout failed");
         stream
     }
 
-    /// A figure, by its name and label as they stand.
+    /// The value of a metric, by its name and labels as they are written in the metrics.
     pub fn figure(&self, name: &str) -> Option<u64> {
-        let text = String::from_utf8(self.call("GET", "/_vars").body).expect("text");
+        let text = String::from_utf8(self.call("GET", "/_vars").body).expect("the metrics are not text");
         text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
     }
 
-    /// Whether it has not ended.
+    /// Whether the gateway process is running.
     pub fn runs(&mut self) -> bool {
-        self.child.try_wait().expect("a child").is_none()
+        self.child.try_wait().expect("reading the state of the gateway process failed").is_none()
     }
 
-    /// The most memory that it has had, in KiB.
+    /// The peak memory of the gateway process, in KiB.
     pub fn peak_memory(&self) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a status");
-        let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:")).expect("a peak");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("reading the process status failed");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))
+            .expect("the process status has no peak memory");
+        line.trim().trim_end_matches(" kB").parse().expect("the value is not a number")
     }
 
-    /// The time that its processors have spent on it so far.
+    /// The processor time that the gateway process has used so far.
     pub fn cpu(&self) -> Duration {
-        // The first figure is the time on a processor, in nanoseconds, of the one thread that does the work.
-        let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id())).expect("a figure");
+        // The first number is the time on a processor, in nanoseconds, of the one thread that does the work.
+        let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id()))
+            .expect("reading the processor time failed");
         let spent = text.split_whitespace().next().and_then(|ns| ns.parse().ok());
-        Duration::from_nanos(spent.expect("a number"))
+        Duration::from_nanos(spent.expect("the value is not a number"))
     }
 
-    /// How many descriptors it has open.
+    /// How many descriptors the gateway process has open.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("a folder").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("reading the open descriptors failed")
+            .count()
     }
 
-    /// A client with a connection of its own.
+    /// Opens a connection of a new client.
     pub fn connect(&self) -> Client {
-        let stream = TcpStream::connect(&self.address).expect("a connection");
-        stream.set_read_timeout(Some(LONG)).expect("a time-out");
-        Client { reader: BufReader::new(stream), owed: VecDeque::new(), book: Book::of_this_test() }
+        let stream = TcpStream::connect(&self.address).expect("connecting to the gateway failed");
+        stream.set_read_timeout(Some(LONG)).expect("setting the read timeout failed");
+        Client { reader: BufReader::new(stream), unanswered: VecDeque::new(), book: Book::of_this_test() }
     }
 
-    /// A request on a connection of its own, and its answer.
+    /// Sends a request on a new connection and returns its answer.
     pub fn ask(&self, class: &str) -> Http {
         self.connect().ask(class)
     }
 
-    /// Sends it a signal, by its name without SIG.
+    /// Sends the gateway process a signal, given by its name without SIG.
     pub fn signal(&self, signal: &str) {
         let kill = Command::new("sh").arg("-c").arg(format!("kill -{signal} {}", self.child.id())).status();
-        assert!(kill.expect("a shell").success());
+        assert!(kill.expect("starting a shell failed").success());
     }
 
-    /// Waits for its end.
+    /// Waits until the gateway process ends.
     pub fn wait(&mut self) -> ExitStatus {
         let start = Instant::now();
         loop {
-            if let Some(status) = self.child.try_wait().expect("a child") {
+            if let Some(status) =
+                self.child.try_wait().expect("reading the state of the gateway process failed")
+            {
                 return status;
             }
-            assert!(start.elapsed() < LONG, "the gateway does not end");
+            assert!(start.elapsed() < LONG, "the gateway has not ended in time");
             sleep(Duration::from_millis(5));
         }
     }
@@ -681,23 +707,23 @@
     }
 }
 
-/// A client's connection.
+/// A client with one connection.
 pub struct Client {
     reader: BufReader<TcpStream>,
-    /// The requests that it has sent and that were not answered yet, where they are booked.
-    owed: VecDeque<Option<u64>>,
+    /// The numbers of the requests that were sent and not yet answered; `None` for requests that are not recorded.
+    unanswered: VecDeque<Option<u64>>,
     book: Book,
 }
 
 impl Drop for Client {
     fn drop(&mut self) {
-        for request in self.owed.drain(..).flatten() {
-            self.book.note(|ledger, now| ledger.gave_up(request, now));
+        for request in self.unanswered.drain(..).flatten() {
+            self.book.record(|ledger, now| ledger.gave_up(request, now));
         }
     }
 }
 
-/// The text of a well-formed request of the class.
+/// The text of a valid request of the class.
 pub fn request(class: &str) -> String {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let id = NUMBER.fetch_add(1, Ordering::SeqCst);
@@ -715,36 +741,36 @@
 }
 
 impl Client {
-    /// What can't be written for want of a connection gets no answer either.
+    /// Writes a text. Write errors are ignored: without a connection there will be no answer either.
     pub fn write(&mut self, text: &[u8]) {
-        let words = String::from_utf8_lossy(text);
-        if words.contains("X-Request-ID") {
-            self.owed.push_back(self.book.asked(&words));
+        let written = String::from_utf8_lossy(text);
+        if written.contains("X-Request-ID") {
+            self.unanswered.push_back(self.book.asked(&written));
         }
         let _ = self.reader.get_mut().write_all(text);
     }
 
-    /// Sends a well-formed request of the class.
+    /// Sends a valid request of the class.
     pub fn send(&mut self, class: &str) {
         self.write(request(class).as_bytes());
     }
 
-    /// Its gateway was killed: no answer is owed to it any more.
+    /// Records that no answers are expected any more, because the gateway was killed.
     pub fn forget(&mut self) {
-        for request in self.owed.drain(..).flatten() {
-            self.book.note(|ledger, now| ledger.gave_up(request, now));
+        for request in self.unanswered.drain(..).flatten() {
+            self.book.record(|ledger, now| ledger.gave_up(request, now));
         }
     }
 
-    /// The next answer; none where the connection ends.
+    /// Reads the next answer; `None` if the connection ends.
     pub fn read(&mut self) -> Option<Http> {
         let answer = Http::read(&mut self.reader);
         let status = answer.as_ref().map(Http::status);
-        if status.is_some_and(|s| s < 200) {
+        if status.is_some_and(|status| status < 200) {
             return answer;
         }
-        if let Some(request) = self.owed.pop_front().flatten() {
-            self.book.note(|ledger, now| match status {
+        if let Some(request) = self.unanswered.pop_front().flatten() {
+            self.book.record(|ledger, now| match status {
                 Some(200) => ledger.got(request, now, Got::Served),
                 Some(429 | 503) => ledger.got(request, now, Got::Refused),
                 Some(_) => ledger.got(request, now, Got::Failed),
@@ -754,9 +780,9 @@
         answer
     }
 
-    /// The same, and reads the answer.
+    /// Sends a valid request of the class and returns its answer.
     pub fn ask(&mut self, class: &str) -> Http {
         self.send(class);
-        self.read().expect("an answer")
+        self.read().expect("the gateway did not answer")
     }
 }
