--- a/crates/testbed/src/bulk.rs
+++ b/crates/testbed/src/bulk.rs
@@ -2,7 +2,7 @@
 //! They generate bodies while they write and compute a digest of what they read.
 //! A forwarded body must have the digest of the body that was sent, however it was split.
 
-use crate::scripted::Book;
+use crate::scripted::Observations;
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -118,7 +118,7 @@
 
 /// A message that was read: its head, and the length and digest of its body.
 #[derive(Clone, Debug)]
-pub struct Passed {
+pub struct ReceivedMessage {
     /// The start line of the message.
     pub first: String,
     /// The header lines, as they were received.
@@ -131,7 +131,7 @@
     pub whole: bool,
 }
 
-impl Passed {
+impl ReceivedMessage {
     /// The value of a header, by its name in any case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find_map(|line| {
@@ -147,7 +147,7 @@
 
     /// Reads a message; `None` if the connection ends before its head is complete.
     /// The body of a response without a length extends to the end of the connection. After each piece, reading pauses for `rest`.
-    pub fn read(from: &mut impl BufRead, answer: bool, rest: Duration) -> Option<Passed> {
+    pub fn read(from: &mut impl BufRead, answer: bool, rest: Duration) -> Option<ReceivedMessage> {
         let mut first = String::new();
         let mut headers = Vec::new();
         loop {
@@ -164,11 +164,11 @@
                 (false, true) => break,
             }
         }
-        let mut passed = Passed { first, headers, length: 0, digest: 0, whole: false };
+        let mut message = ReceivedMessage { first, headers, length: 0, digest: 0, whole: false };
         let mut digest = Digest::default();
-        let chunked = passed.header("transfer-encoding").is_some();
+        let chunked = message.header("transfer-encoding").is_some();
         let content_length: Option<u64> =
-            passed.header("content-length").and_then(|length| length.parse().ok());
+            message.header("content-length").and_then(|length| length.parse().ok());
         let mut remaining = match (chunked, content_length, answer) {
             (true, ..) => next_chunk(from).ok()?,
             (false, Some(content_length), _) => content_length,
@@ -178,20 +178,20 @@
         let mut piece = vec![0; PIECE_BYTES];
         loop {
             if remaining == 0 {
-                passed.whole = true;
+                message.whole = true;
                 break;
             }
             let piece_length = remaining.min(piece.len() as u64) as usize;
             let read = match from.read(&mut piece[..piece_length]) {
                 Ok(0) => {
-                    passed.whole = remaining > u64::MAX / 2; // a body that extends to the end of the connection
+                    message.whole = remaining > u64::MAX / 2; // a body that extends to the end of the connection
                     break;
                 }
                 Ok(read) => read,
                 Err(_) => break,
             };
             digest.update(&piece[..read]);
-            passed.length += read as u64;
+            message.length += read as u64;
             remaining -= read as u64;
             if chunked && remaining == 0 {
                 let mut end = [0; 2];
@@ -202,8 +202,8 @@
             }
             sleep(rest);
         }
-        passed.digest = digest.0;
-        Some(passed)
+        message.digest = digest.0;
+        Some(message)
     }
 }
 
@@ -231,7 +231,7 @@
     /// The address at which the endpoint listens.
     pub address: SocketAddr,
     /// The requests that the endpoint received completely.
-    pub seen: Arc<Mutex<Vec<Passed>>>,
+    pub seen: Arc<Mutex<Vec<ReceivedMessage>>>,
     /// How many requests ended before they were complete.
     pub broken: Arc<AtomicUsize>,
     /// How many answers could not be written completely, because the gateway had closed the connection.
@@ -247,31 +247,31 @@
         let address = listener.local_addr().expect("reading the local address failed");
         let (seen, broken, left, done) = Default::default();
         let node = BulkNode { address, seen, broken, left, done };
-        let (accepting, book) = (node.clone(), Book::of_this_test());
+        let (accepting, observations) = (node.clone(), Observations::of_this_test());
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (accepting, book) = (accepting.clone(), book.clone());
-                spawn(move || accepting.serve(stream, answer, &book));
+                let (accepting, observations) = (accepting.clone(), observations.clone());
+                spawn(move || accepting.serve(stream, answer, &observations));
             }
         });
         node
     }
 
-    fn serve(&self, stream: TcpStream, answer: Bulk, book: &Book) {
+    fn serve(&self, stream: TcpStream, answer: Bulk, observations: &Observations) {
         let mut reader = BufReader::new(stream.try_clone().expect("cloning the stream failed"));
         let mut stream = stream;
-        while let Some(request) = Passed::read(&mut reader, false, Duration::ZERO) {
+        while let Some(request) = ReceivedMessage::read(&mut reader, false, Duration::ZERO) {
             if !request.whole {
                 self.broken.fetch_add(1, Ordering::SeqCst);
                 return;
             }
-            let attempt = book.sent_whole(request.header("x-request-id"));
+            let attempt = observations.sent_whole(request.header("x-request-id"));
             self.seen.lock().expect("the lock is poisoned").push(request);
             let version = if answer.form == Form::Old { "HTTP/1.0" } else { "HTTP/1.1" };
             let head = format!("{version} 200 Fine\r\n{}\r\n", answer.header());
             let written = stream.write_all(head.as_bytes()).and_then(|()| answer.write(&mut stream));
             let whole = matches!(written, Ok(true));
-            book.answered(attempt, whole);
+            observations.answered(attempt, whole);
             match written {
                 Ok(true) => self.done.fetch_add(1, Ordering::SeqCst),
                 Ok(false) => return,
@@ -294,7 +294,7 @@
 
 /// Sends a request with this body on a new connection and returns the answer; `None` if the connection ends before the answer's head is complete.
 /// `head` is the text of a request, as [`crate::scripted::request`] makes it; its length and body are replaced.
-pub fn ask(gateway: &str, head: &str, body: Option<Bulk>, rest: Duration) -> Option<Passed> {
+pub fn ask(gateway: &str, head: &str, body: Option<Bulk>, rest: Duration) -> Option<ReceivedMessage> {
     let mut stream = TcpStream::connect(gateway).expect("connecting to the gateway failed");
     stream.set_read_timeout(Some(crate::scripted::LONG)).expect("setting the read timeout failed");
     let (head, _) = head.split_once("\r\n\r\n").expect("the request text has no complete head");
@@ -312,7 +312,7 @@
             }
         })
     });
-    let answer = Passed::read(&mut reader, true, rest);
+    let answer = ReceivedMessage::read(&mut reader, true, rest);
     let _ = stream.shutdown(std::net::Shutdown::Both);
     if let Some(writing) = writing {
         let _ = writing.join();
--- a/crates/testbed/src/live/register.rs
+++ b/crates/testbed/src/live/register.rs
@@ -4,7 +4,7 @@
 use super::nodes::LiveNode;
 use super::Day;
 use crate::ledger::Told;
-use crate::register::{Call, Entry, List, Register, Status};
+use crate::register::{EndpointList, EndpointStatus, ListEntry, PollResult, Register};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -86,7 +86,7 @@
         loop {
             let now = self.run.clock.now();
             if !self.model.borrow().is_down(now) {
-                let list = self.model.borrow().since(now, version);
+                let list = self.model.borrow().list_since(now, version);
                 version = list.version;
                 (0..self.run.gateways).for_each(|gateway| self.record_list(gateway, &list));
             }
@@ -98,7 +98,7 @@
     async fn next_change(&self, now: Duration) {
         let (change, outage_change) = {
             let model = self.model.borrow();
-            (model.next_change(now), model.next_turn(now))
+            (model.next_change(now), model.next_outage_change(now))
         };
         let due = async {
             match change.into_iter().chain(outage_change).min() {
@@ -128,20 +128,20 @@
         };
         let since = parameter("since").and_then(|text| text.parse().ok()).unwrap_or(0);
         let follow = parameter("follow").as_deref() == Some("1");
-        let call = self.model.borrow_mut().call(now());
-        let (Call::Answered(at) | Call::Failed(at)) = call;
+        let poll_result = self.model.borrow_mut().poll(now());
+        let (PollResult::Answered(at) | PollResult::Failed(at)) = poll_result;
         // If discovery pushes changes, the gateway polls an agent of its own, which answers at once.
         let pushed = self.run.script.register.pushed;
         if !pushed {
             sleep_until(self.run.clock.instant(at)).await;
         }
-        if let (Call::Failed(_), false) = (call, pushed) {
+        if let (PollResult::Failed(_), false) = (poll_result, pushed) {
             let _ = connection
                 .write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
                 .await;
             return;
         }
-        let list = self.model.borrow().since(now(), if follow { since } else { 0 });
+        let list = self.model.borrow().list_since(now(), if follow { since } else { 0 });
         if !follow {
             let text = self.line(gateway, &list);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
@@ -156,7 +156,7 @@
         self.watch(&mut connection, gateway, list).await;
     }
 
-    async fn watch(&self, connection: &mut Connection, gateway: usize, first: List) {
+    async fn watch(&self, connection: &mut Connection, gateway: usize, first: EndpointList) {
         let mut list = first;
         let mut version = list.version;
         let (mut has_sent, mut weight_updates) = (false, self.weight_updates.get());
@@ -167,9 +167,13 @@
             }
             if weight_updates != self.weight_updates.get() {
                 weight_updates = self.weight_updates.get();
-                list = List { whole: true, entries: self.model.borrow().whole(now), ..list };
+                list = EndpointList {
+                    is_snapshot: true,
+                    entries: self.model.borrow().snapshot_entries(now),
+                    ..list
+                };
             }
-            let is_heartbeat = has_sent && list.entries.is_empty() && !list.whole;
+            let is_heartbeat = has_sent && list.entries.is_empty() && !list.is_snapshot;
             let line = if is_heartbeat { "\n".to_owned() } else { self.line(gateway, &list) };
             let chunk = format!("{:x}\r\n{line}\r\n", line.len());
             if connection.write(chunk.as_bytes()).await.is_err() {
@@ -183,18 +187,18 @@
                     return;
                 }
             }
-            list = self.model.borrow().since(self.run.clock.now(), version);
+            list = self.model.borrow().list_since(self.run.clock.now(), version);
             version = list.version;
         }
     }
 
     /// Records a list that was sent to a gateway.
-    fn record_list(&self, gateway: usize, list: &List) {
+    fn record_list(&self, gateway: usize, list: &EndpointList) {
         let (now, mut ledger) = (self.run.clock.now(), self.run.ledger.borrow_mut());
         for entry in &list.entries {
-            ledger.told(gateway, entry.node, now, entry.told());
+            ledger.told(gateway, entry.node, now, entry.notification());
         }
-        if list.whole {
+        if list.is_snapshot {
             let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
             for node in (0..self.nodes.len()).filter(|node| !listed(node)) {
                 ledger.told(gateway, node, now, Told::Gone);
@@ -202,26 +206,26 @@
         }
     }
 
-    fn line(&self, gateway: usize, list: &List) -> String {
+    fn line(&self, gateway: usize, list: &EndpointList) -> String {
         let entries: Vec<Value> = list.entries.iter().map(|entry| self.entry(gateway, entry)).collect();
-        json!({"index": list.version, "snapshot": list.whole, "endpoints": entries}).to_string() + "\n"
+        json!({"index": list.version, "snapshot": list.is_snapshot, "endpoints": entries}).to_string() + "\n"
     }
 
     /// The endpoint list for a gateway's configuration file.
     pub fn known(&self, gateway: usize) -> Value {
-        let snapshot = self.model.borrow().whole(Duration::ZERO);
+        let snapshot = self.model.borrow().snapshot_entries(Duration::ZERO);
         let entries: Vec<Value> = snapshot.iter().map(|entry| self.entry(gateway, entry)).collect();
         json!({"index": 1, "snapshot": true, "endpoints": entries})
     }
 
-    fn entry(&self, gateway: usize, entry: &Entry) -> Value {
+    fn entry(&self, gateway: usize, entry: &ListEntry) -> Value {
         let script = &self.run.script;
         let address =
             self.nodes[entry.node].address(gateway).map(|address| address.to_string()).unwrap_or_default();
         let status = match entry.status {
-            Status::Active => "active",
-            Status::Leaving => "leaving",
-            Status::Left => "left",
+            EndpointStatus::Active => "active",
+            EndpointStatus::Leaving => "leaving",
+            EndpointStatus::Left => "left",
         };
         let since = entry.started.map_or(0, |at| {
             let age = self.run.clock.now().saturating_sub(at);
--- a/crates/testbed/src/model/choke.rs
+++ b/crates/testbed/src/model/choke.rs
@@ -5,19 +5,19 @@
 
 /// The mean of a quantity over a sliding window, kept as the sums of short steps.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct SlidingMean {
     window: f64,
     steps: VecDeque<(f64, f64)>, // start time and integral of each step
     updated_at: f64,
 }
 
-/// Steps that a window of [`Load`] is divided into.
+/// Steps that a window of [`SlidingMean`] is divided into.
 const STEPS: f64 = 20.0;
 
-impl Load {
+impl SlidingMean {
     /// A mean over the last `window` seconds, without values before `now`.
-    pub fn new(window: f64, now: f64) -> Load {
-        Load { window, steps: VecDeque::from([(now, 0.0)]), updated_at: now }
+    pub fn new(window: f64, now: f64) -> SlidingMean {
+        SlidingMean { window, steps: VecDeque::from([(now, 0.0)]), updated_at: now }
     }
 
     /// Records that the quantity was `value` from the previous call until `now`.
@@ -53,8 +53,8 @@
 #[derive(Clone, Debug)]
 pub struct Choke {
     spec: ChokeSpec,
-    in_flight: Load,
-    busy: Load,
+    in_flight: SlidingMean,
+    busy: SlidingMean,
     choked_since: Option<f64>,
     has_recovered: bool,
 }
@@ -63,12 +63,12 @@
     /// The state of an endpoint that is not choked at `now`.
     pub fn new(spec: ChokeSpec, now: f64) -> Choke {
         let (in_flight, busy) =
-            (Load::new(spec.over.as_secs_f64(), now), Load::new(spec.rest.as_secs_f64(), now));
+            (SlidingMean::new(spec.over.as_secs_f64(), now), SlidingMean::new(spec.rest.as_secs_f64(), now));
         Choke { spec, in_flight, busy, choked_since: None, has_recovered: false }
     }
 
     /// The factor by which choking slows the endpoint down; 1 while it is not choked.
-    pub fn slower(&self) -> f64 {
+    pub fn slowdown_factor(&self) -> f64 {
         if self.choked_since.is_some() {
             self.spec.slower
         } else {
@@ -78,7 +78,7 @@
 
     /// Records that from the previous call until `now` the endpoint had `in_flight` requests on `cores` cores,
     /// and that the fraction `busy` of its cores was busy.
-    pub fn pass(&mut self, now: f64, in_flight: f64, cores: f64, busy: f64) {
+    pub fn advance(&mut self, now: f64, in_flight: f64, cores: f64, busy: f64) {
         self.in_flight.add(now, in_flight);
         self.busy.add(now, busy);
         match self.choked_since {
@@ -87,7 +87,7 @@
                 // An endpoint chokes at most once in a run.
                 if !self.has_recovered && self.in_flight.mean().is_some_and(|mean| mean > limit) {
                     self.choked_since = Some(now);
-                    self.busy = Load::new(self.spec.rest.as_secs_f64(), now);
+                    self.busy = SlidingMean::new(self.spec.rest.as_secs_f64(), now);
                 }
             }
             Some(choked_since) => {
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -12,9 +12,9 @@
 mod spec;
 
 pub use budget::Budget;
-pub use choke::{Choke, Load};
-pub use keys::Keys;
+pub use choke::{Choke, SlidingMean};
+pub use keys::SubjectCache;
 pub use node::{Answer, AttemptId, ConnectionId, Memories, Node, Output, Refusal, State, Work};
 pub use repeats::{Meeting, Repeats};
-pub use reports::{Report, Reports};
+pub use reports::{LoadReports, Report};
 pub use spec::{ChokeSpec, Distribution, NodeSpec, PauseSpec, ReportSpec, WarmBy};
--- a/crates/testbed/src/model/node.rs
+++ b/crates/testbed/src/model/node.rs
@@ -5,9 +5,9 @@
 
 use super::budget::Budget;
 use super::choke::Choke;
-use super::keys::Keys;
+use super::keys::SubjectCache;
 use super::repeats::{Meeting, Repeats};
-use super::reports::{Report, Reports};
+use super::reports::{LoadReports, Report};
 use super::spec::{NodeSpec, WarmBy};
 use crate::draws::{Draws, For, Stream};
 use rustc_hash::FxHashMap;
@@ -178,8 +178,8 @@
     cold_peak: f64,
     choke: Option<Choke>,
     choke_updated_at: f64,
-    keys: Keys,
-    reports: Reports,
+    subject_cache: SubjectCache,
+    reports: LoadReports,
     reported_always: Option<Report>,
     /// Work done since the model was created by a job that would have run all the time, in seconds: the clock of the jobs' progress.
     work_per_job: f64,
@@ -227,8 +227,8 @@
             cold_peak: 0.0,
             choke: spec.choke.map(|choke| Choke::new(choke, now_s)),
             choke_updated_at: now_s,
-            keys: Keys::new(spec.key_places, spec.key_for.as_secs_f64()),
-            reports: Reports::new(spec.report, draws, number, now),
+            subject_cache: SubjectCache::new(spec.key_places, spec.key_for.as_secs_f64()),
+            reports: LoadReports::new(spec.report, draws, number, now),
             reported_always: None,
             work_per_job: 0.0,
             jobs: BTreeMap::new(),
@@ -272,7 +272,7 @@
 
     /// Whether the endpoint is choked.
     pub fn choked(&self) -> bool {
-        self.choke.as_ref().is_some_and(|choke| choke.slower() > 1.0)
+        self.choke.as_ref().is_some_and(|choke| choke.slowdown_factor() > 1.0)
     }
 
     /// The warm-up fraction: the fraction of its full capacity that slow start allows.
@@ -308,7 +308,7 @@
         let crowding_level = ((per_core - self.spec.crowded_at) / crowding_range).clamp(0.0, 1.0);
         let tax =
             self.spec.connection_tax * self.open_connections as f64 / f64::from(self.spec.connections.max(1));
-        let choke = self.choke.as_ref().map_or(1.0, Choke::slower);
+        let choke = self.choke.as_ref().map_or(1.0, Choke::slowdown_factor);
         self.spec.speed
             * self.warmth()
             * (1.0 - self.spec.crowding * crowding_level)
@@ -334,7 +334,7 @@
         if matches!(self.state, State::Down | State::Silent | State::Fallen) {
             return None;
         }
-        let mut next = self.reports.next_look().as_secs_f64();
+        let mut next = self.reports.next_refresh().as_secs_f64();
         if let Some(((end, _), ())) = self.jobs.first_key_value() {
             let rate = self.job_speed();
             if rate > 0.0 {
@@ -375,7 +375,7 @@
         let busy = if rate > 0.0 { (jobs / cores).min(1.0) } else { f64::from(u8::from(jobs > 0.0)) };
         self.now = until;
         if let Some(choke) = &mut self.choke {
-            choke.pass(until, in_flight, cores, busy);
+            choke.advance(until, in_flight, cores, busy);
         }
         self.choke_updated_at = until;
     }
@@ -406,9 +406,9 @@
                 *pause_at = self.now + length_s + stream.exponential() * spec.every.as_secs_f64();
             }
         }
-        let look = self.reports.next_look();
-        if look.as_secs_f64() <= self.now + 1e-9 {
-            self.reports.look(look, self.in_flight.len());
+        let refresh_at = self.reports.next_refresh();
+        if refresh_at.as_secs_f64() <= self.now + 1e-9 {
+            self.reports.refresh(refresh_at, self.in_flight.len());
         }
     }
 
@@ -567,7 +567,7 @@
         if attempt_state.dropped {
             seconds = self.spec.repeat_work;
         } else {
-            if attempt_state.work.subject.is_some_and(|key| self.keys.meet(self.now, key)) {
+            if attempt_state.work.subject.is_some_and(|key| self.subject_cache.record_use(self.now, key)) {
                 seconds *= 1.0 - self.spec.key_gain;
             }
             self.outputs.push(Output::Began { attempt });
@@ -599,7 +599,7 @@
                 let Some(attempt_state) = self.in_flight.get(&attempt) else { return };
                 let (fails, dropped) = (attempt_state.fails, attempt_state.dropped);
                 if !fails {
-                    self.reports.count();
+                    self.reports.count_served();
                     if let Some((key, scope, _)) = attempt_state.work.keyed.filter(|_| !dropped) {
                         let now = Duration::from_secs_f64(self.now);
                         self.memories.in_scope(scope).borrow_mut().done(now, key);
@@ -617,7 +617,7 @@
 
     fn send_answer(&mut self, attempt: AttemptId, answer: Answer) {
         let Some(attempt_state) = self.in_flight.remove(&attempt) else { return };
-        let report = self.reports.at(Duration::from_secs_f64(self.now));
+        let report = self.reports.current_at(Duration::from_secs_f64(self.now));
         let report = self.reported_always.unwrap_or(report);
         let connection = attempt_state.connection;
         self.outputs.push(Output::Answered { attempt, connection, answer, report });
@@ -727,7 +727,7 @@
         self.cold_peak = self.cold_peak();
         self.budget = slow_start_budget(&self.spec);
         self.choke = self.spec.choke.map(|choke| Choke::new(choke, self.now));
-        self.keys = Keys::new(self.spec.key_places, self.spec.key_for.as_secs_f64());
+        self.subject_cache = SubjectCache::new(self.spec.key_places, self.spec.key_for.as_secs_f64());
     }
 
     /// The endpoint starts to drain (finishes the requests that it has and rejects new ones), or takes requests again.
--- a/crates/testbed/src/model/reports.rs
+++ b/crates/testbed/src/model/reports.rs
@@ -16,7 +16,7 @@
 
 /// The load reports of one stand-in endpoint.
 #[derive(Clone, Debug)]
-pub struct Reports {
+pub struct LoadReports {
     spec: ReportSpec,
     draws: Draws,
     endpoint: u64,
@@ -28,11 +28,11 @@
     current: Report,
 }
 
-impl Reports {
+impl LoadReports {
     /// The load reports of an endpoint that starts at `now`; the first refresh is due within one period.
-    pub fn new(spec: ReportSpec, draws: Draws, endpoint: u64, now: Duration) -> Reports {
+    pub fn new(spec: ReportSpec, draws: Draws, endpoint: u64, now: Duration) -> LoadReports {
         let first_refresh = now + spec.period.mul_f64(draws.stream(For::Report, endpoint).even());
-        Reports {
+        LoadReports {
             spec,
             draws,
             endpoint,
@@ -46,17 +46,17 @@
     }
 
     /// Counts a served request.
-    pub fn count(&mut self) {
+    pub fn count_served(&mut self) {
         self.served += 1;
     }
 
     /// The time of the next refresh.
-    pub fn next_look(&self) -> Duration {
+    pub fn next_refresh(&self) -> Duration {
         self.first_refresh + self.spec.period * self.refreshes as u32
     }
 
     /// Refreshes the load report at `now`, with `in_flight` requests in flight.
-    pub fn look(&mut self, now: Duration, in_flight: usize) {
+    pub fn refresh(&mut self, now: Duration, in_flight: usize) {
         let elapsed_s = now.saturating_sub(self.last_refresh).as_secs_f64().max(1e-3);
         let mut draws = self.draws.stream_of_two(For::Report, self.endpoint, self.refreshes + 1);
         let mut noisy = |value: f64| (value * (1.0 + self.spec.noise * draws.normal())).max(0.0);
@@ -67,7 +67,7 @@
     }
 
     /// The load report that a response carries at `now`.
-    pub fn at(&mut self, now: Duration) -> Report {
+    pub fn current_at(&mut self, now: Duration) -> Report {
         while let Some((_, report)) = self.pending.front().filter(|(due, _)| *due <= now) {
             self.current = *report;
             self.pending.pop_front();
--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/register.rs
@@ -11,7 +11,7 @@
 
 /// The state of an endpoint in the list of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Status {
+pub enum EndpointStatus {
     /// The endpoint takes requests.
     Active,
     /// The endpoint drains: it finishes the requests that it has.
@@ -22,22 +22,22 @@
 
 /// An entry of an endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Entry {
+pub struct ListEntry {
     /// The index of the endpoint.
     pub node: usize,
     /// The state of the endpoint.
-    pub status: Status,
+    pub status: EndpointStatus,
     /// When the endpoint last started; `None` if it has not started during the run.
     pub started: Option<Duration>,
 }
 
-impl Entry {
+impl ListEntry {
     /// What a gateway that receives this entry has been notified of.
-    pub fn told(&self) -> Told {
+    pub fn notification(&self) -> Told {
         match self.status {
-            Status::Active => Told::Up(self.started),
-            Status::Leaving => Told::Draining,
-            Status::Left => Told::Gone,
+            EndpointStatus::Active => Told::Up(self.started),
+            EndpointStatus::Leaving => Told::Draining,
+            EndpointStatus::Left => Told::Gone,
         }
     }
 }
@@ -46,18 +46,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Change {
     at: Duration,
-    entry: Entry,
+    entry: ListEntry,
 }
 
 /// An endpoint list: a snapshot or a delta.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct List {
+pub struct EndpointList {
     /// The version of the list.
     pub version: u64,
     /// Whether the list is a snapshot; otherwise it is a delta.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// The entries of the list.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ListEntry>,
 }
 
 /// An action of a script on one endpoint.
@@ -148,7 +148,7 @@
 
 /// The result of a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum PollResult {
     /// The poll is answered at this time.
     Answered(Duration),
     /// The poll fails at this time.
@@ -169,22 +169,22 @@
         let mut is_silent = vec![false; script.fleet.nodes];
         for (at, node, action) in deeds(script, draws) {
             let status = match action {
-                Deed::Kill => Status::Left,
+                Deed::Kill => EndpointStatus::Left,
                 Deed::CutOff => {
                     is_silent[node] = true;
-                    let entry = Entry { node, status: Status::Left, started: started[node] };
+                    let entry = ListEntry { node, status: EndpointStatus::Left, started: started[node] };
                     changes.push(Change { at: at + notice_delay(script.register.silent_notice), entry });
                     continue;
                 }
                 Deed::Start => {
                     (started[node], is_silent[node]) = (Some(at), false);
-                    Status::Active
+                    EndpointStatus::Active
                 }
-                Deed::Drain(true) => Status::Leaving,
-                Deed::Drain(false) => Status::Active,
+                Deed::Drain(true) => EndpointStatus::Leaving,
+                Deed::Drain(false) => EndpointStatus::Active,
                 _ => continue,
             };
-            let entry = Entry { node, status, started: started[node] };
+            let entry = ListEntry { node, status, started: started[node] };
             changes.push(Change { at: at + notice_delay(script.register.notice), entry });
         }
         // A change of an endpoint is never listed before an earlier change of the same endpoint.
@@ -213,7 +213,7 @@
 
     /// Adds to the timeline that an endpoint has crashed from too much work; a script does not say when this happens.
     pub fn fell(&mut self, node: usize, at: Duration) {
-        let entry = Entry { node, status: Status::Left, started: None };
+        let entry = ListEntry { node, status: EndpointStatus::Left, started: None };
         let at = at + self.silent_notice;
         self.changes.retain(|change| change.entry.node != node || change.at < at);
         let position = self.changes.partition_point(|change| change.at <= at);
@@ -226,9 +226,9 @@
     }
 
     /// The next time at which discovery goes down or comes back.
-    pub fn next_turn(&self, now: Duration) -> Option<Duration> {
-        let turns = self.outages.iter().flat_map(|(from, until, _)| [*from, *until]);
-        turns.filter(|at| *at > now).min()
+    pub fn next_outage_change(&self, now: Duration) -> Option<Duration> {
+        let changes = self.outages.iter().flat_map(|(from, until, _)| [*from, *until]);
+        changes.filter(|at| *at > now).min()
     }
 
     /// The version of the list at a time; 1 at the start.
@@ -255,48 +255,48 @@
     }
 
     /// The delta since a version, or a snapshot if discovery cannot give a delta for that version.
-    pub fn since(&self, now: Duration, version: u64) -> List {
+    pub fn list_since(&self, now: Duration, version: u64) -> EndpointList {
         let current = self.version(now);
         let lost = self.outages_with_loss(now) > 0;
         // After an outage with lost endpoints, only a snapshot shows which endpoints are missing.
         if version == 0 || version > current || lost && version < current {
-            return List { version: current, whole: true, entries: self.whole(now) };
+            return EndpointList { version: current, is_snapshot: true, entries: self.snapshot_entries(now) };
         }
         let visible =
             self.changes.iter().filter(|change| change.at <= now).skip(version.saturating_sub(1) as usize);
         let entries =
             if version == current { Vec::new() } else { visible.map(|change| change.entry).collect() };
-        List { version: current, whole: false, entries }
+        EndpointList { version: current, is_snapshot: false, entries }
     }
 
     /// The entries of a snapshot at a time.
-    pub fn whole(&self, now: Duration) -> Vec<Entry> {
-        let initial = |node| Entry { node, status: Status::Active, started: None };
-        let mut entries: Vec<Entry> = (0..self.nodes).map(initial).collect();
+    pub fn snapshot_entries(&self, now: Duration) -> Vec<ListEntry> {
+        let initial = |node| ListEntry { node, status: EndpointStatus::Active, started: None };
+        let mut entries: Vec<ListEntry> = (0..self.nodes).map(initial).collect();
         for change in self.changes.iter().filter(|change| change.at <= now) {
             entries[change.entry.node] = change.entry;
         }
         let lost = |node: usize| {
             self.outages.iter().any(|(_, until, without)| *until <= now && without.contains(&node))
         };
-        entries.retain(|entry| entry.status != Status::Left && !lost(entry.node));
+        entries.retain(|entry| entry.status != EndpointStatus::Left && !lost(entry.node));
         entries
     }
 
     /// Handles a poll that arrives at `now`. Polls are answered one after another; a poll whose answer would come after the timeout fails.
-    pub fn call(&mut self, now: Duration) -> Call {
+    pub fn poll(&mut self, now: Duration) -> PollResult {
         if self.is_down(now) {
-            return Call::Failed(now);
+            return PollResult::Failed(now);
         }
         let answered_at = self.busy_until.max(now) + self.call_time;
         if answered_at > now + self.timeout {
-            return Call::Failed(now + self.timeout);
+            return PollResult::Failed(now + self.timeout);
         }
         self.busy_until = answered_at;
         if self.is_down(answered_at) {
-            Call::Failed(answered_at)
+            PollResult::Failed(answered_at)
         } else {
-            Call::Answered(answered_at)
+            PollResult::Answered(answered_at)
         }
     }
 }
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -27,7 +27,7 @@
 
 /// What all stand-ins of a test have observed.
 #[derive(Clone)]
-pub struct Book {
+pub struct Observations {
     ledger: Arc<Mutex<Ledger>>,
     start: Instant,
     attempts: Arc<AtomicU64>,
@@ -35,7 +35,7 @@
 
 thread_local! {
     /// The record of the current test: each test runs on a thread of its own and creates its stand-ins there.
-    static BOOK: Book = Book::new();
+    static OBSERVATIONS: Observations = Observations::new();
 }
 
 /// Idempotency window of the classes in [`settings`].
@@ -50,19 +50,19 @@
     ("brief-once", 1500, Idempotency::NotIdempotent),
 ];
 
-impl Book {
-    fn new() -> Book {
+impl Observations {
+    fn new() -> Observations {
         let terms = |(_, objective_ms, idempotency): &(&str, u64, Idempotency)| ClassTerms {
             aim: Duration::from_millis(*objective_ms),
             effect: *idempotency,
         };
         let ledger = Ledger::new(CLASSES.iter().map(terms).collect(), Vec::new());
-        Book { ledger: Arc::new(Mutex::new(ledger)), start: Instant::now(), attempts: Arc::default() }
+        Observations { ledger: Arc::new(Mutex::new(ledger)), start: Instant::now(), attempts: Arc::default() }
     }
 
     /// The record of the current test.
-    pub fn of_this_test() -> Book {
-        BOOK.with(Book::clone)
+    pub fn of_this_test() -> Observations {
+        OBSERVATIONS.with(Observations::clone)
     }
 
     fn record(&self, update: impl FnOnce(&mut Ledger, Duration)) {
@@ -244,7 +244,7 @@
     pub raw: Arc<AtomicUsize>,
     release: Arc<AtomicBool>,
     connections: Arc<Mutex<Vec<TcpStream>>>,
-    book: Book,
+    observations: Observations,
     number: usize,
 }
 
@@ -260,7 +260,7 @@
             raw: Arc::default(),
             release: Arc::default(),
             connections: Arc::default(),
-            book: Book::of_this_test(),
+            observations: Observations::of_this_test(),
             number: NUMBER.fetch_add(1, Ordering::SeqCst),
         };
         let (accepting, behaviour): (ScriptedNode, Arc<Behaviour>) = (endpoint.clone(), Arc::new(behaviour));
@@ -278,23 +278,23 @@
         let mut reader = BufReader::new(stream.try_clone().expect("cloning the stream failed"));
         while let Some(request) = Http::read(&mut reader) {
             let reply = behaviour(&request);
-            let attempt = self.book.arrived(&request, self.number);
+            let attempt = self.observations.arrived(&request, self.number);
             self.seen.lock().expect("the lock is poisoned").push(request);
             let (status, headers, body) = match reply {
                 Reply::Answer(status, headers, body) => (status, headers, body),
                 Reply::Break => {
-                    self.book.ended(attempt, Ended::Broken);
+                    self.observations.ended(attempt, Ended::Broken);
                     break;
                 }
                 Reply::Half => {
-                    self.book.ended(attempt, Ended::Broken);
+                    self.observations.ended(attempt, Ended::Broken);
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
                     break;
                 }
                 Reply::Hang => match self.hang(&stream) {
                     true => (200, "", b"released".to_vec()),
                     false => {
-                        self.book.ended(attempt, Ended::Left);
+                        self.observations.ended(attempt, Ended::Left);
                         break;
                     }
                 },
@@ -305,7 +305,7 @@
                     }
                     self.raw.fetch_add(1, Ordering::SeqCst);
                     // The bytes may be anything. By now the gateway has either finished with the reply or closes the connection.
-                    self.book.ended(attempt, Ended::Error);
+                    self.observations.ended(attempt, Ended::Error);
                     continue;
                 }
             };
@@ -315,7 +315,7 @@
                 _ if is_not_processed => Ended::TurnedAway,
                 _ => Ended::Error,
             };
-            self.book.ended(attempt, outcome);
+            self.observations.ended(attempt, outcome);
             let head = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
             let _ = stream.write_all(&[head.as_bytes(), &body].concat());
         }
@@ -668,7 +668,11 @@
     pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(&self.address).expect("connecting to the gateway failed");
         stream.set_read_timeout(Some(LONG)).expect("setting the read timeout failed");
-        Client { reader: BufReader::new(stream), unanswered: VecDeque::new(), book: Book::of_this_test() }
+        Client {
+            reader: BufReader::new(stream),
+            unanswered: VecDeque::new(),
+            observations: Observations::of_this_test(),
+        }
     }
 
     /// Sends a request on a new connection and returns its answer.
@@ -702,7 +706,7 @@
         let _ = self.child.kill();
         let _ = self.child.wait();
         if !std::thread::panicking() {
-            Book::of_this_test().check();
+            Observations::of_this_test().check();
         }
     }
 }
@@ -712,13 +716,13 @@
     reader: BufReader<TcpStream>,
     /// The numbers of the requests that were sent and not yet answered; `None` for requests that are not recorded.
     unanswered: VecDeque<Option<u64>>,
-    book: Book,
+    observations: Observations,
 }
 
 impl Drop for Client {
     fn drop(&mut self) {
         for request in self.unanswered.drain(..).flatten() {
-            self.book.record(|ledger, now| ledger.gave_up(request, now));
+            self.observations.record(|ledger, now| ledger.gave_up(request, now));
         }
     }
 }
@@ -745,7 +749,7 @@
     pub fn write(&mut self, text: &[u8]) {
         let written = String::from_utf8_lossy(text);
         if written.contains("X-Request-ID") {
-            self.unanswered.push_back(self.book.asked(&written));
+            self.unanswered.push_back(self.observations.asked(&written));
         }
         let _ = self.reader.get_mut().write_all(text);
     }
@@ -758,7 +762,7 @@
     /// Records that no answers are expected any more, because the gateway was killed.
     pub fn forget(&mut self) {
         for request in self.unanswered.drain(..).flatten() {
-            self.book.record(|ledger, now| ledger.gave_up(request, now));
+            self.observations.record(|ledger, now| ledger.gave_up(request, now));
         }
     }
 
@@ -770,7 +774,7 @@
             return answer;
         }
         if let Some(request) = self.unanswered.pop_front().flatten() {
-            self.book.record(|ledger, now| match status {
+            self.observations.record(|ledger, now| match status {
                 Some(200) => ledger.got(request, now, Got::Served),
                 Some(429 | 503) => ledger.got(request, now, Got::Refused),
                 Some(_) => ledger.got(request, now, Got::Failed),
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -13,7 +13,7 @@
 use crate::model::{Answer, Node, Output, State, Work};
 use crate::plain::Plain;
 use crate::plan::{attempt_seconds, plan, Asked};
-use crate::register::{deeds, Deed, List, Register};
+use crate::register::{deeds, Deed, EndpointList, Register};
 use crate::report::{back, fresh, service, tallies, Counts, Report, Runner, Sample};
 use crate::script::Script;
 use std::cmp::Ordering;
@@ -107,7 +107,7 @@
     /// A gateway's poll reaches discovery.
     DiscoveryPolled { gateway: usize },
     /// The endpoint list of discovery, or its failure (`None`), reaches a gateway.
-    DiscoveryResponse { gateway: usize, list: Option<List> },
+    DiscoveryResponse { gateway: usize, list: Option<EndpointList> },
     /// The endpoint list has changed, or discovery has gone down or come back.
     DiscoveryChange,
     /// Discovery samples the live weights of the endpoints.
@@ -381,7 +381,7 @@
         };
         simulation.weights = simulation.nodes.iter().map(|node| simulation.weight(node)).collect();
         for gateway_index in 0..simulation.module_count().min(initial_count) {
-            let list = simulation.register.since(Duration::ZERO, 0);
+            let list = simulation.register.list_since(Duration::ZERO, 0);
             simulation.deliver_list(gateway_index, list);
         }
         if initial_count < count {
@@ -555,7 +555,7 @@
         let count = self.gateways.len();
         for gateway_index in initial_gateways(self.script, count)..self.module_count() {
             self.gateways[gateway_index].watching = self.script.register.pushed;
-            let list = self.register.since(self.now, 0);
+            let list = self.register.list_since(self.now, 0);
             self.deliver_list(gateway_index, list);
         }
         self.update_front();
--- a/crates/testbed/src/simulate/register.rs
+++ b/crates/testbed/src/simulate/register.rs
@@ -3,26 +3,26 @@
 use super::{Simulation, SimulationEvent, CLOCK_AT_START};
 use crate::ledger::Told;
 use crate::model::Node;
-use crate::register::{Call, Entry, List, Status};
+use crate::register::{EndpointList, EndpointStatus, ListEntry, PollResult};
 use weldworks_balancer::{EndpointId, EndpointState, Event};
 
 impl Simulation<'_> {
     /// A gateway's poll has reached discovery.
     pub(super) fn on_discovery_poll(&mut self, gateway: usize) {
         let delay = self.script.network.same;
-        match self.register.call(self.now) {
-            Call::Answered(at) => {
-                let list = self.register.since(at, self.gateways[gateway].version);
+        match self.register.poll(self.now) {
+            PollResult::Answered(at) => {
+                let list = self.register.list_since(at, self.gateways[gateway].version);
                 self.schedule(at + delay, SimulationEvent::DiscoveryResponse { gateway, list: Some(list) });
             }
-            Call::Failed(at) => {
+            PollResult::Failed(at) => {
                 self.schedule(at + delay, SimulationEvent::DiscoveryResponse { gateway, list: None });
             }
         }
     }
 
     /// A gateway receives the endpoint list of a poll or watch, or learns that discovery failed.
-    pub(super) fn on_discovery_response(&mut self, gateway: usize, list: Option<List>) {
+    pub(super) fn on_discovery_response(&mut self, gateway: usize, list: Option<EndpointList>) {
         if !self.gateways[gateway].alive {
             return;
         }
@@ -35,7 +35,7 @@
 
     pub(super) fn schedule_discovery_change(&mut self) {
         let (change, outage_change) =
-            (self.register.next_change(self.now), self.register.next_turn(self.now));
+            (self.register.next_change(self.now), self.register.next_outage_change(self.now));
         if let Some(at) = change.into_iter().chain(outage_change).min() {
             self.schedule(at, SimulationEvent::DiscoveryChange);
         }
@@ -57,8 +57,8 @@
                 self.schedule(self.now + delay, SimulationEvent::DiscoveryResponse { gateway, list: None });
                 continue;
             }
-            let list = self.register.since(self.now, self.gateways[gateway].version);
-            if list.whole || !list.entries.is_empty() {
+            let list = self.register.list_since(self.now, self.gateways[gateway].version);
+            if list.is_snapshot || !list.entries.is_empty() {
                 self.schedule(
                     self.now + delay,
                     SimulationEvent::DiscoveryResponse { gateway, list: Some(list) },
@@ -70,21 +70,21 @@
 
     /// A change that was sent to a gateway's agent counts as notified, whether or not the gateway reads the change.
     fn update_agents(&mut self) {
-        let list = self.register.since(self.now, self.agent_version);
+        let list = self.register.list_since(self.now, self.agent_version);
         self.agent_version = list.version;
         for gateway in 0..self.module_count() {
             for entry in &list.entries {
-                self.ledger.told(gateway, entry.node, self.now, entry.told());
+                self.ledger.told(gateway, entry.node, self.now, entry.notification());
             }
             let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
-            for node in (0..self.nodes.len()).filter(|n| list.whole && !listed(n)) {
+            for node in (0..self.nodes.len()).filter(|n| list.is_snapshot && !listed(n)) {
                 self.ledger.told(gateway, node, self.now, Told::Gone);
             }
         }
     }
 
     /// Delivers an endpoint list to a gateway.
-    pub(super) fn deliver_list(&mut self, gateway: usize, list: List) {
+    pub(super) fn deliver_list(&mut self, gateway: usize, list: EndpointList) {
         if list.version < self.gateways[gateway].version {
             return; // an older list, overtaken on its way by a newer one
         }
@@ -92,7 +92,7 @@
             list.entries.iter().map(|entry| self.endpoint(entry)).collect();
         let gateway_state = &mut self.gateways[gateway];
         gateway_state.version = list.version;
-        if list.whole {
+        if list.is_snapshot {
             for known in &mut gateway_state.endpoints {
                 if !endpoints.iter().any(|endpoint| endpoint.id == known.id) {
                     known.state = EndpointState::Removed;
@@ -105,7 +105,7 @@
                 Some(known) => *known = endpoint.clone(),
                 None => gateway_state.endpoints.push(endpoint.clone()),
             }
-            self.ledger.told(gateway, entry.node, self.now, entry.told());
+            self.ledger.told(gateway, entry.node, self.now, entry.notification());
         }
         if let Some(storm) = &mut gateway_state.storm {
             let up = gateway_state.endpoints.iter().filter(|endpoint| endpoint.state == EndpointState::Up);
@@ -116,7 +116,7 @@
                 .collect();
             storm.set_endpoints(CLOCK_AT_START + self.now, &up);
         }
-        self.handle(gateway, Event::EndpointList { is_snapshot: list.whole, endpoints: &endpoints });
+        self.handle(gateway, Event::EndpointList { is_snapshot: list.is_snapshot, endpoints: &endpoints });
     }
 
     /// The current live weight of an endpoint: its capacity divided by 1 + its requests in flight per core; 1 without live weights.
@@ -157,12 +157,12 @@
     }
 
     /// Converts a list entry to the endpoint type of the decision module.
-    fn endpoint(&self, entry: &Entry) -> weldworks_balancer::Endpoint {
+    fn endpoint(&self, entry: &ListEntry) -> weldworks_balancer::Endpoint {
         let script = self.script;
         let state = match entry.status {
-            Status::Active => EndpointState::Up,
-            Status::Leaving => EndpointState::Draining,
-            Status::Left => EndpointState::Removed,
+            EndpointStatus::Active => EndpointState::Up,
+            EndpointStatus::Leaving => EndpointState::Draining,
+            EndpointStatus::Left => EndpointState::Removed,
         };
         weldworks_balancer::Endpoint {
             state,
