--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -5,16 +5,16 @@
 
 mod budget;
 mod choke;
+mod endpoint;
 mod keys;
-mod node;
 mod repeats;
 mod reports;
 mod spec;
 
 pub use budget::Budget;
 pub use choke::{Choke, SlidingMean};
+pub use endpoint::{Answer, AttemptId, ConnectionId, Memories, Node, Output, Refusal, State, Work};
 pub use keys::SubjectCache;
-pub use node::{Answer, AttemptId, ConnectionId, Memories, Node, Output, Refusal, State, Work};
 pub use repeats::{Meeting, Repeats};
 pub use reports::{LoadReports, Report};
 pub use spec::{ChokeSpec, Distribution, NodeSpec, PauseSpec, ReportSpec, WarmBy};
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -3,8 +3,8 @@
 //! Sockets and the rest of the gateway program are left out, so a simulation only tests decisions.
 //! Fleets too large for one machine are simulated in seconds, and two simulations with the same seed give the same report to the byte.
 
+mod discovery;
 mod killed;
-mod register;
 
 use crate::client::{client_timeout, next_retry, ClientOutcome};
 use crate::draws::{Draws, For};
