--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -1,8 +1,8 @@
 //! Clients on sockets, and the front that distributes their connections over the gateways of a zone.
 
+use super::endpoints::parse_request_number;
 use super::http::{Connection, Kind, Message, ReadError};
-use super::nodes::number;
-use super::Day;
+use super::RunState;
 use crate::client::{client_timeout, next_retry, ClientOutcome};
 use crate::ledger::{Ask, Got};
 use crate::plan::Asked;
@@ -40,7 +40,7 @@
 /// All clients of a run.
 #[derive(Debug)]
 pub struct Clients {
-    run: Rc<Day>,
+    run: Rc<RunState>,
     gateways: Vec<FrontTarget>,
     open: Cell<usize>,
     lateness: RefCell<Vec<Duration>>,
@@ -56,7 +56,7 @@
 
 impl Clients {
     /// Clients of the gateways at these addresses, which are assigned to the zones in turn.
-    pub fn new(run: Rc<Day>, addresses: &[SocketAddr]) -> Rc<Clients> {
+    pub fn new(run: Rc<RunState>, addresses: &[SocketAddr]) -> Rc<Clients> {
         let target = |(gateway, address): (usize, &SocketAddr)| FrontTarget {
             address: *address,
             zone: run.script.zone_of(gateway),
@@ -94,12 +94,12 @@
     }
 
     /// For every planned request, the numbers and times of the requests sent for it.
-    pub fn tries(&self) -> Vec<Vec<(u64, Duration)>> {
+    pub fn sends(&self) -> Vec<Vec<(u64, Duration)>> {
         self.sends.borrow().clone()
     }
 
     /// Checks all idle connections for answers to no request.
-    pub fn look_for_surplus(&self) {
+    pub fn check_idle_connections(&self) {
         for gateway in &self.gateways {
             for (connection, number) in gateway.idle.borrow_mut().iter_mut() {
                 self.check_idle(connection, *number);
@@ -127,7 +127,7 @@
         run.count(|counts| counts.asked += 1);
         loop {
             let number = planned.number(run.draws, retries);
-            run.places.borrow_mut().insert(number, plan_index);
+            run.plan_indices.borrow_mut().insert(number, plan_index);
             let sent = run.clock.now();
             if retries == 0 {
                 first = sent;
@@ -259,7 +259,7 @@
             200 => {
                 let body = serde_json::from_slice::<AnswerBody>(&answer.body);
                 let is_own = body.is_ok_and(|body| {
-                    number(Some(&body.request)) == Some(request)
+                    parse_request_number(Some(&body.request)) == Some(request)
                         && ledger.is_attempt_of(body.attempt, request)
                 });
                 ledger.got(request, now, if is_own { Got::Served } else { Got::Foreign });
@@ -281,7 +281,7 @@
 }
 
 /// The text of a request in the platform's protocol.
-fn request(run: &Day, planned: &Asked, number: u64, wait: Duration, retries: u32) -> String {
+fn request(run: &RunState, planned: &Asked, number: u64, wait: Duration, retries: u32) -> String {
     let class = &run.script.classes[planned.class];
     let tenant = run.script.tenants.get(planned.tenant).map_or("", |tenant| tenant.name.as_str());
     let cookie = planned.subject.map_or(String::new(), |key| format!("Cookie: k={key:016x}\r\n"));
--- a/crates/testbed/src/live/register.rs
+++ b/crates/testbed/src/live/discovery.rs
@@ -1,8 +1,8 @@
 //! The discovery stand-in on sockets. Each gateway has an address of its own, so that it is known which gateway was sent what.
 
+use super::endpoints::LiveEndpoint;
 use super::http::{Connection, Kind};
-use super::nodes::LiveNode;
-use super::Day;
+use super::RunState;
 use crate::ledger::Told;
 use crate::register::{EndpointList, EndpointStatus, ListEntry, PollResult, Register};
 use serde_json::{json, Value};
@@ -20,10 +20,10 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The discovery stand-in of a run.
-pub struct LiveRegister {
-    run: Rc<Day>,
+pub struct LiveDiscovery {
+    run: Rc<RunState>,
     model: RefCell<Register>,
-    nodes: Vec<Rc<LiveNode>>,
+    nodes: Vec<Rc<LiveEndpoint>>,
     changed: Notify,
     /// The weight of each endpoint that gateways are sent.
     weights: RefCell<Vec<f64>>,
@@ -31,16 +31,16 @@
     weight_updates: Cell<u64>,
 }
 
-impl LiveRegister {
+impl LiveDiscovery {
     /// Discovery that lists these endpoints.
-    pub fn new(run: Rc<Day>, model: Register, nodes: Vec<Rc<LiveNode>>) -> Rc<LiveRegister> {
+    pub fn new(run: Rc<RunState>, model: Register, nodes: Vec<Rc<LiveEndpoint>>) -> Rc<LiveDiscovery> {
         let (changed, weights) = (Notify::new(), RefCell::new(weights(&run, &nodes)));
         let (model, weight_updates) = (RefCell::new(model), Cell::new(0));
-        Rc::new(LiveRegister { run, model, nodes, changed, weights, weight_updates })
+        Rc::new(LiveDiscovery { run, model, nodes, changed, weights, weight_updates })
     }
 
     /// Updates the live weights until the run ends; returns at once if the script has none.
-    pub async fn weigh(&self) {
+    pub async fn update_weights(&self) {
         let Some(live_weights) = self.run.script.register.weights else { return };
         for round in 0u32.. {
             sleep_until(self.run.clock.instant(live_weights.every * round)).await;
@@ -78,7 +78,7 @@
 
     /// If discovery pushes changes, records each list sent to the gateways' agents, until the run ends.
     /// What was sent to an agent counts as notified, whether or not the gateway reads the change.
-    pub async fn tell_agents(&self) {
+    pub async fn record_agent_lists(&self) {
         if !self.run.script.register.pushed {
             return;
         }
@@ -113,7 +113,7 @@
     }
 
     /// Records that an endpoint has crashed from too much work in its slow start.
-    pub fn fell(&self, node: usize, at: Duration) {
+    pub fn record_crash(&self, node: usize, at: Duration) {
         self.model.borrow_mut().fell(node, at);
         self.changed.notify_waiters();
     }
@@ -212,7 +212,7 @@
     }
 
     /// The endpoint list for a gateway's configuration file.
-    pub fn known(&self, gateway: usize) -> Value {
+    pub fn initial_list(&self, gateway: usize) -> Value {
         let snapshot = self.model.borrow().snapshot_entries(Duration::ZERO);
         let entries: Vec<Value> = snapshot.iter().map(|entry| self.entry(gateway, entry)).collect();
         json!({"index": 1, "snapshot": true, "endpoints": entries})
@@ -241,10 +241,10 @@
 }
 
 /// The current live weight of each endpoint: its capacity divided by 1 + its requests in flight per core; 1 without live weights.
-fn weights(run: &Day, nodes: &[Rc<LiveNode>]) -> Vec<f64> {
+fn weights(run: &RunState, nodes: &[Rc<LiveEndpoint>]) -> Vec<f64> {
     let has_live_weights = run.script.register.weights.is_some();
     nodes
         .iter()
-        .map(|node| if has_live_weights { node.see(|model| model.live_weight()) } else { 1.0 })
+        .map(|node| if has_live_weights { node.read_model(|model| model.live_weight()) } else { 1.0 })
         .collect()
 }
--- a/crates/testbed/src/live/nodes.rs
+++ b/crates/testbed/src/live/endpoints.rs
@@ -2,10 +2,10 @@
 //!
 //! Each endpoint listens at a separate address for each gateway, so that the sender of an attempt is known.
 //! The model decides what happens, and this module carries it out on sockets.
-//! Another protocol can be added: its connection tasks pass requests to [`LiveNode::submit`] and are sent the answers to write.
+//! Another protocol can be added: its connection tasks pass requests to [`LiveEndpoint::submit`] and are sent the answers to write.
 
 use super::http::{Connection, Kind, ReadError};
-use super::{node_address, Day};
+use super::{node_address, RunState};
 use crate::fleet::carry_out;
 use crate::ledger::{AttemptSeen, Ended};
 use crate::model::{Answer, AttemptId, ConnectionId, Node, Output, Refusal, Report, State, Work};
@@ -55,10 +55,10 @@
 }
 
 /// A stand-in endpoint on sockets.
-pub struct LiveNode {
+pub struct LiveEndpoint {
     /// The endpoint's number.
     pub number: usize,
-    run: Rc<Day>,
+    run: Rc<RunState>,
     model: RefCell<Node>,
     ports: RefCell<Vec<Rc<Port>>>,
     commands: RefCell<FxHashMap<ConnectionId, mpsc::UnboundedSender<ConnectionCommand>>>,
@@ -75,7 +75,7 @@
     socket.listen(backlog)
 }
 
-impl LiveNode {
+impl LiveEndpoint {
     /// Starts an endpoint that listens for each gateway; `ids` numbers the attempts and connections of all endpoints.
     ///
     /// # Errors
@@ -83,13 +83,13 @@
     pub fn start(
         number: usize,
         model: Node,
-        run: Rc<Day>,
+        run: Rc<RunState>,
         ids: Rc<Cell<u64>>,
         fell: Box<dyn Fn(usize, Duration)>,
-    ) -> io::Result<Rc<LiveNode>> {
+    ) -> io::Result<Rc<LiveEndpoint>> {
         let (model, ports, commands, changed) =
             (RefCell::new(model), RefCell::default(), RefCell::default(), Notify::new());
-        let node = Rc::new(LiveNode { number, run, model, ports, commands, changed, ids, fell });
+        let node = Rc::new(LiveEndpoint { number, run, model, ports, commands, changed, ids, fell });
         for gateway in 0..node.run.gateways {
             let listener = listen(SocketAddr::from((node_address(gateway, number), 0)), BACKLOG)?;
             let (address, listening) = (listener.local_addr()?, RefCell::default());
@@ -107,7 +107,7 @@
     }
 
     /// Reads something from the endpoint model.
-    pub fn see<T>(&self, read: impl FnOnce(&Node) -> T) -> T {
+    pub fn read_model<T>(&self, read: impl FnOnce(&Node) -> T) -> T {
         read(&self.model.borrow())
     }
 
@@ -131,7 +131,7 @@
     }
 
     /// Applies an action of the script to the model and to the sockets.
-    pub fn carry_out(self: &Rc<Self>, action: Deed) {
+    pub fn apply_action(self: &Rc<Self>, action: Deed) {
         let now = self.run.clock.now();
         let before = self.model.borrow().state();
         carry_out(&mut self.model.borrow_mut(), now, action);
@@ -298,7 +298,7 @@
             let attempt = self.next_id();
             let reading = stream_connection.read(Kind::Request, now, |head, first| {
                 // A request without a number belongs to no client: it is answered with an error and not recorded.
-                if let Some(number) = number(head.header("x-request-id")) {
+                if let Some(number) = parse_request_number(head.header("x-request-id")) {
                     self.record_attempt(number, attempt, gateway, first);
                 }
             });
@@ -332,7 +332,7 @@
                 return None;
             }
             self.run.ledger.borrow_mut().whole(attempt, now());
-            let number = number(request.header("x-request-id"));
+            let number = parse_request_number(request.header("x-request-id"));
             let work = number
                 .and_then(|number| self.work(number, request.header("x-timeout")).map(|work| (number, work)));
             let Some((number, work)) = work else {
@@ -389,7 +389,7 @@
 
     /// The work of a request at this endpoint; `None` if no client sent a request with this number.
     fn work(&self, number: u64, timeout: Option<&str>) -> Option<Work> {
-        let plan_index = *self.run.places.borrow().get(&number)?;
+        let plan_index = *self.run.plan_indices.borrow().get(&number)?;
         let planned = self.run.plan.get(plan_index)?;
         let class = self.run.script.classes.get(planned.class)?;
         let keyed = match class.effect {
@@ -406,7 +406,7 @@
 }
 
 /// Parses a request's number from its header.
-pub fn number(header: Option<&str>) -> Option<u64> {
+pub fn parse_request_number(header: Option<&str>) -> Option<u64> {
     u64::from_str_radix(header?, 16).ok()
 }
 
--- a/crates/testbed/src/live/mod.rs
+++ b/crates/testbed/src/live/mod.rs
@@ -2,10 +2,10 @@
 //! All of them run on one thread, so the ledger needs no lock and all its times are of one clock.
 
 pub mod clients;
+pub mod discovery;
+pub mod endpoints;
 pub mod gateways;
 pub mod http;
-pub mod nodes;
-pub mod register;
 
 use crate::draws::Draws;
 use crate::ledger::Ledger;
@@ -41,7 +41,7 @@
 
 /// State that all stand-ins of a run share.
 #[derive(Debug)]
-pub struct Day {
+pub struct RunState {
     /// The script of the run.
     pub script: Script,
     /// The random draws of the run's seed.
@@ -61,14 +61,14 @@
     /// Samples of the run's state over time.
     pub timeline: RefCell<Vec<Sample>>,
     /// The index in the plan of the planned request to which each request number belongs.
-    pub places: RefCell<FxHashMap<u64, usize>>,
+    pub plan_indices: RefCell<FxHashMap<u64, usize>>,
 }
 
-impl Day {
+impl RunState {
     /// A run that has not begun.
-    pub fn new(script: &Script, seed: u64, gateways: usize) -> Day {
+    pub fn new(script: &Script, seed: u64, gateways: usize) -> RunState {
         let draws = Draws::new(seed);
-        Day {
+        RunState {
             script: script.clone(),
             draws,
             gateways,
@@ -78,7 +78,7 @@
             counts: Cell::default(),
             in_time: Cell::default(),
             timeline: RefCell::default(),
-            places: RefCell::default(),
+            plan_indices: RefCell::default(),
         }
     }
 
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -3,10 +3,10 @@
 use crate::fleet::nodes;
 use crate::ledger::Rules;
 use crate::live::clients::Clients;
+use crate::live::discovery::LiveDiscovery;
+use crate::live::endpoints::LiveEndpoint;
 use crate::live::gateways::{ready, GatewayError, RunningGateway, StartGateway};
-use crate::live::nodes::LiveNode;
-use crate::live::register::LiveRegister;
-use crate::live::Day;
+use crate::live::RunState;
 use crate::register::{deeds, Register};
 use crate::report::{back, service, tallies, Counts, Lateness, Report, Runner, Sample};
 use crate::script::Script;
@@ -62,7 +62,7 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(Report, Spent), ReplayError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let day = Rc::new(Day::new(script, seed, gateways.unwrap_or(script.fleet.on_sockets)));
+    let day = Rc::new(RunState::new(script, seed, gateways.unwrap_or(script.fleet.on_sockets)));
     LocalSet::new().block_on(&runtime, async {
         tokio::select! {
             played = play(day, seed, start, progress) => played,
@@ -72,7 +72,7 @@
 }
 
 /// The configuration of a gateway, as the platform gives it.
-fn config(day: &Day, gateway: usize, discovery: &str, known: &Value) -> Value {
+fn config(day: &RunState, gateway: usize, discovery: &str, known: &Value) -> Value {
     let limits = &day.script.limits;
     json!({
         "name": format!("g{gateway}"),
@@ -86,28 +86,28 @@
 }
 
 async fn play(
-    day: Rc<Day>,
+    day: Rc<RunState>,
     seed: u64,
     start: &dyn StartGateway,
     progress: &dyn Fn(Duration, Counts, u64),
 ) -> Result<(Report, Spent), ReplayError> {
-    let (ids, register_cell) = (Rc::new(Cell::new(0)), Rc::new(RefCell::new(Weak::<LiveRegister>::new())));
+    let (ids, register_cell) = (Rc::new(Cell::new(0)), Rc::new(RefCell::new(Weak::<LiveDiscovery>::new())));
     let mut fleet = Vec::new();
     for (number, model) in nodes(&day.script, day.draws).into_iter().enumerate() {
         let register = register_cell.clone();
         let fell = Box::new(move |node, at| {
             if let Some(register) = register.borrow().upgrade() {
-                register.fell(node, at);
+                register.record_crash(node, at);
             }
         });
-        fleet.push(LiveNode::start(number, model, day.clone(), ids.clone(), fell)?);
+        fleet.push(LiveEndpoint::start(number, model, day.clone(), ids.clone(), fell)?);
     }
-    let register = LiveRegister::new(day.clone(), Register::new(&day.script, day.draws), fleet.clone());
+    let register = LiveDiscovery::new(day.clone(), Register::new(&day.script, day.draws), fleet.clone());
     register_cell.replace(Rc::downgrade(&register));
     let mut running: Vec<Box<dyn RunningGateway>> = Vec::new();
     for g in 0..day.gateways {
         let discovery = register.listen(g).await?.to_string();
-        running.push(start.start(g, config(&day, g, &discovery, &register.known(g))).await?);
+        running.push(start.start(g, config(&day, g, &discovery, &register.initial_list(g))).await?);
     }
     for (g, gateway) in running.iter().enumerate() {
         ready(g, gateway.address()).await?;
@@ -122,7 +122,7 @@
     let pulse = spawn_local(feel_pulse(stall.clone()));
     let telling = spawn_local({
         let register = register.clone();
-        async move { tokio::join!(register.weigh(), register.tell_agents()) }
+        async move { tokio::join!(register.update_weights(), register.record_agent_lists()) }
     });
     let doing = spawn_local(carry_out(day.clone(), fleet.clone()));
     let sampling = spawn_local(sample(day.clone(), fleet.clone()));
@@ -141,7 +141,7 @@
     while clients.open() > 0 && day.clock.now() < day.script.end() {
         sleep(Duration::from_millis(20)).await;
     }
-    clients.look_for_surplus();
+    clients.check_idle_connections();
     telling.abort();
     [pulse, doing, sampling].iter().for_each(|task| task.abort());
     let spent = Spent {
@@ -166,9 +166,9 @@
     Ok((report, spent))
 }
 
-fn report(day: &Day, seed: u64, clients: &Clients, lateness: Lateness) -> Report {
+fn report(day: &RunState, seed: u64, clients: &Clients, lateness: Lateness) -> Report {
     let ledger = day.ledger.borrow();
-    let tallies = tallies(&day.script, &day.plan, &ledger, &clients.tries());
+    let tallies = tallies(&day.script, &day.plan, &ledger, &clients.sends());
     let unsound = lateness.too_busy();
     Report {
         script: day.script.name.clone(),
@@ -189,14 +189,14 @@
     }
 }
 
-async fn carry_out(day: Rc<Day>, fleet: Vec<Rc<LiveNode>>) {
+async fn carry_out(day: Rc<RunState>, fleet: Vec<Rc<LiveEndpoint>>) {
     for (at, node, deed) in deeds(&day.script, day.draws) {
         sleep_until(day.clock.instant(at)).await;
-        fleet[node].carry_out(deed);
+        fleet[node].apply_action(deed);
     }
 }
 
-async fn sample(day: Rc<Day>, fleet: Vec<Rc<LiveNode>>) {
+async fn sample(day: Rc<RunState>, fleet: Vec<Rc<LiveEndpoint>>) {
     let step = (day.script.lasts / 240).max(Duration::from_millis(100));
     let (mut at, mut before, mut in_time) = (step, Counts::default(), 0);
     loop {
@@ -211,7 +211,7 @@
             failed: rate(now.failed, before.failed),
             ..Sample::default()
         };
-        fleet.iter().for_each(|node| node.see(|model| sample.see(model)));
+        fleet.iter().for_each(|node| node.read_model(|model| sample.see(model)));
         day.timeline.borrow_mut().push(sample);
         (before, in_time, at) = (now, day.in_time.get(), at + step);
     }
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -8,8 +8,8 @@
 //! These functions are for tests: a missing port or program ends the test with a panic.
 
 use crate::ledger::{Ask, AttemptSeen, ClassTerms, Ended, Got, Ledger, Rule, Rules};
+use crate::live::endpoints::parse_request_number;
 use crate::live::gateways::listening;
-use crate::live::nodes::number;
 use serde_json::{json, Value};
 use std::collections::{HashMap, VecDeque};
 use std::io::{BufRead, BufReader, Write};
@@ -72,7 +72,7 @@
 
     /// Records that an endpoint has received a complete request; returns the attempt's number.
     fn arrived(&self, request: &Http, node: usize) -> Option<u64> {
-        let request = number(request.header("x-request-id"))?;
+        let request = parse_request_number(request.header("x-request-id"))?;
         let attempt = self.attempts.fetch_add(1, Ordering::SeqCst);
         self.record(|ledger, now| {
             let (first, whole, began, ended) = (now, Some(now), Some(now), None);
@@ -108,7 +108,7 @@
         if text.matches("X-Request-ID: ").count() != 1 || text.matches(" HTTP/1.1").count() != 1 {
             return None;
         }
-        let request = number(value("X-Request-ID"))?;
+        let request = parse_request_number(value("X-Request-ID"))?;
         let class = CLASSES.iter().position(|(name, ..)| Some(*name) == value("X-Priority-Class"))?;
         let timeout = value("X-Timeout")?;
         let unit = if timeout.ends_with('u') { 1e-6 } else { 1e-3 };
