--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -232,7 +232,7 @@
     nodes: Vec<Node>,
     node_due: Vec<Option<Duration>>,
     gateways: Vec<Gateway>,
-    modules: Minds,
+    modules: DecisionModules,
     gateways_by_zone: Vec<Vec<usize>>,
     mean_weight: f64,
     register: Register,
@@ -252,14 +252,14 @@
 
 /// Which decision modules the gateways use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Minds {
+pub enum DecisionModules {
     /// Each gateway has its own decision module, as in production.
-    Own,
+    PerGateway,
     /// One decision module handles the events of all gateways without delay: the upper bound to compare with.
     /// Connections still belong to single gateways.
     Shared,
     /// Each gateway has its own baseline module, which picks endpoints at random, retries at once and admits every request.
-    Plain,
+    Baseline,
 }
 
 /// Simulates a script with the given number of gateways (`None` for the number in the script), with or without retry storm control.
@@ -272,7 +272,7 @@
     gateways: Option<usize>,
     storm: Option<StormSettings>,
 ) -> Result<(Report, Cost), SimulateError> {
-    simulate_with(script, seed, gateways, storm, Minds::Own)
+    simulate_with(script, seed, gateways, storm, DecisionModules::PerGateway)
 }
 
 /// Simulates a script as [`simulate`] does, with a choice of decision modules.
@@ -284,7 +284,7 @@
     seed: u64,
     gateways: Option<usize>,
     storm: Option<StormSettings>,
-    modules: Minds,
+    modules: DecisionModules,
 ) -> Result<(Report, Cost), SimulateError> {
     let count = gateways.unwrap_or(script.fleet.gateways);
     let mut simulation = Simulation::new(script, Draws::new(seed), count, storm, modules)?;
@@ -305,14 +305,14 @@
         draws: Draws,
         count: usize,
         storm: Option<StormSettings>,
-        modules: Minds,
+        modules: DecisionModules,
     ) -> Result<Simulation<'s>, SimulateError> {
         let planned = plan(script, draws);
         let initial_count = initial_gateways(script, count);
         let mut gateways = Vec::with_capacity(count);
         for gateway_index in 0..count {
             // A decision module shared by all gateways gets the settings of a single gateway.
-            let counted = if modules == Minds::Shared { 1 } else { count };
+            let counted = if modules == DecisionModules::Shared { 1 } else { count };
             let settings: Settings = parse_settings(&script.settings(gateway_index, counted).to_string())?;
             gateways.push(Gateway {
                 storm: storm.map(|storm_settings| {
@@ -332,7 +332,7 @@
                 module: {
                     let seed = draws.number(For::Gateway, gateway_index as u64);
                     match modules {
-                        Minds::Plain => DecisionModule::Baseline(Box::new(Plain::new(
+                        DecisionModules::Baseline => DecisionModule::Baseline(Box::new(Plain::new(
                             settings,
                             draws.stream(For::Gateway, gateway_index as u64),
                         ))),
@@ -669,16 +669,16 @@
     /// The number of decision modules.
     fn module_count(&self) -> usize {
         match self.modules {
-            Minds::Own | Minds::Plain => self.gateways.len(),
-            Minds::Shared => 1,
+            DecisionModules::PerGateway | DecisionModules::Baseline => self.gateways.len(),
+            DecisionModules::Shared => 1,
         }
     }
 
     /// The index of the decision module that decides for a gateway.
     fn module_of(&self, gateway: usize) -> usize {
         match self.modules {
-            Minds::Own | Minds::Plain => gateway,
-            Minds::Shared => 0,
+            DecisionModules::PerGateway | DecisionModules::Baseline => gateway,
+            DecisionModules::Shared => 0,
         }
     }
 
--- a/crates/testbed/src/sweep/run.rs
+++ b/crates/testbed/src/sweep/run.rs
@@ -2,7 +2,7 @@
 
 use super::study::{Played, Study, Variant};
 use crate::script::Script;
-use crate::simulate::{simulate_with, Minds};
+use crate::simulate::{simulate_with, DecisionModules};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::process::Command;
@@ -186,9 +186,9 @@
             let storm = variant.and_then(|v| v.storm);
             let script = job.changed.unwrap_or(&job.played.script);
             let minds = match variant {
-                Some(Variant { plain: true, .. }) => Minds::Plain,
-                Some(_) => Minds::Own,
-                None => Minds::Shared,
+                Some(Variant { plain: true, .. }) => DecisionModules::Baseline,
+                Some(_) => DecisionModules::PerGateway,
+                None => DecisionModules::Shared,
             };
             let (report, cost) = simulate_with(script, job.seed, Some(job.gateways), storm, minds)?;
             // The same way as another build's, so that no variant is read by other rules.
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -9,7 +9,7 @@
 use weldworks_testbed::plan::{met, plan};
 use weldworks_testbed::report::Report;
 use weldworks_testbed::script::Script;
-use weldworks_testbed::simulate::{simulate, simulate_with, Minds};
+use weldworks_testbed::simulate::{simulate, simulate_with, DecisionModules};
 use weldworks_testbed::timeline::svg;
 
 fn shipped() -> Vec<(String, String)> {
@@ -272,7 +272,7 @@
 fn a_plain_gateway_stays_down_after_a_surge_and_the_module_does_not() {
     let script = shipped_script("metastable");
     let run = |minds| simulate_with(&script, 1, Some(12), None, minds).expect("settings").0;
-    let (plain, own) = (run(Minds::Plain), run(Minds::Own));
+    let (plain, own) = (run(DecisionModules::Baseline), run(DecisionModules::PerGateway));
     assert_eq!((&plain.breaches, &own.breaches), (&vec![], &vec![]));
     assert_eq!(plain.back_s, None, "{}", plain.to_text());
     assert!(own.back_s.is_some_and(|s| s <= 10.0), "{:?}: {}", own.back_s, own.to_text());
@@ -286,8 +286,8 @@
 #[test]
 fn plain_gateways_repeat_and_drain_by_the_rules() {
     for name in ["fast-failures", "zone-returns", "cold-restart", "register-down", "stale-connections"] {
-        let (report, _) =
-            simulate_with(&shipped_script(name), 3, Some(5), None, Minds::Plain).expect("settings");
+        let (report, _) = simulate_with(&shipped_script(name), 3, Some(5), None, DecisionModules::Baseline)
+            .expect("settings");
         // They hold what they can't dial until it is over and send cold nodes as much as warm ones: that is their plainness.
         let plain = [Rule::PushedOver, Rule::HeldBack];
         let own: Vec<_> = report.breaches.iter().filter(|b| !plain.contains(&b.rule)).collect();
--- a/crates/testbed/tests/sweep.rs
+++ b/crates/testbed/tests/sweep.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use weldworks_testbed::script::Script;
-use weldworks_testbed::simulate::{simulate, simulate_with, Minds};
+use weldworks_testbed::simulate::{simulate, simulate_with, DecisionModules};
 use weldworks_testbed::sweep::run::ORACLE;
 use weldworks_testbed::sweep::{plot, run, table, Study};
 
@@ -107,7 +107,7 @@
     let text = "name = \"busy\"\nlasts = \"8s\"\n[load]\nrate = 320\n";
     let script = Script::parse("busy.toml", text).expect("a script");
     let (own, _) = simulate(&script, 1, Some(45), None).expect("settings");
-    let (shared, _) = simulate_with(&script, 1, Some(45), None, Minds::Shared).expect("settings");
+    let (shared, _) = simulate_with(&script, 1, Some(45), None, DecisionModules::Shared).expect("settings");
     let whole = |r: &weldworks_testbed::report::Report| r.service.as_ref().expect("a figure").whole;
     assert!(whole(&shared) > whole(&own), "{} and {}", whole(&shared), whole(&own));
     assert_eq!((shared.breaches.len(), own.breaches.len()), (0, 0));
