--- a/crates/testbed/src/plain.rs
+++ b/crates/testbed/src/baseline.rs
@@ -30,7 +30,7 @@
 
 /// The baseline balancer. It handles the events and returns the actions of the decision module.
 #[derive(Clone, Debug)]
-pub struct Plain {
+pub struct BaselineBalancer {
     settings: Settings,
     draws: Stream,
     endpoints: FxHashMap<EndpointId, Endpoint>,
@@ -39,11 +39,11 @@
     has_scheduled_poll: bool,
 }
 
-impl Plain {
+impl BaselineBalancer {
     /// A baseline balancer without endpoints.
-    pub fn new(settings: Settings, draws: Stream) -> Plain {
+    pub fn new(settings: Settings, draws: Stream) -> BaselineBalancer {
         let (endpoints, ready, open) = Default::default();
-        Plain { settings, draws, endpoints, ready, open, has_scheduled_poll: false }
+        BaselineBalancer { settings, draws, endpoints, ready, open, has_scheduled_poll: false }
     }
 
     /// Handles an event at `now` and appends the actions to carry out.
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -11,6 +11,7 @@
     reason = "the test bed is split by concern in the second half of the standard terms"
 )]
 
+pub mod baseline;
 pub mod bulk;
 pub mod client;
 pub mod count;
@@ -20,7 +21,6 @@
 pub mod live;
 pub mod logs;
 pub mod model;
-pub mod plain;
 pub mod plan;
 pub mod register;
 pub mod replay;
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -1,9 +1,9 @@
 //! Gateways that are killed with requests in flight and restart without any state.
 
 use super::{front_targets, initial_gateways, DecisionModule, Simulation, SimulationEvent};
+use crate::baseline::BaselineBalancer;
 use crate::client::ClientOutcome;
 use crate::draws::For;
-use crate::plain::Plain;
 use weldworks_balancer::parse_settings;
 use weldworks_balancer::Balancer;
 
@@ -85,9 +85,10 @@
             let Ok(settings) = settings else { continue };
             let gateway = &mut self.gateways[gateway_index];
             gateway.module = match gateway.module {
-                DecisionModule::Baseline(_) => {
-                    DecisionModule::Baseline(Box::new(Plain::new(settings, draws.stream(For::Gateway, seed))))
-                }
+                DecisionModule::Baseline(_) => DecisionModule::Baseline(Box::new(BaselineBalancer::new(
+                    settings,
+                    draws.stream(For::Gateway, seed),
+                ))),
                 DecisionModule::Real(_) => DecisionModule::Real(Box::new(Balancer::new(settings, seed))),
             };
             (gateway.alive, gateway.incarnation, gateway.version) = (true, incarnation, 0);
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -6,12 +6,12 @@
 mod discovery;
 mod killed;
 
+use crate::baseline::BaselineBalancer;
 use crate::client::{client_timeout, next_retry, ClientOutcome};
 use crate::draws::{Draws, For};
 use crate::fleet::{carry_out, kinds, ledger, nodes};
 use crate::ledger::{Ask, AttemptSeen, Ended, Got, Ledger, Rules};
 use crate::model::{Answer, Node, Output, State, Work};
-use crate::plain::Plain;
 use crate::plan::{attempt_seconds, plan, Asked};
 use crate::register::{deeds, Deed, EndpointList, Register};
 use crate::report::{back, fresh, service, tallies, Counts, Report, Runner, Sample};
@@ -159,7 +159,7 @@
 /// The implementation that makes a gateway's decisions.
 enum DecisionModule {
     Real(Box<Balancer>),
-    Baseline(Box<Plain>),
+    Baseline(Box<BaselineBalancer>),
 }
 
 impl DecisionModule {
@@ -332,10 +332,9 @@
                 module: {
                     let seed = draws.number(For::Gateway, gateway_index as u64);
                     match modules {
-                        DecisionModules::Baseline => DecisionModule::Baseline(Box::new(Plain::new(
-                            settings,
-                            draws.stream(For::Gateway, gateway_index as u64),
-                        ))),
+                        DecisionModules::Baseline => DecisionModule::Baseline(Box::new(
+                            BaselineBalancer::new(settings, draws.stream(For::Gateway, gateway_index as u64)),
+                        )),
                         _ => DecisionModule::Real(Box::new(Balancer::new(settings, seed))),
                     }
                 },
