--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/discovery.rs
@@ -62,7 +62,7 @@
 
 /// An action of a script on one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Deed {
+pub enum EndpointAction {
     /// The process of the endpoint ends.
     Kill,
     /// The machine of the endpoint is cut off.
@@ -86,32 +86,34 @@
 }
 
 /// All actions of a script on endpoints, in order of time.
-pub fn deeds(script: &Script, draws: Draws) -> Vec<(Duration, usize, Deed)> {
+pub fn endpoint_actions(script: &Script, draws: Draws) -> Vec<(Duration, usize, EndpointAction)> {
     let mut actions = Vec::new();
     for (event_index, event) in script.events.iter().enumerate() {
         let (from, until) = (event.at, event.until());
         for (order, node) in met(script, draws, event_index).into_iter().enumerate() {
-            let mut during = |start: Deed, end: Deed| {
+            let mut during = |start: EndpointAction, end: EndpointAction| {
                 actions.push((from, node, start));
                 actions.extend(until.map(|until| (until, node, end)));
             };
             match event.what {
-                What::Fail { share } => during(Deed::Fail(share), Deed::Fail(0.0)),
-                What::Slow { times } => during(Deed::Slow(times), Deed::Slow(1.0)),
+                What::Fail { share } => during(EndpointAction::Fail(share), EndpointAction::Fail(0.0)),
+                What::Slow { times } => during(EndpointAction::Slow(times), EndpointAction::Slow(1.0)),
                 What::Report { qps, inflight } => {
-                    during(Deed::Report(Some((qps, inflight))), Deed::Report(None));
+                    during(EndpointAction::Report(Some((qps, inflight))), EndpointAction::Report(None));
                 }
-                What::Kill => during(Deed::Kill, Deed::Start),
-                What::CutOff => during(Deed::CutOff, Deed::Start),
-                What::Drain => during(Deed::Drain(true), Deed::Drain(false)),
+                What::Kill => during(EndpointAction::Kill, EndpointAction::Start),
+                What::CutOff => during(EndpointAction::CutOff, EndpointAction::Start),
+                What::Drain => during(EndpointAction::Drain(true), EndpointAction::Drain(false)),
                 What::LetGo { after, silently } => {
-                    during(Deed::LetGo(Some((after, silently))), Deed::LetGo(None));
+                    during(EndpointAction::LetGo(Some((after, silently))), EndpointAction::LetGo(None));
+                }
+                What::Pause => {
+                    actions.push((from, node, EndpointAction::Pause(event.lasts.unwrap_or_default())));
                 }
-                What::Pause => actions.push((from, node, Deed::Pause(event.lasts.unwrap_or_default()))),
                 What::Restart { gone, apart } => {
                     let restart_at = from + apart * order as u32;
-                    actions.push((restart_at, node, Deed::Kill));
-                    actions.push((restart_at + gone, node, Deed::Start));
+                    actions.push((restart_at, node, EndpointAction::Kill));
+                    actions.push((restart_at + gone, node, EndpointAction::Start));
                 }
                 What::Neighbour { takes, turns } => {
                     let mut stream = draws.stream_of_two(For::Neighbour, event_index as u64, node as u64);
@@ -119,10 +121,14 @@
                     let (mut at, mut is_active) = (from, true);
                     let end = until.unwrap_or(script.lasts);
                     while at < end {
-                        actions.push((at, node, Deed::Neighbour(if is_active { takes } else { 0.0 })));
+                        actions.push((
+                            at,
+                            node,
+                            EndpointAction::Neighbour(if is_active { takes } else { 0.0 }),
+                        ));
                         (at, is_active) = (at + Duration::from_secs_f64(stream.within(range)), !is_active);
                     }
-                    actions.push((end, node, Deed::Neighbour(0.0)));
+                    actions.push((end, node, EndpointAction::Neighbour(0.0)));
                 }
                 What::Heavy { .. } | What::RegisterDown { .. } | What::Surge { .. } => {}
             }
@@ -134,7 +140,7 @@
 
 /// Discovery in a run.
 #[derive(Clone, Debug)]
-pub struct Register {
+pub struct Discovery {
     changes: Vec<Change>,
     nodes: usize,
     outages: Vec<(Duration, Duration, Vec<usize>)>,
@@ -155,9 +161,9 @@
     Failed(Duration),
 }
 
-impl Register {
+impl Discovery {
     /// Discovery of a script, with all changes and outages that are known ahead.
-    pub fn new(script: &Script, draws: Draws) -> Register {
+    pub fn new(script: &Script, draws: Draws) -> Discovery {
         let mut changes = Vec::new();
         let mut notice_count = 0;
         let mut notice_delay = |range: (Duration, Duration)| {
@@ -167,21 +173,21 @@
         };
         let mut started = vec![None; script.fleet.nodes];
         let mut is_silent = vec![false; script.fleet.nodes];
-        for (at, node, action) in deeds(script, draws) {
+        for (at, node, action) in endpoint_actions(script, draws) {
             let status = match action {
-                Deed::Kill => EndpointStatus::Left,
-                Deed::CutOff => {
+                EndpointAction::Kill => EndpointStatus::Left,
+                EndpointAction::CutOff => {
                     is_silent[node] = true;
                     let entry = ListEntry { node, status: EndpointStatus::Left, started: started[node] };
                     changes.push(Change { at: at + notice_delay(script.register.silent_notice), entry });
                     continue;
                 }
-                Deed::Start => {
+                EndpointAction::Start => {
                     (started[node], is_silent[node]) = (Some(at), false);
                     EndpointStatus::Active
                 }
-                Deed::Drain(true) => EndpointStatus::Leaving,
-                Deed::Drain(false) => EndpointStatus::Active,
+                EndpointAction::Drain(true) => EndpointStatus::Leaving,
+                EndpointAction::Drain(false) => EndpointStatus::Active,
                 _ => continue,
             };
             let entry = ListEntry { node, status, started: started[node] };
@@ -200,7 +206,7 @@
             }
             _ => None,
         });
-        Register {
+        Discovery {
             changes,
             nodes: script.fleet.nodes,
             outages: outages.collect(),
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,9 +1,9 @@
 //! The nodes of a script, built by the seed: the same ones in virtual time and on sockets.
 
+use crate::discovery::EndpointAction;
 use crate::draws::{Draws, For};
 use crate::ledger::{ClassTerms, Ledger};
 use crate::model::{Memories, Node, NodeSpec, Repeats, Report, ReportSpec};
-use crate::register::Deed;
 use crate::script::Script;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -59,18 +59,20 @@
 }
 
 /// Has a deed of the script done to a node.
-pub fn carry_out(node: &mut Node, now: Duration, deed: Deed) {
+pub fn carry_out(node: &mut Node, now: Duration, deed: EndpointAction) {
     match deed {
-        Deed::Kill => node.kill(now),
-        Deed::CutOff => node.cut_off(now),
-        Deed::Start => node.start_cold(now),
-        Deed::Drain(on) => node.drain(now, on),
-        Deed::Fail(share) => node.fail(now, share),
-        Deed::Neighbour(share) => node.share_with_neighbour(now, share),
-        Deed::Slow(times) => node.slow_down(now, times),
-        Deed::Report(says) => node.report_always(now, says.map(|(qps, inflight)| Report { qps, inflight })),
-        Deed::Pause(lasts) => node.pause(now, lasts),
-        Deed::LetGo(limit) => node.let_go_after(now, limit),
+        EndpointAction::Kill => node.kill(now),
+        EndpointAction::CutOff => node.cut_off(now),
+        EndpointAction::Start => node.start_cold(now),
+        EndpointAction::Drain(on) => node.drain(now, on),
+        EndpointAction::Fail(share) => node.fail(now, share),
+        EndpointAction::Neighbour(share) => node.share_with_neighbour(now, share),
+        EndpointAction::Slow(times) => node.slow_down(now, times),
+        EndpointAction::Report(says) => {
+            node.report_always(now, says.map(|(qps, inflight)| Report { qps, inflight }));
+        }
+        EndpointAction::Pause(lasts) => node.pause(now, lasts),
+        EndpointAction::LetGo(limit) => node.let_go_after(now, limit),
     }
 }
 
--- a/crates/testbed/src/live/discovery.rs
+++ b/crates/testbed/src/live/discovery.rs
@@ -3,8 +3,8 @@
 use super::endpoints::LiveEndpoint;
 use super::http::{Connection, Kind};
 use super::RunState;
+use crate::discovery::{Discovery, EndpointList, EndpointStatus, ListEntry, PollResult};
 use crate::ledger::Told;
-use crate::register::{EndpointList, EndpointStatus, ListEntry, PollResult, Register};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -22,7 +22,7 @@
 /// The discovery stand-in of a run.
 pub struct LiveDiscovery {
     run: Rc<RunState>,
-    model: RefCell<Register>,
+    model: RefCell<Discovery>,
     nodes: Vec<Rc<LiveEndpoint>>,
     changed: Notify,
     /// The weight of each endpoint that gateways are sent.
@@ -33,7 +33,7 @@
 
 impl LiveDiscovery {
     /// Discovery that lists these endpoints.
-    pub fn new(run: Rc<RunState>, model: Register, nodes: Vec<Rc<LiveEndpoint>>) -> Rc<LiveDiscovery> {
+    pub fn new(run: Rc<RunState>, model: Discovery, nodes: Vec<Rc<LiveEndpoint>>) -> Rc<LiveDiscovery> {
         let (changed, weights) = (Notify::new(), RefCell::new(weights(&run, &nodes)));
         let (model, weight_updates) = (RefCell::new(model), Cell::new(0));
         Rc::new(LiveDiscovery { run, model, nodes, changed, weights, weight_updates })
@@ -64,12 +64,12 @@
     pub async fn listen(self: &Rc<Self>, gateway: usize) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
-        let register = self.clone();
+        let discovery = self.clone();
         spawn_local(async move {
             loop {
                 if let Ok((stream, _)) = listener.accept().await {
-                    let (register, connection) = (register.clone(), Connection::new(stream));
-                    spawn_local(async move { register.serve(connection, gateway).await });
+                    let (discovery, connection) = (discovery.clone(), Connection::new(stream));
+                    spawn_local(async move { discovery.serve(connection, gateway).await });
                 }
             }
         });
--- a/crates/testbed/src/live/endpoints.rs
+++ b/crates/testbed/src/live/endpoints.rs
@@ -6,11 +6,11 @@
 
 use super::http::{Connection, Kind, ReadError};
 use super::{node_address, RunState};
+use crate::discovery::EndpointAction;
 use crate::fleet::carry_out;
 use crate::ledger::{AttemptSeen, Ended};
 use crate::model::{Answer, AttemptId, ConnectionId, Node, Output, Refusal, Report, State, Work};
 use crate::plan::attempt_seconds;
-use crate::register::Deed;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -131,13 +131,13 @@
     }
 
     /// Applies an action of the script to the model and to the sockets.
-    pub fn apply_action(self: &Rc<Self>, action: Deed) {
+    pub fn apply_action(self: &Rc<Self>, action: EndpointAction) {
         let now = self.run.clock.now();
         let before = self.model.borrow().state();
         carry_out(&mut self.model.borrow_mut(), now, action);
         let after = self.model.borrow().state();
         self.process_outputs();
-        if action == Deed::Start && after == State::Up {
+        if action == EndpointAction::Start && after == State::Up {
             self.run.ledger.borrow_mut().started(self.number, now);
         }
         if before != after {
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -1,5 +1,6 @@
 //! A script on loopback sockets, with real gateway processes between the rig's clients and its nodes.
 
+use crate::discovery::{endpoint_actions, Discovery};
 use crate::fleet::nodes;
 use crate::ledger::Rules;
 use crate::live::clients::Clients;
@@ -7,7 +8,6 @@
 use crate::live::endpoints::LiveEndpoint;
 use crate::live::gateways::{ready, GatewayError, RunningGateway, StartGateway};
 use crate::live::RunState;
-use crate::register::{deeds, Register};
 use crate::report::{back, service, tallies, Counts, Lateness, Report, Runner, Sample};
 use crate::script::Script;
 use serde_json::{json, Value};
@@ -102,7 +102,7 @@
         });
         fleet.push(LiveEndpoint::start(number, model, day.clone(), ids.clone(), fell)?);
     }
-    let register = LiveDiscovery::new(day.clone(), Register::new(&day.script, day.draws), fleet.clone());
+    let register = LiveDiscovery::new(day.clone(), Discovery::new(&day.script, day.draws), fleet.clone());
     register_cell.replace(Rc::downgrade(&register));
     let mut running: Vec<Box<dyn RunningGateway>> = Vec::new();
     for g in 0..day.gateways {
@@ -190,7 +190,7 @@
 }
 
 async fn carry_out(day: Rc<RunState>, fleet: Vec<Rc<LiveEndpoint>>) {
-    for (at, node, deed) in deeds(&day.script, day.draws) {
+    for (at, node, deed) in endpoint_actions(&day.script, day.draws) {
         sleep_until(day.clock.instant(at)).await;
         fleet[node].apply_action(deed);
     }
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -1,18 +1,18 @@
 //! Discovery in virtual time: polls, pushed changes of the endpoint list, and live weights of the endpoints.
 
 use super::{Simulation, SimulationEvent, CLOCK_AT_START};
+use crate::discovery::{EndpointList, EndpointStatus, ListEntry, PollResult};
 use crate::ledger::Told;
 use crate::model::Node;
-use crate::register::{EndpointList, EndpointStatus, ListEntry, PollResult};
 use weldworks_balancer::{EndpointId, EndpointState, Event};
 
 impl Simulation<'_> {
     /// A gateway's poll has reached discovery.
     pub(super) fn on_discovery_poll(&mut self, gateway: usize) {
         let delay = self.script.network.same;
-        match self.register.poll(self.now) {
+        match self.discovery.poll(self.now) {
             PollResult::Answered(at) => {
-                let list = self.register.list_since(at, self.gateways[gateway].version);
+                let list = self.discovery.list_since(at, self.gateways[gateway].version);
                 self.schedule(at + delay, SimulationEvent::DiscoveryResponse { gateway, list: Some(list) });
             }
             PollResult::Failed(at) => {
@@ -35,14 +35,14 @@
 
     pub(super) fn schedule_discovery_change(&mut self) {
         let (change, outage_change) =
-            (self.register.next_change(self.now), self.register.next_outage_change(self.now));
+            (self.discovery.next_change(self.now), self.discovery.next_outage_change(self.now));
         if let Some(at) = change.into_iter().chain(outage_change).min() {
             self.schedule(at, SimulationEvent::DiscoveryChange);
         }
     }
 
     pub(super) fn on_discovery_change(&mut self) {
-        let (down, delay) = (self.register.is_down(self.now), self.script.network.same);
+        let (down, delay) = (self.discovery.is_down(self.now), self.script.network.same);
         if self.script.register.pushed && !down {
             self.update_agents();
         }
@@ -57,7 +57,7 @@
                 self.schedule(self.now + delay, SimulationEvent::DiscoveryResponse { gateway, list: None });
                 continue;
             }
-            let list = self.register.list_since(self.now, self.gateways[gateway].version);
+            let list = self.discovery.list_since(self.now, self.gateways[gateway].version);
             if list.is_snapshot || !list.entries.is_empty() {
                 self.schedule(
                     self.now + delay,
@@ -70,7 +70,7 @@
 
     /// A change that was sent to a gateway's agent counts as notified, whether or not the gateway reads the change.
     fn update_agents(&mut self) {
-        let list = self.register.list_since(self.now, self.agent_version);
+        let list = self.discovery.list_since(self.now, self.agent_version);
         self.agent_version = list.version;
         for gateway in 0..self.module_count() {
             for entry in &list.entries {
@@ -139,7 +139,7 @@
 
     /// The gateways that watch discovery receive new live weights, unless discovery is down.
     pub(super) fn on_weight_update(&mut self, weights: Vec<f64>) {
-        if self.register.is_down(self.now) {
+        if self.discovery.is_down(self.now) {
             return;
         }
         self.weights = weights;
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -94,7 +94,7 @@
             (gateway.alive, gateway.incarnation, gateway.version) = (true, incarnation, 0);
             gateway.endpoints.clear();
             gateway.watching = script.register.pushed;
-            let list = self.register.list_since(self.now, 0);
+            let list = self.discovery.list_since(self.now, 0);
             self.deliver_list(gateway_index, list);
         }
         self.update_front();
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -8,12 +8,12 @@
 
 use crate::baseline::BaselineBalancer;
 use crate::client::{client_timeout, next_retry, ClientOutcome};
+use crate::discovery::{endpoint_actions, Discovery, EndpointAction, EndpointList};
 use crate::draws::{Draws, For};
 use crate::fleet::{carry_out, kinds, ledger, nodes};
 use crate::ledger::{Ask, AttemptSeen, Ended, Got, Ledger, Rules};
 use crate::model::{Answer, Node, Output, State, Work};
 use crate::plan::{attempt_seconds, plan, Asked};
-use crate::register::{deeds, Deed, EndpointList, Register};
 use crate::report::{back, fresh, service, tallies, Counts, Report, Runner, Sample};
 use crate::script::Script;
 use std::cmp::Ordering;
@@ -115,7 +115,7 @@
     /// Sampled live weights reach the gateways.
     WeightUpdate { weights: Vec<f64> },
     /// An action of the script is applied to an endpoint.
-    EndpointAction { node: usize, action: Deed },
+    EndpointAction { node: usize, action: EndpointAction },
     /// The gateways that join during the run start.
     GatewaysJoin,
     /// The gateways that the script names are killed.
@@ -235,7 +235,7 @@
     modules: DecisionModules,
     gateways_by_zone: Vec<Vec<usize>>,
     mean_weight: f64,
-    register: Register,
+    discovery: Discovery,
     /// The weight of each endpoint that gateways last received.
     weights: Vec<f64>,
     /// The version of the endpoint list that the gateways' agents have, if discovery pushes changes.
@@ -367,7 +367,7 @@
             modules,
             gateways_by_zone: front_targets(script, initial_count),
             mean_weight: mean_weight(script),
-            register: Register::new(script, draws),
+            discovery: Discovery::new(script, draws),
             weights: vec![1.0; script.fleet.nodes],
             agent_version: 1,
             ledger: ledger(script),
@@ -380,7 +380,7 @@
         };
         simulation.weights = simulation.nodes.iter().map(|node| simulation.weight(node)).collect();
         for gateway_index in 0..simulation.module_count().min(initial_count) {
-            let list = simulation.register.list_since(Duration::ZERO, 0);
+            let list = simulation.discovery.list_since(Duration::ZERO, 0);
             simulation.deliver_list(gateway_index, list);
         }
         if initial_count < count {
@@ -393,7 +393,7 @@
             let at = simulation.planned[plan_index].at;
             simulation.schedule(at, SimulationEvent::SendRequest { plan_index, retries: 0 });
         }
-        for (at, node, action) in deeds(script, draws) {
+        for (at, node, action) in endpoint_actions(script, draws) {
             simulation.schedule(at, SimulationEvent::EndpointAction { node, action });
         }
         (0..simulation.nodes.len()).for_each(|node| simulation.schedule_endpoint(node));
@@ -503,7 +503,7 @@
             SimulationEvent::WeightUpdate { weights } => self.on_weight_update(weights),
             SimulationEvent::EndpointAction { node, action } => {
                 carry_out(&mut self.nodes[node], self.now, action);
-                if action == Deed::Start && self.nodes[node].state() == State::Up {
+                if action == EndpointAction::Start && self.nodes[node].state() == State::Up {
                     self.ledger.started(node, self.now);
                 }
                 self.take_outputs(node);
@@ -554,7 +554,7 @@
         let count = self.gateways.len();
         for gateway_index in initial_gateways(self.script, count)..self.module_count() {
             self.gateways[gateway_index].watching = self.script.register.pushed;
-            let list = self.register.list_since(self.now, 0);
+            let list = self.discovery.list_since(self.now, 0);
             self.deliver_list(gateway_index, list);
         }
         self.update_front();
@@ -1013,7 +1013,7 @@
                 Output::FellOver => {
                     self.counts.fallen += 1;
                     self.ledger.fell(node, self.now);
-                    self.register.fell(node, self.now);
+                    self.discovery.fell(node, self.now);
                     self.schedule_discovery_change();
                 }
             }
