--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::discovery::EndpointAction;
 use crate::draws::{Draws, For};
 use crate::ledger::{ClassTerms, Ledger};
-use crate::model::{Memories, Node, NodeSpec, Repeats, Report, ReportSpec};
+use crate::model::{EndpointModel, EndpointSpec, RepeatCache, RepeatCaches, Report, ReportSpec};
 use crate::script::Script;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -25,7 +25,7 @@
     kinds
 }
 
-fn spec(script: &Script, draws: Draws, node: usize, kind: usize) -> NodeSpec {
+fn spec(script: &Script, draws: Draws, node: usize, kind: usize) -> EndpointSpec {
     let kind = &script.fleet.kinds[kind];
     let mut build = draws.stream(For::Build, node as u64);
     let time = |range: (Duration, Duration), part: f64| range.0 + (range.1 - range.0).mul_f64(part);
@@ -34,16 +34,16 @@
     let late = time(kind.report_late, build.even());
     let noise = kind.spec.report.noise;
     let mean_work = script.mean_work();
-    NodeSpec { speed, report: ReportSpec { period, late, noise }, mean_work, ..kind.spec.clone() }
+    EndpointSpec { speed, report: ReportSpec { period, late, noise }, mean_work, ..kind.spec.clone() }
 }
 
 /// All nodes, up and warm.
-pub fn nodes(script: &Script, draws: Draws) -> Vec<Node> {
+pub fn nodes(script: &Script, draws: Draws) -> Vec<EndpointModel> {
     let kinds = kinds(script);
-    let all = Rc::<RefCell<Repeats>>::default();
-    let mut zones: Vec<Rc<RefCell<Repeats>>> = Vec::new();
-    let mut racks: Vec<Rc<RefCell<Repeats>>> = Vec::new();
-    let shared = |memories: &mut Vec<Rc<RefCell<Repeats>>>, number: usize| {
+    let all = Rc::<RefCell<RepeatCache>>::default();
+    let mut zones: Vec<Rc<RefCell<RepeatCache>>> = Vec::new();
+    let mut racks: Vec<Rc<RefCell<RepeatCache>>> = Vec::new();
+    let shared = |memories: &mut Vec<Rc<RefCell<RepeatCache>>>, number: usize| {
         if memories.len() <= number {
             memories.resize_with(number + 1, Rc::default);
         }
@@ -52,27 +52,27 @@
     let node = |n: usize| {
         let zone = shared(&mut zones, script.zone_of(n));
         let rack = shared(&mut racks, script.rack_of(n));
-        let memories = Memories { all: all.clone(), zone, rack };
-        Node::new(n as u64, spec(script, draws, n, kinds[n]), draws, memories, Duration::ZERO)
+        let memories = RepeatCaches { all: all.clone(), zone, rack };
+        EndpointModel::new(n as u64, spec(script, draws, n, kinds[n]), draws, memories, Duration::ZERO)
     };
     (0..script.fleet.nodes).map(node).collect()
 }
 
 /// Has a deed of the script done to a node.
-pub fn carry_out(node: &mut Node, now: Duration, deed: EndpointAction) {
+pub fn carry_out(node: &mut EndpointModel, now: Duration, deed: EndpointAction) {
     match deed {
         EndpointAction::Kill => node.kill(now),
         EndpointAction::CutOff => node.cut_off(now),
         EndpointAction::Start => node.start_cold(now),
         EndpointAction::Drain(on) => node.drain(now, on),
-        EndpointAction::Fail(share) => node.fail(now, share),
-        EndpointAction::Neighbour(share) => node.share_with_neighbour(now, share),
-        EndpointAction::Slow(times) => node.slow_down(now, times),
+        EndpointAction::Fail(share) => node.set_failure_share(now, share),
+        EndpointAction::Neighbour(share) => node.set_neighbour_share(now, share),
+        EndpointAction::Slow(times) => node.set_slowdown(now, times),
         EndpointAction::Report(says) => {
-            node.report_always(now, says.map(|(qps, inflight)| Report { qps, inflight }));
+            node.override_reports(now, says.map(|(qps, inflight)| Report { qps, inflight }));
         }
         EndpointAction::Pause(lasts) => node.pause(now, lasts),
-        EndpointAction::LetGo(limit) => node.let_go_after(now, limit),
+        EndpointAction::LetGo(limit) => node.set_idle_timeout(now, limit),
     }
 }
 
--- a/crates/testbed/src/live/endpoints.rs
+++ b/crates/testbed/src/live/endpoints.rs
@@ -9,7 +9,9 @@
 use crate::discovery::EndpointAction;
 use crate::fleet::carry_out;
 use crate::ledger::{AttemptSeen, Ended};
-use crate::model::{Answer, AttemptId, ConnectionId, Node, Output, Refusal, Report, State, Work};
+use crate::model::{
+    Answer, AttemptId, ConnectionId, EndpointModel, Output, RejectionReason, Report, State, Work,
+};
 use crate::plan::attempt_seconds;
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
@@ -59,7 +61,7 @@
     /// The endpoint's number.
     pub number: usize,
     run: Rc<RunState>,
-    model: RefCell<Node>,
+    model: RefCell<EndpointModel>,
     ports: RefCell<Vec<Rc<Port>>>,
     commands: RefCell<FxHashMap<ConnectionId, mpsc::UnboundedSender<ConnectionCommand>>>,
     changed: Notify,
@@ -82,7 +84,7 @@
     /// If a listener cannot be opened.
     pub fn start(
         number: usize,
-        model: Node,
+        model: EndpointModel,
         run: Rc<RunState>,
         ids: Rc<Cell<u64>>,
         fell: Box<dyn Fn(usize, Duration)>,
@@ -107,7 +109,7 @@
     }
 
     /// Reads something from the endpoint model.
-    pub fn read_model<T>(&self, read: impl FnOnce(&Node) -> T) -> T {
+    pub fn read_model<T>(&self, read: impl FnOnce(&EndpointModel) -> T) -> T {
         read(&self.model.borrow())
     }
 
@@ -163,7 +165,7 @@
                 }
             });
         }
-        if before == State::Silent {
+        if before == State::CutOff {
             self.commands.borrow().values().for_each(|sender| {
                 let _ = sender.send(ConnectionCommand::End { reset: true });
             });
@@ -173,7 +175,7 @@
     fn reopen(self: &Rc<Self>, port: &Rc<Port>, state: State) -> io::Result<()> {
         match state {
             State::Up | State::Draining => self.accept(port, listen(port.address, BACKLOG)?),
-            State::Silent => {
+            State::CutOff => {
                 // The kernel accepts connections until the queue is full; further connection attempts are never answered.
                 let listener = listen(port.address, 0)?;
                 let mut queued = Vec::new();
@@ -185,7 +187,7 @@
                 }
                 port.stuffing.replace(Some((listener, queued)));
             }
-            State::Down | State::Fallen => {}
+            State::Down | State::Crashed => {}
         }
         Ok(())
     }
@@ -233,7 +235,7 @@
                         ConnectionCommand::End { reset: process_ended || attempt.is_some() },
                     );
                 }
-                Output::FellOver => {
+                Output::Crashed => {
                     self.run.count(|counts| counts.fallen += 1);
                     self.run.ledger.borrow_mut().fell(self.number, now);
                     (self.fell)(self.number, now);
@@ -324,7 +326,7 @@
                     }
                 },
             };
-            if self.model.borrow().state() == State::Silent {
+            if self.model.borrow().state() == State::CutOff {
                 // The machine is cut off: the request counts as not sent, and the task waits until the connection is reset.
                 self.run.ledger.borrow_mut().ended(attempt, now(), Ended::Unsent);
                 while !matches!(commands_received.recv().await, Some(ConnectionCommand::End { .. }) | None) {}
@@ -360,7 +362,7 @@
                     let ended = match answer {
                         Answer::Served { .. } => Ended::Served,
                         Answer::Error => Ended::Error,
-                        Answer::TurnedAway(_) => Ended::TurnedAway,
+                        Answer::Rejected(_) => Ended::TurnedAway,
                     };
                     // Recorded before the answer is written, because the gateway may receive it at any time from then on.
                     self.run.ledger.borrow_mut().ended(attempt, now(), ended);
@@ -431,8 +433,8 @@
             format!("HTTP/1.1 200 OK\r\n{load}Content-Type: application/json\r\nContent-Length: {length}\r\n\r\n{body}")
         }
         Answer::Error => format!("HTTP/1.1 500 Error\r\n{load}Content-Length: 0\r\n\r\n"),
-        Answer::TurnedAway(reason) => {
-            let status = if reason == Refusal::Expired { 504 } else { 503 };
+        Answer::Rejected(reason) => {
+            let status = if reason == RejectionReason::Expired { 504 } else { 503 };
             format!("HTTP/1.1 {status} Not Now\r\n{load}X-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n")
         }
     }
--- a/crates/testbed/src/model/budget.rs
+++ b/crates/testbed/src/model/budget.rs
@@ -8,7 +8,7 @@
 /// A window at the very start is shorter but is granted the budget of a full one:
 /// a short heavy burst can exceed the budget, a single request cannot.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct SlowStartBudget {
     multiple: f64,
     window: f64,
     sent: VecDeque<(f64, f64)>,
@@ -32,10 +32,10 @@
     }
 }
 
-impl Budget {
+impl SlowStartBudget {
     /// A budget of `multiple` times the capacity over `window` seconds, for requests of `mean_work` seconds of work.
-    pub fn new(multiple: f64, window: f64, mean_work: f64) -> Budget {
-        Budget {
+    pub fn new(multiple: f64, window: f64, mean_work: f64) -> SlowStartBudget {
+        SlowStartBudget {
             multiple,
             window,
             sent: VecDeque::new(),
@@ -47,8 +47,8 @@
     }
 
     /// Sets whether an allowance for random variation is added to the budget, as the operators' terms grant it.
-    pub fn granting_chance(self, grants_chance: bool) -> Budget {
-        Budget { grants_chance, ..self }
+    pub fn with_random_allowance(self, grants_chance: bool) -> SlowStartBudget {
+        SlowStartBudget { grants_chance, ..self }
     }
 
     /// The highest work in any window so far, divided by the allowance of that window.
@@ -58,7 +58,7 @@
 
     /// Records `work` (in seconds) that arrived at `now`, while the endpoint can do `capacity` seconds of work a second.
     /// True if the budget is exceeded.
-    pub fn overspent(&mut self, now: f64, work: f64, capacity: f64) -> bool {
+    pub fn record_and_check(&mut self, now: f64, work: f64, capacity: f64) -> bool {
         while let Some(&(at, old_work)) = self.sent.front().filter(|(at, _)| *at <= now - self.window) {
             debug_assert!(at <= now);
             self.work_in_window -= old_work;
--- a/crates/testbed/src/model/endpoint.rs
+++ b/crates/testbed/src/model/endpoint.rs
@@ -3,12 +3,12 @@
 //! Running jobs share the cores evenly, each at most one core: processor sharing up to the number of slots, first come first served beyond.
 //! Speed changes in steps and is constant between two steps, so the times at which jobs end are computed directly.
 
-use super::budget::Budget;
+use super::budget::SlowStartBudget;
 use super::choke::Choke;
 use super::keys::SubjectCache;
-use super::repeats::{Meeting, Repeats};
+use super::repeats::{RepeatCache, RepeatCheck};
 use super::reports::{LoadReports, Report};
-use super::spec::{NodeSpec, WarmBy};
+use super::spec::{EndpointSpec, WarmBy};
 use crate::draws::{Draws, For, Stream};
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
@@ -44,7 +44,7 @@
 
 /// Why an endpoint rejected a request without processing it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RejectionReason {
     /// No free slot, and the queue is full.
     QueueFull,
     /// The endpoint is draining: it finishes the requests that it has and takes no new ones.
@@ -64,7 +64,7 @@
     /// An error: the request was possibly processed.
     Error,
     /// The request was rejected and not processed.
-    TurnedAway(Refusal),
+    Rejected(RejectionReason),
 }
 
 /// An output of the endpoint model.
@@ -94,7 +94,7 @@
         attempt: Option<AttemptId>,
     },
     /// The endpoint was sent too much work in its slow start; it has crashed and stays down.
-    FellOver,
+    Crashed,
 }
 
 /// The state of an endpoint.
@@ -107,24 +107,24 @@
     /// The process has ended: connections are refused.
     Down,
     /// The machine is cut off: nothing is received and nothing is sent.
-    Silent,
+    CutOff,
     /// The endpoint crashed from too much work in its slow start: connections are refused, and the endpoint does not restart.
-    Fallen,
+    Crashed,
 }
 
 /// The repeat caches that an endpoint shares with others, one for each key scope.
 #[derive(Clone, Debug, Default)]
-pub struct Memories {
+pub struct RepeatCaches {
     /// Shared by all endpoints.
-    pub all: Rc<RefCell<Repeats>>,
+    pub all: Rc<RefCell<RepeatCache>>,
     /// Shared by the endpoints of the zone.
-    pub zone: Rc<RefCell<Repeats>>,
+    pub zone: Rc<RefCell<RepeatCache>>,
     /// Shared by the endpoints of the rack.
-    pub rack: Rc<RefCell<Repeats>>,
+    pub rack: Rc<RefCell<RepeatCache>>,
 }
 
-impl Memories {
-    fn in_scope(&self, scope: KeyScope) -> &Rc<RefCell<Repeats>> {
+impl RepeatCaches {
+    fn in_scope(&self, scope: KeyScope) -> &Rc<RefCell<RepeatCache>> {
         match scope {
             KeyScope::All => &self.all,
             KeyScope::Zone => &self.zone,
@@ -148,7 +148,7 @@
 struct AttemptInFlight {
     connection: ConnectionId,
     work: Work,
-    /// The value of [`Node::work_per_job`] at which the attempt is done, while it is running.
+    /// The value of [`EndpointModel::work_per_job`] at which the attempt is done, while it is running.
     job_end: Option<f64>,
     fails: bool,
     dropped: bool,
@@ -164,18 +164,18 @@
 
 /// The model of a stand-in endpoint.
 #[derive(Debug)]
-pub struct Node {
+pub struct EndpointModel {
     number: u64,
-    spec: NodeSpec,
+    spec: EndpointSpec,
     draws: Draws,
-    memories: Memories,
+    repeat_caches: RepeatCaches,
     state: State,
     now: f64,
     started_at: Option<f64>,
     work_done: f64,
-    budget: Budget,
-    /// The highest [`Budget::peak`] of earlier starts of this endpoint.
-    cold_peak: f64,
+    budget: SlowStartBudget,
+    /// The highest [`SlowStartBudget::peak`] of earlier starts of this endpoint.
+    slow_start_peak: f64,
     choke: Option<Choke>,
     choke_updated_at: f64,
     subject_cache: SubjectCache,
@@ -200,14 +200,20 @@
 }
 
 /// The work that an endpoint with these properties may be sent during its slow start.
-fn slow_start_budget(spec: &NodeSpec) -> Budget {
-    Budget::new(spec.fall_at, spec.fall_over.as_secs_f64(), spec.mean_work)
-        .granting_chance(spec.grants_chance)
+fn slow_start_budget(spec: &EndpointSpec) -> SlowStartBudget {
+    SlowStartBudget::new(spec.fall_at, spec.fall_over.as_secs_f64(), spec.mean_work)
+        .with_random_allowance(spec.grants_chance)
 }
 
-impl Node {
+impl EndpointModel {
     /// An endpoint that has been up for long, so that its slow start is over.
-    pub fn new(number: u64, spec: NodeSpec, draws: Draws, memories: Memories, now: Duration) -> Node {
+    pub fn new(
+        number: u64,
+        spec: EndpointSpec,
+        draws: Draws,
+        repeat_caches: RepeatCaches,
+        now: Duration,
+    ) -> EndpointModel {
         let now_s = now.as_secs_f64();
         let mut next_pause =
             spec.pause.map(|pause| (draws.stream(For::Pause, number), pause.every.as_secs_f64()));
@@ -215,16 +221,16 @@
             let first = now_s + stream.exponential() * mean_interval_s;
             (stream, first)
         });
-        Node {
+        EndpointModel {
             number,
             draws,
-            memories,
+            repeat_caches,
             state: State::Up,
             now: now_s,
             started_at: None,
             work_done: 0.0,
             budget: slow_start_budget(&spec),
-            cold_peak: 0.0,
+            slow_start_peak: 0.0,
             choke: spec.choke.map(|choke| Choke::new(choke, now_s)),
             choke_updated_at: now_s,
             subject_cache: SubjectCache::new(spec.key_places, spec.key_for.as_secs_f64()),
@@ -255,28 +261,28 @@
     }
 
     /// Number of requests in flight, running or queued.
-    pub fn held(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.in_flight.len()
     }
 
     /// The endpoint's live weight: its capacity divided by 1 + its requests in flight per core.
     pub fn live_weight(&self) -> f64 {
         let cores = f64::from(self.spec.cores);
-        cores * self.spec.speed / (1.0 + self.held() as f64 / cores)
+        cores * self.spec.speed / (1.0 + self.in_flight() as f64 / cores)
     }
 
     /// Number of open connections as the endpoint knows them.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open_connections
     }
 
     /// Whether the endpoint is choked.
-    pub fn choked(&self) -> bool {
+    pub fn is_choked(&self) -> bool {
         self.choke.as_ref().is_some_and(|choke| choke.slowdown_factor() > 1.0)
     }
 
     /// The warm-up fraction: the fraction of its full capacity that slow start allows.
-    pub fn warmth(&self) -> f64 {
+    pub fn warm_up_fraction(&self) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let cold_for = self.spec.cold_for.as_secs_f64().max(1e-6);
         let by_time = (self.now - started_at) / cold_for;
@@ -310,7 +316,7 @@
             self.spec.connection_tax * self.open_connections as f64 / f64::from(self.spec.connections.max(1));
         let choke = self.choke.as_ref().map_or(1.0, Choke::slowdown_factor);
         self.spec.speed
-            * self.warmth()
+            * self.warm_up_fraction()
             * (1.0 - self.spec.crowding * crowding_level)
             * (1.0 - self.neighbour_share)
             * (1.0 - tax.min(1.0))
@@ -331,7 +337,7 @@
     }
 
     fn next_at(&self) -> Option<f64> {
-        if matches!(self.state, State::Down | State::Silent | State::Fallen) {
+        if matches!(self.state, State::Down | State::CutOff | State::Crashed) {
             return None;
         }
         let mut next = self.reports.next_refresh().as_secs_f64();
@@ -347,8 +353,8 @@
         next = next.min(
             self.paused_until.or(self.next_pause.as_ref().map(|pause| pause.1)).unwrap_or(f64::INFINITY),
         );
-        let changes =
-            self.warmth() < 1.0 || self.choke.is_some() && (!self.in_flight.is_empty() || self.choked());
+        let changes = self.warm_up_fraction() < 1.0
+            || self.choke.is_some() && (!self.in_flight.is_empty() || self.is_choked());
         Some(if changes { next.min(self.choke_updated_at.max(self.now) + UPDATE_INTERVAL_S) } else { next })
     }
 
@@ -502,7 +508,7 @@
     /// A request has been received up to its last byte.
     pub fn request(&mut self, now: Duration, connection: ConnectionId, attempt: AttemptId, work: Work) {
         self.advance(now);
-        if self.state == State::Silent {
+        if self.state == State::CutOff {
             return;
         }
         let Some(connection_state) = self.connections.get(&connection) else { return };
@@ -531,7 +537,7 @@
             return; // the endpoint has crashed from too much work in its slow start
         }
         if self.state == State::Draining {
-            return self.send_answer(attempt, Answer::TurnedAway(Refusal::Draining));
+            return self.send_answer(attempt, Answer::Rejected(RejectionReason::Draining));
         }
         if fails.0 {
             self.outputs.push(Output::Began { attempt });
@@ -549,7 +555,7 @@
         } else if self.queue.len() < self.spec.queue as usize {
             self.queue.push_back(attempt);
         } else {
-            self.send_answer(attempt, Answer::TurnedAway(Refusal::QueueFull));
+            self.send_answer(attempt, Answer::Rejected(RejectionReason::QueueFull));
         }
     }
 
@@ -557,12 +563,12 @@
         let now = Duration::from_secs_f64(self.now);
         let Some(attempt_state) = self.in_flight.get_mut(&attempt) else { return };
         if self.spec.drops_expired && attempt_state.work.until <= now {
-            return self.send_answer(attempt, Answer::TurnedAway(Refusal::Expired));
+            return self.send_answer(attempt, Answer::Rejected(RejectionReason::Expired));
         }
         let mut seconds = attempt_state.work.seconds;
         if let Some((key, scope, window)) = attempt_state.work.keyed {
-            let repeats = self.memories.in_scope(scope);
-            attempt_state.dropped = repeats.borrow_mut().meet(now, key, window) == Meeting::Dropped;
+            let repeats = self.repeat_caches.in_scope(scope);
+            attempt_state.dropped = repeats.borrow_mut().check(now, key, window) == RepeatCheck::Dropped;
         }
         if attempt_state.dropped {
             seconds = self.spec.repeat_work;
@@ -602,7 +608,7 @@
                     self.reports.count_served();
                     if let Some((key, scope, _)) = attempt_state.work.keyed.filter(|_| !dropped) {
                         let now = Duration::from_secs_f64(self.now);
-                        self.memories.in_scope(scope).borrow_mut().done(now, key);
+                        self.repeat_caches.in_scope(scope).borrow_mut().record_completed(now, key);
                     }
                 }
                 let answer = if fails && !dropped { Answer::Error } else { Answer::Served { dropped } };
@@ -654,7 +660,7 @@
                         attempt_state.work.keyed.filter(|_| !attempt_state.fails && !attempt_state.dropped)
                     {
                         let now = Duration::from_secs_f64(self.now);
-                        self.memories.in_scope(scope).borrow_mut().done(now, key);
+                        self.repeat_caches.in_scope(scope).borrow_mut().record_completed(now, key);
                     }
                     self.jobs.insert((end.to_bits(), Job::CancelledRequest(attempt)), ());
                 }
@@ -665,18 +671,18 @@
 
     /// Records work that was sent to the endpoint. During slow start, too much work makes the endpoint crash.
     fn record_work(&mut self, seconds: f64) {
-        let warm_up_fraction = self.warmth();
+        let warm_up_fraction = self.warm_up_fraction();
         if warm_up_fraction < 1.0
-            && self.budget.overspent(self.now, seconds, self.spec.capacity() * warm_up_fraction)
+            && self.budget.record_and_check(self.now, seconds, self.spec.capacity() * warm_up_fraction)
         {
-            self.outputs.push(Output::FellOver);
-            self.close_everything(State::Fallen);
+            self.outputs.push(Output::Crashed);
+            self.close_everything(State::Crashed);
         }
     }
 
     /// The highest work sent in a window during slow start, divided by the allowance of that window; 0 if the endpoint had no slow start.
-    pub fn cold_peak(&self) -> f64 {
-        self.cold_peak.max(self.budget.peak())
+    pub fn slow_start_peak(&self) -> f64 {
+        self.slow_start_peak.max(self.budget.peak())
     }
 
     // ---- faults of the script ----
@@ -698,7 +704,7 @@
     /// The process of the endpoint ends.
     pub fn kill(&mut self, now: Duration) {
         self.advance(now);
-        if self.state != State::Fallen {
+        if self.state != State::Crashed {
             self.close_everything(State::Down);
         }
     }
@@ -706,25 +712,25 @@
     /// The machine of the endpoint is cut off. Its requests are lost; its connections stay open but carry nothing.
     pub fn cut_off(&mut self, now: Duration) {
         self.advance(now);
-        if self.state == State::Fallen {
+        if self.state == State::Crashed {
             return;
         }
         self.in_flight.clear();
         self.jobs.clear();
         self.queue.clear();
         self.idle.clear();
-        (self.state, self.running) = (State::Silent, 0);
+        (self.state, self.running) = (State::CutOff, 0);
     }
 
     /// The endpoint starts with a slow start. An endpoint that has crashed from too much work stays down.
     pub fn start_cold(&mut self, now: Duration) {
         self.advance(now);
-        if self.state == State::Fallen {
+        if self.state == State::Crashed {
             return;
         }
         self.close_everything(State::Up);
         (self.started_at, self.work_done) = (Some(self.now), 0.0);
-        self.cold_peak = self.cold_peak();
+        self.slow_start_peak = self.slow_start_peak();
         self.budget = slow_start_budget(&self.spec);
         self.choke = self.spec.choke.map(|choke| Choke::new(choke, self.now));
         self.subject_cache = SubjectCache::new(self.spec.key_places, self.spec.key_for.as_secs_f64());
@@ -741,31 +747,31 @@
     }
 
     /// Another program on the machine takes this share of the endpoint's speed.
-    pub fn share_with_neighbour(&mut self, now: Duration, share: f64) {
+    pub fn set_neighbour_share(&mut self, now: Duration, share: f64) {
         self.advance(now);
         self.neighbour_share = share;
     }
 
     /// The endpoint becomes `times` times slower than its properties say.
-    pub fn slow_down(&mut self, now: Duration, times: f64) {
+    pub fn set_slowdown(&mut self, now: Duration, times: f64) {
         self.advance(now);
         self.slowdown = times.max(1e-3);
     }
 
     /// All load reports of the endpoint carry these values; `None` for true reports.
-    pub fn report_always(&mut self, now: Duration, report: Option<Report>) {
+    pub fn override_reports(&mut self, now: Duration, report: Option<Report>) {
         self.advance(now);
         self.reported_always = report;
     }
 
     /// The endpoint answers this share of its requests with an error at once.
-    pub fn fail(&mut self, now: Duration, share: f64) {
+    pub fn set_failure_share(&mut self, now: Duration, share: f64) {
         self.advance(now);
         self.failure_share = share;
     }
 
     /// Sets the idle timeout, and whether idle connections are dropped without being closed; `None` for the idle timeout of the properties.
-    pub fn let_go_after(&mut self, now: Duration, limit: Option<(Duration, bool)>) {
+    pub fn set_idle_timeout(&mut self, now: Duration, limit: Option<(Duration, bool)>) {
         self.advance(now);
         self.idle_timeout_override = limit.map(|(time, silently)| (time.as_secs_f64(), silently));
         let idle_connections: Vec<_> = self.idle.iter().map(|(_, connection)| *connection).collect();
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -11,10 +11,12 @@
 mod reports;
 mod spec;
 
-pub use budget::Budget;
+pub use budget::SlowStartBudget;
 pub use choke::{Choke, SlidingMean};
-pub use endpoint::{Answer, AttemptId, ConnectionId, Memories, Node, Output, Refusal, State, Work};
+pub use endpoint::{
+    Answer, AttemptId, ConnectionId, EndpointModel, Output, RejectionReason, RepeatCaches, State, Work,
+};
 pub use keys::SubjectCache;
-pub use repeats::{Meeting, Repeats};
+pub use repeats::{RepeatCache, RepeatCheck};
 pub use reports::{LoadReports, Report};
-pub use spec::{ChokeSpec, Distribution, NodeSpec, PauseSpec, ReportSpec, WarmBy};
+pub use spec::{ChokeSpec, Distribution, EndpointSpec, PauseSpec, ReportSpec, WarmBy};
--- a/crates/testbed/src/model/repeats.rs
+++ b/crates/testbed/src/model/repeats.rs
@@ -6,26 +6,26 @@
 
 /// Whether a request with an idempotency key is processed or dropped as a repeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Meeting {
+pub enum RepeatCheck {
     /// The request is processed: no request with its key was completed within the idempotency window.
-    Runs,
+    Processed,
     /// A request with the same key was completed within the idempotency window: the repeat is dropped and answered like the first.
     Dropped,
 }
 
 /// The repeat cache of one key scope. Its stand-in endpoints check it before they process a request with an idempotency key.
 #[derive(Clone, Debug, Default)]
-pub struct Repeats {
+pub struct RepeatCache {
     completed: FxHashMap<u64, Duration>,
     order: VecDeque<(Duration, u64)>,
 }
 
-impl Repeats {
+impl RepeatCache {
     /// Checks a request with this key that an endpoint of the key scope is about to process at `now`.
     ///
     /// Only completed requests count: a request that was cancelled half way or ended with an error has had no effect,
     /// and answering its repeat as served would lose the request.
-    pub fn meet(&mut self, now: Duration, key: u64, window: Duration) -> Meeting {
+    pub fn check(&mut self, now: Duration, key: u64, window: Duration) -> RepeatCheck {
         while let Some(&(completed_at, expired_key)) =
             self.order.front().filter(|(completed_at, _)| *completed_at + window < now)
         {
@@ -35,13 +35,13 @@
             }
         }
         match self.completed.get(&key) {
-            Some(completed_at) if now <= *completed_at + window => Meeting::Dropped,
-            _ => Meeting::Runs,
+            Some(completed_at) if now <= *completed_at + window => RepeatCheck::Dropped,
+            _ => RepeatCheck::Processed,
         }
     }
 
     /// Records that a request with this key was completed at `now`. The idempotency window starts here; repeats do not extend it.
-    pub fn done(&mut self, now: Duration, key: u64) {
+    pub fn record_completed(&mut self, now: Duration, key: u64) {
         self.completed.insert(key, now);
         self.order.push_back((now, key));
     }
--- a/crates/testbed/src/model/spec.rs
+++ b/crates/testbed/src/model/spec.rs
@@ -63,7 +63,7 @@
 
 /// Properties of a stand-in endpoint. Work is given in seconds of a core of speed 1.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NodeSpec {
+pub struct EndpointSpec {
     /// Number of cores.
     pub cores: u32,
     /// Speed of each core.
@@ -121,10 +121,10 @@
     pub report: ReportSpec,
 }
 
-impl Default for NodeSpec {
+impl Default for EndpointSpec {
     /// A warm endpoint with two cores of speed 1 that has no errors, no pauses and no loss of speed.
     fn default() -> Self {
-        NodeSpec {
+        EndpointSpec {
             cores: 2,
             speed: 1.0,
             slots: 16,
@@ -156,7 +156,7 @@
     }
 }
 
-impl NodeSpec {
+impl EndpointSpec {
     /// Capacity without slow start, in seconds of work per second.
     pub fn capacity(&self) -> f64 {
         f64::from(self.cores) * self.speed
--- a/crates/testbed/src/script/defaults.rs
+++ b/crates/testbed/src/script/defaults.rs
@@ -1,7 +1,7 @@
 //! The booking service on an ordinary day, in the figures of its operators.
 
 use super::{Class, Kind, Tenant};
-use crate::model::{ChokeSpec, Distribution, NodeSpec, PauseSpec, ReportSpec, WarmBy};
+use crate::model::{ChokeSpec, Distribution, EndpointSpec, PauseSpec, ReportSpec, WarmBy};
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, KeyScope};
 
@@ -68,8 +68,8 @@
 }
 
 /// The ordinary node.
-fn node() -> NodeSpec {
-    NodeSpec {
+fn node() -> EndpointSpec {
+    EndpointSpec {
         cores: 2,
         speed: 1.0,
         slots: 16,
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -6,7 +6,7 @@
 mod defaults;
 mod read;
 
-use crate::model::{Distribution, NodeSpec};
+use crate::model::{Distribution, EndpointSpec};
 use serde_json::{json, Value};
 use std::time::Duration;
 use weldworks_balancer::Idempotency;
@@ -85,7 +85,7 @@
     /// The range from which a report's lateness is drawn.
     pub report_late: (Duration, Duration),
     /// All else.
-    pub spec: NodeSpec,
+    pub spec: EndpointSpec,
 }
 
 /// The shape of the load.
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -3,7 +3,7 @@
 use super::{Simulation, SimulationEvent, CLOCK_AT_START};
 use crate::discovery::{EndpointList, EndpointStatus, ListEntry, PollResult};
 use crate::ledger::Told;
-use crate::model::Node;
+use crate::model::EndpointModel;
 use weldworks_balancer::{EndpointId, EndpointState, Event};
 
 impl Simulation<'_> {
@@ -120,7 +120,7 @@
     }
 
     /// The current live weight of an endpoint: its capacity divided by 1 + its requests in flight per core; 1 without live weights.
-    pub(super) fn weight(&self, node: &Node) -> f64 {
+    pub(super) fn weight(&self, node: &EndpointModel) -> f64 {
         match self.script.register.weights {
             Some(_) => node.live_weight(),
             None => 1.0,
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -12,7 +12,7 @@
 use crate::draws::{Draws, For};
 use crate::fleet::{carry_out, kinds, ledger, nodes};
 use crate::ledger::{Ask, AttemptSeen, Ended, Got, Ledger, Rules};
-use crate::model::{Answer, Node, Output, State, Work};
+use crate::model::{Answer, EndpointModel, Output, State, Work};
 use crate::plan::{attempt_seconds, plan, Asked};
 use crate::report::{back, fresh, service, tallies, Counts, Report, Runner, Sample};
 use crate::script::Script;
@@ -229,7 +229,7 @@
     /// The gateway that opened each connection.
     connection_gateways: Vec<usize>,
     kinds: Vec<usize>,
-    nodes: Vec<Node>,
+    nodes: Vec<EndpointModel>,
     node_due: Vec<Option<Duration>>,
     gateways: Vec<Gateway>,
     modules: DecisionModules,
@@ -821,7 +821,7 @@
 
     fn on_dial(&mut self, attempt_index: usize) {
         let Attempt { node, connection, .. } = self.attempts[attempt_index];
-        if self.nodes[node].state() == State::Silent {
+        if self.nodes[node].state() == State::CutOff {
             return;
         }
         let is_up = self.nodes[node].connect(self.now, connection);
@@ -861,7 +861,7 @@
 
     fn on_attempt_arrival(&mut self, attempt_index: usize) {
         let Attempt { request_index, node, connection, until, .. } = self.attempts[attempt_index];
-        if self.nodes[node].state() == State::Silent || self.attempts[attempt_index].ended {
+        if self.nodes[node].state() == State::CutOff || self.attempts[attempt_index].ended {
             return;
         }
         let ClientRequest { number, plan_index, gateway, .. } = self.requests[request_index];
@@ -980,7 +980,7 @@
                             (Ended::Served, Outcome::Served)
                         }
                         Answer::Error => (Ended::Error, Outcome::Error),
-                        Answer::TurnedAway(_) => (Ended::TurnedAway, Outcome::Rejected),
+                        Answer::Rejected(_) => (Ended::TurnedAway, Outcome::Rejected),
                     };
                     self.ledger.ended(attempt, self.now, ended);
                     let attempt_index = attempt as usize;
@@ -1010,7 +1010,7 @@
                     let gateway = self.connection_gateways[connection as usize];
                     self.schedule(at, SimulationEvent::IdleConnectionEnded { gateway, node, connection });
                 }
-                Output::FellOver => {
+                Output::Crashed => {
                     self.counts.fallen += 1;
                     self.ledger.fell(node, self.now);
                     self.discovery.fell(node, self.now);
@@ -1071,7 +1071,12 @@
             fresh,
             back_s: back(self.script, &tallies),
             dispersion: self.ledger.dispersion(self.script.lasts),
-            cold_peak: self.nodes.iter().map(Node::cold_peak).reduce(f64::max).filter(|peak| *peak > 0.0),
+            cold_peak: self
+                .nodes
+                .iter()
+                .map(EndpointModel::slow_start_peak)
+                .reduce(f64::max)
+                .filter(|peak| *peak > 0.0),
             lateness: None,
             timeline: self.timeline,
         };
@@ -1087,14 +1092,14 @@
 
 impl Sample {
     /// Adds an endpoint to the counts of this sample.
-    pub fn see(&mut self, node: &Node) {
-        self.held += node.held();
+    pub fn see(&mut self, node: &EndpointModel) {
+        self.held += node.in_flight();
         match node.state() {
-            State::Up if node.choked() => self.choked += 1,
-            State::Up if node.warmth() < 1.0 => self.cold += 1,
+            State::Up if node.is_choked() => self.choked += 1,
+            State::Up if node.warm_up_fraction() < 1.0 => self.cold += 1,
             State::Up => self.warm += 1,
             State::Draining => self.draining += 1,
-            State::Down | State::Silent | State::Fallen => self.down += 1,
+            State::Down | State::CutOff | State::Crashed => self.down += 1,
         }
     }
 }
--- a/crates/testbed/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -6,8 +6,8 @@
 use weldworks_balancer::KeyScope;
 use weldworks_testbed::draws::{Draws, For};
 use weldworks_testbed::model::{
-    Answer, Budget, ChokeSpec, Memories, Node, NodeSpec, Output, PauseSpec, Refusal, Repeats, State, WarmBy,
-    Work,
+    Answer, ChokeSpec, EndpointModel, EndpointSpec, Output, PauseSpec, RejectionReason, RepeatCache,
+    RepeatCaches, SlowStartBudget, State, WarmBy, Work,
 };
 
 const fn ms(ms: u64) -> Duration {
@@ -20,12 +20,12 @@
     Work { request, seconds, subject: None, keyed: None, until: NEVER }
 }
 
-fn node(spec: NodeSpec) -> Node {
-    Node::new(0, spec, Draws::new(7), Memories::default(), Duration::ZERO)
+fn node(spec: EndpointSpec) -> EndpointModel {
+    EndpointModel::new(0, spec, Draws::new(7), RepeatCaches::default(), Duration::ZERO)
 }
 
 /// Lets time pass step by step and gives what comes out, each with its time.
-fn run_until(node: &mut Node, until: Duration) -> Vec<(Duration, Output)> {
+fn run_until(node: &mut EndpointModel, until: Duration) -> Vec<(Duration, Output)> {
     let mut out = Vec::new();
     while let Some(next) = node.next().filter(|next| *next <= until) {
         node.advance(next);
@@ -61,7 +61,8 @@
 fn waits_as_long_as_theory_says() {
     for (servers, load, requests) in [(2, 0.5, 200_000), (2, 0.8, 400_000), (4, 0.7, 300_000)] {
         let queue = 1_000_000;
-        let mut node = node(NodeSpec { cores: servers, slots: servers, queue, ..NodeSpec::default() });
+        let mut node =
+            node(EndpointSpec { cores: servers, slots: servers, queue, ..EndpointSpec::default() });
         let mut draws = Draws::new(11).stream(For::Arrivals, u64::from(servers));
         let (service, mut at) = (0.05, 0.0);
         let (mut came, mut waited, mut began) = (HashMap::new(), 0.0, 0u32);
@@ -95,33 +96,36 @@
 
 #[test]
 fn a_budget_is_spent_at_its_edge_and_not_before() {
-    let mut budget = Budget::new(2.5, 2.0, 0.1);
+    let mut budget = SlowStartBudget::new(2.5, 2.0, 0.1);
     // A capacity of 1: five seconds of work within two.
     for n in 0..50 {
-        assert!(!budget.overspent(f64::from(n) * 0.03, 0.1, 1.0), "after {n}");
+        assert!(!budget.record_and_check(f64::from(n) * 0.03, 0.1, 1.0), "after {n}");
     }
-    assert!(budget.overspent(1.6, 0.001, 1.0));
+    assert!(budget.record_and_check(1.6, 0.001, 1.0));
     // What has left the window counts no more.
-    let mut budget = Budget::new(2.5, 2.0, 0.1);
+    let mut budget = SlowStartBudget::new(2.5, 2.0, 0.1);
     for n in 0..1000 {
-        assert!(!budget.overspent(f64::from(n) * 0.1001, 0.2475, 1.0), "a steady 2.47 times, after {n}");
+        assert!(
+            !budget.record_and_check(f64::from(n) * 0.1001, 0.2475, 1.0),
+            "a steady 2.47 times, after {n}"
+        );
     }
     assert!(
-        (1..100).any(|n| budget.overspent(101.0 + f64::from(n) * 0.1001, 0.2525, 1.0)),
+        (1..100).any(|n| budget.record_and_check(101.0 + f64::from(n) * 0.1001, 0.2525, 1.0)),
         "a steady 2.52 times"
     );
 }
 
 /// A cold node of one core that starts at a tenth and is warm after 10 s.
-fn cold() -> Node {
-    let spec = NodeSpec {
+fn cold() -> EndpointModel {
+    let spec = EndpointSpec {
         cores: 1,
         slots: 100,
         cold_from: 0.1,
         cold_for: ms(10_000),
         fall_at: 2.5,
         fall_over: ms(2000),
-        ..NodeSpec::default()
+        ..EndpointSpec::default()
     };
     let mut node = node(spec);
     node.kill(ms(1000));
@@ -140,11 +144,11 @@
                 node.request(ms(2000), n, n, work(n, each));
             }
         }
-        let fell = node.outputs().any(|o| o == Output::FellOver);
-        assert_eq!((fell, node.state() == State::Fallen), (falls, falls), "ten times {each} s");
+        let fell = node.outputs().any(|o| o == Output::Crashed);
+        assert_eq!((fell, node.state() == State::Crashed), (falls, falls), "ten times {each} s");
         if falls {
             node.start_cold(ms(60_000));
-            assert_eq!(node.state(), State::Fallen, "it stays down");
+            assert_eq!(node.state(), State::Crashed, "it stays down");
             assert!(!node.connect(ms(60_001), 99));
         }
     }
@@ -154,7 +158,7 @@
 fn a_warm_node_bears_what_fells_a_cold_one() {
     let mut node = cold();
     run_until(&mut node, ms(12_001));
-    assert!((node.warmth() - 1.0).abs() < 1e-9);
+    assert!((node.warm_up_fraction() - 1.0).abs() < 1e-9);
     for n in 0..50 {
         assert!(node.connect(ms(12_001), n));
         node.request(ms(12_001), n, n, work(n, 1.0));
@@ -166,8 +170,8 @@
 fn warms_evenly_with_time_or_sooner_with_work() {
     let mut by_time = cold();
     run_until(&mut by_time, ms(7000));
-    assert!((by_time.warmth() - 0.55).abs() < 1e-6, "{}", by_time.warmth());
-    let mut spec = NodeSpec { cold_from: 0.1, cold_for: ms(10_000), ..NodeSpec::default() };
+    assert!((by_time.warm_up_fraction() - 0.55).abs() < 1e-6, "{}", by_time.warm_up_fraction());
+    let mut spec = EndpointSpec { cold_from: 0.1, cold_for: ms(10_000), ..EndpointSpec::default() };
     spec.warm_by = WarmBy::Work;
     let mut by_work = node(spec);
     by_work.start_cold(Duration::ZERO);
@@ -178,27 +182,29 @@
         by_work.request(at, n, n, work(n, 0.4));
     }
     run_until(&mut by_work, ms(6000));
-    assert!(by_work.warmth() >= 0.1 + 0.9 * 0.6 - 1e-9, "never slower than time");
+    assert!(by_work.warm_up_fraction() >= 0.1 + 0.9 * 0.6 - 1e-9, "never slower than time");
     assert_eq!(by_work.state(), State::Up);
 }
 
 #[test]
 fn drops_a_repeat_within_the_window_and_only_inside_its_group() {
     let window = ms(1200);
-    let mut memory = Repeats::default();
-    use weldworks_testbed::model::Meeting::{Dropped, Runs};
-    assert_eq!(memory.meet(ms(900), 5, window), Runs);
-    assert_eq!(memory.meet(ms(950), 5, window), Runs, "nothing has been done yet");
-    memory.done(ms(1000), 5);
-    assert_eq!(memory.meet(ms(2200), 5, window), Dropped, "at its last moment");
+    let mut memory = RepeatCache::default();
+    use weldworks_testbed::model::RepeatCheck::{Dropped, Processed};
+    assert_eq!(memory.check(ms(900), 5, window), Processed);
+    assert_eq!(memory.check(ms(950), 5, window), Processed, "nothing has been done yet");
+    memory.record_completed(ms(1000), 5);
+    assert_eq!(memory.check(ms(2200), 5, window), Dropped, "at its last moment");
     // The window is that of the one that was done: the repeat has not drawn it out.
-    assert_eq!(memory.meet(ms(2201), 5, window), Runs, "just after it");
-    assert_eq!(memory.meet(ms(2202), 6, window), Runs, "another key");
+    assert_eq!(memory.check(ms(2201), 5, window), Processed, "just after it");
+    assert_eq!(memory.check(ms(2202), 6, window), Processed, "another key");
 
     // Two nodes of one rack, and a third of another.
-    let (rack, all) = (Memories::default(), Memories::default());
-    let other = Memories { all: rack.all.clone(), ..all };
-    let of = |memories: &Memories| Node::new(0, NodeSpec::default(), Draws::new(1), memories.clone(), ms(0));
+    let (rack, all) = (RepeatCaches::default(), RepeatCaches::default());
+    let other = RepeatCaches { all: rack.all.clone(), ..all };
+    let of = |memories: &RepeatCaches| {
+        EndpointModel::new(0, EndpointSpec::default(), Draws::new(1), memories.clone(), ms(0))
+    };
     let mut nodes = [of(&rack), of(&rack), of(&other)];
     let mut ask = |n: usize, at: Duration, key: u64, group: KeyScope| {
         let (id, node) = (at.as_millis() as u64 + key * 1_000_000, &mut nodes[n]);
@@ -218,7 +224,7 @@
 #[test]
 fn a_repeat_of_what_was_cancelled_or_failed_runs_in_full() {
     let keyed = |n| Work { keyed: Some((9, KeyScope::All, ms(1200))), ..work(n, 0.1) };
-    let mut node = node(NodeSpec { cores: 1, ..NodeSpec::default() });
+    let mut node = node(EndpointSpec { cores: 1, ..EndpointSpec::default() });
     assert!(node.connect(ms(0), 0) && node.connect(ms(0), 1) && node.connect(ms(0), 2));
     node.request(ms(0), 0, 0, keyed(0));
     run_until(&mut node, ms(60));
@@ -231,11 +237,11 @@
     assert!(matches!(answers(&out, 2)[..], [(_, Answer::Served { dropped: true })]), "that one was done");
 
     // One that ends with an error has done nothing either.
-    let mut failing = Node::new(
+    let mut failing = EndpointModel::new(
         0,
-        NodeSpec { error_rate: 1.0, ..NodeSpec::default() },
+        EndpointSpec { error_rate: 1.0, ..EndpointSpec::default() },
         Draws::new(7),
-        Memories::default(),
+        RepeatCaches::default(),
         Duration::ZERO,
     );
     assert!(failing.connect(ms(0), 1) && failing.connect(ms(0), 2));
@@ -247,7 +253,7 @@
 
 #[test]
 fn what_waits_and_is_cancelled_has_not_run() {
-    let mut node = node(NodeSpec { cores: 1, slots: 1, ..NodeSpec::default() });
+    let mut node = node(EndpointSpec { cores: 1, slots: 1, ..EndpointSpec::default() });
     for n in 0..2 {
         assert!(node.connect(ms(0), n));
         node.request(ms(0), n, n, Work { keyed: Some((9, KeyScope::All, ms(1000))), ..work(n, 0.1) });
@@ -256,13 +262,13 @@
     let out = run_until(&mut node, ms(500));
     assert_eq!(answers(&out, 0), [(ms(100), Answer::Served { dropped: false })]);
     assert!(answers(&out, 1).is_empty());
-    assert_eq!(node.held(), 0);
+    assert_eq!(node.in_flight(), 0);
 }
 
 #[test]
 fn work_stops_when_it_is_cancelled_where_the_node_does_that() {
     for (cancels, ends) in [(true, ms(100)), (false, ms(190))] {
-        let mut node = node(NodeSpec { cores: 1, slots: 4, cancels, ..NodeSpec::default() });
+        let mut node = node(EndpointSpec { cores: 1, slots: 4, cancels, ..EndpointSpec::default() });
         assert!(node.connect(ms(0), 1) && node.connect(ms(0), 2));
         node.request(ms(0), 1, 1, work(1, 0.095));
         node.request(ms(0), 2, 2, work(2, 0.095));
@@ -275,7 +281,7 @@
 
 #[test]
 fn turns_away_what_it_has_no_place_for_and_what_is_over() {
-    let mut node = node(NodeSpec { cores: 1, slots: 1, queue: 1, ..NodeSpec::default() });
+    let mut node = node(EndpointSpec { cores: 1, slots: 1, queue: 1, ..EndpointSpec::default() });
     for n in 0..3 {
         assert!(node.connect(ms(0), n));
         let until = if n == 1 { ms(50) } else { NEVER };
@@ -283,28 +289,28 @@
     }
     let out = run_until(&mut node, ms(1000));
     assert_eq!(answers(&out, 0), [(ms(100), Answer::Served { dropped: false })]);
-    assert_eq!(answers(&out, 1), [(ms(100), Answer::TurnedAway(Refusal::Expired))]);
+    assert_eq!(answers(&out, 1), [(ms(100), Answer::Rejected(RejectionReason::Expired))]);
     let full: Vec<_> = answers(&out, 2).into_iter().map(|(_, a)| a).collect();
-    assert_eq!(full, [Answer::TurnedAway(Refusal::QueueFull)]);
+    assert_eq!(full, [Answer::Rejected(RejectionReason::QueueFull)]);
 }
 
 #[test]
 fn a_draining_node_finishes_what_it_has_and_takes_nothing_new() {
-    let mut node = node(NodeSpec::default());
+    let mut node = node(EndpointSpec::default());
     assert!(node.connect(ms(0), 1) && node.connect(ms(0), 2));
     node.request(ms(0), 1, 1, work(1, 0.1));
     node.drain(ms(10), true);
     node.request(ms(20), 2, 2, work(2, 0.1));
     let out = run_until(&mut node, ms(500));
     assert_eq!(answers(&out, 1)[0].1, Answer::Served { dropped: false });
-    assert_eq!(answers(&out, 2)[0].1, Answer::TurnedAway(Refusal::Draining));
+    assert_eq!(answers(&out, 2)[0].1, Answer::Rejected(RejectionReason::Draining));
     node.drain(ms(600), false);
     assert_eq!(node.state(), State::Up);
 }
 
 #[test]
 fn holds_so_many_connections_and_lets_idle_ones_go() {
-    let mut node = node(NodeSpec { connections: 2, keep_alive: ms(1000), ..NodeSpec::default() });
+    let mut node = node(EndpointSpec { connections: 2, keep_alive: ms(1000), ..EndpointSpec::default() });
     assert!(node.connect(ms(0), 1) && node.connect(ms(400), 2));
     assert!(!node.connect(ms(500), 3), "its table is full");
     let out = run_until(&mut node, ms(1200));
@@ -314,11 +320,11 @@
 
 #[test]
 fn a_connection_that_was_forgotten_in_silence_resets_what_comes_on_it() {
-    let mut node = node(NodeSpec::default());
+    let mut node = node(EndpointSpec::default());
     assert!(node.connect(ms(0), 1));
-    node.let_go_after(ms(100), Some((ms(500), true)));
+    node.set_idle_timeout(ms(100), Some((ms(500), true)));
     assert!(run_until(&mut node, ms(2000)).is_empty(), "it says nothing");
-    assert_eq!(node.open(), 0);
+    assert_eq!(node.open_connections(), 0);
     node.request(ms(2000), 1, 7, work(7, 0.01));
     let out: Vec<_> = node.outputs().collect();
     assert_eq!(out, [Output::Ended { connection: 1, attempt: Some(7) }]);
@@ -326,7 +332,7 @@
 
 #[test]
 fn a_handshake_costs_work_and_the_first_request_waits_for_it() {
-    let mut node = node(NodeSpec { cores: 1, handshake: 0.03, ..NodeSpec::default() });
+    let mut node = node(EndpointSpec { cores: 1, handshake: 0.03, ..EndpointSpec::default() });
     assert!(node.connect(ms(0), 1));
     node.request(ms(1), 1, 1, work(1, 0.1));
     assert_eq!(answers(&run_until(&mut node, ms(500)), 1)[0].0, ms(130));
@@ -336,22 +342,22 @@
 
 #[test]
 fn a_neighbour_takes_its_share_and_a_pause_takes_all() {
-    let mut node = node(NodeSpec { cores: 1, ..NodeSpec::default() });
+    let mut node = node(EndpointSpec { cores: 1, ..EndpointSpec::default() });
     assert!(node.connect(ms(0), 1));
-    node.share_with_neighbour(ms(0), 0.5);
+    node.set_neighbour_share(ms(0), 0.5);
     node.request(ms(0), 1, 1, work(1, 0.1));
     assert_eq!(answers(&run_until(&mut node, ms(1000)), 1)[0].0, ms(200));
-    node.share_with_neighbour(ms(1000), 0.0);
+    node.set_neighbour_share(ms(1000), 0.0);
     node.request(ms(1000), 1, 2, work(2, 0.1));
     run_until(&mut node, ms(1050));
     node.pause(ms(1050), ms(300));
     assert_eq!(answers(&run_until(&mut node, ms(3000)), 2)[0].0, ms(1400));
     let pause = PauseSpec { every: ms(500), lasts: ms(100), grows: 0.0 };
-    let mut paused = Node::new(
+    let mut paused = EndpointModel::new(
         3,
-        NodeSpec { pause: Some(pause), ..NodeSpec::default() },
+        EndpointSpec { pause: Some(pause), ..EndpointSpec::default() },
         Draws::new(1),
-        Memories::default(),
+        RepeatCaches::default(),
         ms(0),
     );
     assert!(paused.connect(ms(0), 1));
@@ -362,7 +368,8 @@
 
 #[test]
 fn a_key_that_was_met_lately_costs_less() {
-    let spec = NodeSpec { cores: 1, key_gain: 0.5, key_for: ms(1000), key_places: 2, ..NodeSpec::default() };
+    let spec =
+        EndpointSpec { cores: 1, key_gain: 0.5, key_for: ms(1000), key_places: 2, ..EndpointSpec::default() };
     let mut node = node(spec);
     assert!(node.connect(ms(0), 1));
     let mut took = |at: u64, key: u64| {
@@ -380,25 +387,25 @@
 fn chokes_when_it_holds_too_much_and_rests_before_it_is_well() {
     let choke =
         ChokeSpec { at: 4.0, over: ms(1000), slower: 3.0, below: 0.3, rest: ms(1000), most: ms(20_000) };
-    let mut node = node(NodeSpec { cores: 1, slots: 100, choke: Some(choke), ..NodeSpec::default() });
+    let mut node = node(EndpointSpec { cores: 1, slots: 100, choke: Some(choke), ..EndpointSpec::default() });
     for n in 0..8 {
         assert!(node.connect(ms(0), n));
         node.request(ms(0), n, n, work(n, 0.5));
     }
     run_until(&mut node, ms(900));
-    assert!(!node.choked(), "not before its time");
+    assert!(!node.is_choked(), "not before its time");
     run_until(&mut node, ms(1200));
-    assert!(node.choked(), "eight on one core for a second");
+    assert!(node.is_choked(), "eight on one core for a second");
     // Four seconds of work in all: about a second was done at full speed, and the rest takes thrice as long.
     let out = run_until(&mut node, ms(30_000));
     let last = (0..8).map(|n| answers(&out, n)[0].0).max().expect("eight answers");
     assert!((ms(9000)..ms(11_500)).contains(&last), "{last:?}");
-    assert!(!node.choked(), "it has rested");
+    assert!(!node.is_choked(), "it has rested");
 }
 
 #[test]
 fn reports_are_refreshed_now_and_then_and_late() {
-    let mut spec = NodeSpec { cores: 4, ..NodeSpec::default() };
+    let mut spec = EndpointSpec { cores: 4, ..EndpointSpec::default() };
     (spec.report.period, spec.report.late) = (ms(500), ms(200));
     let mut node = node(spec);
     for n in 0..5 {
@@ -410,7 +417,7 @@
         run_until(&mut node, ms(at));
         let id = 1000 + at;
         assert!(node.connect(ms(at), id));
-        node.fail(ms(at), 1.0);
+        node.set_failure_share(ms(at), 1.0);
         node.request(ms(at), id, id, work(id, 0.001));
         let report = node.outputs().find_map(|o| match o {
             Output::Answered { report, .. } => Some(report.inflight),
@@ -460,9 +467,9 @@
     fn every_attempt_ends_once(steps in proptest::collection::vec(step(), 1..120), seed in any::<u64>()) {
         let choke = Some(ChokeSpec { at: 2.0, over: ms(500), slower: 2.0, below: 0.3, rest: ms(500), most: ms(5000) });
         let pause = Some(PauseSpec { every: ms(700), lasts: ms(40), grows: 1.0 });
-        let spec = NodeSpec { slots: 3, queue: 2, connections: 12, handshake: 0.002, choke, pause,
-            keep_alive: ms(900), error_rate: 0.1, ..NodeSpec::default() };
-        let mut node = Node::new(1, spec, Draws::new(seed), Memories::default(), Duration::ZERO);
+        let spec = EndpointSpec { slots: 3, queue: 2, connections: 12, handshake: 0.002, choke, pause,
+            keep_alive: ms(900), error_rate: 0.1, ..EndpointSpec::default() };
+        let mut node = EndpointModel::new(1, spec, Draws::new(seed), RepeatCaches::default(), Duration::ZERO);
         let (mut now, mut ids) = (Duration::ZERO, 0u64);
         let (mut open, mut out): (Vec<u64>, HashMap<u64, u64>) = (Vec::new(), HashMap::new());
         let mut ended = HashSet::new();
@@ -478,7 +485,7 @@
                     let free: Vec<u64> = open.iter().copied().filter(|c| !out.values().any(|o| o == c)).collect();
                     if let Some(&connection) = free.get(c % free.len().max(1)) {
                         ids += 1;
-                        if node.state() != State::Silent {
+                        if node.state() != State::CutOff {
                             out.insert(ids, connection); // one that is cut off never answers
                         }
                         node.request(now, connection, ids, work(ids, f64::from(w) * 1e-3));
@@ -502,13 +509,13 @@
                 }
                 Step::Start => node.start_cold(now),
                 Step::Drain(on) => node.drain(now, on),
-                Step::Neighbour(share) => node.share_with_neighbour(now, share),
+                Step::Neighbour(share) => node.set_neighbour_share(now, share),
             }
             for output in node.outputs() {
                 let (attempt, connection) = match output {
                     Output::Answered { attempt, .. } => (Some(attempt), None),
                     Output::Ended { attempt, connection } => (attempt, Some(connection)),
-                    Output::Began { .. } | Output::FellOver => (None, None),
+                    Output::Began { .. } | Output::Crashed => (None, None),
                 };
                 if let Some(attempt) = attempt {
                     prop_assert!(ended.insert(attempt), "{attempt} ended twice");
@@ -518,11 +525,11 @@
                     open.retain(|c| *c != connection);
                 }
             }
-            prop_assert!(node.held() <= 12 && node.open() <= 12);
-            prop_assert!((0.0..=1.0).contains(&node.warmth()));
+            prop_assert!(node.in_flight() <= 12 && node.open_connections() <= 12);
+            prop_assert!((0.0..=1.0).contains(&node.warm_up_fraction()));
         }
         if node.state() == State::Up {
-            prop_assert_eq!(node.held(), 0, "{:?}", out);
+            prop_assert_eq!(node.in_flight(), 0, "{:?}", out);
             prop_assert!(out.is_empty(), "{:?} got no answer", out);
         }
     }
