--- a/crates/gateway/tests/day_by_day/bodies.rs
+++ b/crates/gateway/tests/day_by_day/bodies.rs
@@ -5,16 +5,21 @@
 #[test]
 fn passes_large_bodies_on_unchanged_in_every_form() {
     let size = (3 << 20) + 17;
-    for form in [Form::Length, Form::Chunked, Form::Close, Form::Old] {
-        let node = BulkNode::start(Bulk::new(size, form));
+    for form in [Framing::Length, Framing::Chunked, Framing::Close, Framing::Http10] {
+        let node = LargeBodyEndpoint::start(LargeBody::new(size, form));
         let (gateway, _discovery) = start(&format!("large-{form:?}"), &[node.entry("s-1")]);
-        let up = Bulk::new(size + 5, if form == Form::Length { Form::Length } else { Form::Chunked });
-        let answer = ask(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
+        let up = LargeBody::new(
+            size + 5,
+            if form == Framing::Length { Framing::Length } else { Framing::Chunked },
+        );
+        let answer =
+            send_request(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
         assert_eq!((answer.status(), answer.whole, answer.length), (200, true, size), "{form:?}");
-        assert_eq!(answer.digest, Bulk::new(size, form).digest(), "{form:?}");
+        assert_eq!(answer.digest, LargeBody::new(size, form).digest(), "{form:?}");
         let seen = node.seen.lock().expect("lock").pop().expect("a request");
         assert_eq!((seen.length, seen.digest), (up.length, up.digest()), "{form:?}");
-        let answer = ask(&gateway.address, &request("look"), None, Duration::ZERO).expect("an answer");
+        let answer =
+            send_request(&gateway.address, &request("look"), None, Duration::ZERO).expect("an answer");
         assert_eq!((answer.status(), answer.whole, answer.length), (200, true, size), "{form:?}");
         wait_for("the count", || gateway.figure("router_answered{group=\"look\"}") == Some(1));
         assert_eq!(gateway.figure("router_current"), Some(0));
@@ -70,36 +75,44 @@
 #[test]
 fn neither_side_of_a_large_answer_is_held_to_the_time_of_a_small_one() {
     let pace = Some((32 << 10, Duration::from_millis(30)));
-    let node = BulkNode::start(Bulk { pace, ..Bulk::new(2 << 20, Form::Chunked) });
+    let node = LargeBodyEndpoint::start(LargeBody { pace, ..LargeBody::new(2 << 20, Framing::Chunked) });
     let (gateway, _discovery) = start("slow-large", &[node.entry("s-1")]);
     // brief is given up after 1.5 s; its answer takes 2 s to come, and as long to be read.
-    let answer =
-        ask(&gateway.address, &request("brief"), None, Duration::from_millis(10)).expect("an answer");
+    let answer = send_request(&gateway.address, &request("brief"), None, Duration::from_millis(10))
+        .expect("an answer");
     assert_eq!((answer.status(), answer.whole, answer.length), (200, true, 2 << 20));
     // Small chunks with extensions, far over what the library allows them together.
-    let chunks = Bulk { pace: Some((500, Duration::ZERO)), ..Bulk::new(2 << 20, Form::Chunked) };
-    let answer = ask(&gateway.address, &request("once"), Some(chunks), Duration::ZERO).expect("an answer");
+    let chunks = LargeBody { pace: Some((500, Duration::ZERO)), ..LargeBody::new(2 << 20, Framing::Chunked) };
+    let answer =
+        send_request(&gateway.address, &request("once"), Some(chunks), Duration::ZERO).expect("an answer");
     assert_eq!((answer.status(), answer.whole), (200, true));
     assert_eq!(node.seen.lock().expect("lock").pop().expect("a request").digest, chunks.digest());
     // And down: half a megabyte in chunks of 100 bytes with an extension each.
-    let small =
-        BulkNode::start(Bulk { pace: Some((100, Duration::ZERO)), ..Bulk::new(1 << 19, Form::Chunked) });
+    let small = LargeBodyEndpoint::start(LargeBody {
+        pace: Some((100, Duration::ZERO)),
+        ..LargeBody::new(1 << 19, Framing::Chunked)
+    });
     let (extended, _extended_news) = start("extended", &[small.entry("s-1")]);
-    let answer = ask(&extended.address, &request("once"), None, Duration::ZERO).expect("an answer");
+    let answer = send_request(&extended.address, &request("once"), None, Duration::ZERO).expect("an answer");
     assert_eq!((answer.status(), answer.whole, answer.length), (200, true, 1 << 19));
     // A slow body up: its client's time runs from the last byte.
-    let up = Bulk { pace, ..Bulk::new(2 << 20, Form::Length) };
-    let answer = ask(&gateway.address, &request("brief-once"), Some(up), Duration::ZERO).expect("an answer");
+    let up = LargeBody { pace, ..LargeBody::new(2 << 20, Framing::Length) };
+    let answer =
+        send_request(&gateway.address, &request("brief-once"), Some(up), Duration::ZERO).expect("an answer");
     assert_eq!((answer.status(), answer.whole), (200, true));
     assert_eq!(node.seen.lock().expect("lock").pop().expect("a request").digest, up.digest());
 }
 
 #[test]
 fn a_host_that_breaks_off_is_told_to_the_client_and_a_client_that_goes_to_the_host() {
-    for form in [Form::Length, Form::Chunked] {
-        let node = BulkNode::start(Bulk { breaks: Some(1 << 20), ..Bulk::new(4 << 20, form) });
+    for form in [Framing::Length, Framing::Chunked] {
+        let node = LargeBodyEndpoint::start(LargeBody {
+            truncate_at: Some(1 << 20),
+            ..LargeBody::new(4 << 20, form)
+        });
         let (gateway, _discovery) = start(&format!("breaks-{form:?}"), &[node.entry("s-1")]);
-        let answer = ask(&gateway.address, &request("look"), None, Duration::ZERO).expect("a beginning");
+        let answer =
+            send_request(&gateway.address, &request("look"), None, Duration::ZERO).expect("a beginning");
         assert_eq!(
             (answer.status(), answer.whole),
             (200, false),
@@ -108,7 +121,7 @@
         wait_for("the count", || gateway.figure("router_errored{group=\"look\"}") == Some(1));
         assert_eq!(node.seen.lock().expect("lock").len(), 1, "what was begun is final");
     }
-    let node = BulkNode::start(Bulk::new(32 << 20, Form::Length));
+    let node = LargeBodyEndpoint::start(LargeBody::new(32 << 20, Framing::Length));
     let (gateway, _discovery) = start("goes", &[node.entry("s-1")]);
     let mut client = TcpStream::connect(&gateway.address).expect("a connection");
     client.write_all(request("look").as_bytes()).expect("a request");
@@ -130,8 +143,9 @@
     });
     let (gateway, _discovery) =
         start("takes-none", &[weldworks_testbed::scripted::entry("s-1", &at, 1, "active")]);
-    let up = Bulk::new(30 << 20, Form::Length);
-    let answer = ask(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
+    let up = LargeBody::new(30 << 20, Framing::Length);
+    let answer =
+        send_request(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
     assert_eq!(answer.status(), 503, "it has not had the whole, so it has not run");
 }
 
@@ -166,12 +180,13 @@
 fn a_body_that_is_gone_is_not_sent_again_and_one_that_is_not_is() {
     // The host that takes no connection is tried first or not: either way the other one gets the whole body.
     let (_held, nobody) = refusing();
-    let node = BulkNode::start(Bulk::new(10, Form::Length));
+    let node = LargeBodyEndpoint::start(LargeBody::new(10, Framing::Length));
     let dead = weldworks_testbed::scripted::entry("s-0", &nobody, 1, "active");
     let (gateway, _discovery) = start("unspent", &[dead, node.entry("s-1")]);
     for _ in 0..6 {
-        let up = Bulk::new(1 << 20, Form::Chunked);
-        let answer = ask(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
+        let up = LargeBody::new(1 << 20, Framing::Chunked);
+        let answer =
+            send_request(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
         assert_eq!(answer.status(), 200);
         assert_eq!(node.seen.lock().expect("lock").pop().expect("a request").digest, up.digest());
     }
@@ -190,15 +205,19 @@
     let hosts: Vec<Value> =
         (0..3).map(|n| weldworks_testbed::scripted::entry(&format!("s-{n}"), &at, 1, "active")).collect();
     let (gateway, _discovery) = start("spent", &hosts);
-    let up = Bulk { pace: Some((64 << 10, Duration::from_millis(20))), ..Bulk::new(2 << 20, Form::Length) };
-    let answer = ask(&gateway.address, &request("pay"), Some(up), Duration::ZERO).expect("an answer");
+    let up = LargeBody {
+        pace: Some((64 << 10, Duration::from_millis(20))),
+        ..LargeBody::new(2 << 20, Framing::Length)
+    };
+    let answer =
+        send_request(&gateway.address, &request("pay"), Some(up), Duration::ZERO).expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
     assert_eq!(tries.load(Ordering::SeqCst), 1);
 }
 
 #[test]
 fn ends_bodies_that_come_too_slowly_or_are_too_long() {
-    let node = BulkNode::start(Bulk::new(10, Form::Length));
+    let node = LargeBodyEndpoint::start(LargeBody::new(10, Framing::Length));
     let (gateway, _discovery) = start("too-slow", &[node.entry("s-1")]);
     // 2 KB a second, within what is held and beyond it.
     for so_far in [1 << 10, 80 << 10] {
@@ -209,25 +228,28 @@
         assert_eq!(client.read().expect("an answer").status(), 408, "after {so_far}");
     }
     wait_for("the host's release", || node.broken.load(Ordering::SeqCst) == 1);
-    let up = Bulk::new((32 << 20) + 1, Form::Chunked);
-    let answer = ask(&gateway.address, &request("once"), Some(up), Duration::ZERO);
+    let up = LargeBody::new((32 << 20) + 1, Framing::Chunked);
+    let answer = send_request(&gateway.address, &request("once"), Some(up), Duration::ZERO);
     assert!(answer.is_none_or(|answer| (400..500).contains(&answer.status())));
     wait_for("the host's release", || node.broken.load(Ordering::SeqCst) == 2);
     assert!(node.seen.lock().expect("lock").is_empty());
     // An answer that is found to be too long, and one that says so.
-    let grows = BulkNode::start(Bulk::new((32 << 20) + 1, Form::Chunked));
+    let grows = LargeBodyEndpoint::start(LargeBody::new((32 << 20) + 1, Framing::Chunked));
     let (growing, _growing_news) = start("grows", &[grows.entry("s-1")]);
-    let answer = ask(&growing.address, &request("look"), None, Duration::ZERO).expect("a beginning");
+    let answer = send_request(&growing.address, &request("look"), None, Duration::ZERO).expect("a beginning");
     assert_eq!((answer.status(), answer.whole), (200, false), "it must show that it is not whole");
-    let long = BulkNode::start(Bulk::new((32 << 20) + 1, Form::Length));
+    let long = LargeBodyEndpoint::start(LargeBody::new((32 << 20) + 1, Framing::Length));
     let (gateway, _discovery) = start("too-long", &[long.entry("s-1")]);
-    assert_eq!(ask(&gateway.address, &request("once"), None, Duration::ZERO).map(|a| a.status()), Some(502));
+    assert_eq!(
+        send_request(&gateway.address, &request("once"), None, Duration::ZERO).map(|a| a.status()),
+        Some(502)
+    );
 }
 
 #[test]
 fn memory_stays_bounded_whatever_passes() {
     // Forty clients at once, 6 MiB each way, read slowly: 480 MiB through a process that may have 64 MB.
-    let node = BulkNode::start(Bulk::new(6 << 20, Form::Chunked));
+    let node = LargeBodyEndpoint::start(LargeBody::new(6 << 20, Framing::Chunked));
     let discovery = ScriptedRegister::start();
     let mut config = managed(&discovery, &crowd(|name| node.entry(name)));
     config["limits"]["memory_mb"] = 64.into();
@@ -238,8 +260,9 @@
         let clients: Vec<_> = (0..40)
             .map(|n| {
                 scope.spawn(move || {
-                    let up = Bulk::new(6 << 20, if n % 2 == 0 { Form::Chunked } else { Form::Length });
-                    ask(address, &request("pay"), Some(up), Duration::from_millis(1))
+                    let up =
+                        LargeBody::new(6 << 20, if n % 2 == 0 { Framing::Chunked } else { Framing::Length });
+                    send_request(address, &request("pay"), Some(up), Duration::from_millis(1))
                 })
             })
             .collect();
@@ -256,15 +279,16 @@
 fn pieces_cut_anywhere_arrive_as_they_were_sent() {
     for seed in 0u64..8 {
         let draw = |n: u64, most: u64| 1 + weldworks_balancer::mix(seed << 8 | n) % most;
-        let paced = |n: u64, length: u64, form: Form| Bulk {
+        let paced = |n: u64, length: u64, form: Framing| LargeBody {
             pace: Some((draw(n, 40_000) as usize, Duration::from_micros(200))),
-            ..Bulk::new(length, form)
+            ..LargeBody::new(length, form)
         };
-        let down = paced(1, draw(2, 300_000), if seed % 2 == 0 { Form::Chunked } else { Form::Length });
-        let up = paced(3, draw(4, 300_000), if seed % 3 == 0 { Form::Length } else { Form::Chunked });
-        let node = BulkNode::start(down);
+        let down = paced(1, draw(2, 300_000), if seed % 2 == 0 { Framing::Chunked } else { Framing::Length });
+        let up = paced(3, draw(4, 300_000), if seed % 3 == 0 { Framing::Length } else { Framing::Chunked });
+        let node = LargeBodyEndpoint::start(down);
         let (gateway, _discovery) = start(&format!("cuts-{seed}"), &[node.entry("s-1")]);
-        let answer = ask(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
+        let answer =
+            send_request(&gateway.address, &request("once"), Some(up), Duration::ZERO).expect("an answer");
         assert_eq!(
             (answer.status(), answer.whole, answer.length),
             (200, true, down.length),
@@ -279,7 +303,7 @@
 #[test]
 #[ignore = "13 GB over loopback"]
 fn two_hundred_transfers_of_32_mb_at_once() {
-    let node = BulkNode::start(Bulk::new(32_000_000, Form::Length));
+    let node = LargeBodyEndpoint::start(LargeBody::new(32_000_000, Framing::Length));
     let discovery = ScriptedRegister::start();
     let mut config =
         managed(&discovery, &(0..300).map(|n| node.entry(&format!("s-{n}"))).collect::<Vec<_>>());
@@ -291,7 +315,12 @@
     let whole = std::thread::scope(|scope| {
         let ask_one = |n: u64| {
             move || {
-                ask(address, &request("pay"), Some(Bulk::new(32_000_000 - n, Form::Chunked)), Duration::ZERO)
+                send_request(
+                    address,
+                    &request("pay"),
+                    Some(LargeBody::new(32_000_000 - n, Framing::Chunked)),
+                    Duration::ZERO,
+                )
             }
         };
         let clients: Vec<_> = (0..200).map(|n| scope.spawn(ask_one(n))).collect();
--- a/crates/gateway/tests/day_by_day/main.rs
+++ b/crates/gateway/tests/day_by_day/main.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
-use weldworks_testbed::bulk::{ask, Bulk, BulkNode, Form};
+use weldworks_testbed::large_bodies::{send_request, Framing, LargeBody, LargeBodyEndpoint};
 use weldworks_testbed::scripted::{
     config, refusing, request, wait_for, write_config, Gateway, Program, Reply, ScriptedNode,
     ScriptedRegister, LONG,
--- a/crates/gateway/tests/day_by_day/staff.rs
+++ b/crates/gateway/tests/day_by_day/staff.rs
@@ -223,10 +223,10 @@
 #[test]
 fn a_drain_lets_a_long_answer_come_to_its_end() {
     let pace = Some((32 << 10, Duration::from_millis(40)));
-    let node = BulkNode::start(Bulk { pace, ..Bulk::new(3 << 20, Form::Chunked) });
+    let node = LargeBodyEndpoint::start(LargeBody { pace, ..LargeBody::new(3 << 20, Framing::Chunked) });
     let (gateway, _discovery) = start("long-drain", &[node.entry("s-1")]);
     let address = gateway.address.clone();
-    let client = spawn(move || ask(&address, &request("look"), None, Duration::ZERO));
+    let client = spawn(move || send_request(&address, &request("look"), None, Duration::ZERO));
     wait_for("its beginning", || !node.seen.lock().expect("lock").is_empty());
     assert_eq!(gateway.call("PUT", "/_lameduck/on").status(), 200);
     let answer = client.join().expect("a client").expect("an answer");
--- a/crates/gateway/tests/day_by_day/upgrade.rs
+++ b/crates/gateway/tests/day_by_day/upgrade.rs
@@ -44,7 +44,7 @@
 
     /// The status of a request to whoever serves.
     fn asked(&self) -> u16 {
-        ask(&self.address, &request("look"), None, Duration::ZERO).expect("an answer").status()
+        send_request(&self.address, &request("look"), None, Duration::ZERO).expect("an answer").status()
     }
 
     fn memory(&self) -> String {
--- a/crates/testbed/src/bulk.rs
+++ b/crates/testbed/src/large_bodies.rs
@@ -12,7 +12,7 @@
 
 /// How the end of a body is marked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Form {
+pub enum Framing {
     /// By a `Content-Length`.
     Length,
     /// In chunks with chunk extensions, followed by a trailer.
@@ -20,26 +20,26 @@
     /// By the end of the connection; for responses only.
     Close,
     /// By the end of the connection, from an endpoint that speaks HTTP/1.0.
-    Old,
+    Http10,
 }
 
 /// The description of a body.
 #[derive(Clone, Copy, Debug)]
-pub struct Bulk {
+pub struct LargeBody {
     /// The length of the body, in bytes.
     pub length: u64,
     /// How the end of the body is marked.
-    pub form: Form,
+    pub form: Framing,
     /// The body is written in pieces of this many bytes with this pause after each; `None` for as fast as possible.
     pub pace: Option<(usize, Duration)>,
     /// The body is truncated once this many bytes are written; `None` for a complete body.
-    pub breaks: Option<u64>,
+    pub truncate_at: Option<u64>,
 }
 
-impl Bulk {
+impl LargeBody {
     /// A complete body that is written as fast as possible.
-    pub fn new(length: u64, form: Form) -> Bulk {
-        Bulk { length, form, pace: None, breaks: None }
+    pub fn new(length: u64, form: Framing) -> LargeBody {
+        LargeBody { length, form, pace: None, truncate_at: None }
     }
 
     /// The digest of the complete body.
@@ -56,9 +56,9 @@
 
     fn header(&self) -> String {
         match self.form {
-            Form::Length => format!("Content-Length: {}\r\n", self.length),
-            Form::Chunked => "Transfer-Encoding: chunked\r\n".to_owned(),
-            Form::Close | Form::Old => String::new(),
+            Framing::Length => format!("Content-Length: {}\r\n", self.length),
+            Framing::Chunked => "Transfer-Encoding: chunked\r\n".to_owned(),
+            Framing::Close | Framing::Http10 => String::new(),
         }
     }
 
@@ -67,21 +67,21 @@
         let (size, pause) = self.pace.unwrap_or((PIECE_BYTES, Duration::ZERO));
         let mut offset = 0;
         while offset < self.length {
-            if self.breaks.is_some_and(|truncated_at| offset >= truncated_at) {
+            if self.truncate_at.is_some_and(|limit| offset >= limit) {
                 return Ok(false);
             }
             let piece = generate(offset, (self.length - offset).min(size as u64) as usize);
-            if self.form == Form::Chunked {
+            if self.form == Framing::Chunked {
                 write!(to, "{:x};n={offset}\r\n", piece.len())?;
             }
             to.write_all(&piece)?;
-            if self.form == Form::Chunked {
+            if self.form == Framing::Chunked {
                 to.write_all(b"\r\n")?;
             }
             offset += piece.len() as u64;
             sleep(pause);
         }
-        if self.form == Form::Chunked {
+        if self.form == Framing::Chunked {
             to.write_all(b"0\r\nX-Trailer: over\r\n\r\n")?;
         }
         Ok(true)
@@ -227,7 +227,7 @@
 
 /// A stand-in endpoint that answers every request with the same generated body.
 #[derive(Clone)]
-pub struct BulkNode {
+pub struct LargeBodyEndpoint {
     /// The address at which the endpoint listens.
     pub address: SocketAddr,
     /// The requests that the endpoint received completely.
@@ -240,13 +240,13 @@
     pub done: Arc<AtomicUsize>,
 }
 
-impl BulkNode {
+impl LargeBodyEndpoint {
     /// Starts an endpoint that answers with this body.
-    pub fn start(answer: Bulk) -> BulkNode {
+    pub fn start(answer: LargeBody) -> LargeBodyEndpoint {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
         let address = listener.local_addr().expect("reading the local address failed");
         let (seen, broken, left, done) = Default::default();
-        let node = BulkNode { address, seen, broken, left, done };
+        let node = LargeBodyEndpoint { address, seen, broken, left, done };
         let (accepting, observations) = (node.clone(), Observations::of_this_test());
         spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -257,7 +257,7 @@
         node
     }
 
-    fn serve(&self, stream: TcpStream, answer: Bulk, observations: &Observations) {
+    fn serve(&self, stream: TcpStream, answer: LargeBody, observations: &Observations) {
         let mut reader = BufReader::new(stream.try_clone().expect("cloning the stream failed"));
         let mut stream = stream;
         while let Some(request) = ReceivedMessage::read(&mut reader, false, Duration::ZERO) {
@@ -267,7 +267,7 @@
             }
             let attempt = observations.sent_whole(request.header("x-request-id"));
             self.seen.lock().expect("the lock is poisoned").push(request);
-            let version = if answer.form == Form::Old { "HTTP/1.0" } else { "HTTP/1.1" };
+            let version = if answer.form == Framing::Http10 { "HTTP/1.0" } else { "HTTP/1.1" };
             let head = format!("{version} 200 Fine\r\n{}\r\n", answer.header());
             let written = stream.write_all(head.as_bytes()).and_then(|()| answer.write(&mut stream));
             let whole = matches!(written, Ok(true));
@@ -280,7 +280,7 @@
                     return;
                 }
             };
-            if matches!(answer.form, Form::Close | Form::Old) {
+            if matches!(answer.form, Framing::Close | Framing::Http10) {
                 return;
             }
         }
@@ -294,7 +294,12 @@
 
 /// Sends a request with this body on a new connection and returns the answer; `None` if the connection ends before the answer's head is complete.
 /// `head` is the text of a request, as [`crate::scripted::request`] makes it; its length and body are replaced.
-pub fn ask(gateway: &str, head: &str, body: Option<Bulk>, rest: Duration) -> Option<ReceivedMessage> {
+pub fn send_request(
+    gateway: &str,
+    head: &str,
+    body: Option<LargeBody>,
+    rest: Duration,
+) -> Option<ReceivedMessage> {
     let mut stream = TcpStream::connect(gateway).expect("connecting to the gateway failed");
     stream.set_read_timeout(Some(crate::scripted::LONG)).expect("setting the read timeout failed");
     let (head, _) = head.split_once("\r\n\r\n").expect("the request text has no complete head");
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -12,12 +12,12 @@
 )]
 
 pub mod baseline;
-pub mod bulk;
 pub mod client;
 pub mod count;
 pub mod discovery;
 pub mod draws;
 pub mod fleet;
+pub mod large_bodies;
 pub mod ledger;
 pub mod live;
 pub mod logs;
