--- a/crates/gateway/tests/crossings/closing.rs
+++ b/crates/gateway/tests/crossings/closing.rs
@@ -47,7 +47,7 @@
         wait_for("the host to be left", || left.load(Ordering::SeqCst) == n + 1);
         held(&gateway, 0);
     }
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     discovery.push(whole(42, &[host.entry("s-2", 1)]));
     wait_for("another host", || gateway.ask("look").status() == 200);
 }
--- a/crates/gateway/tests/crossings/crowded.rs
+++ b/crates/gateway/tests/crossings/crowded.rs
@@ -20,7 +20,7 @@
 #[test]
 fn clients_that_rest_keep_neither_discovery_nor_staff_nor_others_out() {
     for (n, asks) in [(0, false), (1, true)] {
-        let [first, other] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+        let [first, other] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
         let back = Arc::new(AtomicBool::new(false));
         let news = json!({"index": 50, "snapshot": true, "endpoints": [
             entry("s-1", &first.address.to_string(), 1, "leaving"), other.entry("s-2", 1)]});
@@ -64,7 +64,7 @@
         let path: &'static str = Box::leak(script.display().to_string().into_boxed_str());
         Program { path, ..PROGRAM }
     };
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let mut config = managed(&discovery, &[host.entry("s-1", 1)]);
     config["limits"]["sockets"] = 256.into();
@@ -72,7 +72,7 @@
     let resting = fill(&gateway, 100, true);
     assert_eq!(gateway.ask("look").status(), 200);
     assert_eq!(gateway.call("GET", "/_ready").status(), 200);
-    let other = ScriptedNode::start(|_| Reply::ok("ok"));
+    let other = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     discovery.push(json!({"index": 43, "snapshot": true, "endpoints": [other.entry("s-2", 1)]}));
     wait_for("the news", || gateway.ask("look").status() == 200 && other.count() > 0);
     drop(resting);
@@ -87,7 +87,7 @@
 /// A connection waits to be accepted while every place is taken, and its client's time runs: the host is told no more than is left.
 #[test]
 fn a_request_that_waited_to_be_accepted_has_no_more_time_for_it() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "crowded-time", &discovery, 48, &crowd(&host));
     // All places and those beyond. One that has said nothing makes room after half a second.
--- a/crates/gateway/tests/crossings/leaving.rs
+++ b/crates/gateway/tests/crossings/leaving.rs
@@ -28,7 +28,7 @@
 #[test]
 fn while_no_host_was_there() {
     for (n, tail) in behind().iter().enumerate() {
-        let host = ScriptedNode::start(|_| Reply::ok("ok"));
+        let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
         let (gateway, discovery) = start(&format!("left-host-{n}"), &[]);
         seen_to_go(&gateway, waits(&gateway, "look", tail, 0), 0);
         discovery.push(whole(42, &[host.entry("s-1", 1)]));
@@ -41,11 +41,11 @@
 fn while_a_retry_waited_for_another_host() {
     for (n, tail) in behind().iter().enumerate() {
         let first = AtomicBool::new(true);
-        let breaks = ScriptedNode::start(move |_| match first.swap(false, Ordering::SeqCst) {
+        let breaks = ScriptedEndpoint::start(move |_| match first.swap(false, Ordering::SeqCst) {
             true => Reply::Break,
             false => Reply::ok("ok"),
         });
-        let other = ScriptedNode::start(|_| Reply::ok("ok"));
+        let other = ScriptedEndpoint::start(|_| Reply::ok("ok"));
         let (gateway, discovery) = start(&format!("left-retry-{n}"), &[breaks.entry("s-1", 1)]);
         let client = waits(&gateway, "look", tail, 0);
         wait_for("the first attempt", || breaks.count() == 1);
@@ -60,7 +60,7 @@
 fn while_the_turn_of_its_key_was_anothers() {
     for (n, tail) in behind().iter().enumerate() {
         let host =
-            ScriptedNode::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
+            ScriptedEndpoint::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
         let discovery = ScriptedRegister::start();
         let mut config = managed(&discovery, &crowd(&host));
         config["settings"]["classes"][1]["sequential"] = true.into();
@@ -150,7 +150,7 @@
 #[test]
 fn while_nobody_had_taken_its_connection_or_read_its_request() {
     for (n, tail) in behind().iter().enumerate() {
-        let host = ScriptedNode::start(|_| Reply::ok("ok"));
+        let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
         let (gateway, _discovery) = start(&format!("left-queue-{n}"), &crowd(&host));
         let mut known = gateway.connect();
         assert_eq!(known.ask("look").status(), 200);
@@ -169,7 +169,7 @@
 
 #[test]
 fn while_the_rest_of_its_body_had_not_come() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("left-body", &[host.entry("s-1", 1)]);
     for (said, brought) in [(4, 1), (60 << 10, 30 << 10), (100 << 10, 10)] {
         let mut client = gateway.connect();
@@ -186,7 +186,7 @@
 /// takes for sure, 64 KiB each: beyond that the client's end stands behind what is unread, and `unread.rs` has its tests.
 #[test]
 fn while_its_long_body_waited_for_a_host() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) = start("left-upload", &[]);
     let length = 112 << 10;
     let text = request("once").replace("Content-Length: 4", &format!("Content-Length: {length}"));
@@ -208,7 +208,8 @@
 /// Many at once, each with something behind its request: places, turns and what is booked as out come back to what they were.
 #[test]
 fn in_a_burst_and_all_places_come_back() {
-    let host = ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+    let host =
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (gateway, _discovery) = start("left-burst", &crowd(&host));
     for round in 0..3 {
         let tails = behind();
@@ -229,7 +230,7 @@
     let hosts: Vec<_> = (0..6u32)
         .map(|n| {
             let (begun, calls) = (begun.clone(), AtomicUsize::new(0));
-            ScriptedNode::start(move |request| {
+            ScriptedEndpoint::start(move |request| {
                 let id = request.header("x-request-id").unwrap_or_default().to_owned();
                 begun.lock().expect("lock").push((id, Instant::now()));
                 sleep(Duration::from_millis(u64::from(n) + 2));
--- a/crates/gateway/tests/crossings/main.rs
+++ b/crates/gateway/tests/crossings/main.rs
@@ -9,7 +9,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::{
-    config, entry, request, wait_for, write_config, Client, Gateway, Program, Reply, ScriptedNode,
+    config, entry, request, wait_for, write_config, Client, Gateway, Program, Reply, ScriptedEndpoint,
     ScriptedRegister, LONG,
 };
 
@@ -39,7 +39,7 @@
 }
 
 /// One host under many names: the module lets in as many requests at a time as there are hosts.
-fn crowd(host: &ScriptedNode) -> Vec<Value> {
+fn crowd(host: &ScriptedEndpoint) -> Vec<Value> {
     (0..30).map(|n| host.entry(&format!("s-{n}"), 1)).collect()
 }
 
--- a/crates/gateway/tests/crossings/once.rs
+++ b/crates/gateway/tests/crossings/once.rs
@@ -291,7 +291,7 @@
         &[b'x'; 40 << 10],
     ];
     for (n, tail) in behind.into_iter().enumerate() {
-        let host = ScriptedNode::start(|_| Reply::Hang);
+        let host = ScriptedEndpoint::start(|_| Reply::Hang);
         let (gateway, _discovery) = start(&format!("behind-{n}"), &[host.entry("s-1", 1)]);
         let mut client = gateway.connect();
         client.write(&[request("once").as_bytes(), tail].concat());
--- a/crates/gateway/tests/crossings/short_reads.rs
+++ b/crates/gateway/tests/crossings/short_reads.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_request_that_comes_in_two_reads_is_served() {
-    let host = ScriptedNode::start(|r| Reply::Answer(200, "", r.body.clone()));
+    let host = ScriptedEndpoint::start(|r| Reply::Answer(200, "", r.body.clone()));
     let (gateway, _discovery) = start("short-request", &crowd(&host));
     for class in ["look", "once"] {
         let mut client = TcpStream::connect(&gateway.address).expect("a connection");
@@ -65,7 +65,7 @@
 
 #[test]
 fn a_list_that_comes_in_two_reads_is_taken() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let list = whole(42, &crowd(&host)).to_string() + "\n";
     let text = format!("{}{:x}\r\n{list}\r\n", std::str::from_utf8(HEAD).expect("a head"), list.len());
     let (register, tell, written) = answers_when_told(text);
--- a/crates/gateway/tests/crossings/staying.rs
+++ b/crates/gateway/tests/crossings/staying.rs
@@ -54,7 +54,7 @@
 
 #[test]
 fn who_stops_in_the_middle_and_stays_gets_an_error_or_a_close() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("stays", &crowd(&host));
     let address = &gateway.address;
     std::thread::scope(|scope| {
@@ -81,7 +81,7 @@
 /// its time.
 #[test]
 fn half_a_head_has_no_more_time_because_a_host_is_slow() {
-    let host = ScriptedNode::start(|_| Reply::Hang);
+    let host = ScriptedEndpoint::start(|_| Reply::Hang);
     let (gateway, _discovery) = start("stays-behind", &crowd(&host));
     let mut client = TcpStream::connect(&gateway.address).expect("a connection");
     let head = request("look");
@@ -98,7 +98,7 @@
 /// What has been read is owed an answer, also behind one that ends its connection.
 #[test]
 fn requests_that_came_together_are_all_answered_by_one_that_is_told_to_end() {
-    let host = ScriptedNode::start(|_| Reply::Hang);
+    let host = ScriptedEndpoint::start(|_| Reply::Hang);
     let (mut gateway, _discovery) = start("together-stop", &crowd(&host));
     let mut client = TcpStream::connect(&gateway.address).expect("a connection");
     let all: String = (0..4).map(|_| request("look")).collect();
--- a/crates/gateway/tests/crossings/stopping.rs
+++ b/crates/gateway/tests/crossings/stopping.rs
@@ -34,7 +34,7 @@
 /// A new connection has its time to bring a first request, also when others may not rest any more.
 #[test]
 fn a_first_request_that_comes_late_on_a_new_connection_is_answered() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (mut gateway, _discovery) = start("stop-first", &[host.entry("s-1", 1)]);
     let mut held = gateway.connect();
     held.send("brief"); // so that there is somebody to stay for
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_second_signal_and_a_new_file_change_nothing_of_a_stop() {
-    let host = ScriptedNode::start(|_| Reply::Hang);
+    let host = ScriptedEndpoint::start(|_| Reply::Hang);
     let discovery = ScriptedRegister::start();
     let config = managed(&discovery, &crowd(&host));
     let mut gateway = Gateway::start_with(&PROGRAM, "stop-twice", &discovery, &config);
@@ -83,7 +83,7 @@
 /// The kill comes by the longest deadline of the file in force; what is open may have come under another.
 #[test]
 fn what_came_under_a_longer_deadline_is_answered_before_the_kill_by_a_shorter_one() {
-    let host = ScriptedNode::start(|_| Reply::Hang);
+    let host = ScriptedEndpoint::start(|_| Reply::Hang);
     let discovery = ScriptedRegister::start();
     let config = managed(&discovery, &crowd(&host));
     let mut gateway = Gateway::start_with(&PROGRAM, "stop-shorter", &discovery, &config);
@@ -107,7 +107,7 @@
 /// A successor that is told to end before it is ready takes nobody: those who wait are the other's.
 #[test]
 fn a_successor_that_is_told_to_end_before_it_is_ready_takes_nobody() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     for round in 0..8 {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let (mute, speaks) = (ScriptedRegister::start(), ScriptedRegister::start());
@@ -132,7 +132,7 @@
 /// A client that writes on and takes no answer has bytes unread whenever it is looked at, and must not keep a process that ends.
 #[test]
 fn a_client_that_takes_no_answer_does_not_keep_a_stop() {
-    let host = ScriptedNode::start(|_| Reply::Answer(200, "", vec![b'x'; 60 << 10]));
+    let host = ScriptedEndpoint::start(|_| Reply::Answer(200, "", vec![b'x'; 60 << 10]));
     let (mut gateway, _discovery) = start("stop-deaf", &crowd(&host));
     let mut deaf = TcpStream::connect(&gateway.address).expect("a connection");
     deaf.set_nonblocking(true).expect("no waiting");
--- a/crates/gateway/tests/crossings/unread.rs
+++ b/crates/gateway/tests/crossings/unread.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn attempts(host: &ScriptedNode, class: &str) -> usize {
+fn attempts(host: &ScriptedEndpoint, class: &str) -> usize {
     host.seen.lock().expect("lock").iter().filter(|seen| seen.first.contains(class)).count()
 }
 
@@ -33,7 +33,7 @@
 /// No attempt begins for a client that has gone, and a host begins a request with its last byte.
 #[test]
 fn a_client_that_left_behind_a_long_body_has_no_attempt() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) = start("unread-body", &[]);
     let text = upload(300 << 10, "40000m");
     let mut client = TcpStream::connect(&gateway.address).expect("a connection");
@@ -49,7 +49,7 @@
 /// The same where it is requests that stand between the one that waits and the end.
 #[test]
 fn a_client_that_left_behind_many_requests_has_no_attempt() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) = start("unread-requests", &[]);
     let mut text = request("once").into_bytes();
     while text.len() < MUCH {
@@ -67,7 +67,7 @@
 /// host is told no more than is left, and its answer comes by then.
 #[test]
 fn a_long_body_has_no_more_time_because_it_waited_unread() {
-    let host = ScriptedNode::start(|_| Reply::Hang);
+    let host = ScriptedEndpoint::start(|_| Reply::Hang);
     let (gateway, discovery) = start("unread-time", &[]);
     let mut client = TcpStream::connect(&gateway.address).expect("a connection");
     client.set_read_timeout(Some(LONG)).expect("a time-out");
--- a/crates/gateway/tests/crossings/watching.rs
+++ b/crates/gateway/tests/crossings/watching.rs
@@ -36,7 +36,7 @@
 /// The drain is told on the first call that is answered; all calls before it are heard and never answered.
 #[test]
 fn a_drain_is_heeded_by_the_first_call_that_is_answered() {
-    let [draining, other] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+    let [draining, other] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let back = Arc::new(AtomicBool::new(false));
     let leaving = json!({"index": 50, "snapshot": true, "endpoints": [
         entry("s-1", &draining.address.to_string(), 1, "leaving"), other.entry("s-2", 1)]});
@@ -87,7 +87,7 @@
 /// Lists may come indented, in pieces, and several in one piece.
 #[test]
 fn lists_are_taken_however_they_are_laid_out() {
-    let hosts: Vec<_> = (0..3).map(|_| ScriptedNode::start(|_| Reply::ok("ok"))).collect();
+    let hosts: Vec<_> = (0..3).map(|_| ScriptedEndpoint::start(|_| Reply::ok("ok"))).collect();
     let list = |n: usize| whole(50 + n as u64, &[hosts[n].entry(&format!("s-{n}"), 1)]);
     let indented = format!("{:#}\n", list(0));
     let together = format!("{}\n\n{:#}", list(1), list(2));
@@ -116,7 +116,7 @@
 /// drain that it tells of is heeded.
 #[test]
 fn two_silent_calls_in_a_row_where_discovery_is_asked_keep_no_drain_back() {
-    let [draining, other] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+    let [draining, other] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let up = whole(49, &[draining.entry("s-1", 1)]);
     let leaving = json!({"index": 50, "snapshot": true, "endpoints": [
         entry("s-1", &draining.address.to_string(), 1, "leaving"), other.entry("s-2", 1)]});
--- a/crates/gateway/tests/day_by_day/bodies.rs
+++ b/crates/gateway/tests/day_by_day/bodies.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn takes_every_form_of_a_small_request() {
-    let host = ScriptedNode::start(|r| Reply::Answer(200, "", [b"re: ", &r.body[..]].concat()));
+    let host = ScriptedEndpoint::start(|r| Reply::Answer(200, "", [b"re: ", &r.body[..]].concat()));
     let (gateway, _discovery) = start("forms", &[host.entry("s-1", 1)]);
     let plain = request("once");
     let chunked = |lines: &str| {
--- a/crates/gateway/tests/day_by_day/main.rs
+++ b/crates/gateway/tests/day_by_day/main.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use weldworks_testbed::large_bodies::{send_request, Framing, LargeBody, LargeBodyEndpoint};
 use weldworks_testbed::scripted::{
-    config, refusing, request, wait_for, write_config, Gateway, Program, Reply, ScriptedNode,
+    config, refusing, request, wait_for, write_config, Gateway, Program, Reply, ScriptedEndpoint,
     ScriptedRegister, LONG,
 };
 
--- a/crates/gateway/tests/day_by_day/settings.rs
+++ b/crates/gateway/tests/day_by_day/settings.rs
@@ -4,7 +4,8 @@
 
 #[test]
 fn takes_new_settings_whole_and_open_requests_keep_the_old_ones() {
-    let host = ScriptedNode::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
+    let host =
+        ScriptedEndpoint::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
     let discovery = ScriptedRegister::start();
     let config = managed(&discovery, &crowd(|name| host.entry(name, 1)));
     let gateway = Gateway::start_with(&PROGRAM, "settings", &discovery, &config);
@@ -39,7 +40,7 @@
 /// Clients turn to new classes a while after the file does.
 #[test]
 fn a_class_that_was_dropped_is_served_as_long_as_clients_may_use_it() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let config = managed(&discovery, &crowd(|name| host.entry(name, 1)));
     let gateway = Gateway::start_with(&PROGRAM, "leaving", &discovery, &config);
@@ -71,7 +72,7 @@
     // its own rules the request may be sent a third time.
     let (changed, tries) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let seen = (changed.clone(), tries.clone());
-    let host = ScriptedNode::start(move |_| match seen.1.fetch_add(1, Ordering::SeqCst) {
+    let host = ScriptedEndpoint::start(move |_| match seen.1.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Break,
         1 => {
             wait_for("the new settings", || seen.0.load(Ordering::SeqCst));
@@ -98,7 +99,7 @@
 
 #[test]
 fn turns_bad_files_down_whole() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let config = managed(&discovery, &[host.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "bad-files", &discovery, &config);
@@ -138,7 +139,7 @@
 
 #[test]
 fn a_thousand_files_grow_nothing() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let config = managed(&discovery, &[host.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "thousand", &discovery, &config);
--- a/crates/gateway/tests/day_by_day/staff.rs
+++ b/crates/gateway/tests/day_by_day/staff.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn answers_staff_whatever_other_callers_do() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("staff", &[host.entry("s-1", 1)]);
     assert_eq!(gateway.call("GET", "/_ready").status(), 200);
     assert_eq!(gateway.call("GET", "/_nothing").status(), 404);
@@ -37,7 +37,7 @@
         Some("once") => Reply::Answer(500, "", Vec::new()),
         _ => Reply::Hang,
     };
-    let host = ScriptedNode::start(answers);
+    let host = ScriptedEndpoint::start(answers);
     let (gateway, _discovery) = start("figures", &crowd(|name| host.entry(name, 1)));
     let before = gateway.call("GET", "/_vars");
     assert!(
@@ -75,7 +75,7 @@
 
 #[test]
 fn tells_of_hosts_that_it_avoids() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) =
         start("avoided", &[host.entry("s-1", 1), host.entry("s-2", 1), host.entry("s-3", 1)]);
     wait_for("the hosts' figures", || gateway.figure("router_cluster_size") == Some(3));
@@ -89,7 +89,8 @@
 
 #[test]
 fn leaves_service_and_comes_back() {
-    let host = ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+    let host =
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (mut gateway, _discovery) = start("drain", &crowd(|name| host.entry(name, 1)));
     let (mut kept, mut busy) = (gateway.connect(), gateway.connect());
     assert_eq!(kept.ask("look").header("connection"), None);
@@ -125,7 +126,7 @@
 
 #[test]
 fn a_drain_taken_back_at_once_closes_nothing() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("drain-back", &[host.entry("s-1", 1)]);
     let mut kept = gateway.connect();
     kept.ask("look");
@@ -145,7 +146,7 @@
         let draw =
             move |n: usize| (weldworks_balancer::mix(seed.wrapping_mul(1 << 20) ^ n as u64) % 100) as usize;
         let next = drawn.clone();
-        let host = ScriptedNode::start(move |_| match draw(next.fetch_add(1, Ordering::SeqCst)) {
+        let host = ScriptedEndpoint::start(move |_| match draw(next.fetch_add(1, Ordering::SeqCst)) {
             0..70 => Reply::ok("ok"),
             70..80 => Reply::Answer(500, "", Vec::new()),
             80..90 => Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()),
@@ -190,7 +191,8 @@
 /// From its first moment to its last, and while clients have every place.
 #[test]
 fn answers_staff_while_clients_have_every_place_and_while_it_stops() {
-    let host = ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+    let host =
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let discovery = ScriptedRegister::start();
     let mut config = managed(&discovery, &crowd(|name| host.entry(name, 1)));
     config["limits"]["sockets"] = 64.into();
--- a/crates/gateway/tests/day_by_day/upgrade.rs
+++ b/crates/gateway/tests/day_by_day/upgrade.rs
@@ -101,7 +101,7 @@
 
 #[test]
 fn a_new_process_takes_over_without_a_lost_request() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let hosts = crowd(|name| host.entry(name, 1));
     let place = Place::new("upgrade");
     let address = place.address.clone();
@@ -179,7 +179,8 @@
 
 #[test]
 fn what_a_killed_gateway_held_is_free_at_its_hosts_and_served_by_the_next_process() {
-    let host = ScriptedNode::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
+    let host =
+        ScriptedEndpoint::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
     let hosts = crowd(|name| host.entry(name, 1));
     let (mut gateway, _discovery) = start("killed", &hosts);
     let mut held: Vec<_> = (0..8).map(|_| gateway.connect()).collect();
@@ -197,8 +198,8 @@
 #[test]
 fn a_new_process_goes_on_from_what_the_old_one_knew_and_shares_the_descriptors() {
     // One host is slow: the old process learns it, and the new one knows it from its first request.
-    let quick = ScriptedNode::start(|_| Reply::ok("ok"));
-    let slow = ScriptedNode::start(|_| {
+    let quick = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let slow = ScriptedEndpoint::start(|_| {
         sleep(Duration::from_millis(120));
         Reply::ok("ok")
     });
@@ -231,7 +232,7 @@
 /// Replacements that go wrong, or come in the middle of something else.
 #[test]
 fn a_replacement_that_fails_or_comes_twice_leaves_somebody_serving() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let hosts = crowd(|name| host.entry(name, 1));
     let place = Place::new("often");
     let asked = || place.asked();
@@ -272,7 +273,7 @@
 /// What discovery says binds the new process from its yes on, whatever the old one was told; and both live within one small limit.
 #[test]
 fn a_replacement_heeds_drains_and_cold_hosts_with_few_descriptors() {
-    let ok = || ScriptedNode::start(|_| Reply::ok("ok"));
+    let ok = || ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (warm, drained, cold) = (ok(), ok(), ok());
     let place = Place::new("small");
     let known = [warm.entry("s-1", 1), drained.entry("s-2", 1)];
@@ -313,7 +314,7 @@
 /// Clients may hold a third of the descriptors, whichever of the two processes has them.
 #[test]
 fn a_replacement_has_room_for_all_clients_as_soon_as_the_old_one_lets_them_go() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let hosts = many(160, |name| host.entry(name, 1)); // the module lets all clients in at once
     let place = Place::new("all-clients");
     let (mut old, _old_news) = place.ready("all-old", &hosts);
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::{
     config, entry, refusing, request, settings, spawn_gateway, wait_for, write_config, Client, Gateway, Http,
-    Program, Reply, ScriptedNode, ScriptedRegister,
+    Program, Reply, ScriptedEndpoint, ScriptedRegister,
 };
 
 const PROGRAM: Program =
@@ -42,18 +42,22 @@
 }
 
 /// Hosts of these cells, of which the first to be sent a request treats it like this and the others serve.
-fn first_does(reply: Reply, cells: &[u32]) -> Vec<ScriptedNode> {
+fn first_does(reply: Reply, cells: &[u32]) -> Vec<ScriptedEndpoint> {
     let first = Arc::new(AtomicBool::new(true));
     let host = |_| {
         let (first, reply) = (first.clone(), reply.clone());
-        ScriptedNode::start(
-            move |_| if first.swap(false, Ordering::SeqCst) { reply.clone() } else { Reply::ok("ok") },
-        )
+        ScriptedEndpoint::start(move |_| {
+            if first.swap(false, Ordering::SeqCst) {
+                reply.clone()
+            } else {
+                Reply::ok("ok")
+            }
+        })
     };
     cells.iter().map(host).collect()
 }
 
-fn entries(hosts: &[ScriptedNode], cells: &[u32]) -> Vec<Value> {
+fn entries(hosts: &[ScriptedEndpoint], cells: &[u32]) -> Vec<Value> {
     (0..)
         .zip(hosts)
         .zip(cells)
@@ -62,18 +66,18 @@
 }
 
 /// One host under many names: the module lets in as many requests at a time as there are hosts.
-fn crowd(host: &ScriptedNode) -> Vec<Value> {
+fn crowd(host: &ScriptedEndpoint) -> Vec<Value> {
     (0..30).map(|n| host.entry(&format!("s-{n}"), 1)).collect()
 }
 
-fn sent(hosts: &[ScriptedNode]) -> usize {
-    hosts.iter().map(ScriptedNode::count).sum()
+fn sent(hosts: &[ScriptedEndpoint]) -> usize {
+    hosts.iter().map(ScriptedEndpoint::count).sum()
 }
 
 #[test]
 fn serves_what_the_host_made() {
     let host =
-        ScriptedNode::start(|r| Reply::Answer(200, "X-Kind: fine\r\n", [b"re: ", &r.body[..]].concat()));
+        ScriptedEndpoint::start(|r| Reply::Answer(200, "X-Kind: fine\r\n", [b"re: ", &r.body[..]].concat()));
     let (gateway, _discovery) = start("served", &[host.entry("s-1", 1)]);
     let mut client = gateway.connect();
     for round in 1..=3 {
@@ -93,7 +97,7 @@
 
 #[test]
 fn refuses_what_never_ran_and_says_when_to_come_back() {
-    let host = ScriptedNode::start(|_| Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()));
+    let host = ScriptedEndpoint::start(|_| Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()));
     let (gateway, _discovery) = start("refused", &[host.entry("s-1", 1)]);
     let answer = gateway.ask("brief-once");
     assert_eq!(answer.status(), 503);
@@ -119,7 +123,7 @@
     let (gateway, discovery) = start("no-connection", &[entry("s-1", &nobody, 1, "active")]);
     let mut client = gateway.connect();
     client.send("once");
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [host.entry("s-2", 1)]}));
     assert_eq!(client.read().expect("an answer").status(), 200);
     assert_eq!(host.count(), 1);
@@ -141,7 +145,7 @@
     let breaks = Arc::new(AtomicBool::new(false));
     let host = |_| {
         let breaks = breaks.clone();
-        ScriptedNode::start(move |_| match breaks.fetch_xor(true, Ordering::SeqCst) {
+        ScriptedEndpoint::start(move |_| match breaks.fetch_xor(true, Ordering::SeqCst) {
             false => Reply::Break,
             true => Reply::ok("ok"),
         })
@@ -181,7 +185,7 @@
 fn waits_for_the_answer_behind_a_1xx() {
     let early = "HTTP/1.1 103 Early Hints\r\nX-Early: 1\r\n\r\n".to_owned();
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate".to_owned();
-    let host = ScriptedNode::start(move |_| Reply::Raw(vec![early.clone(), answer.clone()]));
+    let host = ScriptedEndpoint::start(move |_| Reply::Raw(vec![early.clone(), answer.clone()]));
     let (gateway, _discovery) = start("early", &[host.entry("s-1", 1)]);
     let answer = gateway.ask("once");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"late"[..]));
@@ -201,7 +205,7 @@
     ];
     for (n, more) in behind.into_iter().enumerate() {
         let report = "X-Server-Load: =,;inflight=many, qps\r\n";
-        let host = ScriptedNode::start(move |r| {
+        let host = ScriptedEndpoint::start(move |r| {
             Reply::Raw(more(good(r, "HTTP/1.1 102 Processing\r\nX-Early: 1\r\n\r\n", report)))
         });
         let (gateway, _discovery) = start(&format!("behind-{n}"), &[host.entry("s-1", 1)]);
@@ -248,7 +252,7 @@
 
 #[test]
 fn gives_up_in_time_and_leaves_the_host() {
-    let host = ScriptedNode::start(|_| Reply::Hang);
+    let host = ScriptedEndpoint::start(|_| Reply::Hang);
     let (gateway, _discovery) = start("time-out", &[host.entry("s-1", 1)]);
     assert_eq!(gateway.ask("brief").status(), 503);
     assert_eq!(gateway.ask("brief-once").status(), 504);
@@ -263,7 +267,7 @@
 
 #[test]
 fn counts_the_time_before_it_reads_a_request() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("stalled", &[host.entry("s-1", 1)]);
     let mut client = gateway.connect();
     assert_eq!(client.ask("look").status(), 200);
@@ -277,7 +281,8 @@
 
 #[test]
 fn counts_the_time_that_a_request_waits_behind_another() {
-    let host = ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+    let host =
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (gateway, _discovery) = start("pipelined", &crowd(&host));
     let mut client = gateway.connect();
     client.write((request("once") + &request("look").replace("40000m", "400m")).as_bytes());
@@ -291,7 +296,7 @@
 
 #[test]
 fn leaves_the_host_when_the_client_has_gone() {
-    let host = ScriptedNode::start(|_| Reply::Hang);
+    let host = ScriptedEndpoint::start(|_| Reply::Hang);
     let (gateway, _discovery) = start("client-gone", &[host.entry("s-1", 1)]);
     let mut client = gateway.connect();
     client.send("once");
@@ -305,7 +310,7 @@
 
 #[test]
 fn sends_nothing_to_a_host_that_drains_or_is_gone() {
-    let [draining, missing, added] = [(); 3].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+    let [draining, missing, added] = [(); 3].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let known = [draining.entry("s-1", 1), missing.entry("s-2", 1)];
     let (gateway, discovery) = start("drain", &known);
     assert_eq!(gateway.ask("look").status(), 200);
@@ -328,7 +333,7 @@
 
 #[test]
 fn hears_of_a_drain_where_lists_are_pushed() {
-    let [draining, other] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+    let [draining, other] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let discovery = ScriptedRegister::start();
     let text = pushed(&discovery, &[draining.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "pushed-drain", &discovery, &text);
@@ -344,7 +349,7 @@
 
 #[test]
 fn watches_again_and_again_where_lists_are_pushed() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let text = pushed(&discovery, &[host.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "pushed-again", &discovery, &text);
@@ -360,7 +365,7 @@
 
 #[test]
 fn follows_a_host_to_its_new_address() {
-    let [old, new] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+    let [old, new] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let (gateway, discovery) = start("address", &[old.entry("s-1", 1)]);
     assert_eq!(gateway.ask("look").status(), 200);
     discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [new.entry("s-1", 1)]}));
@@ -372,7 +377,7 @@
 
 #[test]
 fn gives_a_new_host_at_an_old_address_connections_of_its_own() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) = start("churn", &[host.entry("s-0", 1)]);
     assert_eq!(gateway.ask("look").status(), 200);
     for n in 1..8 {
@@ -387,9 +392,9 @@
 /// What discovery spoils costs itself only: the list held stays, and a drain that comes after it is heeded.
 #[test]
 fn goes_on_with_its_list_while_discovery_breaks_off_and_sends_what_is_no_list() {
-    let drained = ScriptedNode::start(|_| Reply::ok("ok"));
+    let drained = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     // The slower one gets what it gets because the other may not be sent to.
-    let other = ScriptedNode::start(|_| {
+    let other = ScriptedEndpoint::start(|_| {
         sleep(Duration::from_millis(30));
         Reply::ok("ok")
     });
@@ -425,7 +430,7 @@
 
 #[test]
 fn asks_again_when_the_watch_falls_silent() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (_gateway, discovery) = start("dead-watch", &[host.entry("s-1", 1)]);
     discovery.push(json!({"index": 57, "snapshot": false, "endpoints": []}));
     sleep(Duration::from_millis(500));
@@ -438,7 +443,7 @@
 
 #[test]
 fn turns_to_the_discovery_of_the_new_file_on_sighup() {
-    let [old, new] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+    let [old, new] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let (mut gateway, discovery) = start("reload", &[old.entry("s-1", 1)]);
     let mut client = gateway.connect();
     assert_eq!(client.ask("look").status(), 200);
@@ -470,7 +475,7 @@
 
 #[test]
 fn serves_more_clients_than_it_has_sockets() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "sockets", &discovery, 48, &[host.entry("s-1", 1)]);
     let mut clients = Vec::new();
@@ -487,7 +492,7 @@
 
 #[test]
 fn closes_no_idle_client_while_there_is_room() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "room", &discovery, 48, &[host.entry("s-1", 1)]);
     let mut clients: Vec<_> = (0..CLIENTS_OF_48).map(|_| gateway.connect()).collect();
@@ -504,7 +509,7 @@
 
 #[test]
 fn refuses_at_once_whom_it_has_no_room_for() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "no-room", &discovery, 48, &[]);
     let mut held = hold_all_places(&gateway);
@@ -536,7 +541,7 @@
 
 #[test]
 fn keeps_the_connections_that_are_used_and_few_that_only_rest() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (discovery, sockets) = (ScriptedRegister::start(), 384);
     let gateway = Gateway::start(&PROGRAM, "resting", &discovery, sockets, &[host.entry("s-1", 1)]);
     let mut used = gateway.connect();
@@ -559,7 +564,7 @@
 
 #[test]
 fn says_goodbye_with_an_answer_when_others_wait_for_a_place() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "crowded", &discovery, 48, &[]);
     let mut held = hold_all_places(&gateway);
@@ -594,7 +599,8 @@
 
 #[test]
 fn holds_its_own_want_of_sockets_against_no_host() {
-    let host = ScriptedNode::start(|r| if r.first.contains("look") { Reply::Hang } else { Reply::ok("ok") });
+    let host =
+        ScriptedEndpoint::start(|r| if r.first.contains("look") { Reply::Hang } else { Reply::ok("ok") });
     let discovery = ScriptedRegister::start();
     let gateway = Gateway::start(&PROGRAM, "host-sockets", &discovery, 48, &crowd(&host));
     // More than there are sockets to hosts, and one less than there is room for clients.
@@ -610,7 +616,7 @@
 
 #[test]
 fn sees_that_the_host_closed_a_connection() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("stale", &[host.entry("s-1", 1)]);
     for _ in 0..5 {
         assert_eq!(gateway.ask("once").status(), 200);
@@ -624,7 +630,7 @@
     let hangs = Arc::new(AtomicBool::new(false));
     let host = |_| {
         let hangs = hangs.clone();
-        ScriptedNode::start(move |_| {
+        ScriptedEndpoint::start(move |_| {
             sleep(Duration::from_millis(20));
             if hangs.load(Ordering::SeqCst) {
                 Reply::Hang
@@ -658,13 +664,14 @@
     wait_for("all to be sent", || sent(&hosts) == all);
     // Half of them, were nothing known.
     assert!(hosts[0].count() - before <= 3, "{} of 12", hosts[0].count() - before);
-    hosts.iter().for_each(ScriptedNode::release);
+    hosts.iter().for_each(ScriptedEndpoint::release);
     assert!(clients.iter_mut().all(|client| client.read().is_some_and(|answer| answer.status() == 200)));
 }
 
 #[test]
 fn answers_what_it_holds_before_it_ends() {
-    let host = ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+    let host =
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (mut gateway, _discovery) = start("sigterm", &crowd(&host));
     let mut idle = gateway.connect();
     assert_eq!(idle.ask("look").status(), 200);
@@ -688,7 +695,7 @@
 
 #[test]
 fn answers_malformed_requests_itself() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("malformed", &[host.entry("s-1", 1)]);
     let (look, pay) = (request("look"), request("pay"));
     let malformed = [
@@ -724,7 +731,8 @@
 
 #[test]
 fn rejects_an_id_that_an_open_request_has() {
-    let host = ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+    let host =
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (gateway, _discovery) = start("same-id", &crowd(&host));
     let (mut first, mut second) = (gateway.connect(), gateway.connect());
     let number = |text: String| {
@@ -748,7 +756,7 @@
 
 #[test]
 fn passes_on_no_request_that_hides_in_a_body() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("hidden", &[host.entry("s-1", 1)]);
     let hidden = request("look");
     let (length, coding) = (format!("Content-Length: {}", hidden.len() + 5), "Transfer-Encoding: chunked");
@@ -781,7 +789,7 @@
 
 #[test]
 fn sends_hosts_what_the_protocol_names() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("passed-on", &[host.entry("s-1", 1)]);
     let mut client = gateway.connect();
     let odd = "X-Not-Processed: 1\r\nUpgrade: other\r\nX-Attrs: a=1\r\nX-Tenant-Id";
@@ -796,7 +804,7 @@
 
 #[test]
 fn ends_what_never_becomes_a_request_and_keeps_what_rests() {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("silent", &[host.entry("s-1", 1)]);
     let mut resting = gateway.connect();
     assert_eq!(resting.ask("look").status(), 200);
@@ -823,7 +831,7 @@
         client.read().expect("an answer").status()
     };
     assert_eq!(ready(), 503);
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [host.entry("s-1", 1)]}));
     wait_for("readiness", || ready() == 200);
     assert_eq!(gateway.ask("look").status(), 200);
--- a/crates/gateway/tests/growth.rs
+++ b/crates/gateway/tests/growth.rs
@@ -5,7 +5,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::{
-    config, wait_for, Gateway, Program, Reply, ScriptedNode, ScriptedRegister,
+    config, wait_for, Gateway, Program, Reply, ScriptedEndpoint, ScriptedRegister,
 };
 
 const PROGRAM: Program =
@@ -30,13 +30,13 @@
     served: usize,
 }
 
-fn entries(host: &ScriptedNode, hosts: usize) -> Vec<Value> {
+fn entries(host: &ScriptedEndpoint, hosts: usize) -> Vec<Value> {
     (0..hosts).map(|n| host.entry(&format!("s-{n:08x}"), n as u32 / 4)).collect()
 }
 
 /// Plays the same traffic with so many endpoints; they all are one stand-in.
 fn play(hosts: usize) -> Needs {
-    let host = ScriptedNode::start(|_| Reply::ok("ok"));
+    let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let discovery = ScriptedRegister::start();
     let listed = entries(&host, hosts);
     let mut config = config(&discovery.address.to_string(), 1024, &listed);
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -233,7 +233,7 @@
 
 /// A stand-in endpoint that records the requests that it is sent.
 #[derive(Clone)]
-pub struct ScriptedNode {
+pub struct ScriptedEndpoint {
     /// The address at which the endpoint listens.
     pub address: SocketAddr,
     /// The requests that the endpoint was sent.
@@ -248,12 +248,12 @@
     number: usize,
 }
 
-impl ScriptedNode {
+impl ScriptedEndpoint {
     /// Starts an endpoint that handles each request as `behaviour` says.
-    pub fn start(behaviour: impl Fn(&Http) -> Reply + Send + Sync + 'static) -> ScriptedNode {
+    pub fn start(behaviour: impl Fn(&Http) -> Reply + Send + Sync + 'static) -> ScriptedEndpoint {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
-        let endpoint = ScriptedNode {
+        let endpoint = ScriptedEndpoint {
             address: listener.local_addr().expect("reading the local address failed"),
             seen: Arc::default(),
             left: Arc::default(),
@@ -263,7 +263,8 @@
             observations: Observations::of_this_test(),
             number: NUMBER.fetch_add(1, Ordering::SeqCst),
         };
-        let (accepting, behaviour): (ScriptedNode, Arc<Behaviour>) = (endpoint.clone(), Arc::new(behaviour));
+        let (accepting, behaviour): (ScriptedEndpoint, Arc<Behaviour>) =
+            (endpoint.clone(), Arc::new(behaviour));
         spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (accepting, behaviour) = (accepting.clone(), behaviour.clone());
