--- a/crates/gateway/benches/per_request.rs
+++ b/crates/gateway/benches/per_request.rs
@@ -18,7 +18,7 @@
 use weldworks_testbed::live::gateways::listening;
 use weldworks_testbed::live::http::{Connection, Kind};
 use weldworks_testbed::script::Script;
-use weldworks_testbed::scripted::ScriptedRegister;
+use weldworks_testbed::scripted::ScriptedDiscovery;
 
 const ROUNDS: usize = 5;
 const ROUND: Duration = Duration::from_secs(2);
@@ -80,7 +80,7 @@
 /// A gateway, in a fleet where a file says so.
 fn start_gateway(
     nodes: &[SocketAddr],
-    register: &ScriptedRegister,
+    register: &ScriptedDiscovery,
     fleet: Option<&str>,
 ) -> (Child, SocketAddr) {
     let script = Script::parse("bench", "name = \"bench\"").expect("a script");
@@ -163,7 +163,7 @@
     );
     println!("nodes | fleet | CPU a request, us (min, median, max) | added latency, us: median (min, median, max) | p99 | requests a second | unserved");
     for (count, in_fleet) in [(12, false), (69, false), (12, true)] {
-        let (nodes, register) = (start_nodes(count), ScriptedRegister::start());
+        let (nodes, register) = (start_nodes(count), ScriptedDiscovery::start());
         let files = if in_fleet { fleet_files() } else { Vec::new() };
         let others: Vec<_> =
             files.iter().skip(1).map(|file| start_gateway(&nodes, &register, Some(file)).0).collect();
--- a/crates/gateway/tests/crossings/crowded.rs
+++ b/crates/gateway/tests/crossings/crowded.rs
@@ -32,7 +32,7 @@
                 hold(stream);
             }
         });
-        let nobody = ScriptedRegister::start();
+        let nobody = ScriptedDiscovery::start();
         let mut text = managed(&nobody, &[first.entry("s-1", 1)]);
         text["discovery"] = agent.address.clone().into();
         text["limits"]["sockets"] = 64.into();
@@ -65,7 +65,7 @@
         Program { path, ..PROGRAM }
     };
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let mut config = managed(&discovery, &[host.entry("s-1", 1)]);
     config["limits"]["sockets"] = 256.into();
     let gateway = Gateway::start_with(&few("few-descriptors", 56), "few-descriptors", &discovery, &config);
@@ -88,7 +88,7 @@
 #[test]
 fn a_request_that_waited_to_be_accepted_has_no_more_time_for_it() {
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "crowded-time", &discovery, 48, &crowd(&host));
     // All places and those beyond. One that has said nothing makes room after half a second.
     let first = Instant::now();
--- a/crates/gateway/tests/crossings/leaving.rs
+++ b/crates/gateway/tests/crossings/leaving.rs
@@ -61,7 +61,7 @@
     for (n, tail) in behind().iter().enumerate() {
         let host =
             ScriptedEndpoint::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
-        let discovery = ScriptedRegister::start();
+        let discovery = ScriptedDiscovery::start();
         let mut config = managed(&discovery, &crowd(&host));
         config["settings"]["classes"][1]["sequential"] = true.into();
         let gateway = Gateway::start_with(&PROGRAM, &format!("left-turn-{n}"), &discovery, &config);
@@ -133,7 +133,7 @@
 fn while_a_connection_to_its_host_was_coming_up() {
     for (n, tail) in behind().iter().enumerate() {
         let host = Shut::new();
-        let discovery = ScriptedRegister::start();
+        let discovery = ScriptedDiscovery::start();
         let mut config = managed(&discovery, &[host.entry("s-1")]);
         // Nothing is called off, so that the connection does come up, late.
         config["settings"]["policy_limits"]["may_cancel"] = false.into();
--- a/crates/gateway/tests/crossings/main.rs
+++ b/crates/gateway/tests/crossings/main.rs
@@ -9,8 +9,8 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::{
-    config, entry, request, wait_for, write_config, Client, Gateway, Program, Reply, ScriptedEndpoint,
-    ScriptedRegister, LONG,
+    config, entry, request, wait_for, write_config, Client, Gateway, Program, Reply, ScriptedDiscovery,
+    ScriptedEndpoint, LONG,
 };
 
 mod closing;
@@ -26,14 +26,14 @@
 const PROGRAM: Program =
     Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
-fn managed(discovery: &ScriptedRegister, hosts: &[Value]) -> Value {
+fn managed(discovery: &ScriptedDiscovery, hosts: &[Value]) -> Value {
     let mut config = config(&discovery.address.to_string(), 256, hosts);
     config["management"] = "127.0.0.1:0".into();
     config
 }
 
-fn start(name: &str, hosts: &[Value]) -> (Gateway, ScriptedRegister) {
-    let discovery = ScriptedRegister::start();
+fn start(name: &str, hosts: &[Value]) -> (Gateway, ScriptedDiscovery) {
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start_with(&PROGRAM, name, &discovery, &managed(&discovery, hosts));
     (gateway, discovery)
 }
--- a/crates/gateway/tests/crossings/once.rs
+++ b/crates/gateway/tests/crossings/once.rs
@@ -196,8 +196,14 @@
 }
 
 /// Starts a gateway whose class `book` is keyed by this group, known for so long, and held for a host for so long.
-fn keyed(name: &str, group: &str, window_s: f64, aim_s: f64, hosts: &[Value]) -> (Gateway, ScriptedRegister) {
-    let discovery = ScriptedRegister::start();
+fn keyed(
+    name: &str,
+    group: &str,
+    window_s: f64,
+    aim_s: f64,
+    hosts: &[Value],
+) -> (Gateway, ScriptedDiscovery) {
+    let discovery = ScriptedDiscovery::start();
     let mut config = managed(&discovery, hosts);
     config["settings"]["classes"][2]["group"] = group.into();
     config["settings"]["classes"][2]["dedup_window_s"] = window_s.into();
@@ -349,7 +355,7 @@
             hold(stream);
         });
         let place = if class == "once" { 3 } else { 2 };
-        let discovery = ScriptedRegister::start();
+        let discovery = ScriptedDiscovery::start();
         let at = [entry("s-1", &host.address, 1, "active"), entry("s-2", &host.address, 2, "active")];
         let mut config = managed(&discovery, &at);
         let mut rules = |of: &Value| {
--- a/crates/gateway/tests/crossings/short_reads.rs
+++ b/crates/gateway/tests/crossings/short_reads.rs
@@ -69,7 +69,7 @@
     let list = whole(42, &crowd(&host)).to_string() + "\n";
     let text = format!("{}{:x}\r\n{list}\r\n", std::str::from_utf8(HEAD).expect("a head"), list.len());
     let (register, tell, written) = answers_when_told(text);
-    let mut discovery = ScriptedRegister::start();
+    let mut discovery = ScriptedDiscovery::start();
     discovery.address = register.address.parse().expect("an address");
     let gateway = Gateway::start_with(&PROGRAM, "short-list", &discovery, &managed(&discovery, &[]));
     wait_for("the watch", || register.calls() == 1);
--- a/crates/gateway/tests/crossings/stopping.rs
+++ b/crates/gateway/tests/crossings/stopping.rs
@@ -5,7 +5,7 @@
 /// Connections that wait in the kernel when the process is told to end are taken still, where no place is free at once.
 #[test]
 fn what_waits_in_a_full_queue_is_answered() {
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let mut gateway = Gateway::start(&PROGRAM, "stop-queue", &discovery, 48, &[]);
     let mut places: Vec<_> = (0..14).map(|_| gateway.connect()).collect();
     for client in &mut places {
@@ -60,7 +60,7 @@
 #[test]
 fn a_second_signal_and_a_new_file_change_nothing_of_a_stop() {
     let host = ScriptedEndpoint::start(|_| Reply::Hang);
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let config = managed(&discovery, &crowd(&host));
     let mut gateway = Gateway::start_with(&PROGRAM, "stop-twice", &discovery, &config);
     let mut clients: Vec<_> = (0..6).map(|_| gateway.connect()).collect();
@@ -84,7 +84,7 @@
 #[test]
 fn what_came_under_a_longer_deadline_is_answered_before_the_kill_by_a_shorter_one() {
     let host = ScriptedEndpoint::start(|_| Reply::Hang);
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let config = managed(&discovery, &crowd(&host));
     let mut gateway = Gateway::start_with(&PROGRAM, "stop-shorter", &discovery, &config);
     let mut client = gateway.connect();
@@ -110,7 +110,7 @@
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     for round in 0..8 {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let (mute, speaks) = (ScriptedRegister::start(), ScriptedRegister::start());
+        let (mute, speaks) = (ScriptedDiscovery::start(), ScriptedDiscovery::start());
         mute.silent.store(true, Ordering::SeqCst);
         let name = format!("stop-successor-{round}");
         let known = [host.entry("s-1", 1)];
--- a/crates/gateway/tests/crossings/watching.rs
+++ b/crates/gateway/tests/crossings/watching.rs
@@ -4,7 +4,7 @@
 use weldworks_testbed::scripted::entry;
 
 fn pushed(name: &str, agent: &Agent, known: &[Value]) -> Gateway {
-    let nobody = ScriptedRegister::start();
+    let nobody = ScriptedDiscovery::start();
     let mut text = managed(&nobody, known);
     text["settings"]["discovery"] = "push".into();
     text["discovery"] = agent.address.clone().into();
@@ -74,7 +74,7 @@
                 sleep(Duration::from_millis(100)); // the pace of the trickle, far under any silence
             }
         });
-        let nobody = ScriptedRegister::start();
+        let nobody = ScriptedDiscovery::start();
         let mut text = managed(&nobody, &[]);
         text["settings"]["discovery"] = mode.into();
         text["discovery"] = agent.address.clone().into();
@@ -131,7 +131,7 @@
         }
         hold(stream);
     });
-    let nobody = ScriptedRegister::start();
+    let nobody = ScriptedDiscovery::start();
     let mut text = managed(&nobody, &[]);
     text["discovery"] = agent.address.clone().into();
     text["settings"]["safety"]["ask_within_s"] = 10.0.into();
--- a/crates/gateway/tests/day_by_day/bodies.rs
+++ b/crates/gateway/tests/day_by_day/bodies.rs
@@ -250,7 +250,7 @@
 fn memory_stays_bounded_whatever_passes() {
     // Forty clients at once, 6 MiB each way, read slowly: 480 MiB through a process that may have 64 MB.
     let node = LargeBodyEndpoint::start(LargeBody::new(6 << 20, Framing::Chunked));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let mut config = managed(&discovery, &crowd(|name| node.entry(name)));
     config["limits"]["memory_mb"] = 64.into();
     config["limits"]["sockets"] = 512.into();
@@ -304,7 +304,7 @@
 #[ignore = "13 GB over loopback"]
 fn two_hundred_transfers_of_32_mb_at_once() {
     let node = LargeBodyEndpoint::start(LargeBody::new(32_000_000, Framing::Length));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let mut config =
         managed(&discovery, &(0..300).map(|n| node.entry(&format!("s-{n}"))).collect::<Vec<_>>());
     config["limits"]["memory_mb"] = 192.into();
--- a/crates/gateway/tests/day_by_day/main.rs
+++ b/crates/gateway/tests/day_by_day/main.rs
@@ -10,8 +10,8 @@
 use std::time::{Duration, Instant};
 use weldworks_testbed::large_bodies::{send_request, Framing, LargeBody, LargeBodyEndpoint};
 use weldworks_testbed::scripted::{
-    config, refusing, request, wait_for, write_config, Gateway, Program, Reply, ScriptedEndpoint,
-    ScriptedRegister, LONG,
+    config, refusing, request, wait_for, write_config, Gateway, Program, Reply, ScriptedDiscovery,
+    ScriptedEndpoint, LONG,
 };
 
 mod bodies;
@@ -22,14 +22,14 @@
 const PROGRAM: Program =
     Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
-fn managed(discovery: &ScriptedRegister, hosts: &[Value]) -> Value {
+fn managed(discovery: &ScriptedDiscovery, hosts: &[Value]) -> Value {
     let mut config = config(&discovery.address.to_string(), 256, hosts);
     config["management"] = "127.0.0.1:0".into();
     config
 }
 
-fn start(name: &str, hosts: &[Value]) -> (Gateway, ScriptedRegister) {
-    let discovery = ScriptedRegister::start();
+fn start(name: &str, hosts: &[Value]) -> (Gateway, ScriptedDiscovery) {
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start_with(&PROGRAM, name, &discovery, &managed(&discovery, hosts));
     (gateway, discovery)
 }
--- a/crates/gateway/tests/day_by_day/settings.rs
+++ b/crates/gateway/tests/day_by_day/settings.rs
@@ -6,7 +6,7 @@
 fn takes_new_settings_whole_and_open_requests_keep_the_old_ones() {
     let host =
         ScriptedEndpoint::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let config = managed(&discovery, &crowd(|name| host.entry(name, 1)));
     let gateway = Gateway::start_with(&PROGRAM, "settings", &discovery, &config);
     let mut open = gateway.connect();
@@ -41,7 +41,7 @@
 #[test]
 fn a_class_that_was_dropped_is_served_as_long_as_clients_may_use_it() {
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let config = managed(&discovery, &crowd(|name| host.entry(name, 1)));
     let gateway = Gateway::start_with(&PROGRAM, "leaving", &discovery, &config);
     let mut new = config.clone();
@@ -80,7 +80,7 @@
         }
         _ => Reply::ok("ok"),
     });
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let config = managed(&discovery, &crowd(|name| host.entry(name, 1)));
     let gateway = Gateway::start_with(&PROGRAM, "keyed", &discovery, &config);
     let mut open = gateway.connect();
@@ -100,7 +100,7 @@
 #[test]
 fn turns_bad_files_down_whole() {
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let config = managed(&discovery, &[host.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "bad-files", &discovery, &config);
     let mut new = config.clone();
@@ -140,7 +140,7 @@
 #[test]
 fn a_thousand_files_grow_nothing() {
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let config = managed(&discovery, &[host.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "thousand", &discovery, &config);
     let turn = |rounds: std::ops::Range<u64>| {
--- a/crates/gateway/tests/day_by_day/staff.rs
+++ b/crates/gateway/tests/day_by_day/staff.rs
@@ -193,7 +193,7 @@
 fn answers_staff_while_clients_have_every_place_and_while_it_stops() {
     let host =
         ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let mut config = managed(&discovery, &crowd(|name| host.entry(name, 1)));
     config["limits"]["sockets"] = 64.into();
     let mut gateway = Gateway::start_with(&PROGRAM, "every-place", &discovery, &config);
--- a/crates/gateway/tests/day_by_day/upgrade.rs
+++ b/crates/gateway/tests/day_by_day/upgrade.rs
@@ -24,10 +24,10 @@
     fn start(
         &self,
         name: &str,
-        config: &dyn Fn(&ScriptedRegister) -> Value,
+        config: &dyn Fn(&ScriptedDiscovery) -> Value,
         news: &[Value],
-    ) -> (Gateway, ScriptedRegister) {
-        let discovery = ScriptedRegister::start();
+    ) -> (Gateway, ScriptedDiscovery) {
+        let discovery = ScriptedDiscovery::start();
         let config = config(&discovery);
         let gateway =
             Gateway::start_sharing(&PROGRAM, name, &discovery, &config, &self.listener, &self.folder);
@@ -36,7 +36,7 @@
     }
 
     /// The same, with these hosts, once it is ready.
-    fn ready(&self, name: &str, hosts: &[Value]) -> (Gateway, ScriptedRegister) {
+    fn ready(&self, name: &str, hosts: &[Value]) -> (Gateway, ScriptedDiscovery) {
         let started = self.start(name, &|discovery| managed(discovery, hosts), hosts);
         ready(&started.0);
         started
@@ -159,7 +159,7 @@
 
 #[test]
 fn says_what_is_wrong_with_a_descriptor_handed_on() {
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let text = config(&discovery.address.to_string(), 256, &[]).to_string();
     write_config(&PROGRAM, "handed", &text);
     for (value, told) in
@@ -277,7 +277,7 @@
     let (warm, drained, cold) = (ok(), ok(), ok());
     let place = Place::new("small");
     let known = [warm.entry("s-1", 1), drained.entry("s-2", 1)];
-    let small = |discovery: &ScriptedRegister| {
+    let small = |discovery: &ScriptedDiscovery| {
         let mut config = managed(discovery, &known);
         config["limits"]["sockets"] = 64.into();
         config
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::{
     config, entry, refusing, request, settings, spawn_gateway, wait_for, write_config, Client, Gateway, Http,
-    Program, Reply, ScriptedEndpoint, ScriptedRegister,
+    Program, Reply, ScriptedDiscovery, ScriptedEndpoint,
 };
 
 const PROGRAM: Program =
@@ -36,8 +36,8 @@
 /// The clients that are taken in beyond those.
 const OVERFLOW_OF_48: usize = 4;
 
-fn start(name: &str, hosts: &[Value]) -> (Gateway, ScriptedRegister) {
-    let discovery = ScriptedRegister::start();
+fn start(name: &str, hosts: &[Value]) -> (Gateway, ScriptedDiscovery) {
+    let discovery = ScriptedDiscovery::start();
     (Gateway::start(&PROGRAM, name, &discovery, 1024, hosts), discovery)
 }
 
@@ -325,7 +325,7 @@
 }
 
 /// Settings under which discovery pushes its lists: the module asks for nothing then.
-fn pushed(discovery: &ScriptedRegister, known: &[Value]) -> Value {
+fn pushed(discovery: &ScriptedDiscovery, known: &[Value]) -> Value {
     let mut text = config(&discovery.address.to_string(), 1024, known);
     text["settings"]["discovery"] = json!("push");
     text
@@ -334,7 +334,7 @@
 #[test]
 fn hears_of_a_drain_where_lists_are_pushed() {
     let [draining, other] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let text = pushed(&discovery, &[draining.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "pushed-drain", &discovery, &text);
     let leaving = entry("s-1", &draining.address.to_string(), 1, "leaving");
@@ -350,7 +350,7 @@
 #[test]
 fn watches_again_and_again_where_lists_are_pushed() {
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let text = pushed(&discovery, &[host.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "pushed-again", &discovery, &text);
     // More often than the wait between two watches doubles: it must not go on growing, nor ever end.
@@ -454,7 +454,7 @@
         gateway.signal("HUP");
         assert_eq!(client.ask("look").status(), 200);
     }
-    let next = ScriptedRegister::start();
+    let next = ScriptedDiscovery::start();
     write_config(&PROGRAM, "reload", &config(&next.address.to_string(), 1024, &[]).to_string());
     gateway.signal("HUP");
     gateway.signal("HUP");
@@ -476,7 +476,7 @@
 #[test]
 fn serves_more_clients_than_it_has_sockets() {
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "sockets", &discovery, 48, &[host.entry("s-1", 1)]);
     let mut clients = Vec::new();
     for _ in 0..60 {
@@ -493,7 +493,7 @@
 #[test]
 fn closes_no_idle_client_while_there_is_room() {
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "room", &discovery, 48, &[host.entry("s-1", 1)]);
     let mut clients: Vec<_> = (0..CLIENTS_OF_48).map(|_| gateway.connect()).collect();
     // Who is told so with an answer may have to go; nobody is cut off between two requests.
@@ -510,7 +510,7 @@
 #[test]
 fn refuses_at_once_whom_it_has_no_room_for() {
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "no-room", &discovery, 48, &[]);
     let mut held = hold_all_places(&gateway);
     let mut refused = Vec::new();
@@ -532,7 +532,7 @@
 
 #[test]
 fn has_places_for_more_than_a_third_of_its_descriptors_in_32_mb() {
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let mut config = config("127.0.0.1:1", 256, &[]);
     config["limits"]["memory_mb"] = json!(32);
     let gateway = Gateway::start_with(&PROGRAM, "places", &discovery, &config);
@@ -542,7 +542,7 @@
 #[test]
 fn keeps_the_connections_that_are_used_and_few_that_only_rest() {
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let (discovery, sockets) = (ScriptedRegister::start(), 384);
+    let (discovery, sockets) = (ScriptedDiscovery::start(), 384);
     let gateway = Gateway::start(&PROGRAM, "resting", &discovery, sockets, &[host.entry("s-1", 1)]);
     let mut used = gateway.connect();
     let mut kept = Vec::new();
@@ -565,7 +565,7 @@
 #[test]
 fn says_goodbye_with_an_answer_when_others_wait_for_a_place() {
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "crowded", &discovery, 48, &[]);
     let mut held = hold_all_places(&gateway);
     // Another comes. A close between requests could cross one, a word with an answer can't.
@@ -578,7 +578,7 @@
 
 #[test]
 fn leaves_new_clients_the_time_to_ask() {
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "new-clients", &discovery, 48, &[]);
     let held = hold_all_places(&gateway);
     // As many as it can take in beyond its places: none may be cut off to make room for one that may come.
@@ -601,7 +601,7 @@
 fn holds_its_own_want_of_sockets_against_no_host() {
     let host =
         ScriptedEndpoint::start(|r| if r.first.contains("look") { Reply::Hang } else { Reply::ok("ok") });
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "host-sockets", &discovery, 48, &crowd(&host));
     // More than there are sockets to hosts, and one less than there is room for clients.
     let mut held: Vec<_> = (1..CLIENTS_OF_48).map(|_| gateway.connect()).collect();
@@ -640,7 +640,7 @@
         })
     };
     let hosts: Vec<_> = (0..2).map(host).collect();
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let mut config = config("127.0.0.1:1", 1024, &entries(&hosts, &[1, 2]));
     // So little that hardly anything comes due while a busy machine stands still.
     config["settings"]["safety"]["cold_from"] = json!(0.01);
--- a/crates/gateway/tests/growth.rs
+++ b/crates/gateway/tests/growth.rs
@@ -5,7 +5,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::{
-    config, wait_for, Gateway, Program, Reply, ScriptedEndpoint, ScriptedRegister,
+    config, wait_for, Gateway, Program, Reply, ScriptedDiscovery, ScriptedEndpoint,
 };
 
 const PROGRAM: Program =
@@ -37,7 +37,7 @@
 /// Plays the same traffic with so many endpoints; they all are one stand-in.
 fn play(hosts: usize) -> Needs {
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let listed = entries(&host, hosts);
     let mut config = config(&discovery.address.to_string(), 1024, &listed);
     config["settings"]["policy_limits"]["keepalive_s"] = 10.0.into();
--- a/crates/gateway/tests/soak/main.rs
+++ b/crates/gateway/tests/soak/main.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
-use weldworks_testbed::scripted::{config, write_config, Gateway, Program, ScriptedRegister};
+use weldworks_testbed::scripted::{config, write_config, Gateway, Program, ScriptedDiscovery};
 use world::{Drain, World};
 
 const PROGRAM: Program =
@@ -65,7 +65,7 @@
     }
 
     fn start(&mut self) -> Gateway {
-        let mut register = ScriptedRegister::start();
+        let mut register = ScriptedDiscovery::start();
         register.address = self.discovery;
         // What the process before was told of drains binds this one too.
         self.config["known"]["endpoints"] = self.listed.lock().expect("lock").entries().into();
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -384,7 +384,7 @@
 
 /// Discovery with one watch at a time, on which empty lines are sent until it is silenced.
 #[derive(Clone)]
-pub struct ScriptedRegister {
+pub struct ScriptedDiscovery {
     /// The address at which discovery listens.
     pub address: SocketAddr,
     /// The request lines of all polls.
@@ -396,13 +396,13 @@
     lines: Arc<Mutex<Vec<Sender<String>>>>,
 }
 
-impl ScriptedRegister {
+impl ScriptedDiscovery {
     /// Starts discovery, which sends only the lists that a test pushes.
-    pub fn start() -> ScriptedRegister {
+    pub fn start() -> ScriptedDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
         let address = listener.local_addr().expect("reading the local address failed");
         let (calls, silent, ended, lines) = Default::default();
-        let discovery = ScriptedRegister { address, calls, silent, ended, lines };
+        let discovery = ScriptedDiscovery { address, calls, silent, ended, lines };
         let accepting = discovery.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -538,7 +538,7 @@
     pub fn start(
         program: &Program,
         name: &str,
-        discovery: &ScriptedRegister,
+        discovery: &ScriptedDiscovery,
         sockets: usize,
         known: &[Value],
     ) -> Gateway {
@@ -550,7 +550,7 @@
     pub fn start_with(
         program: &Program,
         name: &str,
-        discovery: &ScriptedRegister,
+        discovery: &ScriptedDiscovery,
         config: &Value,
     ) -> Gateway {
         let mut command = command(program, name, &config.to_string());
@@ -562,7 +562,7 @@
     pub fn start_shared(
         program: &Program,
         name: &str,
-        discovery: &ScriptedRegister,
+        discovery: &ScriptedDiscovery,
         config: &Value,
         listener: &TcpListener,
     ) -> Gateway {
@@ -573,7 +573,7 @@
     pub fn start_sharing(
         program: &Program,
         name: &str,
-        discovery: &ScriptedRegister,
+        discovery: &ScriptedDiscovery,
         config: &Value,
         listener: &TcpListener,
         folder: &str,
