--- a/crates/gateway/tests/crossings/closing.rs
+++ b/crates/gateway/tests/crossings/closing.rs
@@ -18,7 +18,8 @@
     for _ in 0..64 {
         client.write_all(&piece).expect("it is still read");
     }
-    let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(client)).expect("an answer");
+    let answer =
+        weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(client)).expect("an answer");
     assert_eq!(answer.status(), 413);
 }
 
--- a/crates/gateway/tests/crossings/leaving.rs
+++ b/crates/gateway/tests/crossings/leaving.rs
@@ -118,7 +118,7 @@
                 let asked = asked.clone();
                 spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-                    while weldworks_testbed::scripted::Http::read(&mut reader).is_some() {
+                    while weldworks_testbed::scripted::HttpMessage::read(&mut reader).is_some() {
                         asked.fetch_add(1, Ordering::SeqCst);
                         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                     }
--- a/crates/gateway/tests/crossings/main.rs
+++ b/crates/gateway/tests/crossings/main.rs
@@ -69,7 +69,7 @@
                 let (counted, treat) = (counted.clone(), treat.clone());
                 spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-                    if weldworks_testbed::scripted::Http::read(&mut reader).is_none() {
+                    if weldworks_testbed::scripted::HttpMessage::read(&mut reader).is_none() {
                         return;
                     }
                     let call = counted.fetch_add(1, Ordering::SeqCst);
--- a/crates/gateway/tests/crossings/once.rs
+++ b/crates/gateway/tests/crossings/once.rs
@@ -108,7 +108,8 @@
     };
     let mut writer = stream.try_clone().expect("a clone");
     let writing = spawn(move || writer.write_all(&text));
-    let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(stream)).expect("an answer");
+    let answer =
+        weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(stream)).expect("an answer");
     let _ = writing.join(); // it may be told before it has written all
     answer.status()
 }
--- a/crates/gateway/tests/crossings/short_reads.rs
+++ b/crates/gateway/tests/crossings/short_reads.rs
@@ -42,7 +42,7 @@
         gateway.signal("STOP");
         write_in_two_reads(&mut client, request(class).as_bytes());
         gateway.signal("CONT");
-        let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(client));
+        let answer = weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(client));
         assert_eq!(answer.map(|a| a.status()), Some(200), "{class}");
     }
 }
@@ -88,6 +88,7 @@
     gateway.signal("STOP");
     write_in_two_reads(&mut caller, b"GET /_ready HTTP/1.1\r\nHost: staff\r\n\r\n");
     gateway.signal("CONT");
-    let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(caller)).expect("an answer");
+    let answer =
+        weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(caller)).expect("an answer");
     assert_eq!(answer.status(), 503, "it knows no host, and says so");
 }
--- a/crates/gateway/tests/crossings/stopping.rs
+++ b/crates/gateway/tests/crossings/stopping.rs
@@ -124,7 +124,7 @@
         assert!(successor.wait().success());
         let _other = Gateway::start_shared(&PROGRAM, &name, &speaks, &managed(&speaks, &known), &listener);
         waiting.set_read_timeout(Some(LONG)).expect("a time-out");
-        let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(waiting));
+        let answer = weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(waiting));
         assert_eq!(answer.map(|a| a.status()), Some(200), "round {round}: taken by one that may take nobody");
     }
 }
--- a/crates/gateway/tests/crossings/unread.rs
+++ b/crates/gateway/tests/crossings/unread.rs
@@ -76,7 +76,8 @@
     sleep(Duration::from_millis(1500));
     let listed = Instant::now();
     discovery.push(whole(42, &crowd(&host)));
-    let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(client)).expect("an answer");
+    let answer =
+        weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(client)).expect("an answer");
     assert!([502, 504].contains(&answer.status()), "{}: it may have run", answer.status());
     // It has half a second of grace at the most; from the listing on it would have 3 s.
     assert!(written.elapsed() < Duration::from_millis(4300), "{:?}", written.elapsed());
--- a/crates/gateway/tests/day_by_day/staff.rs
+++ b/crates/gateway/tests/day_by_day/staff.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn counts_what_became_of_each_request() {
-    let answers = |r: &weldworks_testbed::scripted::Http| match r.first.split(['/', '?', ' ']).nth(2) {
+    let answers = |r: &weldworks_testbed::scripted::HttpMessage| match r.first.split(['/', '?', ' ']).nth(2) {
         Some("look") => Reply::ok("ok"),
         Some("brief-once") => Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()),
         Some("once") => Reply::Answer(500, "", Vec::new()),
--- a/crates/gateway/tests/day_by_day/upgrade.rs
+++ b/crates/gateway/tests/day_by_day/upgrade.rs
@@ -73,7 +73,8 @@
                     stream.set_read_timeout(Some(LONG)).expect("a time-out");
                     stream.write_all(request("look").as_bytes()).expect("written");
                     let mut reader = std::io::BufReader::new(stream.try_clone().expect("a clone"));
-                    let answer = weldworks_testbed::scripted::Http::read(&mut reader).expect("an answer");
+                    let answer =
+                        weldworks_testbed::scripted::HttpMessage::read(&mut reader).expect("an answer");
                     assert_eq!(answer.status(), 200);
                     served.fetch_add(1, Ordering::SeqCst);
                     let close = answer.header("connection") == Some("close");
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -8,8 +8,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::{
-    config, entry, refusing, request, settings, spawn_gateway, wait_for, write_config, Client, Gateway, Http,
-    Program, Reply, ScriptedDiscovery, ScriptedEndpoint,
+    config, entry, refusing, request, settings, spawn_gateway, wait_for, write_config, Client, Gateway,
+    HttpMessage, Program, Reply, ScriptedDiscovery, ScriptedEndpoint,
 };
 
 const PROGRAM: Program =
@@ -193,7 +193,7 @@
 
 #[test]
 fn reads_nothing_beyond_an_answer_as_the_next_one() {
-    let good = |r: &Http, ahead: &str, extra: &str| {
+    let good = |r: &HttpMessage, ahead: &str, extra: &str| {
         let id = r.header("x-request-id").expect("an id");
         format!("{ahead}HTTP/1.1 200 OK\r\n{extra}Content-Length: {}\r\n\r\n{id}", id.len())
     };
--- a/crates/gateway/tests/soak/clients.rs
+++ b/crates/gateway/tests/soak/clients.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use weldworks_testbed::scripted::Http;
+use weldworks_testbed::scripted::HttpMessage;
 
 /// The front goes on sending new connections to a process for so long after that was told to end.
 const NOTICED: Duration = Duration::from_millis(300);
@@ -87,7 +87,7 @@
     let begun = Instant::now();
     // What has come of an answer that breaks off is an answer begun.
     let partly = std::io::BufRead::fill_buf(&mut connection.reader).is_ok_and(|bytes| !bytes.is_empty());
-    match Http::read(&mut connection.reader) {
+    match HttpMessage::read(&mut connection.reader) {
         Some(answer) => {
             let closes = answer.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
             connection.used = !closes;
--- a/crates/gateway/tests/soak/peers.rs
+++ b/crates/gateway/tests/soak/peers.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
-use weldworks_testbed::scripted::Http;
+use weldworks_testbed::scripted::HttpMessage;
 
 /// This often a peer that waits looks whether its wait is over.
 const LOOK: Duration = Duration::from_millis(2);
@@ -44,7 +44,7 @@
             return;
         }
         let first = Instant::now();
-        let Some(request) = Http::read(&mut reader) else { return };
+        let Some(request) = HttpMessage::read(&mut reader) else { return };
         let Some(id) = request.header("x-request-id").and_then(|id| u64::from_str_radix(id, 16).ok()) else {
             return;
         };
@@ -158,7 +158,7 @@
 
 fn watch(listed: &Mutex<Listed>, mut stream: TcpStream) {
     let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-    if Http::read(&mut reader).is_none()
+    if HttpMessage::read(&mut reader).is_none()
         || stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").is_err()
     {
         return;
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -71,7 +71,7 @@
     }
 
     /// Records that an endpoint has received a complete request; returns the attempt's number.
-    fn arrived(&self, request: &Http, node: usize) -> Option<u64> {
+    fn arrived(&self, request: &HttpMessage, node: usize) -> Option<u64> {
         let request = parse_request_number(request.header("x-request-id"))?;
         let attempt = self.attempts.fetch_add(1, Ordering::SeqCst);
         self.record(|ledger, now| {
@@ -88,7 +88,7 @@
     /// Records that a stand-in which does not keep requests has received a complete request with this number.
     pub(crate) fn sent_whole(&self, id: Option<&str>) -> Option<u64> {
         let headers = HashMap::from([("x-request-id".to_owned(), id?.to_owned())]);
-        self.arrived(&Http { first: String::new(), headers, body: Vec::new() }, usize::MAX)
+        self.arrived(&HttpMessage { first: String::new(), headers, body: Vec::new() }, usize::MAX)
     }
 
     /// Records that an attempt has been answered, completely or partly.
@@ -161,7 +161,7 @@
 
 /// An HTTP/1.1 message: a request or a response.
 #[derive(Clone, Debug)]
-pub struct Http {
+pub struct HttpMessage {
     /// The start line of the message.
     pub first: String,
     /// The headers, with names in lower case.
@@ -170,9 +170,9 @@
     pub body: Vec<u8>,
 }
 
-impl Http {
+impl HttpMessage {
     /// Reads one message; `None` if the connection ends first.
-    pub fn read(from: &mut impl BufRead) -> Option<Http> {
+    pub fn read(from: &mut impl BufRead) -> Option<HttpMessage> {
         let mut line = || {
             let mut line = String::new();
             (from.read_line(&mut line).ok()? > 0).then(|| line.trim_end().to_owned())
@@ -189,7 +189,7 @@
             .map_or(0, |length| length.parse().expect("the content length should be a number"));
         let mut body = vec![0; length];
         from.read_exact(&mut body).ok()?;
-        Some(Http { first, headers, body })
+        Some(HttpMessage { first, headers, body })
     }
 
     /// The status of a response.
@@ -229,7 +229,7 @@
     }
 }
 
-type Behaviour = dyn Fn(&Http) -> Reply + Send + Sync;
+type Behaviour = dyn Fn(&HttpMessage) -> Reply + Send + Sync;
 
 /// A stand-in endpoint that records the requests that it is sent.
 #[derive(Clone)]
@@ -237,7 +237,7 @@
     /// The address at which the endpoint listens.
     pub address: SocketAddr,
     /// The requests that the endpoint was sent.
-    pub seen: Arc<Mutex<Vec<Http>>>,
+    pub seen: Arc<Mutex<Vec<HttpMessage>>>,
     /// How often the gateway closed a connection while the endpoint sent nothing.
     pub left: Arc<AtomicUsize>,
     /// How many raw replies have been written completely.
@@ -250,7 +250,7 @@
 
 impl ScriptedEndpoint {
     /// Starts an endpoint that handles each request as `behaviour` says.
-    pub fn start(behaviour: impl Fn(&Http) -> Reply + Send + Sync + 'static) -> ScriptedEndpoint {
+    pub fn start(behaviour: impl Fn(&HttpMessage) -> Reply + Send + Sync + 'static) -> ScriptedEndpoint {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
         let endpoint = ScriptedEndpoint {
@@ -277,7 +277,7 @@
 
     fn serve(&self, mut stream: TcpStream, behaviour: &Behaviour) {
         let mut reader = BufReader::new(stream.try_clone().expect("cloning the stream failed"));
-        while let Some(request) = Http::read(&mut reader) {
+        while let Some(request) = HttpMessage::read(&mut reader) {
             let reply = behaviour(&request);
             let attempt = self.observations.arrived(&request, self.number);
             self.seen.lock().expect("the lock is poisoned").push(request);
@@ -415,7 +415,7 @@
 
     fn serve(&self, mut stream: TcpStream) {
         let mut reader = BufReader::new(stream.try_clone().expect("cloning the stream failed"));
-        let Some(call) = Http::read(&mut reader) else { return };
+        let Some(call) = HttpMessage::read(&mut reader) else { return };
         let (sender, lines): (_, Receiver<String>) = channel();
         self.lines.lock().expect("the lock is poisoned").push(sender);
         self.calls.lock().expect("the lock is poisoned").push(call.first);
@@ -612,11 +612,11 @@
     }
 
     /// Sends a request to the admin API and returns its answer.
-    pub fn call(&self, method: &str, path: &str) -> Http {
+    pub fn call(&self, method: &str, path: &str) -> HttpMessage {
         let mut stream = self.caller();
         write!(stream, "{method} {path} HTTP/1.1\r\nHost: staff\r\n\r\n")
             .expect("writing to the admin API failed");
-        Http::read(&mut BufReader::new(stream)).expect("the admin API did not answer")
+        HttpMessage::read(&mut BufReader::new(stream)).expect("the admin API did not answer")
     }
 
     /// A connection to the admin API.
@@ -677,7 +677,7 @@
     }
 
     /// Sends a request on a new connection and returns its answer.
-    pub fn ask(&self, class: &str) -> Http {
+    pub fn ask(&self, class: &str) -> HttpMessage {
         self.connect().ask(class)
     }
 
@@ -768,9 +768,9 @@
     }
 
     /// Reads the next answer; `None` if the connection ends.
-    pub fn read(&mut self) -> Option<Http> {
-        let answer = Http::read(&mut self.reader);
-        let status = answer.as_ref().map(Http::status);
+    pub fn read(&mut self) -> Option<HttpMessage> {
+        let answer = HttpMessage::read(&mut self.reader);
+        let status = answer.as_ref().map(HttpMessage::status);
         if status.is_some_and(|status| status < 200) {
             return answer;
         }
@@ -786,7 +786,7 @@
     }
 
     /// Sends a valid request of the class and returns its answer.
-    pub fn ask(&mut self, class: &str) -> Http {
+    pub fn ask(&mut self, class: &str) -> HttpMessage {
         self.send(class);
         self.read().expect("the gateway did not answer")
     }
