--- a/crates/gateway/tests/crossings/leaving.rs
+++ b/crates/gateway/tests/crossings/leaving.rs
@@ -178,7 +178,7 @@
         client.write(&vec![b'x'; brought]);
     }
     assert_eq!(gateway.ask("look").status(), 200);
-    wait_for("the clients to be gone", || gateway.figure("router_current") == Some(0));
+    wait_for("the clients to be gone", || gateway.metric("router_current") == Some(0));
     assert_eq!(host.count(), 1);
 }
 
--- a/crates/gateway/tests/crossings/main.rs
+++ b/crates/gateway/tests/crossings/main.rs
@@ -49,7 +49,7 @@
 
 /// Waits until so many requests are taken and not ended.
 fn held(gateway: &Gateway, requests: u64) {
-    wait_for("the requests that are held", || gateway.figure("router_current") == Some(requests));
+    wait_for("the requests that are held", || gateway.metric("router_current") == Some(requests));
 }
 
 /// A peer that hears one request on each connection, does with it what it is told, and counts them.
--- a/crates/gateway/tests/crossings/once.rs
+++ b/crates/gateway/tests/crossings/once.rs
@@ -232,7 +232,7 @@
     let sent = Instant::now();
     wait_for("the first attempt", || first.calls() == 1);
     discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [late.entry("s-2")]}));
-    wait_for("the second host", || gateway.figure("router_cluster_size") == Some(2));
+    wait_for("the second host", || gateway.metric("router_cluster_size") == Some(2));
     go.send(()).expect("it waits");
     // The queue is opened once the window is over: what the kernel still tries to open comes up then.
     sleep(Duration::from_secs_f64(WINDOW + 0.1).saturating_sub(sent.elapsed()));
@@ -374,7 +374,7 @@
         wait_for("the first attempt", || host.calls() == 1);
         write_config(&PROGRAM, &name, &after.to_string());
         gateway.signal("HUP");
-        wait_for("the new file", || gateway.figure("router_conf_loaded") == Some(1));
+        wait_for("the new file", || gateway.metric("router_conf_loaded") == Some(1));
         go.send(()).expect("it waits");
         let answer = client.read().expect("an answer").status();
         assert_eq!((answer, host.calls()), (status, tries), "{n}: {class}, {was} and then {is}");
--- a/crates/gateway/tests/crossings/short_reads.rs
+++ b/crates/gateway/tests/crossings/short_reads.rs
@@ -84,7 +84,7 @@
 #[test]
 fn a_call_that_comes_in_two_reads_is_answered() {
     let (gateway, _discovery) = start("short-call", &[]);
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_admin();
     gateway.signal("STOP");
     write_in_two_reads(&mut caller, b"GET /_ready HTTP/1.1\r\nHost: staff\r\n\r\n");
     gateway.signal("CONT");
--- a/crates/gateway/tests/crossings/stopping.rs
+++ b/crates/gateway/tests/crossings/stopping.rs
@@ -51,7 +51,7 @@
         if told.elapsed() < Duration::from_millis(690) {
             assert_eq!(client.read().map(|answer| answer.status()), Some(200), "request {n}");
         } else {
-            client.forget();
+            client.expect_no_answers();
         }
     }
     assert!(gateway.wait().success());
@@ -96,7 +96,7 @@
     }
     write_config(&PROGRAM, "stop-shorter", &new.to_string());
     gateway.signal("HUP");
-    wait_for("the new file", || gateway.figure("router_conf_loaded") == Some(1));
+    wait_for("the new file", || gateway.metric("router_conf_loaded") == Some(1));
     let told = Instant::now();
     gateway.signal("TERM");
     assert_eq!(client.read().expect("an answer").status(), 504);
--- a/crates/gateway/tests/day_by_day/bodies.rs
+++ b/crates/gateway/tests/day_by_day/bodies.rs
@@ -21,8 +21,8 @@
         let answer =
             send_request(&gateway.address, &request("look"), None, Duration::ZERO).expect("an answer");
         assert_eq!((answer.status(), answer.whole, answer.length), (200, true, size), "{form:?}");
-        wait_for("the count", || gateway.figure("router_answered{group=\"look\"}") == Some(1));
-        assert_eq!(gateway.figure("router_current"), Some(0));
+        wait_for("the count", || gateway.metric("router_answered{group=\"look\"}") == Some(1));
+        assert_eq!(gateway.metric("router_current"), Some(0));
     }
 }
 
@@ -118,7 +118,7 @@
             (200, false),
             "{form:?}: it must show that it is not whole"
         );
-        wait_for("the count", || gateway.figure("router_errored{group=\"look\"}") == Some(1));
+        wait_for("the count", || gateway.metric("router_errored{group=\"look\"}") == Some(1));
         assert_eq!(node.seen.lock().expect("lock").len(), 1, "what was begun is final");
     }
     let node = LargeBodyEndpoint::start(LargeBody::new(32 << 20, Framing::Length));
@@ -128,7 +128,7 @@
     client.read_exact(&mut [0; 1000]).expect("a beginning");
     drop(client);
     wait_for("the host's release", || node.left.load(Ordering::SeqCst) == 1);
-    wait_for("the count", || gateway.figure("router_current") == Some(0));
+    wait_for("the count", || gateway.metric("router_current") == Some(0));
 }
 
 /// The client writes all the while, so that only the host can be at fault; the longest body may take half an hour.
--- a/crates/gateway/tests/day_by_day/settings.rs
+++ b/crates/gateway/tests/day_by_day/settings.rs
@@ -20,7 +20,7 @@
     new["settings"]["policy_limits"]["try_limit"] = 1.into();
     write_config(&PROGRAM, "settings", &new.to_string());
     gateway.signal("HUP");
-    wait_for("the new file", || gateway.figure("router_conf_loaded") == Some(1));
+    wait_for("the new file", || gateway.metric("router_conf_loaded") == Some(1));
     let glance = request("look").replace("look", "glance");
     let mut client = gateway.connect();
     client.write(glance.as_bytes());
@@ -52,7 +52,7 @@
     // Ten signals in a row change nothing more than one.
     (0..10).for_each(|_| gateway.signal("HUP"));
     let changed = Instant::now();
-    wait_for("the new file", || gateway.figure("router_conf_loaded") > Some(0));
+    wait_for("the new file", || gateway.metric("router_conf_loaded") > Some(0));
     let (look, pay) = (gateway.ask("look").status(), gateway.ask("pay").status());
     if changed.elapsed() < Duration::from_millis(1500) {
         assert_eq!((look, pay), (200, 200), "by the old rules");
@@ -91,7 +91,7 @@
     new["settings"]["policy_limits"]["try_limit"] = 1.into();
     write_config(&PROGRAM, "keyed", &new.to_string());
     gateway.signal("HUP");
-    wait_for("the new file", || gateway.figure("router_conf_loaded") == Some(1));
+    wait_for("the new file", || gateway.metric("router_conf_loaded") == Some(1));
     changed.store(true, Ordering::SeqCst);
     assert_eq!(open.read().expect("an answer").status(), 200);
     assert_eq!(host.count(), 3);
@@ -127,13 +127,13 @@
     for (n, text) in (1..).zip(&bad) {
         write_config(&PROGRAM, "bad-files", text);
         gateway.signal("HUP");
-        wait_for("the verdict", || gateway.figure("router_conf_invalid") == Some(n));
+        wait_for("the verdict", || gateway.metric("router_conf_invalid") == Some(n));
     }
-    assert_eq!(gateway.figure("router_conf_loaded"), Some(0));
+    assert_eq!(gateway.metric("router_conf_loaded"), Some(0));
     assert_eq!(gateway.ask("look").status(), 200, "all is as before");
     write_config(&PROGRAM, "bad-files", &whole);
     gateway.signal("HUP");
-    wait_for("the good file", || gateway.figure("router_conf_loaded") == Some(1));
+    wait_for("the good file", || gateway.metric("router_conf_loaded") == Some(1));
     wait_for("the end of look", || gateway.ask("look").status() == 400);
 }
 
@@ -149,7 +149,7 @@
             new["settings"]["classes"][4]["promise_s"] = json!(1.0 + n as f64 / 1000.0);
             write_config(&PROGRAM, "thousand", &new.to_string());
             gateway.signal("HUP");
-            wait_for("the file", || gateway.figure("router_conf_loaded") > Some(n));
+            wait_for("the file", || gateway.metric("router_conf_loaded") > Some(n));
         }
     };
     turn(0..50);
--- a/crates/gateway/tests/day_by_day/staff.rs
+++ b/crates/gateway/tests/day_by_day/staff.rs
@@ -12,7 +12,7 @@
     assert_eq!((wrong.status(), wrong.header("allow")), (405, Some("PUT")));
     assert_eq!(gateway.call("GET", "/_vars").header("connection"), Some("close"), "one call a connection");
     // Far more silent and half callers than there are places.
-    let mut held: Vec<TcpStream> = (0..60).map(|_| gateway.caller()).collect();
+    let mut held: Vec<TcpStream> = (0..60).map(|_| gateway.connect_admin()).collect();
     for half in held.iter_mut().step_by(2) {
         let _ = half.write_all(b"GET /_re"); // one that had to make room already is gone
     }
@@ -22,7 +22,7 @@
     }
     // Behind all who say nothing it would be six rounds of 3 s.
     assert!(before.elapsed() < Duration::from_secs(10), "{:?}", before.elapsed());
-    let mut long = gateway.caller();
+    let mut long = gateway.connect_admin();
     let _ = long.write_all(&[b'x'; 100_000]);
     ended(&mut long);
     held.iter_mut().for_each(ended); // each is let go, sooner or later
@@ -57,7 +57,7 @@
     // What was turned away may have been tried at several of them.
     let turned_away = host.count() - 4;
     wait_for("the attempt", || host.count() == turned_away + 5);
-    let figure = |name: &str| gateway.figure(name).expect("a figure");
+    let figure = |name: &str| gateway.metric(name).expect("a figure");
     assert_eq!(figure("router_answered{group=\"look\"}"), 3);
     assert_eq!(figure("router_deferred{group=\"brief-once\"}"), 1);
     assert_eq!(figure("router_errored{group=\"once\"}"), 1);
@@ -78,13 +78,13 @@
     let host = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) =
         start("avoided", &[host.entry("s-1", 1), host.entry("s-2", 1), host.entry("s-3", 1)]);
-    wait_for("the hosts' figures", || gateway.figure("router_cluster_size") == Some(3));
-    assert_eq!(gateway.figure("router_cluster_unhealthy"), Some(0));
+    wait_for("the hosts' figures", || gateway.metric("router_cluster_size") == Some(3));
+    assert_eq!(gateway.metric("router_cluster_unhealthy"), Some(0));
     let leaving = weldworks_testbed::scripted::entry("s-2", &host.address.to_string(), 1, "leaving");
     let left = weldworks_testbed::scripted::entry("s-3", "", 1, "left");
     discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [leaving, left]}));
-    wait_for("the news", || gateway.figure("router_cluster_size") == Some(2));
-    assert_eq!(gateway.figure("router_cluster_unhealthy"), Some(1), "one that leaves is sent nothing new");
+    wait_for("the news", || gateway.metric("router_cluster_size") == Some(2));
+    assert_eq!(gateway.metric("router_cluster_unhealthy"), Some(1), "one that leaves is sent nothing new");
 }
 
 #[test]
@@ -116,7 +116,7 @@
     }
     host.release();
     assert_eq!(busy.read().expect("an answer").status(), 200, "what was open is answered");
-    assert!(gateway.runs());
+    assert!(gateway.is_running());
     assert_eq!(gateway.call("PUT", "/_lameduck/off").status(), 200);
     assert_eq!(health(&gateway), 200);
     let mut again = gateway.connect();
@@ -173,7 +173,7 @@
         }
         for (class, got) in classes.iter().zip(got) {
             let figure = |name: &str| {
-                gateway.figure(&format!("router_{name}{{group=\"{class}\"}}")).expect("a figure")
+                gateway.metric(&format!("router_{name}{{group=\"{class}\"}}")).expect("a figure")
             };
             assert_eq!(
                 [figure("answered"), figure("deferred"), figure("errored")],
@@ -182,7 +182,7 @@
             );
         }
         assert_eq!(
-            (gateway.figure("router_current"), gateway.figure("router_sends")),
+            (gateway.metric("router_current"), gateway.metric("router_sends")),
             (Some(0), Some(host.count() as u64))
         );
     }
@@ -204,19 +204,19 @@
         client.send("once");
         held.push(client);
         sleep(Duration::from_millis(20));
-        gateway.figure("router_deferred{group=\"once\"}") > Some(0)
+        gateway.metric("router_deferred{group=\"once\"}") > Some(0)
     });
     assert_eq!(gateway.call("GET", "/_ready").status(), 200, "staff have places of their own");
     // A client that goes counts as nothing.
-    let before = gateway.figure("router_current").expect("a figure");
+    let before = gateway.metric("router_current").expect("a figure");
     drop(held.remove(0));
-    wait_for("its end", || gateway.figure("router_current").is_some_and(|now| now < before));
-    assert_eq!(gateway.figure("router_errored{group=\"once\"}"), Some(0));
+    wait_for("its end", || gateway.metric("router_current").is_some_and(|now| now < before));
+    assert_eq!(gateway.metric("router_errored{group=\"once\"}"), Some(0));
     gateway.signal("TERM");
     wait_for("the stop", || gateway.call("GET", "/_ready").status() == 503);
     let drain = gateway.call("PUT", "/_lameduck/on");
     assert_eq!((drain.status(), &drain.body[..]), (200, &b"stopping\n"[..]), "there is no way back");
-    assert!(gateway.figure("router_current") > Some(0));
+    assert!(gateway.metric("router_current") > Some(0));
     host.release();
     assert!(gateway.wait().success());
 }
@@ -233,5 +233,5 @@
     assert_eq!(gateway.call("PUT", "/_lameduck/on").status(), 200);
     let answer = client.join().expect("a client").expect("an answer");
     assert_eq!((answer.whole, answer.length), (true, 3 << 20));
-    wait_for("nothing in hand", || gateway.figure("router_current") == Some(0));
+    wait_for("nothing in hand", || gateway.metric("router_current") == Some(0));
 }
--- a/crates/gateway/tests/day_by_day/upgrade.rs
+++ b/crates/gateway/tests/day_by_day/upgrade.rs
@@ -117,10 +117,10 @@
     let (new, _news) = place.ready("upgrade-new", &hosts);
     // Each counts its own, and both answer staff.
     wait_for("both at work", || {
-        let count = |gateway: &Gateway| gateway.figure("router_answered{group=\"look\"}").expect("a figure");
+        let count = |gateway: &Gateway| gateway.metric("router_answered{group=\"look\"}").expect("a figure");
         assert!(
-            old.figure("router_current").is_some_and(|n| n <= 4)
-                && new.figure("router_current").is_some_and(|n| n <= 4)
+            old.metric("router_current").is_some_and(|n| n <= 4)
+                && new.metric("router_current").is_some_and(|n| n <= 4)
         );
         count(&old) > 50 && count(&new) > 0
     });
@@ -130,7 +130,7 @@
     let by_then = served();
     wait_for("the new process's traffic", || served() > by_then + 50);
     clients.end();
-    assert!(new.figure("router_answered{group=\"look\"}") > Some(0));
+    assert!(new.metric("router_answered{group=\"look\"}") > Some(0));
 }
 
 /// What an operator reads when a port is taken: which, by which setting, and what to do.
@@ -192,8 +192,8 @@
     wait_for("the hosts' release", || host.left.load(Ordering::SeqCst) == 8);
     let (next, _discovery) = start("killed", &hosts);
     assert_eq!(next.ask("look").status(), 200);
-    assert_eq!(next.figure("router_sends"), Some(1), "each process counts from 0");
-    held.iter_mut().for_each(weldworks_testbed::scripted::Client::forget);
+    assert_eq!(next.metric("router_sends"), Some(1), "each process counts from 0");
+    held.iter_mut().for_each(weldworks_testbed::scripted::Client::expect_no_answers);
 }
 
 #[test]
@@ -309,7 +309,7 @@
     let (to_warm, to_cold) = (warm.count() - before.0, cold.count() - before.2);
     assert_eq!(drained.count(), before.1, "nothing new to a host that leaves");
     assert!(to_cold < to_warm, "{to_cold} to the cold host, {to_warm} to the warm one");
-    assert!(new.figure("router_cluster_unhealthy") >= Some(1), "the one that leaves");
+    assert!(new.metric("router_cluster_unhealthy") >= Some(1), "the one that leaves");
 }
 
 /// Clients may hold a third of the descriptors, whichever of the two processes has them.
@@ -331,7 +331,7 @@
         let by_then = served();
         wait_for("the new process's traffic", || served() > by_then + 800);
         assert_eq!(
-            new.figure("router_deferred{group=\"look\"}"),
+            new.metric("router_deferred{group=\"look\"}"),
             Some(0),
             "nobody is refused for want of a place"
         );
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -356,7 +356,7 @@
     // More often than the wait between two watches doubles: it must not go on growing, nor ever end.
     for round in 0..20 {
         wait_for("a watch", || discovery.calls() > round);
-        discovery.hang_up();
+        discovery.end_watches();
     }
     wait_for("a watch", || discovery.calls() > 20);
     discovery.push(json!({"index": 57, "snapshot": true, "endpoints": []}));
@@ -402,7 +402,7 @@
     let (gateway, discovery) = start("garbled-discovery", &list);
     discovery.push(json!("no list at all"));
     wait_for("a call after what is no list", || discovery.calls() > 1);
-    discovery.break_off("{\"index\": 60, \"snapshot\": true, \"endpoints\": [");
+    discovery.push_incomplete("{\"index\": 60, \"snapshot\": true, \"endpoints\": [");
     wait_for("a call after a list that was broken off", || discovery.calls() > 2);
     assert_eq!(gateway.ask("look").status(), 200, "the list held stays in force");
     let bad = json!({"name": "s-9", "address": "nowhere"});
--- a/crates/gateway/tests/soak/main.rs
+++ b/crates/gateway/tests/soak/main.rs
@@ -101,14 +101,14 @@
         let kill = told + self.world.longest + KILLED;
         for _ in 0..self.draw.usize(0..3) {
             sleep(Duration::from_millis(self.draw.u64(0..150)));
-            if gateway.runs() {
+            if gateway.is_running() {
                 gateway.signal(if self.draw.bool() { "TERM" } else { "HUP" });
             }
         }
-        while gateway.runs() && Instant::now() < kill {
+        while gateway.is_running() && Instant::now() < kill {
             sleep(Duration::from_millis(2));
         }
-        if gateway.runs() {
+        if gateway.is_running() {
             gateway.signal("KILL");
         } else if !gateway.wait().success() {
             self.world.note(format!("gateway {} has crashed", self.gateway));
@@ -127,7 +127,7 @@
             }
             while Instant::now() < until && !self.world.is_over() {
                 sleep(Duration::from_millis(5));
-                if !gateway.runs() {
+                if !gateway.is_running() {
                     self.world.note(format!("gateway {} has crashed", self.gateway));
                     break;
                 }
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -449,7 +449,7 @@
     }
 
     /// Ends all watches.
-    pub fn hang_up(&self) {
+    pub fn end_watches(&self) {
         self.lines.lock().expect("the lock is poisoned").clear();
     }
 
@@ -459,7 +459,7 @@
     }
 
     /// Waits for the watch, then writes the beginning of a line and ends the connection.
-    pub fn break_off(&self, part: &str) {
+    pub fn push_incomplete(&self, part: &str) {
         self.write(format!("{INCOMPLETE_LINE}{part}"));
     }
 
@@ -613,14 +613,14 @@
 
     /// Sends a request to the admin API and returns its answer.
     pub fn call(&self, method: &str, path: &str) -> HttpMessage {
-        let mut stream = self.caller();
+        let mut stream = self.connect_admin();
         write!(stream, "{method} {path} HTTP/1.1\r\nHost: staff\r\n\r\n")
             .expect("writing to the admin API failed");
         HttpMessage::read(&mut BufReader::new(stream)).expect("the admin API did not answer")
     }
 
     /// A connection to the admin API.
-    pub fn caller(&self) -> TcpStream {
+    pub fn connect_admin(&self) -> TcpStream {
         let address = self.management.as_ref().expect("the gateway has no admin API");
         let stream = TcpStream::connect(address).expect("connecting to the gateway failed");
         stream.set_read_timeout(Some(LONG)).expect("setting the read timeout failed");
@@ -628,13 +628,13 @@
     }
 
     /// The value of a metric, by its name and labels as they are written in the metrics.
-    pub fn figure(&self, name: &str) -> Option<u64> {
+    pub fn metric(&self, name: &str) -> Option<u64> {
         let text = String::from_utf8(self.call("GET", "/_vars").body).expect("the metrics are not text");
         text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
     }
 
     /// Whether the gateway process is running.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("reading the state of the gateway process failed").is_none()
     }
 
@@ -761,7 +761,7 @@
     }
 
     /// Records that no answers are expected any more, because the gateway was killed.
-    pub fn forget(&mut self) {
+    pub fn expect_no_answers(&mut self) {
         for request in self.unanswered.drain(..).flatten() {
             self.observations.record(|ledger, now| ledger.gave_up(request, now));
         }
