--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -218,7 +218,7 @@
     }
 
     /// Adds to the timeline that an endpoint has crashed from too much work; a script does not say when this happens.
-    pub fn fell(&mut self, node: usize, at: Duration) {
+    pub fn record_crash(&mut self, node: usize, at: Duration) {
         let entry = ListEntry { node, status: EndpointStatus::Left, started: None };
         let at = at + self.silent_notice;
         self.changes.retain(|change| change.entry.node != node || change.at < at);
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -37,7 +37,7 @@
     excluded_until: Cell<Duration>,
 }
 
-/// All clients of a run.
+/// The clients of a run, together with the front that distributes their requests.
 #[derive(Debug)]
 pub struct Clients {
     run: Rc<RunState>,
--- a/crates/testbed/src/live/discovery.rs
+++ b/crates/testbed/src/live/discovery.rs
@@ -114,7 +114,7 @@
 
     /// Records that an endpoint has crashed from too much work in its slow start.
     pub fn record_crash(&self, node: usize, at: Duration) {
-        self.model.borrow_mut().fell(node, at);
+        self.model.borrow_mut().record_crash(node, at);
         self.changed.notify_waiters();
     }
 
--- a/crates/testbed/src/live/endpoints.rs
+++ b/crates/testbed/src/live/endpoints.rs
@@ -31,7 +31,7 @@
 /// A command to the task of a connection.
 #[derive(Debug)]
 pub enum ConnectionCommand {
-    /// Write an answer.
+    /// Write an answer on the connection.
     Answer {
         /// The attempt that is answered.
         attempt: AttemptId,
@@ -40,7 +40,7 @@
         /// The load report in the answer.
         report: Report,
     },
-    /// End the connection.
+    /// End the connection to the gateway.
     End {
         /// Whether the connection ends with a reset, as when its process has died.
         reset: bool,
@@ -53,7 +53,7 @@
     address: SocketAddr,
     listening: RefCell<Option<JoinHandle<()>>>,
     /// While the machine is cut off: a listener with a full accept queue, so that no connection is established.
-    stuffing: RefCell<Option<(TcpListener, Vec<TcpStream>)>>,
+    full_listener: RefCell<Option<(TcpListener, Vec<TcpStream>)>>,
 }
 
 /// A stand-in endpoint on sockets.
@@ -67,7 +67,7 @@
     changed: Notify,
     ids: Rc<Cell<u64>>,
     /// Called when the endpoint crashes from too much work in its slow start.
-    fell: Box<dyn Fn(usize, Duration)>,
+    on_crash: Box<dyn Fn(usize, Duration)>,
 }
 
 fn listen(address: SocketAddr, backlog: u32) -> io::Result<TcpListener> {
@@ -87,15 +87,15 @@
         model: EndpointModel,
         run: Rc<RunState>,
         ids: Rc<Cell<u64>>,
-        fell: Box<dyn Fn(usize, Duration)>,
+        on_crash: Box<dyn Fn(usize, Duration)>,
     ) -> io::Result<Rc<LiveEndpoint>> {
         let (model, ports, commands, changed) =
             (RefCell::new(model), RefCell::default(), RefCell::default(), Notify::new());
-        let node = Rc::new(LiveEndpoint { number, run, model, ports, commands, changed, ids, fell });
+        let node = Rc::new(LiveEndpoint { number, run, model, ports, commands, changed, ids, on_crash });
         for gateway in 0..node.run.gateways {
             let listener = listen(SocketAddr::from((node_address(gateway, number), 0)), BACKLOG)?;
             let (address, listening) = (listener.local_addr()?, RefCell::default());
-            let port = Rc::new(Port { gateway, address, listening, stuffing: RefCell::default() });
+            let port = Rc::new(Port { gateway, address, listening, full_listener: RefCell::default() });
             node.accept(&port, listener);
             node.ports.borrow_mut().push(port);
         }
@@ -154,7 +154,7 @@
             if let Some(accepting) = port.listening.take() {
                 accepting.abort();
             }
-            port.stuffing.take();
+            port.full_listener.take();
             let captured = (self.clone(), port.clone());
             spawn_local(async move {
                 let (node, port) = captured;
@@ -185,7 +185,7 @@
                     let _ = socket.connect(&port.address.into()); // pending; established only if the queue has space
                     queued.push(TcpStream::from_std(socket.into())?);
                 }
-                port.stuffing.replace(Some((listener, queued)));
+                port.full_listener.replace(Some((listener, queued)));
             }
             State::Down | State::Crashed => {}
         }
@@ -238,7 +238,7 @@
                 Output::Crashed => {
                     self.run.count(|counts| counts.fallen += 1);
                     self.run.ledger.borrow_mut().fell(self.number, now);
-                    (self.fell)(self.number, now);
+                    (self.on_crash)(self.number, now);
                     for port in self.ports.borrow().iter() {
                         if let Some(accepting) = port.listening.take() {
                             accepting.abort();
--- a/crates/testbed/src/model/choke.rs
+++ b/crates/testbed/src/model/choke.rs
@@ -24,7 +24,7 @@
     pub fn add(&mut self, now: f64, value: f64) {
         let step = self.window / STEPS;
         while self.updated_at < now {
-            let step_start = self.steps.back().map_or(self.updated_at, |s| s.0);
+            let step_start = self.steps.back().map_or(self.updated_at, |last_step| last_step.0);
             let add_until = now.min(step_start + step);
             if add_until <= self.updated_at {
                 self.steps.push_back((self.updated_at, 0.0));
@@ -35,7 +35,9 @@
             }
             self.updated_at = add_until;
         }
-        while self.steps.len() > 1 && self.steps.front().is_some_and(|s| s.0 + step <= now - self.window) {
+        while self.steps.len() > 1
+            && self.steps.front().is_some_and(|oldest| oldest.0 + step <= now - self.window)
+        {
             self.steps.pop_front();
         }
     }
@@ -45,7 +47,7 @@
         let window_start = self.steps.front()?.0;
         let length = self.updated_at - window_start;
         (length >= self.window * (1.0 - 1.0 / STEPS))
-            .then(|| self.steps.iter().map(|s| s.1).sum::<f64>() / length)
+            .then(|| self.steps.iter().map(|past_step| past_step.1).sum::<f64>() / length)
     }
 }
 
--- a/crates/testbed/src/model/endpoint.rs
+++ b/crates/testbed/src/model/endpoint.rs
@@ -758,7 +758,7 @@
         self.slowdown = times.max(1e-3);
     }
 
-    /// All load reports of the endpoint carry these values; `None` for true reports.
+    /// Makes all load reports of the endpoint carry the given values; `None` restores true reports.
     pub fn override_reports(&mut self, now: Duration, report: Option<Report>) {
         self.advance(now);
         self.reported_always = report;
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -210,15 +210,15 @@
 /// What an endpoint does with a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// Answers with this status, these header lines and this body.
+    /// The endpoint answers with the given status, header lines and body.
     Answer(u16, &'static str, Vec<u8>),
-    /// Ends the connection without an answer.
+    /// The endpoint ends the connection without an answer.
     Break,
-    /// Sends part of an answer, then ends the connection.
+    /// The endpoint sends part of an answer, then ends the connection.
     Half,
-    /// Sends nothing until the endpoint is released or the gateway closes the connection.
+    /// The endpoint sends nothing until it is released or the gateway closes the connection.
     Hang,
-    /// Sends these pieces with a pause between them, and leaves the connection open.
+    /// The endpoint sends the given pieces with a pause between them, and leaves the connection open.
     Raw(Vec<String>),
 }
 
@@ -342,7 +342,7 @@
         self.release.store(true, Ordering::SeqCst);
     }
 
-    /// Ends all connections.
+    /// Ends all connections of the endpoint.
     pub fn close_all(&self) {
         for stream in self.connections.lock().expect("the lock is poisoned").drain(..) {
             let _ = stream.shutdown(std::net::Shutdown::Both);
@@ -448,7 +448,7 @@
         self.calls.lock().expect("the lock is poisoned").len()
     }
 
-    /// Ends all watches.
+    /// Ends all watches that gateways have open.
     pub fn end_watches(&self) {
         self.lines.lock().expect("the lock is poisoned").clear();
     }
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -77,7 +77,7 @@
                 self.ledger.told(gateway, entry.node, self.now, entry.notification());
             }
             let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
-            for node in (0..self.nodes.len()).filter(|n| list.is_snapshot && !listed(n)) {
+            for node in (0..self.nodes.len()).filter(|node| list.is_snapshot && !listed(node)) {
                 self.ledger.told(gateway, node, self.now, Told::Gone);
             }
         }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -1013,7 +1013,7 @@
                 Output::Crashed => {
                     self.counts.fallen += 1;
                     self.ledger.fell(node, self.now);
-                    self.discovery.fell(node, self.now);
+                    self.discovery.record_crash(node, self.now);
                     self.schedule_discovery_change();
                 }
             }
