--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -82,7 +82,7 @@
     /// All load reports of the endpoint carry these values (requests served per second, requests in flight); `None` for true reports.
     Report(Option<(f64, f64)>),
     /// Sets the endpoint's idle timeout, and whether connections are dropped without being closed; `None` for its normal timeout.
-    LetGo(Option<(Duration, bool)>),
+    IdleTimeout(Option<(Duration, bool)>),
 }
 
 /// All actions of a script on endpoints, in order of time.
@@ -105,7 +105,10 @@
                 What::CutOff => during(EndpointAction::CutOff, EndpointAction::Start),
                 What::Drain => during(EndpointAction::Drain(true), EndpointAction::Drain(false)),
                 What::LetGo { after, silently } => {
-                    during(EndpointAction::LetGo(Some((after, silently))), EndpointAction::LetGo(None));
+                    during(
+                        EndpointAction::IdleTimeout(Some((after, silently))),
+                        EndpointAction::IdleTimeout(None),
+                    );
                 }
                 What::Pause => {
                     actions.push((from, node, EndpointAction::Pause(event.lasts.unwrap_or_default())));
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -72,7 +72,7 @@
             node.override_reports(now, says.map(|(qps, inflight)| Report { qps, inflight }));
         }
         EndpointAction::Pause(lasts) => node.pause(now, lasts),
-        EndpointAction::LetGo(limit) => node.set_idle_timeout(now, limit),
+        EndpointAction::IdleTimeout(limit) => node.set_idle_timeout(now, limit),
     }
 }
 
