--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -141,7 +141,7 @@
     actions
 }
 
-/// Discovery in a run.
+/// The model of discovery in a run.
 #[derive(Clone, Debug)]
 pub struct Discovery {
     changes: Vec<Change>,
--- a/crates/testbed/src/model/endpoint.rs
+++ b/crates/testbed/src/model/endpoint.rs
@@ -70,7 +70,7 @@
 /// An output of the endpoint model.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Output {
-    /// The processing of an attempt begins. Not emitted for a dropped repeat.
+    /// The processing of an attempt begins. There is no such output for a dropped repeat.
     Began {
         /// The attempt whose processing begins.
         attempt: AttemptId,
@@ -81,7 +81,7 @@
         attempt: AttemptId,
         /// The connection of the attempt.
         connection: ConnectionId,
-        /// The answer.
+        /// The answer to the attempt.
         answer: Answer,
         /// The load report in the answer.
         report: Report,
--- a/crates/testbed/src/model/spec.rs
+++ b/crates/testbed/src/model/spec.rs
@@ -16,9 +16,9 @@
 /// What makes the slow start of an endpoint progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarmBy {
-    /// Time since the start.
+    /// Slow start progresses with the time since the endpoint's start.
     Time,
-    /// Work done since the start, and never slower than by time.
+    /// Slow start progresses with the work done since the endpoint's start, and never slower than by time.
     Work,
 }
 
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -320,7 +320,7 @@
             let head = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
             let _ = stream.write_all(&[head.as_bytes(), &body].concat());
         }
-        // Needed because the clone of the stream that is kept for `close_all` would hold the connection open.
+        // Closes the connection, which the clone of the stream that is kept for `close_all` would otherwise hold open.
         let _ = stream.shutdown(std::net::Shutdown::Both);
     }
 
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// What a message is. With the request's or attempt's number, the kind selects the random draw of the message's delay.
+/// The kind of a network message. Together with the number of the request or attempt it selects the random draw of the message's delay.
 #[derive(Clone, Copy, Debug)]
 enum MessageKind {
     ToGateway = 1,
