--- a/crates/gateway/benches/per_request.rs
+++ b/crates/gateway/benches/per_request.rs
@@ -19,7 +19,7 @@
 use weldworks_testbed::live::gateways::listening;
 use weldworks_testbed::live::http::{Connection, Kind};
 use weldworks_testbed::script::Script;
-use weldworks_testbed::scripted::ScriptedRegister;
+use weldworks_testbed::scripted::ScriptedDiscovery;
 
 const ROUNDS: usize = 5;
 const ROUND_DURATION: Duration = Duration::from_secs(2);
@@ -83,7 +83,7 @@
 /// Starts a gateway, as a member of a fleet if `fleet` names a settings file.
 fn start_gateway(
     endpoints: &[SocketAddr],
-    discovery: &ScriptedRegister,
+    discovery: &ScriptedDiscovery,
     fleet: Option<&str>,
 ) -> (Child, SocketAddr) {
     let script = Script::parse("bench", "name = \"bench\"").expect("invalid script");
@@ -171,7 +171,7 @@
     );
     println!("nodes | fleet | CPU a request, us (min, median, max) | added latency, us: median (min, median, max) | p99 | requests a second | unserved");
     for (count, in_fleet) in [(12, false), (69, false), (12, true)] {
-        let (endpoints, discovery) = (start_endpoints(count), ScriptedRegister::start());
+        let (endpoints, discovery) = (start_endpoints(count), ScriptedDiscovery::start());
         let files = if in_fleet { fleet_files() } else { Vec::new() };
         let other_gateways: Vec<_> =
             files.iter().skip(1).map(|file| start_gateway(&endpoints, &discovery, Some(file)).0).collect();
--- a/crates/gateway/tests/crossings/client_disconnects.rs
+++ b/crates/gateway/tests/crossings/client_disconnects.rs
@@ -34,7 +34,7 @@
 #[test]
 fn no_attempt_after_disconnect_while_no_endpoint_is_listed() {
     for (n, unread_input) in unread_input_variants().iter().enumerate() {
-        let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+        let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
         let (gateway, discovery) = start(&format!("left-host-{n}"), &[]);
         disconnect_and_wait(&gateway, open_waiting_request(&gateway, "look", unread_input, 0), 0);
         discovery.push(snapshot(42, &[endpoint.entry("s-1", 1)]));
@@ -47,11 +47,11 @@
 fn no_attempt_after_disconnect_while_a_retry_waits_for_another_endpoint() {
     for (n, unread_input) in unread_input_variants().iter().enumerate() {
         let first = AtomicBool::new(true);
-        let breaking_endpoint = ScriptedNode::start(move |_| match first.swap(false, Ordering::SeqCst) {
+        let breaking_endpoint = ScriptedEndpoint::start(move |_| match first.swap(false, Ordering::SeqCst) {
             true => Reply::Break,
             false => Reply::ok("ok"),
         });
-        let other = ScriptedNode::start(|_| Reply::ok("ok"));
+        let other = ScriptedEndpoint::start(|_| Reply::ok("ok"));
         let (gateway, discovery) = start(&format!("left-retry-{n}"), &[breaking_endpoint.entry("s-1", 1)]);
         let client = open_waiting_request(&gateway, "look", unread_input, 0);
         wait_for("the first attempt", || breaking_endpoint.count() == 1);
@@ -66,8 +66,8 @@
 fn no_attempt_after_disconnect_while_queued_behind_a_request_with_the_same_key() {
     for (n, unread_input) in unread_input_variants().iter().enumerate() {
         let endpoint =
-            ScriptedNode::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
-        let discovery = ScriptedRegister::start();
+            ScriptedEndpoint::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
+        let discovery = ScriptedDiscovery::start();
         let mut config = config_with_admin_api(&discovery, &listed_thirty_times(&endpoint));
         config["settings"]["classes"][1]["sequential"] = true.into();
         let gateway = Gateway::start_with(&PROGRAM, &format!("left-turn-{n}"), &discovery, &config);
@@ -125,7 +125,7 @@
                 let requests = requests.clone();
                 spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("clone of the stream failed"));
-                    while weldworks_testbed::scripted::Http::read(&mut reader).is_some() {
+                    while weldworks_testbed::scripted::HttpMessage::read(&mut reader).is_some() {
                         requests.fetch_add(1, Ordering::SeqCst);
                         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                     }
@@ -140,7 +140,7 @@
 fn no_attempt_after_disconnect_while_the_endpoint_connection_is_being_opened() {
     for (n, unread_input) in unread_input_variants().iter().enumerate() {
         let endpoint = FullBacklogEndpoint::new();
-        let discovery = ScriptedRegister::start();
+        let discovery = ScriptedDiscovery::start();
         let mut config = config_with_admin_api(&discovery, &[endpoint.entry("s-1")]);
         // The settings forbid the gateway to cancel the pending connection, so the connection is established, late.
         config["settings"]["policy_limits"]["may_cancel"] = false.into();
@@ -157,7 +157,7 @@
 #[test]
 fn no_attempt_after_disconnect_before_the_request_is_read() {
     for (n, unread_input) in unread_input_variants().iter().enumerate() {
-        let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+        let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
         let (gateway, _discovery) = start(&format!("left-queue-{n}"), &listed_thirty_times(&endpoint));
         let mut known_client = gateway.connect();
         assert_eq!(known_client.ask("look").status(), 200);
@@ -176,7 +176,7 @@
 
 #[test]
 fn no_attempt_after_disconnect_with_an_incomplete_body() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("left-body", &[endpoint.entry("s-1", 1)]);
     for (declared_length, sent_length) in [(4, 1), (60 << 10, 30 << 10), (100 << 10, 10)] {
         let mut client = gateway.connect();
@@ -186,7 +186,7 @@
         client.write(&vec![b'x'; sent_length]);
     }
     assert_eq!(gateway.ask("look").status(), 200);
-    wait_for("the disconnected clients' requests to end", || gateway.figure("router_current") == Some(0));
+    wait_for("the disconnected clients' requests to end", || gateway.metric("router_current") == Some(0));
     assert_eq!(endpoint.count(), 1);
 }
 
@@ -195,7 +195,7 @@
 /// with a longer body the client's end of stream stays behind unread bytes, which `unread_input.rs` tests.
 #[test]
 fn no_attempt_after_disconnect_while_a_long_body_waits_for_an_endpoint() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) = start("left-upload", &[]);
     let length = 112 << 10;
     let text = request("once").replace("Content-Length: 4", &format!("Content-Length: {length}"));
@@ -221,7 +221,7 @@
 #[test]
 fn burst_of_disconnects_releases_all_capacity() {
     let endpoint =
-        ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (gateway, _discovery) = start("left-burst", &listed_thirty_times(&endpoint));
     for round in 0..3 {
         let inputs = unread_input_variants();
@@ -244,7 +244,7 @@
     let endpoints: Vec<_> = (0..6u32)
         .map(|n| {
             let (attempt_starts, calls) = (attempt_starts.clone(), AtomicUsize::new(0));
-            ScriptedNode::start(move |request| {
+            ScriptedEndpoint::start(move |request| {
                 let id = request.header("x-request-id").unwrap_or_default().to_owned();
                 attempt_starts.lock().expect("lock poisoned").push((id, Instant::now()));
                 sleep(Duration::from_millis(u64::from(n) + 2));
--- a/crates/gateway/tests/crossings/connection_closes.rs
+++ b/crates/gateway/tests/crossings/connection_closes.rs
@@ -18,7 +18,8 @@
     for _ in 0..64 {
         client.write_all(&part).expect("the gateway no longer reads the body");
     }
-    let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(client)).expect("no answer");
+    let answer =
+        weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(client)).expect("no answer");
     assert_eq!(answer.status(), 413);
 }
 
@@ -49,7 +50,7 @@
         wait_for("the connection to be closed", || close_count.load(Ordering::SeqCst) == n + 1);
         wait_for_open_requests(&gateway, 0);
     }
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     discovery.push(snapshot(42, &[endpoint.entry("s-2", 1)]));
     wait_for("the other endpoint", || gateway.ask("look").status() == 200);
 }
--- a/crates/gateway/tests/crossings/descriptor_limits.rs
+++ b/crates/gateway/tests/crossings/descriptor_limits.rs
@@ -20,7 +20,7 @@
 #[test]
 fn idle_clients_block_neither_discovery_nor_administrators_nor_other_clients() {
     for (n, sends_request) in [(0, false), (1, true)] {
-        let [draining, other] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+        let [draining, other] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
         let discovery_restored = Arc::new(AtomicBool::new(false));
         let new_list = json!({"index": 50, "snapshot": true, "endpoints": [
             entry("s-1", &draining.address.to_string(), 1, "leaving"), other.entry("s-2", 1)]});
@@ -32,7 +32,7 @@
                 hold_until_closed(stream);
             }
         });
-        let unused_discovery = ScriptedRegister::start();
+        let unused_discovery = ScriptedDiscovery::start();
         let mut config = config_with_admin_api(&unused_discovery, &[draining.entry("s-1", 1)]);
         config["discovery"] = discovery_stand_in.address.clone().into();
         config["limits"]["sockets"] = 64.into();
@@ -64,8 +64,8 @@
         let path: &'static str = Box::leak(script.display().to_string().into_boxed_str());
         Program { path, ..PROGRAM }
     };
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let discovery = ScriptedDiscovery::start();
     let mut config = config_with_admin_api(&discovery, &[endpoint.entry("s-1", 1)]);
     config["limits"]["sockets"] = 256.into();
     let gateway = Gateway::start_with(
@@ -77,7 +77,7 @@
     let idle_clients = open_idle_clients(&gateway, 100, true);
     assert_eq!(gateway.ask("look").status(), 200);
     assert_eq!(gateway.call("GET", "/_ready").status(), 200);
-    let other = ScriptedNode::start(|_| Reply::ok("ok"));
+    let other = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     discovery.push(json!({"index": 43, "snapshot": true, "endpoints": [other.entry("s-2", 1)]}));
     wait_for("the new list to be in use", || gateway.ask("look").status() == 200 && other.count() > 0);
     drop(idle_clients);
@@ -93,8 +93,8 @@
 /// The `X-Timeout` sent to the endpoint is no longer than the time that is left.
 #[test]
 fn wait_before_accept_does_not_extend_the_deadline() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "crowded-time", &discovery, 48, &listed_thirty_times(&endpoint));
     // These 18 clients use up the capacity and the overflow beyond it. A client that has sent nothing is closed after half a second.
     let first_connect_at = Instant::now();
--- a/crates/gateway/tests/crossings/graceful_shutdown.rs
+++ b/crates/gateway/tests/crossings/graceful_shutdown.rs
@@ -5,7 +5,7 @@
 /// Connections in the kernel's queue at SIGTERM are still accepted and answered, even if the client capacity is used up at that moment.
 #[test]
 fn queued_connections_are_answered_after_sigterm_at_full_capacity() {
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let mut gateway = Gateway::start(&PROGRAM, "stop-queue", &discovery, 48, &[]);
     let mut clients_at_capacity: Vec<_> = (0..14).map(|_| gateway.connect()).collect();
     for client in &mut clients_at_capacity {
@@ -34,7 +34,7 @@
 /// A new connection keeps its time for a first request after SIGTERM, although connections may not stay idle any more.
 #[test]
 fn late_first_request_on_a_new_connection_is_answered_after_sigterm() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (mut gateway, _discovery) = start("stop-first", &[endpoint.entry("s-1", 1)]);
     let mut open_client = gateway.connect();
     open_client.send("brief"); // an open request, so that the process does not exit at once
@@ -51,7 +51,7 @@
         if signalled_at.elapsed() < Duration::from_millis(690) {
             assert_eq!(client.read().map(|answer| answer.status()), Some(200), "request {n}");
         } else {
-            client.forget();
+            client.expect_no_answers();
         }
     }
     assert!(gateway.wait().success());
@@ -59,8 +59,8 @@
 
 #[test]
 fn further_signals_and_a_reload_do_not_change_a_shutdown() {
-    let endpoint = ScriptedNode::start(|_| Reply::Hang);
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::Hang);
+    let discovery = ScriptedDiscovery::start();
     let config = config_with_admin_api(&discovery, &listed_thirty_times(&endpoint));
     let mut gateway = Gateway::start_with(&PROGRAM, "stop-twice", &discovery, &config);
     let mut clients: Vec<_> = (0..6).map(|_| gateway.connect()).collect();
@@ -84,8 +84,8 @@
 /// An open request may have a longer deadline, from an earlier configuration, and must be answered before the kill.
 #[test]
 fn request_with_an_earlier_longer_deadline_is_answered_before_a_kill_by_a_shorter_deadline() {
-    let endpoint = ScriptedNode::start(|_| Reply::Hang);
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::Hang);
+    let discovery = ScriptedDiscovery::start();
     let config = config_with_admin_api(&discovery, &listed_thirty_times(&endpoint));
     let mut gateway = Gateway::start_with(&PROGRAM, "stop-shorter", &discovery, &config);
     let mut client = gateway.connect();
@@ -97,7 +97,7 @@
     }
     write_config(&PROGRAM, "stop-shorter", &new_config.to_string());
     gateway.signal("HUP");
-    wait_for("the reload of the configuration", || gateway.figure("router_conf_loaded") == Some(1));
+    wait_for("the reload of the configuration", || gateway.metric("router_conf_loaded") == Some(1));
     let signalled_at = Instant::now();
     gateway.signal("TERM");
     assert_eq!(client.read().expect("no answer").status(), 504);
@@ -112,10 +112,10 @@
 /// A successor that gets SIGTERM before it is ready accepts no connection: waiting clients belong to the active process.
 #[test]
 fn successor_that_gets_sigterm_before_it_is_ready_accepts_no_connection() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     for round in 0..8 {
         let listener = TcpListener::bind("127.0.0.1:0").expect("bind failed");
-        let (silent_discovery, working_discovery) = (ScriptedRegister::start(), ScriptedRegister::start());
+        let (silent_discovery, working_discovery) = (ScriptedDiscovery::start(), ScriptedDiscovery::start());
         silent_discovery.silent.store(true, Ordering::SeqCst);
         let name = format!("stop-successor-{round}");
         let known_endpoints = [endpoint.entry("s-1", 1)];
@@ -135,7 +135,7 @@
             &listener,
         );
         waiting_client.set_read_timeout(Some(LONG)).expect("set_read_timeout failed");
-        let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(waiting_client));
+        let answer = weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(waiting_client));
         assert_eq!(
             answer.map(|a| a.status()),
             Some(200),
@@ -147,7 +147,7 @@
 /// A client that keeps writing and reads no answer has unread bytes at every check, and must not keep a stopping process from exiting.
 #[test]
 fn client_that_reads_no_answer_does_not_delay_the_shutdown() {
-    let endpoint = ScriptedNode::start(|_| Reply::Answer(200, "", vec![b'x'; 60 << 10]));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::Answer(200, "", vec![b'x'; 60 << 10]));
     let (mut gateway, _discovery) = start("stop-deaf", &listed_thirty_times(&endpoint));
     let mut client = TcpStream::connect(&gateway.address).expect("connect failed");
     client.set_nonblocking(true).expect("set_nonblocking failed");
--- a/crates/gateway/tests/crossings/main.rs
+++ b/crates/gateway/tests/crossings/main.rs
@@ -9,8 +9,8 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::{
-    config, entry, request, wait_for, write_config, Client, Gateway, Program, Reply, ScriptedNode,
-    ScriptedRegister, LONG,
+    config, entry, request, wait_for, write_config, Client, Gateway, Program, Reply, ScriptedDiscovery,
+    ScriptedEndpoint, LONG,
 };
 
 mod client_disconnects;
@@ -26,21 +26,21 @@
 const PROGRAM: Program =
     Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
-fn config_with_admin_api(discovery: &ScriptedRegister, endpoints: &[Value]) -> Value {
+fn config_with_admin_api(discovery: &ScriptedDiscovery, endpoints: &[Value]) -> Value {
     let mut config = config(&discovery.address.to_string(), 256, endpoints);
     config["management"] = "127.0.0.1:0".into();
     config
 }
 
-fn start(name: &str, endpoints: &[Value]) -> (Gateway, ScriptedRegister) {
-    let discovery = ScriptedRegister::start();
+fn start(name: &str, endpoints: &[Value]) -> (Gateway, ScriptedDiscovery) {
+    let discovery = ScriptedDiscovery::start();
     let gateway =
         Gateway::start_with(&PROGRAM, name, &discovery, &config_with_admin_api(&discovery, endpoints));
     (gateway, discovery)
 }
 
 /// Lists one endpoint under 30 names, as admission admits about as many requests at a time as there are endpoints.
-fn listed_thirty_times(endpoint: &ScriptedNode) -> Vec<Value> {
+fn listed_thirty_times(endpoint: &ScriptedEndpoint) -> Vec<Value> {
     (0..30).map(|n| endpoint.entry(&format!("s-{n}"), 1)).collect()
 }
 
@@ -50,7 +50,7 @@
 
 /// Waits until exactly this many requests have been read and have not ended.
 fn wait_for_open_requests(gateway: &Gateway, requests: u64) {
-    wait_for("the number of open requests", || gateway.figure("router_current") == Some(requests));
+    wait_for("the number of open requests", || gateway.metric("router_current") == Some(requests));
 }
 
 /// A stand-in for an endpoint or for discovery: reads and counts one request on each connection, then passes the connection to `handle`.
@@ -70,7 +70,7 @@
                 let (counter, handle) = (counter.clone(), handle.clone());
                 spawn(move || {
                     let mut reader = BufReader::new(stream.try_clone().expect("clone of the stream failed"));
-                    if weldworks_testbed::scripted::Http::read(&mut reader).is_none() {
+                    if weldworks_testbed::scripted::HttpMessage::read(&mut reader).is_none() {
                         return;
                     }
                     let call = counter.fetch_add(1, Ordering::SeqCst);
--- a/crates/gateway/tests/crossings/short_reads.rs
+++ b/crates/gateway/tests/crossings/short_reads.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn request_split_over_two_reads_is_served() {
-    let endpoint = ScriptedNode::start(|r| Reply::Answer(200, "", r.body.clone()));
+    let endpoint = ScriptedEndpoint::start(|r| Reply::Answer(200, "", r.body.clone()));
     let (gateway, _discovery) = start("short-request", &listed_thirty_times(&endpoint));
     for class in ["look", "once"] {
         let mut client = TcpStream::connect(&gateway.address).expect("connect failed");
@@ -42,7 +42,7 @@
         gateway.signal("STOP");
         write_in_two_reads(&mut client, request(class).as_bytes());
         gateway.signal("CONT");
-        let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(client));
+        let answer = weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(client));
         assert_eq!(answer.map(|a| a.status()), Some(200), "{class}");
     }
 }
@@ -65,7 +65,7 @@
 
 #[test]
 fn list_split_over_two_reads_is_used() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let list = snapshot(42, &listed_thirty_times(&endpoint)).to_string() + "\n";
     let text = format!(
         "{}{:x}\r\n{list}\r\n",
@@ -73,7 +73,7 @@
         list.len()
     );
     let (discovery_stand_in, send_signal, written) = answers_on_signal(text);
-    let mut discovery = ScriptedRegister::start();
+    let mut discovery = ScriptedDiscovery::start();
     discovery.address = discovery_stand_in.address.parse().expect("invalid address");
     let gateway =
         Gateway::start_with(&PROGRAM, "short-list", &discovery, &config_with_admin_api(&discovery, &[]));
@@ -89,10 +89,11 @@
 #[test]
 fn admin_call_split_over_two_reads_is_answered() {
     let (gateway, _discovery) = start("short-call", &[]);
-    let mut caller = gateway.caller();
+    let mut caller = gateway.connect_admin();
     gateway.signal("STOP");
     write_in_two_reads(&mut caller, b"GET /_ready HTTP/1.1\r\nHost: staff\r\n\r\n");
     gateway.signal("CONT");
-    let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(caller)).expect("no answer");
+    let answer =
+        weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(caller)).expect("no answer");
     assert_eq!(answer.status(), 503, "not ready, as no endpoint is listed");
 }
--- a/crates/gateway/tests/crossings/single_processing.rs
+++ b/crates/gateway/tests/crossings/single_processing.rs
@@ -115,7 +115,8 @@
     };
     let mut writer = stream.try_clone().expect("clone of the stream failed");
     let writing = spawn(move || writer.write_all(&text));
-    let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(stream)).expect("no answer");
+    let answer =
+        weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(stream)).expect("no answer");
     let _ = writing.join(); // the answer may arrive before the whole request is written
     answer.status()
 }
@@ -232,8 +233,8 @@
     window_s: f64,
     objective_s: f64,
     endpoints: &[Value],
-) -> (Gateway, ScriptedRegister) {
-    let discovery = ScriptedRegister::start();
+) -> (Gateway, ScriptedDiscovery) {
+    let discovery = ScriptedDiscovery::start();
     let mut config = config_with_admin_api(&discovery, endpoints);
     config["settings"]["classes"][2]["group"] = group.into();
     config["settings"]["classes"][2]["dedup_window_s"] = window_s.into();
@@ -262,7 +263,7 @@
     let sent = Instant::now();
     wait_for("the first attempt", || first.calls() == 1);
     discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [late_endpoint.entry("s-2")]}));
-    wait_for("the second endpoint", || gateway.figure("router_cluster_size") == Some(2));
+    wait_for("the second endpoint", || gateway.metric("router_cluster_size") == Some(2));
     break_connection.send(()).expect("the endpoint thread has ended");
     // The backlog is accepted after the idempotency window; the kernel's pending connection attempt succeeds then.
     sleep(Duration::from_secs_f64(WINDOW + 0.1).saturating_sub(sent.elapsed()));
@@ -337,7 +338,7 @@
         &[b'x'; 40 << 10],
     ];
     for (n, tail) in bytes_behind.into_iter().enumerate() {
-        let endpoint = ScriptedNode::start(|_| Reply::Hang);
+        let endpoint = ScriptedEndpoint::start(|_| Reply::Hang);
         let (gateway, _discovery) = start(&format!("behind-{n}"), &[endpoint.entry("s-1", 1)]);
         let mut client = gateway.connect();
         client.write(&[request("once").as_bytes(), tail].concat());
@@ -395,7 +396,7 @@
             hold_until_closed(stream);
         });
         let class_index = if class == "once" { 3 } else { 2 };
-        let discovery = ScriptedRegister::start();
+        let discovery = ScriptedDiscovery::start();
         let listed =
             [entry("s-1", &endpoint.address, 1, "active"), entry("s-2", &endpoint.address, 2, "active")];
         let mut config = config_with_admin_api(&discovery, &listed);
@@ -414,7 +415,7 @@
         wait_for("the first attempt", || endpoint.calls() == 1);
         write_config(&PROGRAM, &name, &after.to_string());
         gateway.signal("HUP");
-        wait_for("the reload of the configuration", || gateway.figure("router_conf_loaded") == Some(1));
+        wait_for("the reload of the configuration", || gateway.metric("router_conf_loaded") == Some(1));
         break_connection.send(()).expect("the endpoint thread has ended");
         let answer = client.read().expect("no answer").status();
         assert_eq!(
--- a/crates/gateway/tests/crossings/stalled_clients.rs
+++ b/crates/gateway/tests/crossings/stalled_clients.rs
@@ -55,7 +55,7 @@
 
 #[test]
 fn client_that_stalls_inside_a_request_gets_an_error_or_a_close() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("stays", &listed_thirty_times(&endpoint));
     let address = &gateway.address;
     std::thread::scope(|scope| {
@@ -85,7 +85,7 @@
 /// that earlier request is answered, and then the time for the incomplete head is over.
 #[test]
 fn slow_endpoint_does_not_extend_the_time_for_an_incomplete_head() {
-    let endpoint = ScriptedNode::start(|_| Reply::Hang);
+    let endpoint = ScriptedEndpoint::start(|_| Reply::Hang);
     let (gateway, _discovery) = start("stays-behind", &listed_thirty_times(&endpoint));
     let mut client = TcpStream::connect(&gateway.address).expect("connect failed");
     let head = request("look");
@@ -106,7 +106,7 @@
 /// Every request that was read must be answered, also behind an answer that would otherwise close the connection.
 #[test]
 fn pipelined_requests_are_all_answered_after_sigterm() {
-    let endpoint = ScriptedNode::start(|_| Reply::Hang);
+    let endpoint = ScriptedEndpoint::start(|_| Reply::Hang);
     let (mut gateway, _discovery) = start("together-stop", &listed_thirty_times(&endpoint));
     let mut client = TcpStream::connect(&gateway.address).expect("connect failed");
     let all: String = (0..4).map(|_| request("look")).collect();
--- a/crates/gateway/tests/crossings/unread_input.rs
+++ b/crates/gateway/tests/crossings/unread_input.rs
@@ -23,7 +23,7 @@
     }
 }
 
-fn attempts(endpoint: &ScriptedNode, class: &str) -> usize {
+fn attempts(endpoint: &ScriptedEndpoint, class: &str) -> usize {
     endpoint.seen.lock().expect("lock poisoned").iter().filter(|seen| seen.first.contains(class)).count()
 }
 
@@ -33,7 +33,7 @@
 /// No attempt begins for a disconnected client; an attempt begins when an endpoint has the last byte of the request.
 #[test]
 fn no_attempt_for_a_client_that_disconnects_behind_a_long_body() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) = start("unread-body", &[]);
     let text = upload(300 << 10, "40000m");
     let mut client = TcpStream::connect(&gateway.address).expect("connect failed");
@@ -49,7 +49,7 @@
 /// Also no attempt begins when pipelined requests, rather than a body, stand between the waiting request and the client's end of stream.
 #[test]
 fn no_attempt_for_a_client_that_disconnects_behind_many_requests() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) = start("unread-requests", &[]);
     let mut text = request("once").into_bytes();
     while text.len() < OVERSIZED_INPUT_BYTES {
@@ -67,7 +67,7 @@
 /// the `X-Timeout` sent to the endpoint is no longer than the time left, and the answer comes in that time.
 #[test]
 fn wait_of_an_unread_body_does_not_extend_the_deadline() {
-    let endpoint = ScriptedNode::start(|_| Reply::Hang);
+    let endpoint = ScriptedEndpoint::start(|_| Reply::Hang);
     let (gateway, discovery) = start("unread-time", &[]);
     let mut client = TcpStream::connect(&gateway.address).expect("connect failed");
     client.set_read_timeout(Some(LONG)).expect("set_read_timeout failed");
@@ -76,7 +76,8 @@
     sleep(Duration::from_millis(1500));
     let listed_at = Instant::now();
     discovery.push(snapshot(42, &listed_thirty_times(&endpoint)));
-    let answer = weldworks_testbed::scripted::Http::read(&mut BufReader::new(client)).expect("no answer");
+    let answer =
+        weldworks_testbed::scripted::HttpMessage::read(&mut BufReader::new(client)).expect("no answer");
     assert!(
         [502, 504].contains(&answer.status()),
         "{}: a possibly processed request must fail",
--- a/crates/gateway/tests/crossings/watches.rs
+++ b/crates/gateway/tests/crossings/watches.rs
@@ -4,7 +4,7 @@
 use weldworks_testbed::scripted::entry;
 
 fn start_with_pushed_lists(name: &str, discovery_stand_in: &StandIn, known_endpoints: &[Value]) -> Gateway {
-    let unused_discovery = ScriptedRegister::start();
+    let unused_discovery = ScriptedDiscovery::start();
     let mut config = config_with_admin_api(&unused_discovery, known_endpoints);
     config["settings"]["discovery"] = "push".into();
     config["discovery"] = discovery_stand_in.address.clone().into();
@@ -36,7 +36,7 @@
 /// The drain arrives on the first call that is answered; all earlier calls are received and never answered.
 #[test]
 fn drain_takes_effect_with_the_first_answered_call() {
-    let [draining, other] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+    let [draining, other] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let discovery_restored = Arc::new(AtomicBool::new(false));
     let draining_list = json!({"index": 50, "snapshot": true, "endpoints": [
         entry("s-1", &draining.address.to_string(), 1, "leaving"), other.entry("s-2", 1)]});
@@ -74,7 +74,7 @@
                 sleep(Duration::from_millis(100)); // one byte every 100 ms, far below any timeout on silence
             }
         });
-        let unused_discovery = ScriptedRegister::start();
+        let unused_discovery = ScriptedDiscovery::start();
         let mut config = config_with_admin_api(&unused_discovery, &[]);
         config["settings"]["discovery"] = mode.into();
         config["discovery"] = discovery_stand_in.address.clone().into();
@@ -87,7 +87,7 @@
 /// Lists may arrive indented, split over several chunks, or several lists in one chunk.
 #[test]
 fn lists_are_used_in_any_layout_and_chunking() {
-    let endpoints: Vec<_> = (0..3).map(|_| ScriptedNode::start(|_| Reply::ok("ok"))).collect();
+    let endpoints: Vec<_> = (0..3).map(|_| ScriptedEndpoint::start(|_| Reply::ok("ok"))).collect();
     let list = |n: usize| snapshot(50 + n as u64, &[endpoints[n].entry(&format!("s-{n}"), 1)]);
     let indented = format!("{:#}\n", list(0));
     let together = format!("{}\n\n{:#}", list(1), list(2));
@@ -116,7 +116,7 @@
 /// The next poll is answered, and the drain in its list takes effect.
 #[test]
 fn two_silent_polls_in_a_row_do_not_hold_back_a_drain() {
-    let [draining, other] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+    let [draining, other] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let initial_list = snapshot(49, &[draining.entry("s-1", 1)]);
     let draining_list = json!({"index": 50, "snapshot": true, "endpoints": [
         entry("s-1", &draining.address.to_string(), 1, "leaving"), other.entry("s-2", 1)]});
@@ -131,7 +131,7 @@
         }
         hold_until_closed(stream);
     });
-    let unused_discovery = ScriptedRegister::start();
+    let unused_discovery = ScriptedDiscovery::start();
     let mut config = config_with_admin_api(&unused_discovery, &[]);
     config["discovery"] = discovery_stand_in.address.clone().into();
     config["settings"]["safety"]["ask_within_s"] = 10.0.into();
--- a/crates/gateway/tests/day_by_day/admin_api.rs
+++ b/crates/gateway/tests/day_by_day/admin_api.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn answers_administrators_despite_silent_and_incomplete_callers() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("staff", &[endpoint.entry("s-1", 1)]);
     assert_eq!(gateway.call("GET", "/_ready").status(), 200);
     assert_eq!(gateway.call("GET", "/_nothing").status(), 404);
@@ -16,7 +16,7 @@
         "each connection must serve one call"
     );
     // Far more silent and incomplete callers than the admin API accepts at a time.
-    let mut silent_callers: Vec<TcpStream> = (0..60).map(|_| gateway.caller()).collect();
+    let mut silent_callers: Vec<TcpStream> = (0..60).map(|_| gateway.connect_admin()).collect();
     for incomplete_caller in silent_callers.iter_mut().step_by(2) {
         let _ = incomplete_caller.write_all(b"GET /_re"); // a caller that was closed to make room has disconnected already
     }
@@ -26,7 +26,7 @@
     }
     // If a call had to wait behind all silent callers, it would take six rounds of 3 s.
     assert!(before.elapsed() < Duration::from_secs(10), "{:?}", before.elapsed());
-    let mut oversized_caller = gateway.caller();
+    let mut oversized_caller = gateway.connect_admin();
     let _ = oversized_caller.write_all(&[b'x'; 100_000]);
     wait_for_close(&mut oversized_caller);
     silent_callers.iter_mut().for_each(wait_for_close); // each caller is disconnected sooner or later
@@ -35,13 +35,13 @@
 
 #[test]
 fn counts_the_outcome_of_each_request() {
-    let answers = |r: &weldworks_testbed::scripted::Http| match r.first.split(['/', '?', ' ']).nth(2) {
+    let answers = |r: &weldworks_testbed::scripted::HttpMessage| match r.first.split(['/', '?', ' ']).nth(2) {
         Some("look") => Reply::ok("ok"),
         Some("brief-once") => Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()),
         Some("once") => Reply::Answer(500, "", Vec::new()),
         _ => Reply::Hang,
     };
-    let endpoint = ScriptedNode::start(answers);
+    let endpoint = ScriptedEndpoint::start(answers);
     let (gateway, _discovery) = start("figures", &listed_thirty_times(|name| endpoint.entry(name, 1)));
     let before = gateway.call("GET", "/_vars");
     assert!(
@@ -61,7 +61,7 @@
     // The rejected request may have been attempted at several endpoints.
     let rejected_attempts = endpoint.count() - 4;
     wait_for("the attempt", || endpoint.count() == rejected_attempts + 5);
-    let figure = |name: &str| gateway.figure(name).expect("no such metric");
+    let figure = |name: &str| gateway.metric(name).expect("no such metric");
     assert_eq!(figure("router_answered{group=\"look\"}"), 3);
     assert_eq!(figure("router_deferred{group=\"brief-once\"}"), 1);
     assert_eq!(figure("router_errored{group=\"once\"}"), 1);
@@ -79,18 +79,18 @@
 
 #[test]
 fn reports_endpoints_that_it_avoids() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) =
         start("avoided", &[endpoint.entry("s-1", 1), endpoint.entry("s-2", 1), endpoint.entry("s-3", 1)]);
-    wait_for("the endpoint metrics", || gateway.figure("router_cluster_size") == Some(3));
-    assert_eq!(gateway.figure("router_cluster_unhealthy"), Some(0));
+    wait_for("the endpoint metrics", || gateway.metric("router_cluster_size") == Some(3));
+    assert_eq!(gateway.metric("router_cluster_unhealthy"), Some(0));
     let draining_entry =
         weldworks_testbed::scripted::entry("s-2", &endpoint.address.to_string(), 1, "leaving");
     let removed_entry = weldworks_testbed::scripted::entry("s-3", "", 1, "left");
     discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [draining_entry, removed_entry]}));
-    wait_for("the new list to be in use", || gateway.figure("router_cluster_size") == Some(2));
+    wait_for("the new list to be in use", || gateway.metric("router_cluster_size") == Some(2));
     assert_eq!(
-        gateway.figure("router_cluster_unhealthy"),
+        gateway.metric("router_cluster_unhealthy"),
         Some(1),
         "a draining endpoint is sent nothing new"
     );
@@ -99,7 +99,7 @@
 #[test]
 fn drains_and_returns_to_service() {
     let endpoint =
-        ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (mut gateway, _discovery) = start("drain", &listed_thirty_times(|name| endpoint.entry(name, 1)));
     let (mut idle_client, mut busy_client) = (gateway.connect(), gateway.connect());
     assert_eq!(idle_client.ask("look").header("connection"), None);
@@ -128,7 +128,7 @@
     }
     endpoint.release();
     assert_eq!(busy_client.read().expect("no answer").status(), 200, "open requests must be answered");
-    assert!(gateway.runs());
+    assert!(gateway.is_running());
     assert_eq!(gateway.call("PUT", "/_lameduck/off").status(), 200);
     assert_eq!(front_health_status(&gateway), 200);
     let mut new_client = gateway.connect();
@@ -138,7 +138,7 @@
 
 #[test]
 fn drain_that_is_cancelled_at_once_closes_no_connection() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("drain-back", &[endpoint.entry("s-1", 1)]);
     let mut idle_client = gateway.connect();
     idle_client.ask("look");
@@ -158,14 +158,15 @@
         let random_percent =
             move |n: usize| (weldworks_balancer::mix(seed.wrapping_mul(1 << 20) ^ n as u64) % 100) as usize;
         let next_draw = draws.clone();
-        let endpoint =
-            ScriptedNode::start(move |_| match random_percent(next_draw.fetch_add(1, Ordering::SeqCst)) {
+        let endpoint = ScriptedEndpoint::start(move |_| {
+            match random_percent(next_draw.fetch_add(1, Ordering::SeqCst)) {
                 0..70 => Reply::ok("ok"),
                 70..80 => Reply::Answer(500, "", Vec::new()),
                 80..90 => Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()),
                 90..95 => Reply::Half,
                 _ => Reply::Break,
-            });
+            }
+        });
         let (gateway, _discovery) =
             start(&format!("tally-{seed}"), &listed_thirty_times(|name| endpoint.entry(name, 1)));
         let classes = ["look", "pay", "book", "once"];
@@ -187,7 +188,7 @@
         }
         for (class, answers_by_outcome) in classes.iter().zip(answers_by_outcome) {
             let figure = |name: &str| {
-                gateway.figure(&format!("router_{name}{{group=\"{class}\"}}")).expect("no such metric")
+                gateway.metric(&format!("router_{name}{{group=\"{class}\"}}")).expect("no such metric")
             };
             assert_eq!(
                 [figure("answered"), figure("deferred"), figure("errored")],
@@ -196,7 +197,7 @@
             );
         }
         assert_eq!(
-            (gateway.figure("router_current"), gateway.figure("router_sends")),
+            (gateway.metric("router_current"), gateway.metric("router_sends")),
             (Some(0), Some(endpoint.count() as u64))
         );
     }
@@ -206,8 +207,8 @@
 #[test]
 fn answers_administrators_at_full_client_capacity_and_during_shutdown() {
     let endpoint =
-        ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
-    let discovery = ScriptedRegister::start();
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+    let discovery = ScriptedDiscovery::start();
     let mut config = config_with_admin_api(&discovery, &listed_thirty_times(|name| endpoint.entry(name, 1)));
     config["limits"]["sockets"] = 64.into();
     let mut gateway = Gateway::start_with(&PROGRAM, "every-place", &discovery, &config);
@@ -218,7 +219,7 @@
         client.send("once");
         busy_clients.push(client);
         sleep(Duration::from_millis(20));
-        gateway.figure("router_deferred{group=\"once\"}") > Some(0)
+        gateway.metric("router_deferred{group=\"once\"}") > Some(0)
     });
     assert_eq!(
         gateway.call("GET", "/_ready").status(),
@@ -226,10 +227,10 @@
         "administrators' connections must have a capacity of their own"
     );
     // The request of a disconnected client counts as no outcome.
-    let before = gateway.figure("router_current").expect("no such metric");
+    let before = gateway.metric("router_current").expect("no such metric");
     drop(busy_clients.remove(0));
-    wait_for("the request to end", || gateway.figure("router_current").is_some_and(|now| now < before));
-    assert_eq!(gateway.figure("router_errored{group=\"once\"}"), Some(0));
+    wait_for("the request to end", || gateway.metric("router_current").is_some_and(|now| now < before));
+    assert_eq!(gateway.metric("router_errored{group=\"once\"}"), Some(0));
     gateway.signal("TERM");
     wait_for("the stop", || gateway.call("GET", "/_ready").status() == 503);
     let drain = gateway.call("PUT", "/_lameduck/on");
@@ -238,7 +239,7 @@
         (200, &b"stopping\n"[..]),
         "a shutdown must not be reversible"
     );
-    assert!(gateway.figure("router_current") > Some(0));
+    assert!(gateway.metric("router_current") > Some(0));
     endpoint.release();
     assert!(gateway.wait().success());
 }
@@ -247,13 +248,13 @@
 #[test]
 fn drain_does_not_cut_off_a_long_answer() {
     let pace = Some((32 << 10, Duration::from_millis(40)));
-    let endpoint = BulkNode::start(Bulk { pace, ..Bulk::new(3 << 20, Form::Chunked) });
+    let endpoint = LargeBodyEndpoint::start(LargeBody { pace, ..LargeBody::new(3 << 20, Framing::Chunked) });
     let (gateway, _discovery) = start("long-drain", &[endpoint.entry("s-1")]);
     let address = gateway.address.clone();
-    let client = spawn(move || ask(&address, &request("look"), None, Duration::ZERO));
+    let client = spawn(move || send_request(&address, &request("look"), None, Duration::ZERO));
     wait_for("the start of the request", || !endpoint.seen.lock().expect("lock poisoned").is_empty());
     assert_eq!(gateway.call("PUT", "/_lameduck/on").status(), 200);
     let answer = client.join().expect("client thread panicked").expect("no answer");
     assert_eq!((answer.whole, answer.length), (true, 3 << 20));
-    wait_for("no open request", || gateway.figure("router_current") == Some(0));
+    wait_for("no open request", || gateway.metric("router_current") == Some(0));
 }
--- a/crates/gateway/tests/day_by_day/bodies.rs
+++ b/crates/gateway/tests/day_by_day/bodies.rs
@@ -5,26 +5,30 @@
 #[test]
 fn forwards_large_bodies_unchanged_in_every_framing() {
     let size = (3 << 20) + 17;
-    for form in [Form::Length, Form::Chunked, Form::Close, Form::Old] {
-        let endpoint = BulkNode::start(Bulk::new(size, form));
+    for form in [Framing::Length, Framing::Chunked, Framing::Close, Framing::Http10] {
+        let endpoint = LargeBodyEndpoint::start(LargeBody::new(size, form));
         let (gateway, _discovery) = start(&format!("large-{form:?}"), &[endpoint.entry("s-1")]);
-        let upload = Bulk::new(size + 5, if form == Form::Length { Form::Length } else { Form::Chunked });
-        let answer =
-            ask(&gateway.address, &request("once"), Some(upload), Duration::ZERO).expect("no answer");
+        let upload = LargeBody::new(
+            size + 5,
+            if form == Framing::Length { Framing::Length } else { Framing::Chunked },
+        );
+        let answer = send_request(&gateway.address, &request("once"), Some(upload), Duration::ZERO)
+            .expect("no answer");
         assert_eq!((answer.status(), answer.whole, answer.length), (200, true, size), "{form:?}");
-        assert_eq!(answer.digest, Bulk::new(size, form).digest(), "{form:?}");
+        assert_eq!(answer.digest, LargeBody::new(size, form).digest(), "{form:?}");
         let seen = endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received");
         assert_eq!((seen.length, seen.digest), (upload.length, upload.digest()), "{form:?}");
-        let answer = ask(&gateway.address, &request("look"), None, Duration::ZERO).expect("no answer");
+        let answer =
+            send_request(&gateway.address, &request("look"), None, Duration::ZERO).expect("no answer");
         assert_eq!((answer.status(), answer.whole, answer.length), (200, true, size), "{form:?}");
-        wait_for("the count", || gateway.figure("router_answered{group=\"look\"}") == Some(1));
-        assert_eq!(gateway.figure("router_current"), Some(0));
+        wait_for("the count", || gateway.metric("router_answered{group=\"look\"}") == Some(1));
+        assert_eq!(gateway.metric("router_current"), Some(0));
     }
 }
 
 #[test]
 fn accepts_every_form_of_a_small_request() {
-    let endpoint = ScriptedNode::start(|r| Reply::Answer(200, "", [b"re: ", &r.body[..]].concat()));
+    let endpoint = ScriptedEndpoint::start(|r| Reply::Answer(200, "", [b"re: ", &r.body[..]].concat()));
     let (gateway, _discovery) = start("forms", &[endpoint.entry("s-1", 1)]);
     let plain = request("once");
     let chunked = |lines: &str| {
@@ -71,30 +75,34 @@
 #[test]
 fn slow_large_bodies_are_transferred_beyond_the_class_deadline() {
     let pace = Some((32 << 10, Duration::from_millis(30)));
-    let endpoint = BulkNode::start(Bulk { pace, ..Bulk::new(2 << 20, Form::Chunked) });
+    let endpoint = LargeBodyEndpoint::start(LargeBody { pace, ..LargeBody::new(2 << 20, Framing::Chunked) });
     let (gateway, _discovery) = start("slow-large", &[endpoint.entry("s-1")]);
     // An attempt of class brief ends after 1.5 s without an answer; this answer takes 2 s to arrive, and 2 s to be read.
-    let answer =
-        ask(&gateway.address, &request("brief"), None, Duration::from_millis(10)).expect("no answer");
+    let answer = send_request(&gateway.address, &request("brief"), None, Duration::from_millis(10))
+        .expect("no answer");
     assert_eq!((answer.status(), answer.whole, answer.length), (200, true, 2 << 20));
     // An upload in small chunks with extensions, whose total length is far above the limit of the HTTP library.
-    let chunks = Bulk { pace: Some((500, Duration::ZERO)), ..Bulk::new(2 << 20, Form::Chunked) };
-    let answer = ask(&gateway.address, &request("once"), Some(chunks), Duration::ZERO).expect("no answer");
+    let chunks = LargeBody { pace: Some((500, Duration::ZERO)), ..LargeBody::new(2 << 20, Framing::Chunked) };
+    let answer =
+        send_request(&gateway.address, &request("once"), Some(chunks), Duration::ZERO).expect("no answer");
     assert_eq!((answer.status(), answer.whole), (200, true));
     assert_eq!(
         endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received").digest,
         chunks.digest()
     );
     // An answer of half a megabyte in chunks of 100 bytes, with an extension in each chunk.
-    let small_chunks =
-        BulkNode::start(Bulk { pace: Some((100, Duration::ZERO)), ..Bulk::new(1 << 19, Form::Chunked) });
+    let small_chunks = LargeBodyEndpoint::start(LargeBody {
+        pace: Some((100, Duration::ZERO)),
+        ..LargeBody::new(1 << 19, Framing::Chunked)
+    });
     let (extended_gateway, _extended_discovery) = start("extended", &[small_chunks.entry("s-1")]);
-    let answer = ask(&extended_gateway.address, &request("once"), None, Duration::ZERO).expect("no answer");
+    let answer =
+        send_request(&extended_gateway.address, &request("once"), None, Duration::ZERO).expect("no answer");
     assert_eq!((answer.status(), answer.whole, answer.length), (200, true, 1 << 19));
     // A slow upload: its client's timeout runs from the last byte of the body.
-    let upload = Bulk { pace, ..Bulk::new(2 << 20, Form::Length) };
-    let answer =
-        ask(&gateway.address, &request("brief-once"), Some(upload), Duration::ZERO).expect("no answer");
+    let upload = LargeBody { pace, ..LargeBody::new(2 << 20, Framing::Length) };
+    let answer = send_request(&gateway.address, &request("brief-once"), Some(upload), Duration::ZERO)
+        .expect("no answer");
     assert_eq!((answer.status(), answer.whole), (200, true));
     assert_eq!(
         endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received").digest,
@@ -104,31 +112,34 @@
 
 #[test]
 fn truncated_answer_is_visible_to_the_client_and_a_disconnect_to_the_endpoint() {
-    for form in [Form::Length, Form::Chunked] {
-        let endpoint = BulkNode::start(Bulk { breaks: Some(1 << 20), ..Bulk::new(4 << 20, form) });
+    for form in [Framing::Length, Framing::Chunked] {
+        let endpoint = LargeBodyEndpoint::start(LargeBody {
+            truncate_at: Some(1 << 20),
+            ..LargeBody::new(4 << 20, form)
+        });
         let (gateway, _discovery) = start(&format!("breaks-{form:?}"), &[endpoint.entry("s-1")]);
-        let answer =
-            ask(&gateway.address, &request("look"), None, Duration::ZERO).expect("no start of a response");
+        let answer = send_request(&gateway.address, &request("look"), None, Duration::ZERO)
+            .expect("no start of a response");
         assert_eq!(
             (answer.status(), answer.whole),
             (200, false),
             "{form:?}: the answer must be recognisable as incomplete"
         );
-        wait_for("the count", || gateway.figure("router_errored{group=\"look\"}") == Some(1));
+        wait_for("the count", || gateway.metric("router_errored{group=\"look\"}") == Some(1));
         assert_eq!(
             endpoint.seen.lock().expect("lock poisoned").len(),
             1,
             "an answer that was begun must not be retried"
         );
     }
-    let endpoint = BulkNode::start(Bulk::new(32 << 20, Form::Length));
+    let endpoint = LargeBodyEndpoint::start(LargeBody::new(32 << 20, Framing::Length));
     let (gateway, _discovery) = start("goes", &[endpoint.entry("s-1")]);
     let mut client = TcpStream::connect(&gateway.address).expect("connect failed");
     client.write_all(request("look").as_bytes()).expect("write of the request failed");
     client.read_exact(&mut [0; 1000]).expect("no start of a response");
     drop(client);
     wait_for("the close of the endpoint connection", || endpoint.left.load(Ordering::SeqCst) == 1);
-    wait_for("the count", || gateway.figure("router_current") == Some(0));
+    wait_for("the count", || gateway.metric("router_current") == Some(0));
 }
 
 /// The client keeps writing, so only the endpoint can cause the failure; the longest body may take half an hour.
@@ -143,8 +154,9 @@
     });
     let (gateway, _discovery) =
         start("takes-none", &[weldworks_testbed::scripted::entry("s-1", &address, 1, "active")]);
-    let upload = Bulk::new(30 << 20, Form::Length);
-    let answer = ask(&gateway.address, &request("once"), Some(upload), Duration::ZERO).expect("no answer");
+    let upload = LargeBody::new(30 << 20, Framing::Length);
+    let answer =
+        send_request(&gateway.address, &request("once"), Some(upload), Duration::ZERO).expect("no answer");
     assert_eq!(answer.status(), 503, "an incomplete request was not processed and must be rejected");
 }
 
@@ -182,13 +194,13 @@
 fn streamed_body_is_retried_only_if_none_of_it_was_sent() {
     // Whether or not the endpoint that refuses connections is selected first, the other endpoint receives the whole body.
     let (_refusing_socket, refusing_address) = refusing();
-    let endpoint = BulkNode::start(Bulk::new(10, Form::Length));
+    let endpoint = LargeBodyEndpoint::start(LargeBody::new(10, Framing::Length));
     let refusing_entry = weldworks_testbed::scripted::entry("s-0", &refusing_address, 1, "active");
     let (gateway, _discovery) = start("unspent", &[refusing_entry, endpoint.entry("s-1")]);
     for _ in 0..6 {
-        let upload = Bulk::new(1 << 20, Form::Chunked);
-        let answer =
-            ask(&gateway.address, &request("once"), Some(upload), Duration::ZERO).expect("no answer");
+        let upload = LargeBody::new(1 << 20, Framing::Chunked);
+        let answer = send_request(&gateway.address, &request("once"), Some(upload), Duration::ZERO)
+            .expect("no answer");
         assert_eq!(answer.status(), 200);
         assert_eq!(
             endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received").digest,
@@ -211,16 +223,19 @@
         .map(|n| weldworks_testbed::scripted::entry(&format!("s-{n}"), &address, 1, "active"))
         .collect();
     let (gateway, _discovery) = start("spent", &endpoints);
-    let upload =
-        Bulk { pace: Some((64 << 10, Duration::from_millis(20))), ..Bulk::new(2 << 20, Form::Length) };
-    let answer = ask(&gateway.address, &request("pay"), Some(upload), Duration::ZERO).expect("no answer");
+    let upload = LargeBody {
+        pace: Some((64 << 10, Duration::from_millis(20))),
+        ..LargeBody::new(2 << 20, Framing::Length)
+    };
+    let answer =
+        send_request(&gateway.address, &request("pay"), Some(upload), Duration::ZERO).expect("no answer");
     assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
     assert_eq!(attempts.load(Ordering::SeqCst), 1);
 }
 
 #[test]
 fn ends_bodies_that_are_too_slow_or_too_long() {
-    let endpoint = BulkNode::start(Bulk::new(10, Form::Length));
+    let endpoint = LargeBodyEndpoint::start(LargeBody::new(10, Framing::Length));
     let (gateway, _discovery) = start("too-slow", &[endpoint.entry("s-1")]);
     // The client stalls, first within the part of a body that is buffered and then beyond that part.
     for sent_bytes in [1 << 10, 80 << 10] {
@@ -231,31 +246,34 @@
         assert_eq!(client.read().expect("no answer").status(), 408, "after {sent_bytes}");
     }
     wait_for("the close of the endpoint connection", || endpoint.broken.load(Ordering::SeqCst) == 1);
-    let upload = Bulk::new((32 << 20) + 1, Form::Chunked);
-    let answer = ask(&gateway.address, &request("once"), Some(upload), Duration::ZERO);
+    let upload = LargeBody::new((32 << 20) + 1, Framing::Chunked);
+    let answer = send_request(&gateway.address, &request("once"), Some(upload), Duration::ZERO);
     assert!(answer.is_none_or(|answer| (400..500).contains(&answer.status())));
     wait_for("the close of the endpoint connection", || endpoint.broken.load(Ordering::SeqCst) == 2);
     assert!(endpoint.seen.lock().expect("lock poisoned").is_empty());
     // An answer that turns out to be too long while it is read, and an answer whose `Content-Length` is too long.
-    let growing_answer = BulkNode::start(Bulk::new((32 << 20) + 1, Form::Chunked));
+    let growing_answer = LargeBodyEndpoint::start(LargeBody::new((32 << 20) + 1, Framing::Chunked));
     let (growing_gateway, _growing_discovery) = start("grows", &[growing_answer.entry("s-1")]);
-    let answer = ask(&growing_gateway.address, &request("look"), None, Duration::ZERO)
+    let answer = send_request(&growing_gateway.address, &request("look"), None, Duration::ZERO)
         .expect("no start of a response");
     assert_eq!(
         (answer.status(), answer.whole),
         (200, false),
         "the answer must be recognisable as incomplete"
     );
-    let long_answer = BulkNode::start(Bulk::new((32 << 20) + 1, Form::Length));
+    let long_answer = LargeBodyEndpoint::start(LargeBody::new((32 << 20) + 1, Framing::Length));
     let (gateway, _discovery) = start("too-long", &[long_answer.entry("s-1")]);
-    assert_eq!(ask(&gateway.address, &request("once"), None, Duration::ZERO).map(|a| a.status()), Some(502));
+    assert_eq!(
+        send_request(&gateway.address, &request("once"), None, Duration::ZERO).map(|a| a.status()),
+        Some(502)
+    );
 }
 
 #[test]
 fn memory_is_bounded_during_large_transfers() {
     // Forty clients at once with 6 MiB each way, read slowly: 480 MiB through a process that may use 64 MB.
-    let endpoint = BulkNode::start(Bulk::new(6 << 20, Form::Chunked));
-    let discovery = ScriptedRegister::start();
+    let endpoint = LargeBodyEndpoint::start(LargeBody::new(6 << 20, Framing::Chunked));
+    let discovery = ScriptedDiscovery::start();
     let mut config = config_with_admin_api(&discovery, &listed_thirty_times(|name| endpoint.entry(name)));
     config["limits"]["memory_mb"] = 64.into();
     config["limits"]["sockets"] = 512.into();
@@ -265,8 +283,9 @@
         let clients: Vec<_> = (0..40)
             .map(|n| {
                 scope.spawn(move || {
-                    let upload = Bulk::new(6 << 20, if n % 2 == 0 { Form::Chunked } else { Form::Length });
-                    ask(address, &request("pay"), Some(upload), Duration::from_millis(1))
+                    let upload =
+                        LargeBody::new(6 << 20, if n % 2 == 0 { Framing::Chunked } else { Framing::Length });
+                    send_request(address, &request("pay"), Some(upload), Duration::from_millis(1))
                 })
             })
             .collect();
@@ -284,18 +303,24 @@
 fn bodies_split_at_random_arrive_unchanged() {
     for seed in 0u64..8 {
         let random_up_to = |n: u64, most: u64| 1 + weldworks_balancer::mix(seed << 8 | n) % most;
-        let paced = |n: u64, length: u64, form: Form| Bulk {
+        let paced = |n: u64, length: u64, form: Framing| LargeBody {
             pace: Some((random_up_to(n, 40_000) as usize, Duration::from_micros(200))),
-            ..Bulk::new(length, form)
+            ..LargeBody::new(length, form)
         };
-        let answer_body =
-            paced(1, random_up_to(2, 300_000), if seed % 2 == 0 { Form::Chunked } else { Form::Length });
-        let upload =
-            paced(3, random_up_to(4, 300_000), if seed % 3 == 0 { Form::Length } else { Form::Chunked });
-        let endpoint = BulkNode::start(answer_body);
+        let answer_body = paced(
+            1,
+            random_up_to(2, 300_000),
+            if seed % 2 == 0 { Framing::Chunked } else { Framing::Length },
+        );
+        let upload = paced(
+            3,
+            random_up_to(4, 300_000),
+            if seed % 3 == 0 { Framing::Length } else { Framing::Chunked },
+        );
+        let endpoint = LargeBodyEndpoint::start(answer_body);
         let (gateway, _discovery) = start(&format!("cuts-{seed}"), &[endpoint.entry("s-1")]);
-        let answer =
-            ask(&gateway.address, &request("once"), Some(upload), Duration::ZERO).expect("no answer");
+        let answer = send_request(&gateway.address, &request("once"), Some(upload), Duration::ZERO)
+            .expect("no answer");
         assert_eq!(
             (answer.status(), answer.whole, answer.length),
             (200, true, answer_body.length),
@@ -314,8 +339,8 @@
 #[test]
 #[ignore = "13 GB over loopback"]
 fn two_hundred_transfers_of_32_mb_at_once() {
-    let endpoint = BulkNode::start(Bulk::new(32_000_000, Form::Length));
-    let discovery = ScriptedRegister::start();
+    let endpoint = LargeBodyEndpoint::start(LargeBody::new(32_000_000, Framing::Length));
+    let discovery = ScriptedDiscovery::start();
     let mut config = config_with_admin_api(
         &discovery,
         &(0..300).map(|n| endpoint.entry(&format!("s-{n}"))).collect::<Vec<_>>(),
@@ -328,7 +353,12 @@
     let complete_count = std::thread::scope(|scope| {
         let send_upload = |n: u64| {
             move || {
-                ask(address, &request("pay"), Some(Bulk::new(32_000_000 - n, Form::Chunked)), Duration::ZERO)
+                send_request(
+                    address,
+                    &request("pay"),
+                    Some(LargeBody::new(32_000_000 - n, Framing::Chunked)),
+                    Duration::ZERO,
+                )
             }
         };
         let clients: Vec<_> = (0..200).map(|n| scope.spawn(send_upload(n))).collect();
--- a/crates/gateway/tests/day_by_day/hot_restart.rs
+++ b/crates/gateway/tests/day_by_day/hot_restart.rs
@@ -24,10 +24,10 @@
     fn start(
         &self,
         name: &str,
-        config: &dyn Fn(&ScriptedRegister) -> Value,
+        config: &dyn Fn(&ScriptedDiscovery) -> Value,
         listed_endpoints: &[Value],
-    ) -> (Gateway, ScriptedRegister) {
-        let discovery = ScriptedRegister::start();
+    ) -> (Gateway, ScriptedDiscovery) {
+        let discovery = ScriptedDiscovery::start();
         let config = config(&discovery);
         let gateway =
             Gateway::start_sharing(&PROGRAM, name, &discovery, &config, &self.listener, &self.folder);
@@ -36,7 +36,7 @@
     }
 
     /// Starts a process that knows these endpoints and has them listed, and waits until the process is ready.
-    fn start_ready(&self, name: &str, endpoints: &[Value]) -> (Gateway, ScriptedRegister) {
+    fn start_ready(&self, name: &str, endpoints: &[Value]) -> (Gateway, ScriptedDiscovery) {
         let started = self.start(name, &|discovery| config_with_admin_api(discovery, endpoints), endpoints);
         wait_until_ready(&started.0);
         started
@@ -44,7 +44,7 @@
 
     /// The status of a request to whichever process accepts the connection.
     fn request_status(&self) -> u16 {
-        ask(&self.address, &request("look"), None, Duration::ZERO).expect("no answer").status()
+        send_request(&self.address, &request("look"), None, Duration::ZERO).expect("no answer").status()
     }
 
     fn snapshot_path(&self) -> String {
@@ -76,7 +76,8 @@
                     stream.write_all(request("look").as_bytes()).expect("write failed");
                     let mut reader =
                         std::io::BufReader::new(stream.try_clone().expect("clone of the stream failed"));
-                    let answer = weldworks_testbed::scripted::Http::read(&mut reader).expect("no answer");
+                    let answer =
+                        weldworks_testbed::scripted::HttpMessage::read(&mut reader).expect("no answer");
                     assert_eq!(answer.status(), 200);
                     served.fetch_add(1, Ordering::SeqCst);
                     let close = answer.header("connection") == Some("close");
@@ -104,7 +105,7 @@
 
 #[test]
 fn hot_restart_loses_no_request() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let endpoints = listed_thirty_times(|name| endpoint.entry(name, 1));
     let shared = SharedListener::new("upgrade");
     let address = shared.address.clone();
@@ -120,10 +121,10 @@
     // Each process counts its own requests, and both processes answer administrators.
     wait_for("both processes to serve requests", || {
         let count =
-            |gateway: &Gateway| gateway.figure("router_answered{group=\"look\"}").expect("no such metric");
+            |gateway: &Gateway| gateway.metric("router_answered{group=\"look\"}").expect("no such metric");
         assert!(
-            old.figure("router_current").is_some_and(|n| n <= 4)
-                && new.figure("router_current").is_some_and(|n| n <= 4)
+            old.metric("router_current").is_some_and(|n| n <= 4)
+                && new.metric("router_current").is_some_and(|n| n <= 4)
         );
         count(&old) > 50 && count(&new) > 0
     });
@@ -133,7 +134,7 @@
     let served_before = served();
     wait_for("the successor to serve requests", || served() > served_before + 50);
     clients.stop_and_check();
-    assert!(new.figure("router_answered{group=\"look\"}") > Some(0));
+    assert!(new.metric("router_answered{group=\"look\"}") > Some(0));
 }
 
 /// When a port is taken, the error message names the address and the setting, and says what to do.
@@ -163,7 +164,7 @@
 
 #[test]
 fn reports_an_invalid_inherited_descriptor() {
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let text = config(&discovery.address.to_string(), 256, &[]).to_string();
     write_config(&PROGRAM, "handed", &text);
     for (value, expected_text) in [
@@ -186,7 +187,7 @@
 #[test]
 fn killed_gateway_frees_its_endpoints_and_the_next_process_serves() {
     let endpoint =
-        ScriptedNode::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
+        ScriptedEndpoint::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
     let endpoints = listed_thirty_times(|name| endpoint.entry(name, 1));
     let (mut gateway, _discovery) = start("killed", &endpoints);
     let mut open_clients: Vec<_> = (0..8).map(|_| gateway.connect()).collect();
@@ -197,15 +198,15 @@
     wait_for("the close of the endpoint connections", || endpoint.left.load(Ordering::SeqCst) == 8);
     let (next, _discovery) = start("killed", &endpoints);
     assert_eq!(next.ask("look").status(), 200);
-    assert_eq!(next.figure("router_sends"), Some(1), "each process must count from 0");
-    open_clients.iter_mut().for_each(weldworks_testbed::scripted::Client::forget);
+    assert_eq!(next.metric("router_sends"), Some(1), "each process must count from 0");
+    open_clients.iter_mut().for_each(weldworks_testbed::scripted::Client::expect_no_answers);
 }
 
 #[test]
 fn successor_uses_the_snapshot_of_its_predecessor() {
     // One endpoint is slow: the predecessor learns this, and the successor takes it into account from its first request on.
-    let fast_endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let slow_endpoint = ScriptedNode::start(|_| {
+    let fast_endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let slow_endpoint = ScriptedEndpoint::start(|_| {
         sleep(Duration::from_millis(120));
         Reply::ok("ok")
     });
@@ -242,7 +243,7 @@
 /// Hot restarts that fail, or that overlap with a drain or with another hot restart.
 #[test]
 fn failed_or_repeated_hot_restart_leaves_a_process_serving() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let endpoints = listed_thirty_times(|name| endpoint.entry(name, 1));
     let shared = SharedListener::new("often");
     let request_status = || shared.request_status();
@@ -285,11 +286,11 @@
 /// and both processes together stay within one small descriptor limit.
 #[test]
 fn successor_observes_drains_and_slow_start_with_few_descriptors() {
-    let ok = || ScriptedNode::start(|_| Reply::ok("ok"));
+    let ok = || ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (warm_endpoint, draining_endpoint, new_endpoint) = (ok(), ok(), ok());
     let shared = SharedListener::new("small");
     let known_endpoints = [warm_endpoint.entry("s-1", 1), draining_endpoint.entry("s-2", 1)];
-    let small_config = |discovery: &ScriptedRegister| {
+    let small_config = |discovery: &ScriptedDiscovery| {
         let mut config = config_with_admin_api(discovery, &known_endpoints);
         config["limits"]["sockets"] = 64.into();
         config
@@ -325,7 +326,7 @@
     assert_eq!(draining_endpoint.count(), before.1, "a draining endpoint must be sent nothing new");
     assert!(to_new < to_warm, "{to_new} to the endpoint in slow start, {to_warm} to the warm endpoint");
     assert!(
-        new.figure("router_cluster_unhealthy") >= Some(1),
+        new.metric("router_cluster_unhealthy") >= Some(1),
         "the draining endpoint must count as unhealthy"
     );
 }
@@ -333,7 +334,7 @@
 /// Clients may hold a third of the descriptors, whichever of the two processes has them.
 #[test]
 fn successor_has_capacity_for_all_clients_that_its_predecessor_closes() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let endpoints = listed_under_names(160, |name| endpoint.entry(name, 1)); // enough endpoints for admission to admit all clients at once
     let shared = SharedListener::new("all-clients");
     let (mut old, _old_discovery) = shared.start_ready("all-old", &endpoints);
@@ -350,7 +351,7 @@
         let served_before = served();
         wait_for("the successor to serve requests", || served() > served_before + 800);
         assert_eq!(
-            new.figure("router_deferred{group=\"look\"}"),
+            new.metric("router_deferred{group=\"look\"}"),
             Some(0),
             "no request may be rejected for lack of client capacity"
         );
--- a/crates/gateway/tests/day_by_day/main.rs
+++ b/crates/gateway/tests/day_by_day/main.rs
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
-use weldworks_testbed::bulk::{ask, Bulk, BulkNode, Form};
+use weldworks_testbed::large_bodies::{send_request, Framing, LargeBody, LargeBodyEndpoint};
 use weldworks_testbed::scripted::{
-    config, refusing, request, wait_for, write_config, Gateway, Program, Reply, ScriptedNode,
-    ScriptedRegister, LONG,
+    config, refusing, request, wait_for, write_config, Gateway, Program, Reply, ScriptedDiscovery,
+    ScriptedEndpoint, LONG,
 };
 
 mod admin_api;
@@ -22,14 +22,14 @@
 const PROGRAM: Program =
     Program { path: env!("CARGO_BIN_EXE_weldworks-gateway"), folder: env!("CARGO_TARGET_TMPDIR") };
 
-fn config_with_admin_api(discovery: &ScriptedRegister, endpoints: &[Value]) -> Value {
+fn config_with_admin_api(discovery: &ScriptedDiscovery, endpoints: &[Value]) -> Value {
     let mut config = config(&discovery.address.to_string(), 256, endpoints);
     config["management"] = "127.0.0.1:0".into();
     config
 }
 
-fn start(name: &str, endpoints: &[Value]) -> (Gateway, ScriptedRegister) {
-    let discovery = ScriptedRegister::start();
+fn start(name: &str, endpoints: &[Value]) -> (Gateway, ScriptedDiscovery) {
+    let discovery = ScriptedDiscovery::start();
     let gateway =
         Gateway::start_with(&PROGRAM, name, &discovery, &config_with_admin_api(&discovery, endpoints));
     (gateway, discovery)
--- a/crates/gateway/tests/day_by_day/settings.rs
+++ b/crates/gateway/tests/day_by_day/settings.rs
@@ -5,8 +5,8 @@
 #[test]
 fn reload_applies_all_new_settings_and_open_requests_keep_the_old_ones() {
     let endpoint =
-        ScriptedNode::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
-    let discovery = ScriptedRegister::start();
+        ScriptedEndpoint::start(|r| if r.first.contains("pay") { Reply::Hang } else { Reply::ok("ok") });
+    let discovery = ScriptedDiscovery::start();
     let config = config_with_admin_api(&discovery, &listed_thirty_times(|name| endpoint.entry(name, 1)));
     let gateway = Gateway::start_with(&PROGRAM, "settings", &discovery, &config);
     let mut open_client = gateway.connect();
@@ -20,7 +20,7 @@
     new_config["settings"]["policy_limits"]["try_limit"] = 1.into();
     write_config(&PROGRAM, "settings", &new_config.to_string());
     gateway.signal("HUP");
-    wait_for("the reload of the configuration", || gateway.figure("router_conf_loaded") == Some(1));
+    wait_for("the reload of the configuration", || gateway.metric("router_conf_loaded") == Some(1));
     let glance = request("look").replace("look", "glance");
     let mut client = gateway.connect();
     client.write(glance.as_bytes());
@@ -44,8 +44,8 @@
 /// Clients change to new classes some time after the configuration file does.
 #[test]
 fn removed_class_is_served_while_clients_may_still_use_it() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let discovery = ScriptedDiscovery::start();
     let config = config_with_admin_api(&discovery, &listed_thirty_times(|name| endpoint.entry(name, 1)));
     let gateway = Gateway::start_with(&PROGRAM, "leaving", &discovery, &config);
     let mut new_config = config.clone();
@@ -56,7 +56,7 @@
     // Ten signals in a row have the same effect as one signal.
     (0..10).for_each(|_| gateway.signal("HUP"));
     let changed = Instant::now();
-    wait_for("the reload of the configuration", || gateway.figure("router_conf_loaded") > Some(0));
+    wait_for("the reload of the configuration", || gateway.metric("router_conf_loaded") > Some(0));
     let (look, pay) = (gateway.ask("look").status(), gateway.ask("pay").status());
     if changed.elapsed() < Duration::from_millis(1500) {
         assert_eq!((look, pay), (200, 200), "the old settings must still apply");
@@ -80,7 +80,7 @@
     // By the settings that the request arrived under, a third attempt is allowed.
     let (changed, attempts) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicUsize::new(0)));
     let shared = (changed.clone(), attempts.clone());
-    let endpoint = ScriptedNode::start(move |_| match shared.1.fetch_add(1, Ordering::SeqCst) {
+    let endpoint = ScriptedEndpoint::start(move |_| match shared.1.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Break,
         1 => {
             wait_for("the new settings", || shared.0.load(Ordering::SeqCst));
@@ -88,7 +88,7 @@
         }
         _ => Reply::ok("ok"),
     });
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let config = config_with_admin_api(&discovery, &listed_thirty_times(|name| endpoint.entry(name, 1)));
     let gateway = Gateway::start_with(&PROGRAM, "keyed", &discovery, &config);
     let mut open_client = gateway.connect();
@@ -99,7 +99,7 @@
     new_config["settings"]["policy_limits"]["try_limit"] = 1.into();
     write_config(&PROGRAM, "keyed", &new_config.to_string());
     gateway.signal("HUP");
-    wait_for("the reload of the configuration", || gateway.figure("router_conf_loaded") == Some(1));
+    wait_for("the reload of the configuration", || gateway.metric("router_conf_loaded") == Some(1));
     changed.store(true, Ordering::SeqCst);
     assert_eq!(open_client.read().expect("no answer").status(), 200);
     assert_eq!(endpoint.count(), 3);
@@ -107,8 +107,8 @@
 
 #[test]
 fn invalid_files_are_rejected_entirely() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let discovery = ScriptedDiscovery::start();
     let config = config_with_admin_api(&discovery, &[endpoint.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "bad-files", &discovery, &config);
     let mut new_config = config.clone();
@@ -135,20 +135,20 @@
     for (n, text) in (1..).zip(&invalid_files) {
         write_config(&PROGRAM, "bad-files", text);
         gateway.signal("HUP");
-        wait_for("the rejection of the file", || gateway.figure("router_conf_invalid") == Some(n));
+        wait_for("the rejection of the file", || gateway.metric("router_conf_invalid") == Some(n));
     }
-    assert_eq!(gateway.figure("router_conf_loaded"), Some(0));
+    assert_eq!(gateway.metric("router_conf_loaded"), Some(0));
     assert_eq!(gateway.ask("look").status(), 200, "the settings must be unchanged");
     write_config(&PROGRAM, "bad-files", &valid_file);
     gateway.signal("HUP");
-    wait_for("the reload of the valid file", || gateway.figure("router_conf_loaded") == Some(1));
+    wait_for("the reload of the valid file", || gateway.metric("router_conf_loaded") == Some(1));
     wait_for("the removal of class look", || gateway.ask("look").status() == 400);
 }
 
 #[test]
 fn thousand_reloads_do_not_grow_memory() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let discovery = ScriptedDiscovery::start();
     let config = config_with_admin_api(&discovery, &[endpoint.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "thousand", &discovery, &config);
     let reload_rounds = |rounds: std::ops::Range<u64>| {
@@ -157,7 +157,7 @@
             new_config["settings"]["classes"][4]["promise_s"] = json!(1.0 + n as f64 / 1000.0);
             write_config(&PROGRAM, "thousand", &new_config.to_string());
             gateway.signal("HUP");
-            wait_for("the reload of the configuration", || gateway.figure("router_conf_loaded") > Some(n));
+            wait_for("the reload of the configuration", || gateway.metric("router_conf_loaded") > Some(n));
         }
     };
     reload_rounds(0..50);
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -8,8 +8,8 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::{
-    config, entry, refusing, request, settings, spawn_gateway, wait_for, write_config, Client, Gateway, Http,
-    Program, Reply, ScriptedNode, ScriptedRegister,
+    config, entry, refusing, request, settings, spawn_gateway, wait_for, write_config, Client, Gateway,
+    HttpMessage, Program, Reply, ScriptedDiscovery, ScriptedEndpoint,
 };
 
 const PROGRAM: Program =
@@ -36,24 +36,28 @@
 /// Number of client connections that the gateway accepts beyond its client capacity, to answer 503, with a limit of 48 descriptors.
 const OVERFLOW_CLIENTS_AT_48_DESCRIPTORS: usize = 4;
 
-fn start(name: &str, endpoints: &[Value]) -> (Gateway, ScriptedRegister) {
-    let discovery = ScriptedRegister::start();
+fn start(name: &str, endpoints: &[Value]) -> (Gateway, ScriptedDiscovery) {
+    let discovery = ScriptedDiscovery::start();
     (Gateway::start(&PROGRAM, name, &discovery, 1024, endpoints), discovery)
 }
 
 /// Endpoints in these cells: the first attempt on any of the endpoints gets `reply`, all further attempts are served.
-fn endpoints_with_first_reply(reply: Reply, cells: &[u32]) -> Vec<ScriptedNode> {
+fn endpoints_with_first_reply(reply: Reply, cells: &[u32]) -> Vec<ScriptedEndpoint> {
     let first = Arc::new(AtomicBool::new(true));
     let endpoint = |_| {
         let (first, reply) = (first.clone(), reply.clone());
-        ScriptedNode::start(
-            move |_| if first.swap(false, Ordering::SeqCst) { reply.clone() } else { Reply::ok("ok") },
-        )
+        ScriptedEndpoint::start(move |_| {
+            if first.swap(false, Ordering::SeqCst) {
+                reply.clone()
+            } else {
+                Reply::ok("ok")
+            }
+        })
     };
     cells.iter().map(endpoint).collect()
 }
 
-fn entries(endpoints: &[ScriptedNode], cells: &[u32]) -> Vec<Value> {
+fn entries(endpoints: &[ScriptedEndpoint], cells: &[u32]) -> Vec<Value> {
     (0..)
         .zip(endpoints)
         .zip(cells)
@@ -62,18 +66,18 @@
 }
 
 /// Lists one endpoint under 30 names, as admission admits about as many requests at a time as there are endpoints.
-fn listed_thirty_times(endpoint: &ScriptedNode) -> Vec<Value> {
+fn listed_thirty_times(endpoint: &ScriptedEndpoint) -> Vec<Value> {
     (0..30).map(|n| endpoint.entry(&format!("s-{n}"), 1)).collect()
 }
 
-fn total_requests(endpoints: &[ScriptedNode]) -> usize {
-    endpoints.iter().map(ScriptedNode::count).sum()
+fn total_requests(endpoints: &[ScriptedEndpoint]) -> usize {
+    endpoints.iter().map(ScriptedEndpoint::count).sum()
 }
 
 #[test]
 fn serves_the_answer_of_the_endpoint() {
     let endpoint =
-        ScriptedNode::start(|r| Reply::Answer(200, "X-Kind: fine\r\n", [b"re: ", &r.body[..]].concat()));
+        ScriptedEndpoint::start(|r| Reply::Answer(200, "X-Kind: fine\r\n", [b"re: ", &r.body[..]].concat()));
     let (gateway, _discovery) = start("served", &[endpoint.entry("s-1", 1)]);
     let mut client = gateway.connect();
     for round in 1..=3 {
@@ -96,7 +100,7 @@
 
 #[test]
 fn rejects_unprocessed_request_with_retry_after() {
-    let endpoint = ScriptedNode::start(|_| Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()));
     let (gateway, _discovery) = start("refused", &[endpoint.entry("s-1", 1)]);
     let answer = gateway.ask("brief-once");
     assert_eq!(answer.status(), 503);
@@ -122,7 +126,7 @@
     let (gateway, discovery) = start("no-connection", &[entry("s-1", &refusing_address, 1, "active")]);
     let mut client = gateway.connect();
     client.send("once");
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [endpoint.entry("s-2", 1)]}));
     assert_eq!(client.read().expect("no answer").status(), 200);
     assert_eq!(endpoint.count(), 1);
@@ -144,7 +148,7 @@
     let breaks = Arc::new(AtomicBool::new(false));
     let endpoint = |_| {
         let breaks = breaks.clone();
-        ScriptedNode::start(move |_| match breaks.fetch_xor(true, Ordering::SeqCst) {
+        ScriptedEndpoint::start(move |_| match breaks.fetch_xor(true, Ordering::SeqCst) {
             false => Reply::Break,
             true => Reply::ok("ok"),
         })
@@ -188,7 +192,7 @@
 fn waits_for_the_final_answer_after_a_1xx() {
     let early = "HTTP/1.1 103 Early Hints\r\nX-Early: 1\r\n\r\n".to_owned();
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate".to_owned();
-    let endpoint = ScriptedNode::start(move |_| Reply::Raw(vec![early.clone(), answer.clone()]));
+    let endpoint = ScriptedEndpoint::start(move |_| Reply::Raw(vec![early.clone(), answer.clone()]));
     let (gateway, _discovery) = start("early", &[endpoint.entry("s-1", 1)]);
     let answer = gateway.ask("once");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"late"[..]));
@@ -196,7 +200,7 @@
 
 #[test]
 fn bytes_after_an_answer_are_not_taken_as_the_next_answer() {
-    let good = |r: &Http, ahead: &str, extra: &str| {
+    let good = |r: &HttpMessage, ahead: &str, extra: &str| {
         let id = r.header("x-request-id").expect("no X-Request-ID");
         format!("{ahead}HTTP/1.1 200 OK\r\n{extra}Content-Length: {}\r\n\r\n{id}", id.len())
     };
@@ -208,7 +212,7 @@
     ];
     for (n, more) in answers_with_extra_bytes.into_iter().enumerate() {
         let report = "X-Server-Load: =,;inflight=many, qps\r\n";
-        let endpoint = ScriptedNode::start(move |r| {
+        let endpoint = ScriptedEndpoint::start(move |r| {
             Reply::Raw(more(good(r, "HTTP/1.1 102 Processing\r\nX-Early: 1\r\n\r\n", report)))
         });
         let (gateway, _discovery) = start(&format!("behind-{n}"), &[endpoint.entry("s-1", 1)]);
@@ -256,7 +260,7 @@
 
 #[test]
 fn answers_at_the_deadline_and_disconnects_from_the_endpoint() {
-    let endpoint = ScriptedNode::start(|_| Reply::Hang);
+    let endpoint = ScriptedEndpoint::start(|_| Reply::Hang);
     let (gateway, _discovery) = start("time-out", &[endpoint.entry("s-1", 1)]);
     assert_eq!(gateway.ask("brief").status(), 503);
     assert_eq!(gateway.ask("brief-once").status(), 504);
@@ -271,7 +275,7 @@
 
 #[test]
 fn deadline_includes_the_time_before_the_request_is_read() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("stalled", &[endpoint.entry("s-1", 1)]);
     let mut client = gateway.connect();
     assert_eq!(client.ask("look").status(), 200);
@@ -286,7 +290,7 @@
 #[test]
 fn deadline_includes_the_time_behind_a_pipelined_request() {
     let endpoint =
-        ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (gateway, _discovery) = start("pipelined", &listed_thirty_times(&endpoint));
     let mut client = gateway.connect();
     client.write((request("once") + &request("look").replace("40000m", "400m")).as_bytes());
@@ -300,7 +304,7 @@
 
 #[test]
 fn cancels_the_attempt_when_the_client_disconnects() {
-    let endpoint = ScriptedNode::start(|_| Reply::Hang);
+    let endpoint = ScriptedEndpoint::start(|_| Reply::Hang);
     let (gateway, _discovery) = start("client-gone", &[endpoint.entry("s-1", 1)]);
     let mut client = gateway.connect();
     client.send("once");
@@ -314,7 +318,7 @@
 
 #[test]
 fn sends_nothing_to_a_draining_or_removed_endpoint() {
-    let [draining, missing, added] = [(); 3].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+    let [draining, missing, added] = [(); 3].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let known = [draining.entry("s-1", 1), missing.entry("s-2", 1)];
     let (gateway, discovery) = start("drain", &known);
     assert_eq!(gateway.ask("look").status(), 200);
@@ -330,7 +334,7 @@
 }
 
 /// Configuration in which discovery pushes its lists, so that the balancer does not poll.
-fn push_config(discovery: &ScriptedRegister, known: &[Value]) -> Value {
+fn push_config(discovery: &ScriptedDiscovery, known: &[Value]) -> Value {
     let mut text = config(&discovery.address.to_string(), 1024, known);
     text["settings"]["discovery"] = json!("push");
     text
@@ -338,8 +342,8 @@
 
 #[test]
 fn observes_a_drain_when_lists_are_pushed() {
-    let [draining, other] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
-    let discovery = ScriptedRegister::start();
+    let [draining, other] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
+    let discovery = ScriptedDiscovery::start();
     let text = push_config(&discovery, &[draining.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "pushed-drain", &discovery, &text);
     let draining_entry = entry("s-1", &draining.address.to_string(), 1, "leaving");
@@ -355,14 +359,14 @@
 
 #[test]
 fn keeps_renewing_the_watch_when_lists_are_pushed() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let discovery = ScriptedDiscovery::start();
     let text = push_config(&discovery, &[endpoint.entry("s-1", 1)]);
     let gateway = Gateway::start_with(&PROGRAM, "pushed-again", &discovery, &text);
     // 20 rounds exceed the number of doublings of the backoff between two watches: the backoff must be bounded, and the watches must not end.
     for round in 0..20 {
         wait_for("a watch", || discovery.calls() > round);
-        discovery.hang_up();
+        discovery.end_watches();
     }
     wait_for("a watch", || discovery.calls() > 20);
     discovery.push(json!({"index": 57, "snapshot": true, "endpoints": []}));
@@ -371,7 +375,7 @@
 
 #[test]
 fn uses_the_new_address_of_an_endpoint() {
-    let [old, new] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+    let [old, new] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let (gateway, discovery) = start("address", &[old.entry("s-1", 1)]);
     assert_eq!(gateway.ask("look").status(), 200);
     discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [new.entry("s-1", 1)]}));
@@ -383,7 +387,7 @@
 
 #[test]
 fn new_endpoint_at_an_old_address_gets_new_connections() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) = start("churn", &[endpoint.entry("s-0", 1)]);
     assert_eq!(gateway.ask("look").status(), 200);
     for n in 1..8 {
@@ -398,9 +402,9 @@
 /// Invalid data from discovery leaves the list in force unchanged, and a drain that arrives after the invalid data takes effect.
 #[test]
 fn retains_its_list_when_discovery_sends_truncated_or_invalid_lists() {
-    let drained = ScriptedNode::start(|_| Reply::ok("ok"));
+    let drained = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     // This endpoint is slower, so it receives requests only because the other endpoint is draining.
-    let other = ScriptedNode::start(|_| {
+    let other = ScriptedEndpoint::start(|_| {
         sleep(Duration::from_millis(30));
         Reply::ok("ok")
     });
@@ -408,7 +412,7 @@
     let (gateway, discovery) = start("garbled-discovery", &list);
     discovery.push(json!("no list at all"));
     wait_for("a poll after the invalid list", || discovery.calls() > 1);
-    discovery.break_off("{\"index\": 60, \"snapshot\": true, \"endpoints\": [");
+    discovery.push_incomplete("{\"index\": 60, \"snapshot\": true, \"endpoints\": [");
     wait_for("a poll after the truncated list", || discovery.calls() > 2);
     assert_eq!(gateway.ask("look").status(), 200, "the list in force is retained");
     let bad = json!({"name": "s-9", "address": "nowhere"});
@@ -436,7 +440,7 @@
 
 #[test]
 fn renews_the_watch_when_it_falls_silent() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (_gateway, discovery) = start("dead-watch", &[endpoint.entry("s-1", 1)]);
     discovery.push(json!({"index": 57, "snapshot": false, "endpoints": []}));
     sleep(Duration::from_millis(500));
@@ -449,7 +453,7 @@
 
 #[test]
 fn uses_the_discovery_of_the_new_file_after_sighup() {
-    let [old, new] = [(); 2].map(|()| ScriptedNode::start(|_| Reply::ok("ok")));
+    let [old, new] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let (mut gateway, discovery) = start("reload", &[old.entry("s-1", 1)]);
     let mut client = gateway.connect();
     assert_eq!(client.ask("look").status(), 200);
@@ -460,7 +464,7 @@
         gateway.signal("HUP");
         assert_eq!(client.ask("look").status(), 200);
     }
-    let next = ScriptedRegister::start();
+    let next = ScriptedDiscovery::start();
     write_config(&PROGRAM, "reload", &config(&next.address.to_string(), 1024, &[]).to_string());
     gateway.signal("HUP");
     gateway.signal("HUP");
@@ -481,8 +485,8 @@
 
 #[test]
 fn serves_more_clients_than_it_has_descriptors() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "sockets", &discovery, 48, &[endpoint.entry("s-1", 1)]);
     let mut clients = Vec::new();
     for _ in 0..60 {
@@ -498,8 +502,8 @@
 
 #[test]
 fn closes_no_idle_client_below_capacity() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "room", &discovery, 48, &[endpoint.entry("s-1", 1)]);
     let mut clients: Vec<_> = (0..CLIENT_CAPACITY_AT_48_DESCRIPTORS).map(|_| gateway.connect()).collect();
     // A client may be closed after an answer with `Connection: close`; no client is closed between two requests without it.
@@ -519,8 +523,8 @@
 
 #[test]
 fn rejects_clients_beyond_capacity_at_once() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "no-room", &discovery, 48, &[]);
     let mut open_clients = fill_client_capacity(&gateway);
     let mut rejected_clients = Vec::new();
@@ -543,7 +547,7 @@
 
 #[test]
 fn accepts_clients_on_more_than_a_third_of_its_descriptors_in_32_mb() {
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let mut config = config("127.0.0.1:1", 256, &[]);
     config["limits"]["memory_mb"] = json!(32);
     let gateway = Gateway::start_with(&PROGRAM, "places", &discovery, &config);
@@ -552,8 +556,8 @@
 
 #[test]
 fn retains_active_connections_and_limits_idle_ones() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let (discovery, sockets) = (ScriptedRegister::start(), 384);
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let (discovery, sockets) = (ScriptedDiscovery::start(), 384);
     let gateway = Gateway::start(&PROGRAM, "resting", &discovery, sockets, &[endpoint.entry("s-1", 1)]);
     let mut active_client = gateway.connect();
     let mut idle_clients = Vec::new();
@@ -576,8 +580,8 @@
 
 #[test]
 fn announces_close_in_an_answer_when_other_clients_wait() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "crowded", &discovery, 48, &[]);
     let mut open_clients = fill_client_capacity(&gateway);
     // One more client connects. A connection closed between two requests could cross a new request of its client;
@@ -592,7 +596,7 @@
 
 #[test]
 fn new_clients_have_time_to_send_a_request() {
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "new-clients", &discovery, 48, &[]);
     let open_clients = fill_client_capacity(&gateway);
     // As many clients as the gateway accepts beyond its capacity: none of these clients may be closed to make room for a possible further client.
@@ -614,8 +618,8 @@
 #[test]
 fn lack_of_descriptors_does_not_count_against_an_endpoint() {
     let endpoint =
-        ScriptedNode::start(|r| if r.first.contains("look") { Reply::Hang } else { Reply::ok("ok") });
-    let discovery = ScriptedRegister::start();
+        ScriptedEndpoint::start(|r| if r.first.contains("look") { Reply::Hang } else { Reply::ok("ok") });
+    let discovery = ScriptedDiscovery::start();
     let gateway = Gateway::start(&PROGRAM, "host-sockets", &discovery, 48, &listed_thirty_times(&endpoint));
     // The number of clients exceeds the descriptors for endpoints and is one below the client capacity.
     let mut open_clients: Vec<_> =
@@ -632,7 +636,7 @@
 
 #[test]
 fn reuses_no_connection_that_the_endpoint_closed() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("stale", &[endpoint.entry("s-1", 1)]);
     for _ in 0..5 {
         assert_eq!(gateway.ask("once").status(), 200);
@@ -647,7 +651,7 @@
     let hangs = Arc::new(AtomicBool::new(false));
     let endpoint = |_| {
         let hangs = hangs.clone();
-        ScriptedNode::start(move |_| {
+        ScriptedEndpoint::start(move |_| {
             sleep(Duration::from_millis(20));
             if hangs.load(Ordering::SeqCst) {
                 Reply::Hang
@@ -657,7 +661,7 @@
         })
     };
     let endpoints: Vec<_> = (0..2).map(endpoint).collect();
-    let discovery = ScriptedRegister::start();
+    let discovery = ScriptedDiscovery::start();
     let mut config = config("127.0.0.1:1", 1024, &entries(&endpoints, &[1, 2]));
     // The warm-up fraction is so low that slow start allows hardly any request, even if a busy machine stands still for a while.
     config["settings"]["safety"]["cold_from"] = json!(0.01);
@@ -681,14 +685,14 @@
     wait_for("all requests to be sent", || total_requests(&endpoints) == all);
     // About 6 of the 12 requests would go to this endpoint if the gateway had not observed the closed connections.
     assert!(endpoints[0].count() - before <= 3, "{} of 12", endpoints[0].count() - before);
-    endpoints.iter().for_each(ScriptedNode::release);
+    endpoints.iter().for_each(ScriptedEndpoint::release);
     assert!(clients.iter_mut().all(|client| client.read().is_some_and(|answer| answer.status() == 200)));
 }
 
 #[test]
 fn answers_open_requests_before_it_exits_on_sigterm() {
     let endpoint =
-        ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (mut gateway, _discovery) = start("sigterm", &listed_thirty_times(&endpoint));
     let mut idle = gateway.connect();
     assert_eq!(idle.ask("look").status(), 200);
@@ -712,7 +716,7 @@
 
 #[test]
 fn answers_malformed_requests_itself() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("malformed", &[endpoint.entry("s-1", 1)]);
     let (look, pay) = (request("look"), request("pay"));
     let malformed = [
@@ -749,7 +753,7 @@
 #[test]
 fn rejects_the_id_of_an_open_request() {
     let endpoint =
-        ScriptedNode::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
+        ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (gateway, _discovery) = start("same-id", &listed_thirty_times(&endpoint));
     let (mut first, mut second) = (gateway.connect(), gateway.connect());
     let number = |text: String| {
@@ -773,7 +777,7 @@
 
 #[test]
 fn forwards_no_request_smuggled_in_a_body() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("hidden", &[endpoint.entry("s-1", 1)]);
     let hidden = request("look");
     let (length, coding) = (format!("Content-Length: {}", hidden.len() + 5), "Transfer-Encoding: chunked");
@@ -806,7 +810,7 @@
 
 #[test]
 fn forwards_only_the_headers_that_the_protocol_names() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("passed-on", &[endpoint.entry("s-1", 1)]);
     let mut client = gateway.connect();
     let extra_headers = "X-Not-Processed: 1\r\nUpgrade: other\r\nX-Attrs: a=1\r\nX-Tenant-Id";
@@ -822,7 +826,7 @@
 
 #[test]
 fn closes_incomplete_requests_and_retains_idle_connections() {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("silent", &[endpoint.entry("s-1", 1)]);
     let mut idle_client = gateway.connect();
     assert_eq!(idle_client.ask("look").status(), 200);
@@ -849,7 +853,7 @@
         client.read().expect("no answer").status()
     };
     assert_eq!(ready(), 503);
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [endpoint.entry("s-1", 1)]}));
     wait_for("readiness", || ready() == 200);
     assert_eq!(gateway.ask("look").status(), 200);
--- a/crates/gateway/tests/growth.rs
+++ b/crates/gateway/tests/growth.rs
@@ -5,7 +5,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::{
-    config, wait_for, Gateway, Program, Reply, ScriptedNode, ScriptedRegister,
+    config, wait_for, Gateway, Program, Reply, ScriptedDiscovery, ScriptedEndpoint,
 };
 
 const PROGRAM: Program =
@@ -30,14 +30,14 @@
     served: usize,
 }
 
-fn entries(endpoint: &ScriptedNode, endpoint_count: usize) -> Vec<Value> {
+fn entries(endpoint: &ScriptedEndpoint, endpoint_count: usize) -> Vec<Value> {
     (0..endpoint_count).map(|n| endpoint.entry(&format!("s-{n:08x}"), n as u32 / 4)).collect()
 }
 
 /// Runs the same traffic with `endpoint_count` listed endpoints, which are all one stand-in endpoint.
 fn measure(endpoint_count: usize) -> ResourceUse {
-    let endpoint = ScriptedNode::start(|_| Reply::ok("ok"));
-    let discovery = ScriptedRegister::start();
+    let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
+    let discovery = ScriptedDiscovery::start();
     let listed = entries(&endpoint, endpoint_count);
     let mut config = config(&discovery.address.to_string(), 1024, &listed);
     config["settings"]["policy_limits"]["keepalive_s"] = 10.0.into();
--- a/crates/gateway/tests/soak/clients.rs
+++ b/crates/gateway/tests/soak/clients.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::sleep;
 use std::time::{Duration, Instant};
-use weldworks_testbed::scripted::Http;
+use weldworks_testbed::scripted::HttpMessage;
 
 /// Time for which the front still sends new connections to a process after SIGTERM.
 const NOTICE_DELAY: Duration = Duration::from_millis(300);
@@ -96,7 +96,7 @@
     let started_at = Instant::now();
     // An answer that breaks off after its first byte counts as partial.
     let partial = std::io::BufRead::fill_buf(&mut connection.reader).is_ok_and(|bytes| !bytes.is_empty());
-    match Http::read(&mut connection.reader) {
+    match HttpMessage::read(&mut connection.reader) {
         Some(answer) => {
             let is_closing = answer.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"));
             connection.used = !is_closing;
--- a/crates/gateway/tests/soak/faulty_stand_ins.rs
+++ b/crates/gateway/tests/soak/faulty_stand_ins.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
-use weldworks_testbed::scripted::Http;
+use weldworks_testbed::scripted::HttpMessage;
 
 /// Interval at which a waiting stand-in checks whether its wait is over.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
@@ -44,7 +44,7 @@
             return;
         }
         let first_byte_at = Instant::now();
-        let Some(request) = Http::read(&mut reader) else { return };
+        let Some(request) = HttpMessage::read(&mut reader) else { return };
         let Some(id) = request.header("x-request-id").and_then(|id| u64::from_str_radix(id, 16).ok()) else {
             return;
         };
@@ -167,7 +167,7 @@
 
 fn watch(listed: &Mutex<EndpointList>, mut stream: TcpStream) {
     let mut reader = BufReader::new(stream.try_clone().expect("clone of the stream failed"));
-    if Http::read(&mut reader).is_none()
+    if HttpMessage::read(&mut reader).is_none()
         || stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").is_err()
     {
         return;
--- a/crates/gateway/tests/soak/main.rs
+++ b/crates/gateway/tests/soak/main.rs
@@ -16,7 +16,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread::{scope, sleep};
 use std::time::{Duration, Instant};
-use weldworks_testbed::scripted::{config, write_config, Gateway, Program, ScriptedRegister};
+use weldworks_testbed::scripted::{config, write_config, Gateway, Program, ScriptedDiscovery};
 use workload_history::{Drain, RunState};
 
 const PROGRAM: Program =
@@ -65,7 +65,7 @@
     }
 
     fn start(&mut self) -> Gateway {
-        let mut discovery = ScriptedRegister::start();
+        let mut discovery = ScriptedDiscovery::start();
         discovery.address = self.discovery;
         // Drains that the previous process was notified of are binding for this process too.
         self.config["known"]["endpoints"] = self.listed.lock().expect("lock poisoned").entries().into();
@@ -101,14 +101,14 @@
         let kill = signalled_at + self.state.longest_deadline + KILL_DELAY;
         for _ in 0..self.random.usize(0..3) {
             sleep(Duration::from_millis(self.random.u64(0..150)));
-            if gateway.runs() {
+            if gateway.is_running() {
                 gateway.signal(if self.random.bool() { "TERM" } else { "HUP" });
             }
         }
-        while gateway.runs() && Instant::now() < kill {
+        while gateway.is_running() && Instant::now() < kill {
             sleep(Duration::from_millis(2));
         }
-        if gateway.runs() {
+        if gateway.is_running() {
             gateway.signal("KILL");
         } else if !gateway.wait().success() {
             self.state.record_violation(format!("gateway {} crashed", self.gateway));
@@ -127,7 +127,7 @@
             }
             while Instant::now() < until && !self.state.is_over() {
                 sleep(Duration::from_millis(5));
-                if !gateway.runs() {
+                if !gateway.is_running() {
                     self.state.record_violation(format!("gateway {} crashed", self.gateway));
                     break;
                 }
--- a/crates/testbed/src/endpoint_models.rs
+++ b/crates/testbed/src/endpoint_models.rs
@@ -1,9 +1,9 @@
 //! Builds the endpoint models of a script from the seed. The models are identical in virtual time and on sockets.
 
+use crate::discovery::EndpointAction;
 use crate::ledger::{ClassTerms, Ledger};
-use crate::model::{Memories, Node, NodeSpec, Repeats, Report, ReportSpec};
+use crate::model::{EndpointModel, EndpointSpec, RepeatCache, RepeatCaches, Report, ReportSpec};
 use crate::random_variates::{Purpose, RandomStreams};
-use crate::register::Deed;
 use crate::script::Script;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -27,7 +27,7 @@
     kinds
 }
 
-fn endpoint_spec(script: &Script, draws: RandomStreams, endpoint: usize, kind: usize) -> NodeSpec {
+fn endpoint_spec(script: &Script, draws: RandomStreams, endpoint: usize, kind: usize) -> EndpointSpec {
     let kind = &script.fleet.kinds[kind];
     let mut random = draws.stream(Purpose::EndpointProperties, endpoint as u64);
     let duration_in =
@@ -37,16 +37,16 @@
     let late = duration_in(kind.report_late, random.uniform());
     let noise = kind.spec.report.noise;
     let mean_work = script.mean_work();
-    NodeSpec { speed, report: ReportSpec { period, late, noise }, mean_work, ..kind.spec.clone() }
+    EndpointSpec { speed, report: ReportSpec { period, late, noise }, mean_work, ..kind.spec.clone() }
 }
 
 /// Models of all endpoints, up and warm.
-pub fn nodes(script: &Script, draws: RandomStreams) -> Vec<Node> {
+pub fn nodes(script: &Script, draws: RandomStreams) -> Vec<EndpointModel> {
     let kinds = kinds(script);
-    let fleet_repeats = Rc::<RefCell<Repeats>>::default();
-    let mut zone_repeats: Vec<Rc<RefCell<Repeats>>> = Vec::new();
-    let mut rack_repeats: Vec<Rc<RefCell<Repeats>>> = Vec::new();
-    let shared_repeats = |group_repeats: &mut Vec<Rc<RefCell<Repeats>>>, number: usize| {
+    let fleet_repeats = Rc::<RefCell<RepeatCache>>::default();
+    let mut zone_repeats: Vec<Rc<RefCell<RepeatCache>>> = Vec::new();
+    let mut rack_repeats: Vec<Rc<RefCell<RepeatCache>>> = Vec::new();
+    let shared_repeats = |group_repeats: &mut Vec<Rc<RefCell<RepeatCache>>>, number: usize| {
         if group_repeats.len() <= number {
             group_repeats.resize_with(number + 1, Rc::default);
         }
@@ -55,8 +55,8 @@
     let build_endpoint = |number: usize| {
         let zone = shared_repeats(&mut zone_repeats, script.zone_of(number));
         let rack = shared_repeats(&mut rack_repeats, script.rack_of(number));
-        let memories = Memories { all: fleet_repeats.clone(), zone, rack };
-        Node::new(
+        let memories = RepeatCaches { all: fleet_repeats.clone(), zone, rack };
+        EndpointModel::new(
             number as u64,
             endpoint_spec(script, draws, number, kinds[number]),
             draws,
@@ -68,18 +68,20 @@
 }
 
 /// Applies a scripted action to an endpoint.
-pub fn carry_out(model: &mut Node, now: Duration, action: Deed) {
+pub fn carry_out(model: &mut EndpointModel, now: Duration, action: EndpointAction) {
     match action {
-        Deed::Kill => model.kill(now),
-        Deed::CutOff => model.cut_off(now),
-        Deed::Start => model.start_cold(now),
-        Deed::Drain(enabled) => model.drain(now, enabled),
-        Deed::Fail(fraction) => model.fail(now, fraction),
-        Deed::Neighbour(fraction) => model.share_with_neighbour(now, fraction),
-        Deed::Slow(factor) => model.slow_down(now, factor),
-        Deed::Report(load) => model.report_always(now, load.map(|(qps, inflight)| Report { qps, inflight })),
-        Deed::Pause(duration) => model.pause(now, duration),
-        Deed::LetGo(limit) => model.let_go_after(now, limit),
+        EndpointAction::Kill => model.kill(now),
+        EndpointAction::CutOff => model.cut_off(now),
+        EndpointAction::Start => model.start_cold(now),
+        EndpointAction::Drain(enabled) => model.drain(now, enabled),
+        EndpointAction::Fail(fraction) => model.set_failure_share(now, fraction),
+        EndpointAction::Neighbour(fraction) => model.set_neighbour_share(now, fraction),
+        EndpointAction::Slow(factor) => model.set_slowdown(now, factor),
+        EndpointAction::Report(load) => {
+            model.override_reports(now, load.map(|(qps, inflight)| Report { qps, inflight }))
+        }
+        EndpointAction::Pause(duration) => model.pause(now, duration),
+        EndpointAction::IdleTimeout(limit) => model.set_idle_timeout(now, limit),
     }
 }
 
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -11,19 +11,19 @@
     reason = "the test bed is split by concern in the second half of the standard terms"
 )]
 
-pub mod bulk;
+pub mod baseline;
 pub mod client;
 pub mod count;
+pub mod discovery;
 pub mod endpoint_models;
 pub mod fleet_scenario;
+pub mod large_bodies;
 pub mod ledger;
 pub mod live;
 pub mod logs;
 pub mod model;
-pub mod plain;
 pub mod plan;
 pub mod random_variates;
-pub mod register;
 pub mod replay;
 pub mod report;
 pub mod resends;
--- a/crates/testbed/src/model/mod.rs
+++ b/crates/testbed/src/model/mod.rs
@@ -1,20 +1,22 @@
-//! A booking node without any I/O: what comes in is told with its time, what goes out is asked for.
+//! A model of a stand-in endpoint without I/O: callers pass it events with their times and collect its outputs.
 //!
-//! The same model serves the runner in virtual time and the nodes on sockets, so that what is found in one can be
-//! looked for in the other.
+//! The simulation in virtual time and the stand-in endpoints on sockets use the same model,
+//! so that a failure found with one of them can be reproduced with the other.
 
 mod budget;
 mod choke;
+mod endpoint;
 mod keys;
-mod node;
 mod repeats;
 mod reports;
 mod spec;
 
-pub use budget::Budget;
-pub use choke::{Choke, Load};
-pub use keys::Keys;
-pub use node::{Answer, AttemptId, ConnectionId, Memories, Node, Output, Refusal, State, Work};
-pub use repeats::{Meeting, Repeats};
-pub use reports::{Report, Reports};
-pub use spec::{ChokeSpec, Distribution, NodeSpec, PauseSpec, ReportSpec, WarmBy};
+pub use budget::SlowStartBudget;
+pub use choke::{Choke, SlidingMean};
+pub use endpoint::{
+    Answer, AttemptId, ConnectionId, EndpointModel, Output, RejectionReason, RepeatCaches, State, Work,
+};
+pub use keys::SubjectCache;
+pub use repeats::{RepeatCache, RepeatCheck};
+pub use reports::{LoadReports, Report};
+pub use spec::{ChokeSpec, Distribution, EndpointSpec, PauseSpec, ReportSpec, WarmBy};
