--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,9 @@
-//! A rig to rehearse outages on: stand-ins for booking nodes, register, clients and front, scripts of what goes
-//! wrong, and a ledger that proves the four rules from what they saw.
+//! A test bed that rehearses outages: stand-ins for the booking service's endpoints, for discovery, the clients and the
+//! load balancer in front of the gateways; scripts of faults; and a checker of the four rules, by what the stand-ins observed.
 //!
-//! One script is played by two runners. [`simulate`] plays it in virtual time with the decision module in process;
-//! [`replay`] plays it on loopback sockets with real gateway processes. Both use the same node [`model`], the same
-//! [`plan`] of requests fixed ahead, and the same [`ledger`].
+//! A script has two runners: [`simulate`] runs the script in virtual time with the balancer in process;
+//! [`replay`] runs the script on loopback sockets with real gateway processes. Both runners use the same [`model`] of
+//! an endpoint, the same [`plan`] of requests, which is fixed before a run, and the same [`ledger`].
 
 #![allow(
     clippy::too_many_lines,
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The rig's command line: play a script on sockets or in virtual time, or check it.
+//! The command line of the test bed: runs and checks scenario scripts, runs studies, and evaluates the logs of gateways.
 
 use clap::{Parser, Subcommand};
 use std::error::Error;
@@ -18,139 +18,139 @@
 use weldworks_testbed::timeline::svg;
 use weldworks_testbed::whole;
 
-/// Rehearse incidents of the booking service against stand-in nodes.
+/// Rehearse incidents of the booking service against stand-in endpoints.
 ///
-/// Exit codes: 0, all rules kept and the figure counts; 1, a rule was broken; 2, the script, the command or a file is
-/// not as it should be; 3, the machine was too busy or a gateway ended, so there is no figure.
+/// Exit codes: 0, no rule was violated and the service figure is valid; 1, a rule was violated; 2, the script, the
+/// command line or a file is invalid; 3, the machine was too busy or a gateway ended, so there is no service figure.
 #[derive(Parser)]
 #[command(name = "weldworks-testbed", version)]
 struct Arguments {
     #[command(subcommand)]
-    command: Sub,
+    command: TestbedCommand,
 }
 
 #[derive(Subcommand)]
-enum Sub {
-    /// Play a script on loopback sockets with real gateway processes.
+enum TestbedCommand {
+    /// Run a script on loopback sockets with real gateway processes.
     Replay {
         #[command(flatten)]
-        play: Play,
-        /// The gateway's program; without it the one of this workspace is built and used.
+        run_args: RunArgs,
+        /// Path of the gateway's program; by default the gateway of this workspace is built and used.
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Play a script in virtual time with the decision module in process.
+    /// Run a script in virtual time with the balancer in process.
     Simulate {
         #[command(flatten)]
-        play: Play,
+        run_args: RunArgs,
     },
-    /// Play a study: scripts x gateways x seeds x variants in virtual time, over all cores.
+    /// Run a study in virtual time, on all cores: each script with each number of gateways, seed and variant.
     Sweep(SweepArgs),
-    /// Count over all gateways what their logs tell ([log] format = "json", level = "debug"), one file a gateway.
+    /// Count events in the logs of all gateways ([log] format = "json", level = "debug"), one file for each gateway.
     Count {
-        /// The folder of logs.
+        /// Folder of the gateways' logs.
         folder: PathBuf,
-        /// How long a line's stretch of time is, in seconds.
+        /// Length of the interval that a line of the table covers, in seconds.
         #[arg(long, default_value_t = 1.0, value_parser = positive)]
         every: f64,
-        /// Nodes are counted from this second on.
+        /// Start of the period for which endpoints are counted, in seconds.
         #[arg(long, default_value_t = 0.0)]
         from: f64,
-        /// And up to this one.
+        /// End of the period for which endpoints are counted, in seconds.
         #[arg(long, default_value_t = f64::INFINITY)]
         until: f64,
     },
-    /// Audit the resends and refusals that the logs of a fleet tell of (as for `count`): exit code 1 where a rule was broken.
+    /// Audit the retries and rejections in the logs of a fleet, which are those of `count`; exit code 1 if a rule was violated.
     Resends {
-        /// The folder of logs.
+        /// Folder of the gateways' logs.
         folder: PathBuf,
     },
-    /// Play a script of faults on a whole fleet: its links, its council, its audit.
+    /// Run a script of faults on a whole fleet: its links, its consensus group and its audit log.
     Fleet {
-        /// The script.
+        /// File of the script.
         script: PathBuf,
-        /// The seed of all draws.
+        /// Seed of all random numbers.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// In virtual time, with the decisions in process; otherwise on real processes.
+        /// Run in virtual time, with the fleet in process; without this flag the fleet consists of real processes.
         #[arg(long = "virtual")]
         in_virtual_time: bool,
-        /// The gateway's program; without it the one of this workspace is built and used.
+        /// Path of the gateway's program; by default the gateway of this workspace is built and used.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Write the report as JSON to this file.
+        /// File to which the report is written as JSON.
         #[arg(long)]
         json: Option<PathBuf>,
-        /// Write what happened, line by line, to this file.
+        /// File to which the history of the run is written, one event a line.
         #[arg(long)]
         history: Option<PathBuf>,
     },
-    /// Say whether a script is as it should be.
+    /// Check whether a script is valid.
     Check {
-        /// The script.
+        /// File of the script.
         script: PathBuf,
     },
 }
 
 #[derive(clap::Args)]
-struct Play {
-    /// The script.
+struct RunArgs {
+    /// File of the script.
     script: PathBuf,
-    /// The seed of all draws; the same one gives the same day.
+    /// Seed of all random numbers: the same seed gives the same requests and events.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many gateways, in place of what the script says.
+    /// Number of gateways, in place of the script's.
     #[arg(long)]
     gateways: Option<usize>,
-    /// The operator's file for all gateways. In virtual time its table [storm] alone has a meaning.
+    /// Settings file of the operator, for all gateways. In virtual time only its table [storm] is used.
     #[arg(long)]
     settings: Option<PathBuf>,
-    /// Write the report as JSON to this file.
+    /// File to which the report is written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Write the timeline as SVG to this file.
+    /// File to which the timeline is written as SVG.
     #[arg(long)]
     svg: Option<PathBuf>,
 }
 
 #[derive(clap::Args)]
 struct SweepArgs {
-    /// The study.
+    /// File of the study.
     study: PathBuf,
-    /// Another build of this program, as a further variant named `against`, the first that the others are held against.
+    /// Another build of this program. It is run as the variant `against`, which becomes the baseline of all others.
     #[arg(long)]
     against: Option<PathBuf>,
-    /// Seeds from 1 to this one, in place of what the study says.
+    /// Number of seeds, counted from 1, in place of the study's.
     #[arg(long)]
     seeds: Option<u64>,
-    /// Play only scripts whose name contains this.
+    /// Run only scripts whose names contain this text.
     #[arg(long)]
     only: Option<String>,
-    /// How many runs at once; one for each core without it.
+    /// Number of simultaneous runs; by default one for each core.
     #[arg(long)]
     threads: Option<usize>,
-    /// Write rows and runs as JSON to this file.
+    /// File to which the rows and runs are written as JSON.
     #[arg(long)]
     json: Option<PathBuf>,
-    /// Write the runs as CSV to this file.
+    /// File to which the runs are written as CSV.
     #[arg(long)]
     csv: Option<PathBuf>,
-    /// Write the plots as SVG to this file.
+    /// File to which the plots are written as SVG.
     #[arg(long)]
     svg: Option<PathBuf>,
 }
 
-fn read(path: &Path) -> Result<Script, Box<dyn Error>> {
-    let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
+fn read_script(path: &Path) -> Result<Script, Box<dyn Error>> {
+    let text = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
     Ok(Script::parse(&path.display().to_string(), &text)?)
 }
 
-/// The gateway's program of this workspace, built if need be.
-fn program() -> Result<PathBuf, Box<dyn Error>> {
-    let own = std::env::current_exe()?;
-    let folder = own.parent().ok_or("the rig's program lies in no folder")?;
+/// Path of the gateway's program in this workspace, which is built first when cargo started the test bed.
+fn workspace_gateway() -> Result<PathBuf, Box<dyn Error>> {
+    let executable = std::env::current_exe()?;
+    let folder = executable.parent().ok_or("the path of the test bed's program has no parent folder")?;
     let path = folder.join("weldworks-gateway");
-    // Started by cargo, the workspace is at hand, and what was built before may be older than its sources.
+    // When cargo started the test bed, the sources of the gateway are present, and an earlier build of it may be out of date.
     if let Some(cargo) = std::env::var_os("CARGO") {
         let manifest = concat!(env!("CARGO_MANIFEST_DIR"), "/../../Cargo.toml");
         let mut build = Command::new(cargo);
@@ -159,40 +159,42 @@
             build.arg("--release");
         }
         if !build.status()?.success() {
-            return Err("the gateway does not build".into());
+            return Err("cargo build of weldworks-gateway failed".into());
         }
     }
     if !path.exists() {
-        let text = "is not there: build it with cargo build --release, or name it with --program";
+        let text = "does not exist: build it with cargo build --release, or name it with --program";
         return Err(format!("{} {text}", path.display()).into());
     }
     Ok(path)
 }
 
 fn positive(text: &str) -> Result<f64, String> {
-    let seconds = text.parse().ok().filter(|s: &f64| s.is_finite() && *s > 0.0);
-    seconds.ok_or_else(|| "it must be a number of seconds above 0".to_owned())
+    let seconds = text.parse().ok().filter(|seconds: &f64| seconds.is_finite() && *seconds > 0.0);
+    seconds.ok_or_else(|| "must be a number of seconds above 0".to_owned())
 }
 
 fn write_file(path: &Path, text: &str) -> Result<(), String> {
-    std::fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
+    std::fs::write(path, text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
 fn run_study(arguments: &SweepArgs) -> Result<ExitCode, Box<dyn Error>> {
     let mut study = Study::read(&arguments.study)?;
     study.seeds = arguments.seeds.unwrap_or(study.seeds);
-    study.played.retain(|p| arguments.only.as_deref().is_none_or(|part| p.script.name.contains(part)));
+    study
+        .played
+        .retain(|played| arguments.only.as_deref().is_none_or(|part| played.script.name.contains(part)));
     if study.seeds == 0 || study.played.is_empty() {
-        return Err(format!("{}: nothing to play; see --seeds and --only", arguments.study.display()).into());
+        return Err(format!("{}: no run is left; see --seeds and --only", arguments.study.display()).into());
     }
     if let Some(program) = arguments.against.clone() {
         let program =
-            Some(std::fs::canonicalize(&program).map_err(|e| format!("{}: {e}", program.display()))?);
+            Some(std::fs::canonicalize(&program).map_err(|error| format!("{}: {error}", program.display()))?);
         study.variants.insert(0, study::Variant { program, ..study::Variant::plain("against") });
-        study.played.iter_mut().for_each(|p| p.changed.insert(0, None));
+        study.played.iter_mut().for_each(|played| played.changed.insert(0, None));
     }
     let threads = arguments.threads.or_else(|| std::thread::available_parallelism().ok().map(usize::from));
-    let show = |done: usize, of: usize| {
+    let show_progress = |done: usize, of: usize| {
         let mut out = std::io::stderr();
         if out.is_terminal() {
             let _ = write!(out, "\r{done} of {of} runs ");
@@ -201,7 +203,7 @@
             let _ = writeln!(out, "{done} of {of} runs");
         }
     };
-    let runs = sweep::run(&study, threads.unwrap_or(1), &show)?;
+    let runs = sweep::run(&study, threads.unwrap_or(1), &show_progress)?;
     let rows = table::rows(&runs);
     println!("{}: {}", study.name, study.about);
     print!("{}", table::text(&rows));
@@ -215,15 +217,15 @@
     if let Some(path) = &arguments.svg {
         write_file(path, &plot::svg(&rows)?)?;
     }
-    Ok(ExitCode::from(u8::from(rows.iter().any(|r| r.breaches > 0))))
+    Ok(ExitCode::from(u8::from(rows.iter().any(|row| row.breaches > 0))))
 }
 
-fn finish(play: &Play, report: &Report) -> Result<ExitCode, Box<dyn Error>> {
+fn write_report(run_args: &RunArgs, report: &Report) -> Result<ExitCode, Box<dyn Error>> {
     print!("{}", report.to_text());
-    if let Some(path) = &play.json {
+    if let Some(path) = &run_args.json {
         write_file(path, &report.to_json())?;
     }
-    if let Some(path) = &play.svg {
+    if let Some(path) = &run_args.svg {
         write_file(path, &svg(report)?)?;
     }
     Ok(match report {
@@ -233,26 +235,26 @@
     })
 }
 
-/// A live line on a terminal, a line every five seconds elsewhere.
+/// Shows the progress of a run on standard error: a line that is rewritten every second on a terminal, a line every 5 s elsewhere.
 fn progress(lasts: Duration, at: Duration, counts: Counts, in_time: u64) {
     let (at, lasts) = (at.as_secs(), lasts.as_secs());
     let line = format!(
-        "{at:>4} s of {lasts} s: {} asked, {in_time} served in time, {} refused, {} failed, {} nodes fell over",
+        "{at:>4} s of {lasts} s: {} requests, {in_time} served in time, {} rejected, {} failed, {} endpoints fell over",
         counts.asked, counts.refused, counts.failed, counts.fallen
     );
     let mut out = std::io::stderr();
     if out.is_terminal() {
-        let _ = write!(out, "\r{line} "); // progress that can't be shown is no reason to stop
+        let _ = write!(out, "\r{line} "); // a failure to show progress does not end the run
         let _ = if at >= lasts { writeln!(out) } else { out.flush() };
     } else if at % 5 == 0 || at >= lasts {
         let _ = writeln!(out, "{line}");
     }
 }
 
-/// Ends with the signals that ask a program to stop: its gateways must not outlive it.
-async fn stopped() {
-    let waiting = || Some((signal(SignalKind::terminate()).ok()?, signal(SignalKind::interrupt()).ok()?));
-    let Some((mut terminate, mut interrupt)) = waiting() else { return std::future::pending().await };
+/// Completes on SIGTERM or SIGINT, so that the test bed can stop its gateways before it exits.
+async fn stop_signal() {
+    let signals = || Some((signal(SignalKind::terminate()).ok()?, signal(SignalKind::interrupt()).ok()?));
+    let Some((mut terminate, mut interrupt)) = signals() else { return std::future::pending().await };
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
@@ -262,77 +264,79 @@
 #[expect(clippy::too_many_lines, reason = "one arm for each subcommand")]
 fn run(arguments: Arguments) -> Result<ExitCode, Box<dyn Error>> {
     match arguments.command {
-        Sub::Check { script } => {
-            let script = read(&script)?;
+        TestbedCommand::Check { script } => {
+            let script = read_script(&script)?;
             println!("{}: {}", script.name, script.about);
             Ok(ExitCode::SUCCESS)
         }
-        Sub::Count { folder, every, from, until } => {
+        TestbedCommand::Count { folder, every, from, until } => {
             print!("{}", count::Counts::read(&folder, every, from..until)?.tables());
             Ok(ExitCode::SUCCESS)
         }
-        Sub::Resends { folder } => {
+        TestbedCommand::Resends { folder } => {
             let audit = resends::Audit::read(&folder)?;
             print!("{}", audit.tables());
             Ok(if audit.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(1) })
         }
-        Sub::Fleet { script, seed, in_virtual_time, program: named, json, history } => {
-            let text = std::fs::read_to_string(&script).map_err(|e| format!("{}: {e}", script.display()))?;
+        TestbedCommand::Fleet { script, seed, in_virtual_time, program: given, json, history } => {
+            let text =
+                std::fs::read_to_string(&script).map_err(|error| format!("{}: {error}", script.display()))?;
             let script = whole::script::Script::parse(&script.display().to_string(), &text)?;
-            let (breaches, report, told) = if in_virtual_time {
+            let (breaches, report, history_text) = if in_virtual_time {
                 let played = whole::virtual_time::play(&script, seed, whole::virtual_time::Mistake::None);
                 let report = serde_json::json!({
                     "script": script.name, "seed": seed, "breaches": played.breaches, "figures": played.figures,
                 });
                 (played.breaches, report, played.history.text())
             } else {
-                let program = named.map_or_else(program, Ok)?;
+                let program = given.map_or_else(workspace_gateway, Ok)?;
                 let folder = whole::live::folder_of(&script, seed, &std::env::temp_dir())?;
                 let played = whole::live::play(&script, seed, &program, &folder);
-                let _ = std::fs::remove_dir_all(&folder); // what is left there harms nobody
-                let (report, told) = played?;
-                (report.breaches.clone(), serde_json::to_value(&report)?, told.join("\n") + "\n")
+                let _ = std::fs::remove_dir_all(&folder); // files left in the temporary folder do no harm
+                let (report, events) = played?;
+                (report.breaches.clone(), serde_json::to_value(&report)?, events.join("\n") + "\n")
             };
             println!("{report:#}");
             if let Some(path) = &json {
                 write_file(path, &format!("{report:#}\n"))?;
             }
             if let Some(path) = &history {
-                write_file(path, &told)?;
+                write_file(path, &history_text)?;
             }
             Ok(ExitCode::from(u8::from(!breaches.is_empty())))
         }
-        Sub::Sweep(arguments) => run_study(&arguments),
-        Sub::Simulate { play } => {
-            let script = read(&play.script)?;
-            let storm = play.settings.as_deref().map(study::storm).transpose()?.flatten();
-            let began = std::time::Instant::now();
-            let (report, cost) = simulate(&script, play.seed, play.gateways, storm)?;
-            let code = finish(&play, &report)?;
+        TestbedCommand::Sweep(arguments) => run_study(&arguments),
+        TestbedCommand::Simulate { run_args } => {
+            let script = read_script(&run_args.script)?;
+            let storm = run_args.settings.as_deref().map(study::storm).transpose()?.flatten();
+            let started_at = std::time::Instant::now();
+            let (report, cost) = simulate(&script, run_args.seed, run_args.gateways, storm)?;
+            let code = write_report(&run_args, &report)?;
             eprintln!(
-                "{:.2} s of wall time, {:.1} us of decisions a request",
-                began.elapsed().as_secs_f64(),
+                "{:.2} s of wall time, {:.1} us of balancer time per request",
+                started_at.elapsed().as_secs_f64(),
                 cost.per_request().as_secs_f64() * 1e6
             );
             Ok(code)
         }
-        Sub::Replay { play, program: named } => {
-            let script = read(&play.script)?;
-            let path = named.map_or_else(program, Ok)?;
+        TestbedCommand::Replay { run_args, program: given } => {
+            let script = read_script(&run_args.script)?;
+            let path = given.map_or_else(workspace_gateway, Ok)?;
             let folder = std::env::temp_dir().join(format!("weldworks-testbed-{}", std::process::id()));
             std::fs::create_dir_all(&folder)?;
-            let start = Program { path, folder: folder.clone(), settings: play.settings.clone() };
-            let show = |at, counts, in_time| progress(script.lasts, at, counts, in_time);
-            let played = replay(&script, play.seed, play.gateways, &start, &show, stopped());
-            let _ = std::fs::remove_dir_all(&folder); // what is left there harms nobody
-            let (report, spent) = played?;
-            let code = finish(&play, &report)?;
+            let start = Program { path, folder: folder.clone(), settings: run_args.settings.clone() };
+            let show_progress = |at, counts, in_time| progress(script.lasts, at, counts, in_time);
+            let result =
+                replay(&script, run_args.seed, run_args.gateways, &start, &show_progress, stop_signal());
+            let _ = std::fs::remove_dir_all(&folder); // files left in the temporary folder do no harm
+            let (report, spent) = result?;
+            let code = write_report(&run_args, &report)?;
             let share = |spent: Option<Duration>| {
                 spent.map_or("unknown".to_owned(), |cpu| {
                     format!("{:.1}% of a core", 100.0 * cpu.as_secs_f64() / script.lasts.as_secs_f64())
                 })
             };
-            eprintln!("gateways: {}; rig: {}", share(spent.gateways), share(spent.rig));
+            eprintln!("processor time: gateways {}; test bed {}", share(spent.gateways), share(spent.rig));
             Ok(code)
         }
     }
