--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -1,7 +1,7 @@
-//! The whole day's first tries, fixed before it begins.
+//! The plan of a run: the first attempts of all clients, fixed before the run begins.
 //!
-//! Arrivals don't wait for answers: what a slow gateway leaves unanswered is still asked for. Work belongs to the
-//! request, so a retry of a heavy one is as heavy, in every run.
+//! Arrivals don't wait for answers: new requests arrive however slow a gateway answers earlier ones. Work belongs to the
+//! request, so that a retry of a request with much work has as much work, in every run.
 
 use crate::draws::{Draws, For};
 use crate::model::Distribution;
@@ -9,107 +9,113 @@
 use rand_distr::{Distribution as _, Zipf};
 use std::time::Duration;
 
-/// The most tries of one request, by which their numbers are told apart.
-const TRIES: u64 = 128;
+/// Greatest number of a client's attempts for one request; each request has this many numbers, one for each attempt.
+const MAX_CLIENT_ATTEMPTS: u64 = 128;
 
-/// A first try.
+/// A client's first attempt, as planned.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Asked {
-    /// Its place in the day.
+    /// Index of the request in the plan.
     pub place: usize,
-    /// When it is asked.
+    /// Time at which the client sends the first attempt.
     pub at: Duration,
-    /// From which zone.
+    /// Zone of the client.
     pub zone: usize,
-    /// Its class.
+    /// Class of the request.
     pub class: usize,
-    /// Its tenant.
+    /// Tenant of the request.
     pub tenant: usize,
-    /// What it is about.
+    /// Subject of the request, if it has one: endpoints process a recently seen subject faster.
     pub subject: Option<u64>,
-    /// Its work, in seconds of a core of speed 1.
+    /// Work of the request, in seconds on a core of speed 1.
     pub seconds: f64,
-    /// How long each try is waited for.
+    /// Timeout of each of the client's attempts.
     pub patience: Duration,
-    /// Its client heeds advice on when to come back.
+    /// Whether the client honours `Retry-After`.
     pub heeds: bool,
-    /// Its client opens a connection for it.
+    /// Whether the client opens a new connection for the request.
     pub fresh: bool,
-    /// What it is worth.
+    /// Priority weight of the request.
     pub worth: f64,
-    /// It lies within its tenant's share.
+    /// Whether the request lies within its tenant's share.
     pub in_share: bool,
-    /// The key by which a node knows its repeats.
+    /// Idempotency key by which an endpoint recognises repeats of the request.
     pub key: u64,
 }
 
 impl Asked {
-    /// The number of a try of it, counted from 0: never 0 itself, and the same in every run of a seed.
+    /// Number of one of the client's attempts for this request; `attempt` counts from 0. The number is never 0, and it is the same in
+    /// every run with the same seed.
     pub fn number(&self, draws: Draws, attempt: u32) -> u64 {
-        draws.number(For::Number, self.place as u64 * TRIES + u64::from(attempt)) | 1
+        draws.number(For::Number, self.place as u64 * MAX_CLIENT_ATTEMPTS + u64::from(attempt)) | 1
     }
 }
 
-/// The work of one attempt at a node: what the request costs, a little more or less there.
+/// Work of an attempt at an endpoint, in seconds: the request's work with the variation of this endpoint.
 pub fn attempt_seconds(draws: Draws, class: &Class, asked: &Asked, node: u64) -> f64 {
     asked.seconds
         * draws.stream_of_two(For::Attempt, asked.place as u64, node).log_normal(class.attempt_spread)
 }
 
-/// The load at a time, as a multiple of the mean.
+/// The request rate at a time, as a multiple of the mean rate.
 fn shape(script: &Script, at: Duration) -> f64 {
-    let (load, t) = (&script.load, at.as_secs_f64());
+    let (load, time_s) = (&script.load, at.as_secs_f64());
     let shape = match load.shape {
         Shape::Steady => 1.0,
-        Shape::Wave => 1.0 + load.swing * (std::f64::consts::TAU * t / load.period.as_secs_f64()).sin(),
-        Shape::Ramp => 2.0 * t / script.lasts.as_secs_f64(),
+        Shape::Wave => 1.0 + load.swing * (std::f64::consts::TAU * time_s / load.period.as_secs_f64()).sin(),
+        Shape::Ramp => 2.0 * time_s / script.lasts.as_secs_f64(),
     };
-    let surges = script.events.iter().filter(|e| is_on(e, at));
-    surges.fold(shape, |shape, e| if let What::Surge { times } = e.what { shape * times } else { shape })
+    let surges = script.events.iter().filter(|event| is_active(event, at));
+    surges.fold(
+        shape,
+        |shape, event| if let What::Surge { times } = event.what { shape * times } else { shape },
+    )
 }
 
-fn is_on(event: &Event, at: Duration) -> bool {
+fn is_active(event: &Event, at: Duration) -> bool {
     at >= event.at && event.until().is_none_or(|until| at < until)
 }
 
-/// The nodes that an event meets.
+/// The endpoints that an event affects, by the index of the event in the script.
 pub fn met(script: &Script, draws: Draws, event: usize) -> Vec<usize> {
     let all = 0..script.fleet.nodes;
     match &script.events[event].whom {
         Whom::All => all.collect(),
         Whom::Nodes(nodes) => nodes.clone(),
-        Whom::Zone(zone) => all.filter(|&n| script.zone_of(n) == *zone).collect(),
+        Whom::Zone(zone) => all.filter(|&node| script.zone_of(node) == *zone).collect(),
         Whom::Share(share) => {
             let count = (share * script.fleet.nodes as f64).round() as usize;
-            let mut drawn: Vec<_> =
-                all.map(|n| (draws.stream_of_two(For::Event, event as u64, n as u64).even(), n)).collect();
+            let mut drawn: Vec<_> = all
+                .map(|node| (draws.stream_of_two(For::Event, event as u64, node as u64).even(), node))
+                .collect();
             drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let mut met: Vec<_> = drawn.into_iter().take(count).map(|(_, n)| n).collect();
+            let mut met: Vec<_> = drawn.into_iter().take(count).map(|(_, node)| node).collect();
             met.sort_unstable();
             met
         }
     }
 }
 
-/// All first tries of the day, in order.
+/// All first attempts of a run, in the order of time.
 pub fn plan(script: &Script, draws: Draws) -> Vec<Asked> {
     let mut stream = draws.stream(For::Arrivals, 0);
-    // Arrivals are thinned from the highest rate of the day, so that its shape moves none of the others' draws.
+    // Arrivals are drawn at the run's highest rate and then thinned, so that the shape of the load changes no draw of another request.
     let steps = 2000;
-    let peak = (0..=steps).map(|n| shape(script, script.lasts * n / steps)).fold(0.0, f64::max).max(1e-9);
-    let class_weights: Vec<_> = script.classes.iter().map(|c| c.share).collect();
-    let tenant_weights: Vec<_> = script.tenants.iter().map(|t| t.share * t.usage).collect();
+    let peak =
+        (0..=steps).map(|step| shape(script, script.lasts * step / steps)).fold(0.0, f64::max).max(1e-9);
+    let class_weights: Vec<_> = script.classes.iter().map(|class| class.share).collect();
+    let tenant_weights: Vec<_> = script.tenants.iter().map(|tenant| tenant.share * tenant.usage).collect();
     let mut zone_weights = vec![1.0; script.fleet.zones.len()];
     zone_weights[0] += script.load.zone_skew;
     let keys = Zipf::new(script.load.keys.max(1) as f64, script.load.skew).ok();
-    let mut buckets: Vec<f64> = (0..script.tenants.len()).map(|t| script.quota(t)).collect();
-    let mut filled = Duration::ZERO;
-    let (mut day, mut t) = (Vec::new(), 0.0);
+    let mut buckets: Vec<f64> = (0..script.tenants.len()).map(|tenant| script.quota(tenant)).collect();
+    let mut refilled_at = Duration::ZERO;
+    let (mut plan, mut time_s) = (Vec::new(), 0.0);
     loop {
-        t += stream.exponential() / (script.load.rate * peak);
-        let at = Duration::from_secs_f64(t);
+        time_s += stream.exponential() / (script.load.rate * peak);
+        let at = Duration::from_secs_f64(time_s);
         if at >= script.lasts {
-            return day;
+            return plan;
         }
         let kept = stream.even() * peak < shape(script, at);
         let (class, tenant) = (stream.place(&class_weights), stream.place(&tenant_weights));
@@ -118,7 +124,7 @@
         if !kept {
             continue;
         }
-        let place = day.len();
+        let place = plan.len();
         let spec = &script.classes[class];
         let mut work = draws.stream(For::Work, place as u64);
         let mut seconds = spec.work.as_secs_f64();
@@ -127,7 +133,7 @@
             Distribution::Exponential => work.exponential(),
             Distribution::LogNormal => work.log_normal(spec.spread),
         };
-        for event in script.events.iter().filter(|e| is_on(e, at)) {
+        for event in script.events.iter().filter(|event| is_active(event, at)) {
             if let What::Heavy { class: heavy, part, times } = event.what {
                 let (meant, times) = (work.chance(part), work.within(times));
                 if heavy == class && meant {
@@ -135,18 +141,18 @@
                 }
             }
         }
-        // A tenant's share is a rate that may be saved up for a second.
-        let passed = at.saturating_sub(filled).as_secs_f64();
-        for (t, bucket) in buckets.iter_mut().enumerate() {
-            let quota = script.quota(t);
-            *bucket = (*bucket + passed * quota).min(quota);
+        // A tenant's share is a token bucket: its rate is the quota, and it holds the tokens of one second.
+        let elapsed_s = at.saturating_sub(refilled_at).as_secs_f64();
+        for (index, bucket) in buckets.iter_mut().enumerate() {
+            let quota = script.quota(index);
+            *bucket = (*bucket + elapsed_s * quota).min(quota);
         }
-        filled = at;
+        refilled_at = at;
         let in_share = buckets[tenant] >= 1.0;
         buckets[tenant] -= f64::from(u8::from(in_share));
         let mut habits = draws.stream(For::Habits, place as u64);
         let patience = spec.deadline.mul_f64(habits.within(script.clients.try_share));
-        day.push(Asked {
+        plan.push(Asked {
             place,
             at,
             zone,
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -1,4 +1,4 @@
-//! A script on loopback sockets, with real gateway processes between the rig's clients and its nodes.
+//! Runs a script on loopback sockets, with real gateway processes between the test bed's clients and its stand-in endpoints.
 
 use crate::fleet::nodes;
 use crate::ledger::Rules;
@@ -19,40 +19,39 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// A first try that is sent later than this is late.
-const LATE: Duration = Duration::from_millis(20);
-/// This often the rig looks whether it runs.
-const PULSE: Duration = Duration::from_millis(5);
+/// Delay above which a first attempt counts as sent late.
+const LATE_SEND_THRESHOLD: Duration = Duration::from_millis(20);
+/// Interval at which the test bed checks whether it was scheduled in time.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why a script could not be played.
+/// Reason why a run on sockets failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ReplayError {
-    /// A gateway.
+    /// A gateway could not be started or did not become ready.
     #[error(transparent)]
     Gateway(#[from] GatewayError),
-    /// It was broken off.
-    #[error("broken off")]
+    /// The run was stopped from outside.
+    #[error("the run was stopped")]
     Stopped,
-    /// A port, or the runtime.
-    #[error("the stand-ins can't be started: {0}")]
+    /// A socket of a stand-in, or the async runtime, could not be created.
+    #[error("cannot start the stand-ins: {0}")]
     Io(#[from] io::Error),
 }
 
-/// What the gateways' processors have spent; no part of the report, for it differs from run to run.
+/// Processor time of a run. It is not part of the report because it differs from run to run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Spent {
-    /// All gateways together, over the day, where it is known.
+    /// Processor time of all gateways together during the run; `None` where it is unknown.
     pub gateways: Option<Duration>,
-    /// The rig itself.
+    /// Processor time of the test bed itself; `None` where it is unknown.
     pub rig: Option<Duration>,
 }
 
-/// Plays a script with so many gateways, or with as many as it names. `progress` is told of every second. Where
-/// `stop` ends first, the run is broken off and its gateways are ended.
+/// Runs a script with this number of gateways, or with the script's own number. `progress` is called every second. When `stop`
+/// completes first, the run ends and its gateways are stopped.
 ///
 /// # Errors
-/// Where a gateway or a stand-in can't be started, or the run was broken off. What goes wrong later stands in the
-/// report.
+/// A gateway or a stand-in can't be started, or the run was stopped. Later problems are part of the report.
 pub fn replay(
     script: &Script,
     seed: u64,
@@ -65,13 +64,13 @@
     let day = Rc::new(Day::new(script, seed, gateways.unwrap_or(script.fleet.on_sockets)));
     LocalSet::new().block_on(&runtime, async {
         tokio::select! {
-            played = play(day, seed, start, progress) => played,
+            result = run(day, seed, start, progress) => result,
             () = stop => Err(ReplayError::Stopped),
         }
     })
 }
 
-/// The configuration of a gateway, as the platform gives it.
+/// The configuration of a gateway, in the form in which the platform provides it.
 fn config(day: &Day, gateway: usize, discovery: &str, known: &Value) -> Value {
     let limits = &day.script.limits;
     json!({
@@ -85,7 +84,7 @@
     })
 }
 
-async fn play(
+async fn run(
     day: Rc<Day>,
     seed: u64,
     start: &dyn StartGateway,
@@ -105,33 +104,35 @@
     let register = LiveRegister::new(day.clone(), Register::new(&day.script, day.draws), fleet.clone());
     register_cell.replace(Rc::downgrade(&register));
     let mut running: Vec<Box<dyn RunningGateway>> = Vec::new();
-    for g in 0..day.gateways {
-        let discovery = register.listen(g).await?.to_string();
-        running.push(start.start(g, config(&day, g, &discovery, &register.known(g))).await?);
+    for gateway in 0..day.gateways {
+        let discovery = register.listen(gateway).await?.to_string();
+        running
+            .push(start.start(gateway, config(&day, gateway, &discovery, &register.known(gateway))).await?);
     }
-    for (g, gateway) in running.iter().enumerate() {
-        ready(g, gateway.address()).await?;
+    for (number, gateway) in running.iter().enumerate() {
+        ready(number, gateway.address()).await?;
     }
-    let addresses: Vec<_> = running.iter().map(|g| g.address()).collect();
+    let addresses: Vec<_> = running.iter().map(|gateway| gateway.address()).collect();
     let clients = Clients::new(day.clone(), &addresses);
-    let cpu =
-        |running: &[Box<dyn RunningGateway>]| -> Option<Duration> { running.iter().map(|g| g.cpu()).sum() };
-    let (gateways_before, rig_before) = (cpu(&running), own_cpu());
+    let cpu = |running: &[Box<dyn RunningGateway>]| -> Option<Duration> {
+        running.iter().map(|gateway| gateway.cpu()).sum()
+    };
+    let (gateways_before, test_bed_before) = (cpu(&running), own_cpu());
     day.clock.begin();
     let stall = Rc::new(Cell::new(Duration::ZERO));
-    let pulse = spawn_local(feel_pulse(stall.clone()));
-    let telling = spawn_local({
+    let stall_check = spawn_local(record_stalls(stall.clone()));
+    let notifications = spawn_local({
         let register = register.clone();
         async move { tokio::join!(register.weigh(), register.tell_agents()) }
     });
-    let doing = spawn_local(carry_out(day.clone(), fleet.clone()));
-    let sampling = spawn_local(sample(day.clone(), fleet.clone()));
-    let asking = clients.run();
-    tokio::pin!(asking);
+    let events = spawn_local(run_events(day.clone(), fleet.clone()));
+    let timeline = spawn_local(record_timeline(day.clone(), fleet.clone()));
+    let requests = clients.run();
+    tokio::pin!(requests);
     let mut tick = Duration::from_secs(1);
     loop {
         tokio::select! {
-            () = asking.as_mut() => break,
+            () = requests.as_mut() => break,
             () = sleep_until(day.clock.instant(tick)) => {
                 progress(tick, day.counts.get(), day.in_time.get());
                 tick += Duration::from_secs(1);
@@ -142,25 +143,27 @@
         sleep(Duration::from_millis(20)).await;
     }
     clients.look_for_surplus();
-    telling.abort();
-    [pulse, doing, sampling].iter().for_each(|task| task.abort());
+    notifications.abort();
+    [stall_check, events, timeline].iter().for_each(|task| task.abort());
     let spent = Spent {
         gateways: cpu(&running).zip(gateways_before).map(|(now, then)| now.saturating_sub(then)),
-        rig: own_cpu().zip(rig_before).map(|(now, then)| now.saturating_sub(then)),
+        rig: own_cpu().zip(test_bed_before).map(|(now, then)| now.saturating_sub(then)),
     };
-    let mut troubles = Vec::new();
-    for (g, gateway) in running.iter_mut().enumerate() {
+    let mut problems = Vec::new();
+    for (number, gateway) in running.iter_mut().enumerate() {
         match gateway.ended() {
-            Some(how) => troubles.push(format!("gateway {g} ended during the run: {how}")),
+            Some(how) => problems.push(format!("gateway {number} ended during the run: {how}")),
             None => {
-                troubles.extend(gateway.stop().await.err().map(|e| format!("gateway {g} did not stop: {e}")));
+                problems.extend(
+                    gateway.stop().await.err().map(|error| format!("gateway {number} did not stop: {error}")),
+                );
             }
         }
     }
     let lateness = lateness(&clients.lateness(), stall.get());
     let mut report = report(&day, seed, &clients, lateness);
-    if !troubles.is_empty() {
-        report.unsound = Some(troubles.join("; "));
+    if !problems.is_empty() {
+        report.unsound = Some(problems.join("; "));
         report.service = None;
     }
     Ok((report, spent))
@@ -189,14 +192,14 @@
     }
 }
 
-async fn carry_out(day: Rc<Day>, fleet: Vec<Rc<LiveNode>>) {
+async fn run_events(day: Rc<Day>, fleet: Vec<Rc<LiveNode>>) {
     for (at, node, deed) in deeds(&day.script, day.draws) {
         sleep_until(day.clock.instant(at)).await;
         fleet[node].carry_out(deed);
     }
 }
 
-async fn sample(day: Rc<Day>, fleet: Vec<Rc<LiveNode>>) {
+async fn record_timeline(day: Rc<Day>, fleet: Vec<Rc<LiveNode>>) {
     let step = (day.script.lasts / 240).max(Duration::from_millis(100));
     let (mut at, mut before, mut in_time) = (step, Counts::default(), 0);
     loop {
@@ -217,28 +220,28 @@
     }
 }
 
-/// Notes the longest time for which this thread did not come round.
-async fn feel_pulse(longest: Rc<Cell<Duration>>) {
+/// Records the longest time for which this thread was not scheduled.
+async fn record_stalls(longest: Rc<Cell<Duration>>) {
     loop {
-        let slept = Instant::now();
-        sleep(PULSE).await;
-        longest.set(longest.get().max(slept.elapsed().saturating_sub(2 * PULSE)));
+        let slept_at = Instant::now();
+        sleep(STALL_CHECK_INTERVAL).await;
+        longest.set(longest.get().max(slept_at.elapsed().saturating_sub(2 * STALL_CHECK_INTERVAL)));
     }
 }
 
-fn lateness(late: &[Duration], stall: Duration) -> Lateness {
-    let mut sorted = late.to_vec();
+fn lateness(delays: &[Duration], stall: Duration) -> Lateness {
+    let mut sorted = delays.to_vec();
     sorted.sort_unstable();
     let p99 = sorted.get(sorted.len().saturating_sub(1) * 99 / 100).copied().unwrap_or_default();
-    let many = sorted.iter().filter(|l| **l > LATE).count();
+    let late_sends = sorted.iter().filter(|delay| **delay > LATE_SEND_THRESHOLD).count();
     Lateness {
-        late_share: many as f64 / sorted.len().max(1) as f64,
+        late_share: late_sends as f64 / sorted.len().max(1) as f64,
         p99_ms: p99.as_secs_f64() * 1e3,
         longest_stall_ms: stall.as_secs_f64() * 1e3,
     }
 }
 
-/// The time that this machine's processors have spent on this process.
+/// Processor time that this process has used; `None` where the kernel does not report it.
 fn own_cpu() -> Option<Duration> {
     let text = std::fs::read_to_string("/proc/self/schedstat").ok()?;
     text.split_whitespace().next()?.parse().ok().map(Duration::from_nanos)
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run has shown: as JSON, as text, and the samples behind its timeline.
+//! The report of a run, as JSON and as text, with the samples of its timeline.
 
 use crate::ledger::{back_after, Breach, Got, Ledger, Service, Tally};
 use crate::plan::Asked;
@@ -7,95 +7,95 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// For so long a gateway counts as fresh.
-const FRESH: Duration = Duration::from_secs(10);
+/// Time for which a gateway counts as fresh after it started.
+const FRESH_PERIOD: Duration = Duration::from_secs(10);
 
-/// How often something happened.
+/// Counts over a whole run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// First tries.
+    /// First attempts of clients.
     pub asked: u64,
-    /// All tries.
+    /// All attempts of clients, retries included.
     pub tries: u64,
-    /// Tries that were served, in time or not.
+    /// Client attempts that were served, in time or not.
     pub served: u64,
-    /// Tries that were refused.
+    /// Client attempts that were rejected.
     pub refused: u64,
-    /// Tries that failed, or were given up.
+    /// Client attempts that failed or were given up.
     pub failed: u64,
-    /// Tries that no gateway took.
+    /// Client attempts that no gateway accepted.
     pub unreachable: u64,
-    /// Attempts that reached nodes.
+    /// Attempts of gateways that reached endpoints.
     pub attempts: u64,
-    /// Connections opened to nodes.
+    /// Connections opened to endpoints.
     pub connections: u64,
-    /// Repeats that nodes dropped.
+    /// Repeated requests that endpoints recognised by their keys and did not process again.
     pub repeats_dropped: u64,
-    /// Nodes that fell over.
+    /// Endpoints that fell over.
     pub fallen: u64,
 }
 
-/// The state of the run at a time.
+/// The state of a run at one point of its timeline.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Sample {
-    /// When, in seconds.
+    /// Time of the sample, in seconds.
     pub at_s: f64,
-    /// Tries a second, first ones and repeats.
+    /// Client attempts a second, retries included.
     pub asked: f64,
-    /// Answers a second that came in time.
+    /// Client attempts a second that were served in time.
     pub in_time: f64,
-    /// Refusals a second.
+    /// Client attempts a second that were rejected.
     pub refused: f64,
-    /// Failures a second.
+    /// Client attempts a second that failed.
     pub failed: f64,
-    /// Requests that nodes hold.
+    /// Requests in flight at endpoints.
     pub held: usize,
-    /// Nodes that are up and warm.
+    /// Endpoints that are up and warm.
     pub warm: usize,
-    /// Nodes that are up and cold.
+    /// Endpoints that are up and cold.
     pub cold: usize,
-    /// Nodes that drain.
+    /// Endpoints that drain.
     pub draining: usize,
-    /// Nodes that are choked.
+    /// Endpoints that are choked.
     pub choked: usize,
-    /// Nodes that are gone, silent or fallen over.
+    /// Endpoints that are killed, cut off or fallen over.
     pub down: usize,
 }
 
-/// How gateways that started among warm ones fared, in the 10 s from then on.
+/// Service at gateways that started late, among gateways that had run for longer, in the first 10 s after the start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fresh {
-    /// The service of first tries dealt to them.
+    /// Service of the first attempts sent to the late gateways.
     pub service: f64,
-    /// How many these were.
+    /// Number of first attempts sent to the late gateways.
     pub asked: usize,
-    /// The service of first tries dealt to all others in that time.
+    /// Service of the first attempts sent to all other gateways in the same 10 s.
     pub others: f64,
 }
 
-/// How a run was played.
+/// The runner that made a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Runner {
-    /// In virtual time, with the decision module in process.
+    /// Virtual time, with the balancer in process.
     VirtualTime,
-    /// On loopback sockets, with real gateways.
+    /// Loopback sockets, with real gateway processes.
     Sockets,
 }
 
-/// How late the machine was, where time was real.
+/// How late the test bed sent requests in real time, because the machine was busy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Lateness {
-    /// The share of first tries that were sent more than 20 ms late.
+    /// Share of the first attempts that were sent more than 20 ms late.
     pub late_share: f64,
-    /// The lateness that a hundredth of the first tries exceeded, in milliseconds.
+    /// 99th percentile of the lateness of first attempts, in milliseconds.
     pub p99_ms: f64,
-    /// The longest time for which the rig itself did not run, in milliseconds.
+    /// Longest time for which the test bed itself was not scheduled, in milliseconds.
     pub longest_stall_ms: f64,
 }
 
 impl Lateness {
-    /// Why the run counts for nothing, where the machine was too busy for it.
+    /// The reason why the run has no valid service figure, if the machine was too busy.
     pub fn too_busy(&self) -> Option<String> {
         (self.late_share > 0.02 || self.longest_stall_ms > 500.0).then(|| {
             format!(
@@ -108,136 +108,151 @@
     }
 }
 
-/// What a run has shown.
+/// The report of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// The script's name.
+    /// Name of the script.
     pub script: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// How it was played.
+    /// Runner that made the report.
     pub runner: Runner,
-    /// How many gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// How many nodes.
+    /// Number of stand-in endpoints.
     pub nodes: usize,
-    /// The service; none where the machine was too busy to tell.
+    /// Service of the run; `None` where the machine was too busy to measure it.
     pub service: Option<Service>,
-    /// The rules that were broken, each with its request and what happened.
+    /// Violations of the rules, each with its request and events.
     pub breaches: Vec<Breach>,
-    /// Why there is no service figure.
+    /// Reason why the report has no service figure.
     pub unsound: Option<String>,
-    /// What happened how often.
+    /// Counts over the whole run.
     pub counts: Counts,
-    /// How gateways that started later fared, where there were any.
+    /// Service at the gateways that started late, if there were any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub fresh: Option<Fresh>,
-    /// So many seconds after the last event, service was back at 0.95 for good; none where it never was, or where no
-    /// event ends.
+    /// Seconds from the last end of an event until service had recovered to 0.95 for the rest of the run; `None` where service
+    /// did not recover, or where an event has no end.
     pub back_s: Option<f64>,
-    /// How evenly attempts came to nodes ([`Ledger::dispersion`]): 1 is chance alone.
+    /// How evenly attempts arrived at endpoints ([`Ledger::dispersion`]): 1 for independent arrivals.
     pub dispersion: Option<f64>,
-    /// The most that a cold node was sent in a window by all gateways, as a part of what it may be sent; none where none was cold.
+    /// Most work that all gateways together sent to a cold endpoint in a window, as a fraction of the work that it may be sent;
+    /// `None` where no endpoint was cold.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub cold_peak: Option<f64>,
-    /// How late the machine was.
+    /// How late the test bed sent requests; `None` in virtual time.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub lateness: Option<Lateness>,
-    /// The state over time.
+    /// Samples of the state of the run over time.
     pub timeline: Vec<Sample>,
 }
 
 impl Report {
-    /// Whether all rules were kept and the figure counts.
+    /// Whether no rule was violated and the service figure is valid.
     pub fn sound(&self) -> bool {
         self.breaches.is_empty() && self.unsound.is_none()
     }
 
-    /// The report as JSON, the same bytes for the same run.
+    /// The report as JSON; equal reports give equal bytes.
     pub fn to_json(&self) -> String {
-        // Only a map with keys that are no text can fail, and there is none.
+        // Serialization fails only for maps whose keys are not strings, and a report contains none.
         serde_json::to_string_pretty(self).unwrap_or_default() + "\n"
     }
 
-    /// The report for a person.
+    /// The report as text for people.
     pub fn to_text(&self) -> String {
         let mut text = String::new();
-        let c = &self.counts;
-        let how = match self.runner {
+        let counts = &self.counts;
+        let runner = match self.runner {
             Runner::VirtualTime => "in virtual time",
             Runner::Sockets => "on sockets",
         };
         let _ = writeln!(
             text,
-            "{} {how}, seed {}: {} gateways, {} nodes",
+            "{} {runner}, seed {}: {} gateways, {} endpoints",
             self.script, self.seed, self.gateways, self.nodes
         );
         let _ = writeln!(
             text,
-            "  {} asked, {} tries: {} served, {} refused, {} failed, {} unreachable",
-            c.asked, c.tries, c.served, c.refused, c.failed, c.unreachable
+            "  {} requests, {} client attempts: {} served, {} rejected, {} failed, {} unreachable",
+            counts.asked, counts.tries, counts.served, counts.refused, counts.failed, counts.unreachable
         );
         let _ = writeln!(
             text,
-            "  {} attempts on {} connections, {} repeats dropped, {} nodes fell over",
-            c.attempts, c.connections, c.repeats_dropped, c.fallen
+            "  {} attempts on {} connections, {} repeats dropped, {} endpoints fell over",
+            counts.attempts, counts.connections, counts.repeats_dropped, counts.fallen
         );
         match (&self.service, &self.unsound) {
             (_, Some(why)) => {
-                let _ = writeln!(text, "  no figure: {why}");
+                let _ = writeln!(text, "  no service figure: {why}");
             }
-            (Some(s), None) => {
-                let _ = writeln!(text, "  service {:.4} of the whole run", s.whole);
-                let worst = [("10 s", &s.worst_10s), ("class", &s.worst_class), ("tenant", &s.worst_tenant)];
-                for (what, w) in worst {
-                    let _ = writeln!(text, "  service {:.4} of the worst {what}: {}", w.service, w.name);
+            (Some(service), None) => {
+                let _ = writeln!(text, "  service {:.4} of the whole run", service.whole);
+                let worst = [
+                    ("10 s", &service.worst_10s),
+                    ("class", &service.worst_class),
+                    ("tenant", &service.worst_tenant),
+                ];
+                for (part, window) in worst {
+                    let _ = writeln!(
+                        text,
+                        "  service {:.4} of the worst {part}: {}",
+                        window.service, window.name
+                    );
                 }
             }
             (None, None) => {}
         }
-        if let Some(f) = self.fresh {
+        if let Some(fresh) = self.fresh {
             let _ = writeln!(
                 text,
-                "  service {:.4} of {} first tries at fresh gateways in their first 10 s, {:.4} at the others",
-                f.service, f.asked, f.others
+                "  service {:.4} of {} first attempts at late gateways in their first 10 s, {:.4} at the others",
+                fresh.service, fresh.asked, fresh.others
             );
         }
         if let Some(dispersion) = self.dispersion {
-            let _ =
-                writeln!(text, "  attempts come to nodes with a dispersion of {dispersion:.2} (1 is chance)");
+            let _ = writeln!(
+                text,
+                "  dispersion of attempts at endpoints {dispersion:.2} (1 for independent arrivals)"
+            );
         }
         if self.breaches.is_empty() {
-            let _ = writeln!(text, "  all rules kept");
+            let _ = writeln!(text, "  no rule violated");
         }
         for breach in self.breaches.iter().take(10) {
             let request = breach.request.as_deref().unwrap_or("-");
-            let _ = writeln!(text, "  BROKEN {:?} at {:.3} s, request {request}", breach.rule, breach.at_s);
+            let _ = writeln!(text, "  VIOLATED {:?} at {:.3} s, request {request}", breach.rule, breach.at_s);
             breach.events.iter().for_each(|event| {
                 let _ = writeln!(text, "    {event}");
             });
         }
         if self.breaches.len() > 10 {
-            let _ =
-                writeln!(text, "  and {} more breaches; the JSON report has all", self.breaches.len() - 10);
+            let _ = writeln!(
+                text,
+                "  and {} more violations; the JSON report lists all",
+                self.breaches.len() - 10
+            );
         }
         text
     }
 }
 
-/// What became of each first try: it or a retry was served within its aim, counted from when it was first asked.
+/// The result of each first attempt: whether this attempt or a retry was served within the latency objective, counted from the
+/// time at which the client sent its first attempt.
 pub fn tallies(
     script: &Script,
-    day: &[Asked],
+    plan: &[Asked],
     ledger: &Ledger,
     tries: &[Vec<(u64, Duration)>],
 ) -> Vec<Tally> {
     let tally = |asked: &Asked| {
         let tries = tries.get(asked.place).map(Vec::as_slice).unwrap_or_default();
         let first = tries.first().map_or(asked.at, |(_, at)| *at);
-        let aim = first + script.classes[asked.class].aim;
+        let objective_end = first + script.classes[asked.class].aim;
         let in_time = tries.iter().any(|(number, _)| {
-            let got = ledger.of(*number).and_then(|r| r.got.first());
-            got.is_some_and(|(at, got)| *got == Got::Served && *at <= aim)
+            let got = ledger.of(*number).and_then(|record| record.got.first());
+            got.is_some_and(|(at, got)| *got == Got::Served && *at <= objective_end)
         });
         Tally {
             at: asked.at,
@@ -248,33 +263,36 @@
             in_time,
         }
     };
-    day.iter().map(tally).collect()
+    plan.iter().map(tally).collect()
 }
 
-/// How the gateways from `first` on fared in the 10 s after they started; `by` tells which gateway took a first try.
+/// Service at the gateways from number `first` on in the 10 s after their start; `by` gives the gateway that accepted a first
+/// attempt, by the index of the attempt.
 pub fn fresh(script: &Script, tallies: &[Tally], first: usize, by: impl Fn(usize) -> Option<usize>) -> Fresh {
     let from = script.fleet.joins_at;
-    let in_time = tallies.iter().enumerate().filter(|(_, t)| t.at >= from && t.at < from + FRESH);
+    let in_window =
+        tallies.iter().enumerate().filter(|(_, tally)| tally.at >= from && tally.at < from + FRESH_PERIOD);
     let (fresh, others): (Vec<_>, Vec<_>) =
-        in_time.partition(|(place, _)| by(*place).is_some_and(|gateway| gateway >= first));
-    let whole = |these: Vec<(usize, &Tally)>| {
-        let these: Vec<Tally> = these.into_iter().map(|(_, tally)| *tally).collect();
-        (service(script, &these).whole, these.len())
+        in_window.partition(|(place, _)| by(*place).is_some_and(|gateway| gateway >= first));
+    let whole = |part: Vec<(usize, &Tally)>| {
+        let part: Vec<Tally> = part.into_iter().map(|(_, tally)| *tally).collect();
+        (service(script, &part).whole, part.len())
     };
     let ((service, asked), (others, _)) = (whole(fresh), whole(others));
     Fresh { service, asked, others }
 }
 
-/// See [`Report::back_s`].
+/// Computes [`Report::back_s`].
 pub fn back(script: &Script, tallies: &[Tally]) -> Option<f64> {
-    let last = script.events.iter().map(|e| e.until()).collect::<Option<Vec<_>>>()?.into_iter().max()?;
+    let last =
+        script.events.iter().map(|event| event.until()).collect::<Option<Vec<_>>>()?.into_iter().max()?;
     back_after(tallies, last)
 }
 
-/// The service of a run.
+/// Computes the service of a run from the results of its first attempts.
 pub fn service(script: &Script, tallies: &[Tally]) -> Service {
-    let classes: Vec<_> = script.classes.iter().map(|c| c.name.clone()).collect();
-    let tenants: Vec<_> = script.tenants.iter().map(|t| t.name.clone()).collect();
+    let classes: Vec<_> = script.classes.iter().map(|class| class.name.clone()).collect();
+    let tenants: Vec<_> = script.tenants.iter().map(|tenant| tenant.name.clone()).collect();
     Service::count(tallies, &classes, &tenants)
 }
 
@@ -283,7 +301,7 @@
     use super::*;
 
     #[test]
-    fn a_machine_that_was_too_busy_gives_no_figure() {
+    fn a_run_on_a_machine_that_was_too_busy_has_no_service_figure() {
         let quick = Lateness { late_share: 0.019, p99_ms: 3.0, longest_stall_ms: 400.0 };
         assert_eq!(quick.too_busy(), None);
         let late = Lateness { late_share: 0.021, ..quick };
