--- a/crates/testbed/src/count.rs
+++ b/crates/testbed/src/count.rs
@@ -1,7 +1,7 @@
 //! Counts over a fleet, from its logs: what all gateways together sent to endpoints and discovery in each interval, and
-//! what came of it at each endpoint. What is harmless from one gateway may not be from all of them.
+//! the outcomes at each endpoint. A load that is harmless from one gateway may overload an endpoint when all gateways send it.
 //!
-//! Times count from the earliest event.
+//! Times are counted from the earliest event of all logs.
 
 use crate::logs::{self, LogEvent, LogsError};
 use serde::Deserialize;
@@ -85,7 +85,7 @@
     pub kind: String,
     /// Status, as listed last.
     pub status: String,
-    /// Last start, in Unix milliseconds; 0 for long ago.
+    /// Time of the endpoint's last start, in Unix milliseconds; 0 for a start long ago.
     pub started_unix_ms: u64,
     /// Attempts sent to it.
     pub attempts: u64,
@@ -137,7 +137,7 @@
     pub endpoints: BTreeMap<String, EndpointCounts>,
     /// Length of an interval, in seconds.
     pub interval_s: f64,
-    /// Lines that were no event.
+    /// Number of log lines that were no event.
     pub skipped_lines: u64,
 }
 
@@ -162,7 +162,7 @@
         let interval = (time_s / self.interval_s) as u64;
         self.intervals.entry(interval).or_default().record(&fields);
         let Some(endpoint) = fields.endpoint.clone() else { return };
-        // What an endpoint was listed as before the period is still true in it.
+        // The kind and status that an endpoint was listed with before the period still hold in the period.
         let is_listing = fields.message == "endpoint listed" && time_s < period_s.end;
         if is_listing || period_s.contains(&time_s) {
             self.endpoints.entry(endpoint).or_default().record(fields);
--- a/crates/testbed/src/resends.rs
+++ b/crates/testbed/src/resends.rs
@@ -45,7 +45,7 @@
     result: Option<String>,
 }
 
-/// What repeating a request may do, as its gateway logs it.
+/// Idempotency of a request, as its gateway logs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Repeatability {
     Idempotent,
@@ -119,7 +119,7 @@
 }
 
 impl Request {
-    /// The attempts that were possibly processed.
+    /// The attempts of this request that were possibly processed.
     fn processed_attempts(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|attempt| attempt.possibly_processed())
     }
@@ -141,7 +141,7 @@
 /// A rule that was broken.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Violation {
-    /// Description of what broke the rule.
+    /// Text that says how the rule was violated.
     pub rule: &'static str,
     /// The client's identifier of the request.
     pub request_id: String,
@@ -164,7 +164,7 @@
     pub unwritten_repeats: u64,
     /// Number of retries by the outcome of the attempt before.
     pub previous_outcomes: BTreeMap<String, u64>,
-    /// All violations, sorted.
+    /// All violations, sorted by rule, request and class.
     pub violations: Vec<Violation>,
 }
 
@@ -237,7 +237,7 @@
         }
     }
 
-    /// The audit as text.
+    /// The results of the audit as text.
     pub fn tables(&self) -> String {
         let mut text = format!(
             "{} requests, {} attempts after the first, {} of them after one that may have run\nafter an attempt that ended as",
--- a/crates/testbed/tests/count.rs
+++ b/crates/testbed/tests/count.rs
@@ -1,19 +1,19 @@
-//! Counting over a fleet, on logs written here.
+//! Tests of the counts over a fleet, on logs that the tests write.
 
 use std::fs;
 use std::path::PathBuf;
 use weldworks_testbed::count::Counts;
 use weldworks_testbed::logs::LogsError;
 
-/// A temporary folder, removed at the end.
+/// A temporary folder of log files, removed at the end.
 struct Folder(PathBuf);
 
 impl Folder {
     fn with(name: &str, files: &[(&str, &str)]) -> Folder {
         let folder = std::env::temp_dir().join(format!("weldworks-count-{name}-{}", std::process::id()));
-        fs::create_dir_all(&folder).expect("a folder");
+        fs::create_dir_all(&folder).expect("the temporary folder was not created");
         for (file, text) in files {
-            fs::write(folder.join(file), text).expect("a file");
+            fs::write(folder.join(file), text).expect("a file was not written");
         }
         Folder(folder)
     }
@@ -69,7 +69,7 @@
         line("1.600 ", 31.6, listed),
     ];
     let folder = Folder::with("two", &[("n0.log", &a.concat()), ("n1.log", &b.concat())]);
-    let counts = Counts::read(&folder.0, 1.0, 0.0..f64::INFINITY).expect("counts");
+    let counts = Counts::read(&folder.0, 1.0, 0.0..f64::INFINITY).expect("the logs were not read");
     let (first, second) = (&counts.intervals[&0], &counts.intervals[&1]);
     assert_eq!((first.attempts, first.connections, first.served_ms.as_slice()), (1, 1, [41].as_slice()));
     assert_eq!((second.attempts, second.rejected_at_once, second.rejected_later), (1, 1, 1));
@@ -83,8 +83,8 @@
         ("Leaving", 1, 1)
     );
     assert!(counts.tables().contains("127.0.0.1:1"));
-    // Within the first second the endpoint had served one and was listed as active.
-    let early = Counts::read(&folder.0, 1.0, 0.0..1.0).expect("counts");
+    // Within the first second the endpoint served one attempt and was listed as active.
+    let early = Counts::read(&folder.0, 1.0, 0.0..1.0).expect("the logs were not read");
     let endpoint = &early.endpoints["127.0.0.1:1"];
     assert_eq!(
         (endpoint.attempts, endpoint.status.as_str(), endpoint.outcomes.contains_key("TimedOut")),
@@ -93,22 +93,23 @@
 }
 
 #[test]
-fn logs_by_the_wall_clock_begin_at_their_earliest_line() {
+fn times_of_logs_without_simulation_time_count_from_the_earliest_event() {
     let arrived = r#""message":"request arrived","request":1,"class":0,"client_retry":false"#;
     let files = [("b.log", line("", 33.0, arrived)), ("a.log", line("", 31.5, arrived))];
     let folder = Folder::with("wall", &files.each_ref().map(|(name, text)| (*name, text.as_str())));
-    let counts = Counts::read(&folder.0, 1.0, 0.0..f64::INFINITY).expect("counts");
+    let counts = Counts::read(&folder.0, 1.0, 0.0..f64::INFINITY).expect("the logs were not read");
     assert_eq!(counts.intervals.keys().copied().collect::<Vec<_>>(), [0, 1]);
 }
 
 #[test]
-fn a_folder_without_events_is_an_error_that_says_what_to_do() {
+fn a_folder_without_events_is_an_error_that_names_the_log_settings() {
     let folder = Folder::with("none", &[("n0.log", "2026-12-01 INFO listening\n{\"half\":\n\u{fffd}\n")]);
-    let error = Counts::read(&folder.0, 1.0, 0.0..1.0).expect_err("nothing to count");
+    let error = Counts::read(&folder.0, 1.0, 0.0..1.0).expect_err("logs without events were counted");
     assert!(
         matches!(error, LogsError::NoEvents(_)) && error.to_string().contains("level = \"debug\""),
         "{error}"
     );
-    let missing = Counts::read(&folder.0.join("gone"), 1.0, 0.0..1.0).expect_err("no folder");
+    let missing =
+        Counts::read(&folder.0.join("gone"), 1.0, 0.0..1.0).expect_err("a missing folder was counted");
     assert!(matches!(missing, LogsError::Unreadable { .. }));
 }
--- a/crates/testbed/tests/resends.rs
+++ b/crates/testbed/tests/resends.rs
@@ -1,4 +1,4 @@
-//! The audit of retries, on logs that break each rule and on logs that break none.
+//! Tests of the audit of retries, on logs that violate each rule and on logs that violate none.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 impl Folder {
     fn with(name: &str, files: &[String]) -> Folder {
         let folder = std::env::temp_dir().join(format!("weldworks-resends-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        for (n, text) in files.iter().enumerate() {
-            std::fs::write(folder.join(format!("g{n}.log")), text).expect("a file");
+        std::fs::create_dir_all(&folder).expect("the temporary folder was not created");
+        for (number, text) in files.iter().enumerate() {
+            std::fs::write(folder.join(format!("g{number}.log")), text).expect("a file was not written");
         }
         Folder(folder)
     }
@@ -42,19 +42,25 @@
     )
 }
 
-/// An attempt: when it was sent, to which zone and cell, and what was left of the idempotency window.
-fn sent(ms: u64, n: u32, place: (u32, u32), left_us: Option<u64>) -> String {
+/// The log line of attempt number `index`, sent at `ms` to an endpoint with this zone and cell; `left_us` is what was left of the
+/// idempotency window.
+fn sent(ms: u64, index: u32, place: (u32, u32), left_us: Option<u64>) -> String {
     let left = left_us.map(|us| format!(r#","write_window_us":{us}"#)).unwrap_or_default();
     let (zone, cell) = place;
     line(
         ms,
-        &format!(r#""message":"attempt sent","request":1,"attempt":{n},"zone":{zone},"cell":{cell}{left}"#),
+        &format!(
+            r#""message":"attempt sent","request":1,"attempt":{index},"zone":{zone},"cell":{cell}{left}"#
+        ),
     )
 }
 
-fn ended(ms: u64, n: u32, how: &str, written_us: Option<u64>) -> String {
+fn ended(ms: u64, index: u32, outcome: &str, written_us: Option<u64>) -> String {
     let written = written_us.map(|us| format!(r#","written_us":{us}"#)).unwrap_or_default();
-    line(ms, &format!(r#""message":"attempt ended","request":1,"attempt":{n},"outcome":"{how}"{written}"#))
+    line(
+        ms,
+        &format!(r#""message":"attempt ended","request":1,"attempt":{index},"outcome":"{outcome}"{written}"#),
+    )
 }
 
 fn rejected(ms: u64) -> String {
@@ -67,12 +73,12 @@
 
 fn audit(name: &str, files: &[Vec<String>]) -> Audit {
     let files: Vec<String> = files.iter().map(|lines| lines.concat()).collect();
-    Audit::read(&Folder::with(name, &files).0).expect("logs")
+    Audit::read(&Folder::with(name, &files).0).expect("the logs were not read")
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one case for each broken rule")]
-fn each_broken_rule_is_reported() {
+#[expect(clippy::too_many_lines, reason = "one case for each violated rule")]
+fn each_violated_rule_is_reported() {
     let (here, other) = ((0, 3), (1, 4));
     let reset = ended(10, 0, "Reset", Some(900));
     let first = sent(5, 0, here, None);
@@ -85,7 +91,7 @@
         (
             "unsafe work was sent again after an attempt that may have run",
             Idempotency::NotIdempotent,
-            vec![first.clone(), sent(11, 1, here, None)], // out still
+            vec![first.clone(), sent(11, 1, here, None)], // the first attempt is still in flight
         ),
         (
             "sent again outside its group",
@@ -147,7 +153,7 @@
 }
 
 #[test]
-fn an_allowed_retry_breaks_no_rule_and_its_margin_is_counted() {
+fn an_allowed_retry_violates_no_rule_and_its_margin_is_counted() {
     let here = (0, 3);
     let lines = vec![
         arrived(keyed(KeyScope::Cell)),
@@ -168,15 +174,15 @@
 
 #[test]
 fn a_request_that_was_not_processed_may_be_rejected_and_retried_anywhere() {
-    for (how, written) in [("Rejected", Some(900)), ("NoConnection", None), ("NotSent", None)] {
+    for (outcome, written_us) in [("Rejected", Some(900)), ("NoConnection", None), ("NotSent", None)] {
         let lines = vec![
             arrived(Idempotency::NotIdempotent),
             sent(5, 0, (0, 3), None),
-            ended(10, 0, how, written),
+            ended(10, 0, outcome, written_us),
             sent(11, 1, (1, 4), None),
-            ended(12, 1, how, written),
+            ended(12, 1, outcome, written_us),
             rejected(13),
         ];
-        assert_eq!(audit(&format!("never-{how}"), &[lines]).violations, [], "{how}");
+        assert_eq!(audit(&format!("never-{outcome}"), &[lines]).violations, [], "{outcome}");
     }
 }
