--- a/crates/testbed/src/sweep/mod.rs
+++ b/crates/testbed/src/sweep/mod.rs
@@ -1,7 +1,8 @@
-//! Sweeps: scripts x gateways x seeds x variants in virtual time, pairs by seed, with intervals.
+//! Studies: each script is run in virtual time with each number of gateways, seed and variant. Variants are compared seed by seed,
+//! with confidence intervals.
 //!
-//! The bound beside the rows (`oracle`) is one decision module that is fed the events of all gateways with no delay. Each
-//! gateway keeps its own connections, so what the bound lacks is the price of many connections and not of knowledge.
+//! The variant `oracle` is an upper bound of the service: one balancer that receives the events of all gateways without delay.
+//! Each gateway still has its own connections, so the bound has the cost of many connections but not that of incomplete knowledge.
 
 pub mod plot;
 pub mod run;
--- a/crates/testbed/src/sweep/run.rs
+++ b/crates/testbed/src/sweep/run.rs
@@ -1,4 +1,4 @@
-//! The runs of a study, over all cores.
+//! Carries out the runs of a study on several threads.
 
 use super::study::{Played, Study, Variant};
 use crate::script::Script;
@@ -9,74 +9,74 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// The name of the bound in tables.
+/// Name of the upper bound among the variants: one balancer that receives the events of all gateways.
 pub const ORACLE: &str = "oracle";
 
-/// What a run has shown.
+/// Figures of one run of a study.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Run {
-    /// The script's name.
+    /// Name of the script.
     pub script: String,
-    /// How many gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// The variant's name; the bound's is `oracle`.
+    /// Name of the variant; `oracle` for the upper bound.
     pub variant: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// The service of the whole run.
+    /// Service of the whole run.
     pub whole: f64,
-    /// The service of the worst 10 s.
+    /// Service of the worst 10 s.
     pub worst_10s: f64,
-    /// The service of the worst class.
+    /// Service of the worst class.
     pub worst_class: f64,
-    /// Refused tries, as a share of first tries.
+    /// Rejected client attempts, as a fraction of first attempts.
     pub refused: f64,
-    /// Attempts for each first try.
+    /// Attempts of gateways, for each first attempt of a client.
     pub attempts: f64,
-    /// How evenly attempts came to nodes: 1 is chance alone; none from a build that does not tell it.
+    /// How evenly attempts arrived at endpoints: 1 for independent arrivals; `None` for a build that does not report it.
     pub dispersion: Option<f64>,
-    /// So many seconds after the last event service was back at 0.95 for good.
+    /// Seconds from the last end of an event until service had recovered to 0.95 for the rest of the run.
     pub back_s: Option<f64>,
-    /// The service of the worst tenant, within its share.
+    /// Service of the worst tenant, counting only requests within its share.
     pub worst_tenant: f64,
-    /// The service at gateways that started late, in their first 10 s, and at the others in that time.
+    /// Service at gateways that started late, in their first 10 s.
     pub fresh: Option<f64>,
-    /// See `fresh`.
+    /// Service at all other gateways, in the first 10 s of the gateways that started late.
     pub others: Option<f64>,
-    /// Nodes that fell over.
+    /// Endpoints that fell over.
     pub fallen: u64,
-    /// Rules broken.
+    /// Number of violations of rules.
     pub breaches: usize,
-    /// Decisions, in microseconds a request; none for another build, which does not tell it.
+    /// Time in the balancer, in microseconds for each request; `None` for another build, which does not report it.
     pub decision_us: Option<f64>,
 }
 
-/// Why a run failed.
+/// Reason why a run of a study failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The decision module does not take the settings.
+    /// The balancer rejects the settings.
     #[error(transparent)]
     Simulate(#[from] crate::simulate::SimulateError),
-    /// Another build can't be started.
+    /// Another build of the test bed can't be started.
     #[error("{program}: {source}")]
     Start {
-        /// Its path.
+        /// Path of the other build.
         program: String,
-        /// What the system says.
+        /// Cause reported by the operating system.
         source: std::io::Error,
     },
-    /// It ended without a report.
+    /// A run ended without a valid report.
     #[error("{program}: no report of {script}, {gateways} gateways, seed {seed}: {why}")]
     NoReport {
-        /// Its path.
+        /// Path of the program that was run.
         program: String,
-        /// The script's file.
+        /// File of the script.
         script: String,
-        /// How many gateways.
+        /// Number of gateways.
         gateways: usize,
-        /// The seed.
+        /// Seed of the run.
         seed: u64,
-        /// What it or the parser says.
+        /// Error output of the program, or the error of the JSON parser.
         why: String,
     },
 }
@@ -97,22 +97,23 @@
                 if study.oracle {
                     jobs.push(Job { played, gateways, variant: None, changed: None, seed });
                 }
-                for (n, variant) in study.variants.iter().enumerate() {
-                    let changed = played.changed.get(n).and_then(Option::as_ref);
+                for (index, variant) in study.variants.iter().enumerate() {
+                    let changed = played.changed.get(index).and_then(Option::as_ref);
                     jobs.push(Job { played, gateways, variant: Some(variant), changed, seed });
                 }
             }
         }
     }
-    // The longest first, so that no core is left with one at the end.
-    jobs.sort_by_key(|j| std::cmp::Reverse(j.played.script.fleet.nodes * j.gateways));
+    // The longest runs start first, so that no thread is still busy with a long run when all others have finished.
+    jobs.sort_by_key(|job| std::cmp::Reverse(job.played.script.fleet.nodes * job.gateways));
     jobs
 }
 
-/// Plays all runs of a study on so many threads; `done` hears after each how many are done, and of how many.
+/// Carries out all runs of a study on this number of threads. `done` is called after each run with the number of finished runs and
+/// the number of all runs.
 ///
 /// # Errors
-/// The first run that failed; the others are given up.
+/// The error of the first run that failed; runs that have not begun are left out.
 pub fn run(
     study: &Study,
     threads: usize,
@@ -126,7 +127,7 @@
         for _ in 0..threads.clamp(1, jobs.len().max(1)) {
             scope.spawn(|| {
                 while let Some(job) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    match play(job) {
+                    match execute(job) {
                         Ok(run) => {
                             if let Ok(mut runs) = runs.lock() {
                                 runs.push(run);
@@ -148,13 +149,15 @@
         return Err(error);
     }
     let mut runs: Vec<Run> = runs.into_inner().unwrap_or_default();
-    let place = |r: &Run| study.played.iter().position(|p| p.script.name == r.script);
-    let order = |r: &Run| study.variants.iter().position(|v| v.name == r.variant).unwrap_or(usize::MAX);
-    runs.sort_by_key(|r| (place(r), r.gateways, order(r), r.seed));
+    let script_index = |run: &Run| study.played.iter().position(|played| played.script.name == run.script);
+    let variant_index = |run: &Run| {
+        study.variants.iter().position(|variant| variant.name == run.variant).unwrap_or(usize::MAX)
+    };
+    runs.sort_by_key(|run| (script_index(run), run.gateways, variant_index(run), run.seed));
     Ok(runs)
 }
 
-fn play(job: &Job<'_>) -> Result<Run, RunError> {
+fn execute(job: &Job<'_>) -> Result<Run, RunError> {
     match job.variant {
         Some(Variant { program: Some(program), settings, .. }) => {
             let mut command = Command::new(program);
@@ -166,7 +169,7 @@
             let name = program.display().to_string();
             let output =
                 command.output().map_err(|source| RunError::Start { program: name.clone(), source })?;
-            // The report for a person comes ahead of the one for a program.
+            // The other build prints the text report before the JSON report.
             let text = String::from_utf8_lossy(&output.stdout);
             let json = text.find("\n{").map_or("", |at| &text[at..]);
             let no_report = |why: String| RunError::NoReport {
@@ -179,11 +182,12 @@
             if json.is_empty() {
                 return Err(no_report(String::from_utf8_lossy(&output.stderr).trim().to_owned()));
             }
-            let told: Told = serde_json::from_str(json).map_err(|e| no_report(e.to_string()))?;
-            Ok(told.run(job))
+            let figures: ReportFigures =
+                serde_json::from_str(json).map_err(|error| no_report(error.to_string()))?;
+            Ok(figures.into_run(job))
         }
         variant => {
-            let storm = variant.and_then(|v| v.storm);
+            let storm = variant.and_then(|variant| variant.storm);
             let script = job.changed.unwrap_or(&job.played.script);
             let minds = match variant {
                 Some(Variant { plain: true, .. }) => Minds::Plain,
@@ -191,23 +195,24 @@
                 None => Minds::Shared,
             };
             let (report, cost) = simulate_with(script, job.seed, Some(job.gateways), storm, minds)?;
-            // The same way as another build's, so that no variant is read by other rules.
-            let told: Told = serde_json::from_str(&report.to_json()).map_err(|e| RunError::NoReport {
-                program: "this build".into(),
-                script: job.played.file.display().to_string(),
-                gateways: job.gateways,
-                seed: job.seed,
-                why: e.to_string(),
-            })?;
+            // This build's report is read from JSON like the report of another build, so that all variants are evaluated alike.
+            let figures: ReportFigures =
+                serde_json::from_str(&report.to_json()).map_err(|error| RunError::NoReport {
+                    program: "this build".into(),
+                    script: job.played.file.display().to_string(),
+                    gateways: job.gateways,
+                    seed: job.seed,
+                    why: error.to_string(),
+                })?;
             let decision_us = Some(cost.per_request().as_secs_f64() * 1e6);
-            Ok(Run { decision_us, ..told.run(job) })
+            Ok(Run { decision_us, ..figures.into_run(job) })
         }
     }
 }
 
-/// What of a report a study looks at.
+/// The parts of a report that a study uses.
 #[derive(Deserialize)]
-struct Told {
+struct ReportFigures {
     service: Service,
     breaches: Vec<serde_json::Value>,
     counts: Counts,
@@ -243,13 +248,13 @@
     fallen: u64,
 }
 
-impl Told {
-    fn run(self, job: &Job<'_>) -> Run {
+impl ReportFigures {
+    fn into_run(self, job: &Job<'_>) -> Run {
         let asked = self.counts.asked.max(1) as f64;
         Run {
             script: job.played.script.name.clone(),
             gateways: job.gateways,
-            variant: job.variant.map_or(ORACLE, |v| &v.name).to_owned(),
+            variant: job.variant.map_or(ORACLE, |variant| &variant.name).to_owned(),
             seed: job.seed,
             whole: self.service.whole,
             worst_10s: self.service.worst_10s.service,
@@ -259,8 +264,8 @@
             dispersion: self.dispersion,
             back_s: self.back_s,
             worst_tenant: self.service.worst_tenant.service,
-            fresh: self.fresh.as_ref().map(|f| f.service),
-            others: self.fresh.as_ref().map(|f| f.others),
+            fresh: self.fresh.as_ref().map(|fresh| fresh.service),
+            others: self.fresh.as_ref().map(|fresh| fresh.others),
             fallen: self.counts.fallen,
             breaches: self.breaches.len(),
             decision_us: None,
@@ -268,7 +273,7 @@
     }
 }
 
-/// The names in a list of runs, each once, in the order in which they come.
+/// The distinct names in a list of runs, in the order of their first occurrence.
 pub(super) fn names<'r>(runs: &'r [Run], of: fn(&'r Run) -> &'r str) -> Vec<&'r str> {
     let mut seen = BTreeSet::new();
     runs.iter().map(of).filter(|name| seen.insert(*name)).collect()
--- a/crates/testbed/src/sweep/study.rs
+++ b/crates/testbed/src/sweep/study.rs
@@ -1,4 +1,4 @@
-//! A study: which scripts, with how many gateways, which seeds and which variants. Read from TOML, checked whole.
+//! A study: scripts, numbers of gateways, seeds and variants. It is read from TOML and checked as a whole.
 
 use super::run::ORACLE;
 use crate::script::Script;
@@ -6,58 +6,58 @@
 use weldworks_config::{Document, Table};
 use weldworks_control::retry_storm::StormSettings;
 
-/// The most runs of one study: more is a slip of the pen.
-const MOST_RUNS: usize = 100_000;
+/// Greatest number of runs of a study; a study with more is taken for a typing error.
+const MAX_RUNS: usize = 100_000;
 
-/// What is compared.
+/// A variant of the gateways or of the scripts, which a study compares with its other variants.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Variant {
-    /// Its name in tables.
+    /// Name of the variant in tables.
     pub name: String,
-    /// What it changes in every script, as `key = value` below the key of a table: `fleet.cold_from = 1.0`.
+    /// Changes to every script, as `key = value` with the table in the key: `fleet.cold_from = 1.0`.
     pub set: Vec<String>,
-    /// Its gateways are plain ones: the module decides nothing.
+    /// Whether gateways of this variant are plain proxies, without the balancer.
     pub plain: bool,
-    /// Storm control, where its settings file switches it on.
+    /// Storm control, if the settings file of the variant enables it.
     pub storm: Option<StormSettings>,
-    /// Another build of the rig; none for this one.
+    /// Another build of the test bed; `None` for this build.
     pub program: Option<PathBuf>,
-    /// The operator's file, as another build is given it.
+    /// Settings file of the operator, which is passed to another build.
     pub settings: Option<PathBuf>,
 }
 
-/// A script and its numbers of gateways.
+/// A script of a study, with the numbers of gateways that it is run with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Played {
-    /// Where it stands.
+    /// Path of the script.
     pub file: PathBuf,
-    /// The script.
+    /// The script as its file has it.
     pub script: Script,
-    /// What each variant makes of it; none where it is the same.
+    /// The script as each variant changes it; `None` where a variant changes nothing.
     pub changed: Vec<Option<Script>>,
-    /// With how many gateways.
+    /// Numbers of gateways that the script is run with.
     pub gateways: Vec<usize>,
 }
 
-/// A study.
+/// A study: the scripts to run and the variants to compare.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Study {
-    /// Its name.
+    /// Name of the study.
     pub name: String,
-    /// What it is to show, in a line.
+    /// Purpose of the study, in one line.
     pub about: String,
-    /// What is played.
+    /// Scripts of the study.
     pub played: Vec<Played>,
-    /// Seeds from 1 to this one.
+    /// Number of seeds, counted from 1.
     pub seeds: u64,
-    /// Whether one decision module that is fed the events of all gateways stands beside each row, as the bound.
+    /// Whether the upper bound is run as well: one balancer that receives the events of all gateways.
     pub oracle: bool,
-    /// What is compared; the first is what the others are held against.
+    /// Variants that are compared; the first is the baseline of the others.
     pub variants: Vec<Variant>,
 }
 
 impl Variant {
-    /// This build, with nothing changed.
+    /// A variant of this build that changes nothing.
     pub fn plain(name: &str) -> Variant {
         Variant {
             name: name.into(),
@@ -70,52 +70,53 @@
     }
 }
 
-/// A script's text with some of its keys set anew; what can't be set that way is told as what it is.
-fn with(file: &str, text: &str, set: &[String]) -> Result<String, StudyError> {
-    let wrong = |what: &str, why: String| StudyError::Set { file: file.into(), set: what.into(), why };
-    let mut script: toml::Table = toml::from_str(text).map_err(|e| wrong("the script", e.to_string()))?;
+/// The text of a script after the changes of a variant; an error names the change that is not valid TOML.
+fn apply_changes(file: &str, text: &str, set: &[String]) -> Result<String, StudyError> {
+    let invalid = |set: &str, why: String| StudyError::Set { file: file.into(), set: set.into(), why };
+    let mut script: toml::Table =
+        toml::from_str(text).map_err(|error| invalid("the script", error.to_string()))?;
     for line in set {
-        let change: toml::Table = toml::from_str(line).map_err(|e| wrong(line, e.to_string()))?;
-        lay_over(&mut script, change);
+        let change: toml::Table = toml::from_str(line).map_err(|error| invalid(line, error.to_string()))?;
+        merge_tables(&mut script, change);
     }
-    toml::to_string(&script).map_err(|e| wrong("the script", e.to_string()))
+    toml::to_string(&script).map_err(|error| invalid("the script", error.to_string()))
 }
 
-fn lay_over(under: &mut toml::Table, over: toml::Table) {
-    for (key, value) in over {
-        match (under.get_mut(&key), value) {
-            (Some(toml::Value::Table(under)), toml::Value::Table(over)) => lay_over(under, over),
+fn merge_tables(base: &mut toml::Table, changes: toml::Table) {
+    for (key, value) in changes {
+        match (base.get_mut(&key), value) {
+            (Some(toml::Value::Table(base)), toml::Value::Table(changes)) => merge_tables(base, changes),
             (_, value) => {
-                under.insert(key, value);
+                base.insert(key, value);
             }
         }
     }
 }
 
-/// Why a study can't be read.
+/// Reason why a study can't be read.
 #[derive(Debug, thiserror::Error)]
 pub enum StudyError {
-    /// A file can't be read.
+    /// A file of the study can't be read.
     #[error("{file}: {source}")]
     Unreadable {
-        /// Which.
+        /// Path of the file.
         file: String,
-        /// What the system says.
+        /// Cause reported by the operating system.
         source: std::io::Error,
     },
-    /// What a variant sets can't be set.
+    /// A change of a variant can't be applied to a script.
     #[error("{file} with set = {set:?}: {why}")]
     Set {
-        /// The script's file.
+        /// File of the script.
         file: String,
-        /// What is set.
+        /// The change, as the study has it.
         set: String,
-        /// What the parser says.
+        /// Error of the TOML parser.
         why: String,
     },
-    /// What a file holds is not as it should be.
+    /// The content of a study, script or settings file is invalid.
     #[error("{0}")]
-    Wrong(#[from] weldworks_config::Problems),
+    Invalid(#[from] weldworks_config::Problems),
 }
 
 fn text_of(path: &Path) -> Result<String, StudyError> {
@@ -123,10 +124,10 @@
         .map_err(|source| StudyError::Unreadable { file: path.display().to_string(), source })
 }
 
-/// Storm control, where an operator's file switches it on.
+/// Storm control, if the operator's settings file enables it.
 ///
 /// # Errors
-/// Where the file can't be read or its table `[storm]` is not as it should be.
+/// The file can't be read or its table `[storm]` is invalid.
 pub fn storm(path: &Path) -> Result<Option<StormSettings>, StudyError> {
     let (name, text) = (path.display().to_string(), text_of(path)?);
     let document = Document::parse(&name, &text)?;
@@ -135,10 +136,10 @@
 }
 
 impl Study {
-    /// Reads a study; files that it names are looked for beside it.
+    /// Reads a study; paths in it are relative to its folder.
     ///
     /// # Errors
-    /// All that is wrong with it, with line and key; or the first file that it names and that can't be used.
+    /// All problems of the study, with line and key; or the first file named in the study that can't be used.
     pub fn read(path: &Path) -> Result<Study, StudyError> {
         let (file, text) = (path.display().to_string(), text_of(path)?);
         let beside = |name: String| path.parent().unwrap_or(Path::new("")).join(name);
@@ -162,13 +163,16 @@
             let set = table.get_or("set", Vec::new());
             let plain = table.get_or("plain", false);
             if plain && (program.is_some() || settings.is_some()) {
-                table.report("plain", "goes with neither program nor settings: a plain gateway has none");
+                table.report("plain", "is not allowed with program or settings: a plain gateway has neither");
             }
-            if name == ORACLE || variants.iter().any(|v: &Variant| v.name == name) {
-                table.report("name", format!("{name:?} is taken: rows are told apart by it"));
+            if name == ORACLE || variants.iter().any(|other: &Variant| other.name == name) {
+                table.report("name", format!("{name:?} is taken: each variant needs a name of its own"));
             }
             if program.is_some() && !set.is_empty() {
-                table.report("set", "goes with this build: another one reads the script's file itself");
+                table.report(
+                    "set",
+                    "is allowed with this build only: another build reads the script's file itself",
+                );
             }
             variants.push(Variant { name, set, plain, storm: None, program, settings });
             table.finish();
@@ -177,9 +181,10 @@
             variants.push(Variant::plain("this"));
         }
         let seeds = root.get_in_range("seeds", 1..=1000, 10u64);
-        let runs: usize = named.iter().map(|(_, g)| g.len()).sum::<usize>() * variants.len() * seeds as usize;
-        if runs > MOST_RUNS {
-            root.report("seeds", format!("makes {runs} runs, {MOST_RUNS} at most"));
+        let runs: usize =
+            named.iter().map(|(_, gateways)| gateways.len()).sum::<usize>() * variants.len() * seeds as usize;
+        if runs > MAX_RUNS {
+            root.report("seeds", format!("makes {runs} runs; {MAX_RUNS} are allowed"));
         }
         let (name, about) =
             (root.require::<String>("name").unwrap_or_default(), root.get_or("about", String::new()));
@@ -196,10 +201,10 @@
             for variant in &study.variants {
                 changed.push(match variant.set.as_slice() {
                     [] => None,
-                    // The lines are those of the changed text, so the variant is named beside the file.
+                    // Line numbers in errors are those of the changed text, so the error names the variant as well as the file.
                     set => {
                         let changed = format!("{name} as variant {:?} sets it", variant.name);
-                        Some(Script::parse(&changed, &with(&name, &text, set)?)?)
+                        Some(Script::parse(&changed, &apply_changes(&name, &text, set)?)?)
                     }
                 });
             }
@@ -209,12 +214,12 @@
     }
 }
 
-/// The numbers of gateways that a table names.
+/// The numbers of gateways in a table of a study; `None` where the key is missing or invalid.
 fn gateways(table: &Table<'_, '_>) -> Option<Vec<usize>> {
     let list = table.get::<Vec<u64>>("gateways")?;
-    if list.is_empty() || list.iter().any(|g| !(1..=10_000).contains(g)) {
+    if list.is_empty() || list.iter().any(|count| !(1..=10_000).contains(count)) {
         table.report("gateways", "must be a list of numbers from 1 to 10000");
         return None;
     }
-    Some(list.into_iter().map(|g| g as usize).collect())
+    Some(list.into_iter().map(|count| count as usize).collect())
 }
--- a/crates/testbed/src/sweep/table.rs
+++ b/crates/testbed/src/sweep/table.rs
@@ -1,96 +1,97 @@
-//! What a study has shown: a row for each script, number of gateways and variant, with pairs by seed.
+//! The results of a study: a row for each script, number of gateways and variant, with variants compared seed by seed.
 
 use super::run::{names, Run, ORACLE};
 use serde::Serialize;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::fmt::Write as _;
 
-/// A mean and the half width of its 95 % interval (Student's t); none of a single value.
+/// A mean with the half width of its 95 % confidence interval by Student's t distribution.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Mean {
-    /// The mean.
+    /// Mean of the values.
     pub mean: f64,
-    /// The half width.
+    /// Half width of the confidence interval; `None` for fewer than two values.
     pub within: Option<f64>,
 }
 
 impl Mean {
-    /// Of some values; 0 of none.
+    /// The mean of these values; 0 without values.
     pub fn of(values: &[f64]) -> Mean {
-        let n = values.len() as f64;
-        let mean = values.iter().sum::<f64>() / n.max(1.0);
-        let within = quantile(values.len()).map(|t| {
-            let squares: f64 = values.iter().map(|v| (v - mean).powi(2)).sum();
-            t * (squares / (n - 1.0) / n).sqrt()
+        let count = values.len() as f64;
+        let mean = values.iter().sum::<f64>() / count.max(1.0);
+        let within = t_quantile(values.len()).map(|quantile| {
+            let squares: f64 = values.iter().map(|value| (value - mean).powi(2)).sum();
+            quantile * (squares / (count - 1.0) / count).sqrt()
         });
         Mean { mean, within }
     }
 }
 
-fn quantile(n: usize) -> Option<f64> {
-    let t = StudentsT::new(0.0, 1.0, n.checked_sub(1).filter(|f| *f > 0)? as f64).ok()?;
-    Some(t.inverse_cdf(0.975))
+fn t_quantile(count: usize) -> Option<f64> {
+    let distribution =
+        StudentsT::new(0.0, 1.0, count.checked_sub(1).filter(|degrees| *degrees > 0)? as f64).ok()?;
+    Some(distribution.inverse_cdf(0.975))
 }
 
-/// A row.
+/// A row: the figures of one script, number of gateways and variant, over all seeds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// The script's name.
+    /// Name of the script.
     pub script: String,
-    /// How many gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// The variant's name.
+    /// Name of the variant.
     pub variant: String,
-    /// How many seeds.
+    /// Number of seeds.
     pub seeds: usize,
-    /// The service of the whole run.
+    /// Service of the whole run.
     pub whole: Mean,
-    /// The least of the seeds.
+    /// Lowest service of the whole run among the seeds.
     pub least: f64,
-    /// The service of the worst 10 s.
+    /// Service of the worst 10 s.
     pub worst_10s: Mean,
-    /// Refused tries, as a share of first tries.
+    /// Rejected client attempts, as a fraction of first attempts.
     pub refused: f64,
-    /// How evenly attempts came to nodes, in the mean: 1 is chance alone.
+    /// How evenly attempts arrived at endpoints, as the mean of the runs: 1 for independent arrivals.
     pub dispersion: Option<f64>,
-    /// So many seconds after the last event service was back at 0.95 for good, in the mean of the runs in which it was.
+    /// Seconds from the last end of an event until service had recovered to 0.95, as the mean of the runs in which it did.
     pub back_s: Option<f64>,
-    /// In so many runs it was back.
+    /// Number of runs in which service recovered.
     pub back_in: usize,
-    /// The service of the worst tenant, within its share.
+    /// Service of the worst tenant, counting only requests within its share.
     pub worst_tenant: f64,
-    /// The service at gateways that started late, in their first 10 s.
+    /// Service at gateways that started late, in their first 10 s.
     pub fresh: Option<Mean>,
-    /// That at the others in that time, less theirs, pair by pair.
+    /// Difference between the service at the other gateways and that at the gateways that started late, in the same 10 s of a run.
     pub behind: Option<Mean>,
-    /// Nodes that fell over, in all runs together.
+    /// Endpoints that fell over, in all runs together.
     pub fallen: u64,
-    /// Rules broken, in all runs together.
+    /// Violations of rules, in all runs together.
     pub breaches: usize,
-    /// Decisions, in microseconds a request.
+    /// Time in the balancer, in microseconds for each request.
     pub decision_us: Option<f64>,
-    /// The service of the whole run less that of the first variant, pair by pair.
+    /// Difference in the service of the whole run to the first variant, compared seed by seed.
     pub difference: Option<Mean>,
-    /// So many seeds a difference of one point (0.01) takes to stand outside its interval.
+    /// Number of seeds at which the confidence interval is narrow enough to show a difference of one point (0.01).
     pub seeds_for_a_point: Option<u64>,
 }
 
-/// The rows of some runs, in their order. The first variant is what the others are held against.
+/// The rows of these runs, in the order of the runs. The first variant is the baseline of the others.
 pub fn rows(runs: &[Run]) -> Vec<Row> {
     let mut rows = Vec::new();
-    for script in names(runs, |r| &r.script) {
-        let of_script: Vec<&Run> = runs.iter().filter(|r| r.script == script).collect();
-        let mut sizes: Vec<usize> = of_script.iter().map(|r| r.gateways).collect();
+    for script in names(runs, |run| &run.script) {
+        let of_script: Vec<&Run> = runs.iter().filter(|run| run.script == script).collect();
+        let mut sizes: Vec<usize> = of_script.iter().map(|run| run.gateways).collect();
         sizes.sort_unstable();
         sizes.dedup();
-        let first = of_script.iter().find(|r| r.variant != ORACLE).map(|r| r.variant.as_str());
+        let first = of_script.iter().find(|run| run.variant != ORACLE).map(|run| run.variant.as_str());
         for gateways in sizes {
             let cell = |variant: &str| -> Vec<&Run> {
-                let same = |r: &&&Run| r.gateways == gateways && r.variant == variant;
+                let same = |run: &&&Run| run.gateways == gateways && run.variant == variant;
                 of_script.iter().filter(same).copied().collect()
             };
             let base = first.map(cell).unwrap_or_default();
-            for variant in names(runs, |r| &r.variant) {
+            for variant in names(runs, |run| &run.variant) {
                 let runs = cell(variant);
                 if !runs.is_empty() {
                     let base = (Some(variant) != first && variant != ORACLE).then_some(base.as_slice());
@@ -103,43 +104,46 @@
 }
 
 fn row(runs: &[&Run], base: Option<&[&Run]>) -> Row {
-    let of = |figure: fn(&Run) -> f64| runs.iter().map(|r| figure(r)).collect::<Vec<f64>>();
+    let of = |figure: fn(&Run) -> f64| runs.iter().map(|run| figure(run)).collect::<Vec<f64>>();
     let pairs: Option<Vec<f64>> = base.map(|base| {
-        let pair = |r: &&Run| base.iter().find(|b| b.seed == r.seed).map(|b| r.whole - b.whole);
+        let pair = |run: &&Run| {
+            base.iter().find(|other| other.seed == run.seed).map(|other| run.whole - other.whole)
+        };
         runs.iter().filter_map(pair).collect()
     });
-    let difference = pairs.filter(|p| !p.is_empty()).map(|p| Mean::of(&p));
-    let half = difference.and_then(|d| d.within);
-    let back: Vec<f64> = runs.iter().filter_map(|r| r.back_s).collect();
+    let difference = pairs.filter(|pairs| !pairs.is_empty()).map(|pairs| Mean::of(&pairs));
+    let half_width = difference.and_then(|difference| difference.within);
+    let back: Vec<f64> = runs.iter().filter_map(|run| run.back_s).collect();
     let all = |of: fn(&Run) -> Option<f64>| {
-        let values: Option<Vec<f64>> = runs.iter().map(|r| of(r)).collect();
-        values.map(|v| Mean::of(&v))
+        let values: Option<Vec<f64>> = runs.iter().map(|run| of(run)).collect();
+        values.map(|values| Mean::of(&values))
     };
     Row {
         script: runs[0].script.clone(),
         gateways: runs[0].gateways,
         variant: runs[0].variant.clone(),
         seeds: runs.len(),
-        whole: Mean::of(&of(|r| r.whole)),
-        least: of(|r| r.whole).into_iter().fold(f64::INFINITY, f64::min),
-        worst_10s: Mean::of(&of(|r| r.worst_10s)),
-        refused: Mean::of(&of(|r| r.refused)).mean,
-        fallen: runs.iter().map(|r| r.fallen).sum(),
-        breaches: runs.iter().map(|r| r.breaches).sum(),
-        dispersion: all(|r| r.dispersion).map(|m| m.mean),
-        back_s: Some(&back).filter(|b| !b.is_empty()).map(|b| Mean::of(b).mean),
+        whole: Mean::of(&of(|run| run.whole)),
+        least: of(|run| run.whole).into_iter().fold(f64::INFINITY, f64::min),
+        worst_10s: Mean::of(&of(|run| run.worst_10s)),
+        refused: Mean::of(&of(|run| run.refused)).mean,
+        fallen: runs.iter().map(|run| run.fallen).sum(),
+        breaches: runs.iter().map(|run| run.breaches).sum(),
+        dispersion: all(|run| run.dispersion).map(|mean| mean.mean),
+        back_s: Some(&back).filter(|values| !values.is_empty()).map(|values| Mean::of(values).mean),
         back_in: back.len(),
-        worst_tenant: Mean::of(&of(|r| r.worst_tenant)).mean,
-        fresh: all(|r| r.fresh),
-        behind: all(|r| r.others.zip(r.fresh).map(|(others, fresh)| others - fresh)),
-        decision_us: all(|r| r.decision_us).map(|m| m.mean),
+        worst_tenant: Mean::of(&of(|run| run.worst_tenant)).mean,
+        fresh: all(|run| run.fresh),
+        behind: all(|run| run.others.zip(run.fresh).map(|(others, fresh)| others - fresh)),
+        decision_us: all(|run| run.decision_us).map(|mean| mean.mean),
         difference,
-        // The interval narrows with the root of the number of seeds.
-        seeds_for_a_point: half.map(|h| ((h / 0.01).powi(2) * runs.len() as f64).ceil().max(2.0) as u64),
+        // The width of the interval is inversely proportional to the square root of the number of seeds.
+        seeds_for_a_point: half_width
+            .map(|half_width| ((half_width / 0.01).powi(2) * runs.len() as f64).ceil().max(2.0) as u64),
     }
 }
 
-/// The rows for a person.
+/// The rows as a text table for people.
 pub fn text(rows: &[Row]) -> String {
     let mut text = String::new();
     let _ = writeln!(
@@ -152,19 +156,21 @@
         "service",
         "least",
         "10 s",
-        "refused",
+        "rejected",
         "tenant",
         "back s",
         "spread",
         "fallen",
         "broken",
         "us",
-        "less the first",
+        "vs the first",
         "1 pt"
     );
-    let spread = |m: &Mean| m.within.map_or(String::new(), |w| format!(" ±{w:.4}"));
+    let half_width = |mean: &Mean| mean.within.map_or(String::new(), |within| format!(" ±{within:.4}"));
     for row in rows {
-        let difference = row.difference.map_or(String::new(), |d| format!("{:+.4}{}", d.mean, spread(&d)));
+        let difference = row.difference.map_or(String::new(), |difference| {
+            format!("{:+.4}{}", difference.mean, half_width(&difference))
+        });
         let _ = writeln!(
             text,
             "{:<20} {:>8} {:<12} {:>5} {:>16} {:>7.4} {:>7.4} {:>7.1}% {:>6.4} {:>9} {:>6} {:>6} {:>6} {:>6}  {:<18} {:>5}",
@@ -172,50 +178,50 @@
             row.gateways,
             row.variant,
             row.seeds,
-            format!("{:.4}{}", row.whole.mean, spread(&row.whole)),
+            format!("{:.4}{}", row.whole.mean, half_width(&row.whole)),
             row.least,
             row.worst_10s.mean,
             100.0 * row.refused,
             row.worst_tenant,
             match (row.back_s, row.back_in) {
                 (None, _) => String::new(),
-                (Some(s), n) if n == row.seeds => format!("{s:.1}"),
-                (Some(s), n) => format!("{s:.1} ({n})"),
+                (Some(back_s), runs) if runs == row.seeds => format!("{back_s:.1}"),
+                (Some(back_s), runs) => format!("{back_s:.1} ({runs})"),
             },
-            row.dispersion.map_or(String::new(), |d| format!("{d:.2}")),
+            row.dispersion.map_or(String::new(), |dispersion| format!("{dispersion:.2}")),
             row.fallen,
             row.breaches,
             row.decision_us.map_or(String::new(), |us| format!("{us:.1}")),
             difference,
-            row.seeds_for_a_point.map_or(String::new(), |n| n.to_string()),
+            row.seeds_for_a_point.map_or(String::new(), |seeds| seeds.to_string()),
         );
     }
-    for (row, fresh, behind) in rows.iter().filter_map(|r| Some((r, r.fresh?, r.behind?))) {
+    for (row, fresh, behind) in rows.iter().filter_map(|row| Some((row, row.fresh?, row.behind?))) {
         let _ = writeln!(
             text,
-            "{} {} {}: fresh gateways {:.4}{} in their first 10 s, behind the others by {:+.4}{}",
+            "{} {} {}: late gateways {:.4}{} in their first 10 s, below the others by {:+.4}{}",
             row.script,
             row.gateways,
             row.variant,
             fresh.mean,
-            spread(&fresh),
+            half_width(&fresh),
             behind.mean,
-            spread(&behind)
+            half_width(&behind)
         );
     }
     text
 }
 
-/// Each run on a line, for a spreadsheet.
+/// The runs as CSV, one line for each run.
 ///
 /// # Errors
-/// Where the writing fails, which in memory it does not.
+/// Writing fails, which does not happen in memory.
 pub fn csv(runs: &[Run]) -> Result<String, csv::Error> {
     let mut writer = csv::Writer::from_writer(Vec::new());
     for run in runs {
         writer.serialize(run)?;
     }
-    let bytes = writer.into_inner().map_err(|e| csv::Error::from(e.into_error()))?;
+    let bytes = writer.into_inner().map_err(|error| csv::Error::from(error.into_error()))?;
     Ok(String::from_utf8_lossy(&bytes).into_owned())
 }
 
@@ -246,27 +252,30 @@
     }
 
     #[test]
-    fn pairs_are_by_seed_and_the_interval_is_students() {
+    fn variants_are_compared_by_seed_with_students_confidence_interval() {
         let mut runs = vec![run(1, ORACLE, 1, 1.0)];
         let values = [(1, 0.90, 0.92), (2, 0.80, 0.81), (3, 0.70, 0.73)];
-        runs.extend(values.iter().map(|v| run(45, "off", v.0, v.1)));
-        runs.extend(values.iter().rev().map(|v| run(45, "on", v.0, v.2)));
+        runs.extend(values.iter().map(|values| run(45, "off", values.0, values.1)));
+        runs.extend(values.iter().rev().map(|values| run(45, "on", values.0, values.2)));
         let rows = rows(&runs);
-        let order: Vec<_> = rows.iter().map(|r| (r.gateways, r.variant.as_str())).collect();
+        let order: Vec<_> = rows.iter().map(|row| (row.gateways, row.variant.as_str())).collect();
         assert_eq!(order, [(1, ORACLE), (45, "off"), (45, "on")]);
         assert_eq!((rows[0].difference, rows[1].difference), (None, None));
-        let d = rows[2].difference.expect("pairs");
-        assert!((d.mean - 0.02).abs() < 1e-12, "{d:?}");
-        // t(2, 0.975) = 4.3027, the deviation 0.01: 4.3027 x 0.01 / sqrt 3.
-        assert!((d.within.expect("three pairs") - 0.024841).abs() < 1e-5, "{d:?}");
+        let difference = rows[2].difference.expect("no seed was run with both variants");
+        assert!((difference.mean - 0.02).abs() < 1e-12, "{difference:?}");
+        // With t(2, 0.975) = 4.3027 and a standard deviation of 0.01, the half width is 4.3027 x 0.01 / sqrt 3.
+        assert!(
+            (difference.within.expect("three seeds gave no interval") - 0.024841).abs() < 1e-5,
+            "{difference:?}"
+        );
         assert_eq!(rows[2].seeds_for_a_point, Some(19));
         assert_eq!((rows[2].fallen, rows[2].least), (3, 0.73));
-        assert_eq!(csv(&runs).expect("rows").lines().count(), 8);
+        assert_eq!(csv(&runs).expect("CSV was not written").lines().count(), 8);
         assert!(text(&rows).contains("+0.0200 ±0.0248"));
     }
 
     #[test]
-    fn one_seed_has_no_interval() {
+    fn a_single_value_has_no_confidence_interval() {
         assert_eq!(Mean::of(&[0.5]), Mean { mean: 0.5, within: None });
         assert_eq!(Mean::of(&[]).mean, 0.0);
     }
--- a/crates/testbed/tests/sweep.rs
+++ b/crates/testbed/tests/sweep.rs
@@ -1,4 +1,5 @@
-//! Studies: read whole or refused with the place, the same figures each time, and a bound that is one.
+//! Tests of studies: invalid studies are rejected with the place of each error, the figures are the same in every run, and the upper
+//! bound is above the service of the gateways.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,14 +8,15 @@
 use weldworks_testbed::sweep::run::ORACLE;
 use weldworks_testbed::sweep::{plot, run, table, Study};
 
-/// A folder of this test's own with a script and a study in it.
+/// A temporary folder of one test, with a script and a study; it is removed at the end.
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str, study: &str) -> Folder {
         let folder = std::env::temp_dir().join(format!("weldworks-sweep-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let write = |file: &str, text: &str| std::fs::write(folder.join(file), text).expect("a file");
+        std::fs::create_dir_all(&folder).expect("the temporary folder was not created");
+        let write =
+            |file: &str, text: &str| std::fs::write(folder.join(file), text).expect("a file was not written");
         write("day.toml", "name = \"day\"\nlasts = \"4s\"\n[load]\nrate = 200\n");
         write("study.toml", study);
         Folder(folder)
@@ -46,80 +48,88 @@
 "#;
 
 #[test]
-fn all_runs_are_played_paired_and_the_same_each_time() {
+fn a_study_carries_out_all_runs_with_the_same_figures_on_any_number_of_threads() {
     let folder = Folder::new("runs", STUDY);
-    let study = folder.study().expect("a study");
-    let heard = AtomicUsize::new(0);
-    let hear = |done: usize, of: usize| {
+    let study = folder.study().expect("the study is invalid");
+    let calls = AtomicUsize::new(0);
+    let on_progress = |done: usize, of: usize| {
         assert!(done <= of && of == 12);
-        heard.fetch_add(1, Ordering::Relaxed);
+        calls.fetch_add(1, Ordering::Relaxed);
     };
-    let runs = run(&study, 3, &hear).expect("runs");
-    assert_eq!((runs.len(), heard.into_inner()), (12, 12));
-    let plain = |threads| {
-        let mut runs = run(&study, threads, &|_, _| {}).expect("runs");
-        runs.iter_mut().for_each(|r| r.decision_us = None);
+    let runs = run(&study, 3, &on_progress).expect("a run failed");
+    assert_eq!((runs.len(), calls.into_inner()), (12, 12));
+    let without_times = |threads| {
+        let mut runs = run(&study, threads, &|_, _| {}).expect("a run failed");
+        runs.iter_mut().for_each(|run| run.decision_us = None);
         runs
     };
-    assert_eq!(plain(1), plain(4), "whatever the threads");
+    assert_eq!(without_times(1), without_times(4), "the number of threads changed the figures");
 
     let rows = table::rows(&runs);
     assert_eq!(rows.len(), 6);
     let row = |variant: &str, gateways| {
-        rows.iter().find(|r| r.variant == variant && r.gateways == gateways).expect("a row")
+        rows.iter().find(|row| row.variant == variant && row.gateways == gateways).expect("a row is missing")
     };
-    assert!(row("slow", 12).difference.expect("pairs").mean < -0.02, "what a variant sets has an effect");
+    assert!(
+        row("slow", 12).difference.expect("no seed was run with both variants").mean < -0.02,
+        "the variant's changes had no effect"
+    );
     assert!(row(ORACLE, 12).difference.is_none());
-    let svg = plot::svg(&rows).expect("a picture");
+    let svg = plot::svg(&rows).expect("the plots were not drawn");
     assert!(svg.contains("day: worst 10 s") && svg.contains("slow"));
 }
 
 #[test]
-fn mistakes_are_told_with_their_place() {
-    let wrong = |name: &str, study: &str, needles: &[&str]| {
-        let text = Folder::new(name, study).study().expect_err("a mistake");
+fn errors_in_a_study_are_reported_with_their_place() {
+    let assert_rejected = |name: &str, study: &str, needles: &[&str]| {
+        let text = Folder::new(name, study).study().expect_err("an invalid study was accepted");
         for needle in needles {
-            assert!(text.contains(needle), "{needle} is not in {text}");
+            assert!(text.contains(needle), "{needle} is missing from: {text}");
         }
     };
-    wrong("none", "name = \"x\"\n", &["study.toml", "[[script]]"]);
-    wrong(
+    assert_rejected("none", "name = \"x\"\n", &["study.toml", "[[script]]"]);
+    assert_rejected(
         "list",
         "name = \"x\"\ngateways = []\n[[script]]\nfile = \"day.toml\"\n",
         &["gateways", "1 to 10000"],
     );
-    wrong("file", "name = \"x\"\n[[script]]\nfile = \"gone.toml\"\n", &["gone.toml"]);
-    wrong("key", "name = \"x\"\ncolour = 1\n[[script]]\nfile = \"day.toml\"\n", &["colour"]);
+    assert_rejected("file", "name = \"x\"\n[[script]]\nfile = \"gone.toml\"\n", &["gone.toml"]);
+    assert_rejected("key", "name = \"x\"\ncolour = 1\n[[script]]\nfile = \"day.toml\"\n", &["colour"]);
     let twice = "name = \"x\"\n[[script]]\nfile = \"day.toml\"\n[[variant]]\nname = \"v\"\n[[variant]]\nname = \"v\"\n";
-    wrong("twice", twice, &["study.toml:7", "\"v\" is taken"]);
+    assert_rejected("twice", twice, &["study.toml:7", "\"v\" is taken"]);
     let set = "name = \"x\"\n[[script]]\nfile = \"day.toml\"\n[[variant]]\nname = \"v\"\nset = [\"load.rate = -1\"]\n";
-    wrong("set", set, &["day.toml", "variant \"v\"", "rate"]);
+    assert_rejected("set", set, &["day.toml", "variant \"v\"", "rate"]);
     let set =
         "name = \"x\"\n[[script]]\nfile = \"day.toml\"\n[[variant]]\nname = \"v\"\nset = [\"load rate\"]\n";
-    wrong("toml", set, &["day.toml", "load rate"]);
+    assert_rejected("toml", set, &["day.toml", "load rate"]);
     let many = "name = \"x\"\nseeds = 1000\ngateways = [1, 2]\n".to_owned()
         + &"[[script]]\nfile = \"day.toml\"\n".repeat(51);
-    wrong("many", &many, &["102000 runs"]);
+    assert_rejected("many", &many, &["102000 runs"]);
 }
 
 #[test]
-fn one_mind_for_all_gateways_serves_better_than_many() {
+fn one_balancer_for_all_gateways_serves_better_than_one_for_each() {
     let text = "name = \"busy\"\nlasts = \"8s\"\n[load]\nrate = 320\n";
-    let script = Script::parse("busy.toml", text).expect("a script");
-    let (own, _) = simulate(&script, 1, Some(45), None).expect("settings");
-    let (shared, _) = simulate_with(&script, 1, Some(45), None, Minds::Shared).expect("settings");
-    let whole = |r: &weldworks_testbed::report::Report| r.service.as_ref().expect("a figure").whole;
+    let script = Script::parse("busy.toml", text).expect("the script is invalid");
+    let (own, _) = simulate(&script, 1, Some(45), None).expect("the balancer rejected the settings");
+    let (shared, _) =
+        simulate_with(&script, 1, Some(45), None, Minds::Shared).expect("the balancer rejected the settings");
+    let whole = |report: &weldworks_testbed::report::Report| {
+        report.service.as_ref().expect("the report has no service figure").whole
+    };
     assert!(whole(&shared) > whole(&own), "{} and {}", whole(&shared), whole(&own));
     assert_eq!((shared.breaches.len(), own.breaches.len()), (0, 0));
 }
 
 #[test]
-fn the_studies_that_ship_are_as_they_should_be() {
+fn all_studies_of_the_repository_are_valid() {
     let folder = Path::new(concat!(env!("CARGO_MANIFEST_DIR"), "/studies"));
-    let studies: Vec<_> =
-        std::fs::read_dir(folder).expect("studies").map(|e| e.expect("an entry").path()).collect();
+    let studies: Vec<_> = std::fs::read_dir(folder)
+        .expect("the folder of studies cannot be read")
+        .map(|entry| entry.expect("a folder entry cannot be read").path())
+        .collect();
     assert!(studies.len() >= 3);
     for file in studies {
-        Study::read(&file).unwrap_or_else(|e| panic!("{}: {e}", file.display()));
+        Study::read(&file).unwrap_or_else(|error| panic!("{}: {error}", file.display()));
     }
 }
