--- a/crates/testbed/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -1,4 +1,4 @@
-//! The node model in virtual time: against queueing theory, and at the edges of what it promises.
+//! Tests of the endpoint model in virtual time: against queueing theory, and at the limits of its properties.
 
 use proptest::prelude::*;
 use std::collections::{HashMap, HashSet};
@@ -24,7 +24,7 @@
     Node::new(0, spec, Draws::new(7), Memories::default(), Duration::ZERO)
 }
 
-/// Lets time pass step by step and gives what comes out, each with its time.
+/// Advances the endpoint step by step and returns its outputs, each with its time.
 fn run_until(node: &mut Node, until: Duration) -> Vec<(Duration, Output)> {
     let mut out = Vec::new();
     while let Some(next) = node.next().filter(|next| *next <= until) {
@@ -36,7 +36,7 @@
     out
 }
 
-/// The one answer to an attempt.
+/// The answers to attempt `of`, each with its time.
 fn answers(out: &[(Duration, Output)], of: u64) -> Vec<(Duration, Answer)> {
     let answer = |(at, output): &(Duration, Output)| match output {
         Output::Answered { attempt, answer, .. } if *attempt == of => Some((*at, *answer)),
@@ -47,28 +47,29 @@
 
 /// The mean wait of M/M/c by Erlang's formula, in mean service times.
 fn erlang_wait(servers: u32, load: f64) -> f64 {
-    let (c, a) = (f64::from(servers), f64::from(servers) * load);
+    let (cores, offered_load) = (f64::from(servers), f64::from(servers) * load);
     let mut blocked = 1.0;
     for n in 1..=servers {
-        blocked = a * blocked / (f64::from(n) + a * blocked);
+        blocked = offered_load * blocked / (f64::from(n) + offered_load * blocked);
     }
     let waits = blocked / (1.0 - load * (1.0 - blocked));
-    waits / (c * (1.0 - load))
+    waits / (cores * (1.0 - load))
 }
 
 /// With as many slots as cores and exponential work, the model is M/M/c.
 #[test]
-fn waits_as_long_as_theory_says() {
+fn mean_wait_agrees_with_queueing_theory() {
     for (servers, load, requests) in [(2, 0.5, 200_000), (2, 0.8, 400_000), (4, 0.7, 300_000)] {
         let queue = 1_000_000;
         let mut node = node(NodeSpec { cores: servers, slots: servers, queue, ..NodeSpec::default() });
         let mut draws = Draws::new(11).stream(For::Arrivals, u64::from(servers));
         let (service, mut at) = (0.05, 0.0);
         let (mut came, mut waited, mut began) = (HashMap::new(), 0.0, 0u32);
-        let mut book = |out: Vec<(Duration, Output)>, came: &mut HashMap<u64, Duration>| {
+        let mut record = |out: Vec<(Duration, Output)>, came: &mut HashMap<u64, Duration>| {
             for (at, output) in out {
                 if let Output::Began { attempt } = output {
-                    let wait = at - came.remove(&attempt).expect("it came before it began");
+                    let wait =
+                        at - came.remove(&attempt).expect("an attempt began before its request arrived");
                     (waited, began) = (waited + wait.as_secs_f64(), began + 1);
                 }
             }
@@ -76,43 +77,46 @@
         for request in 0..requests {
             at += draws.exponential() * service / (f64::from(servers) * load);
             let now = Duration::from_secs_f64(at);
-            book(run_until(&mut node, now), &mut came);
+            record(run_until(&mut node, now), &mut came);
             assert!(node.connect(now, request));
             came.insert(request, now);
             node.request(now, request, request, work(request, service * draws.exponential()));
-            book(node.outputs().map(|o| (now, o)).collect(), &mut came);
-            // The model is asked about work, not about connections: they end with their answers.
+            record(node.outputs().map(|output| (now, output)).collect(), &mut came);
+            // Only the processing of work is tested: each connection ends some time after its answer, so that none runs short.
             let done = request.saturating_sub(500);
             if request >= 500 && !came.contains_key(&done) {
                 node.disconnect(now, done);
             }
         }
         let (mean, theory) = (waited / f64::from(began) / service, erlang_wait(servers, load));
-        let off = (mean / theory - 1.0).abs();
-        assert!(off < 0.05, "{servers} cores at {load}: {mean:.4} where theory has {theory:.4}");
+        let error = (mean / theory - 1.0).abs();
+        assert!(error < 0.05, "{servers} cores at load {load}: mean wait {mean:.4}, by theory {theory:.4}");
     }
 }
 
 #[test]
-fn a_budget_is_spent_at_its_edge_and_not_before() {
+fn a_budget_is_overspent_exactly_above_its_limit() {
     let mut budget = Budget::new(2.5, 2.0, 0.1);
-    // A capacity of 1: five seconds of work within two.
+    // With a capacity of 1 the budget is 5 s of work within 2 s.
     for n in 0..50 {
         assert!(!budget.overspent(f64::from(n) * 0.03, 0.1, 1.0), "after {n}");
     }
     assert!(budget.overspent(1.6, 0.001, 1.0));
-    // What has left the window counts no more.
+    // Work that has left the window no longer counts.
     let mut budget = Budget::new(2.5, 2.0, 0.1);
     for n in 0..1000 {
-        assert!(!budget.overspent(f64::from(n) * 0.1001, 0.2475, 1.0), "a steady 2.47 times, after {n}");
+        assert!(
+            !budget.overspent(f64::from(n) * 0.1001, 0.2475, 1.0),
+            "a steady 2.47 times the capacity, after {n} steps"
+        );
     }
     assert!(
         (1..100).any(|n| budget.overspent(101.0 + f64::from(n) * 0.1001, 0.2525, 1.0)),
-        "a steady 2.52 times"
+        "a steady 2.52 times the capacity"
     );
 }
 
-/// A cold node of one core that starts at a tenth and is warm after 10 s.
+/// A cold endpoint with one core, which starts at a tenth of its speed at 2 s and is warm 10 s later.
 fn cold() -> Node {
     let spec = NodeSpec {
         cores: 1,
@@ -125,14 +129,14 @@
     };
     let mut node = node(spec);
     node.kill(ms(1000));
-    assert!(!node.connect(ms(1500), 1), "its process is gone");
+    assert!(!node.connect(ms(1500), 1), "an endpoint without a process accepted a connection");
     node.start_cold(ms(2000));
     node
 }
 
 #[test]
-fn a_cold_node_falls_over_once_it_is_sent_too_much_and_stays_down() {
-    // At the start it can do 0.1 a second: 0.5 s of work within 2 s is the edge.
+fn a_cold_endpoint_falls_over_above_its_budget_and_stays_down() {
+    // At its start the endpoint does 0.1 s of work a second, so that its limit is 0.5 s of work within 2 s.
     for (each, falls) in [(0.049, false), (0.051, true)] {
         let mut node = cold();
         for n in 0..10 {
@@ -140,18 +144,18 @@
                 node.request(ms(2000), n, n, work(n, each));
             }
         }
-        let fell = node.outputs().any(|o| o == Output::FellOver);
-        assert_eq!((fell, node.state() == State::Fallen), (falls, falls), "ten times {each} s");
+        let fell = node.outputs().any(|output| output == Output::FellOver);
+        assert_eq!((fell, node.state() == State::Fallen), (falls, falls), "ten requests of {each} s");
         if falls {
             node.start_cold(ms(60_000));
-            assert_eq!(node.state(), State::Fallen, "it stays down");
+            assert_eq!(node.state(), State::Fallen, "an endpoint that fell over started again");
             assert!(!node.connect(ms(60_001), 99));
         }
     }
 }
 
 #[test]
-fn a_warm_node_bears_what_fells_a_cold_one() {
+fn a_warm_endpoint_bears_a_load_that_pushes_a_cold_one_over() {
     let mut node = cold();
     run_until(&mut node, ms(12_001));
     assert!((node.warmth() - 1.0).abs() < 1e-9);
@@ -163,7 +167,7 @@
 }
 
 #[test]
-fn warms_evenly_with_time_or_sooner_with_work() {
+fn an_endpoint_warms_linearly_with_time_and_no_slower_with_work() {
     let mut by_time = cold();
     run_until(&mut by_time, ms(7000));
     assert!((by_time.warmth() - 0.55).abs() < 1e-6, "{}", by_time.warmth());
@@ -178,24 +182,28 @@
         by_work.request(at, n, n, work(n, 0.4));
     }
     run_until(&mut by_work, ms(6000));
-    assert!(by_work.warmth() >= 0.1 + 0.9 * 0.6 - 1e-9, "never slower than time");
+    assert!(by_work.warmth() >= 0.1 + 0.9 * 0.6 - 1e-9, "warming with work was slower than with time");
     assert_eq!(by_work.state(), State::Up);
 }
 
 #[test]
-fn drops_a_repeat_within_the_window_and_only_inside_its_group() {
+fn a_repeat_is_dropped_only_within_the_window_and_the_key_scope() {
     let window = ms(1200);
     let mut memory = Repeats::default();
     use weldworks_testbed::model::Meeting::{Dropped, Runs};
     assert_eq!(memory.meet(ms(900), 5, window), Runs);
-    assert_eq!(memory.meet(ms(950), 5, window), Runs, "nothing has been done yet");
+    assert_eq!(
+        memory.meet(ms(950), 5, window),
+        Runs,
+        "a repeat was dropped before the request was processed"
+    );
     memory.done(ms(1000), 5);
-    assert_eq!(memory.meet(ms(2200), 5, window), Dropped, "at its last moment");
-    // The window is that of the one that was done: the repeat has not drawn it out.
-    assert_eq!(memory.meet(ms(2201), 5, window), Runs, "just after it");
-    assert_eq!(memory.meet(ms(2202), 6, window), Runs, "another key");
+    assert_eq!(memory.meet(ms(2200), 5, window), Dropped, "at the end of the window");
+    // The window begins when the request is processed; a repeat does not extend it.
+    assert_eq!(memory.meet(ms(2201), 5, window), Runs, "just after the window");
+    assert_eq!(memory.meet(ms(2202), 6, window), Runs, "with another key");
 
-    // Two nodes of one rack, and a third of another.
+    // Two endpoints in one rack, and a third in another rack.
     let (rack, all) = (Memories::default(), Memories::default());
     let other = Memories { all: rack.all.clone(), ..all };
     let of = |memories: &Memories| Node::new(0, NodeSpec::default(), Draws::new(1), memories.clone(), ms(0));
@@ -207,16 +215,16 @@
         let out = run_until(node, at + ms(50));
         answers(&out, id)[0].1 == Answer::Served { dropped: true }
     };
-    assert!(!ask(0, ms(0), 1, KeyScope::Cell), "the first one runs");
-    assert!(ask(1, ms(100), 1, KeyScope::Cell), "its rack knows it");
-    assert!(!ask(2, ms(200), 1, KeyScope::Cell), "another rack does not");
+    assert!(!ask(0, ms(0), 1, KeyScope::Cell), "the first request was dropped");
+    assert!(ask(1, ms(100), 1, KeyScope::Cell), "a repeat in the same rack was processed again");
+    assert!(!ask(2, ms(200), 1, KeyScope::Cell), "a request in another rack was dropped");
     assert!(!ask(0, ms(300), 2, KeyScope::All));
-    assert!(ask(2, ms(400), 2, KeyScope::All), "all nodes know this one");
+    assert!(ask(2, ms(400), 2, KeyScope::All), "a repeat with a key for all endpoints was processed again");
 }
 
-/// A payment that was called off half way has not been made: its repeat does the whole work, or nobody does.
+/// A request that was cancelled halfway, such as a payment, has had no effect, so that its repeat must be processed in full.
 #[test]
-fn a_repeat_of_what_was_cancelled_or_failed_runs_in_full() {
+fn a_repeat_of_a_cancelled_or_failed_request_is_processed_in_full() {
     let keyed = |n| Work { keyed: Some((9, KeyScope::All, ms(1200))), ..work(n, 0.1) };
     let mut node = node(NodeSpec { cores: 1, ..NodeSpec::default() });
     assert!(node.connect(ms(0), 0) && node.connect(ms(0), 1) && node.connect(ms(0), 2));
@@ -228,9 +236,12 @@
     assert_eq!(answers(&out, 1), [(ms(161), Answer::Served { dropped: false })]);
     node.request(ms(500), 2, 2, keyed(0));
     let out = run_until(&mut node, ms(700));
-    assert!(matches!(answers(&out, 2)[..], [(_, Answer::Served { dropped: true })]), "that one was done");
+    assert!(
+        matches!(answers(&out, 2)[..], [(_, Answer::Served { dropped: true })]),
+        "a repeat of a processed request was not dropped"
+    );
 
-    // One that ends with an error has done nothing either.
+    // A request that ends with an error has had no effect either.
     let mut failing = Node::new(
         0,
         NodeSpec { error_rate: 1.0, ..NodeSpec::default() },
@@ -246,7 +257,7 @@
 }
 
 #[test]
-fn what_waits_and_is_cancelled_has_not_run() {
+fn a_queued_request_that_is_cancelled_is_not_processed() {
     let mut node = node(NodeSpec { cores: 1, slots: 1, ..NodeSpec::default() });
     for n in 0..2 {
         assert!(node.connect(ms(0), n));
@@ -260,7 +271,7 @@
 }
 
 #[test]
-fn work_stops_when_it_is_cancelled_where_the_node_does_that() {
+fn cancelled_work_stops_only_on_endpoints_that_support_cancelling() {
     for (cancels, ends) in [(true, ms(100)), (false, ms(190))] {
         let mut node = node(NodeSpec { cores: 1, slots: 4, cancels, ..NodeSpec::default() });
         assert!(node.connect(ms(0), 1) && node.connect(ms(0), 2));
@@ -274,7 +285,7 @@
 }
 
 #[test]
-fn turns_away_what_it_has_no_place_for_and_what_is_over() {
+fn requests_are_rejected_when_the_queue_is_full_or_their_deadline_has_passed() {
     let mut node = node(NodeSpec { cores: 1, slots: 1, queue: 1, ..NodeSpec::default() });
     for n in 0..3 {
         assert!(node.connect(ms(0), n));
@@ -284,12 +295,12 @@
     let out = run_until(&mut node, ms(1000));
     assert_eq!(answers(&out, 0), [(ms(100), Answer::Served { dropped: false })]);
     assert_eq!(answers(&out, 1), [(ms(100), Answer::TurnedAway(Refusal::Expired))]);
-    let full: Vec<_> = answers(&out, 2).into_iter().map(|(_, a)| a).collect();
+    let full: Vec<_> = answers(&out, 2).into_iter().map(|(_, answer)| answer).collect();
     assert_eq!(full, [Answer::TurnedAway(Refusal::QueueFull)]);
 }
 
 #[test]
-fn a_draining_node_finishes_what_it_has_and_takes_nothing_new() {
+fn a_draining_endpoint_finishes_its_requests_and_rejects_new_ones() {
     let mut node = node(NodeSpec::default());
     assert!(node.connect(ms(0), 1) && node.connect(ms(0), 2));
     node.request(ms(0), 1, 1, work(1, 0.1));
@@ -303,21 +314,21 @@
 }
 
 #[test]
-fn holds_so_many_connections_and_lets_idle_ones_go() {
+fn the_number_of_connections_is_limited_and_idle_connections_are_closed() {
     let mut node = node(NodeSpec { connections: 2, keep_alive: ms(1000), ..NodeSpec::default() });
     assert!(node.connect(ms(0), 1) && node.connect(ms(400), 2));
-    assert!(!node.connect(ms(500), 3), "its table is full");
+    assert!(!node.connect(ms(500), 3), "a connection was accepted with a full connection table");
     let out = run_until(&mut node, ms(1200));
     assert_eq!(out, [(ms(1000), Output::Ended { connection: 1, attempt: None })]);
     assert!(node.connect(ms(1200), 4));
 }
 
 #[test]
-fn a_connection_that_was_forgotten_in_silence_resets_what_comes_on_it() {
+fn a_connection_that_was_dropped_silently_resets_the_next_request() {
     let mut node = node(NodeSpec::default());
     assert!(node.connect(ms(0), 1));
     node.let_go_after(ms(100), Some((ms(500), true)));
-    assert!(run_until(&mut node, ms(2000)).is_empty(), "it says nothing");
+    assert!(run_until(&mut node, ms(2000)).is_empty(), "the endpoint announced the end of the connection");
     assert_eq!(node.open(), 0);
     node.request(ms(2000), 1, 7, work(7, 0.01));
     let out: Vec<_> = node.outputs().collect();
@@ -325,17 +336,21 @@
 }
 
 #[test]
-fn a_handshake_costs_work_and_the_first_request_waits_for_it() {
+fn a_handshake_costs_work_and_only_the_first_request_waits_for_it() {
     let mut node = node(NodeSpec { cores: 1, handshake: 0.03, ..NodeSpec::default() });
     assert!(node.connect(ms(0), 1));
     node.request(ms(1), 1, 1, work(1, 0.1));
     assert_eq!(answers(&run_until(&mut node, ms(500)), 1)[0].0, ms(130));
     node.request(ms(500), 1, 2, work(2, 0.1));
-    assert_eq!(answers(&run_until(&mut node, ms(900)), 2)[0].0, ms(600), "the second one does not");
+    assert_eq!(
+        answers(&run_until(&mut node, ms(900)), 2)[0].0,
+        ms(600),
+        "the second request waited for a handshake"
+    );
 }
 
 #[test]
-fn a_neighbour_takes_its_share_and_a_pause_takes_all() {
+fn a_neighbour_takes_its_share_of_the_processor_and_a_pause_takes_all() {
     let mut node = node(NodeSpec { cores: 1, ..NodeSpec::default() });
     assert!(node.connect(ms(0), 1));
     node.share_with_neighbour(ms(0), 0.5);
@@ -357,11 +372,11 @@
     assert!(paused.connect(ms(0), 1));
     paused.request(ms(0), 1, 1, work(1, 100.0));
     let at = answers(&run_until(&mut paused, ms(600_000)), 1)[0].0.as_secs_f64();
-    assert!((112.0..128.0).contains(&at), "100 s of work and a fifth more of pauses took {at} s");
+    assert!((112.0..128.0).contains(&at), "100 s of work with pauses for about a fifth of that took {at} s");
 }
 
 #[test]
-fn a_key_that_was_met_lately_costs_less() {
+fn a_recently_seen_subject_costs_less_work() {
     let spec = NodeSpec { cores: 1, key_gain: 0.5, key_for: ms(1000), key_places: 2, ..NodeSpec::default() };
     let mut node = node(spec);
     assert!(node.connect(ms(0), 1));
@@ -371,13 +386,13 @@
     };
     assert_eq!(took(0, 1), 100);
     assert_eq!(took(500, 1), 50);
-    assert_eq!(took(2000, 1), 100, "forgotten with time");
+    assert_eq!(took(2000, 1), 100, "a subject was still cached after its time");
     assert_eq!((took(2300, 2), took(2600, 3)), (100, 100));
-    assert_eq!(took(2900, 1), 100, "no place was left for it");
+    assert_eq!(took(2900, 1), 100, "a subject was still cached although the cache was full of others");
 }
 
 #[test]
-fn chokes_when_it_holds_too_much_and_rests_before_it_is_well() {
+fn an_endpoint_chokes_after_too_many_requests_in_flight_and_recovers_after_a_rest() {
     let choke =
         ChokeSpec { at: 4.0, over: ms(1000), slower: 3.0, below: 0.3, rest: ms(1000), most: ms(20_000) };
     let mut node = node(NodeSpec { cores: 1, slots: 100, choke: Some(choke), ..NodeSpec::default() });
@@ -386,18 +401,18 @@
         node.request(ms(0), n, n, work(n, 0.5));
     }
     run_until(&mut node, ms(900));
-    assert!(!node.choked(), "not before its time");
+    assert!(!node.choked(), "the endpoint choked before 1 s");
     run_until(&mut node, ms(1200));
-    assert!(node.choked(), "eight on one core for a second");
-    // Four seconds of work in all: about a second was done at full speed, and the rest takes thrice as long.
+    assert!(node.choked(), "eight requests on one core for a second did not choke the endpoint");
+    // The work is 4 s in all: about 1 s of it is done at full speed, and the remaining work takes three times as long.
     let out = run_until(&mut node, ms(30_000));
-    let last = (0..8).map(|n| answers(&out, n)[0].0).max().expect("eight answers");
+    let last = (0..8).map(|n| answers(&out, n)[0].0).max().expect("no request was answered");
     assert!((ms(9000)..ms(11_500)).contains(&last), "{last:?}");
-    assert!(!node.choked(), "it has rested");
+    assert!(!node.choked(), "the endpoint did not recover after its rest");
 }
 
 #[test]
-fn reports_are_refreshed_now_and_then_and_late() {
+fn load_reports_change_only_at_their_period_and_with_their_delay() {
     let mut spec = NodeSpec { cores: 4, ..NodeSpec::default() };
     (spec.report.period, spec.report.late) = (ms(500), ms(200));
     let mut node = node(spec);
@@ -416,12 +431,12 @@
             Output::Answered { report, .. } => Some(report.inflight),
             _ => None,
         });
-        seen.push(report.expect("it fails at once"));
+        seen.push(report.expect("a request that fails at once got no answer"));
     }
-    assert_eq!(seen[0], 0.0, "nothing has been reported yet");
+    assert_eq!(seen[0], 0.0, "the first answer has a load report with requests in flight");
     assert!(seen.ends_with(&[5.0]), "{seen:?}");
     let turns = seen.windows(2).filter(|w| w[0] != w[1]).count();
-    assert_eq!(turns, 1, "a report moves at its refresh alone: {seen:?}");
+    assert_eq!(turns, 1, "a load report changed between two refreshes: {seen:?}");
 }
 
 #[derive(Clone, Debug)]
@@ -454,8 +469,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
 
-    /// Whatever happens to a node, an attempt ends once at the most, nothing of it is left when all is over, and it
-    /// never holds more than it was given.
+    /// Whatever happens to an endpoint, each attempt ends at most once, no attempt is left at the end, and the endpoint never has
+    /// more requests in flight than its slots, its queue and its connections allow.
     #[test]
     fn every_attempt_ends_once(steps in proptest::collection::vec(step(), 1..120), seed in any::<u64>()) {
         let choke = Some(ChokeSpec { at: 2.0, over: ms(500), slower: 2.0, below: 0.3, rest: ms(500), most: ms(5000) });
@@ -479,7 +494,7 @@
                     if let Some(&connection) = free.get(c % free.len().max(1)) {
                         ids += 1;
                         if node.state() != State::Silent {
-                            out.insert(ids, connection); // one that is cut off never answers
+                            out.insert(ids, connection); // an endpoint that is cut off never answers
                         }
                         node.request(now, connection, ids, work(ids, f64::from(w) * 1e-3));
                     }
@@ -498,7 +513,7 @@
                 Step::Kill => node.kill(now),
                 Step::CutOff => {
                     node.cut_off(now);
-                    out.clear(); // what was out is silent for good
+                    out.clear(); // attempts in flight at the cut-off are never answered
                 }
                 Step::Start => node.start_cold(now),
                 Step::Drain(on) => node.drain(now, on),
