--- a/crates/testbed/src/ledger/evenness.rs
+++ b/crates/testbed/src/checker/evenness.rs
@@ -1,6 +1,6 @@
 //! How evenly attempts arrive at endpoints: the index of dispersion of the number of attempts in short windows.
 
-use super::{Ledger, Told};
+use super::{Checker, Told};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 /// Least number of windows in which an endpoint is listed as up; the variance over fewer windows is not meaningful.
 const MIN_WINDOWS: usize = 8;
 
-impl Ledger {
+impl Checker {
     /// The variance over the mean of the number of attempts that reach an endpoint in 500 ms (Fano's index of dispersion),
     /// as the mean over all endpoints, weighted by their attempts. Independent arrivals (a Poisson process) give 1. The index is
     /// below 1 when the fleet spreads attempts more evenly, and far above 1 when gateways choose the same endpoint at the same time.
@@ -76,8 +76,8 @@
     use super::*;
 
     /// A checker that recorded these numbers of attempts at endpoint 0, one number for each window.
-    fn ledger(counts: &[u64]) -> Ledger {
-        let mut ledger = Ledger::new(Vec::new(), vec![(0, 0)]);
+    fn ledger(counts: &[u64]) -> Checker {
+        let mut ledger = Checker::new(Vec::new(), vec![(0, 0)]);
         ledger.told(0, 0, Duration::ZERO, Told::Up(None));
         let mut attempt = 0;
         for (window, count) in counts.iter().enumerate() {
--- a/crates/testbed/src/ledger/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -127,7 +127,7 @@
 
 /// The checker of one run: records what clients and endpoints observe, and finds violations of the rules.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct Checker {
     classes: Vec<ClassTerms>,
     records: FxHashMap<RequestNumber, Record>,
     order: Vec<RequestNumber>,
@@ -138,10 +138,10 @@
     groups: Vec<(usize, usize)>,
 }
 
-impl Ledger {
+impl Checker {
     /// A checker without records, for these request classes; `groups` holds the zone and the rack of each endpoint.
-    pub fn new(classes: Vec<ClassTerms>, groups: Vec<(usize, usize)>) -> Ledger {
-        Ledger {
+    pub fn new(classes: Vec<ClassTerms>, groups: Vec<(usize, usize)>) -> Checker {
+        Checker {
             classes,
             groups,
             records: FxHashMap::default(),
--- a/crates/testbed/src/ledger/rules.rs
+++ b/crates/testbed/src/checker/rules.rs
@@ -1,6 +1,6 @@
 //! Checks the four rules against the records of a run. Each violation names its request, its endpoint and the events of the request.
 
-use super::{Got, Ledger, Record, RequestNumber, Told};
+use super::{Checker, Got, Record, RequestNumber, Told};
 use serde::Serialize;
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, KeyScope};
@@ -84,7 +84,7 @@
 
 /// Collects violations in the order in which they are found.
 struct ViolationFinder<'l> {
-    ledger: &'l Ledger,
+    ledger: &'l Checker,
     rules: Rules,
     breaches: Vec<Breach>,
 }
@@ -93,7 +93,7 @@
     (at.as_secs_f64() * 1e6).round() / 1e6
 }
 
-impl Ledger {
+impl Checker {
     /// All violations of the rules, in the order of time.
     pub fn breaches(&self, rules: Rules) -> Vec<Breach> {
         let mut finder = ViolationFinder { ledger: self, rules, breaches: Vec::new() };
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The nodes of a script, built by the seed: the same ones in virtual time and on sockets.
 
+use crate::checker::{Checker, ClassTerms};
 use crate::draws::{Draws, For};
-use crate::ledger::{ClassTerms, Ledger};
 use crate::model::{Memories, Node, NodeSpec, Repeats, Report, ReportSpec};
 use crate::register::Deed;
 use crate::script::Script;
@@ -75,8 +75,8 @@
 }
 
 /// An empty ledger for a script.
-pub fn ledger(script: &Script) -> Ledger {
+pub fn ledger(script: &Script) -> Checker {
     let terms = |c: &crate::script::Class| ClassTerms { aim: c.aim, effect: c.effect };
     let groups = (0..script.fleet.nodes).map(|n| (script.zone_of(n), script.rack_of(n))).collect();
-    Ledger::new(script.classes.iter().map(terms).collect(), groups)
+    Checker::new(script.classes.iter().map(terms).collect(), groups)
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! A script has two runners: [`simulate`] runs the script in virtual time with the balancer in process;
 //! [`replay`] runs the script on loopback sockets with real gateway processes. Both runners use the same [`model`] of
-//! an endpoint, the same [`plan`] of requests, which is fixed before a run, and the same [`ledger`].
+//! an endpoint, the same [`plan`] of requests, which is fixed before a run, and the same [`checker`].
 
 #![allow(
     clippy::too_many_lines,
@@ -12,11 +12,11 @@
 )]
 
 pub mod bulk;
+pub mod checker;
 pub mod client;
 pub mod count;
 pub mod draws;
 pub mod fleet;
-pub mod ledger;
 pub mod live;
 pub mod logs;
 pub mod model;
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -3,8 +3,8 @@
 use super::http::{Connection, Kind, Message, ReadError};
 use super::nodes::number;
 use super::Day;
+use crate::checker::{Ask, Got};
 use crate::client::{next_try, patience, Seen};
-use crate::ledger::{Ask, Got};
 use crate::plan::Asked;
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
--- a/crates/testbed/src/live/mod.rs
+++ b/crates/testbed/src/live/mod.rs
@@ -7,8 +7,8 @@
 pub mod nodes;
 pub mod register;
 
+use crate::checker::Checker;
 use crate::draws::Draws;
-use crate::ledger::Ledger;
 use crate::plan::Asked;
 use crate::report::{Counts, Sample};
 use crate::script::Script;
@@ -53,7 +53,7 @@
     /// The time.
     pub clock: Clock,
     /// What was seen.
-    pub ledger: RefCell<Ledger>,
+    pub ledger: RefCell<Checker>,
     /// How often things happened.
     pub counts: Cell<Counts>,
     /// Tries that were served in time.
--- a/crates/testbed/src/live/nodes.rs
+++ b/crates/testbed/src/live/nodes.rs
@@ -6,8 +6,8 @@
 
 use super::http::{Connection, Kind, ReadError};
 use super::{node_address, Day};
+use crate::checker::{AttemptSeen, Ended};
 use crate::fleet::carry_out;
-use crate::ledger::{AttemptSeen, Ended};
 use crate::model::{Answer, AttemptId, ConnectionId, Node, Output, Refusal, Report, State, Work};
 use crate::plan::attempt_seconds;
 use crate::register::Deed;
--- a/crates/testbed/src/live/register.rs
+++ b/crates/testbed/src/live/register.rs
@@ -3,7 +3,7 @@
 use super::http::{Connection, Kind};
 use super::nodes::LiveNode;
 use super::Day;
-use crate::ledger::Told;
+use crate::checker::Told;
 use crate::register::{Call, Entry, List, Register, Status};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/register.rs
@@ -3,8 +3,8 @@
 //! What a script does to nodes is known ahead, so most changes stand on a timeline from the start. Nodes that fall
 //! over are added when they do. A version is a place on the timeline.
 
+use crate::checker::Told;
 use crate::draws::{Draws, For};
-use crate::ledger::Told;
 use crate::plan::met;
 use crate::script::{Script, What};
 use std::time::Duration;
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -1,7 +1,7 @@
 //! Runs a script on loopback sockets, with real gateway processes between the test bed's clients and its stand-in endpoints.
 
+use crate::checker::Rules;
 use crate::fleet::nodes;
-use crate::ledger::Rules;
 use crate::live::clients::Clients;
 use crate::live::gateways::{ready, GatewayError, RunningGateway, StartGateway};
 use crate::live::nodes::LiveNode;
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,6 +1,6 @@
 //! The report of a run, as JSON and as text, with the samples of its timeline.
 
-use crate::ledger::{back_after, Breach, Got, Ledger, Service, Tally};
+use crate::checker::{back_after, Breach, Checker, Got, Service, Tally};
 use crate::plan::Asked;
 use crate::script::Script;
 use serde::Serialize;
@@ -135,7 +135,7 @@
     /// Seconds from the last end of an event until service had recovered to 0.95 for the rest of the run; `None` where service
     /// did not recover, or where an event has no end.
     pub back_s: Option<f64>,
-    /// How evenly attempts arrived at endpoints ([`Ledger::dispersion`]): 1 for independent arrivals.
+    /// How evenly attempts arrived at endpoints ([`Checker::dispersion`]): 1 for independent arrivals.
     pub dispersion: Option<f64>,
     /// Most work that all gateways together sent to a cold endpoint in a window, as a fraction of the work that it may be sent;
     /// `None` where no endpoint was cold.
@@ -243,7 +243,7 @@
 pub fn tallies(
     script: &Script,
     plan: &[Asked],
-    ledger: &Ledger,
+    ledger: &Checker,
     tries: &[Vec<(u64, Duration)>],
 ) -> Vec<Tally> {
     let tally = |asked: &Asked| {
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -6,7 +6,7 @@
 //!
 //! These functions are for tests: what can't be had (a port, a program) ends the test with a panic.
 
-use crate::ledger::{Ask, AttemptSeen, ClassTerms, Ended, Got, Ledger, Rule, Rules};
+use crate::checker::{Ask, AttemptSeen, Checker, ClassTerms, Ended, Got, Rule, Rules};
 use crate::live::gateways::listening;
 use crate::live::nodes::number;
 use serde_json::{json, Value};
@@ -27,7 +27,7 @@
 /// What has been seen in a test, by all its stand-ins.
 #[derive(Clone)]
 pub struct Book {
-    ledger: Arc<Mutex<Ledger>>,
+    ledger: Arc<Mutex<Checker>>,
     start: Instant,
     attempts: Arc<AtomicU64>,
 }
@@ -54,7 +54,7 @@
             aim: Duration::from_millis(*aim),
             effect: *effect,
         };
-        let ledger = Ledger::new(CLASSES.iter().map(terms).collect(), Vec::new());
+        let ledger = Checker::new(CLASSES.iter().map(terms).collect(), Vec::new());
         Book { ledger: Arc::new(Mutex::new(ledger)), start: Instant::now(), attempts: Arc::default() }
     }
 
@@ -63,7 +63,7 @@
         BOOK.with(Book::clone)
     }
 
-    fn note(&self, what: impl FnOnce(&mut Ledger, Duration)) {
+    fn note(&self, what: impl FnOnce(&mut Checker, Duration)) {
         let now = self.start.elapsed();
         what(&mut self.ledger.lock().expect("lock"), now);
     }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -6,10 +6,10 @@
 mod killed;
 mod register;
 
+use crate::checker::{Ask, AttemptSeen, Checker, Ended, Got, Rules};
 use crate::client::{next_try, patience, Seen};
 use crate::draws::{Draws, For};
 use crate::fleet::{carry_out, kinds, ledger, nodes};
-use crate::ledger::{Ask, AttemptSeen, Ended, Got, Ledger, Rules};
 use crate::model::{Answer, Node, Output, State, Work};
 use crate::plain::Plain;
 use crate::plan::{attempt_seconds, plan, Asked};
@@ -233,7 +233,7 @@
     weights: Vec<f64>,
     /// The version that the gateways' agents have, where news are pushed.
     agents: u64,
-    ledger: Ledger,
+    ledger: Checker,
     counts: Counts,
     timeline: Vec<Sample>,
     sampled: Counts,
--- a/crates/testbed/src/simulate/register.rs
+++ b/crates/testbed/src/simulate/register.rs
@@ -1,7 +1,7 @@
 //! The register in virtual time: calls, news, and the weights that it gives nodes by what they hold.
 
 use super::{Happening, World, BEFORE};
-use crate::ledger::Told;
+use crate::checker::Told;
 use crate::model::Node;
 use crate::register::{Call, Entry, List, Status};
 use weldworks_balancer::{EndpointId, EndpointState, Event};
--- a/crates/testbed/tests/at_size.rs
+++ b/crates/testbed/tests/at_size.rs
@@ -1,7 +1,7 @@
 //! Scenarios with a hundred gateways and sixty endpoints, in virtual time. The gateways together must violate no rule, and the
 //! service must not fall more than some points below its present value.
 
-use weldworks_testbed::ledger::Service;
+use weldworks_testbed::checker::Service;
 use weldworks_testbed::script::Script;
 use weldworks_testbed::simulate::simulate;
 
--- a/crates/testbed/tests/ledger.rs
+++ b/crates/testbed/tests/checker.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, KeyScope};
-use weldworks_testbed::ledger::{
-    Ask, AttemptSeen, ClassTerms, Ended, Got, Ledger, Rule, Rules, Service, Tally, Told,
+use weldworks_testbed::checker::{
+    Ask, AttemptSeen, Checker, ClassTerms, Ended, Got, Rule, Rules, Service, Tally, Told,
 };
 
 const fn ms(ms: u64) -> Duration {
@@ -16,27 +16,27 @@
 const ALL: usize = 3;
 
 /// A checker of three endpoints: endpoints 0 and 1 share a rack, endpoint 2 is alone in another rack.
-fn ledger() -> Ledger {
+fn ledger() -> Checker {
     let keyed = |group| Idempotency::IdempotencyKey { scope: group, window: ms(1000) };
     let terms =
         [Idempotency::Idempotent, keyed(KeyScope::Cell), Idempotency::NotIdempotent, keyed(KeyScope::All)];
     let terms = terms.map(|effect| ClassTerms { aim: ms(300), effect }).to_vec();
-    Ledger::new(terms, vec![(0, 0), (0, 0), (1, 1)])
+    Checker::new(terms, vec![(0, 0), (0, 0), (1, 1)])
 }
 
-fn ask(ledger: &mut Ledger, class: usize) {
+fn ask(ledger: &mut Checker, class: usize) {
     ledger.asked(1, Ask { gateway: 0, class, at: ms(0), until: ms(1000) });
 }
 
 /// Records attempt `number` at an endpoint, from `from` to `until` in milliseconds.
-fn attempt(ledger: &mut Ledger, number: u64, node: usize, from: u64, until: u64, how: Ended) {
+fn attempt(ledger: &mut Checker, number: u64, node: usize, from: u64, until: u64, how: Ended) {
     let (whole, began, ended) = (Some(ms(from)), None, None);
     let (first, seconds, gateway) = (ms(from), 0.01, 0);
     ledger.attempt(1, AttemptSeen { attempt: number, node, gateway, first, whole, began, ended, seconds });
     ledger.ended(number, ms(until), how);
 }
 
-fn found(ledger: &Ledger) -> Vec<Rule> {
+fn found(ledger: &Checker) -> Vec<Rule> {
     ledger.breaches(Rules::virtual_time()).into_iter().map(|b| b.rule).collect()
 }
 
--- a/crates/testbed/tests/mutants.rs
+++ b/crates/testbed/tests/mutants.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
-use weldworks_testbed::ledger::Rule;
+use weldworks_testbed::checker::Rule;
 use weldworks_testbed::live::gateways::{RunningGateway, StartGateway, Starting, Stopping};
 use weldworks_testbed::live::http::{Connection, First, Kind, Message};
 use weldworks_testbed::replay::replay;
