--- a/crates/testbed/src/checker/evenness.rs
+++ b/crates/testbed/src/checker/evenness.rs
@@ -76,9 +76,9 @@
     use super::*;
 
     /// A checker that recorded these numbers of attempts at endpoint 0, one number for each window.
-    fn ledger(counts: &[u64]) -> Checker {
-        let mut ledger = Checker::new(Vec::new(), vec![(0, 0)]);
-        ledger.told(0, 0, Duration::ZERO, Told::Up(None));
+    fn checker(counts: &[u64]) -> Checker {
+        let mut checker = Checker::new(Vec::new(), vec![(0, 0)]);
+        checker.told(0, 0, Duration::ZERO, Told::Up(None));
         let mut attempt = 0;
         for (window, count) in counts.iter().enumerate() {
             for n in 0..*count {
@@ -86,28 +86,28 @@
                 let first = WINDOW * window as u32 + Duration::from_millis(n);
                 let (gateway, node, whole, began, ended) = (0, 0, None, None, None);
                 let seen = AttemptSeen { attempt, node, gateway, first, whole, began, ended, seconds: 0.01 };
-                ledger.attempt(attempt, seen);
+                checker.attempt(attempt, seen);
             }
         }
-        ledger
+        checker
     }
 
     #[test]
     fn dispersion_is_zero_for_even_arrivals_and_high_for_alternating_ones() {
         let lasts = WINDOW * 10;
-        assert_eq!(ledger(&[7; 10]).dispersion(lasts), Some(0.0));
+        assert_eq!(checker(&[7; 10]).dispersion(lasts), Some(0.0));
         // With 0 and 20 attempts in turn the mean is 10 and the variance 1000 / 9.
-        let alternating = ledger(&[0, 20, 0, 20, 0, 20, 0, 20, 0, 20])
+        let alternating = checker(&[0, 20, 0, 20, 0, 20, 0, 20, 0, 20])
             .dispersion(lasts)
             .expect("the run has no dispersion");
         assert!((alternating - 100.0 / 9.0).abs() < 1e-9, "{alternating}");
-        assert_eq!(ledger(&[0; 10]).dispersion(lasts), None);
-        assert_eq!(ledger(&[7; 7]).dispersion(WINDOW * 7), None, "too few windows");
+        assert_eq!(checker(&[0; 10]).dispersion(lasts), None);
+        assert_eq!(checker(&[7; 7]).dispersion(WINDOW * 7), None, "too few windows");
     }
 
     #[test]
     fn windows_in_which_an_endpoint_is_not_listed_as_up_do_not_count() {
-        let mut drained = ledger(&[7, 7, 7, 7, 7, 0, 0, 0, 7, 7, 7, 7, 7]);
+        let mut drained = checker(&[7, 7, 7, 7, 7, 0, 0, 0, 7, 7, 7, 7, 7]);
         drained.told(0, 0, WINDOW * 5 - Duration::from_millis(1), Told::Draining);
         drained.told(0, 0, WINDOW * 7 + Duration::from_millis(1), Told::Up(None));
         assert_eq!(drained.dispersion(WINDOW * 13), Some(0.0));
--- a/crates/testbed/src/checker/rules.rs
+++ b/crates/testbed/src/checker/rules.rs
@@ -84,7 +84,7 @@
 
 /// Collects violations in the order in which they are found.
 struct ViolationFinder<'l> {
-    ledger: &'l Checker,
+    checker: &'l Checker,
     rules: Rules,
     breaches: Vec<Breach>,
 }
@@ -96,7 +96,7 @@
 impl Checker {
     /// All violations of the rules, in the order of time.
     pub fn breaches(&self, rules: Rules) -> Vec<Breach> {
-        let mut finder = ViolationFinder { ledger: self, rules, breaches: Vec::new() };
+        let mut finder = ViolationFinder { checker: self, rules, breaches: Vec::new() };
         for (number, record) in self.records() {
             finder.check_answers(number, record);
             finder.check_attempts(number, record);
@@ -150,7 +150,7 @@
         if let Some(attempt) = after {
             self.report(Rule::SentAfterAnswer, number, record, Some(attempt.node), attempt.first);
         }
-        let Some(class) = self.ledger.classes.get(ask.class) else { return };
+        let Some(class) = self.checker.classes.get(ask.class) else { return };
         if matches!(got, Got::Refused | Got::Failed) {
             // A request may wait until its latency objective, and as long as an attempt is in flight.
             let ended = |attempt: &super::AttemptSeen| attempt.ended.map_or(at, |(end, _)| end);
@@ -177,7 +177,7 @@
 
     /// Checks that one attempt of the request was in flight at a time, and that it was retried only as its class allows.
     fn check_attempts(&mut self, number: RequestNumber, record: &Record) {
-        let class = record.ask.as_ref().and_then(|ask| self.ledger.classes.get(ask.class)).copied();
+        let class = record.ask.as_ref().and_then(|ask| self.checker.classes.get(ask.class)).copied();
         let mut possibly_processed: Option<(Duration, usize)> = None;
         let mut before: Option<&super::AttemptSeen> = None;
         for attempt in record.attempts.iter().filter(|attempt| attempt.whole.is_some()) {
@@ -209,7 +209,7 @@
     }
 
     fn share_scope(&self, scope: KeyScope, one: usize, other: usize) -> bool {
-        let groups_of = |node: usize| self.ledger.groups.get(node).copied().unwrap_or_default();
+        let groups_of = |node: usize| self.checker.groups.get(node).copied().unwrap_or_default();
         match scope {
             KeyScope::All => true,
             KeyScope::Zone => groups_of(one).0 == groups_of(other).0,
@@ -220,7 +220,7 @@
     /// Checks that no attempt was sent to an endpoint later than the drain grace after the gateway was notified that it drains or was removed.
     fn check_drained(&mut self, number: RequestNumber, record: &Record) {
         for attempt in &record.attempts {
-            let Some(told) = self.ledger.told.get(&(attempt.gateway, attempt.node)) else { continue };
+            let Some(told) = self.checker.told.get(&(attempt.gateway, attempt.node)) else { continue };
             let last = told.iter().rev().find(|(at, _)| *at <= attempt.first);
             let Some((at, Told::Draining | Told::Gone)) = last else { continue };
             // The drain grace begins at the first of several successive notifications that forbid attempts.
@@ -240,19 +240,23 @@
     /// Checks the cold endpoints that fell over. A fall is a violation where at least two thirds of the work came from gateways
     /// that had been notified of the endpoint's start, or count as notified.
     fn check_falls(&mut self) {
-        for &(node, at) in &self.ledger.fallen {
-            let starts = self.ledger.starts.get(&node).map(Vec::as_slice).unwrap_or_default();
+        for &(node, at) in &self.checker.fallen {
+            let starts = self.checker.starts.get(&node).map(Vec::as_slice).unwrap_or_default();
             let Some(&start) = starts.iter().rev().find(|start| **start <= at) else { continue };
             let from = at.saturating_sub(self.rules.fall_over).max(start);
             let (mut notified_work_s, mut total_work_s, mut count) = (0.0, 0.0, 0u32);
-            for (_, record) in self.ledger.records() {
+            for (_, record) in self.checker.records() {
                 for attempt in record
                     .attempts
                     .iter()
                     .filter(|attempt| attempt.node == node && attempt.first >= from && attempt.first <= at)
                 {
-                    let told =
-                        self.ledger.told.get(&(attempt.gateway, node)).map(Vec::as_slice).unwrap_or_default();
+                    let told = self
+                        .checker
+                        .told
+                        .get(&(attempt.gateway, node))
+                        .map(Vec::as_slice)
+                        .unwrap_or_default();
                     let was_notified = told.iter().any(|(notified_at, what)| {
                         *notified_at <= attempt.first && matches!(what, Told::Up(Some(listed_start)) if *listed_start + self.rules.slack >= start)
                     });
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -170,8 +170,8 @@
 }
 
 fn report(day: &Day, seed: u64, clients: &Clients, lateness: Lateness) -> Report {
-    let ledger = day.ledger.borrow();
-    let tallies = tallies(&day.script, &day.plan, &ledger, &clients.tries());
+    let checker = day.ledger.borrow();
+    let tallies = tallies(&day.script, &day.plan, &checker, &clients.tries());
     let unsound = lateness.too_busy();
     Report {
         script: day.script.name.clone(),
@@ -180,12 +180,12 @@
         gateways: day.gateways,
         nodes: day.script.fleet.nodes,
         service: unsound.is_none().then(|| service(&day.script, &tallies)),
-        breaches: ledger.breaches(Rules { drain_grace: day.script.limits.drain_grace, ..Rules::sockets() }),
+        breaches: checker.breaches(Rules { drain_grace: day.script.limits.drain_grace, ..Rules::sockets() }),
         unsound,
         counts: day.counts.get(),
         fresh: None,
         back_s: back(&day.script, &tallies),
-        dispersion: ledger.dispersion(day.script.lasts),
+        dispersion: checker.dispersion(day.script.lasts),
         cold_peak: None,
         lateness: Some(lateness),
         timeline: day.timeline.borrow().clone(),
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -243,7 +243,7 @@
 pub fn tallies(
     script: &Script,
     plan: &[Asked],
-    ledger: &Checker,
+    checker: &Checker,
     tries: &[Vec<(u64, Duration)>],
 ) -> Vec<Tally> {
     let tally = |asked: &Asked| {
@@ -251,7 +251,7 @@
         let first = tries.first().map_or(asked.at, |(_, at)| *at);
         let objective_end = first + script.classes[asked.class].aim;
         let in_time = tries.iter().any(|(number, _)| {
-            let got = ledger.of(*number).and_then(|record| record.got.first());
+            let got = checker.of(*number).and_then(|record| record.got.first());
             got.is_some_and(|(at, got)| *got == Got::Served && *at <= objective_end)
         });
         Tally {
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -16,7 +16,7 @@
 const ALL: usize = 3;
 
 /// A checker of three endpoints: endpoints 0 and 1 share a rack, endpoint 2 is alone in another rack.
-fn ledger() -> Checker {
+fn checker() -> Checker {
     let keyed = |group| Idempotency::IdempotencyKey { scope: group, window: ms(1000) };
     let terms =
         [Idempotency::Idempotent, keyed(KeyScope::Cell), Idempotency::NotIdempotent, keyed(KeyScope::All)];
@@ -24,20 +24,20 @@
     Checker::new(terms, vec![(0, 0), (0, 0), (1, 1)])
 }
 
-fn ask(ledger: &mut Checker, class: usize) {
-    ledger.asked(1, Ask { gateway: 0, class, at: ms(0), until: ms(1000) });
+fn ask(checker: &mut Checker, class: usize) {
+    checker.asked(1, Ask { gateway: 0, class, at: ms(0), until: ms(1000) });
 }
 
 /// Records attempt `number` at an endpoint, from `from` to `until` in milliseconds.
-fn attempt(ledger: &mut Checker, number: u64, node: usize, from: u64, until: u64, how: Ended) {
+fn attempt(checker: &mut Checker, number: u64, node: usize, from: u64, until: u64, how: Ended) {
     let (whole, began, ended) = (Some(ms(from)), None, None);
     let (first, seconds, gateway) = (ms(from), 0.01, 0);
-    ledger.attempt(1, AttemptSeen { attempt: number, node, gateway, first, whole, began, ended, seconds });
-    ledger.ended(number, ms(until), how);
+    checker.attempt(1, AttemptSeen { attempt: number, node, gateway, first, whole, began, ended, seconds });
+    checker.ended(number, ms(until), how);
 }
 
-fn found(ledger: &Checker) -> Vec<Rule> {
-    ledger.breaches(Rules::virtual_time()).into_iter().map(|b| b.rule).collect()
+fn found(checker: &Checker) -> Vec<Rule> {
+    checker.breaches(Rules::virtual_time()).into_iter().map(|b| b.rule).collect()
 }
 
 #[test]
@@ -52,33 +52,33 @@
         (&[(200, Got::Foreign)], &[Rule::ForeignAnswer]),
     ];
     for (answers, rules) in cases {
-        let mut ledger = ledger();
-        ask(&mut ledger, SAFE);
-        attempt(&mut ledger, 1, 0, 10, 190, Ended::Served);
-        answers.iter().for_each(|(at, got)| ledger.got(1, ms(*at), *got));
-        assert_eq!(found(&ledger), rules, "{answers:?}");
+        let mut checker = checker();
+        ask(&mut checker, SAFE);
+        attempt(&mut checker, 1, 0, 10, 190, Ended::Served);
+        answers.iter().for_each(|(at, got)| checker.got(1, ms(*at), *got));
+        assert_eq!(found(&checker), rules, "{answers:?}");
     }
 }
 
 #[test]
 fn a_client_that_gives_up_before_its_deadline_is_owed_no_answer() {
     for (left, rules) in [(500, vec![]), (1000, vec![Rule::Unanswered])] {
-        let mut ledger = ledger();
-        ask(&mut ledger, SAFE);
-        ledger.gave_up(1, ms(left));
-        assert_eq!(found(&ledger), rules);
+        let mut checker = checker();
+        ask(&mut checker, SAFE);
+        checker.gave_up(1, ms(left));
+        assert_eq!(found(&checker), rules);
     }
 }
 
 #[test]
 fn only_one_attempt_of_a_request_may_be_in_flight() {
     for (second, rules) in [(100, vec![]), (89, vec![Rule::TwoCopies])] {
-        let mut ledger = ledger();
-        ask(&mut ledger, SAFE);
-        attempt(&mut ledger, 1, 0, 10, 100, Ended::Left);
-        attempt(&mut ledger, 2, 1, second, 200, Ended::Served);
-        ledger.got(1, ms(201), Got::Served);
-        assert_eq!(found(&ledger), rules, "second attempt at {second} ms");
+        let mut checker = checker();
+        ask(&mut checker, SAFE);
+        attempt(&mut checker, 1, 0, 10, 100, Ended::Left);
+        attempt(&mut checker, 2, 1, second, 200, Ended::Served);
+        checker.got(1, ms(201), Got::Served);
+        assert_eq!(found(&checker), rules, "second attempt at {second} ms");
     }
 }
 
@@ -97,19 +97,19 @@
         (ALL, Ended::Left, 2, 1021, false),
     ];
     for (class, how, node, again, allowed) in cases {
-        let mut ledger = ledger();
-        ledger.asked(1, Ask { gateway: 0, class, at: ms(0), until: ms(5000) });
-        attempt(&mut ledger, 1, 0, 10, 100, how);
-        attempt(&mut ledger, 2, node, again, again + 50, Ended::Served);
-        ledger.got(1, ms(again + 51), Got::Served);
+        let mut checker = checker();
+        checker.asked(1, Ask { gateway: 0, class, at: ms(0), until: ms(5000) });
+        attempt(&mut checker, 1, 0, 10, 100, how);
+        attempt(&mut checker, 2, node, again, again + 50, Ended::Served);
+        checker.got(1, ms(again + 51), Got::Served);
         let rules = if allowed { vec![] } else { vec![Rule::ResentAgainstClass] };
-        assert_eq!(found(&ledger), rules, "class {class}, {how:?}, then node {node} at {again}");
+        assert_eq!(found(&checker), rules, "class {class}, {how:?}, then node {node} at {again}");
     }
 }
 
 #[test]
 fn attempts_after_the_answer_and_late_rejections_are_violations() {
-    let mut sent = ledger();
+    let mut sent = checker();
     ask(&mut sent, SAFE);
     sent.got(1, ms(50), Got::Refused);
     attempt(&mut sent, 1, 0, 70, 100, Ended::Served);
@@ -121,7 +121,7 @@
         (600, 640, vec![]),
         (600, 641, vec![Rule::HeldBack]),
     ] {
-        let mut held = ledger();
+        let mut held = checker();
         ask(&mut held, SAFE);
         if last > 0 {
             attempt(&mut held, 1, 0, 10, last, Ended::Error);
@@ -140,11 +140,11 @@
         (UNSAFE, Ended::Broken, vec![Rule::RefusedAfterRun]),
         (UNSAFE, Ended::TurnedAway, vec![]),
     ] {
-        let mut ledger = ledger();
-        ask(&mut ledger, class);
-        attempt(&mut ledger, 1, 0, 10, 50, how);
-        ledger.got(1, ms(60), Got::Refused);
-        assert_eq!(found(&ledger), rules, "class {class}, {how:?}");
+        let mut checker = checker();
+        ask(&mut checker, class);
+        attempt(&mut checker, 1, 0, 10, 50, how);
+        checker.got(1, ms(60), Got::Refused);
+        assert_eq!(found(&checker), rules, "class {class}, {how:?}");
     }
 }
 
@@ -156,45 +156,45 @@
         (Told::Gone, 3011, vec![Rule::SentToDrained]),
         (Told::Up(None), 3011, vec![]),
     ] {
-        let mut ledger = ledger();
-        ledger.told(0, 0, ms(1000), told);
-        ledger.told(1, 0, ms(0), Told::Gone); // a notification binds only the gateway that received it
-        ledger.asked(1, Ask { gateway: 0, class: SAFE, at: ms(at), until: ms(at + 1000) });
-        attempt(&mut ledger, 1, 0, at, at + 10, Ended::Served);
-        ledger.got(1, ms(at + 11), Got::Served);
-        assert_eq!(found(&ledger), rules, "{told:?}, attempt at {at} ms");
+        let mut checker = checker();
+        checker.told(0, 0, ms(1000), told);
+        checker.told(1, 0, ms(0), Told::Gone); // a notification binds only the gateway that received it
+        checker.asked(1, Ask { gateway: 0, class: SAFE, at: ms(at), until: ms(at + 1000) });
+        attempt(&mut checker, 1, 0, at, at + 10, Ended::Served);
+        checker.got(1, ms(at + 11), Got::Served);
+        assert_eq!(found(&checker), rules, "{told:?}, attempt at {at} ms");
     }
     // The removal of an endpoint that was draining does not restart the drain grace; only a notification that it is up ends the grace.
-    let mut ledger = ledger();
-    ledger.told(0, 0, ms(1000), Told::Draining);
-    ledger.told(0, 0, ms(2500), Told::Gone);
-    ledger.asked(1, Ask { gateway: 0, class: SAFE, at: ms(3500), until: ms(4500) });
-    attempt(&mut ledger, 1, 0, 3500, 3510, Ended::Served);
-    ledger.got(1, ms(3511), Got::Served);
-    assert_eq!(found(&ledger), [Rule::SentToDrained]);
+    let mut checker = checker();
+    checker.told(0, 0, ms(1000), Told::Draining);
+    checker.told(0, 0, ms(2500), Told::Gone);
+    checker.asked(1, Ask { gateway: 0, class: SAFE, at: ms(3500), until: ms(4500) });
+    attempt(&mut checker, 1, 0, 3500, 3510, Ended::Served);
+    checker.got(1, ms(3511), Got::Served);
+    assert_eq!(found(&checker), [Rule::SentToDrained]);
 }
 
 #[test]
 fn a_fallen_endpoint_is_a_violation_if_the_sending_gateways_were_notified_of_its_start() {
     for (knew, rules) in [(true, vec![Rule::PushedOver]), (false, vec![])] {
-        let mut ledger = ledger();
-        ledger.started(0, ms(1000));
+        let mut checker = checker();
+        checker.started(0, ms(1000));
         if knew {
-            ledger.told(0, 0, ms(1500), Told::Up(Some(ms(1000))));
+            checker.told(0, 0, ms(1500), Told::Up(Some(ms(1000))));
         }
-        ledger.asked(1, Ask { gateway: 0, class: SAFE, at: ms(1990), until: ms(3000) });
-        attempt(&mut ledger, 1, 0, 2000, 2010, Ended::Broken);
-        ledger.got(1, ms(2011), Got::Refused);
-        ledger.fell(0, ms(2010));
-        assert_eq!(found(&ledger), rules, "knew: {knew}");
+        checker.asked(1, Ask { gateway: 0, class: SAFE, at: ms(1990), until: ms(3000) });
+        attempt(&mut checker, 1, 0, 2000, 2010, Ended::Broken);
+        checker.got(1, ms(2011), Got::Refused);
+        checker.fell(0, ms(2010));
+        assert_eq!(found(&checker), rules, "knew: {knew}");
     }
 }
 
 #[test]
 fn an_attempt_of_a_request_that_no_client_sent_is_reported() {
-    let mut ledger = ledger();
-    attempt(&mut ledger, 1, 0, 10, 50, Ended::Error);
-    let breaches = ledger.breaches(Rules::virtual_time());
+    let mut checker = checker();
+    attempt(&mut checker, 1, 0, 10, 50, Ended::Error);
+    let breaches = checker.breaches(Rules::virtual_time());
     assert_eq!(breaches[0].rule, Rule::NobodyAsked);
     assert_eq!(breaches[0].request.as_deref(), Some("0000000000000001"));
     assert!(breaches[0].events[0].contains("node 0 sees attempt 1's first byte"), "{:?}", breaches[0]);
