--- a/crates/gateway/tests/replay.rs
+++ b/crates/gateway/tests/replay.rs
@@ -14,7 +14,7 @@
     std::fs::create_dir_all(&folder).expect("a folder");
     let start = Program { path: PathBuf::from(env!("CARGO_BIN_EXE_weldworks-gateway")), folder, settings };
     let (report, _) = replay(&script, 2, None, &start, &|_, _, _| {}, std::future::pending()).expect("a run");
-    assert_eq!(report.breaches, [], "{}", report.to_text());
+    assert_eq!(report.violations, [], "{}", report.to_text());
     report
 }
 
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -8,7 +8,7 @@
 mod rules;
 mod service;
 
-pub use rules::{Breach, Rule, Rules};
+pub use rules::{Rule, Rules, Violation};
 pub use service::{back_after, Service, Tally, Window};
 
 use crate::model::AttemptId;
--- a/crates/testbed/src/checker/rules.rs
+++ b/crates/testbed/src/checker/rules.rs
@@ -35,7 +35,7 @@
 
 /// A violation of a rule, with the events that show it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Breach {
+pub struct Violation {
     /// The rule that was violated.
     pub rule: Rule,
     /// Number of the request, in hexadecimal as in its header.
@@ -86,7 +86,7 @@
 struct ViolationFinder<'l> {
     checker: &'l Checker,
     rules: Rules,
-    breaches: Vec<Breach>,
+    violations: Vec<Violation>,
 }
 
 fn seconds(at: Duration) -> f64 {
@@ -95,17 +95,17 @@
 
 impl Checker {
     /// All violations of the rules, in the order of time.
-    pub fn breaches(&self, rules: Rules) -> Vec<Breach> {
-        let mut finder = ViolationFinder { checker: self, rules, breaches: Vec::new() };
+    pub fn violations(&self, rules: Rules) -> Vec<Violation> {
+        let mut finder = ViolationFinder { checker: self, rules, violations: Vec::new() };
         for (number, record) in self.records() {
             finder.check_answers(number, record);
             finder.check_attempts(number, record);
             finder.check_drained(number, record);
         }
         finder.check_falls();
-        let mut breaches = finder.breaches;
-        breaches.sort_by(|a, b| a.at_s.total_cmp(&b.at_s).then(a.rule.cmp(&b.rule)));
-        breaches
+        let mut violations = finder.violations;
+        violations.sort_by(|a, b| a.at_s.total_cmp(&b.at_s).then(a.rule.cmp(&b.rule)));
+        violations
     }
 }
 
@@ -119,7 +119,7 @@
         at: Duration,
     ) {
         let request = Some(format!("{number:016x}"));
-        self.breaches.push(Breach { rule, request, node, at_s: seconds(at), events: events(record) });
+        self.violations.push(Violation { rule, request, node, at_s: seconds(at), events: events(record) });
     }
 
     /// Checks that the client got one final answer in time, that this answer was made for the request and not held back,
@@ -279,9 +279,9 @@
                     format!("{:.3} s: it falls over", at.as_secs_f64()),
                 ];
                 let node = Some(node);
-                let breach =
-                    Breach { rule: Rule::PushedOver, request: None, node, at_s: seconds(at), events };
-                self.breaches.push(breach);
+                let violation =
+                    Violation { rule: Rule::PushedOver, request: None, node, at_s: seconds(at), events };
+                self.violations.push(violation);
             }
         }
     }
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -217,7 +217,7 @@
     if let Some(path) = &arguments.svg {
         write_file(path, &plot::svg(&rows)?)?;
     }
-    Ok(ExitCode::from(u8::from(rows.iter().any(|row| row.breaches > 0))))
+    Ok(ExitCode::from(u8::from(rows.iter().any(|row| row.violations > 0))))
 }
 
 fn write_report(run_args: &RunArgs, report: &Report) -> Result<ExitCode, Box<dyn Error>> {
@@ -229,7 +229,7 @@
         write_file(path, &svg(report)?)?;
     }
     Ok(match report {
-        report if !report.breaches.is_empty() => ExitCode::from(1),
+        report if !report.violations.is_empty() => ExitCode::from(1),
         report if report.unsound.is_some() => ExitCode::from(3),
         _ => ExitCode::SUCCESS,
     })
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -180,7 +180,8 @@
         gateways: day.gateways,
         nodes: day.script.fleet.nodes,
         service: unsound.is_none().then(|| service(&day.script, &tallies)),
-        breaches: checker.breaches(Rules { drain_grace: day.script.limits.drain_grace, ..Rules::sockets() }),
+        violations: checker
+            .violations(Rules { drain_grace: day.script.limits.drain_grace, ..Rules::sockets() }),
         unsound,
         counts: day.counts.get(),
         fresh: None,
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,6 +1,6 @@
 //! The report of a run, as JSON and as text, with the samples of its timeline.
 
-use crate::checker::{back_after, Breach, Checker, Got, Service, Tally};
+use crate::checker::{back_after, Checker, Got, Service, Tally, Violation};
 use crate::plan::Asked;
 use crate::script::Script;
 use serde::Serialize;
@@ -124,7 +124,8 @@
     /// Service of the run; `None` where the machine was too busy to measure it.
     pub service: Option<Service>,
     /// Violations of the rules, each with its request and events.
-    pub breaches: Vec<Breach>,
+    #[serde(rename = "breaches")]
+    pub violations: Vec<Violation>,
     /// Reason why the report has no service figure.
     pub unsound: Option<String>,
     /// Counts over the whole run.
@@ -151,7 +152,7 @@
 impl Report {
     /// Whether no rule was violated and the service figure is valid.
     pub fn sound(&self) -> bool {
-        self.breaches.is_empty() && self.unsound.is_none()
+        self.violations.is_empty() && self.unsound.is_none()
     }
 
     /// The report as JSON; equal reports give equal bytes.
@@ -217,21 +218,25 @@
                 "  dispersion of attempts at endpoints {dispersion:.2} (1 for independent arrivals)"
             );
         }
-        if self.breaches.is_empty() {
+        if self.violations.is_empty() {
             let _ = writeln!(text, "  no rule violated");
         }
-        for breach in self.breaches.iter().take(10) {
-            let request = breach.request.as_deref().unwrap_or("-");
-            let _ = writeln!(text, "  VIOLATED {:?} at {:.3} s, request {request}", breach.rule, breach.at_s);
-            breach.events.iter().for_each(|event| {
+        for violation in self.violations.iter().take(10) {
+            let request = violation.request.as_deref().unwrap_or("-");
+            let _ = writeln!(
+                text,
+                "  VIOLATED {:?} at {:.3} s, request {request}",
+                violation.rule, violation.at_s
+            );
+            violation.events.iter().for_each(|event| {
                 let _ = writeln!(text, "    {event}");
             });
         }
-        if self.breaches.len() > 10 {
+        if self.violations.len() > 10 {
             let _ = writeln!(
                 text,
                 "  and {} more violations; the JSON report lists all",
-                self.breaches.len() - 10
+                self.violations.len() - 10
             );
         }
         text
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -127,9 +127,9 @@
     pub fn check(&self) {
         let slack = Duration::from_secs(2);
         let rules = Rules { slack, held_back: slack, ..Rules::sockets() };
-        let mut breaches = self.ledger.lock().expect("lock").breaches(rules);
-        breaches.retain(|b| b.rule != Rule::NobodyAsked);
-        assert!(breaches.is_empty(), "{breaches:#?}");
+        let mut violations = self.ledger.lock().expect("lock").violations(rules);
+        violations.retain(|b| b.rule != Rule::NobodyAsked);
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -965,9 +965,9 @@
             gateways: self.gateways.len(),
             nodes: self.nodes.len(),
             service: Some(service(self.script, &tallies)),
-            breaches: self
+            violations: self
                 .ledger
-                .breaches(Rules { drain_grace: self.script.limits.drain_grace, ..Rules::virtual_time() }),
+                .violations(Rules { drain_grace: self.script.limits.drain_grace, ..Rules::virtual_time() }),
             unsound: None,
             counts: self.counts,
             fresh,
--- a/crates/testbed/src/sweep/run.rs
+++ b/crates/testbed/src/sweep/run.rs
@@ -46,7 +46,8 @@
     /// Endpoints that fell over.
     pub fallen: u64,
     /// Number of violations of rules.
-    pub breaches: usize,
+    #[serde(rename = "breaches")]
+    pub violations: usize,
     /// Time in the balancer, in microseconds for each request; `None` for another build, which does not report it.
     pub decision_us: Option<f64>,
 }
@@ -214,7 +215,8 @@
 #[derive(Deserialize)]
 struct ReportFigures {
     service: Service,
-    breaches: Vec<serde_json::Value>,
+    #[serde(rename = "breaches")]
+    violations: Vec<serde_json::Value>,
     counts: Counts,
     dispersion: Option<f64>,
     back_s: Option<f64>,
@@ -267,7 +269,7 @@
             fresh: self.fresh.as_ref().map(|fresh| fresh.service),
             others: self.fresh.as_ref().map(|fresh| fresh.others),
             fallen: self.counts.fallen,
-            breaches: self.breaches.len(),
+            violations: self.violations.len(),
             decision_us: None,
         }
     }
--- a/crates/testbed/src/sweep/table.rs
+++ b/crates/testbed/src/sweep/table.rs
@@ -67,7 +67,8 @@
     /// Endpoints that fell over, in all runs together.
     pub fallen: u64,
     /// Violations of rules, in all runs together.
-    pub breaches: usize,
+    #[serde(rename = "breaches")]
+    pub violations: usize,
     /// Time in the balancer, in microseconds for each request.
     pub decision_us: Option<f64>,
     /// Difference in the service of the whole run to the first variant, compared seed by seed.
@@ -128,7 +129,7 @@
         worst_10s: Mean::of(&of(|run| run.worst_10s)),
         refused: Mean::of(&of(|run| run.refused)).mean,
         fallen: runs.iter().map(|run| run.fallen).sum(),
-        breaches: runs.iter().map(|run| run.breaches).sum(),
+        violations: runs.iter().map(|run| run.violations).sum(),
         dispersion: all(|run| run.dispersion).map(|mean| mean.mean),
         back_s: Some(&back).filter(|values| !values.is_empty()).map(|values| Mean::of(values).mean),
         back_in: back.len(),
@@ -190,7 +191,7 @@
             },
             row.dispersion.map_or(String::new(), |dispersion| format!("{dispersion:.2}")),
             row.fallen,
-            row.breaches,
+            row.violations,
             row.decision_us.map_or(String::new(), |us| format!("{us:.1}")),
             difference,
             row.seeds_for_a_point.map_or(String::new(), |seeds| seeds.to_string()),
@@ -246,7 +247,7 @@
             fresh: None,
             others: None,
             fallen: 1,
-            breaches: 0,
+            violations: 0,
             decision_us: None,
         }
     }
--- a/crates/testbed/tests/at_size.rs
+++ b/crates/testbed/tests/at_size.rs
@@ -11,7 +11,7 @@
 
 fn run(text: &str, seed: u64) -> Service {
     let (report, _) = simulate(&script(text), seed, None, None).expect("the balancer rejected the settings");
-    assert!(report.breaches.is_empty(), "seed {seed}: {:?}", report.breaches);
+    assert!(report.violations.is_empty(), "seed {seed}: {:?}", report.violations);
     report.service.expect("the report has no service figure")
 }
 
@@ -79,7 +79,7 @@
 fn gateways_killed_with_requests_in_flight_violate_no_rule() {
     let text = include_str!("../scripts/killed-in-hand.toml");
     let (report, _) = simulate(&script(text), 1, None, None).expect("the balancer rejected the settings");
-    assert!(report.breaches.is_empty(), "{:?}", report.breaches);
+    assert!(report.violations.is_empty(), "{:?}", report.violations);
     let calm = text.replace("killed = 70", "killed = 0");
     let (calm, _) = simulate(&script(&calm), 1, None, None).expect("the balancer rejected the settings");
     let (with, without) = (
@@ -100,7 +100,7 @@
         let text = text.replace("killed = 70", &format!("killed = {killed}"));
         let (report, _) =
             simulate(&script(&text), 1, None, None).expect("the balancer rejected the settings");
-        assert!(report.breaches.is_empty(), "{gateways} gateways: {:?}", report.breaches);
+        assert!(report.violations.is_empty(), "{gateways} gateways: {:?}", report.violations);
         let peak = report.cold_peak.expect("no endpoint was cold");
         // With more than a hundred gateways, the gateways that are not notified yet send too much by themselves; the rule counts only
         // the notified gateways.
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -37,7 +37,7 @@
 }
 
 fn found(checker: &Checker) -> Vec<Rule> {
-    checker.breaches(Rules::virtual_time()).into_iter().map(|b| b.rule).collect()
+    checker.violations(Rules::virtual_time()).into_iter().map(|b| b.rule).collect()
 }
 
 #[test]
@@ -194,10 +194,10 @@
 fn an_attempt_of_a_request_that_no_client_sent_is_reported() {
     let mut checker = checker();
     attempt(&mut checker, 1, 0, 10, 50, Ended::Error);
-    let breaches = checker.breaches(Rules::virtual_time());
-    assert_eq!(breaches[0].rule, Rule::NobodyAsked);
-    assert_eq!(breaches[0].request.as_deref(), Some("0000000000000001"));
-    assert!(breaches[0].events[0].contains("node 0 sees attempt 1's first byte"), "{:?}", breaches[0]);
+    let violations = checker.violations(Rules::virtual_time());
+    assert_eq!(violations[0].rule, Rule::NobodyAsked);
+    assert_eq!(violations[0].request.as_deref(), Some("0000000000000001"));
+    assert!(violations[0].events[0].contains("node 0 sees attempt 1's first byte"), "{:?}", violations[0]);
 }
 
 #[test]
--- a/crates/testbed/tests/mutants.rs
+++ b/crates/testbed/tests/mutants.rs
@@ -211,7 +211,7 @@
 
 /// The rules that the checker finds violated in a run of this length with a gateway that has this fault.
 fn found(fault: Fault, lasts: &str, event: &str) -> BTreeSet<Rule> {
-    played(fault, lasts, event).breaches.iter().map(|b| b.rule).collect()
+    played(fault, lasts, event).violations.iter().map(|b| b.rule).collect()
 }
 
 fn played(fault: Fault, lasts: &str, event: &str) -> Report {
@@ -321,9 +321,9 @@
 #[test]
 fn reports_a_cold_endpoint_that_falls_over_and_the_endpoint_stays_down() {
     let report = played(Fault::None, "4s", RESTARTING);
-    let rules: BTreeSet<Rule> = report.breaches.iter().map(|breach| breach.rule).collect();
+    let rules: BTreeSet<Rule> = report.violations.iter().map(|violation| violation.rule).collect();
     assert_eq!(rules, only(Rule::PushedOver), "{}", report.to_text());
-    assert_eq!((report.breaches[0].node, report.counts.fallen), (Some(1), 1));
+    assert_eq!((report.violations[0].node, report.counts.fallen), (Some(1), 1));
     let last = report.timeline.last().expect("the timeline is empty");
     assert_eq!((last.down, last.warm), (1, 5), "the endpoint is not down at the end of the run");
 }
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -44,7 +44,7 @@
         }
         let (one, other) = (run(&script, 3), run(&script, 3));
         assert_eq!(one.to_json(), other.to_json(), "{file}");
-        assert_eq!(one.breaches, [], "{file}");
+        assert_eq!(one.violations, [], "{file}");
         let service = one.service.as_ref().expect("the report has no service figure").whole;
         assert!((0.5..=1.0).contains(&service), "{file}: {service}");
         assert_ne!(one.to_json(), run(&script, 4).to_json(), "{file}: another seed gave the same report");
@@ -146,13 +146,17 @@
         "{}",
         report.to_text()
     );
-    assert_eq!(report.breaches, []);
+    assert_eq!(report.violations, []);
     // Cold endpoints that gateways are notified of must not be pushed over; endpoints that start without a notification may be.
     let cold = script(
         "name = \"c\"\nlasts = \"12s\"\n[fleet]\nnodes = 6\ncold_from = 0.13\ncold_for = \"10s\"\n[load]\nrate = 100\n[[event]]\nat = \"2s\"\nwhat = \"restart\"\nshare = 0.5\ngone = \"3s\"\n",
     );
     let report = run(&cold, 1);
-    assert!(!report.breaches.iter().any(|breach| breach.rule == Rule::PushedOver), "{}", report.to_text());
+    assert!(
+        !report.violations.iter().any(|violation| violation.rule == Rule::PushedOver),
+        "{}",
+        report.to_text()
+    );
 }
 
 /// Live weights limit the load on endpoints at any number of gateways: without them all endpoints choke in the surge and stay choked.
@@ -171,7 +175,7 @@
         let (with, without) = (run(&text), run(&silent));
         let whole =
             |report: &Report| report.service.as_ref().expect("the report has no service figure").whole;
-        assert_eq!((&with.breaches[..], &without.breaches[..]), (&[][..], &[][..]));
+        assert_eq!((&with.violations[..], &without.violations[..]), (&[][..], &[][..]));
         let text =
             format!("{gateways} gateways: {} with live weights, {} without", whole(&with), whole(&without));
         assert!(whole(&with) > whole(&without) + 0.15, "{text}");
@@ -186,7 +190,7 @@
                 [[event]]\nat = \"2s\"\nlasts = \"2s\"\nwhat = \"register-down\"\n\
                 [[event]]\nat = \"3s\"\nwhat = \"kill\"\nnodes = [\"n03\"]\n";
     let report = run(&script(text), 1);
-    assert_eq!(report.breaches, [], "{}", report.to_text());
+    assert_eq!(report.violations, [], "{}", report.to_text());
     let service = report.service.as_ref().expect("the report has no service figure").whole;
     assert!(service > 0.9, "{}", report.to_text());
     let draining = report.timeline.iter().map(|sample| sample.draining).max();
@@ -237,7 +241,7 @@
         // The limit holds with two gateways; with 45 gateways storm control costs up to one point of service: docs/design/storms.md.
         let run = |storm| simulate(&script, 5, Some(2), storm).expect("the balancer rejected the settings").0;
         let (with, without) = (run(on), run(None));
-        assert_eq!(with.breaches, [], "{file}");
+        assert_eq!(with.violations, [], "{file}");
         assert_eq!(with.to_json(), run(on).to_json(), "{file}");
         let whole =
             |report: &Report| report.service.as_ref().expect("the report has no service figure").whole;
@@ -297,7 +301,7 @@
         simulate_with(&script, 1, Some(12), None, minds).expect("the balancer rejected the settings").0
     };
     let (plain, own) = (run(Minds::Plain), run(Minds::Own));
-    assert_eq!((&plain.breaches, &own.breaches), (&vec![], &vec![]));
+    assert_eq!((&plain.violations, &own.violations), (&vec![], &vec![]));
     assert_eq!(plain.back_s, None, "{}", plain.to_text());
     assert!(own.back_s.is_some_and(|back_s| back_s <= 10.0), "{:?}: {}", own.back_s, own.to_text());
     let late = |report: &Report| {
@@ -317,7 +321,7 @@
         // are expected of them.
         let expected = [Rule::PushedOver, Rule::HeldBack];
         let unexpected: Vec<_> =
-            report.breaches.iter().filter(|breach| !expected.contains(&breach.rule)).collect();
+            report.violations.iter().filter(|violation| !expected.contains(&violation.rule)).collect();
         assert!(unexpected.is_empty(), "{name}: {}", report.to_text());
     }
 }
--- a/crates/testbed/tests/sweep.rs
+++ b/crates/testbed/tests/sweep.rs
@@ -118,7 +118,7 @@
         report.service.as_ref().expect("the report has no service figure").whole
     };
     assert!(whole(&shared) > whole(&own), "{} and {}", whole(&shared), whole(&own));
-    assert_eq!((shared.breaches.len(), own.breaches.len()), (0, 0));
+    assert_eq!((shared.violations.len(), own.violations.len()), (0, 0));
 }
 
 #[test]
