--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -5,7 +5,7 @@
 
 use crate::draws::{Draws, For};
 use crate::model::Distribution;
-use crate::script::{Class, Event, Script, Shape, What, Whom, OVER_SHARE_WORTH};
+use crate::script::{Class, Event, FaultKind, Script, Shape, Target, OVER_SHARE_WORTH};
 use rand_distr::{Distribution as _, Zipf};
 use std::time::Duration;
 
@@ -68,7 +68,7 @@
     let surges = script.events.iter().filter(|event| is_active(event, at));
     surges.fold(
         shape,
-        |shape, event| if let What::Surge { times } = event.what { shape * times } else { shape },
+        |shape, event| if let FaultKind::Surge { times } = event.fault { shape * times } else { shape },
     )
 }
 
@@ -79,11 +79,11 @@
 /// The endpoints that an event affects, by the index of the event in the script.
 pub fn met(script: &Script, draws: Draws, event: usize) -> Vec<usize> {
     let all = 0..script.fleet.nodes;
-    match &script.events[event].whom {
-        Whom::All => all.collect(),
-        Whom::Nodes(nodes) => nodes.clone(),
-        Whom::Zone(zone) => all.filter(|&node| script.zone_of(node) == *zone).collect(),
-        Whom::Share(share) => {
+    match &script.events[event].target {
+        Target::All => all.collect(),
+        Target::Nodes(nodes) => nodes.clone(),
+        Target::Zone(zone) => all.filter(|&node| script.zone_of(node) == *zone).collect(),
+        Target::Share(share) => {
             let count = (share * script.fleet.nodes as f64).round() as usize;
             let mut drawn: Vec<_> = all
                 .map(|node| (draws.stream_of_two(For::Event, event as u64, node as u64).even(), node))
@@ -134,7 +134,7 @@
             Distribution::LogNormal => work.log_normal(spec.spread),
         };
         for event in script.events.iter().filter(|event| is_active(event, at)) {
-            if let What::Heavy { class: heavy, part, times } = event.what {
+            if let FaultKind::Heavy { class: heavy, part, times } = event.fault {
                 let (meant, times) = (work.chance(part), work.within(times));
                 if heavy == class && meant {
                     seconds *= times;
--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/register.rs
@@ -6,7 +6,7 @@
 use crate::checker::Told;
 use crate::draws::{Draws, For};
 use crate::plan::met;
-use crate::script::{Script, What};
+use crate::script::{FaultKind, Script};
 use std::time::Duration;
 
 /// A node's state, as the register lists it.
@@ -95,25 +95,25 @@
                 deeds.push((from, node, on));
                 deeds.extend(until.map(|until| (until, node, off)));
             };
-            match event.what {
-                What::Fail { share } => during(Deed::Fail(share), Deed::Fail(0.0)),
-                What::Slow { times } => during(Deed::Slow(times), Deed::Slow(1.0)),
-                What::Report { qps, inflight } => {
+            match event.fault {
+                FaultKind::Fail { share } => during(Deed::Fail(share), Deed::Fail(0.0)),
+                FaultKind::Slow { times } => during(Deed::Slow(times), Deed::Slow(1.0)),
+                FaultKind::Report { qps, inflight } => {
                     during(Deed::Report(Some((qps, inflight))), Deed::Report(None));
                 }
-                What::Kill => during(Deed::Kill, Deed::Start),
-                What::CutOff => during(Deed::CutOff, Deed::Start),
-                What::Drain => during(Deed::Drain(true), Deed::Drain(false)),
-                What::LetGo { after, silently } => {
+                FaultKind::Kill => during(Deed::Kill, Deed::Start),
+                FaultKind::CutOff => during(Deed::CutOff, Deed::Start),
+                FaultKind::Drain => during(Deed::Drain(true), Deed::Drain(false)),
+                FaultKind::LetGo { after, silently } => {
                     during(Deed::LetGo(Some((after, silently))), Deed::LetGo(None));
                 }
-                What::Pause => deeds.push((from, node, Deed::Pause(event.lasts.unwrap_or_default()))),
-                What::Restart { gone, apart } => {
+                FaultKind::Pause => deeds.push((from, node, Deed::Pause(event.lasts.unwrap_or_default()))),
+                FaultKind::Restart { gone, apart } => {
                     let at = from + apart * k as u32;
                     deeds.push((at, node, Deed::Kill));
                     deeds.push((at + gone, node, Deed::Start));
                 }
-                What::Neighbour { takes, turns } => {
+                FaultKind::Neighbour { takes, turns } => {
                     let mut stream = draws.stream_of_two(For::Neighbour, n as u64, node as u64);
                     let range = (turns.0.as_secs_f64(), turns.1.as_secs_f64());
                     let (mut at, mut on) = (from, true);
@@ -124,7 +124,7 @@
                     }
                     deeds.push((end, node, Deed::Neighbour(0.0)));
                 }
-                What::Heavy { .. } | What::RegisterDown { .. } | What::Surge { .. } => {}
+                FaultKind::Heavy { .. } | FaultKind::RegisterDown { .. } | FaultKind::Surge { .. } => {}
             }
         }
     }
@@ -192,8 +192,8 @@
             last[change.entry.node] = change.at;
         }
         changes.sort_by_key(|c| (c.at, c.entry.node));
-        let down = script.events.iter().filter_map(|e| match &e.what {
-            What::RegisterDown { without } => {
+        let down = script.events.iter().filter_map(|e| match &e.fault {
+            FaultKind::RegisterDown { without } => {
                 Some((e.at, e.until().unwrap_or(Duration::MAX), without.clone()))
             }
             _ => None,
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -234,7 +234,7 @@
 
 /// The endpoints that an event affects.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Whom {
+pub enum Target {
     /// All endpoints.
     All,
     /// The endpoints with these numbers.
@@ -247,7 +247,7 @@
 
 /// The fault or change that an event brings about.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum FaultKind {
     /// Endpoints fail a share of the requests at once.
     Fail {
         /// Share of requests that fail.
@@ -323,9 +323,9 @@
     /// Duration of the event; `None` for an event that does not end.
     pub lasts: Option<Duration>,
     /// Endpoints that the event affects.
-    pub whom: Whom,
+    pub target: Target,
     /// The fault or change.
-    pub what: What,
+    pub fault: FaultKind,
 }
 
 impl Event {
--- a/crates/testbed/src/script/read.rs
+++ b/crates/testbed/src/script/read.rs
@@ -1,8 +1,8 @@
 //! Reads a scenario script from TOML and reports every error in it.
 
 use super::{
-    defaults, Class, Clients, Event, Fleet, Kind, Limits, LiveWeights, Load, Network, Register, Script,
-    Shape, Tenant, What, Whom,
+    defaults, Class, Clients, Event, FaultKind, Fleet, Kind, Limits, LiveWeights, Load, Network, Register,
+    Script, Shape, Target, Tenant,
 };
 use crate::model::{ChokeSpec, Distribution, PauseSpec, WarmBy};
 use std::time::Duration;
@@ -429,17 +429,17 @@
     }
     let lasts: Option<Duration> = table.get("lasts");
     let kind = table.require::<FaultChoice>("what");
-    let whom = target(table, fleet);
+    let target = target(table, fleet);
     let names_nodes = ["nodes", "zone", "share"].iter().any(|key| table.contains(key));
-    let what = match kind? {
-        FaultChoice::Fail => What::Fail { share: table.get_in_range("part", SHARE, 0.7) },
+    let fault = match kind? {
+        FaultChoice::Fail => FaultKind::Fail { share: table.get_in_range("part", SHARE, 0.7) },
         FaultChoice::Neighbour => {
             let takes = table.get_in_range("takes", 0.0..=0.99, 0.5);
             let turns: (Duration, Duration) = table.get_or("turns", (ms(1200), ms(4300)));
             if turns.0 < ms(10) {
                 table.report("turns", "is under 10ms");
             }
-            What::Neighbour { takes, turns: (turns.0.max(ms(10)), turns.1.max(ms(10))) }
+            FaultKind::Neighbour { takes, turns: (turns.0.max(ms(10)), turns.1.max(ms(10))) }
         }
         FaultChoice::Heavy => {
             let class = table.require::<String>("class").unwrap_or_default();
@@ -452,48 +452,50 @@
                 );
             }
             let part = table.get_in_range("part", SHARE, 0.02);
-            What::Heavy { class: place.unwrap_or(0), part, times: positive(table, "times", (8.0, 27.0)) }
+            FaultKind::Heavy { class: place.unwrap_or(0), part, times: positive(table, "times", (8.0, 27.0)) }
         }
-        FaultChoice::Slow => What::Slow { times: table.get_in_range("times", 1.0..=1000.0, 3.0) },
-        FaultChoice::Pause => What::Pause,
-        FaultChoice::Kill => What::Kill,
-        FaultChoice::CutOff => What::CutOff,
+        FaultChoice::Slow => FaultKind::Slow { times: table.get_in_range("times", 1.0..=1000.0, 3.0) },
+        FaultChoice::Pause => FaultKind::Pause,
+        FaultChoice::Kill => FaultKind::Kill,
+        FaultChoice::CutOff => FaultKind::CutOff,
         FaultChoice::Restart => {
             let gone = table.get_in_range("gone", Duration::ZERO..=MAX_DURATION, ms(500));
-            What::Restart {
+            FaultKind::Restart {
                 gone,
                 apart: table.get_in_range("apart", Duration::ZERO..=MAX_DURATION, Duration::ZERO),
             }
         }
-        FaultChoice::Drain => What::Drain,
+        FaultChoice::Drain => FaultKind::Drain,
         FaultChoice::LetGo => {
             let after = table.get_in_range("after", ms(10)..=MAX_DURATION, ms(1000));
-            What::LetGo { after, silently: table.get_or("silently", false) }
+            FaultKind::LetGo { after, silently: table.get_or("silently", false) }
         }
         FaultChoice::RegisterDown => {
             let names: Vec<String> = table.get_or("without", Vec::new());
-            What::RegisterDown { without: numbers(table, "without", &names, fleet) }
+            FaultKind::RegisterDown { without: numbers(table, "without", &names, fleet) }
         }
-        FaultChoice::Report => What::Report {
+        FaultChoice::Report => FaultKind::Report {
             qps: table.get_in_range("qps", 0.0..=1e9, 1e6),
             inflight: table.get_in_range("inflight", 0.0..=1e9, 0.0),
         },
-        FaultChoice::Surge => What::Surge { times: table.get_in_range("times", 0.0..=1000.0, 2.0) },
+        FaultChoice::Surge => FaultKind::Surge { times: table.get_in_range("times", 0.0..=1000.0, 2.0) },
     };
-    if names_nodes && matches!(what, What::Heavy { .. } | What::RegisterDown { .. } | What::Surge { .. }) {
+    if names_nodes
+        && matches!(fault, FaultKind::Heavy { .. } | FaultKind::RegisterDown { .. } | FaultKind::Surge { .. })
+    {
         table.report("what", "affects no endpoints: leave out nodes, zone and share");
     }
-    if lasts.is_none() && matches!(what, What::Pause) {
+    if lasts.is_none() && matches!(fault, FaultKind::Pause) {
         table.report("what", "needs lasts, or the endpoints would do nothing for ever");
     }
-    if lasts.is_some() && matches!(what, What::Restart { .. }) {
+    if lasts.is_some() && matches!(fault, FaultKind::Restart { .. }) {
         table.report("lasts", "is not allowed with this event; set the time without each endpoint with gone");
     }
     table.finish();
-    Some(Event { at: at?, lasts, whom, what })
+    Some(Event { at: at?, lasts, target, fault })
 }
 
-fn target(table: &Table<'_, '_>, fleet: &Fleet) -> Whom {
+fn target(table: &Table<'_, '_>, fleet: &Fleet) -> Target {
     let given: Vec<&str> = ["nodes", "zone", "share"].into_iter().filter(|key| table.contains(key)).collect();
     if let [_, second, ..] = given[..] {
         table.report(
@@ -502,19 +504,19 @@
         );
     }
     if let Some(names) = table.get::<Vec<String>>("nodes") {
-        return Whom::Nodes(numbers(table, "nodes", &names, fleet));
+        return Target::Nodes(numbers(table, "nodes", &names, fleet));
     }
     if let Some(zone) = table.get::<String>("zone") {
         match fleet.zones.iter().position(|name| *name == zone) {
-            Some(place) => return Whom::Zone(place),
+            Some(place) => return Target::Zone(place),
             None => table
                 .report("zone", format!("{zone:?} is not a zone; the zones are {}", fleet.zones.join(", "))),
         }
     }
     if table.contains("share") {
-        return Whom::Share(table.get_in_range("share", SHARE, 0.0));
+        return Target::Share(table.get_in_range("share", SHARE, 0.0));
     }
-    Whom::All
+    Target::All
 }
 
 /// Numbers of the endpoints with these names, which are `n00` and so on.
