--- a/crates/testbed/src/checker/evenness.rs
+++ b/crates/testbed/src/checker/evenness.rs
@@ -1,6 +1,6 @@
 //! How evenly attempts arrive at endpoints: the index of dispersion of the number of attempts in short windows.
 
-use super::{Checker, Told};
+use super::{Checker, EndpointNotice};
 use rustc_hash::FxHashMap;
 use std::time::Duration;
 
@@ -60,7 +60,7 @@
             let (from, until) = (WINDOW * window as u32, WINDOW * (window as u32 + 1));
             let mut whole = true;
             while let Some((at, what)) = told.get(next).filter(|(at, _)| *at < until) {
-                up = matches!(what, Told::Up(_));
+                up = matches!(what, EndpointNotice::Up(_));
                 whole &= *at <= from;
                 next += 1;
             }
@@ -72,20 +72,21 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::AttemptSeen;
+    use super::super::ObservedAttempt;
     use super::*;
 
     /// A checker that recorded these numbers of attempts at endpoint 0, one number for each window.
     fn checker(counts: &[u64]) -> Checker {
         let mut checker = Checker::new(Vec::new(), vec![(0, 0)]);
-        checker.told(0, 0, Duration::ZERO, Told::Up(None));
+        checker.told(0, 0, Duration::ZERO, EndpointNotice::Up(None));
         let mut attempt = 0;
         for (window, count) in counts.iter().enumerate() {
             for n in 0..*count {
                 attempt += 1;
                 let first = WINDOW * window as u32 + Duration::from_millis(n);
                 let (gateway, node, whole, began, ended) = (0, 0, None, None, None);
-                let seen = AttemptSeen { attempt, node, gateway, first, whole, began, ended, seconds: 0.01 };
+                let seen =
+                    ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds: 0.01 };
                 checker.attempt(attempt, seen);
             }
         }
@@ -108,8 +109,8 @@
     #[test]
     fn windows_in_which_an_endpoint_is_not_listed_as_up_do_not_count() {
         let mut drained = checker(&[7, 7, 7, 7, 7, 0, 0, 0, 7, 7, 7, 7, 7]);
-        drained.told(0, 0, WINDOW * 5 - Duration::from_millis(1), Told::Draining);
-        drained.told(0, 0, WINDOW * 7 + Duration::from_millis(1), Told::Up(None));
+        drained.told(0, 0, WINDOW * 5 - Duration::from_millis(1), EndpointNotice::Draining);
+        drained.told(0, 0, WINDOW * 7 + Duration::from_millis(1), EndpointNotice::Up(None));
         assert_eq!(drained.dispersion(WINDOW * 13), Some(0.0));
     }
 }
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -9,7 +9,7 @@
 mod service;
 
 pub use rules::{Rule, Rules, Violation};
-pub use service::{back_after, Service, Tally, Window};
+pub use service::{back_after, RequestResult, Service, Window};
 
 use crate::model::AttemptId;
 use rustc_hash::FxHashMap;
@@ -21,7 +21,7 @@
 
 /// The final answer to a request, as its client received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum FinalAnswer {
     /// Served with the answer that an endpoint made for this request.
     Served,
     /// Served with an answer that no endpoint made for this request.
@@ -34,7 +34,7 @@
 
 /// How an attempt ended at its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptEnd {
     /// Answered successfully.
     Served,
     /// Answered with an error by the endpoint.
@@ -49,10 +49,10 @@
     Unsent,
 }
 
-impl Ended {
+impl AttemptEnd {
     /// Whether this end proves that the attempt was not processed.
     fn never_ran(self) -> bool {
-        matches!(self, Ended::TurnedAway | Ended::Unsent)
+        matches!(self, AttemptEnd::TurnedAway | AttemptEnd::Unsent)
     }
 }
 
@@ -67,7 +67,7 @@
 
 /// A request, as its client sent it.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct SentRequest {
     /// Gateway that accepted the request.
     pub gateway: usize,
     /// Class of the request.
@@ -80,7 +80,7 @@
 
 /// An attempt, as its endpoint observed it.
 #[derive(Clone, Debug)]
-pub struct AttemptSeen {
+pub struct ObservedAttempt {
     /// Number of the attempt.
     pub attempt: AttemptId,
     /// Endpoint that received the attempt.
@@ -94,7 +94,7 @@
     /// Time at which the endpoint began to process the attempt.
     pub began: Option<Duration>,
     /// Time and manner of the attempt's end.
-    pub ended: Option<(Duration, Ended)>,
+    pub ended: Option<(Duration, AttemptEnd)>,
     /// Work of the attempt, in seconds.
     pub seconds: f64,
 }
@@ -103,26 +103,26 @@
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     /// The request as its client sent it; `None` for a request that no client sent.
-    pub ask: Option<Ask>,
+    pub ask: Option<SentRequest>,
     /// Final answers that the client received, in order; more than one is a violation.
-    pub got: Vec<(Duration, Got)>,
+    pub got: Vec<(Duration, FinalAnswer)>,
     /// Time at which the client gave the request up.
     pub gave_up: Option<Duration>,
     /// Time at which the client's connection ended without a complete answer.
     pub lost: Option<Duration>,
     /// Attempts, in the order in which their first bytes arrived.
-    pub attempts: Vec<AttemptSeen>,
+    pub attempts: Vec<ObservedAttempt>,
 }
 
 /// What discovery notified a gateway of about an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum EndpointNotice {
     /// The endpoint accepts requests; the time is that of its start, if the start was recent.
     Up(Option<Duration>),
     /// The endpoint drains.
     Draining,
     /// The endpoint was removed.
-    Gone,
+    Removed,
 }
 
 /// The checker of one run: records what clients and endpoints observe, and finds violations of the rules.
@@ -132,7 +132,7 @@
     records: FxHashMap<RequestNumber, Record>,
     order: Vec<RequestNumber>,
     attempts: FxHashMap<AttemptId, (RequestNumber, usize)>,
-    told: FxHashMap<(usize, usize), Vec<(Duration, Told)>>,
+    told: FxHashMap<(usize, usize), Vec<(Duration, EndpointNotice)>>,
     starts: FxHashMap<usize, Vec<Duration>>,
     fallen: Vec<(usize, Duration)>,
     groups: Vec<(usize, usize)>,
@@ -161,12 +161,12 @@
     }
 
     /// Records that a client has written the last byte of a request to a connection that a gateway accepted.
-    pub fn asked(&mut self, request: RequestNumber, ask: Ask) {
+    pub fn asked(&mut self, request: RequestNumber, ask: SentRequest) {
         self.record(request).ask = Some(ask);
     }
 
     /// Records that a client has received a complete answer.
-    pub fn got(&mut self, request: RequestNumber, at: Duration, got: Got) {
+    pub fn got(&mut self, request: RequestNumber, at: Duration, got: FinalAnswer) {
         self.record(request).got.push((at, got));
     }
 
@@ -181,14 +181,14 @@
     }
 
     /// Records that the first byte of an attempt has arrived at an endpoint.
-    pub fn attempt(&mut self, request: RequestNumber, seen: AttemptSeen) {
+    pub fn attempt(&mut self, request: RequestNumber, seen: ObservedAttempt) {
         let (attempt, record) = (seen.attempt, self.record(request));
         record.attempts.push(seen);
         let place = record.attempts.len() - 1;
         self.attempts.insert(attempt, (request, place));
     }
 
-    fn seen(&mut self, attempt: AttemptId) -> Option<&mut AttemptSeen> {
+    fn seen(&mut self, attempt: AttemptId) -> Option<&mut ObservedAttempt> {
         let (request, place) = self.attempts.get(&attempt)?;
         self.records.get_mut(request)?.attempts.get_mut(*place)
     }
@@ -208,14 +208,14 @@
     }
 
     /// Records the end of an attempt; only the first end that is recorded counts.
-    pub fn ended(&mut self, attempt: AttemptId, at: Duration, how: Ended) {
+    pub fn ended(&mut self, attempt: AttemptId, at: Duration, how: AttemptEnd) {
         if let Some(seen) = self.seen(attempt) {
             seen.ended.get_or_insert((at, how));
         }
     }
 
     /// Records that discovery notified a gateway of an endpoint's state.
-    pub fn told(&mut self, gateway: usize, node: usize, at: Duration, what: Told) {
+    pub fn told(&mut self, gateway: usize, node: usize, at: Duration, what: EndpointNotice) {
         let told = self.told.entry((gateway, node)).or_default();
         if told.last().is_none_or(|(_, last)| *last != what) {
             told.push((at, what));
--- a/crates/testbed/src/checker/rules.rs
+++ b/crates/testbed/src/checker/rules.rs
@@ -1,6 +1,6 @@
 //! Checks the four rules against the records of a run. Each violation names its request, its endpoint and the events of the request.
 
-use super::{Checker, Got, Record, RequestNumber, Told};
+use super::{Checker, EndpointNotice, FinalAnswer, Record, RequestNumber};
 use serde::Serialize;
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, KeyScope};
@@ -143,7 +143,7 @@
             self.report(Rule::AnsweredTwice, number, record, None, *at);
         }
         let Some(&(at, got)) = record.got.first() else { return };
-        if got == Got::Foreign {
+        if got == FinalAnswer::Foreign {
             self.report(Rule::ForeignAnswer, number, record, None, at);
         }
         let after = record.attempts.iter().find(|attempt| attempt.first > at + self.rules.slack);
@@ -151,20 +151,20 @@
             self.report(Rule::SentAfterAnswer, number, record, Some(attempt.node), attempt.first);
         }
         let Some(class) = self.checker.classes.get(ask.class) else { return };
-        if matches!(got, Got::Refused | Got::Failed) {
+        if matches!(got, FinalAnswer::Refused | FinalAnswer::Failed) {
             // A request may wait until its latency objective, and as long as an attempt is in flight.
-            let ended = |attempt: &super::AttemptSeen| attempt.ended.map_or(at, |(end, _)| end);
+            let ended = |attempt: &super::ObservedAttempt| attempt.ended.map_or(at, |(end, _)| end);
             let last = record.attempts.iter().map(ended).max().unwrap_or_default();
             if at > last.max(ask.at + class.aim) + self.rules.held_back {
                 self.report(Rule::HeldBack, number, record, None, at);
             }
         }
-        if got == Got::Refused {
+        if got == FinalAnswer::Refused {
             let is_repeatable_anywhere = matches!(
                 class.effect,
                 Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
             );
-            let possibly_processed = |attempt: &&super::AttemptSeen| {
+            let possibly_processed = |attempt: &&super::ObservedAttempt| {
                 attempt.whole.is_some() && attempt.ended.is_none_or(|(_, how)| !how.never_ran())
             };
             if let Some(attempt) =
@@ -179,7 +179,7 @@
     fn check_attempts(&mut self, number: RequestNumber, record: &Record) {
         let class = record.ask.as_ref().and_then(|ask| self.checker.classes.get(ask.class)).copied();
         let mut possibly_processed: Option<(Duration, usize)> = None;
-        let mut before: Option<&super::AttemptSeen> = None;
+        let mut before: Option<&super::ObservedAttempt> = None;
         for attempt in record.attempts.iter().filter(|attempt| attempt.whole.is_some()) {
             let came = attempt.whole.unwrap_or(attempt.first);
             if let Some(before) = before {
@@ -222,13 +222,13 @@
         for attempt in &record.attempts {
             let Some(told) = self.checker.told.get(&(attempt.gateway, attempt.node)) else { continue };
             let last = told.iter().rev().find(|(at, _)| *at <= attempt.first);
-            let Some((at, Told::Draining | Told::Gone)) = last else { continue };
+            let Some((at, EndpointNotice::Draining | EndpointNotice::Removed)) = last else { continue };
             // The drain grace begins at the first of several successive notifications that forbid attempts.
             let since = told
                 .iter()
                 .rev()
                 .skip_while(|(notified_at, _)| notified_at > at)
-                .take_while(|(_, what)| !matches!(what, Told::Up(_)))
+                .take_while(|(_, what)| !matches!(what, EndpointNotice::Up(_)))
                 .last()
                 .map_or(*at, |(notified_at, _)| *notified_at);
             if attempt.first > since + self.rules.drain_grace + self.rules.slack {
@@ -258,7 +258,7 @@
                         .map(Vec::as_slice)
                         .unwrap_or_default();
                     let was_notified = told.iter().any(|(notified_at, what)| {
-                        *notified_at <= attempt.first && matches!(what, Told::Up(Some(listed_start)) if *listed_start + self.rules.slack >= start)
+                        *notified_at <= attempt.first && matches!(what, EndpointNotice::Up(Some(listed_start)) if *listed_start + self.rules.slack >= start)
                     });
                     notified_work_s += if was_notified || attempt.first > start + self.rules.told_after {
                         attempt.seconds
--- a/crates/testbed/src/checker/service.rs
+++ b/crates/testbed/src/checker/service.rs
@@ -34,7 +34,7 @@
 
 /// A client's first attempt, with the result of this attempt and its retries.
 #[derive(Clone, Copy, Debug)]
-pub struct Tally {
+pub struct RequestResult {
     /// Planned time of the first attempt.
     pub at: Duration,
     /// Class of the request.
@@ -57,7 +57,7 @@
 }
 
 impl Sum {
-    fn add(&mut self, tally: &Tally) {
+    fn add(&mut self, tally: &RequestResult) {
         self.asked += tally.worth;
         self.served += if tally.in_time { tally.worth } else { 0.0 };
         self.count += 1;
@@ -79,7 +79,7 @@
 
 /// Seconds from `from` until service had recovered to 0.95 for the rest of the run, by 2 s windows of first attempts.
 /// The result is 0 where service was never lower after `from`, and `None` where it had not recovered by the end of the run.
-pub fn back_after(tallies: &[Tally], from: Duration) -> Option<f64> {
+pub fn back_after(tallies: &[RequestResult], from: Duration) -> Option<f64> {
     let mut by_second: Vec<Sum> = Vec::new();
     for tally in tallies.iter().filter(|tally| tally.at >= from) {
         let second = (tally.at - from).as_secs() as usize;
@@ -100,7 +100,7 @@
 
 impl Service {
     /// Computes the service from the results of all first attempts.
-    pub fn count(tallies: &[Tally], classes: &[String], tenants: &[String]) -> Service {
+    pub fn count(tallies: &[RequestResult], classes: &[String], tenants: &[String]) -> Service {
         let mut whole = Sum::default();
         let mut by_class = vec![Sum::default(); classes.len()];
         let mut by_tenant = vec![Sum::default(); tenants.len()];
@@ -153,13 +153,13 @@
     use super::*;
 
     /// The results of ten first attempts a second, of which `served` gives the number that is served in each second.
-    fn tallies(served: &[usize]) -> Vec<Tally> {
+    fn tallies(served: &[usize]) -> Vec<RequestResult> {
         let mut tallies = Vec::new();
         for (second, served) in served.iter().enumerate() {
             for n in 0..10 {
                 let at = Duration::from_secs(second as u64) + Duration::from_millis(n as u64);
                 let (class, tenant, worth, in_share, in_time) = (0, 0, 1.0, true, n < *served);
-                tallies.push(Tally { at, class, tenant, worth, in_share, in_time });
+                tallies.push(RequestResult { at, class, tenant, worth, in_share, in_time });
             }
         }
         tallies
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,6 +1,6 @@
 //! What a client does after a try that was not served.
 
-use crate::plan::Asked;
+use crate::plan::PlannedRequest;
 use crate::script::Script;
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, KeyScope};
@@ -28,7 +28,7 @@
 /// one ended at `now`.
 pub fn next_try(
     script: &Script,
-    asked: &Asked,
+    asked: &PlannedRequest,
     first: Duration,
     tries: u32,
     seen: Seen,
@@ -57,7 +57,7 @@
 }
 
 /// How long a try that is sent at `now` is waited for.
-pub fn patience(script: &Script, asked: &Asked, first: Duration, now: Duration) -> Duration {
+pub fn patience(script: &Script, asked: &PlannedRequest, first: Duration, now: Duration) -> Duration {
     let left = (first + script.classes[asked.class].deadline).saturating_sub(now);
     asked.patience.min(left)
 }
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -3,9 +3,9 @@
 use super::http::{Connection, Kind, Message, ReadError};
 use super::nodes::number;
 use super::Day;
-use crate::checker::{Ask, Got};
+use crate::checker::{FinalAnswer, SentRequest};
 use crate::client::{next_try, patience, Seen};
-use crate::plan::Asked;
+use crate::plan::PlannedRequest;
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -112,7 +112,7 @@
     fn look(&self, wire: &mut Connection, last: u64) -> bool {
         let open = wire.look();
         if wire.has_surplus() {
-            self.day.ledger.borrow_mut().got(last, self.day.clock.now(), Got::Foreign);
+            self.day.ledger.borrow_mut().got(last, self.day.clock.now(), FinalAnswer::Foreign);
         }
         open == Some(0)
     }
@@ -154,7 +154,7 @@
     }
 
     /// The gateway that the front deals a connection to: of the zone's own, else of any.
-    fn deal(&self, asked: &Asked, number: u64) -> Option<usize> {
+    fn deal(&self, asked: &PlannedRequest, number: u64) -> Option<usize> {
         let now = self.day.clock.now();
         let there = |g: &usize| self.gateways[*g].out_until.get() <= now;
         let all: Vec<usize> = (0..self.gateways.len()).filter(there).collect();
@@ -163,7 +163,7 @@
         among.get(weldworks_balancer::mix(number) as usize % among.len().max(1)).copied()
     }
 
-    async fn ask_once(&self, asked: &Asked, number: u64, first: Duration, tries: u32) -> Seen {
+    async fn ask_once(&self, asked: &PlannedRequest, number: u64, first: Duration, tries: u32) -> Seen {
         let day = &self.day;
         let Some(gateway) = self.deal(asked, number) else { return Seen::Unreachable };
         let behind = &self.gateways[gateway];
@@ -189,7 +189,7 @@
             let written = wire.write(text.as_bytes()).await.is_ok();
             let at = day.clock.now();
             let until = at + wait;
-            day.ledger.borrow_mut().asked(number, Ask { gateway, class: asked.class, at, until });
+            day.ledger.borrow_mut().asked(number, SentRequest { gateway, class: asked.class, at, until });
             let reading = wire.read(Kind::Answer, || day.clock.now(), |_, _| {});
             let answer = timeout_at(day.clock.instant(until + LINGER), reading).await;
             let now = day.clock.now();
@@ -252,17 +252,17 @@
                     number(Some(&made.request)) == Some(request)
                         && ledger.is_attempt_of(made.attempt, request)
                 });
-                ledger.got(request, now, if own { Got::Served } else { Got::Foreign });
+                ledger.got(request, now, if own { FinalAnswer::Served } else { FinalAnswer::Foreign });
                 Seen::Served
             }
             429 | 503 => {
-                ledger.got(request, now, Got::Refused);
+                ledger.got(request, now, FinalAnswer::Refused);
                 let after = answer.header("retry-after").and_then(|a| a.parse().ok());
                 let come_back = after.and_then(|s: f64| Duration::try_from_secs_f64(s).ok());
                 Seen::Refused { come_back: come_back.filter(|t| !t.is_zero()) }
             }
             _ => {
-                ledger.got(request, now, Got::Failed);
+                ledger.got(request, now, FinalAnswer::Failed);
                 Seen::Failed
             }
         }
@@ -270,7 +270,7 @@
 }
 
 /// A request as the protocol has it.
-fn request(day: &Day, asked: &Asked, number: u64, wait: Duration, tries: u32) -> String {
+fn request(day: &Day, asked: &PlannedRequest, number: u64, wait: Duration, tries: u32) -> String {
     let class = &day.script.classes[asked.class];
     let tenant = day.script.tenants.get(asked.tenant).map_or("", |t| t.name.as_str());
     let cookie = asked.subject.map_or(String::new(), |key| format!("Cookie: k={key:016x}\r\n"));
--- a/crates/testbed/src/live/mod.rs
+++ b/crates/testbed/src/live/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::checker::Checker;
 use crate::draws::Draws;
-use crate::plan::Asked;
+use crate::plan::PlannedRequest;
 use crate::report::{Counts, Sample};
 use crate::script::Script;
 use rustc_hash::FxHashMap;
@@ -49,7 +49,7 @@
     /// How many gateways there are.
     pub gateways: usize,
     /// The first tries.
-    pub plan: Vec<Asked>,
+    pub plan: Vec<PlannedRequest>,
     /// The time.
     pub clock: Clock,
     /// What was seen.
--- a/crates/testbed/src/live/nodes.rs
+++ b/crates/testbed/src/live/nodes.rs
@@ -6,7 +6,7 @@
 
 use super::http::{Connection, Kind, ReadError};
 use super::{node_address, Day};
-use crate::checker::{AttemptSeen, Ended};
+use crate::checker::{AttemptEnd, ObservedAttempt};
 use crate::fleet::carry_out;
 use crate::model::{Answer, AttemptId, ConnectionId, Node, Output, Refusal, Report, State, Work};
 use crate::plan::attempt_seconds;
@@ -223,7 +223,7 @@
                 }
                 Output::Ended { connection, attempt } => {
                     if let Some(attempt) = attempt {
-                        self.day.ledger.borrow_mut().ended(attempt, now, Ended::Broken);
+                        self.day.ledger.borrow_mut().ended(attempt, now, AttemptEnd::Broken);
                     }
                     // A process that dies resets its connections; an idle one is closed.
                     let dead = !matches!(self.model.borrow().state(), State::Up | State::Draining);
@@ -273,7 +273,7 @@
         self.says.borrow_mut().remove(&connection);
         if let Some(attempt) = out {
             // A machine that is cut off does not see that the other side has gone.
-            self.day.ledger.borrow_mut().ended(attempt, now(), Ended::Left);
+            self.day.ledger.borrow_mut().ended(attempt, now(), AttemptEnd::Left);
         }
         self.model.borrow_mut().disconnect(now(), connection);
         self.hear();
@@ -309,7 +309,7 @@
                     Ok(request) => request,
                     Err(ReadError::Ended { partly }) => {
                         if partly {
-                            self.day.ledger.borrow_mut().ended(attempt, now(), Ended::Unsent);
+                            self.day.ledger.borrow_mut().ended(attempt, now(), AttemptEnd::Unsent);
                         }
                         return None;
                     }
@@ -321,7 +321,7 @@
             };
             if self.model.borrow().state() == State::Silent {
                 // Its machine is cut off: what comes has reached nobody. Only a reset ends this.
-                self.day.ledger.borrow_mut().ended(attempt, now(), Ended::Unsent);
+                self.day.ledger.borrow_mut().ended(attempt, now(), AttemptEnd::Unsent);
                 while !matches!(said.recv().await, Some(Say::End { .. }) | None) {}
                 wire.reset_on_drop();
                 return None;
@@ -330,7 +330,7 @@
             let number = number(request.header("x-request-id"));
             let work = number.and_then(|n| self.work(n, request.header("x-timeout")).map(|work| (n, work)));
             let Some((number, work)) = work else {
-                self.day.ledger.borrow_mut().ended(attempt, now(), Ended::Error);
+                self.day.ledger.borrow_mut().ended(attempt, now(), AttemptEnd::Error);
                 let status = if number.is_some() { 400 } else { 404 };
                 let text = format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n");
                 if wire.write(text.as_bytes()).await.is_err() {
@@ -352,9 +352,9 @@
             match word {
                 Some(Say::Answer { attempt, answer, report }) => {
                     let how = match answer {
-                        Answer::Served { .. } => Ended::Served,
-                        Answer::Error => Ended::Error,
-                        Answer::TurnedAway(_) => Ended::TurnedAway,
+                        Answer::Served { .. } => AttemptEnd::Served,
+                        Answer::Error => AttemptEnd::Error,
+                        Answer::TurnedAway(_) => AttemptEnd::TurnedAway,
                     };
                     // Booked before it is written: from then on the gateway may know.
                     self.day.ledger.borrow_mut().ended(attempt, now(), how);
@@ -377,7 +377,7 @@
     fn note(&self, number: u64, attempt: AttemptId, gateway: usize, first: Duration) {
         let seconds = self.work(number, None).map_or(0.0, |w| w.seconds);
         let (node, whole, began, ended) = (self.number, None, None, None);
-        let seen = AttemptSeen { attempt, node, gateway, first, whole, began, ended, seconds };
+        let seen = ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds };
         self.day.ledger.borrow_mut().attempt(number, seen);
     }
 
--- a/crates/testbed/src/live/register.rs
+++ b/crates/testbed/src/live/register.rs
@@ -3,7 +3,7 @@
 use super::http::{Connection, Kind};
 use super::nodes::LiveNode;
 use super::Day;
-use crate::checker::Told;
+use crate::checker::EndpointNotice;
 use crate::register::{Call, Entry, List, Register, Status};
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
@@ -189,7 +189,7 @@
         if list.whole {
             let listed = |node: &usize| list.entries.iter().any(|e| e.node == *node);
             for node in (0..self.nodes.len()).filter(|n| !listed(n)) {
-                ledger.told(gateway, node, now, Told::Gone);
+                ledger.told(gateway, node, now, EndpointNotice::Removed);
             }
         }
     }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -14,7 +14,7 @@
 
 /// A client's first attempt, as planned.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
+pub struct PlannedRequest {
     /// Index of the request in the plan.
     pub place: usize,
     /// Time at which the client sends the first attempt.
@@ -43,7 +43,7 @@
     pub key: u64,
 }
 
-impl Asked {
+impl PlannedRequest {
     /// Number of one of the client's attempts for this request; `attempt` counts from 0. The number is never 0, and it is the same in
     /// every run with the same seed.
     pub fn number(&self, draws: Draws, attempt: u32) -> u64 {
@@ -52,7 +52,7 @@
 }
 
 /// Work of an attempt at an endpoint, in seconds: the request's work with the variation of this endpoint.
-pub fn attempt_seconds(draws: Draws, class: &Class, asked: &Asked, node: u64) -> f64 {
+pub fn attempt_seconds(draws: Draws, class: &Class, asked: &PlannedRequest, node: u64) -> f64 {
     asked.seconds
         * draws.stream_of_two(For::Attempt, asked.place as u64, node).log_normal(class.attempt_spread)
 }
@@ -97,7 +97,7 @@
 }
 
 /// All first attempts of a run, in the order of time.
-pub fn plan(script: &Script, draws: Draws) -> Vec<Asked> {
+pub fn plan(script: &Script, draws: Draws) -> Vec<PlannedRequest> {
     let mut stream = draws.stream(For::Arrivals, 0);
     // Arrivals are drawn at the run's highest rate and then thinned, so that the shape of the load changes no draw of another request.
     let steps = 2000;
@@ -152,7 +152,7 @@
         buckets[tenant] -= f64::from(u8::from(in_share));
         let mut habits = draws.stream(For::Habits, place as u64);
         let patience = spec.deadline.mul_f64(habits.within(script.clients.try_share));
-        plan.push(Asked {
+        plan.push(PlannedRequest {
             place,
             at,
             zone,
--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/register.rs
@@ -3,7 +3,7 @@
 //! What a script does to nodes is known ahead, so most changes stand on a timeline from the start. Nodes that fall
 //! over are added when they do. A version is a place on the timeline.
 
-use crate::checker::Told;
+use crate::checker::EndpointNotice;
 use crate::draws::{Draws, For};
 use crate::plan::met;
 use crate::script::{FaultKind, Script};
@@ -33,11 +33,11 @@
 
 impl Entry {
     /// What a gateway that hears it has been told.
-    pub fn told(&self) -> Told {
+    pub fn told(&self) -> EndpointNotice {
         match self.status {
-            Status::Active => Told::Up(self.started),
-            Status::Leaving => Told::Draining,
-            Status::Left => Told::Gone,
+            Status::Active => EndpointNotice::Up(self.started),
+            Status::Leaving => EndpointNotice::Draining,
+            Status::Left => EndpointNotice::Removed,
         }
     }
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,7 +1,7 @@
 //! The report of a run, as JSON and as text, with the samples of its timeline.
 
-use crate::checker::{back_after, Checker, Got, Service, Tally, Violation};
-use crate::plan::Asked;
+use crate::checker::{back_after, Checker, FinalAnswer, RequestResult, Service, Violation};
+use crate::plan::PlannedRequest;
 use crate::script::Script;
 use serde::Serialize;
 use std::fmt::Write as _;
@@ -247,19 +247,19 @@
 /// time at which the client sent its first attempt.
 pub fn tallies(
     script: &Script,
-    plan: &[Asked],
+    plan: &[PlannedRequest],
     checker: &Checker,
     tries: &[Vec<(u64, Duration)>],
-) -> Vec<Tally> {
-    let tally = |asked: &Asked| {
+) -> Vec<RequestResult> {
+    let tally = |asked: &PlannedRequest| {
         let tries = tries.get(asked.place).map(Vec::as_slice).unwrap_or_default();
         let first = tries.first().map_or(asked.at, |(_, at)| *at);
         let objective_end = first + script.classes[asked.class].aim;
         let in_time = tries.iter().any(|(number, _)| {
             let got = checker.of(*number).and_then(|record| record.got.first());
-            got.is_some_and(|(at, got)| *got == Got::Served && *at <= objective_end)
+            got.is_some_and(|(at, got)| *got == FinalAnswer::Served && *at <= objective_end)
         });
-        Tally {
+        RequestResult {
             at: asked.at,
             class: asked.class,
             tenant: asked.tenant,
@@ -273,14 +273,19 @@
 
 /// Service at the gateways from number `first` on in the 10 s after their start; `by` gives the gateway that accepted a first
 /// attempt, by the index of the attempt.
-pub fn fresh(script: &Script, tallies: &[Tally], first: usize, by: impl Fn(usize) -> Option<usize>) -> Fresh {
+pub fn fresh(
+    script: &Script,
+    tallies: &[RequestResult],
+    first: usize,
+    by: impl Fn(usize) -> Option<usize>,
+) -> Fresh {
     let from = script.fleet.joins_at;
     let in_window =
         tallies.iter().enumerate().filter(|(_, tally)| tally.at >= from && tally.at < from + FRESH_PERIOD);
     let (fresh, others): (Vec<_>, Vec<_>) =
         in_window.partition(|(place, _)| by(*place).is_some_and(|gateway| gateway >= first));
-    let whole = |part: Vec<(usize, &Tally)>| {
-        let part: Vec<Tally> = part.into_iter().map(|(_, tally)| *tally).collect();
+    let whole = |part: Vec<(usize, &RequestResult)>| {
+        let part: Vec<RequestResult> = part.into_iter().map(|(_, tally)| *tally).collect();
         (service(script, &part).whole, part.len())
     };
     let ((service, asked), (others, _)) = (whole(fresh), whole(others));
@@ -288,14 +293,14 @@
 }
 
 /// Computes [`Report::back_s`].
-pub fn back(script: &Script, tallies: &[Tally]) -> Option<f64> {
+pub fn back(script: &Script, tallies: &[RequestResult]) -> Option<f64> {
     let last =
         script.events.iter().map(|event| event.until()).collect::<Option<Vec<_>>>()?.into_iter().max()?;
     back_after(tallies, last)
 }
 
 /// Computes the service of a run from the results of its first attempts.
-pub fn service(script: &Script, tallies: &[Tally]) -> Service {
+pub fn service(script: &Script, tallies: &[RequestResult]) -> Service {
     let classes: Vec<_> = script.classes.iter().map(|class| class.name.clone()).collect();
     let tenants: Vec<_> = script.tenants.iter().map(|tenant| tenant.name.clone()).collect();
     Service::count(tallies, &classes, &tenants)
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -6,7 +6,9 @@
 //!
 //! These functions are for tests: what can't be had (a port, a program) ends the test with a panic.
 
-use crate::checker::{Ask, AttemptSeen, Checker, ClassTerms, Ended, Got, Rule, Rules};
+use crate::checker::{
+    AttemptEnd, Checker, ClassTerms, FinalAnswer, ObservedAttempt, Rule, Rules, SentRequest,
+};
 use crate::live::gateways::listening;
 use crate::live::nodes::number;
 use serde_json::{json, Value};
@@ -77,7 +79,7 @@
             let (gateway, seconds) = (0, 0.0);
             ledger.attempt(
                 request,
-                AttemptSeen { attempt, node, gateway, first, whole, began, ended, seconds },
+                ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds },
             );
         });
         Some(attempt)
@@ -91,10 +93,10 @@
 
     /// It has been answered, whole or not.
     pub(crate) fn answered(&self, attempt: Option<u64>, whole: bool) {
-        self.ended(attempt, if whole { Ended::Served } else { Ended::Broken });
+        self.ended(attempt, if whole { AttemptEnd::Served } else { AttemptEnd::Broken });
     }
 
-    fn ended(&self, attempt: Option<u64>, how: Ended) {
+    fn ended(&self, attempt: Option<u64>, how: AttemptEnd) {
         if let Some(attempt) = attempt {
             self.note(|ledger, now| ledger.ended(attempt, now, how));
         }
@@ -117,7 +119,9 @@
         if known {
             return None;
         }
-        self.note(|ledger, at| ledger.asked(request, Ask { gateway: 0, class, at, until: at + wait }));
+        self.note(|ledger, at| {
+            ledger.asked(request, SentRequest { gateway: 0, class, at, until: at + wait });
+        });
         Some(request)
     }
 
@@ -269,18 +273,18 @@
             let (status, headers, body) = match reply {
                 Reply::Answer(status, headers, body) => (status, headers, body),
                 Reply::Break => {
-                    self.book.ended(attempt, Ended::Broken);
+                    self.book.ended(attempt, AttemptEnd::Broken);
                     break;
                 }
                 Reply::Half => {
-                    self.book.ended(attempt, Ended::Broken);
+                    self.book.ended(attempt, AttemptEnd::Broken);
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
                     break;
                 }
                 Reply::Hang => match self.hang(&stream) {
                     true => (200, "", b"released".to_vec()),
                     false => {
-                        self.book.ended(attempt, Ended::Left);
+                        self.book.ended(attempt, AttemptEnd::Left);
                         break;
                     }
                 },
@@ -291,15 +295,15 @@
                     }
                     self.raw.fetch_add(1, Ordering::SeqCst);
                     // What is in it may be anything: the gateway is through with it by now, or leaves.
-                    self.book.ended(attempt, Ended::Error);
+                    self.book.ended(attempt, AttemptEnd::Error);
                     continue;
                 }
             };
             let never_ran = headers.contains("X-Not-Processed: 1");
             let how = match status {
-                200 => Ended::Served,
-                _ if never_ran => Ended::TurnedAway,
-                _ => Ended::Error,
+                200 => AttemptEnd::Served,
+                _ if never_ran => AttemptEnd::TurnedAway,
+                _ => AttemptEnd::Error,
             };
             self.book.ended(attempt, how);
             let head = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
@@ -745,9 +749,9 @@
         }
         if let Some(request) = self.owed.pop_front().flatten() {
             self.book.note(|ledger, now| match status {
-                Some(200) => ledger.got(request, now, Got::Served),
-                Some(429 | 503) => ledger.got(request, now, Got::Refused),
-                Some(_) => ledger.got(request, now, Got::Failed),
+                Some(200) => ledger.got(request, now, FinalAnswer::Served),
+                Some(429 | 503) => ledger.got(request, now, FinalAnswer::Refused),
+                Some(_) => ledger.got(request, now, FinalAnswer::Failed),
                 None => ledger.lost(request, now),
             });
         }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -6,13 +6,13 @@
 mod killed;
 mod register;
 
-use crate::checker::{Ask, AttemptSeen, Checker, Ended, Got, Rules};
+use crate::checker::{AttemptEnd, Checker, FinalAnswer, ObservedAttempt, Rules, SentRequest};
 use crate::client::{next_try, patience, Seen};
 use crate::draws::{Draws, For};
 use crate::fleet::{carry_out, kinds, ledger, nodes};
 use crate::model::{Answer, Node, Output, State, Work};
 use crate::plain::Plain;
-use crate::plan::{attempt_seconds, plan, Asked};
+use crate::plan::{attempt_seconds, plan, PlannedRequest};
 use crate::register::{deeds, Deed, List, Register};
 use crate::report::{back, fresh, service, tallies, Counts, Report, Runner, Sample};
 use crate::script::Script;
@@ -214,7 +214,7 @@
     now: Duration,
     due: BinaryHeap<Due>,
     order: u64,
-    day: Vec<Asked>,
+    day: Vec<PlannedRequest>,
     firsts: Vec<Duration>,
     tries_of: Vec<Vec<(u64, Duration)>>,
     tries: Vec<Try>,
@@ -463,7 +463,7 @@
             }
             Happening::Left { node, connection, attempt } => {
                 if let Some(attempt) = attempt {
-                    self.ledger.ended(attempt, self.now, Ended::Left);
+                    self.ledger.ended(attempt, self.now, AttemptEnd::Left);
                 }
                 self.nodes[node].disconnect(self.now, connection);
                 self.hear(node);
@@ -505,7 +505,7 @@
         let class = asked.class;
         let own = &self.by_zone[asked.zone];
         let gateway = own[weldworks_balancer::mix(number) as usize % own.len()];
-        self.ledger.asked(number, Ask { gateway, class, at: self.now, until });
+        self.ledger.asked(number, SentRequest { gateway, class, at: self.now, until });
         let n = self.tries.len();
         let (closed, answered, attempts) = Default::default();
         self.tries.push(Try { place, number, tries, gateway, until, closed, answered, attempts });
@@ -540,9 +540,9 @@
     fn take_answer(&mut self, n: usize, seen: Seen) {
         let number = self.tries[n].number;
         let got = match seen {
-            Seen::Served => Got::Served,
-            Seen::Refused { .. } => Got::Refused,
-            Seen::Failed | Seen::Unreachable => Got::Failed,
+            Seen::Served => FinalAnswer::Served,
+            Seen::Refused { .. } => FinalAnswer::Refused,
+            Seen::Failed | Seen::Unreachable => FinalAnswer::Failed,
         };
         self.ledger.got(number, self.now, got);
         if !self.tries[n].closed {
@@ -802,14 +802,14 @@
         let (attempt, whole) = (a as u64, Some(self.now));
         let (first, began, ended) = (self.now, None, None);
         self.ledger
-            .attempt(number, AttemptSeen { attempt, node, gateway, first, whole, began, ended, seconds });
+            .attempt(number, ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds });
         self.counts.attempts += 1;
         let work = Work { request: number, seconds, subject: asked.subject, keyed, until };
         let there = matches!(self.nodes[node].state(), State::Up | State::Draining);
         self.nodes[node].request(self.now, connection, attempt, work);
         self.hear(node);
         if !there {
-            self.ledger.ended(attempt, self.now, Ended::Broken);
+            self.ledger.ended(attempt, self.now, AttemptEnd::Broken);
             let way = self.node_way(a, Hop::FromNode);
             self.at(self.now + way, Happening::Reply { a, outcome: Outcome::Reset, report: None });
         }
@@ -889,10 +889,10 @@
                     let (ended, outcome) = match answer {
                         Answer::Served { dropped } => {
                             self.counts.repeats_dropped += u64::from(dropped);
-                            (Ended::Served, Outcome::Served)
+                            (AttemptEnd::Served, Outcome::Served)
                         }
-                        Answer::Error => (Ended::Error, Outcome::Error),
-                        Answer::TurnedAway(_) => (Ended::TurnedAway, Outcome::Rejected),
+                        Answer::Error => (AttemptEnd::Error, Outcome::Error),
+                        Answer::TurnedAway(_) => (AttemptEnd::TurnedAway, Outcome::Rejected),
                     };
                     self.ledger.ended(attempt, self.now, ended);
                     let a = attempt as usize;
@@ -902,7 +902,7 @@
                     self.at(self.now + way, Happening::Reply { a, outcome, report });
                 }
                 Output::Ended { attempt: Some(attempt), .. } => {
-                    self.ledger.ended(attempt, self.now, Ended::Broken);
+                    self.ledger.ended(attempt, self.now, AttemptEnd::Broken);
                     let a = attempt as usize;
                     let way = self.node_way(a, Hop::FromNode);
                     self.at(self.now + way, Happening::Reply { a, outcome: Outcome::Reset, report: None });
@@ -1021,7 +1021,7 @@
 }
 
 /// What tells a request from the others: a retry has the same.
-fn identity(asked: &Asked) -> Option<u64> {
+fn identity(asked: &PlannedRequest) -> Option<u64> {
     Some(asked.key)
 }
 
--- a/crates/testbed/src/simulate/register.rs
+++ b/crates/testbed/src/simulate/register.rs
@@ -1,7 +1,7 @@
 //! The register in virtual time: calls, news, and the weights that it gives nodes by what they hold.
 
 use super::{Happening, World, BEFORE};
-use crate::checker::Told;
+use crate::checker::EndpointNotice;
 use crate::model::Node;
 use crate::register::{Call, Entry, List, Status};
 use weldworks_balancer::{EndpointId, EndpointState, Event};
@@ -72,7 +72,7 @@
             }
             let listed = |node: &usize| list.entries.iter().any(|e| e.node == *node);
             for node in (0..self.nodes.len()).filter(|n| list.whole && !listed(n)) {
-                self.ledger.told(gateway, node, self.now, Told::Gone);
+                self.ledger.told(gateway, node, self.now, EndpointNotice::Removed);
             }
         }
     }
@@ -89,7 +89,7 @@
             for known in &mut g.hosts {
                 if !hosts.iter().any(|h| h.id == known.id) {
                     known.state = EndpointState::Removed;
-                    self.ledger.told(gateway, known.id.0 as usize, self.now, Told::Gone);
+                    self.ledger.told(gateway, known.id.0 as usize, self.now, EndpointNotice::Removed);
                 }
             }
         }
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, KeyScope};
 use weldworks_testbed::checker::{
-    Ask, AttemptSeen, Checker, ClassTerms, Ended, Got, Rule, Rules, Service, Tally, Told,
+    AttemptEnd, Checker, ClassTerms, EndpointNotice, FinalAnswer, ObservedAttempt, RequestResult, Rule,
+    Rules, SentRequest, Service,
 };
 
 const fn ms(ms: u64) -> Duration {
@@ -25,14 +26,15 @@
 }
 
 fn ask(checker: &mut Checker, class: usize) {
-    checker.asked(1, Ask { gateway: 0, class, at: ms(0), until: ms(1000) });
+    checker.asked(1, SentRequest { gateway: 0, class, at: ms(0), until: ms(1000) });
 }
 
 /// Records attempt `number` at an endpoint, from `from` to `until` in milliseconds.
-fn attempt(checker: &mut Checker, number: u64, node: usize, from: u64, until: u64, how: Ended) {
+fn attempt(checker: &mut Checker, number: u64, node: usize, from: u64, until: u64, how: AttemptEnd) {
     let (whole, began, ended) = (Some(ms(from)), None, None);
     let (first, seconds, gateway) = (ms(from), 0.01, 0);
-    checker.attempt(1, AttemptSeen { attempt: number, node, gateway, first, whole, began, ended, seconds });
+    checker
+        .attempt(1, ObservedAttempt { attempt: number, node, gateway, first, whole, began, ended, seconds });
     checker.ended(number, ms(until), how);
 }
 
@@ -42,19 +44,19 @@
 
 #[test]
 fn each_request_needs_exactly_one_answer_in_time() {
-    type Case = (&'static [(u64, Got)], &'static [Rule]);
+    type Case = (&'static [(u64, FinalAnswer)], &'static [Rule]);
     let cases: [Case; 6] = [
-        (&[(200, Got::Served)], &[]),
-        (&[(1009, Got::Served)], &[]),
-        (&[(1011, Got::Served)], &[Rule::Unanswered]),
+        (&[(200, FinalAnswer::Served)], &[]),
+        (&[(1009, FinalAnswer::Served)], &[]),
+        (&[(1011, FinalAnswer::Served)], &[Rule::Unanswered]),
         (&[], &[Rule::Unanswered]),
-        (&[(200, Got::Served), (300, Got::Failed)], &[Rule::AnsweredTwice]),
-        (&[(200, Got::Foreign)], &[Rule::ForeignAnswer]),
+        (&[(200, FinalAnswer::Served), (300, FinalAnswer::Failed)], &[Rule::AnsweredTwice]),
+        (&[(200, FinalAnswer::Foreign)], &[Rule::ForeignAnswer]),
     ];
     for (answers, rules) in cases {
         let mut checker = checker();
         ask(&mut checker, SAFE);
-        attempt(&mut checker, 1, 0, 10, 190, Ended::Served);
+        attempt(&mut checker, 1, 0, 10, 190, AttemptEnd::Served);
         answers.iter().for_each(|(at, got)| checker.got(1, ms(*at), *got));
         assert_eq!(found(&checker), rules, "{answers:?}");
     }
@@ -75,9 +77,9 @@
     for (second, rules) in [(100, vec![]), (89, vec![Rule::TwoCopies])] {
         let mut checker = checker();
         ask(&mut checker, SAFE);
-        attempt(&mut checker, 1, 0, 10, 100, Ended::Left);
-        attempt(&mut checker, 2, 1, second, 200, Ended::Served);
-        checker.got(1, ms(201), Got::Served);
+        attempt(&mut checker, 1, 0, 10, 100, AttemptEnd::Left);
+        attempt(&mut checker, 2, 1, second, 200, AttemptEnd::Served);
+        checker.got(1, ms(201), FinalAnswer::Served);
         assert_eq!(found(&checker), rules, "second attempt at {second} ms");
     }
 }
@@ -85,23 +87,23 @@
 #[test]
 fn a_request_is_retried_only_as_its_class_allows() {
     let cases = [
-        (SAFE, Ended::Error, 2, 2000, true),
-        (UNSAFE, Ended::Error, 0, 200, false),
-        (UNSAFE, Ended::TurnedAway, 0, 200, true),
-        (UNSAFE, Ended::Unsent, 0, 200, true),
-        (RACK, Ended::Left, 1, 200, true),
-        (RACK, Ended::Left, 2, 200, false),
-        (RACK, Ended::TurnedAway, 2, 200, true),
-        (RACK, Ended::Left, 1, 1021, false),
-        (ALL, Ended::Left, 2, 200, true),
-        (ALL, Ended::Left, 2, 1021, false),
+        (SAFE, AttemptEnd::Error, 2, 2000, true),
+        (UNSAFE, AttemptEnd::Error, 0, 200, false),
+        (UNSAFE, AttemptEnd::TurnedAway, 0, 200, true),
+        (UNSAFE, AttemptEnd::Unsent, 0, 200, true),
+        (RACK, AttemptEnd::Left, 1, 200, true),
+        (RACK, AttemptEnd::Left, 2, 200, false),
+        (RACK, AttemptEnd::TurnedAway, 2, 200, true),
+        (RACK, AttemptEnd::Left, 1, 1021, false),
+        (ALL, AttemptEnd::Left, 2, 200, true),
+        (ALL, AttemptEnd::Left, 2, 1021, false),
     ];
     for (class, how, node, again, allowed) in cases {
         let mut checker = checker();
-        checker.asked(1, Ask { gateway: 0, class, at: ms(0), until: ms(5000) });
+        checker.asked(1, SentRequest { gateway: 0, class, at: ms(0), until: ms(5000) });
         attempt(&mut checker, 1, 0, 10, 100, how);
-        attempt(&mut checker, 2, node, again, again + 50, Ended::Served);
-        checker.got(1, ms(again + 51), Got::Served);
+        attempt(&mut checker, 2, node, again, again + 50, AttemptEnd::Served);
+        checker.got(1, ms(again + 51), FinalAnswer::Served);
         let rules = if allowed { vec![] } else { vec![Rule::ResentAgainstClass] };
         assert_eq!(found(&checker), rules, "class {class}, {how:?}, then node {node} at {again}");
     }
@@ -111,8 +113,8 @@
 fn attempts_after_the_answer_and_late_rejections_are_violations() {
     let mut sent = checker();
     ask(&mut sent, SAFE);
-    sent.got(1, ms(50), Got::Refused);
-    attempt(&mut sent, 1, 0, 70, 100, Ended::Served);
+    sent.got(1, ms(50), FinalAnswer::Refused);
+    attempt(&mut sent, 1, 0, 70, 100, AttemptEnd::Served);
     assert_eq!(found(&sent), [Rule::SentAfterAnswer]);
     // A request may wait until its latency objective of 300 ms, and as long as an attempt is in flight.
     for (last, at, rules) in [
@@ -124,9 +126,9 @@
         let mut held = checker();
         ask(&mut held, SAFE);
         if last > 0 {
-            attempt(&mut held, 1, 0, 10, last, Ended::Error);
+            attempt(&mut held, 1, 0, 10, last, AttemptEnd::Error);
         }
-        held.got(1, ms(at), Got::Refused);
+        held.got(1, ms(at), FinalAnswer::Refused);
         assert_eq!(found(&held), rules, "rejected at {at} ms");
     }
 }
@@ -134,16 +136,16 @@
 #[test]
 fn a_possibly_processed_request_may_be_rejected_only_if_a_retry_is_harmless() {
     for (class, how, rules) in [
-        (SAFE, Ended::Error, vec![]),
-        (ALL, Ended::Error, vec![]),
-        (RACK, Ended::Error, vec![Rule::RefusedAfterRun]),
-        (UNSAFE, Ended::Broken, vec![Rule::RefusedAfterRun]),
-        (UNSAFE, Ended::TurnedAway, vec![]),
+        (SAFE, AttemptEnd::Error, vec![]),
+        (ALL, AttemptEnd::Error, vec![]),
+        (RACK, AttemptEnd::Error, vec![Rule::RefusedAfterRun]),
+        (UNSAFE, AttemptEnd::Broken, vec![Rule::RefusedAfterRun]),
+        (UNSAFE, AttemptEnd::TurnedAway, vec![]),
     ] {
         let mut checker = checker();
         ask(&mut checker, class);
         attempt(&mut checker, 1, 0, 10, 50, how);
-        checker.got(1, ms(60), Got::Refused);
+        checker.got(1, ms(60), FinalAnswer::Refused);
         assert_eq!(found(&checker), rules, "class {class}, {how:?}");
     }
 }
@@ -151,26 +153,26 @@
 #[test]
 fn attempts_are_violations_from_two_seconds_after_a_drain_or_removal_is_notified() {
     for (told, at, rules) in [
-        (Told::Draining, 3010, vec![]),
-        (Told::Draining, 3011, vec![Rule::SentToDrained]),
-        (Told::Gone, 3011, vec![Rule::SentToDrained]),
-        (Told::Up(None), 3011, vec![]),
+        (EndpointNotice::Draining, 3010, vec![]),
+        (EndpointNotice::Draining, 3011, vec![Rule::SentToDrained]),
+        (EndpointNotice::Removed, 3011, vec![Rule::SentToDrained]),
+        (EndpointNotice::Up(None), 3011, vec![]),
     ] {
         let mut checker = checker();
         checker.told(0, 0, ms(1000), told);
-        checker.told(1, 0, ms(0), Told::Gone); // a notification binds only the gateway that received it
-        checker.asked(1, Ask { gateway: 0, class: SAFE, at: ms(at), until: ms(at + 1000) });
-        attempt(&mut checker, 1, 0, at, at + 10, Ended::Served);
-        checker.got(1, ms(at + 11), Got::Served);
+        checker.told(1, 0, ms(0), EndpointNotice::Removed); // a notification binds only the gateway that received it
+        checker.asked(1, SentRequest { gateway: 0, class: SAFE, at: ms(at), until: ms(at + 1000) });
+        attempt(&mut checker, 1, 0, at, at + 10, AttemptEnd::Served);
+        checker.got(1, ms(at + 11), FinalAnswer::Served);
         assert_eq!(found(&checker), rules, "{told:?}, attempt at {at} ms");
     }
     // The removal of an endpoint that was draining does not restart the drain grace; only a notification that it is up ends the grace.
     let mut checker = checker();
-    checker.told(0, 0, ms(1000), Told::Draining);
-    checker.told(0, 0, ms(2500), Told::Gone);
-    checker.asked(1, Ask { gateway: 0, class: SAFE, at: ms(3500), until: ms(4500) });
-    attempt(&mut checker, 1, 0, 3500, 3510, Ended::Served);
-    checker.got(1, ms(3511), Got::Served);
+    checker.told(0, 0, ms(1000), EndpointNotice::Draining);
+    checker.told(0, 0, ms(2500), EndpointNotice::Removed);
+    checker.asked(1, SentRequest { gateway: 0, class: SAFE, at: ms(3500), until: ms(4500) });
+    attempt(&mut checker, 1, 0, 3500, 3510, AttemptEnd::Served);
+    checker.got(1, ms(3511), FinalAnswer::Served);
     assert_eq!(found(&checker), [Rule::SentToDrained]);
 }
 
@@ -180,11 +182,11 @@
         let mut checker = checker();
         checker.started(0, ms(1000));
         if knew {
-            checker.told(0, 0, ms(1500), Told::Up(Some(ms(1000))));
+            checker.told(0, 0, ms(1500), EndpointNotice::Up(Some(ms(1000))));
         }
-        checker.asked(1, Ask { gateway: 0, class: SAFE, at: ms(1990), until: ms(3000) });
-        attempt(&mut checker, 1, 0, 2000, 2010, Ended::Broken);
-        checker.got(1, ms(2011), Got::Refused);
+        checker.asked(1, SentRequest { gateway: 0, class: SAFE, at: ms(1990), until: ms(3000) });
+        attempt(&mut checker, 1, 0, 2000, 2010, AttemptEnd::Broken);
+        checker.got(1, ms(2011), FinalAnswer::Refused);
         checker.fell(0, ms(2010));
         assert_eq!(found(&checker), rules, "knew: {knew}");
     }
@@ -193,7 +195,7 @@
 #[test]
 fn an_attempt_of_a_request_that_no_client_sent_is_reported() {
     let mut checker = checker();
-    attempt(&mut checker, 1, 0, 10, 50, Ended::Error);
+    attempt(&mut checker, 1, 0, 10, 50, AttemptEnd::Error);
     let violations = checker.violations(Rules::virtual_time());
     assert_eq!(violations[0].rule, Rule::NobodyAsked);
     assert_eq!(violations[0].request.as_deref(), Some("0000000000000001"));
@@ -205,9 +207,9 @@
     let names = |n: usize| (0..n).map(|n| n.to_string()).collect::<Vec<_>>();
     let tally = |second: u64, class, tenant, worth, in_share, in_time| {
         let at = Duration::from_secs(second);
-        Tally { at, class, tenant, worth, in_share, in_time }
+        RequestResult { at, class, tenant, worth, in_share, in_time }
     };
-    let mut tallies: Vec<Tally> = (0..30).map(|s| tally(s, 0, 0, 1.0, true, true)).collect();
+    let mut tallies: Vec<RequestResult> = (0..30).map(|s| tally(s, 0, 0, 1.0, true, true)).collect();
     tallies.extend((10..20).map(|s| tally(s, 1, 1, 2.0, true, false)));
     tallies.push(tally(5, 0, 1, 10.0, false, true)); // beyond the tenant's share: it does not count for the worst tenant
     let service = Service::count(&tallies, &names(2), &names(2));
