--- a/crates/testbed/src/checker/evenness.rs
+++ b/crates/testbed/src/checker/evenness.rs
@@ -78,7 +78,7 @@
     /// A checker that recorded these numbers of attempts at endpoint 0, one number for each window.
     fn checker(counts: &[u64]) -> Checker {
         let mut checker = Checker::new(Vec::new(), vec![(0, 0)]);
-        checker.told(0, 0, Duration::ZERO, EndpointNotice::Up(None));
+        checker.record_notice(0, 0, Duration::ZERO, EndpointNotice::Up(None));
         let mut attempt = 0;
         for (window, count) in counts.iter().enumerate() {
             for n in 0..*count {
@@ -87,7 +87,7 @@
                 let (gateway, node, whole, began, ended) = (0, 0, None, None, None);
                 let seen =
                     ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds: 0.01 };
-                checker.attempt(attempt, seen);
+                checker.record_attempt(attempt, seen);
             }
         }
         checker
@@ -109,8 +109,8 @@
     #[test]
     fn windows_in_which_an_endpoint_is_not_listed_as_up_do_not_count() {
         let mut drained = checker(&[7, 7, 7, 7, 7, 0, 0, 0, 7, 7, 7, 7, 7]);
-        drained.told(0, 0, WINDOW * 5 - Duration::from_millis(1), EndpointNotice::Draining);
-        drained.told(0, 0, WINDOW * 7 + Duration::from_millis(1), EndpointNotice::Up(None));
+        drained.record_notice(0, 0, WINDOW * 5 - Duration::from_millis(1), EndpointNotice::Draining);
+        drained.record_notice(0, 0, WINDOW * 7 + Duration::from_millis(1), EndpointNotice::Up(None));
         assert_eq!(drained.dispersion(WINDOW * 13), Some(0.0));
     }
 }
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -161,27 +161,27 @@
     }
 
     /// Records that a client has written the last byte of a request to a connection that a gateway accepted.
-    pub fn asked(&mut self, request: RequestNumber, ask: SentRequest) {
+    pub fn record_request(&mut self, request: RequestNumber, ask: SentRequest) {
         self.record(request).ask = Some(ask);
     }
 
     /// Records that a client has received a complete answer.
-    pub fn got(&mut self, request: RequestNumber, at: Duration, got: FinalAnswer) {
+    pub fn record_answer(&mut self, request: RequestNumber, at: Duration, got: FinalAnswer) {
         self.record(request).got.push((at, got));
     }
 
     /// Records that a client has given a request up and closed its connection.
-    pub fn gave_up(&mut self, request: RequestNumber, at: Duration) {
+    pub fn record_give_up(&mut self, request: RequestNumber, at: Duration) {
         self.record(request).gave_up.get_or_insert(at);
     }
 
     /// Records that a gateway has closed a client's connection without a complete answer.
-    pub fn lost(&mut self, request: RequestNumber, at: Duration) {
+    pub fn record_lost_connection(&mut self, request: RequestNumber, at: Duration) {
         self.record(request).lost.get_or_insert(at);
     }
 
     /// Records that the first byte of an attempt has arrived at an endpoint.
-    pub fn attempt(&mut self, request: RequestNumber, seen: ObservedAttempt) {
+    pub fn record_attempt(&mut self, request: RequestNumber, seen: ObservedAttempt) {
         let (attempt, record) = (seen.attempt, self.record(request));
         record.attempts.push(seen);
         let place = record.attempts.len() - 1;
@@ -194,28 +194,28 @@
     }
 
     /// Records that the last byte of an attempt has arrived.
-    pub fn whole(&mut self, attempt: AttemptId, at: Duration) {
+    pub fn record_whole_attempt(&mut self, attempt: AttemptId, at: Duration) {
         if let Some(seen) = self.seen(attempt) {
             seen.whole = Some(at);
         }
     }
 
     /// Records that an endpoint has begun to process an attempt.
-    pub fn began(&mut self, attempt: AttemptId, at: Duration) {
+    pub fn record_start(&mut self, attempt: AttemptId, at: Duration) {
         if let Some(seen) = self.seen(attempt) {
             seen.began = Some(at);
         }
     }
 
     /// Records the end of an attempt; only the first end that is recorded counts.
-    pub fn ended(&mut self, attempt: AttemptId, at: Duration, how: AttemptEnd) {
+    pub fn record_end(&mut self, attempt: AttemptId, at: Duration, how: AttemptEnd) {
         if let Some(seen) = self.seen(attempt) {
             seen.ended.get_or_insert((at, how));
         }
     }
 
     /// Records that discovery notified a gateway of an endpoint's state.
-    pub fn told(&mut self, gateway: usize, node: usize, at: Duration, what: EndpointNotice) {
+    pub fn record_notice(&mut self, gateway: usize, node: usize, at: Duration, what: EndpointNotice) {
         let told = self.told.entry((gateway, node)).or_default();
         if told.last().is_none_or(|(_, last)| *last != what) {
             told.push((at, what));
@@ -223,12 +223,12 @@
     }
 
     /// Records the cold start of an endpoint.
-    pub fn started(&mut self, node: usize, at: Duration) {
+    pub fn record_cold_start(&mut self, node: usize, at: Duration) {
         self.starts.entry(node).or_default().push(at);
     }
 
     /// Records that an endpoint has fallen over.
-    pub fn fell(&mut self, node: usize, at: Duration) {
+    pub fn record_fall(&mut self, node: usize, at: Duration) {
         self.fallen.push((node, at));
     }
 
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -112,7 +112,7 @@
     fn look(&self, wire: &mut Connection, last: u64) -> bool {
         let open = wire.look();
         if wire.has_surplus() {
-            self.day.ledger.borrow_mut().got(last, self.day.clock.now(), FinalAnswer::Foreign);
+            self.day.ledger.borrow_mut().record_answer(last, self.day.clock.now(), FinalAnswer::Foreign);
         }
         open == Some(0)
     }
@@ -189,7 +189,9 @@
             let written = wire.write(text.as_bytes()).await.is_ok();
             let at = day.clock.now();
             let until = at + wait;
-            day.ledger.borrow_mut().asked(number, SentRequest { gateway, class: asked.class, at, until });
+            day.ledger
+                .borrow_mut()
+                .record_request(number, SentRequest { gateway, class: asked.class, at, until });
             let reading = wire.read(Kind::Answer, || day.clock.now(), |_, _| {});
             let answer = timeout_at(day.clock.instant(until + LINGER), reading).await;
             let now = day.clock.now();
@@ -202,17 +204,17 @@
                 // A gateway may close a connection between requests; what crosses that is sent once more.
                 Ok(Err(ReadError::Ended { partly: false })) if reused || !written => reuse = false,
                 Ok(Err(_)) => {
-                    day.ledger.borrow_mut().lost(number, now);
+                    day.ledger.borrow_mut().record_lost_connection(number, now);
                     return Seen::Failed;
                 }
                 Err(_) => {
-                    day.ledger.borrow_mut().gave_up(number, now);
+                    day.ledger.borrow_mut().record_give_up(number, now);
                     return Seen::Failed;
                 }
             }
             if !reused {
                 behind.out_until.set(now + LEFT_OUT);
-                day.ledger.borrow_mut().lost(number, now);
+                day.ledger.borrow_mut().record_lost_connection(number, now);
                 return Seen::Unreachable;
             }
         }
@@ -252,17 +254,21 @@
                     number(Some(&made.request)) == Some(request)
                         && ledger.is_attempt_of(made.attempt, request)
                 });
-                ledger.got(request, now, if own { FinalAnswer::Served } else { FinalAnswer::Foreign });
+                ledger.record_answer(
+                    request,
+                    now,
+                    if own { FinalAnswer::Served } else { FinalAnswer::Foreign },
+                );
                 Seen::Served
             }
             429 | 503 => {
-                ledger.got(request, now, FinalAnswer::Refused);
+                ledger.record_answer(request, now, FinalAnswer::Refused);
                 let after = answer.header("retry-after").and_then(|a| a.parse().ok());
                 let come_back = after.and_then(|s: f64| Duration::try_from_secs_f64(s).ok());
                 Seen::Refused { come_back: come_back.filter(|t| !t.is_zero()) }
             }
             _ => {
-                ledger.got(request, now, FinalAnswer::Failed);
+                ledger.record_answer(request, now, FinalAnswer::Failed);
                 Seen::Failed
             }
         }
--- a/crates/testbed/src/live/nodes.rs
+++ b/crates/testbed/src/live/nodes.rs
@@ -137,7 +137,7 @@
         let after = self.model.borrow().state();
         self.hear();
         if deed == Deed::Start && after == State::Up {
-            self.day.ledger.borrow_mut().started(self.number, now);
+            self.day.ledger.borrow_mut().record_cold_start(self.number, now);
         }
         if before != after {
             self.follow(before, after);
@@ -214,7 +214,7 @@
         let outputs: Vec<Output> = self.model.borrow_mut().outputs().collect();
         for output in outputs {
             match output {
-                Output::Began { attempt } => self.day.ledger.borrow_mut().began(attempt, now),
+                Output::Began { attempt } => self.day.ledger.borrow_mut().record_start(attempt, now),
                 Output::Answered { attempt, connection, answer, report } => {
                     if let Answer::Served { dropped: true } = answer {
                         self.day.count(|c| c.repeats_dropped += 1);
@@ -223,7 +223,7 @@
                 }
                 Output::Ended { connection, attempt } => {
                     if let Some(attempt) = attempt {
-                        self.day.ledger.borrow_mut().ended(attempt, now, AttemptEnd::Broken);
+                        self.day.ledger.borrow_mut().record_end(attempt, now, AttemptEnd::Broken);
                     }
                     // A process that dies resets its connections; an idle one is closed.
                     let dead = !matches!(self.model.borrow().state(), State::Up | State::Draining);
@@ -231,7 +231,7 @@
                 }
                 Output::FellOver => {
                     self.day.count(|c| c.fallen += 1);
-                    self.day.ledger.borrow_mut().fell(self.number, now);
+                    self.day.ledger.borrow_mut().record_fall(self.number, now);
                     (self.fell)(self.number, now);
                     for port in self.ports.borrow().iter() {
                         if let Some(accepting) = port.listening.take() {
@@ -273,7 +273,7 @@
         self.says.borrow_mut().remove(&connection);
         if let Some(attempt) = out {
             // A machine that is cut off does not see that the other side has gone.
-            self.day.ledger.borrow_mut().ended(attempt, now(), AttemptEnd::Left);
+            self.day.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Left);
         }
         self.model.borrow_mut().disconnect(now(), connection);
         self.hear();
@@ -309,7 +309,7 @@
                     Ok(request) => request,
                     Err(ReadError::Ended { partly }) => {
                         if partly {
-                            self.day.ledger.borrow_mut().ended(attempt, now(), AttemptEnd::Unsent);
+                            self.day.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Unsent);
                         }
                         return None;
                     }
@@ -321,16 +321,16 @@
             };
             if self.model.borrow().state() == State::Silent {
                 // Its machine is cut off: what comes has reached nobody. Only a reset ends this.
-                self.day.ledger.borrow_mut().ended(attempt, now(), AttemptEnd::Unsent);
+                self.day.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Unsent);
                 while !matches!(said.recv().await, Some(Say::End { .. }) | None) {}
                 wire.reset_on_drop();
                 return None;
             }
-            self.day.ledger.borrow_mut().whole(attempt, now());
+            self.day.ledger.borrow_mut().record_whole_attempt(attempt, now());
             let number = number(request.header("x-request-id"));
             let work = number.and_then(|n| self.work(n, request.header("x-timeout")).map(|work| (n, work)));
             let Some((number, work)) = work else {
-                self.day.ledger.borrow_mut().ended(attempt, now(), AttemptEnd::Error);
+                self.day.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Error);
                 let status = if number.is_some() { 400 } else { 404 };
                 let text = format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n");
                 if wire.write(text.as_bytes()).await.is_err() {
@@ -357,7 +357,7 @@
                         Answer::TurnedAway(_) => AttemptEnd::TurnedAway,
                     };
                     // Booked before it is written: from then on the gateway may know.
-                    self.day.ledger.borrow_mut().ended(attempt, now(), how);
+                    self.day.ledger.borrow_mut().record_end(attempt, now(), how);
                     let text = answer_text(answer, report, number, attempt);
                     if wire.write(text.as_bytes()).await.is_err() {
                         return None;
@@ -378,7 +378,7 @@
         let seconds = self.work(number, None).map_or(0.0, |w| w.seconds);
         let (node, whole, began, ended) = (self.number, None, None, None);
         let seen = ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds };
-        self.day.ledger.borrow_mut().attempt(number, seen);
+        self.day.ledger.borrow_mut().record_attempt(number, seen);
     }
 
     /// What a request asks of this node; none where no client sent it.
--- a/crates/testbed/src/live/register.rs
+++ b/crates/testbed/src/live/register.rs
@@ -184,12 +184,12 @@
     fn book(&self, gateway: usize, list: &List) {
         let (now, mut ledger) = (self.day.clock.now(), self.day.ledger.borrow_mut());
         for entry in &list.entries {
-            ledger.told(gateway, entry.node, now, entry.told());
+            ledger.record_notice(gateway, entry.node, now, entry.told());
         }
         if list.whole {
             let listed = |node: &usize| list.entries.iter().any(|e| e.node == *node);
             for node in (0..self.nodes.len()).filter(|n| !listed(n)) {
-                ledger.told(gateway, node, now, EndpointNotice::Removed);
+                ledger.record_notice(gateway, node, now, EndpointNotice::Removed);
             }
         }
     }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -77,7 +77,7 @@
 }
 
 /// The endpoints that an event affects, by the index of the event in the script.
-pub fn met(script: &Script, draws: Draws, event: usize) -> Vec<usize> {
+pub fn affected_endpoints(script: &Script, draws: Draws, event: usize) -> Vec<usize> {
     let all = 0..script.fleet.nodes;
     match &script.events[event].target {
         Target::All => all.collect(),
--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/register.rs
@@ -5,7 +5,7 @@
 
 use crate::checker::EndpointNotice;
 use crate::draws::{Draws, For};
-use crate::plan::met;
+use crate::plan::affected_endpoints;
 use crate::script::{FaultKind, Script};
 use std::time::Duration;
 
@@ -90,7 +90,7 @@
     let mut deeds = Vec::new();
     for (n, event) in script.events.iter().enumerate() {
         let (from, until) = (event.at, event.until());
-        for (k, node) in met(script, draws, n).into_iter().enumerate() {
+        for (k, node) in affected_endpoints(script, draws, n).into_iter().enumerate() {
             let mut during = |on: Deed, off: Deed| {
                 deeds.push((from, node, on));
                 deeds.extend(until.map(|until| (until, node, off)));
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -77,7 +77,7 @@
         self.note(|ledger, now| {
             let (first, whole, began, ended) = (now, Some(now), Some(now), None);
             let (gateway, seconds) = (0, 0.0);
-            ledger.attempt(
+            ledger.record_attempt(
                 request,
                 ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds },
             );
@@ -98,7 +98,7 @@
 
     fn ended(&self, attempt: Option<u64>, how: AttemptEnd) {
         if let Some(attempt) = attempt {
-            self.note(|ledger, now| ledger.ended(attempt, now, how));
+            self.note(|ledger, now| ledger.record_end(attempt, now, how));
         }
     }
 
@@ -120,7 +120,7 @@
             return None;
         }
         self.note(|ledger, at| {
-            ledger.asked(request, SentRequest { gateway: 0, class, at, until: at + wait });
+            ledger.record_request(request, SentRequest { gateway: 0, class, at, until: at + wait });
         });
         Some(request)
     }
@@ -696,7 +696,7 @@
 impl Drop for Client {
     fn drop(&mut self) {
         for request in self.owed.drain(..).flatten() {
-            self.book.note(|ledger, now| ledger.gave_up(request, now));
+            self.book.note(|ledger, now| ledger.record_give_up(request, now));
         }
     }
 }
@@ -736,7 +736,7 @@
     /// Its gateway was killed: no answer is owed to it any more.
     pub fn forget(&mut self) {
         for request in self.owed.drain(..).flatten() {
-            self.book.note(|ledger, now| ledger.gave_up(request, now));
+            self.book.note(|ledger, now| ledger.record_give_up(request, now));
         }
     }
 
@@ -749,10 +749,10 @@
         }
         if let Some(request) = self.owed.pop_front().flatten() {
             self.book.note(|ledger, now| match status {
-                Some(200) => ledger.got(request, now, FinalAnswer::Served),
-                Some(429 | 503) => ledger.got(request, now, FinalAnswer::Refused),
-                Some(_) => ledger.got(request, now, FinalAnswer::Failed),
-                None => ledger.lost(request, now),
+                Some(200) => ledger.record_answer(request, now, FinalAnswer::Served),
+                Some(429 | 503) => ledger.record_answer(request, now, FinalAnswer::Refused),
+                Some(_) => ledger.record_answer(request, now, FinalAnswer::Failed),
+                None => ledger.record_lost_connection(request, now),
             });
         }
         answer
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -50,7 +50,7 @@
     pub(super) fn lose(&mut self, n: usize, seen: Seen) {
         self.tries[n].answered = true;
         if !self.tries[n].closed {
-            self.ledger.gave_up(self.tries[n].number, self.now);
+            self.ledger.record_give_up(self.tries[n].number, self.now);
             self.close(n, seen);
         }
     }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -463,7 +463,7 @@
             }
             Happening::Left { node, connection, attempt } => {
                 if let Some(attempt) = attempt {
-                    self.ledger.ended(attempt, self.now, AttemptEnd::Left);
+                    self.ledger.record_end(attempt, self.now, AttemptEnd::Left);
                 }
                 self.nodes[node].disconnect(self.now, connection);
                 self.hear(node);
@@ -478,7 +478,7 @@
             Happening::Deed { node, deed } => {
                 carry_out(&mut self.nodes[node], self.now, deed);
                 if deed == Deed::Start && self.nodes[node].state() == State::Up {
-                    self.ledger.started(node, self.now);
+                    self.ledger.record_cold_start(node, self.now);
                 }
                 self.hear(node);
             }
@@ -505,7 +505,7 @@
         let class = asked.class;
         let own = &self.by_zone[asked.zone];
         let gateway = own[weldworks_balancer::mix(number) as usize % own.len()];
-        self.ledger.asked(number, SentRequest { gateway, class, at: self.now, until });
+        self.ledger.record_request(number, SentRequest { gateway, class, at: self.now, until });
         let n = self.tries.len();
         let (closed, answered, attempts) = Default::default();
         self.tries.push(Try { place, number, tries, gateway, until, closed, answered, attempts });
@@ -529,7 +529,7 @@
         if self.tries[n].closed {
             return;
         }
-        self.ledger.gave_up(self.tries[n].number, self.now);
+        self.ledger.record_give_up(self.tries[n].number, self.now);
         self.close(n, Seen::Failed);
         if !self.tries[n].answered {
             self.tries[n].answered = true;
@@ -544,7 +544,7 @@
             Seen::Refused { .. } => FinalAnswer::Refused,
             Seen::Failed | Seen::Unreachable => FinalAnswer::Failed,
         };
-        self.ledger.got(number, self.now, got);
+        self.ledger.record_answer(number, self.now, got);
         if !self.tries[n].closed {
             self.close(n, seen);
         }
@@ -801,15 +801,17 @@
         };
         let (attempt, whole) = (a as u64, Some(self.now));
         let (first, began, ended) = (self.now, None, None);
-        self.ledger
-            .attempt(number, ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds });
+        self.ledger.record_attempt(
+            number,
+            ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds },
+        );
         self.counts.attempts += 1;
         let work = Work { request: number, seconds, subject: asked.subject, keyed, until };
         let there = matches!(self.nodes[node].state(), State::Up | State::Draining);
         self.nodes[node].request(self.now, connection, attempt, work);
         self.hear(node);
         if !there {
-            self.ledger.ended(attempt, self.now, AttemptEnd::Broken);
+            self.ledger.record_end(attempt, self.now, AttemptEnd::Broken);
             let way = self.node_way(a, Hop::FromNode);
             self.at(self.now + way, Happening::Reply { a, outcome: Outcome::Reset, report: None });
         }
@@ -884,7 +886,7 @@
         let outputs: Vec<Output> = self.nodes[node].outputs().collect();
         for output in outputs {
             match output {
-                Output::Began { attempt } => self.ledger.began(attempt, self.now),
+                Output::Began { attempt } => self.ledger.record_start(attempt, self.now),
                 Output::Answered { attempt, answer, report, .. } => {
                     let (ended, outcome) = match answer {
                         Answer::Served { dropped } => {
@@ -894,7 +896,7 @@
                         Answer::Error => (AttemptEnd::Error, Outcome::Error),
                         Answer::TurnedAway(_) => (AttemptEnd::TurnedAway, Outcome::Rejected),
                     };
-                    self.ledger.ended(attempt, self.now, ended);
+                    self.ledger.record_end(attempt, self.now, ended);
                     let a = attempt as usize;
                     let way = self.node_way(a, Hop::FromNode);
                     let report =
@@ -902,7 +904,7 @@
                     self.at(self.now + way, Happening::Reply { a, outcome, report });
                 }
                 Output::Ended { attempt: Some(attempt), .. } => {
-                    self.ledger.ended(attempt, self.now, AttemptEnd::Broken);
+                    self.ledger.record_end(attempt, self.now, AttemptEnd::Broken);
                     let a = attempt as usize;
                     let way = self.node_way(a, Hop::FromNode);
                     self.at(self.now + way, Happening::Reply { a, outcome: Outcome::Reset, report: None });
@@ -914,7 +916,7 @@
                 }
                 Output::FellOver => {
                     self.counts.fallen += 1;
-                    self.ledger.fell(node, self.now);
+                    self.ledger.record_fall(node, self.now);
                     self.register.fell(node, self.now);
                     self.await_register();
                 }
--- a/crates/testbed/src/simulate/register.rs
+++ b/crates/testbed/src/simulate/register.rs
@@ -68,11 +68,11 @@
         self.agents = list.version;
         for gateway in 0..self.minds() {
             for entry in &list.entries {
-                self.ledger.told(gateway, entry.node, self.now, entry.told());
+                self.ledger.record_notice(gateway, entry.node, self.now, entry.told());
             }
             let listed = |node: &usize| list.entries.iter().any(|e| e.node == *node);
             for node in (0..self.nodes.len()).filter(|n| list.whole && !listed(n)) {
-                self.ledger.told(gateway, node, self.now, EndpointNotice::Removed);
+                self.ledger.record_notice(gateway, node, self.now, EndpointNotice::Removed);
             }
         }
     }
@@ -89,7 +89,12 @@
             for known in &mut g.hosts {
                 if !hosts.iter().any(|h| h.id == known.id) {
                     known.state = EndpointState::Removed;
-                    self.ledger.told(gateway, known.id.0 as usize, self.now, EndpointNotice::Removed);
+                    self.ledger.record_notice(
+                        gateway,
+                        known.id.0 as usize,
+                        self.now,
+                        EndpointNotice::Removed,
+                    );
                 }
             }
         }
@@ -98,7 +103,7 @@
                 Some(known) => *known = host.clone(),
                 None => g.hosts.push(host.clone()),
             }
-            self.ledger.told(gateway, entry.node, self.now, entry.told());
+            self.ledger.record_notice(gateway, entry.node, self.now, entry.told());
         }
         if let Some(storm) = &mut g.storm {
             let up = g.hosts.iter().filter(|h| h.state == EndpointState::Up);
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -26,16 +26,18 @@
 }
 
 fn ask(checker: &mut Checker, class: usize) {
-    checker.asked(1, SentRequest { gateway: 0, class, at: ms(0), until: ms(1000) });
+    checker.record_request(1, SentRequest { gateway: 0, class, at: ms(0), until: ms(1000) });
 }
 
 /// Records attempt `number` at an endpoint, from `from` to `until` in milliseconds.
 fn attempt(checker: &mut Checker, number: u64, node: usize, from: u64, until: u64, how: AttemptEnd) {
     let (whole, began, ended) = (Some(ms(from)), None, None);
     let (first, seconds, gateway) = (ms(from), 0.01, 0);
-    checker
-        .attempt(1, ObservedAttempt { attempt: number, node, gateway, first, whole, began, ended, seconds });
-    checker.ended(number, ms(until), how);
+    checker.record_attempt(
+        1,
+        ObservedAttempt { attempt: number, node, gateway, first, whole, began, ended, seconds },
+    );
+    checker.record_end(number, ms(until), how);
 }
 
 fn found(checker: &Checker) -> Vec<Rule> {
@@ -57,7 +59,7 @@
         let mut checker = checker();
         ask(&mut checker, SAFE);
         attempt(&mut checker, 1, 0, 10, 190, AttemptEnd::Served);
-        answers.iter().for_each(|(at, got)| checker.got(1, ms(*at), *got));
+        answers.iter().for_each(|(at, got)| checker.record_answer(1, ms(*at), *got));
         assert_eq!(found(&checker), rules, "{answers:?}");
     }
 }
@@ -67,7 +69,7 @@
     for (left, rules) in [(500, vec![]), (1000, vec![Rule::Unanswered])] {
         let mut checker = checker();
         ask(&mut checker, SAFE);
-        checker.gave_up(1, ms(left));
+        checker.record_give_up(1, ms(left));
         assert_eq!(found(&checker), rules);
     }
 }
@@ -79,7 +81,7 @@
         ask(&mut checker, SAFE);
         attempt(&mut checker, 1, 0, 10, 100, AttemptEnd::Left);
         attempt(&mut checker, 2, 1, second, 200, AttemptEnd::Served);
-        checker.got(1, ms(201), FinalAnswer::Served);
+        checker.record_answer(1, ms(201), FinalAnswer::Served);
         assert_eq!(found(&checker), rules, "second attempt at {second} ms");
     }
 }
@@ -100,10 +102,10 @@
     ];
     for (class, how, node, again, allowed) in cases {
         let mut checker = checker();
-        checker.asked(1, SentRequest { gateway: 0, class, at: ms(0), until: ms(5000) });
+        checker.record_request(1, SentRequest { gateway: 0, class, at: ms(0), until: ms(5000) });
         attempt(&mut checker, 1, 0, 10, 100, how);
         attempt(&mut checker, 2, node, again, again + 50, AttemptEnd::Served);
-        checker.got(1, ms(again + 51), FinalAnswer::Served);
+        checker.record_answer(1, ms(again + 51), FinalAnswer::Served);
         let rules = if allowed { vec![] } else { vec![Rule::ResentAgainstClass] };
         assert_eq!(found(&checker), rules, "class {class}, {how:?}, then node {node} at {again}");
     }
@@ -113,7 +115,7 @@
 fn attempts_after_the_answer_and_late_rejections_are_violations() {
     let mut sent = checker();
     ask(&mut sent, SAFE);
-    sent.got(1, ms(50), FinalAnswer::Refused);
+    sent.record_answer(1, ms(50), FinalAnswer::Refused);
     attempt(&mut sent, 1, 0, 70, 100, AttemptEnd::Served);
     assert_eq!(found(&sent), [Rule::SentAfterAnswer]);
     // A request may wait until its latency objective of 300 ms, and as long as an attempt is in flight.
@@ -128,7 +130,7 @@
         if last > 0 {
             attempt(&mut held, 1, 0, 10, last, AttemptEnd::Error);
         }
-        held.got(1, ms(at), FinalAnswer::Refused);
+        held.record_answer(1, ms(at), FinalAnswer::Refused);
         assert_eq!(found(&held), rules, "rejected at {at} ms");
     }
 }
@@ -145,7 +147,7 @@
         let mut checker = checker();
         ask(&mut checker, class);
         attempt(&mut checker, 1, 0, 10, 50, how);
-        checker.got(1, ms(60), FinalAnswer::Refused);
+        checker.record_answer(1, ms(60), FinalAnswer::Refused);
         assert_eq!(found(&checker), rules, "class {class}, {how:?}");
     }
 }
@@ -159,20 +161,20 @@
         (EndpointNotice::Up(None), 3011, vec![]),
     ] {
         let mut checker = checker();
-        checker.told(0, 0, ms(1000), told);
-        checker.told(1, 0, ms(0), EndpointNotice::Removed); // a notification binds only the gateway that received it
-        checker.asked(1, SentRequest { gateway: 0, class: SAFE, at: ms(at), until: ms(at + 1000) });
+        checker.record_notice(0, 0, ms(1000), told);
+        checker.record_notice(1, 0, ms(0), EndpointNotice::Removed); // a notification binds only the gateway that received it
+        checker.record_request(1, SentRequest { gateway: 0, class: SAFE, at: ms(at), until: ms(at + 1000) });
         attempt(&mut checker, 1, 0, at, at + 10, AttemptEnd::Served);
-        checker.got(1, ms(at + 11), FinalAnswer::Served);
+        checker.record_answer(1, ms(at + 11), FinalAnswer::Served);
         assert_eq!(found(&checker), rules, "{told:?}, attempt at {at} ms");
     }
     // The removal of an endpoint that was draining does not restart the drain grace; only a notification that it is up ends the grace.
     let mut checker = checker();
-    checker.told(0, 0, ms(1000), EndpointNotice::Draining);
-    checker.told(0, 0, ms(2500), EndpointNotice::Removed);
-    checker.asked(1, SentRequest { gateway: 0, class: SAFE, at: ms(3500), until: ms(4500) });
+    checker.record_notice(0, 0, ms(1000), EndpointNotice::Draining);
+    checker.record_notice(0, 0, ms(2500), EndpointNotice::Removed);
+    checker.record_request(1, SentRequest { gateway: 0, class: SAFE, at: ms(3500), until: ms(4500) });
     attempt(&mut checker, 1, 0, 3500, 3510, AttemptEnd::Served);
-    checker.got(1, ms(3511), FinalAnswer::Served);
+    checker.record_answer(1, ms(3511), FinalAnswer::Served);
     assert_eq!(found(&checker), [Rule::SentToDrained]);
 }
 
@@ -180,14 +182,14 @@
 fn a_fallen_endpoint_is_a_violation_if_the_sending_gateways_were_notified_of_its_start() {
     for (knew, rules) in [(true, vec![Rule::PushedOver]), (false, vec![])] {
         let mut checker = checker();
-        checker.started(0, ms(1000));
+        checker.record_cold_start(0, ms(1000));
         if knew {
-            checker.told(0, 0, ms(1500), EndpointNotice::Up(Some(ms(1000))));
+            checker.record_notice(0, 0, ms(1500), EndpointNotice::Up(Some(ms(1000))));
         }
-        checker.asked(1, SentRequest { gateway: 0, class: SAFE, at: ms(1990), until: ms(3000) });
+        checker.record_request(1, SentRequest { gateway: 0, class: SAFE, at: ms(1990), until: ms(3000) });
         attempt(&mut checker, 1, 0, 2000, 2010, AttemptEnd::Broken);
-        checker.got(1, ms(2011), FinalAnswer::Refused);
-        checker.fell(0, ms(2010));
+        checker.record_answer(1, ms(2011), FinalAnswer::Refused);
+        checker.record_fall(0, ms(2010));
         assert_eq!(found(&checker), rules, "knew: {knew}");
     }
 }
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -7,7 +7,7 @@
 use weldworks_control::retry_storm::StormSettings;
 use weldworks_testbed::checker::Rule;
 use weldworks_testbed::draws::Draws;
-use weldworks_testbed::plan::{met, plan};
+use weldworks_testbed::plan::{affected_endpoints, plan};
 use weldworks_testbed::report::Report;
 use weldworks_testbed::script::Script;
 use weldworks_testbed::simulate::{simulate, simulate_with, Minds};
@@ -119,8 +119,8 @@
     assert_eq!(numbers.len(), one.len() * 4, "two client attempts have the same number");
     let rate = one.len() as f64 / 5.0;
     assert!((260.0..340.0).contains(&rate), "{rate} requests a second in place of 300");
-    assert_eq!(met(&rough, draws, 0).len(), 6);
-    assert_eq!(met(&rough, draws, 0), met(&rough, draws, 0));
+    assert_eq!(affected_endpoints(&rough, draws, 0).len(), 6);
+    assert_eq!(affected_endpoints(&rough, draws, 0), affected_endpoints(&rough, draws, 0));
 }
 
 #[test]
