--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -35,7 +35,7 @@
     now: Duration,
 ) -> Option<Duration> {
     let class = &script.classes[asked.class];
-    let (harmless, until) = match (class.effect, seen) {
+    let (harmless, until) = match (class.idempotency, seen) {
         (_, Seen::Served) => (false, first),
         (Idempotency::Idempotent, _) | (_, Seen::Refused { .. } | Seen::Unreachable) => {
             (true, first + class.deadline)
@@ -48,9 +48,9 @@
     };
     let wait = match seen {
         Seen::Refused { come_back: Some(advice) } if asked.heeds => {
-            advice.min(script.limits.retry_after.unwrap_or_default()).max(script.clients.wait)
+            advice.min(script.limits.retry_after.unwrap_or_default()).max(script.clients.retry_wait)
         }
-        _ => script.clients.wait,
+        _ => script.clients.retry_wait,
     };
     let at = now + wait;
     (harmless && tries <= script.clients.retries && at + LEAST < until).then_some(at)
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -139,7 +139,7 @@
             match seen {
                 Seen::Served => {
                     day.count(|c| c.served += 1);
-                    let aim = first + day.script.classes[asked.class].aim;
+                    let aim = first + day.script.classes[asked.class].latency_objective;
                     day.in_time.set(day.in_time.get() + u64::from(now <= aim));
                 }
                 Seen::Refused { .. } => day.count(|c| c.refused += 1),
@@ -281,7 +281,7 @@
     let tenant = day.script.tenants.get(asked.tenant).map_or("", |t| t.name.as_str());
     let cookie = asked.subject.map_or(String::new(), |key| format!("Cookie: k={key:016x}\r\n"));
     let retried = if tries > 0 { "X-Retried: 1\r\n" } else { "" };
-    let cost = if day.script.clients.hints {
+    let cost = if day.script.clients.send_cost_hints {
         format!("X-Cost: {}\r\n", (asked.seconds * 1e6).round())
     } else {
         String::new()
@@ -294,7 +294,7 @@
     );
     let body = format!("{{\"place\":{}}}", asked.place);
     let length = body.len();
-    match class.effect {
+    match class.idempotency {
         Idempotency::Idempotent => format!("GET /{} HTTP/1.1\r\n{common}\r\n", class.name),
         Idempotency::IdempotencyKey { .. } => format!(
             "POST /{} HTTP/1.1\r\n{common}Idempotency-Key: {:016x}\r\nContent-Length: {length}\r\n\r\n{body}",
--- a/crates/testbed/src/live/nodes.rs
+++ b/crates/testbed/src/live/nodes.rs
@@ -386,7 +386,7 @@
         let place = *self.day.places.borrow().get(&number)?;
         let asked = self.day.plan.get(place)?;
         let class = self.day.script.classes.get(asked.class)?;
-        let keyed = match class.effect {
+        let keyed = match class.idempotency {
             Idempotency::IdempotencyKey { scope: group, window } => Some((asked.key, group, window)),
             _ => None,
         };
--- a/crates/testbed/src/live/register.rs
+++ b/crates/testbed/src/live/register.rs
@@ -40,7 +40,7 @@
 
     /// Renews the weights for as long as it runs, where the script has any.
     pub async fn weigh(&self) {
-        let Some(live) = self.day.script.register.weights else { return };
+        let Some(live) = self.day.script.discovery.weights else { return };
         for round in 0u32.. {
             sleep_until(self.day.clock.instant(live.every * round)).await;
             let seen = weights(&self.day, &self.nodes);
@@ -73,7 +73,7 @@
     /// Where news are pushed, what an agent has been sent counts as told, whether or not its gateway reads it: books that
     /// for as long as it runs.
     pub async fn tell_agents(&self) {
-        if !self.day.script.register.pushed {
+        if !self.day.script.discovery.pushed {
             return;
         }
         let mut version = 1;
@@ -125,7 +125,7 @@
         let call = self.model.borrow_mut().call(now());
         let (Call::Answered(at) | Call::Failed(at)) = call;
         // Where news are pushed the caller has an agent of its own before it, which answers at once.
-        let pushed = self.day.script.register.pushed;
+        let pushed = self.day.script.discovery.pushed;
         if !pushed {
             sleep_until(self.day.clock.instant(at)).await;
         }
@@ -229,6 +229,6 @@
 
 /// What each node is worth now: its size, divided by 1 + what it holds a core.
 fn weights(day: &Day, nodes: &[Rc<LiveNode>]) -> Vec<f64> {
-    let live = day.script.register.weights.is_some();
+    let live = day.script.discovery.weights.is_some();
     nodes.iter().map(|node| if live { node.see(|model| model.live_weight()) } else { 1.0 }).collect()
 }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -151,7 +151,7 @@
         let in_share = buckets[tenant] >= 1.0;
         buckets[tenant] -= f64::from(u8::from(in_share));
         let mut habits = draws.stream(For::Habits, place as u64);
-        let patience = spec.deadline.mul_f64(habits.within(script.clients.try_share));
+        let patience = spec.deadline.mul_f64(habits.within(script.clients.timeout_share));
         plan.push(PlannedRequest {
             place,
             at,
@@ -161,11 +161,11 @@
             subject: subject.filter(|_| script.load.keys > 0),
             seconds,
             patience,
-            heeds: habits.chance(script.clients.heed),
+            heeds: habits.chance(script.clients.retry_after_share),
             fresh: habits.chance(script.clients.fresh_connections),
-            worth: spec.worth
+            worth: spec.priority_weight
                 * if in_share { 1.0 } else { OVER_SHARE_WORTH }
-                * if script.load.worth_by_work { seconds / spec.work.as_secs_f64() } else { 1.0 },
+                * if script.load.weight_by_work { seconds / spec.work.as_secs_f64() } else { 1.0 },
             in_share,
             key: habits.number(),
         });
--- a/crates/testbed/src/register.rs
+++ b/crates/testbed/src/register.rs
@@ -171,7 +171,7 @@
                 Deed::CutOff => {
                     silent[node] = true;
                     let entry = Entry { node, status: Status::Left, started: started[node] };
-                    changes.push(Change { at: at + notice(script.register.silent_notice), entry });
+                    changes.push(Change { at: at + notice(script.discovery.silent_notice_delay), entry });
                     continue;
                 }
                 Deed::Start => {
@@ -183,7 +183,7 @@
                 _ => continue,
             };
             let entry = Entry { node, status, started: started[node] };
-            changes.push(Change { at: at + notice(script.register.notice), entry });
+            changes.push(Change { at: at + notice(script.discovery.notice_delay), entry });
         }
         // A later deed is never told before an earlier one of the same node.
         let mut last = vec![Duration::ZERO; script.fleet.nodes];
@@ -202,10 +202,10 @@
             changes,
             nodes: script.fleet.nodes,
             down: down.collect(),
-            call: script.register.call,
-            timeout: script.register.timeout,
+            call: script.discovery.call_time,
+            timeout: script.discovery.timeout,
             busy_until: Duration::ZERO,
-            silent_notice: script.register.silent_notice.0,
+            silent_notice: script.discovery.silent_notice_delay.0,
         }
     }
 
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -78,7 +78,7 @@
         "listen": "127.0.0.1:0",
         "discovery": discovery,
         "seed": format!("{:016x}", day.draws.number(crate::draws::For::Gateway, gateway as u64)),
-        "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.sockets},
+        "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.descriptors},
         "known": known,
         "settings": day.script.settings(gateway, day.gateways),
     })
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -254,7 +254,7 @@
     let tally = |asked: &PlannedRequest| {
         let tries = tries.get(asked.place).map(Vec::as_slice).unwrap_or_default();
         let first = tries.first().map_or(asked.at, |(_, at)| *at);
-        let objective_end = first + script.classes[asked.class].aim;
+        let objective_end = first + script.classes[asked.class].latency_objective;
         let in_time = tries.iter().any(|(number, _)| {
             let got = checker.of(*number).and_then(|record| record.got.first());
             got.is_some_and(|(at, got)| *got == FinalAnswer::Served && *at <= objective_end)
@@ -279,7 +279,7 @@
     first: usize,
     by: impl Fn(usize) -> Option<usize>,
 ) -> Fresh {
-    let from = script.fleet.joins_at;
+    let from = script.fleet.late_start_at;
     let in_window =
         tallies.iter().enumerate().filter(|(_, tally)| tally.at >= from && tally.at < from + FRESH_PERIOD);
     let (fresh, others): (Vec<_>, Vec<_>) =
--- a/crates/testbed/src/script/defaults.rs
+++ b/crates/testbed/src/script/defaults.rs
@@ -11,17 +11,17 @@
 
 /// The four request classes of the booking service.
 pub fn classes() -> Vec<Class> {
-    let class = |name: &str, share, work, spread, aim, deadline, worth, effect| Class {
+    let class = |name: &str, share, work, spread, aim, deadline, priority_weight, idempotency| Class {
         name: name.to_owned(),
         share,
         work: ms(work),
         distribution: Distribution::LogNormal,
         spread,
         attempt_spread: 0.2,
-        aim: ms(aim),
+        latency_objective: ms(aim),
         deadline: ms(deadline),
-        worth,
-        effect,
+        priority_weight,
+        idempotency,
     };
     let keyed = |group| Idempotency::IdempotencyKey { scope: group, window: ms(1200) };
     vec![
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -32,7 +32,7 @@
     /// Tenants, with their shares of the service.
     pub tenants: Vec<Tenant>,
     /// Discovery: how soon gateways are notified of changes to the endpoint list.
-    pub register: Register,
+    pub discovery: Discovery,
     /// Network delays in virtual time; a run on sockets has the delays of the loopback interface.
     pub network: Network,
     /// Resources and policy limits of a gateway.
@@ -51,19 +51,19 @@
     /// Number of gateways in a run on sockets, each a process of its own.
     pub on_sockets: usize,
     /// Number of gateways in the settings of a gateway, as a multiple of the actual number.
-    pub told: f64,
+    pub gateway_count_factor: f64,
     /// Number of gateways that start late, in virtual time; all other gateways have served requests by then.
-    pub joining: usize,
+    pub late_gateways: usize,
     /// Time at which the late gateways start.
-    pub joins_at: Duration,
+    pub late_start_at: Duration,
     /// Number of gateways that are killed, together with their requests in flight, in virtual time.
-    pub killed: usize,
+    pub killed_gateways: usize,
     /// Time at which gateways are killed.
     pub killed_at: Duration,
     /// Time after which killed gateways start again, without any state.
-    pub back_after: Duration,
+    pub restart_delay: Duration,
     /// Time for which the load balancer in front goes on forwarding to a gateway that was killed.
-    pub noticed: Duration,
+    pub failover_delay: Duration,
     /// Number of stand-in endpoints; they are assigned to the zones in turn.
     pub nodes: usize,
     /// Number of endpoints in a rack; a rack lies in one zone.
@@ -118,7 +118,7 @@
     /// Factor by which every other gateway of a zone receives more requests, in virtual time.
     pub uneven: usize,
     /// Whether the priority weight of a request grows with its work; a request of mean work has the weight of its class.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// Additional requests of the first zone's clients, as a fraction of another zone's requests.
     pub zone_skew: f64,
 }
@@ -129,13 +129,13 @@
     /// Greatest number of retries of a client's request.
     pub retries: u32,
     /// Range of the timeout of a client's attempt, as a fraction of the class's deadline.
-    pub try_share: (f64, f64),
+    pub timeout_share: (f64, f64),
     /// Time that a client waits before a retry.
-    pub wait: Duration,
+    pub retry_wait: Duration,
     /// Share of clients that honour `Retry-After`.
-    pub heed: f64,
+    pub retry_after_share: f64,
     /// Whether clients send a cost hint with each request.
-    pub hints: bool,
+    pub send_cost_hints: bool,
     /// Share of clients that send a single request on a new connection.
     pub fresh_connections: f64,
 }
@@ -156,13 +156,13 @@
     /// Coefficient of variation of the work of one request's attempts at different endpoints.
     pub attempt_spread: f64,
     /// Latency objective: only answers within this time count as served in time.
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Time after which the client gives up the request, retries included.
     pub deadline: Duration,
     /// Priority weight of a request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Idempotency of a request.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
 }
 
 /// A tenant of the booking service.
@@ -178,13 +178,13 @@
 
 /// Discovery, as the stand-in behaves.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Register {
+pub struct Discovery {
     /// Range of the time until discovery lists that a process ended, drains or started.
-    pub notice: (Duration, Duration),
+    pub notice_delay: (Duration, Duration),
     /// Range of the time until discovery lists that a machine was cut off.
-    pub silent_notice: (Duration, Duration),
+    pub silent_notice_delay: (Duration, Duration),
     /// Processing time of one call; calls are processed one after another.
-    pub call: Duration,
+    pub call_time: Duration,
     /// Timeout of a call: a call that would wait longer fails.
     pub timeout: Duration,
     /// Whether discovery pushes changes to gateways; otherwise gateways watch, and each watch costs a call.
@@ -208,9 +208,9 @@
     /// Delay between a client and its gateway.
     pub client: Duration,
     /// Delay between a gateway and an endpoint of the same zone.
-    pub same: Duration,
+    pub same_zone: Duration,
     /// Delay between a gateway and an endpoint of another zone.
-    pub cross: Duration,
+    pub cross_zone: Duration,
     /// Variation of each network delay, as a fraction of the delay.
     pub jitter: f64,
 }
@@ -221,13 +221,13 @@
     /// Memory of a gateway, in MB.
     pub memory_mb: u64,
     /// Descriptor budget of a gateway.
-    pub sockets: u64,
+    pub descriptors: u64,
     /// Greatest number of attempts for one request.
-    pub attempts: u64,
+    pub max_attempts: u64,
     /// Greatest `Retry-After` that clients honour; `None` where gateways send no `Retry-After`.
     pub retry_after: Option<Duration>,
     /// Connect timeout: a connection that is not established within this time never will be.
-    pub dial: Duration,
+    pub connect_timeout: Duration,
     /// Time after a gateway was notified that an endpoint drains or was removed, from which on the gateway sends no attempt to it.
     pub drain_grace: Duration,
 }
@@ -406,20 +406,20 @@
             "classes": classes,
             "client_habits": {"marks_retry": true},
             "costs": {"cross_zone": 0.02, "late_fail": 0.03, "waste": 0.2},
-            "discovery": if self.register.pushed { "push" } else { "ask" },
+            "discovery": if self.discovery.pushed { "push" } else { "ask" },
             "family": "proxy",
             "family_info": {"warm_keys": self.fleet.kinds.iter().any(|kind| kind.spec.key_gain > 0.0)},
             "flavors": self.fleet.kinds.iter().map(|kind| kind.name.clone()).collect::<Vec<_>>(),
-            "fleet_size": (gateways as f64 * self.fleet.told).round().max(1.0) as u64,
+            "fleet_size": (gateways as f64 * self.fleet.gateway_count_factor).round().max(1.0) as u64,
             "locality": self.zone_of(gateway),
             "over_share_worth": OVER_SHARE_WORTH,
             "policy_limits": {
-                "dial_timeout_s": self.limits.dial.as_secs_f64(),
+                "dial_timeout_s": self.limits.connect_timeout.as_secs_f64(),
                 "keepalive_s": idle.as_secs_f64(),
                 "max_retry_after_s": self.limits.retry_after.unwrap_or_default().as_secs_f64(),
                 "may_cancel": true, "peers": false, "probes": false,
                 "retry_after": self.limits.retry_after.is_some(),
-                "second_copies": false, "streams_per_conn": 1, "try_limit": self.limits.attempts,
+                "second_copies": false, "streams_per_conn": 1, "try_limit": self.limits.max_attempts,
             },
             "quantum_s": 0.005,
             "rank": gateway,
@@ -429,8 +429,8 @@
                 "overload_factor": spec.fall_at, "stop_sending_within_s": self.limits.drain_grace.as_secs_f64(),
             },
             "stats": {"fields": ["qps", "inflight"], "how": "inline"},
-            "tier": 0, "tiers": ["booking"], "weight_source": if self.register.weights.is_some() { "live" } else { "off" },
-            "worth_by": if self.load.worth_by_work { "work" } else { "request" },
+            "tier": 0, "tiers": ["booking"], "weight_source": if self.discovery.weights.is_some() { "live" } else { "off" },
+            "worth_by": if self.load.weight_by_work { "work" } else { "request" },
         })
     }
 }
@@ -439,7 +439,7 @@
 pub const OVER_SHARE_WORTH: f64 = 0.2;
 
 fn class_settings(class: &Class) -> Value {
-    let (effect, group, window) = match class.effect {
+    let (effect, group, window) = match class.idempotency {
         Idempotency::Idempotent => ("free", "all", 5.0),
         Idempotency::NotIdempotent => ("single_shot", "all", 5.0),
         Idempotency::IdempotencyKey { scope: group, window } => {
@@ -451,7 +451,7 @@
             ("guarded", group, window.as_secs_f64())
         }
     };
-    json!({"name": class.name, "promise_s": class.aim.as_secs_f64(), "deadline_s": class.deadline.as_secs_f64(),
-        "effect": effect, "group": group, "dedup_window_s": window, "importance": class.worth,
+    json!({"name": class.name, "promise_s": class.latency_objective.as_secs_f64(), "deadline_s": class.deadline.as_secs_f64(),
+        "effect": effect, "group": group, "dedup_window_s": window, "importance": class.priority_weight,
         "late_worth": 0.0, "streaming": false})
 }
--- a/crates/testbed/src/script/read.rs
+++ b/crates/testbed/src/script/read.rs
@@ -1,7 +1,7 @@
 //! Reads a scenario script from TOML and reports every error in it.
 
 use super::{
-    defaults, Class, Clients, Event, FaultKind, Fleet, Kind, Limits, LiveWeights, Load, Network, Register,
+    defaults, Class, Clients, Discovery, Event, FaultKind, Fleet, Kind, Limits, LiveWeights, Load, Network,
     Script, Shape, Target, Tenant,
 };
 use crate::model::{ChokeSpec, Distribution, PauseSpec, WarmBy};
@@ -70,7 +70,7 @@
     let (fleet, load, clients) = (fleet(&root), load(&root), clients(&root));
     let classes = classes(&root);
     let tenants = tenants(&root);
-    let (register, network, limits) = (register(&root), network(&root), limits(&root));
+    let (discovery, network, limits) = (discovery(&root), network(&root), limits(&root));
     let events = events(&root, &fleet, &classes, lasts);
     root.finish();
     document.check(Script {
@@ -82,7 +82,7 @@
         clients,
         classes,
         tenants,
-        register,
+        discovery,
         network,
         limits,
         events,
@@ -118,13 +118,13 @@
         // By default as many processes as the script has gateways, up to what one machine can run; two where the script names no number.
         let carried = if table.contains("gateways") { gateways.min(MAX_DEFAULT_PROCESSES) } else { 2 };
         let on_sockets = table.get_in_range("on_sockets", 1..=1000, carried as u64) as usize;
-        let told = table.get_in_range("told", 0.01..=100.0, 1.0);
-        let joining = fewer_than(table, "joining", gateways);
-        let joins_at = table.get_in_range("joins_at", Duration::ZERO..=MAX_DURATION, ms(10_000));
-        let killed = fewer_than(table, "killed", gateways);
+        let gateway_count_factor = table.get_in_range("told", 0.01..=100.0, 1.0);
+        let late_gateways = fewer_than(table, "joining", gateways);
+        let late_start_at = table.get_in_range("joins_at", Duration::ZERO..=MAX_DURATION, ms(10_000));
+        let killed_gateways = fewer_than(table, "killed", gateways);
         let killed_at = table.get_in_range("killed_at", Duration::ZERO..=MAX_DURATION, ms(10_000));
-        let back_after = table.get_in_range("back_after", ms(1)..=MAX_DURATION, ms(3000));
-        let noticed = table.get_in_range("noticed", Duration::ZERO..=MAX_DURATION, ms(2000));
+        let restart_delay = table.get_in_range("back_after", ms(1)..=MAX_DURATION, ms(3000));
+        let failover_delay = table.get_in_range("noticed", Duration::ZERO..=MAX_DURATION, ms(2000));
         let nodes = table.get_in_range("nodes", 1..=1000, 12u64) as usize;
         let rack = table.get_in_range("rack", 1..=1000, 3u64) as usize;
         let tables = table.tables("kind");
@@ -141,13 +141,13 @@
             zones,
             gateways,
             on_sockets,
-            told,
-            joining,
-            joins_at,
-            killed,
+            gateway_count_factor,
+            late_gateways,
+            late_start_at,
+            killed_gateways,
             killed_at,
-            back_after,
-            noticed,
+            restart_delay,
+            failover_delay,
             nodes,
             rack,
             kinds,
@@ -250,7 +250,7 @@
         period: table.get_in_range("period", ms(100)..=MAX_DURATION, ms(10_000)),
         keys: table.get_in_range("keys", 0..=10_000_000, 2400) as usize,
         skew: table.get_in_range("skew", 0.0..=5.0, 0.75),
-        worth_by_work: table.get_or("worth_by_work", false),
+        weight_by_work: table.get_or("worth_by_work", false),
         zone_skew: table.get_in_range("zone_skew", 0.0..=10.0, 0.25),
         uneven: table.get_in_range("uneven", 1..=1000, 1u64) as usize,
     })
@@ -258,16 +258,16 @@
 
 fn clients(root: &Table<'_, '_>) -> Clients {
     section(root, "clients", |table| {
-        let try_share: (f64, f64) = table.get_or("try_share", (0.5, 0.6));
-        if try_share.0 <= 0.0 || try_share.1 > 1.0 {
+        let timeout_share: (f64, f64) = table.get_or("try_share", (0.5, 0.6));
+        if timeout_share.0 <= 0.0 || timeout_share.1 > 1.0 {
             table.report("try_share", "must be above 0 and at most 1");
         }
         Clients {
             retries: table.get_in_range("retries", 0..=100, 2) as u32,
-            try_share,
-            wait: table.get_in_range("wait", Duration::ZERO..=MAX_DURATION, ms(40)),
-            heed: table.get_in_range("heed", SHARE, 0.2),
-            hints: table.get_or("hints", false),
+            timeout_share,
+            retry_wait: table.get_in_range("wait", Duration::ZERO..=MAX_DURATION, ms(40)),
+            retry_after_share: table.get_in_range("heed", SHARE, 0.2),
+            send_cost_hints: table.get_or("hints", false),
             fresh_connections: table.get_in_range("fresh_connections", SHARE, 0.0),
         }
     })
@@ -282,19 +282,19 @@
     for table in &tables {
         let group = table.get_or("group", KeyScopeChoice(KeyScope::All)).0;
         let window = table.get_in_range("window", Duration::ZERO..=MAX_DURATION, ms(1200));
-        let effect = match table.get_or("effect", IdempotencyChoice::Safe) {
+        let idempotency = match table.get_or("effect", IdempotencyChoice::Safe) {
             IdempotencyChoice::Safe => Idempotency::Idempotent,
             IdempotencyChoice::Unsafe => Idempotency::NotIdempotent,
             IdempotencyChoice::Keyed => Idempotency::IdempotencyKey { scope: group, window },
         };
-        if !matches!(effect, Idempotency::IdempotencyKey { .. }) {
+        if !matches!(idempotency, Idempotency::IdempotencyKey { .. }) {
             for key in ["group", "window"].into_iter().filter(|key| table.contains(key)) {
                 table.report(key, "is allowed with effect = \"keyed\" only");
             }
         }
-        let aim = table.get_in_range("aim", ms(1)..=MAX_DURATION, ms(300));
+        let latency_objective = table.get_in_range("aim", ms(1)..=MAX_DURATION, ms(300));
         let deadline = table.get_in_range("deadline", ms(1)..=MAX_DURATION, ms(1200));
-        if aim > deadline {
+        if latency_objective > deadline {
             table.report("aim", "is longer than the deadline");
         }
         classes.push(Class {
@@ -304,10 +304,10 @@
             distribution: table.get_or("distribution", Distribution::LogNormal),
             spread: table.get_in_range("spread", 0.0..=20.0, 0.5),
             attempt_spread: table.get_in_range("attempt_spread", 0.0..=20.0, 0.2),
-            aim,
+            latency_objective,
             deadline,
-            worth: table.get_in_range("worth", 0.0..=1e6, 1.0),
-            effect,
+            priority_weight: table.get_in_range("worth", 0.0..=1e6, 1.0),
+            idempotency,
         });
         table.finish();
     }
@@ -338,11 +338,11 @@
     tenants
 }
 
-fn register(root: &Table<'_, '_>) -> Register {
-    section(root, "register", |table| Register {
-        notice: table.get_or("notice", (ms(1000), ms(3000))),
-        silent_notice: table.get_or("silent_notice", (ms(4000), ms(8000))),
-        call: table.get_in_range("call", Duration::ZERO..=ms(60_000), ms(5)),
+fn discovery(root: &Table<'_, '_>) -> Discovery {
+    section(root, "register", |table| Discovery {
+        notice_delay: table.get_or("notice", (ms(1000), ms(3000))),
+        silent_notice_delay: table.get_or("silent_notice", (ms(4000), ms(8000))),
+        call_time: table.get_in_range("call", Duration::ZERO..=ms(60_000), ms(5)),
         timeout: table.get_in_range("timeout", ms(1)..=ms(600_000), ms(2000)),
         pushed: table.get_or("pushed", false),
         weights: weights(table),
@@ -366,8 +366,8 @@
 fn network(root: &Table<'_, '_>) -> Network {
     section(root, "network", |table| Network {
         client: table.get_in_range("client", Duration::ZERO..=ms(10_000), Duration::from_micros(900)),
-        same: table.get_in_range("same", Duration::ZERO..=ms(10_000), Duration::from_micros(180)),
-        cross: table.get_in_range("cross", Duration::ZERO..=ms(10_000), ms(1)),
+        same_zone: table.get_in_range("same", Duration::ZERO..=ms(10_000), Duration::from_micros(180)),
+        cross_zone: table.get_in_range("cross", Duration::ZERO..=ms(10_000), ms(1)),
         jitter: table.get_in_range("jitter", SHARE, 0.15),
     })
 }
@@ -375,10 +375,10 @@
 fn limits(root: &Table<'_, '_>) -> Limits {
     section(root, "limits", |table| Limits {
         memory_mb: table.get_in_range("memory_mb", 16..=1_000_000, 192),
-        sockets: table.get_in_range("sockets", 48..=1_000_000, 1024),
-        attempts: table.get_in_range("attempts", 1..=100, 6),
+        descriptors: table.get_in_range("sockets", 48..=1_000_000, 1024),
+        max_attempts: table.get_in_range("attempts", 1..=100, 6),
         retry_after: table.get("retry_after"),
-        dial: table.get_in_range("dial", ms(1)..=ms(60_000), ms(100)),
+        connect_timeout: table.get_in_range("dial", ms(1)..=ms(60_000), ms(100)),
         drain_grace: table.get_in_range("drain_grace", ms(1)..=ms(60_000), ms(2000)),
     })
 }
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -12,7 +12,7 @@
     fn to_kill(&self) -> Vec<usize> {
         let count = there(self.script, self.gateways.len());
         let in_turn = (0..count).step_by(2).chain((1..count).step_by(2));
-        in_turn.take(self.script.fleet.killed.min(count - 1)).collect()
+        in_turn.take(self.script.fleet.killed_gateways.min(count - 1)).collect()
     }
 
     /// Their machines reset what they hold open: clients and nodes see it at once. What was in hand is for the client to try again.
@@ -41,7 +41,7 @@
             self.lose(n, Seen::Failed);
         }
         let fleet = &self.script.fleet;
-        let (noticed, back) = (self.now + fleet.noticed, self.now + fleet.back_after);
+        let (noticed, back) = (self.now + fleet.failover_delay, self.now + fleet.restart_delay);
         self.at(noticed, Happening::Noticed);
         self.at(back, Happening::Back);
     }
@@ -88,7 +88,7 @@
             };
             (gateway.alive, gateway.life, gateway.version) = (true, life, 0);
             gateway.hosts.clear();
-            gateway.watching = script.register.pushed;
+            gateway.watching = script.discovery.pushed;
             let list = self.register.since(self.now, 0);
             self.tell(g, list);
         }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -330,7 +330,7 @@
                 hosts: Vec::new(),
                 idle: vec![Vec::new(); script.fleet.nodes],
                 version: 0,
-                watching: script.register.pushed && g < there,
+                watching: script.discovery.pushed && g < there,
                 life: 0,
                 alive: true,
             });
@@ -372,9 +372,9 @@
             world.tell(g, list);
         }
         if there < count {
-            world.at(script.fleet.joins_at, Happening::Join);
+            world.at(script.fleet.late_start_at, Happening::Join);
         }
-        if script.fleet.killed > 0 {
+        if script.fleet.killed_gateways > 0 {
             world.at(script.fleet.killed_at, Happening::Kill);
         }
         for place in 0..places {
@@ -386,7 +386,7 @@
         }
         (0..world.nodes.len()).for_each(|n| world.watch_node(n));
         world.await_register();
-        if script.register.weights.is_some() {
+        if script.discovery.weights.is_some() {
             world.at(Duration::ZERO, Happening::Weigh);
         }
         world.at(Duration::ZERO, Happening::Sample);
@@ -413,8 +413,11 @@
         let attempt = &self.attempts[a];
         let gateway = &self.gateways[self.tries[attempt.n].gateway];
         let network = &self.script.network;
-        let base =
-            if gateway.zone == self.script.zone_of(attempt.node) { network.same } else { network.cross };
+        let base = if gateway.zone == self.script.zone_of(attempt.node) {
+            network.same_zone
+        } else {
+            network.cross_zone
+        };
         self.way(base, self.tries[attempt.n].number.wrapping_add(u64::from(attempt.in_try)), hop)
     }
 
@@ -518,7 +521,7 @@
     fn join(&mut self) {
         let count = self.gateways.len();
         for g in there(self.script, count)..self.minds() {
-            self.gateways[g].watching = self.script.register.pushed;
+            self.gateways[g].watching = self.script.discovery.pushed;
             let list = self.register.since(self.now, 0);
             self.tell(g, list);
         }
@@ -557,7 +560,7 @@
         match seen {
             Seen::Served => {
                 self.counts.served += 1;
-                let aim = first + self.script.classes[asked.class].aim;
+                let aim = first + self.script.classes[asked.class].latency_objective;
                 self.in_time.0 += u64::from(self.now <= aim);
             }
             Seen::Refused { .. } => self.counts.refused += 1,
@@ -581,7 +584,7 @@
         }
         let asked = &self.day[place];
         let give_up = until.saturating_sub(AHEAD);
-        let (worth, mean) = (self.script.classes[asked.class].worth, self.mean_worth);
+        let (worth, mean) = (self.script.classes[asked.class].priority_weight, self.mean_worth);
         let arriving = ArrivingRequest {
             is_client_retry: tries > 0,
             identity: identity(asked),
@@ -598,7 +601,7 @@
             class: asked.class,
             tenant: asked.tenant,
             key: asked.subject.map(weldworks_balancer::mix),
-            cost_hint: self.script.clients.hints.then(|| Duration::from_secs_f64(asked.seconds)),
+            cost_hint: self.script.clients.send_cost_hints.then(|| Duration::from_secs_f64(asked.seconds)),
             is_client_retry: tries > 0,
             admission_share: allowance,
             client_deadline: BEFORE + give_up,
@@ -685,7 +688,7 @@
             }
             Action::PollDiscovery => {
                 self.gateways[gateway].watching = false;
-                let at = self.now + self.script.network.same;
+                let at = self.now + self.script.network.same_zone;
                 self.at(at, Happening::RegisterCall { gateway });
             }
         }
@@ -745,7 +748,7 @@
             self.counts.connections += 1;
             let way = self.node_way(a, Hop::Dial);
             self.at(self.now + way, Happening::Dial { a });
-            self.at(self.now + self.script.limits.dial, Happening::DialTimeout { a });
+            self.at(self.now + self.script.limits.connect_timeout, Happening::DialTimeout { a });
         }
     }
 
@@ -795,7 +798,7 @@
         let asked = &self.day[place];
         let class = &self.script.classes[asked.class];
         let seconds = attempt_seconds(self.draws, class, asked, node as u64);
-        let keyed = match class.effect {
+        let keyed = match class.idempotency {
             Idempotency::IdempotencyKey { scope: group, window } => Some((asked.key, group, window)),
             _ => None,
         };
@@ -910,7 +913,7 @@
                     self.at(self.now + way, Happening::Reply { a, outcome: Outcome::Reset, report: None });
                 }
                 Output::Ended { connection, attempt: None } => {
-                    let at = self.now + self.script.network.same;
+                    let at = self.now + self.script.network.same_zone;
                     let gateway = self.openers[connection as usize];
                     self.at(at, Happening::IdleEnded { gateway, node, connection });
                 }
@@ -1005,7 +1008,7 @@
 
 /// How many of `count` gateways are there from the beginning.
 fn there(script: &Script, count: usize) -> usize {
-    count - script.fleet.joining.min(count.saturating_sub(1))
+    count - script.fleet.late_gateways.min(count.saturating_sub(1))
 }
 
 /// To which of the first `count` gateways the front deals the requests of each zone.
@@ -1030,7 +1033,7 @@
 /// The mean worth of a request, by the classes' shares.
 fn mean_worth(script: &Script) -> f64 {
     let (worth, shares) =
-        script.classes.iter().fold((0.0, 0.0), |(w, s), c| (w + c.worth * c.share, s + c.share));
+        script.classes.iter().fold((0.0, 0.0), |(w, s), c| (w + c.priority_weight * c.share, s + c.share));
     worth / shares
 }
 
--- a/crates/testbed/src/simulate/register.rs
+++ b/crates/testbed/src/simulate/register.rs
@@ -9,7 +9,7 @@
 impl World<'_> {
     /// A gateway's call has come.
     pub(super) fn register_called(&mut self, gateway: usize) {
-        let way = self.script.network.same;
+        let way = self.script.network.same_zone;
         match self.register.call(self.now) {
             Call::Answered(at) => {
                 let list = self.register.since(at, self.gateways[gateway].version);
@@ -39,15 +39,15 @@
     }
 
     pub(super) fn register_turns(&mut self) {
-        let (down, way) = (self.register.is_down(self.now), self.script.network.same);
-        if self.script.register.pushed && !down {
+        let (down, way) = (self.register.is_down(self.now), self.script.network.same_zone);
+        if self.script.discovery.pushed && !down {
             self.tell_agents();
         }
         for gateway in 0..self.gateways.len() {
             if !self.gateways[gateway].watching {
                 continue;
             }
-            if down && self.script.register.pushed {
+            if down && self.script.discovery.pushed {
                 continue; // silent, for who is told unasked notices nothing
             }
             if down {
@@ -117,7 +117,7 @@
 
     /// What a node is worth now: its size, divided by 1 + what it holds a core.
     pub(super) fn weight(&self, node: &Node) -> f64 {
-        match self.script.register.weights {
+        match self.script.discovery.weights {
             Some(_) => node.live_weight(),
             None => 1.0,
         }
@@ -125,7 +125,7 @@
 
     /// Looks at all nodes and has the gateways told, later; then looks again.
     pub(super) fn weigh(&mut self) {
-        let Some(weights) = self.script.register.weights else { return };
+        let Some(weights) = self.script.discovery.weights else { return };
         let seen = self.nodes.iter().map(|node| self.weight(node)).collect();
         self.at(self.now + weights.late, Happening::Weights { weights: seen });
         if self.now + weights.every <= self.script.end() {
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -246,7 +246,7 @@
         let whole =
             |report: &Report| report.service.as_ref().expect("the report has no service figure").whole;
         // Live weights keep endpoints just below concurrency pressure, so that requests rejected by storm control are lost in addition.
-        let max_loss = if script.register.weights.is_some() { 0.02 } else { 0.005 };
+        let max_loss = if script.discovery.weights.is_some() { 0.02 } else { 0.005 };
         assert!(
             whole(&with) > whole(&without) - max_loss,
             "{file}: {} with storm control, {} without",
