--- a/crates/testbed/src/checker/evenness.rs
+++ b/crates/testbed/src/checker/evenness.rs
@@ -24,7 +24,7 @@
         for (_, record) in self.records() {
             for seen in &record.attempts {
                 let of_node = counts.entry(seen.node).or_insert_with(|| vec![0.0; windows]);
-                if let Some(count) = of_node.get_mut(window_of(seen.first)) {
+                if let Some(count) = of_node.get_mut(window_of(seen.first_byte_at)) {
                     *count += 1.0;
                 }
             }
@@ -83,10 +83,18 @@
         for (window, count) in counts.iter().enumerate() {
             for n in 0..*count {
                 attempt += 1;
-                let first = WINDOW * window as u32 + Duration::from_millis(n);
-                let (gateway, node, whole, began, ended) = (0, 0, None, None, None);
-                let seen =
-                    ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds: 0.01 };
+                let first_byte_at = WINDOW * window as u32 + Duration::from_millis(n);
+                let (gateway, node, last_byte_at, started_at, end) = (0, 0, None, None, None);
+                let seen = ObservedAttempt {
+                    attempt,
+                    node,
+                    gateway,
+                    first_byte_at,
+                    last_byte_at,
+                    started_at,
+                    end,
+                    work_s: 0.01,
+                };
                 checker.record_attempt(attempt, seen);
             }
         }
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -60,9 +60,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassTerms {
     /// See [`weldworks_balancer::RequestClass::latency_objective`].
-    pub aim: Duration,
+    pub latency_objective: Duration,
     /// Idempotency of a request of the class.
-    pub effect: Idempotency,
+    pub idempotency: Idempotency,
 }
 
 /// A request, as its client sent it.
@@ -73,9 +73,9 @@
     /// Class of the request.
     pub class: usize,
     /// Time at which the client wrote the last byte of the request.
-    pub at: Duration,
+    pub sent_at: Duration,
     /// Time at which the client gives the request up.
-    pub until: Duration,
+    pub deadline: Duration,
 }
 
 /// An attempt, as its endpoint observed it.
@@ -88,28 +88,28 @@
     /// Gateway that sent the attempt.
     pub gateway: usize,
     /// Time at which the attempt's first byte arrived.
-    pub first: Duration,
+    pub first_byte_at: Duration,
     /// Time at which the attempt's last byte arrived.
-    pub whole: Option<Duration>,
+    pub last_byte_at: Option<Duration>,
     /// Time at which the endpoint began to process the attempt.
-    pub began: Option<Duration>,
+    pub started_at: Option<Duration>,
     /// Time and manner of the attempt's end.
-    pub ended: Option<(Duration, AttemptEnd)>,
+    pub end: Option<(Duration, AttemptEnd)>,
     /// Work of the attempt, in seconds.
-    pub seconds: f64,
+    pub work_s: f64,
 }
 
 /// All that was observed of one request.
 #[derive(Clone, Debug, Default)]
 pub struct Record {
     /// The request as its client sent it; `None` for a request that no client sent.
-    pub ask: Option<SentRequest>,
+    pub request: Option<SentRequest>,
     /// Final answers that the client received, in order; more than one is a violation.
-    pub got: Vec<(Duration, FinalAnswer)>,
+    pub answers: Vec<(Duration, FinalAnswer)>,
     /// Time at which the client gave the request up.
-    pub gave_up: Option<Duration>,
+    pub gave_up_at: Option<Duration>,
     /// Time at which the client's connection ended without a complete answer.
-    pub lost: Option<Duration>,
+    pub lost_at: Option<Duration>,
     /// Attempts, in the order in which their first bytes arrived.
     pub attempts: Vec<ObservedAttempt>,
 }
@@ -162,22 +162,22 @@
 
     /// Records that a client has written the last byte of a request to a connection that a gateway accepted.
     pub fn record_request(&mut self, request: RequestNumber, ask: SentRequest) {
-        self.record(request).ask = Some(ask);
+        self.record(request).request = Some(ask);
     }
 
     /// Records that a client has received a complete answer.
     pub fn record_answer(&mut self, request: RequestNumber, at: Duration, got: FinalAnswer) {
-        self.record(request).got.push((at, got));
+        self.record(request).answers.push((at, got));
     }
 
     /// Records that a client has given a request up and closed its connection.
     pub fn record_give_up(&mut self, request: RequestNumber, at: Duration) {
-        self.record(request).gave_up.get_or_insert(at);
+        self.record(request).gave_up_at.get_or_insert(at);
     }
 
     /// Records that a gateway has closed a client's connection without a complete answer.
     pub fn record_lost_connection(&mut self, request: RequestNumber, at: Duration) {
-        self.record(request).lost.get_or_insert(at);
+        self.record(request).lost_at.get_or_insert(at);
     }
 
     /// Records that the first byte of an attempt has arrived at an endpoint.
@@ -196,21 +196,21 @@
     /// Records that the last byte of an attempt has arrived.
     pub fn record_whole_attempt(&mut self, attempt: AttemptId, at: Duration) {
         if let Some(seen) = self.seen(attempt) {
-            seen.whole = Some(at);
+            seen.last_byte_at = Some(at);
         }
     }
 
     /// Records that an endpoint has begun to process an attempt.
     pub fn record_start(&mut self, attempt: AttemptId, at: Duration) {
         if let Some(seen) = self.seen(attempt) {
-            seen.began = Some(at);
+            seen.started_at = Some(at);
         }
     }
 
     /// Records the end of an attempt; only the first end that is recorded counts.
     pub fn record_end(&mut self, attempt: AttemptId, at: Duration, how: AttemptEnd) {
         if let Some(seen) = self.seen(attempt) {
-            seen.ended.get_or_insert((at, how));
+            seen.end.get_or_insert((at, how));
         }
     }
 
--- a/crates/testbed/src/checker/rules.rs
+++ b/crates/testbed/src/checker/rules.rs
@@ -54,7 +54,7 @@
     /// Time after the notification that an endpoint drains or was removed, from which on no attempt may be sent to the endpoint.
     pub drain_grace: Duration,
     /// Time after an endpoint's start from which on every gateway counts as notified of the start.
-    pub told_after: Duration,
+    pub notice_deadline: Duration,
     /// Greatest difference between the times at which two machines observe one event.
     pub slack: Duration,
     /// Greatest delay of a rejection or failure after nothing was left to wait for.
@@ -68,7 +68,7 @@
     pub fn virtual_time() -> Rules {
         Rules {
             drain_grace: Duration::from_secs(2),
-            told_after: Duration::from_secs(6),
+            notice_deadline: Duration::from_secs(6),
             slack: Duration::from_millis(10),
             held_back: Duration::from_millis(40),
             fall_over: Duration::from_secs(2),
@@ -125,47 +125,47 @@
     /// Checks that the client got one final answer in time, that this answer was made for the request and not held back,
     /// and that no attempt was sent afterwards.
     fn check_answers(&mut self, number: RequestNumber, record: &Record) {
-        let Some(ask) = &record.ask else {
+        let Some(ask) = &record.request else {
             if let Some(first) = record.attempts.first() {
-                self.report(Rule::NobodyAsked, number, record, Some(first.node), first.first);
+                self.report(Rule::NobodyAsked, number, record, Some(first.node), first.first_byte_at);
             }
             return;
         };
-        let late = ask.until + self.rules.slack;
-        match record.got.first() {
+        let late = ask.deadline + self.rules.slack;
+        match record.answers.first() {
             Some((at, _)) if *at > late => self.report(Rule::Unanswered, number, record, None, *at),
             Some(_) => {}
             // A client that gives up before its deadline is owed no answer; at the deadline it should have been answered.
-            None if record.gave_up.is_some_and(|at| at < ask.until) => {}
-            None => self.report(Rule::Unanswered, number, record, None, record.lost.unwrap_or(late)),
+            None if record.gave_up_at.is_some_and(|at| at < ask.deadline) => {}
+            None => self.report(Rule::Unanswered, number, record, None, record.lost_at.unwrap_or(late)),
         }
-        if let Some((at, _)) = record.got.get(1) {
+        if let Some((at, _)) = record.answers.get(1) {
             self.report(Rule::AnsweredTwice, number, record, None, *at);
         }
-        let Some(&(at, got)) = record.got.first() else { return };
+        let Some(&(at, got)) = record.answers.first() else { return };
         if got == FinalAnswer::Foreign {
             self.report(Rule::ForeignAnswer, number, record, None, at);
         }
-        let after = record.attempts.iter().find(|attempt| attempt.first > at + self.rules.slack);
+        let after = record.attempts.iter().find(|attempt| attempt.first_byte_at > at + self.rules.slack);
         if let Some(attempt) = after {
-            self.report(Rule::SentAfterAnswer, number, record, Some(attempt.node), attempt.first);
+            self.report(Rule::SentAfterAnswer, number, record, Some(attempt.node), attempt.first_byte_at);
         }
         let Some(class) = self.checker.classes.get(ask.class) else { return };
         if matches!(got, FinalAnswer::Refused | FinalAnswer::Failed) {
             // A request may wait until its latency objective, and as long as an attempt is in flight.
-            let ended = |attempt: &super::ObservedAttempt| attempt.ended.map_or(at, |(end, _)| end);
+            let ended = |attempt: &super::ObservedAttempt| attempt.end.map_or(at, |(end, _)| end);
             let last = record.attempts.iter().map(ended).max().unwrap_or_default();
-            if at > last.max(ask.at + class.aim) + self.rules.held_back {
+            if at > last.max(ask.sent_at + class.latency_objective) + self.rules.held_back {
                 self.report(Rule::HeldBack, number, record, None, at);
             }
         }
         if got == FinalAnswer::Refused {
             let is_repeatable_anywhere = matches!(
-                class.effect,
+                class.idempotency,
                 Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
             );
             let possibly_processed = |attempt: &&super::ObservedAttempt| {
-                attempt.whole.is_some() && attempt.ended.is_none_or(|(_, how)| !how.never_ran())
+                attempt.last_byte_at.is_some() && attempt.end.is_none_or(|(_, how)| !how.never_ran())
             };
             if let Some(attempt) =
                 record.attempts.iter().find(possibly_processed).filter(|_| !is_repeatable_anywhere)
@@ -177,19 +177,19 @@
 
     /// Checks that one attempt of the request was in flight at a time, and that it was retried only as its class allows.
     fn check_attempts(&mut self, number: RequestNumber, record: &Record) {
-        let class = record.ask.as_ref().and_then(|ask| self.checker.classes.get(ask.class)).copied();
+        let class = record.request.as_ref().and_then(|ask| self.checker.classes.get(ask.class)).copied();
         let mut possibly_processed: Option<(Duration, usize)> = None;
         let mut before: Option<&super::ObservedAttempt> = None;
-        for attempt in record.attempts.iter().filter(|attempt| attempt.whole.is_some()) {
-            let came = attempt.whole.unwrap_or(attempt.first);
+        for attempt in record.attempts.iter().filter(|attempt| attempt.last_byte_at.is_some()) {
+            let came = attempt.last_byte_at.unwrap_or(attempt.first_byte_at);
             if let Some(before) = before {
-                let out = before.ended.is_none_or(|(end, _)| end > came + self.rules.slack);
+                let out = before.end.is_none_or(|(end, _)| end > came + self.rules.slack);
                 if out {
                     self.report(Rule::TwoCopies, number, record, Some(attempt.node), came);
                 }
             }
             if let (Some((sent, node)), Some(class)) = (possibly_processed, class) {
-                let allowed = match class.effect {
+                let allowed = match class.idempotency {
                     Idempotency::Idempotent => true,
                     Idempotency::NotIdempotent => false,
                     Idempotency::IdempotencyKey { scope: key_scope, window } => {
@@ -201,7 +201,7 @@
                     self.report(Rule::ResentAgainstClass, number, record, Some(attempt.node), came);
                 }
             }
-            if attempt.ended.is_none_or(|(_, how)| !how.never_ran()) {
+            if attempt.end.is_none_or(|(_, how)| !how.never_ran()) {
                 possibly_processed.get_or_insert((came, attempt.node));
             }
             before = Some(attempt);
@@ -221,7 +221,7 @@
     fn check_drained(&mut self, number: RequestNumber, record: &Record) {
         for attempt in &record.attempts {
             let Some(told) = self.checker.told.get(&(attempt.gateway, attempt.node)) else { continue };
-            let last = told.iter().rev().find(|(at, _)| *at <= attempt.first);
+            let last = told.iter().rev().find(|(at, _)| *at <= attempt.first_byte_at);
             let Some((at, EndpointNotice::Draining | EndpointNotice::Removed)) = last else { continue };
             // The drain grace begins at the first of several successive notifications that forbid attempts.
             let since = told
@@ -231,8 +231,8 @@
                 .take_while(|(_, what)| !matches!(what, EndpointNotice::Up(_)))
                 .last()
                 .map_or(*at, |(notified_at, _)| *notified_at);
-            if attempt.first > since + self.rules.drain_grace + self.rules.slack {
-                self.report(Rule::SentToDrained, number, record, Some(attempt.node), attempt.first);
+            if attempt.first_byte_at > since + self.rules.drain_grace + self.rules.slack {
+                self.report(Rule::SentToDrained, number, record, Some(attempt.node), attempt.first_byte_at);
             }
         }
     }
@@ -246,11 +246,9 @@
             let from = at.saturating_sub(self.rules.fall_over).max(start);
             let (mut notified_work_s, mut total_work_s, mut count) = (0.0, 0.0, 0u32);
             for (_, record) in self.checker.records() {
-                for attempt in record
-                    .attempts
-                    .iter()
-                    .filter(|attempt| attempt.node == node && attempt.first >= from && attempt.first <= at)
-                {
+                for attempt in record.attempts.iter().filter(|attempt| {
+                    attempt.node == node && attempt.first_byte_at >= from && attempt.first_byte_at <= at
+                }) {
                     let told = self
                         .checker
                         .told
@@ -258,14 +256,15 @@
                         .map(Vec::as_slice)
                         .unwrap_or_default();
                     let was_notified = told.iter().any(|(notified_at, what)| {
-                        *notified_at <= attempt.first && matches!(what, EndpointNotice::Up(Some(listed_start)) if *listed_start + self.rules.slack >= start)
+                        *notified_at <= attempt.first_byte_at && matches!(what, EndpointNotice::Up(Some(listed_start)) if *listed_start + self.rules.slack >= start)
                     });
-                    notified_work_s += if was_notified || attempt.first > start + self.rules.told_after {
-                        attempt.seconds
-                    } else {
-                        0.0
-                    };
-                    (total_work_s, count) = (total_work_s + attempt.seconds, count + 1);
+                    notified_work_s +=
+                        if was_notified || attempt.first_byte_at > start + self.rules.notice_deadline {
+                            attempt.work_s
+                        } else {
+                            0.0
+                        };
+                    (total_work_s, count) = (total_work_s + attempt.work_s, count + 1);
                 }
             }
             if total_work_s > 0.0 && notified_work_s * 3.0 >= total_work_s * 2.0 {
@@ -290,26 +289,27 @@
 /// The events of a request as text, in the order of time.
 fn events(record: &Record) -> Vec<String> {
     let mut events: Vec<(Duration, String)> = Vec::new();
-    if let Some(ask) = &record.ask {
-        let until = ask.until.as_secs_f64();
+    if let Some(ask) = &record.request {
+        let until = ask.deadline.as_secs_f64();
         events.push((
-            ask.at,
+            ask.sent_at,
             format!("asked at gateway {}, class {}, until {until:.3} s", ask.gateway, ask.class),
         ));
     }
     for a in &record.attempts {
         let (node, id) = (a.node, a.attempt);
         events.push((
-            a.first,
+            a.first_byte_at,
             format!("node {node} sees attempt {id}'s first byte, from gateway {}", a.gateway),
         ));
-        events.extend(a.whole.map(|at| (at, format!("node {node} has attempt {id} whole"))));
-        events.extend(a.began.map(|at| (at, format!("node {node} runs attempt {id}"))));
-        events.extend(a.ended.map(|(at, how)| (at, format!("attempt {id} ends at node {node}: {how:?}"))));
+        events.extend(a.last_byte_at.map(|at| (at, format!("node {node} has attempt {id} whole"))));
+        events.extend(a.started_at.map(|at| (at, format!("node {node} runs attempt {id}"))));
+        events.extend(a.end.map(|(at, how)| (at, format!("attempt {id} ends at node {node}: {how:?}"))));
     }
-    events.extend(record.got.iter().map(|(at, got)| (*at, format!("the client has its answer: {got:?}"))));
-    events.extend(record.gave_up.map(|at| (at, "the client gives up".to_owned())));
-    events.extend(record.lost.map(|at| (at, "the connection ends with no whole answer".to_owned())));
+    events
+        .extend(record.answers.iter().map(|(at, got)| (*at, format!("the client has its answer: {got:?}"))));
+    events.extend(record.gave_up_at.map(|at| (at, "the client gives up".to_owned())));
+    events.extend(record.lost_at.map(|at| (at, "the connection ends with no whole answer".to_owned())));
     events.sort_by_key(|(at, _)| *at);
     events.into_iter().map(|(at, text)| format!("{:.4} s: {text}", at.as_secs_f64())).collect()
 }
--- a/crates/testbed/src/checker/service.rs
+++ b/crates/testbed/src/checker/service.rs
@@ -42,7 +42,7 @@
     /// Tenant of the request.
     pub tenant: usize,
     /// Priority weight of the request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Whether the request lies within its tenant's share.
     pub in_share: bool,
     /// Whether the first attempt or a retry was served within the latency objective.
@@ -58,8 +58,8 @@
 
 impl Sum {
     fn add(&mut self, tally: &RequestResult) {
-        self.asked += tally.worth;
-        self.served += if tally.in_time { tally.worth } else { 0.0 };
+        self.asked += tally.priority_weight;
+        self.served += if tally.in_time { tally.priority_weight } else { 0.0 };
         self.count += 1;
     }
 
@@ -158,8 +158,8 @@
         for (second, served) in served.iter().enumerate() {
             for n in 0..10 {
                 let at = Duration::from_secs(second as u64) + Duration::from_millis(n as u64);
-                let (class, tenant, worth, in_share, in_time) = (0, 0, 1.0, true, n < *served);
-                tallies.push(RequestResult { at, class, tenant, worth, in_share, in_time });
+                let (class, tenant, priority_weight, in_share, in_time) = (0, 0, 1.0, true, n < *served);
+                tallies.push(RequestResult { at, class, tenant, priority_weight, in_share, in_time });
             }
         }
         tallies
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -76,7 +76,10 @@
 
 /// An empty ledger for a script.
 pub fn ledger(script: &Script) -> Checker {
-    let terms = |c: &crate::script::Class| ClassTerms { aim: c.latency_objective, effect: c.idempotency };
+    let terms = |c: &crate::script::Class| ClassTerms {
+        latency_objective: c.latency_objective,
+        idempotency: c.idempotency,
+    };
     let groups = (0..script.fleet.nodes).map(|n| (script.zone_of(n), script.rack_of(n))).collect();
     Checker::new(script.classes.iter().map(terms).collect(), groups)
 }
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -188,12 +188,12 @@
             let text = request(day, asked, number, wait, tries);
             let written = wire.write(text.as_bytes()).await.is_ok();
             let at = day.clock.now();
-            let until = at + wait;
+            let deadline = at + wait;
             day.ledger
                 .borrow_mut()
-                .record_request(number, SentRequest { gateway, class: asked.class, at, until });
+                .record_request(number, SentRequest { gateway, class: asked.class, sent_at: at, deadline });
             let reading = wire.read(Kind::Answer, || day.clock.now(), |_, _| {});
-            let answer = timeout_at(day.clock.instant(until + LINGER), reading).await;
+            let answer = timeout_at(day.clock.instant(deadline + LINGER), reading).await;
             let now = day.clock.now();
             match answer {
                 Ok(Ok(answer)) => {
--- a/crates/testbed/src/live/nodes.rs
+++ b/crates/testbed/src/live/nodes.rs
@@ -374,10 +374,11 @@
         }
     }
 
-    fn note(&self, number: u64, attempt: AttemptId, gateway: usize, first: Duration) {
-        let seconds = self.work(number, None).map_or(0.0, |w| w.seconds);
-        let (node, whole, began, ended) = (self.number, None, None, None);
-        let seen = ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds };
+    fn note(&self, number: u64, attempt: AttemptId, gateway: usize, first_byte_at: Duration) {
+        let work_s = self.work(number, None).map_or(0.0, |w| w.seconds);
+        let (node, last_byte_at, started_at, end) = (self.number, None, None, None);
+        let seen =
+            ObservedAttempt { attempt, node, gateway, first_byte_at, last_byte_at, started_at, end, work_s };
         self.day.ledger.borrow_mut().record_attempt(number, seen);
     }
 
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -256,14 +256,14 @@
         let first = tries.first().map_or(asked.at, |(_, at)| *at);
         let objective_end = first + script.classes[asked.class].latency_objective;
         let in_time = tries.iter().any(|(number, _)| {
-            let got = checker.of(*number).and_then(|record| record.got.first());
+            let got = checker.of(*number).and_then(|record| record.answers.first());
             got.is_some_and(|(at, got)| *got == FinalAnswer::Served && *at <= objective_end)
         });
         RequestResult {
             at: asked.at,
             class: asked.class,
             tenant: asked.tenant,
-            worth: asked.worth,
+            priority_weight: asked.worth,
             in_share: asked.in_share,
             in_time,
         }
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -53,8 +53,8 @@
 impl Book {
     fn new() -> Book {
         let terms = |(_, aim, effect): &(&str, u64, Idempotency)| ClassTerms {
-            aim: Duration::from_millis(*aim),
-            effect: *effect,
+            latency_objective: Duration::from_millis(*aim),
+            idempotency: *effect,
         };
         let ledger = Checker::new(CLASSES.iter().map(terms).collect(), Vec::new());
         Book { ledger: Arc::new(Mutex::new(ledger)), start: Instant::now(), attempts: Arc::default() }
@@ -75,11 +75,20 @@
         let request = number(request.header("x-request-id"))?;
         let attempt = self.attempts.fetch_add(1, Ordering::SeqCst);
         self.note(|ledger, now| {
-            let (first, whole, began, ended) = (now, Some(now), Some(now), None);
-            let (gateway, seconds) = (0, 0.0);
+            let (first_byte_at, last_byte_at, started_at, end) = (now, Some(now), Some(now), None);
+            let (gateway, work_s) = (0, 0.0);
             ledger.record_attempt(
                 request,
-                ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds },
+                ObservedAttempt {
+                    attempt,
+                    node,
+                    gateway,
+                    first_byte_at,
+                    last_byte_at,
+                    started_at,
+                    end,
+                    work_s,
+                },
             );
         });
         Some(attempt)
@@ -115,12 +124,13 @@
         let wait: f64 = wait[..wait.len() - 1].parse().ok()?;
         let wait = Duration::try_from_secs_f64(wait * unit).ok()?;
         // A text that is sent again, with something else wrong in it, is one test's own affair.
-        let known = self.ledger.lock().expect("lock").of(request).is_some_and(|r| r.ask.is_some());
+        let known = self.ledger.lock().expect("lock").of(request).is_some_and(|r| r.request.is_some());
         if known {
             return None;
         }
         self.note(|ledger, at| {
-            ledger.record_request(request, SentRequest { gateway: 0, class, at, until: at + wait });
+            ledger
+                .record_request(request, SentRequest { gateway: 0, class, sent_at: at, deadline: at + wait });
         });
         Some(request)
     }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -504,17 +504,17 @@
         self.counts.tries += 1;
         let number = asked.number(self.draws, tries);
         self.tries_of[place].push((number, self.now));
-        let until = self.now + patience(self.script, asked, self.firsts[place], self.now);
+        let deadline = self.now + patience(self.script, asked, self.firsts[place], self.now);
         let class = asked.class;
         let own = &self.by_zone[asked.zone];
         let gateway = own[weldworks_balancer::mix(number) as usize % own.len()];
-        self.ledger.record_request(number, SentRequest { gateway, class, at: self.now, until });
+        self.ledger.record_request(number, SentRequest { gateway, class, sent_at: self.now, deadline });
         let n = self.tries.len();
         let (closed, answered, attempts) = Default::default();
-        self.tries.push(Try { place, number, tries, gateway, until, closed, answered, attempts });
+        self.tries.push(Try { place, number, tries, gateway, until: deadline, closed, answered, attempts });
         let way = self.client_way(n, Hop::ToGateway);
         self.at(self.now + way, Happening::Arrive { n });
-        self.at(until, Happening::GiveUp { n });
+        self.at(deadline, Happening::GiveUp { n });
     }
 
     /// The gateways that start later hear their first list, and the front deals to them too.
@@ -797,19 +797,19 @@
         let Try { number, place, gateway, .. } = self.tries[n];
         let asked = &self.day[place];
         let class = &self.script.classes[asked.class];
-        let seconds = attempt_seconds(self.draws, class, asked, node as u64);
+        let work_s = attempt_seconds(self.draws, class, asked, node as u64);
         let keyed = match class.idempotency {
             Idempotency::IdempotencyKey { scope: group, window } => Some((asked.key, group, window)),
             _ => None,
         };
-        let (attempt, whole) = (a as u64, Some(self.now));
-        let (first, began, ended) = (self.now, None, None);
+        let (attempt, last_byte_at) = (a as u64, Some(self.now));
+        let (first_byte_at, started_at, end) = (self.now, None, None);
         self.ledger.record_attempt(
             number,
-            ObservedAttempt { attempt, node, gateway, first, whole, began, ended, seconds },
+            ObservedAttempt { attempt, node, gateway, first_byte_at, last_byte_at, started_at, end, work_s },
         );
         self.counts.attempts += 1;
-        let work = Work { request: number, seconds, subject: asked.subject, keyed, until };
+        let work = Work { request: number, seconds: work_s, subject: asked.subject, keyed, until };
         let there = matches!(self.nodes[node].state(), State::Up | State::Draining);
         self.nodes[node].request(self.now, connection, attempt, work);
         self.hear(node);
@@ -988,7 +988,7 @@
     /// The gateway that took a first try.
     fn taken_by(&self, place: usize) -> Option<usize> {
         let (number, _) = self.tries_of.get(place)?.first()?;
-        self.ledger.of(*number)?.ask.as_ref().map(|ask| ask.gateway)
+        self.ledger.of(*number)?.request.as_ref().map(|ask| ask.gateway)
     }
 }
 
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -21,21 +21,30 @@
     let keyed = |group| Idempotency::IdempotencyKey { scope: group, window: ms(1000) };
     let terms =
         [Idempotency::Idempotent, keyed(KeyScope::Cell), Idempotency::NotIdempotent, keyed(KeyScope::All)];
-    let terms = terms.map(|effect| ClassTerms { aim: ms(300), effect }).to_vec();
+    let terms = terms.map(|idempotency| ClassTerms { latency_objective: ms(300), idempotency }).to_vec();
     Checker::new(terms, vec![(0, 0), (0, 0), (1, 1)])
 }
 
 fn ask(checker: &mut Checker, class: usize) {
-    checker.record_request(1, SentRequest { gateway: 0, class, at: ms(0), until: ms(1000) });
+    checker.record_request(1, SentRequest { gateway: 0, class, sent_at: ms(0), deadline: ms(1000) });
 }
 
 /// Records attempt `number` at an endpoint, from `from` to `until` in milliseconds.
 fn attempt(checker: &mut Checker, number: u64, node: usize, from: u64, until: u64, how: AttemptEnd) {
-    let (whole, began, ended) = (Some(ms(from)), None, None);
-    let (first, seconds, gateway) = (ms(from), 0.01, 0);
+    let (last_byte_at, started_at, end) = (Some(ms(from)), None, None);
+    let (first_byte_at, work_s, gateway) = (ms(from), 0.01, 0);
     checker.record_attempt(
         1,
-        ObservedAttempt { attempt: number, node, gateway, first, whole, began, ended, seconds },
+        ObservedAttempt {
+            attempt: number,
+            node,
+            gateway,
+            first_byte_at,
+            last_byte_at,
+            started_at,
+            end,
+            work_s,
+        },
     );
     checker.record_end(number, ms(until), how);
 }
@@ -102,7 +111,7 @@
     ];
     for (class, how, node, again, allowed) in cases {
         let mut checker = checker();
-        checker.record_request(1, SentRequest { gateway: 0, class, at: ms(0), until: ms(5000) });
+        checker.record_request(1, SentRequest { gateway: 0, class, sent_at: ms(0), deadline: ms(5000) });
         attempt(&mut checker, 1, 0, 10, 100, how);
         attempt(&mut checker, 2, node, again, again + 50, AttemptEnd::Served);
         checker.record_answer(1, ms(again + 51), FinalAnswer::Served);
@@ -163,7 +172,10 @@
         let mut checker = checker();
         checker.record_notice(0, 0, ms(1000), told);
         checker.record_notice(1, 0, ms(0), EndpointNotice::Removed); // a notification binds only the gateway that received it
-        checker.record_request(1, SentRequest { gateway: 0, class: SAFE, at: ms(at), until: ms(at + 1000) });
+        checker.record_request(
+            1,
+            SentRequest { gateway: 0, class: SAFE, sent_at: ms(at), deadline: ms(at + 1000) },
+        );
         attempt(&mut checker, 1, 0, at, at + 10, AttemptEnd::Served);
         checker.record_answer(1, ms(at + 11), FinalAnswer::Served);
         assert_eq!(found(&checker), rules, "{told:?}, attempt at {at} ms");
@@ -172,7 +184,7 @@
     let mut checker = checker();
     checker.record_notice(0, 0, ms(1000), EndpointNotice::Draining);
     checker.record_notice(0, 0, ms(2500), EndpointNotice::Removed);
-    checker.record_request(1, SentRequest { gateway: 0, class: SAFE, at: ms(3500), until: ms(4500) });
+    checker.record_request(1, SentRequest { gateway: 0, class: SAFE, sent_at: ms(3500), deadline: ms(4500) });
     attempt(&mut checker, 1, 0, 3500, 3510, AttemptEnd::Served);
     checker.record_answer(1, ms(3511), FinalAnswer::Served);
     assert_eq!(found(&checker), [Rule::SentToDrained]);
@@ -186,7 +198,10 @@
         if knew {
             checker.record_notice(0, 0, ms(1500), EndpointNotice::Up(Some(ms(1000))));
         }
-        checker.record_request(1, SentRequest { gateway: 0, class: SAFE, at: ms(1990), until: ms(3000) });
+        checker.record_request(
+            1,
+            SentRequest { gateway: 0, class: SAFE, sent_at: ms(1990), deadline: ms(3000) },
+        );
         attempt(&mut checker, 1, 0, 2000, 2010, AttemptEnd::Broken);
         checker.record_answer(1, ms(2011), FinalAnswer::Refused);
         checker.record_fall(0, ms(2010));
@@ -207,9 +222,9 @@
 #[test]
 fn service_is_the_weight_served_in_time_divided_by_the_weight_requested() {
     let names = |n: usize| (0..n).map(|n| n.to_string()).collect::<Vec<_>>();
-    let tally = |second: u64, class, tenant, worth, in_share, in_time| {
+    let tally = |second: u64, class, tenant, priority_weight, in_share, in_time| {
         let at = Duration::from_secs(second);
-        RequestResult { at, class, tenant, worth, in_share, in_time }
+        RequestResult { at, class, tenant, priority_weight, in_share, in_time }
     };
     let mut tallies: Vec<RequestResult> = (0..30).map(|s| tally(s, 0, 0, 1.0, true, true)).collect();
     tallies.extend((10..20).map(|s| tally(s, 1, 1, 2.0, true, false)));
