--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -47,7 +47,7 @@
         (Idempotency::IdempotencyKey { .. } | Idempotency::NotIdempotent, Seen::Failed) => (false, first),
     };
     let wait = match seen {
-        Seen::Refused { come_back: Some(advice) } if asked.heeds => {
+        Seen::Refused { come_back: Some(advice) } if asked.honours_retry_after => {
             advice.min(script.limits.retry_after.unwrap_or_default()).max(script.clients.retry_wait)
         }
         _ => script.clients.retry_wait,
@@ -59,5 +59,5 @@
 /// How long a try that is sent at `now` is waited for.
 pub fn patience(script: &Script, asked: &PlannedRequest, first: Duration, now: Duration) -> Duration {
     let left = (first + script.classes[asked.class].deadline).saturating_sub(now);
-    asked.patience.min(left)
+    asked.attempt_timeout.min(left)
 }
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -167,14 +167,14 @@
         let day = &self.day;
         let Some(gateway) = self.deal(asked, number) else { return Seen::Unreachable };
         let behind = &self.gateways[gateway];
-        let mut reuse = !asked.fresh;
+        let mut reuse = !asked.new_connection;
         loop {
             let rested = if reuse { self.rested(behind) } else { None };
             let reused = rested.is_some();
             let mut wire = match rested {
                 Some(wire) => wire,
                 None => {
-                    let until = day.clock.instant(day.clock.now() + asked.patience);
+                    let until = day.clock.instant(day.clock.now() + asked.attempt_timeout);
                     match timeout_at(until, TcpStream::connect(behind.address)).await {
                         Ok(Ok(stream)) => Connection::new(stream),
                         _ => {
@@ -198,7 +198,7 @@
             match answer {
                 Ok(Ok(answer)) => {
                     let seen = self.took(number, &answer, now);
-                    self.put_by(behind, wire, number, asked.fresh, &answer);
+                    self.put_by(behind, wire, number, asked.new_connection, &answer);
                     return seen;
                 }
                 // A gateway may close a connection between requests; what crosses that is sent once more.
@@ -282,7 +282,7 @@
     let cookie = asked.subject.map_or(String::new(), |key| format!("Cookie: k={key:016x}\r\n"));
     let retried = if tries > 0 { "X-Retried: 1\r\n" } else { "" };
     let cost = if day.script.clients.send_cost_hints {
-        format!("X-Cost: {}\r\n", (asked.seconds * 1e6).round())
+        format!("X-Cost: {}\r\n", (asked.work_s * 1e6).round())
     } else {
         String::new()
     };
@@ -292,7 +292,7 @@
         name = class.name,
         wait = wait.as_micros()
     );
-    let body = format!("{{\"place\":{}}}", asked.place);
+    let body = format!("{{\"place\":{}}}", asked.index);
     let length = body.len();
     match class.idempotency {
         Idempotency::Idempotent => format!("GET /{} HTTP/1.1\r\n{common}\r\n", class.name),
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -336,7 +336,11 @@
                     format!("{:.1}% of a core", 100.0 * cpu.as_secs_f64() / script.lasts.as_secs_f64())
                 })
             };
-            eprintln!("processor time: gateways {}; test bed {}", share(spent.gateways), share(spent.rig));
+            eprintln!(
+                "processor time: gateways {}; test bed {}",
+                share(spent.gateways),
+                share(spent.test_bed)
+            );
             Ok(code)
         }
     }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannedRequest {
     /// Index of the request in the plan.
-    pub place: usize,
+    pub index: usize,
     /// Time at which the client sends the first attempt.
     pub at: Duration,
     /// Zone of the client.
@@ -28,15 +28,15 @@
     /// Subject of the request, if it has one: endpoints process a recently seen subject faster.
     pub subject: Option<u64>,
     /// Work of the request, in seconds on a core of speed 1.
-    pub seconds: f64,
+    pub work_s: f64,
     /// Timeout of each of the client's attempts.
-    pub patience: Duration,
+    pub attempt_timeout: Duration,
     /// Whether the client honours `Retry-After`.
-    pub heeds: bool,
+    pub honours_retry_after: bool,
     /// Whether the client opens a new connection for the request.
-    pub fresh: bool,
+    pub new_connection: bool,
     /// Priority weight of the request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Whether the request lies within its tenant's share.
     pub in_share: bool,
     /// Idempotency key by which an endpoint recognises repeats of the request.
@@ -47,14 +47,14 @@
     /// Number of one of the client's attempts for this request; `attempt` counts from 0. The number is never 0, and it is the same in
     /// every run with the same seed.
     pub fn number(&self, draws: Draws, attempt: u32) -> u64 {
-        draws.number(For::Number, self.place as u64 * MAX_CLIENT_ATTEMPTS + u64::from(attempt)) | 1
+        draws.number(For::Number, self.index as u64 * MAX_CLIENT_ATTEMPTS + u64::from(attempt)) | 1
     }
 }
 
 /// Work of an attempt at an endpoint, in seconds: the request's work with the variation of this endpoint.
 pub fn attempt_seconds(draws: Draws, class: &Class, asked: &PlannedRequest, node: u64) -> f64 {
-    asked.seconds
-        * draws.stream_of_two(For::Attempt, asked.place as u64, node).log_normal(class.attempt_spread)
+    asked.work_s
+        * draws.stream_of_two(For::Attempt, asked.index as u64, node).log_normal(class.attempt_spread)
 }
 
 /// The request rate at a time, as a multiple of the mean rate.
@@ -124,11 +124,11 @@
         if !kept {
             continue;
         }
-        let place = plan.len();
+        let index = plan.len();
         let spec = &script.classes[class];
-        let mut work = draws.stream(For::Work, place as u64);
-        let mut seconds = spec.work.as_secs_f64();
-        seconds *= match spec.distribution {
+        let mut work = draws.stream(For::Work, index as u64);
+        let mut work_s = spec.work.as_secs_f64();
+        work_s *= match spec.distribution {
             Distribution::Fixed => 1.0,
             Distribution::Exponential => work.exponential(),
             Distribution::LogNormal => work.log_normal(spec.spread),
@@ -137,35 +137,35 @@
             if let FaultKind::Heavy { class: heavy, part, times } = event.fault {
                 let (meant, times) = (work.chance(part), work.within(times));
                 if heavy == class && meant {
-                    seconds *= times;
+                    work_s *= times;
                 }
             }
         }
         // A tenant's share is a token bucket: its rate is the quota, and it holds the tokens of one second.
         let elapsed_s = at.saturating_sub(refilled_at).as_secs_f64();
-        for (index, bucket) in buckets.iter_mut().enumerate() {
-            let quota = script.quota(index);
+        for (tenant, bucket) in buckets.iter_mut().enumerate() {
+            let quota = script.quota(tenant);
             *bucket = (*bucket + elapsed_s * quota).min(quota);
         }
         refilled_at = at;
         let in_share = buckets[tenant] >= 1.0;
         buckets[tenant] -= f64::from(u8::from(in_share));
-        let mut habits = draws.stream(For::Habits, place as u64);
-        let patience = spec.deadline.mul_f64(habits.within(script.clients.timeout_share));
+        let mut habits = draws.stream(For::Habits, index as u64);
+        let attempt_timeout = spec.deadline.mul_f64(habits.within(script.clients.timeout_share));
         plan.push(PlannedRequest {
-            place,
+            index,
             at,
             zone,
             class,
             tenant,
             subject: subject.filter(|_| script.load.keys > 0),
-            seconds,
-            patience,
-            heeds: habits.chance(script.clients.retry_after_share),
-            fresh: habits.chance(script.clients.fresh_connections),
-            worth: spec.priority_weight
+            work_s,
+            attempt_timeout,
+            honours_retry_after: habits.chance(script.clients.retry_after_share),
+            new_connection: habits.chance(script.clients.fresh_connections),
+            priority_weight: spec.priority_weight
                 * if in_share { 1.0 } else { OVER_SHARE_WORTH }
-                * if script.load.weight_by_work { seconds / spec.work.as_secs_f64() } else { 1.0 },
+                * if script.load.weight_by_work { work_s / spec.work.as_secs_f64() } else { 1.0 },
             in_share,
             key: habits.number(),
         });
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -44,7 +44,7 @@
     /// Processor time of all gateways together during the run; `None` where it is unknown.
     pub gateways: Option<Duration>,
     /// Processor time of the test bed itself; `None` where it is unknown.
-    pub rig: Option<Duration>,
+    pub test_bed: Option<Duration>,
 }
 
 /// Runs a script with this number of gateways, or with the script's own number. `progress` is called every second. When `stop`
@@ -147,7 +147,7 @@
     [stall_check, events, timeline].iter().for_each(|task| task.abort());
     let spent = Spent {
         gateways: cpu(&running).zip(gateways_before).map(|(now, then)| now.saturating_sub(then)),
-        rig: own_cpu().zip(test_bed_before).map(|(now, then)| now.saturating_sub(then)),
+        test_bed: own_cpu().zip(test_bed_before).map(|(now, then)| now.saturating_sub(then)),
     };
     let mut problems = Vec::new();
     for (number, gateway) in running.iter_mut().enumerate() {
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -252,7 +252,7 @@
     tries: &[Vec<(u64, Duration)>],
 ) -> Vec<RequestResult> {
     let tally = |asked: &PlannedRequest| {
-        let tries = tries.get(asked.place).map(Vec::as_slice).unwrap_or_default();
+        let tries = tries.get(asked.index).map(Vec::as_slice).unwrap_or_default();
         let first = tries.first().map_or(asked.at, |(_, at)| *at);
         let objective_end = first + script.classes[asked.class].latency_objective;
         let in_time = tries.iter().any(|(number, _)| {
@@ -263,7 +263,7 @@
             at: asked.at,
             class: asked.class,
             tenant: asked.tenant,
-            priority_weight: asked.worth,
+            priority_weight: asked.priority_weight,
             in_share: asked.in_share,
             in_time,
         }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -601,7 +601,7 @@
             class: asked.class,
             tenant: asked.tenant,
             key: asked.subject.map(weldworks_balancer::mix),
-            cost_hint: self.script.clients.send_cost_hints.then(|| Duration::from_secs_f64(asked.seconds)),
+            cost_hint: self.script.clients.send_cost_hints.then(|| Duration::from_secs_f64(asked.work_s)),
             is_client_retry: tries > 0,
             admission_share: allowance,
             client_deadline: BEFORE + give_up,
