--- a/crates/testbed/src/checker/evenness.rs
+++ b/crates/testbed/src/checker/evenness.rs
@@ -53,13 +53,13 @@
 
     /// For each window, whether the first gateway considers the endpoint up throughout.
     fn offered(&self, node: usize, windows: usize) -> Vec<bool> {
-        let told = self.told.get(&(0, node)).map(Vec::as_slice).unwrap_or_default();
+        let notices = self.notices.get(&(0, node)).map(Vec::as_slice).unwrap_or_default();
         let mut offered = Vec::with_capacity(windows);
         let (mut next, mut up) = (0, false);
         for window in 0..windows {
             let (from, until) = (WINDOW * window as u32, WINDOW * (window as u32 + 1));
             let mut whole = true;
-            while let Some((at, what)) = told.get(next).filter(|(at, _)| *at < until) {
+            while let Some((at, what)) = notices.get(next).filter(|(at, _)| *at < until) {
                 up = matches!(what, EndpointNotice::Up(_));
                 whole &= *at <= from;
                 next += 1;
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -51,7 +51,7 @@
 
 impl AttemptEnd {
     /// Whether this end proves that the attempt was not processed.
-    fn never_ran(self) -> bool {
+    fn not_processed(self) -> bool {
         matches!(self, AttemptEnd::TurnedAway | AttemptEnd::Unsent)
     }
 }
@@ -132,7 +132,7 @@
     records: FxHashMap<RequestNumber, Record>,
     order: Vec<RequestNumber>,
     attempts: FxHashMap<AttemptId, (RequestNumber, usize)>,
-    told: FxHashMap<(usize, usize), Vec<(Duration, EndpointNotice)>>,
+    notices: FxHashMap<(usize, usize), Vec<(Duration, EndpointNotice)>>,
     starts: FxHashMap<usize, Vec<Duration>>,
     fallen: Vec<(usize, Duration)>,
     groups: Vec<(usize, usize)>,
@@ -147,7 +147,7 @@
             records: FxHashMap::default(),
             order: Vec::new(),
             attempts: FxHashMap::default(),
-            told: FxHashMap::default(),
+            notices: FxHashMap::default(),
             starts: FxHashMap::default(),
             fallen: Vec::new(),
         }
@@ -161,13 +161,13 @@
     }
 
     /// Records that a client has written the last byte of a request to a connection that a gateway accepted.
-    pub fn record_request(&mut self, request: RequestNumber, ask: SentRequest) {
-        self.record(request).request = Some(ask);
+    pub fn record_request(&mut self, request: RequestNumber, sent: SentRequest) {
+        self.record(request).request = Some(sent);
     }
 
     /// Records that a client has received a complete answer.
-    pub fn record_answer(&mut self, request: RequestNumber, at: Duration, got: FinalAnswer) {
-        self.record(request).answers.push((at, got));
+    pub fn record_answer(&mut self, request: RequestNumber, at: Duration, answer: FinalAnswer) {
+        self.record(request).answers.push((at, answer));
     }
 
     /// Records that a client has given a request up and closed its connection.
@@ -184,13 +184,13 @@
     pub fn record_attempt(&mut self, request: RequestNumber, seen: ObservedAttempt) {
         let (attempt, record) = (seen.attempt, self.record(request));
         record.attempts.push(seen);
-        let place = record.attempts.len() - 1;
-        self.attempts.insert(attempt, (request, place));
+        let index = record.attempts.len() - 1;
+        self.attempts.insert(attempt, (request, index));
     }
 
     fn seen(&mut self, attempt: AttemptId) -> Option<&mut ObservedAttempt> {
-        let (request, place) = self.attempts.get(&attempt)?;
-        self.records.get_mut(request)?.attempts.get_mut(*place)
+        let (request, index) = self.attempts.get(&attempt)?;
+        self.records.get_mut(request)?.attempts.get_mut(*index)
     }
 
     /// Records that the last byte of an attempt has arrived.
@@ -216,9 +216,9 @@
 
     /// Records that discovery notified a gateway of an endpoint's state.
     pub fn record_notice(&mut self, gateway: usize, node: usize, at: Duration, what: EndpointNotice) {
-        let told = self.told.entry((gateway, node)).or_default();
-        if told.last().is_none_or(|(_, last)| *last != what) {
-            told.push((at, what));
+        let notices = self.notices.entry((gateway, node)).or_default();
+        if notices.last().is_none_or(|(_, last)| *last != what) {
+            notices.push((at, what));
         }
     }
 
--- a/crates/testbed/src/checker/rules.rs
+++ b/crates/testbed/src/checker/rules.rs
@@ -125,47 +125,47 @@
     /// Checks that the client got one final answer in time, that this answer was made for the request and not held back,
     /// and that no attempt was sent afterwards.
     fn check_answers(&mut self, number: RequestNumber, record: &Record) {
-        let Some(ask) = &record.request else {
+        let Some(request) = &record.request else {
             if let Some(first) = record.attempts.first() {
                 self.report(Rule::NobodyAsked, number, record, Some(first.node), first.first_byte_at);
             }
             return;
         };
-        let late = ask.deadline + self.rules.slack;
+        let late = request.deadline + self.rules.slack;
         match record.answers.first() {
             Some((at, _)) if *at > late => self.report(Rule::Unanswered, number, record, None, *at),
             Some(_) => {}
             // A client that gives up before its deadline is owed no answer; at the deadline it should have been answered.
-            None if record.gave_up_at.is_some_and(|at| at < ask.deadline) => {}
+            None if record.gave_up_at.is_some_and(|at| at < request.deadline) => {}
             None => self.report(Rule::Unanswered, number, record, None, record.lost_at.unwrap_or(late)),
         }
         if let Some((at, _)) = record.answers.get(1) {
             self.report(Rule::AnsweredTwice, number, record, None, *at);
         }
-        let Some(&(at, got)) = record.answers.first() else { return };
-        if got == FinalAnswer::Foreign {
+        let Some(&(at, answer)) = record.answers.first() else { return };
+        if answer == FinalAnswer::Foreign {
             self.report(Rule::ForeignAnswer, number, record, None, at);
         }
         let after = record.attempts.iter().find(|attempt| attempt.first_byte_at > at + self.rules.slack);
         if let Some(attempt) = after {
             self.report(Rule::SentAfterAnswer, number, record, Some(attempt.node), attempt.first_byte_at);
         }
-        let Some(class) = self.checker.classes.get(ask.class) else { return };
-        if matches!(got, FinalAnswer::Refused | FinalAnswer::Failed) {
+        let Some(class) = self.checker.classes.get(request.class) else { return };
+        if matches!(answer, FinalAnswer::Refused | FinalAnswer::Failed) {
             // A request may wait until its latency objective, and as long as an attempt is in flight.
             let ended = |attempt: &super::ObservedAttempt| attempt.end.map_or(at, |(end, _)| end);
             let last = record.attempts.iter().map(ended).max().unwrap_or_default();
-            if at > last.max(ask.sent_at + class.latency_objective) + self.rules.held_back {
+            if at > last.max(request.sent_at + class.latency_objective) + self.rules.held_back {
                 self.report(Rule::HeldBack, number, record, None, at);
             }
         }
-        if got == FinalAnswer::Refused {
+        if answer == FinalAnswer::Refused {
             let is_repeatable_anywhere = matches!(
                 class.idempotency,
                 Idempotency::Idempotent | Idempotency::IdempotencyKey { scope: KeyScope::All, .. }
             );
             let possibly_processed = |attempt: &&super::ObservedAttempt| {
-                attempt.last_byte_at.is_some() && attempt.end.is_none_or(|(_, how)| !how.never_ran())
+                attempt.last_byte_at.is_some() && attempt.end.is_none_or(|(_, how)| !how.not_processed())
             };
             if let Some(attempt) =
                 record.attempts.iter().find(possibly_processed).filter(|_| !is_repeatable_anywhere)
@@ -177,15 +177,16 @@
 
     /// Checks that one attempt of the request was in flight at a time, and that it was retried only as its class allows.
     fn check_attempts(&mut self, number: RequestNumber, record: &Record) {
-        let class = record.request.as_ref().and_then(|ask| self.checker.classes.get(ask.class)).copied();
+        let class =
+            record.request.as_ref().and_then(|request| self.checker.classes.get(request.class)).copied();
         let mut possibly_processed: Option<(Duration, usize)> = None;
-        let mut before: Option<&super::ObservedAttempt> = None;
+        let mut previous: Option<&super::ObservedAttempt> = None;
         for attempt in record.attempts.iter().filter(|attempt| attempt.last_byte_at.is_some()) {
-            let came = attempt.last_byte_at.unwrap_or(attempt.first_byte_at);
-            if let Some(before) = before {
-                let out = before.end.is_none_or(|(end, _)| end > came + self.rules.slack);
-                if out {
-                    self.report(Rule::TwoCopies, number, record, Some(attempt.node), came);
+            let arrived_at = attempt.last_byte_at.unwrap_or(attempt.first_byte_at);
+            if let Some(previous) = previous {
+                let still_in_flight = previous.end.is_none_or(|(end, _)| end > arrived_at + self.rules.slack);
+                if still_in_flight {
+                    self.report(Rule::TwoCopies, number, record, Some(attempt.node), arrived_at);
                 }
             }
             if let (Some((sent, node)), Some(class)) = (possibly_processed, class) {
@@ -193,38 +194,38 @@
                     Idempotency::Idempotent => true,
                     Idempotency::NotIdempotent => false,
                     Idempotency::IdempotencyKey { scope: key_scope, window } => {
-                        came <= sent + window + self.rules.slack
+                        arrived_at <= sent + window + self.rules.slack
                             && self.share_scope(key_scope, node, attempt.node)
                     }
                 };
                 if !allowed {
-                    self.report(Rule::ResentAgainstClass, number, record, Some(attempt.node), came);
+                    self.report(Rule::ResentAgainstClass, number, record, Some(attempt.node), arrived_at);
                 }
             }
-            if attempt.end.is_none_or(|(_, how)| !how.never_ran()) {
-                possibly_processed.get_or_insert((came, attempt.node));
+            if attempt.end.is_none_or(|(_, how)| !how.not_processed()) {
+                possibly_processed.get_or_insert((arrived_at, attempt.node));
             }
-            before = Some(attempt);
+            previous = Some(attempt);
         }
     }
 
     fn share_scope(&self, scope: KeyScope, one: usize, other: usize) -> bool {
-        let groups_of = |node: usize| self.checker.groups.get(node).copied().unwrap_or_default();
+        let zone_and_rack = |node: usize| self.checker.groups.get(node).copied().unwrap_or_default();
         match scope {
             KeyScope::All => true,
-            KeyScope::Zone => groups_of(one).0 == groups_of(other).0,
-            KeyScope::Cell => groups_of(one).1 == groups_of(other).1,
+            KeyScope::Zone => zone_and_rack(one).0 == zone_and_rack(other).0,
+            KeyScope::Cell => zone_and_rack(one).1 == zone_and_rack(other).1,
         }
     }
 
     /// Checks that no attempt was sent to an endpoint later than the drain grace after the gateway was notified that it drains or was removed.
     fn check_drained(&mut self, number: RequestNumber, record: &Record) {
         for attempt in &record.attempts {
-            let Some(told) = self.checker.told.get(&(attempt.gateway, attempt.node)) else { continue };
-            let last = told.iter().rev().find(|(at, _)| *at <= attempt.first_byte_at);
+            let Some(notices) = self.checker.notices.get(&(attempt.gateway, attempt.node)) else { continue };
+            let last = notices.iter().rev().find(|(at, _)| *at <= attempt.first_byte_at);
             let Some((at, EndpointNotice::Draining | EndpointNotice::Removed)) = last else { continue };
             // The drain grace begins at the first of several successive notifications that forbid attempts.
-            let since = told
+            let since = notices
                 .iter()
                 .rev()
                 .skip_while(|(notified_at, _)| notified_at > at)
@@ -249,13 +250,13 @@
                 for attempt in record.attempts.iter().filter(|attempt| {
                     attempt.node == node && attempt.first_byte_at >= from && attempt.first_byte_at <= at
                 }) {
-                    let told = self
+                    let notices = self
                         .checker
-                        .told
+                        .notices
                         .get(&(attempt.gateway, node))
                         .map(Vec::as_slice)
                         .unwrap_or_default();
-                    let was_notified = told.iter().any(|(notified_at, what)| {
+                    let was_notified = notices.iter().any(|(notified_at, what)| {
                         *notified_at <= attempt.first_byte_at && matches!(what, EndpointNotice::Up(Some(listed_start)) if *listed_start + self.rules.slack >= start)
                     });
                     notified_work_s +=
@@ -289,25 +290,27 @@
 /// The events of a request as text, in the order of time.
 fn events(record: &Record) -> Vec<String> {
     let mut events: Vec<(Duration, String)> = Vec::new();
-    if let Some(ask) = &record.request {
-        let until = ask.deadline.as_secs_f64();
+    if let Some(request) = &record.request {
+        let until = request.deadline.as_secs_f64();
         events.push((
-            ask.sent_at,
-            format!("asked at gateway {}, class {}, until {until:.3} s", ask.gateway, ask.class),
+            request.sent_at,
+            format!("asked at gateway {}, class {}, until {until:.3} s", request.gateway, request.class),
         ));
     }
-    for a in &record.attempts {
-        let (node, id) = (a.node, a.attempt);
+    for attempt in &record.attempts {
+        let (node, id) = (attempt.node, attempt.attempt);
         events.push((
-            a.first_byte_at,
-            format!("node {node} sees attempt {id}'s first byte, from gateway {}", a.gateway),
+            attempt.first_byte_at,
+            format!("node {node} sees attempt {id}'s first byte, from gateway {}", attempt.gateway),
         ));
-        events.extend(a.last_byte_at.map(|at| (at, format!("node {node} has attempt {id} whole"))));
-        events.extend(a.started_at.map(|at| (at, format!("node {node} runs attempt {id}"))));
-        events.extend(a.end.map(|(at, how)| (at, format!("attempt {id} ends at node {node}: {how:?}"))));
+        events.extend(attempt.last_byte_at.map(|at| (at, format!("node {node} has attempt {id} whole"))));
+        events.extend(attempt.started_at.map(|at| (at, format!("node {node} runs attempt {id}"))));
+        events
+            .extend(attempt.end.map(|(at, how)| (at, format!("attempt {id} ends at node {node}: {how:?}"))));
     }
-    events
-        .extend(record.answers.iter().map(|(at, got)| (*at, format!("the client has its answer: {got:?}"))));
+    events.extend(
+        record.answers.iter().map(|(at, answer)| (*at, format!("the client has its answer: {answer:?}"))),
+    );
     events.extend(record.gave_up_at.map(|at| (at, "the client gives up".to_owned())));
     events.extend(record.lost_at.map(|at| (at, "the connection ends with no whole answer".to_owned())));
     events.sort_by_key(|(at, _)| *at);
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -50,7 +50,7 @@
 }
 
 fn found(checker: &Checker) -> Vec<Rule> {
-    checker.violations(Rules::virtual_time()).into_iter().map(|b| b.rule).collect()
+    checker.violations(Rules::virtual_time()).into_iter().map(|violation| violation.rule).collect()
 }
 
 #[test]
--- a/crates/testbed/tests/mutants.rs
+++ b/crates/testbed/tests/mutants.rs
@@ -22,13 +22,13 @@
 enum Fault {
     None,
     AnswersTwice,
-    SendsTwoCopies,
+    SendsTwoAttempts,
     SendsToDrained,
     HoldsBack,
     SwapsBodies,
     SendsAfterAnswer,
-    ResendsKeyedElsewhere,
-    RefusesWhatMayHaveRun,
+    RetriesKeyedInOtherRack,
+    RejectsPossiblyProcessed,
     NeverAnswers,
 }
 
@@ -42,7 +42,7 @@
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("the gateway's port was not opened");
             let address = listener.local_addr().expect("the listener has no address");
             let proxy = Rc::new(Proxy::new(self.0, &config));
-            spawn_local(proxy.clone().follow());
+            spawn_local(proxy.clone().poll_discovery());
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
                     spawn_local(proxy.clone().serve(Connection::new(stream)));
@@ -113,14 +113,14 @@
         Proxy { fault, discovery, nodes, turn: Cell::default(), last_body: RefCell::default() }
     }
 
-    async fn follow(self: Rc<Self>) {
+    async fn poll_discovery(self: Rc<Self>) {
         loop {
             sleep(Duration::from_millis(100)).await;
             let Ok(stream) = TcpStream::connect(self.discovery).await else { continue };
-            let mut wire = Connection::new(stream);
-            let asked = wire.write(b"GET /registry/instances HTTP/1.1\r\nHost: r\r\n\r\n").await;
-            let answer = wire.read(Kind::Answer, || Duration::ZERO, |_, _| {}).await;
-            if let (Ok(()), Ok(answer)) = (asked, answer) {
+            let mut connection = Connection::new(stream);
+            let sent = connection.write(b"GET /registry/instances HTTP/1.1\r\nHost: r\r\n\r\n").await;
+            let answer = connection.read(Kind::Answer, || Duration::ZERO, |_, _| {}).await;
+            if let (Ok(()), Ok(answer)) = (sent, answer) {
                 let list = serde_json::from_slice(&answer.body).expect("the endpoint list is not JSON");
                 if self.fault != Fault::SendsToDrained {
                     self.nodes.replace(listed(&list));
@@ -129,38 +129,38 @@
         }
     }
 
-    fn next(&self, but: Option<u64>) -> SocketAddr {
+    fn next_endpoint(&self, excluded_rack: Option<u64>) -> SocketAddr {
         loop {
             self.turn.set(self.turn.get() + 1);
             let nodes = self.nodes.borrow();
             let (address, rack) = nodes[self.turn.get() % nodes.len()];
-            if Some(rack) != but {
+            if Some(rack) != excluded_rack {
                 return address;
             }
         }
     }
 
     fn rack(&self, address: SocketAddr) -> Option<u64> {
-        self.nodes.borrow().iter().find(|n| n.0 == address).map(|n| n.1)
+        self.nodes.borrow().iter().find(|node| node.0 == address).map(|node| node.1)
     }
 
     async fn attempt(&self, to: SocketAddr, request: &[u8]) -> Option<Message> {
-        let mut wire = Connection::new(TcpStream::connect(to).await.ok()?);
-        wire.write(request).await.ok()?;
-        wire.read(Kind::Answer, || Duration::ZERO, |_, _| {}).await.ok()
+        let mut connection = Connection::new(TcpStream::connect(to).await.ok()?);
+        connection.write(request).await.ok()?;
+        connection.read(Kind::Answer, || Duration::ZERO, |_, _| {}).await.ok()
     }
 
-    async fn serve(self: Rc<Self>, mut wire: Connection) {
-        while let Ok(request) = wire.read(Kind::Request, || Duration::ZERO, |_, _| {}).await {
-            let came = Instant::now();
+    async fn serve(self: Rc<Self>, mut connection: Connection) {
+        while let Ok(request) = connection.read(Kind::Request, || Duration::ZERO, |_, _| {}).await {
+            let arrived_at = Instant::now();
             if matches!(&request.first, First::Request { path, .. } if path == "/health/ready") {
-                let _ = wire.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
+                let _ = connection.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
                 continue;
             }
             let micros =
                 request.header("x-timeout").and_then(|t| t.strip_suffix('u')).and_then(|t| t.parse().ok());
             let wait = Duration::from_micros(micros.expect("the request has no X-Timeout"));
-            let answer = timeout(wait.mul_f64(0.8), self.decide(&request)).await.ok().flatten();
+            let answer = timeout(wait.mul_f64(0.8), self.forward(&request)).await.ok().flatten();
             let served = answer.as_ref().is_some_and(|answer| answer.status() == 200);
             let not_processed =
                 answer.as_ref().is_some_and(|answer| answer.header("x-not-processed").is_some());
@@ -168,40 +168,41 @@
             let (status, body) = match served {
                 true if self.fault == Fault::SwapsBodies => (200, self.last_body.replace(body)),
                 true => (200, body),
-                false if not_processed || self.fault == Fault::RefusesWhatMayHaveRun => (503, Vec::new()),
+                false if not_processed || self.fault == Fault::RejectsPossiblyProcessed => (503, Vec::new()),
                 false => (502, Vec::new()),
             };
             if status != 200 && self.fault == Fault::HoldsBack {
-                sleep((wait - Duration::from_millis(300)).saturating_sub(came.elapsed())).await;
+                sleep((wait - Duration::from_millis(300)).saturating_sub(arrived_at.elapsed())).await;
             }
             if self.fault == Fault::NeverAnswers && self.turn.get().is_multiple_of(5) {
                 sleep(wait * 2).await;
             }
             let head = format!("HTTP/1.1 {status} X\r\nContent-Length: {}\r\n\r\n", body.len());
             let answer = [head.as_bytes(), &body].concat();
-            let twice = self.fault == Fault::AnswersTwice;
-            if wire.write(&if twice { answer.repeat(2) } else { answer }).await.is_err() {
+            let answers_twice = self.fault == Fault::AnswersTwice;
+            if connection.write(&if answers_twice { answer.repeat(2) } else { answer }).await.is_err() {
                 return;
             }
             if self.fault == Fault::SendsAfterAnswer {
                 sleep(Duration::from_millis(400)).await;
-                self.attempt(self.next(None), &text(&request)).await;
+                self.attempt(self.next_endpoint(None), &text(&request)).await;
             }
         }
     }
 
-    async fn decide(&self, request: &Message) -> Option<Message> {
-        let (to, bytes) = (self.next(None), text(request));
+    async fn forward(&self, request: &Message) -> Option<Message> {
+        let (to, bytes) = (self.next_endpoint(None), text(request));
         match self.fault {
-            Fault::SendsTwoCopies => {
-                let (one, _) = tokio::join!(self.attempt(to, &bytes), self.attempt(self.next(None), &bytes));
-                one
+            Fault::SendsTwoAttempts => {
+                let (first, _) =
+                    tokio::join!(self.attempt(to, &bytes), self.attempt(self.next_endpoint(None), &bytes));
+                first
             }
-            Fault::ResendsKeyedElsewhere => {
+            Fault::RetriesKeyedInOtherRack => {
                 let first = self.attempt(to, &bytes).await;
                 match first {
                     Some(answer) if answer.status() == 200 => Some(answer),
-                    _ => self.attempt(self.next(self.rack(to)), &bytes).await,
+                    _ => self.attempt(self.next_endpoint(self.rack(to)), &bytes).await,
                 }
             }
             _ => self.attempt(to, &bytes).await,
@@ -211,7 +212,7 @@
 
 /// The rules that the checker finds violated in a run of this length with a gateway that has this fault.
 fn found(fault: Fault, lasts: &str, event: &str) -> BTreeSet<Rule> {
-    played(fault, lasts, event).violations.iter().map(|b| b.rule).collect()
+    played(fault, lasts, event).violations.iter().map(|violation| violation.rule).collect()
 }
 
 fn played(fault: Fault, lasts: &str, event: &str) -> Report {
@@ -280,7 +281,7 @@
 
 #[test]
 fn reports_two_attempts_in_flight_at_once() {
-    assert!(found(Fault::SendsTwoCopies, "2s", "").contains(&Rule::TwoCopies));
+    assert!(found(Fault::SendsTwoAttempts, "2s", "").contains(&Rule::TwoCopies));
 }
 
 #[test]
@@ -305,12 +306,12 @@
 
 #[test]
 fn reports_a_keyed_request_that_is_retried_in_another_rack() {
-    assert_eq!(found(Fault::ResendsKeyedElsewhere, "2s", FAILING), only(Rule::ResentAgainstClass));
+    assert_eq!(found(Fault::RetriesKeyedInOtherRack, "2s", FAILING), only(Rule::ResentAgainstClass));
 }
 
 #[test]
 fn reports_the_rejection_of_a_possibly_processed_request() {
-    assert_eq!(found(Fault::RefusesWhatMayHaveRun, "2s", FAILING), only(Rule::RefusedAfterRun));
+    assert_eq!(found(Fault::RejectsPossiblyProcessed, "2s", FAILING), only(Rule::RefusedAfterRun));
 }
 
 #[test]
