--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -1,5 +1,5 @@
-//! The checker of the four rules. It records the answers that each client received and the attempts that each endpoint observed,
-//! and finds the violations of the rules in these records.
+//! The checker of the four rules: records the answers that each client received and the attempts that each endpoint observed.
+//! From these records the checker finds the violations of the rules.
 //!
 //! Only the stand-ins record events, each what it observed itself: an endpoint the attempts that reach it, a client the answers
 //! that it receives. What a gateway reports about itself is not used.
--- a/crates/testbed/src/count.rs
+++ b/crates/testbed/src/count.rs
@@ -87,9 +87,9 @@
     pub status: String,
     /// Time of the endpoint's last start, in Unix milliseconds; 0 for a start long ago.
     pub started_unix_ms: u64,
-    /// Attempts sent to it.
+    /// Attempts sent to the endpoint.
     pub attempts: u64,
-    /// Connections opened to it.
+    /// Connections opened to the endpoint.
     pub connections: u64,
     /// Attempts by their outcome.
     pub outcomes: BTreeMap<String, u64>,
--- a/crates/testbed/tests/mutants.rs
+++ b/crates/testbed/tests/mutants.rs
@@ -71,8 +71,8 @@
     }
 }
 
-/// The small gateway: sends each request to the endpoints in turn, on a connection of its own, and without retries; a fault changes
-/// this.
+/// The small gateway: sends each request to one of the endpoints in turn, on a new connection and without retries.
+/// Each [`Fault`] makes the small gateway deviate from that in one way.
 struct Proxy {
     fault: Fault,
     discovery: SocketAddr,
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -317,8 +317,8 @@
     for name in ["fast-failures", "zone-returns", "cold-restart", "register-down", "stale-connections"] {
         let (report, _) = simulate_with(&shipped_script(name), 3, Some(5), None, Minds::Plain)
             .expect("the balancer rejected the settings");
-        // Plain gateways hold a request without a connection until its deadline, and send cold endpoints as much as warm ones; both
-        // are expected of them.
+        // Two rules may be violated by plain gateways: they hold a request without a connection until its deadline,
+        // and they send as much to cold endpoints as to warm endpoints.
         let expected = [Rule::PushedOver, Rule::HeldBack];
         let unexpected: Vec<_> =
             report.violations.iter().filter(|violation| !expected.contains(&violation.rule)).collect();
--- a/crates/testbed/tests/sweep.rs
+++ b/crates/testbed/tests/sweep.rs
@@ -1,5 +1,5 @@
-//! Tests of studies: invalid studies are rejected with the place of each error, the figures are the same in every run, and the upper
-//! bound is above the service of the gateways.
+//! Tests of studies: invalid studies are rejected with the place of each error, and the figures are the same in every run.
+//! The upper bound, one balancer for all gateways, must have a higher service than gateways with a balancer each.
 
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
