--- a/crates/gateway/tests/replay.rs
+++ b/crates/gateway/tests/replay.rs
@@ -15,7 +15,7 @@
     let program = Program { path: PathBuf::from(env!("CARGO_BIN_EXE_weldworks-gateway")), folder, settings };
     let (report, _) =
         replay(&script, 2, None, &program, &|_, _, _| {}, std::future::pending()).expect("the run failed");
-    assert_eq!(report.breaches, [], "{}", report.to_text());
+    assert_eq!(report.violations, [], "{}", report.to_text());
     report
 }
 
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,6 +1,6 @@
 //! What a client does after a request that was not served.
 
-use crate::plan::Asked;
+use crate::plan::PlannedRequest;
 use crate::script::Script;
 use std::time::Duration;
 use weldworks_balancer::{Idempotency, KeyScope};
@@ -28,14 +28,14 @@
 /// The request was first sent at `first` and has been sent `sent_count` times, the last of which ended at `now`.
 pub fn next_retry(
     script: &Script,
-    planned: &Asked,
+    planned: &PlannedRequest,
     first: Duration,
     sent_count: u32,
     outcome: ClientOutcome,
     now: Duration,
 ) -> Option<Duration> {
     let class = &script.classes[planned.class];
-    let (may_retry, until) = match (class.effect, outcome) {
+    let (may_retry, until) = match (class.idempotency, outcome) {
         (_, ClientOutcome::Served) => (false, first),
         (Idempotency::Idempotent, _) | (_, ClientOutcome::Rejected { .. } | ClientOutcome::Unreachable) => {
             (true, first + class.deadline)
@@ -49,17 +49,17 @@
         }
     };
     let wait = match outcome {
-        ClientOutcome::Rejected { retry_after: Some(delay) } if planned.heeds => {
-            delay.min(script.limits.retry_after.unwrap_or_default()).max(script.clients.wait)
+        ClientOutcome::Rejected { retry_after: Some(delay) } if planned.honours_retry_after => {
+            delay.min(script.limits.retry_after.unwrap_or_default()).max(script.clients.retry_wait)
         }
-        _ => script.clients.wait,
+        _ => script.clients.retry_wait,
     };
     let at = now + wait;
     (may_retry && sent_count <= script.clients.retries && at + MIN_TIME_FOR_ANSWER < until).then_some(at)
 }
 
 /// How long a client waits for the answer to a request that is sent at `now`.
-pub fn client_timeout(script: &Script, planned: &Asked, first: Duration, now: Duration) -> Duration {
+pub fn client_timeout(script: &Script, planned: &PlannedRequest, first: Duration, now: Duration) -> Duration {
     let left = (first + script.classes[planned.class].deadline).saturating_sub(now);
-    planned.patience.min(left)
+    planned.attempt_timeout.min(left)
 }
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -3,10 +3,10 @@
 //! The actions of a script on endpoints are known ahead, so most changes of the list are on a timeline from the start.
 //! Endpoints that crash from too much work are added to the timeline when they do. The version of a list is a position on the timeline.
 
-use crate::ledger::Told;
-use crate::plan::met;
+use crate::checker::EndpointNotice;
+use crate::plan::affected_endpoints;
 use crate::random_variates::{Purpose, RandomStreams};
-use crate::script::{Script, What};
+use crate::script::{FaultKind, Script};
 use std::time::Duration;
 
 /// The state of an endpoint in the list of discovery.
@@ -33,11 +33,11 @@
 
 impl ListEntry {
     /// What a gateway that receives this entry has been notified of.
-    pub fn notification(&self) -> Told {
+    pub fn notification(&self) -> EndpointNotice {
         match self.status {
-            EndpointStatus::Active => Told::Up(self.started),
-            EndpointStatus::Leaving => Told::Draining,
-            EndpointStatus::Left => Told::Gone,
+            EndpointStatus::Active => EndpointNotice::Up(self.started),
+            EndpointStatus::Leaving => EndpointNotice::Draining,
+            EndpointStatus::Left => EndpointNotice::Removed,
         }
     }
 }
@@ -90,35 +90,35 @@
     let mut actions = Vec::new();
     for (event_index, event) in script.events.iter().enumerate() {
         let (from, until) = (event.at, event.until());
-        for (order, node) in met(script, draws, event_index).into_iter().enumerate() {
+        for (order, node) in affected_endpoints(script, draws, event_index).into_iter().enumerate() {
             let mut during = |start: EndpointAction, end: EndpointAction| {
                 actions.push((from, node, start));
                 actions.extend(until.map(|until| (until, node, end)));
             };
-            match event.what {
-                What::Fail { share } => during(EndpointAction::Fail(share), EndpointAction::Fail(0.0)),
-                What::Slow { times } => during(EndpointAction::Slow(times), EndpointAction::Slow(1.0)),
-                What::Report { qps, inflight } => {
+            match event.fault {
+                FaultKind::Fail { share } => during(EndpointAction::Fail(share), EndpointAction::Fail(0.0)),
+                FaultKind::Slow { times } => during(EndpointAction::Slow(times), EndpointAction::Slow(1.0)),
+                FaultKind::Report { qps, inflight } => {
                     during(EndpointAction::Report(Some((qps, inflight))), EndpointAction::Report(None));
                 }
-                What::Kill => during(EndpointAction::Kill, EndpointAction::Start),
-                What::CutOff => during(EndpointAction::CutOff, EndpointAction::Start),
-                What::Drain => during(EndpointAction::Drain(true), EndpointAction::Drain(false)),
-                What::LetGo { after, silently } => {
+                FaultKind::Kill => during(EndpointAction::Kill, EndpointAction::Start),
+                FaultKind::CutOff => during(EndpointAction::CutOff, EndpointAction::Start),
+                FaultKind::Drain => during(EndpointAction::Drain(true), EndpointAction::Drain(false)),
+                FaultKind::LetGo { after, silently } => {
                     during(
                         EndpointAction::IdleTimeout(Some((after, silently))),
                         EndpointAction::IdleTimeout(None),
                     );
                 }
-                What::Pause => {
+                FaultKind::Pause => {
                     actions.push((from, node, EndpointAction::Pause(event.lasts.unwrap_or_default())));
                 }
-                What::Restart { gone, apart } => {
+                FaultKind::Restart { gone, apart } => {
                     let restart_at = from + apart * order as u32;
                     actions.push((restart_at, node, EndpointAction::Kill));
                     actions.push((restart_at + gone, node, EndpointAction::Start));
                 }
-                What::Neighbour { takes, turns } => {
+                FaultKind::Neighbour { takes, turns } => {
                     let mut stream =
                         draws.stream_for_pair(Purpose::NoisyNeighbour, event_index as u64, node as u64);
                     let range = (turns.0.as_secs_f64(), turns.1.as_secs_f64());
@@ -135,7 +135,7 @@
                     }
                     actions.push((end, node, EndpointAction::Neighbour(0.0)));
                 }
-                What::Heavy { .. } | What::RegisterDown { .. } | What::Surge { .. } => {}
+                FaultKind::Heavy { .. } | FaultKind::RegisterDown { .. } | FaultKind::Surge { .. } => {}
             }
         }
     }
@@ -184,7 +184,8 @@
                 EndpointAction::CutOff => {
                     is_silent[node] = true;
                     let entry = ListEntry { node, status: EndpointStatus::Left, started: started[node] };
-                    changes.push(Change { at: at + notice_delay(script.register.silent_notice), entry });
+                    changes
+                        .push(Change { at: at + notice_delay(script.discovery.silent_notice_delay), entry });
                     continue;
                 }
                 EndpointAction::Start => {
@@ -196,7 +197,7 @@
                 _ => continue,
             };
             let entry = ListEntry { node, status, started: started[node] };
-            changes.push(Change { at: at + notice_delay(script.register.notice), entry });
+            changes.push(Change { at: at + notice_delay(script.discovery.notice_delay), entry });
         }
         // A change of an endpoint is never listed before an earlier change of the same endpoint.
         let mut last_change = vec![Duration::ZERO; script.fleet.nodes];
@@ -205,8 +206,8 @@
             last_change[change.entry.node] = change.at;
         }
         changes.sort_by_key(|change| (change.at, change.entry.node));
-        let outages = script.events.iter().filter_map(|event| match &event.what {
-            What::RegisterDown { without } => {
+        let outages = script.events.iter().filter_map(|event| match &event.fault {
+            FaultKind::RegisterDown { without } => {
                 Some((event.at, event.until().unwrap_or(Duration::MAX), without.clone()))
             }
             _ => None,
@@ -215,10 +216,10 @@
             changes,
             nodes: script.fleet.nodes,
             outages: outages.collect(),
-            call_time: script.register.call,
-            timeout: script.register.timeout,
+            call_time: script.discovery.call_time,
+            timeout: script.discovery.timeout,
             busy_until: Duration::ZERO,
-            silent_notice: script.register.silent_notice.0,
+            silent_notice: script.discovery.silent_notice_delay.0,
         }
     }
 
--- a/crates/testbed/src/endpoint_models.rs
+++ b/crates/testbed/src/endpoint_models.rs
@@ -1,7 +1,7 @@
 //! Builds the endpoint models of a script from the seed. The models are identical in virtual time and on sockets.
 
+use crate::checker::{Checker, ClassTerms};
 use crate::discovery::EndpointAction;
-use crate::ledger::{ClassTerms, Ledger};
 use crate::model::{EndpointModel, EndpointSpec, RepeatCache, RepeatCaches, Report, ReportSpec};
 use crate::random_variates::{Purpose, RandomStreams};
 use crate::script::Script;
@@ -78,7 +78,7 @@
         EndpointAction::Neighbour(fraction) => model.set_neighbour_share(now, fraction),
         EndpointAction::Slow(factor) => model.set_slowdown(now, factor),
         EndpointAction::Report(load) => {
-            model.override_reports(now, load.map(|(qps, inflight)| Report { qps, inflight }))
+            model.override_reports(now, load.map(|(qps, inflight)| Report { qps, inflight }));
         }
         EndpointAction::Pause(duration) => model.pause(now, duration),
         EndpointAction::IdleTimeout(limit) => model.set_idle_timeout(now, limit),
@@ -86,10 +86,13 @@
 }
 
 /// An empty ledger with the script's classes and with the zone and rack of each endpoint.
-pub fn ledger(script: &Script) -> Ledger {
-    let terms = |class: &crate::script::Class| ClassTerms { aim: class.aim, effect: class.effect };
+pub fn ledger(script: &Script) -> Checker {
+    let terms = |class: &crate::script::Class| ClassTerms {
+        latency_objective: class.latency_objective,
+        idempotency: class.idempotency,
+    };
     let groups = (0..script.fleet.nodes)
         .map(|endpoint| (script.zone_of(endpoint), script.rack_of(endpoint)))
         .collect();
-    Ledger::new(script.classes.iter().map(terms).collect(), groups)
+    Checker::new(script.classes.iter().map(terms).collect(), groups)
 }
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -3,9 +3,9 @@
 use super::endpoints::parse_request_number;
 use super::http::{Connection, Kind, Message, ReadError};
 use super::RunState;
+use crate::checker::{FinalAnswer, SentRequest};
 use crate::client::{client_timeout, next_retry, ClientOutcome};
-use crate::ledger::{Ask, Got};
-use crate::plan::Asked;
+use crate::plan::PlannedRequest;
 use serde::Deserialize;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -114,7 +114,7 @@
     fn check_idle(&self, connection: &mut Connection, last: u64) -> bool {
         let received = connection.look();
         if connection.has_surplus() {
-            self.run.ledger.borrow_mut().got(last, self.run.clock.now(), Got::Foreign);
+            self.run.ledger.borrow_mut().record_answer(last, self.run.clock.now(), FinalAnswer::Foreign);
         }
         received == Some(0)
     }
@@ -141,7 +141,7 @@
             match outcome {
                 ClientOutcome::Served => {
                     run.count(|counts| counts.served += 1);
-                    let in_time_until = first + run.script.classes[planned.class].aim;
+                    let in_time_until = first + run.script.classes[planned.class].latency_objective;
                     run.in_time.set(run.in_time.get() + u64::from(now <= in_time_until));
                 }
                 ClientOutcome::Rejected { .. } => run.count(|counts| counts.refused += 1),
@@ -156,7 +156,7 @@
     }
 
     /// The gateway to which the front sends a request: a reachable gateway of the request's zone, or of any zone if it has none.
-    fn choose_gateway(&self, planned: &Asked, number: u64) -> Option<usize> {
+    fn choose_gateway(&self, planned: &PlannedRequest, number: u64) -> Option<usize> {
         let now = self.run.clock.now();
         let is_available = |gateway: &usize| self.gateways[*gateway].excluded_until.get() <= now;
         let all: Vec<usize> = (0..self.gateways.len()).filter(is_available).collect();
@@ -166,18 +166,24 @@
         candidates.get(weldworks_balancer::mix(number) as usize % candidates.len().max(1)).copied()
     }
 
-    async fn send_once(&self, planned: &Asked, number: u64, first: Duration, retries: u32) -> ClientOutcome {
+    async fn send_once(
+        &self,
+        planned: &PlannedRequest,
+        number: u64,
+        first: Duration,
+        retries: u32,
+    ) -> ClientOutcome {
         let run = &self.run;
         let Some(gateway) = self.choose_gateway(planned, number) else { return ClientOutcome::Unreachable };
         let target = &self.gateways[gateway];
-        let mut reuse = !planned.fresh;
+        let mut reuse = !planned.new_connection;
         loop {
             let idle = if reuse { self.take_idle(target) } else { None };
             let reused = idle.is_some();
             let mut connection = match idle {
                 Some(connection) => connection,
                 None => {
-                    let until = run.clock.instant(run.clock.now() + planned.patience);
+                    let until = run.clock.instant(run.clock.now() + planned.attempt_timeout);
                     match timeout_at(until, TcpStream::connect(target.address)).await {
                         Ok(Ok(stream)) => Connection::new(stream),
                         _ => {
@@ -191,31 +197,33 @@
             let text = request(run, planned, number, wait, retries);
             let written = connection.write(text.as_bytes()).await.is_ok();
             let at = run.clock.now();
-            let until = at + wait;
-            run.ledger.borrow_mut().asked(number, Ask { gateway, class: planned.class, at, until });
+            let deadline = at + wait;
+            run.ledger
+                .borrow_mut()
+                .record_request(number, SentRequest { gateway, class: planned.class, sent_at: at, deadline });
             let reading = connection.read(Kind::Answer, || run.clock.now(), |_, _| {});
-            let answer = timeout_at(run.clock.instant(until + LATE_ANSWER_WAIT), reading).await;
+            let answer = timeout_at(run.clock.instant(deadline + LATE_ANSWER_WAIT), reading).await;
             let now = run.clock.now();
             match answer {
                 Ok(Ok(answer)) => {
                     let outcome = self.record_answer(number, &answer, now);
-                    self.keep_connection(target, connection, number, planned.fresh, &answer);
+                    self.keep_connection(target, connection, number, planned.new_connection, &answer);
                     return outcome;
                 }
                 // A gateway may close a connection between requests. A request that is sent at that moment is sent again on a new connection.
                 Ok(Err(ReadError::Ended { partly: false })) if reused || !written => reuse = false,
                 Ok(Err(_)) => {
-                    run.ledger.borrow_mut().lost(number, now);
+                    run.ledger.borrow_mut().record_lost_connection(number, now);
                     return ClientOutcome::Failed;
                 }
                 Err(_) => {
-                    run.ledger.borrow_mut().gave_up(number, now);
+                    run.ledger.borrow_mut().record_give_up(number, now);
                     return ClientOutcome::Failed;
                 }
             }
             if !reused {
                 target.excluded_until.set(now + UNREACHABLE_EXCLUSION);
-                run.ledger.borrow_mut().lost(number, now);
+                run.ledger.borrow_mut().record_lost_connection(number, now);
                 return ClientOutcome::Unreachable;
             }
         }
@@ -262,18 +270,22 @@
                     parse_request_number(Some(&body.request)) == Some(request)
                         && ledger.is_attempt_of(body.attempt, request)
                 });
-                ledger.got(request, now, if is_own { Got::Served } else { Got::Foreign });
+                ledger.record_answer(
+                    request,
+                    now,
+                    if is_own { FinalAnswer::Served } else { FinalAnswer::Foreign },
+                );
                 ClientOutcome::Served
             }
             429 | 503 => {
-                ledger.got(request, now, Got::Refused);
+                ledger.record_answer(request, now, FinalAnswer::Refused);
                 let header_value = answer.header("retry-after").and_then(|text| text.parse().ok());
                 let retry_after =
                     header_value.and_then(|seconds: f64| Duration::try_from_secs_f64(seconds).ok());
                 ClientOutcome::Rejected { retry_after: retry_after.filter(|delay| !delay.is_zero()) }
             }
             _ => {
-                ledger.got(request, now, Got::Failed);
+                ledger.record_answer(request, now, FinalAnswer::Failed);
                 ClientOutcome::Failed
             }
         }
@@ -281,13 +293,13 @@
 }
 
 /// The text of a request in the platform's protocol.
-fn request(run: &RunState, planned: &Asked, number: u64, wait: Duration, retries: u32) -> String {
+fn request(run: &RunState, planned: &PlannedRequest, number: u64, wait: Duration, retries: u32) -> String {
     let class = &run.script.classes[planned.class];
     let tenant = run.script.tenants.get(planned.tenant).map_or("", |tenant| tenant.name.as_str());
     let cookie = planned.subject.map_or(String::new(), |key| format!("Cookie: k={key:016x}\r\n"));
     let retry_header = if retries > 0 { "X-Retried: 1\r\n" } else { "" };
-    let cost = if run.script.clients.hints {
-        format!("X-Cost: {}\r\n", (planned.seconds * 1e6).round())
+    let cost = if run.script.clients.send_cost_hints {
+        format!("X-Cost: {}\r\n", (planned.work_s * 1e6).round())
     } else {
         String::new()
     };
@@ -297,9 +309,9 @@
         name = class.name,
         wait = wait.as_micros()
     );
-    let body = format!("{{\"place\":{}}}", planned.place);
+    let body = format!("{{\"place\":{}}}", planned.index);
     let length = body.len();
-    match class.effect {
+    match class.idempotency {
         Idempotency::Idempotent => format!("GET /{} HTTP/1.1\r\n{common}\r\n", class.name),
         Idempotency::IdempotencyKey { .. } => format!(
             "POST /{} HTTP/1.1\r\n{common}Idempotency-Key: {:016x}\r\nContent-Length: {length}\r\n\r\n{body}",
--- a/crates/testbed/src/live/discovery.rs
+++ b/crates/testbed/src/live/discovery.rs
@@ -3,8 +3,8 @@
 use super::endpoints::LiveEndpoint;
 use super::http::{Connection, Kind};
 use super::RunState;
+use crate::checker::EndpointNotice;
 use crate::discovery::{Discovery, EndpointList, EndpointStatus, ListEntry, PollResult};
-use crate::ledger::Told;
 use serde_json::{json, Value};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -41,7 +41,7 @@
 
     /// Updates the live weights until the run ends; returns at once if the script has none.
     pub async fn update_weights(&self) {
-        let Some(live_weights) = self.run.script.register.weights else { return };
+        let Some(live_weights) = self.run.script.discovery.weights else { return };
         for round in 0u32.. {
             sleep_until(self.run.clock.instant(live_weights.every * round)).await;
             let sampled = weights(&self.run, &self.nodes);
@@ -79,7 +79,7 @@
     /// If discovery pushes changes, records each list sent to the gateways' agents, until the run ends.
     /// What was sent to an agent counts as notified, whether or not the gateway reads the change.
     pub async fn record_agent_lists(&self) {
-        if !self.run.script.register.pushed {
+        if !self.run.script.discovery.pushed {
             return;
         }
         let mut version = 1;
@@ -131,7 +131,7 @@
         let poll_result = self.model.borrow_mut().poll(now());
         let (PollResult::Answered(at) | PollResult::Failed(at)) = poll_result;
         // If discovery pushes changes, the gateway polls an agent of its own, which answers at once.
-        let pushed = self.run.script.register.pushed;
+        let pushed = self.run.script.discovery.pushed;
         if !pushed {
             sleep_until(self.run.clock.instant(at)).await;
         }
@@ -196,12 +196,12 @@
     fn record_list(&self, gateway: usize, list: &EndpointList) {
         let (now, mut ledger) = (self.run.clock.now(), self.run.ledger.borrow_mut());
         for entry in &list.entries {
-            ledger.told(gateway, entry.node, now, entry.notification());
+            ledger.record_notice(gateway, entry.node, now, entry.notification());
         }
         if list.is_snapshot {
             let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
             for node in (0..self.nodes.len()).filter(|node| !listed(node)) {
-                ledger.told(gateway, node, now, Told::Gone);
+                ledger.record_notice(gateway, node, now, EndpointNotice::Removed);
             }
         }
     }
@@ -242,7 +242,7 @@
 
 /// The current live weight of each endpoint: its capacity divided by 1 + its requests in flight per core; 1 without live weights.
 fn weights(run: &RunState, nodes: &[Rc<LiveEndpoint>]) -> Vec<f64> {
-    let has_live_weights = run.script.register.weights.is_some();
+    let has_live_weights = run.script.discovery.weights.is_some();
     nodes
         .iter()
         .map(|node| if has_live_weights { node.read_model(|model| model.live_weight()) } else { 1.0 })
--- a/crates/testbed/src/live/mod.rs
+++ b/crates/testbed/src/live/mod.rs
@@ -7,8 +7,8 @@
 pub mod gateways;
 pub mod http;
 
-use crate::ledger::Ledger;
-use crate::plan::Asked;
+use crate::checker::Checker;
+use crate::plan::PlannedRequest;
 use crate::random_variates::RandomStreams;
 use crate::report::{Counts, Sample};
 use crate::script::Script;
@@ -49,11 +49,11 @@
     /// The number of gateways.
     pub gateways: usize,
     /// The planned requests.
-    pub plan: Vec<Asked>,
+    pub plan: Vec<PlannedRequest>,
     /// The clock of the run.
     pub clock: Clock,
     /// What clients, endpoints and discovery have observed.
-    pub ledger: RefCell<Ledger>,
+    pub ledger: RefCell<Checker>,
     /// The counters of the report.
     pub counts: Cell<Counts>,
     /// Number of requests that were served in time.
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -7,7 +7,9 @@
 //!
 //! These functions are for tests: a missing port or program ends the test with a panic.
 
-use crate::ledger::{Ask, AttemptSeen, ClassTerms, Ended, Got, Ledger, Rule, Rules};
+use crate::checker::{
+    AttemptEnd, Checker, ClassTerms, FinalAnswer, ObservedAttempt, Rule, Rules, SentRequest,
+};
 use crate::live::endpoints::parse_request_number;
 use crate::live::gateways::listening;
 use serde_json::{json, Value};
@@ -28,7 +30,7 @@
 /// What all stand-ins of a test have observed.
 #[derive(Clone)]
 pub struct Observations {
-    ledger: Arc<Mutex<Ledger>>,
+    ledger: Arc<Mutex<Checker>>,
     start: Instant,
     attempts: Arc<AtomicU64>,
 }
@@ -53,10 +55,10 @@
 impl Observations {
     fn new() -> Observations {
         let terms = |(_, objective_ms, idempotency): &(&str, u64, Idempotency)| ClassTerms {
-            aim: Duration::from_millis(*objective_ms),
-            effect: *idempotency,
+            latency_objective: Duration::from_millis(*objective_ms),
+            idempotency: *idempotency,
         };
-        let ledger = Ledger::new(CLASSES.iter().map(terms).collect(), Vec::new());
+        let ledger = Checker::new(CLASSES.iter().map(terms).collect(), Vec::new());
         Observations { ledger: Arc::new(Mutex::new(ledger)), start: Instant::now(), attempts: Arc::default() }
     }
 
@@ -65,7 +67,7 @@
         OBSERVATIONS.with(Observations::clone)
     }
 
-    fn record(&self, update: impl FnOnce(&mut Ledger, Duration)) {
+    fn record(&self, update: impl FnOnce(&mut Checker, Duration)) {
         let now = self.start.elapsed();
         update(&mut self.ledger.lock().expect("the lock is poisoned"), now);
     }
@@ -75,11 +77,20 @@
         let request = parse_request_number(request.header("x-request-id"))?;
         let attempt = self.attempts.fetch_add(1, Ordering::SeqCst);
         self.record(|ledger, now| {
-            let (first, whole, began, ended) = (now, Some(now), Some(now), None);
-            let (gateway, seconds) = (0, 0.0);
-            ledger.attempt(
+            let (first_byte_at, last_byte_at, started_at, end) = (now, Some(now), Some(now), None);
+            let (gateway, work_s) = (0, 0.0);
+            ledger.record_attempt(
                 request,
-                AttemptSeen { attempt, node, gateway, first, whole, began, ended, seconds },
+                ObservedAttempt {
+                    attempt,
+                    node,
+                    gateway,
+                    first_byte_at,
+                    last_byte_at,
+                    started_at,
+                    end,
+                    work_s,
+                },
             );
         });
         Some(attempt)
@@ -93,12 +104,12 @@
 
     /// Records that an attempt has been answered, completely or partly.
     pub(crate) fn answered(&self, attempt: Option<u64>, whole: bool) {
-        self.ended(attempt, if whole { Ended::Served } else { Ended::Broken });
+        self.ended(attempt, if whole { AttemptEnd::Served } else { AttemptEnd::Broken });
     }
 
-    fn ended(&self, attempt: Option<u64>, outcome: Ended) {
+    fn ended(&self, attempt: Option<u64>, outcome: AttemptEnd) {
         if let Some(attempt) = attempt {
-            self.record(|ledger, now| ledger.ended(attempt, now, outcome));
+            self.record(|ledger, now| ledger.record_end(attempt, now, outcome));
         }
     }
 
@@ -120,11 +131,16 @@
             .lock()
             .expect("the lock is poisoned")
             .of(request)
-            .is_some_and(|request| request.ask.is_some());
+            .is_some_and(|request| request.request.is_some());
         if is_known {
             return None;
         }
-        self.record(|ledger, at| ledger.asked(request, Ask { gateway: 0, class, at, until: at + timeout }));
+        self.record(|ledger, at| {
+            ledger.record_request(
+                request,
+                SentRequest { gateway: 0, class, sent_at: at, deadline: at + timeout },
+            );
+        });
         Some(request)
     }
 
@@ -135,9 +151,9 @@
     pub fn check(&self) {
         let slack = Duration::from_secs(2);
         let rules = Rules { slack, held_back: slack, ..Rules::sockets() };
-        let mut breaches = self.ledger.lock().expect("the lock is poisoned").breaches(rules);
-        breaches.retain(|breach| breach.rule != Rule::NobodyAsked);
-        assert!(breaches.is_empty(), "{breaches:#?}");
+        let mut violations = self.ledger.lock().expect("the lock is poisoned").violations(rules);
+        violations.retain(|breach| breach.rule != Rule::NobodyAsked);
+        assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
@@ -284,18 +300,18 @@
             let (status, headers, body) = match reply {
                 Reply::Answer(status, headers, body) => (status, headers, body),
                 Reply::Break => {
-                    self.observations.ended(attempt, Ended::Broken);
+                    self.observations.ended(attempt, AttemptEnd::Broken);
                     break;
                 }
                 Reply::Half => {
-                    self.observations.ended(attempt, Ended::Broken);
+                    self.observations.ended(attempt, AttemptEnd::Broken);
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
                     break;
                 }
                 Reply::Hang => match self.hang(&stream) {
                     true => (200, "", b"released".to_vec()),
                     false => {
-                        self.observations.ended(attempt, Ended::Left);
+                        self.observations.ended(attempt, AttemptEnd::Left);
                         break;
                     }
                 },
@@ -306,15 +322,15 @@
                     }
                     self.raw.fetch_add(1, Ordering::SeqCst);
                     // The bytes may be anything. By now the gateway has either finished with the reply or closes the connection.
-                    self.observations.ended(attempt, Ended::Error);
+                    self.observations.ended(attempt, AttemptEnd::Error);
                     continue;
                 }
             };
             let is_not_processed = headers.contains("X-Not-Processed: 1");
             let outcome = match status {
-                200 => Ended::Served,
-                _ if is_not_processed => Ended::TurnedAway,
-                _ => Ended::Error,
+                200 => AttemptEnd::Served,
+                _ if is_not_processed => AttemptEnd::TurnedAway,
+                _ => AttemptEnd::Error,
             };
             self.observations.ended(attempt, outcome);
             let head = format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n", body.len());
@@ -723,7 +739,7 @@
 impl Drop for Client {
     fn drop(&mut self) {
         for request in self.unanswered.drain(..).flatten() {
-            self.observations.record(|ledger, now| ledger.gave_up(request, now));
+            self.observations.record(|ledger, now| ledger.record_give_up(request, now));
         }
     }
 }
@@ -763,7 +779,7 @@
     /// Records that no answers are expected any more, because the gateway was killed.
     pub fn expect_no_answers(&mut self) {
         for request in self.unanswered.drain(..).flatten() {
-            self.observations.record(|ledger, now| ledger.gave_up(request, now));
+            self.observations.record(|ledger, now| ledger.record_give_up(request, now));
         }
     }
 
@@ -776,10 +792,10 @@
         }
         if let Some(request) = self.unanswered.pop_front().flatten() {
             self.observations.record(|ledger, now| match status {
-                Some(200) => ledger.got(request, now, Got::Served),
-                Some(429 | 503) => ledger.got(request, now, Got::Refused),
-                Some(_) => ledger.got(request, now, Got::Failed),
-                None => ledger.lost(request, now),
+                Some(200) => ledger.record_answer(request, now, FinalAnswer::Served),
+                Some(429 | 503) => ledger.record_answer(request, now, FinalAnswer::Refused),
+                Some(_) => ledger.record_answer(request, now, FinalAnswer::Failed),
+                None => ledger.record_lost_connection(request, now),
             });
         }
         answer
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -1,15 +1,15 @@
 //! Discovery in virtual time: polls, pushed changes of the endpoint list, and live weights of the endpoints.
 
 use super::{Simulation, SimulationEvent, CLOCK_AT_START};
+use crate::checker::EndpointNotice;
 use crate::discovery::{EndpointList, EndpointStatus, ListEntry, PollResult};
-use crate::ledger::Told;
 use crate::model::EndpointModel;
 use weldworks_balancer::{EndpointId, EndpointState, Event};
 
 impl Simulation<'_> {
     /// A gateway's poll has reached discovery.
     pub(super) fn on_discovery_poll(&mut self, gateway: usize) {
-        let delay = self.script.network.same;
+        let delay = self.script.network.same_zone;
         match self.discovery.poll(self.now) {
             PollResult::Answered(at) => {
                 let list = self.discovery.list_since(at, self.gateways[gateway].version);
@@ -42,15 +42,15 @@
     }
 
     pub(super) fn on_discovery_change(&mut self) {
-        let (down, delay) = (self.discovery.is_down(self.now), self.script.network.same);
-        if self.script.register.pushed && !down {
+        let (down, delay) = (self.discovery.is_down(self.now), self.script.network.same_zone);
+        if self.script.discovery.pushed && !down {
             self.update_agents();
         }
         for gateway in 0..self.gateways.len() {
             if !self.gateways[gateway].watching {
                 continue;
             }
-            if down && self.script.register.pushed {
+            if down && self.script.discovery.pushed {
                 continue; // with pushed changes, a gateway does not notice that discovery is down
             }
             if down {
@@ -74,11 +74,11 @@
         self.agent_version = list.version;
         for gateway in 0..self.module_count() {
             for entry in &list.entries {
-                self.ledger.told(gateway, entry.node, self.now, entry.notification());
+                self.ledger.record_notice(gateway, entry.node, self.now, entry.notification());
             }
             let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
             for node in (0..self.nodes.len()).filter(|node| list.is_snapshot && !listed(node)) {
-                self.ledger.told(gateway, node, self.now, Told::Gone);
+                self.ledger.record_notice(gateway, node, self.now, EndpointNotice::Removed);
             }
         }
     }
@@ -96,7 +96,12 @@
             for known in &mut gateway_state.endpoints {
                 if !endpoints.iter().any(|endpoint| endpoint.id == known.id) {
                     known.state = EndpointState::Removed;
-                    self.ledger.told(gateway, known.id.0 as usize, self.now, Told::Gone);
+                    self.ledger.record_notice(
+                        gateway,
+                        known.id.0 as usize,
+                        self.now,
+                        EndpointNotice::Removed,
+                    );
                 }
             }
         }
@@ -105,7 +110,7 @@
                 Some(known) => *known = endpoint.clone(),
                 None => gateway_state.endpoints.push(endpoint.clone()),
             }
-            self.ledger.told(gateway, entry.node, self.now, entry.notification());
+            self.ledger.record_notice(gateway, entry.node, self.now, entry.notification());
         }
         if let Some(storm) = &mut gateway_state.storm {
             let up = gateway_state.endpoints.iter().filter(|endpoint| endpoint.state == EndpointState::Up);
@@ -121,7 +126,7 @@
 
     /// The current live weight of an endpoint: its capacity divided by 1 + its requests in flight per core; 1 without live weights.
     pub(super) fn weight(&self, node: &EndpointModel) -> f64 {
-        match self.script.register.weights {
+        match self.script.discovery.weights {
             Some(_) => node.live_weight(),
             None => 1.0,
         }
@@ -129,7 +134,7 @@
 
     /// Samples the live weights of all endpoints, which reach the gateways after a delay, and schedules the next sample.
     pub(super) fn sample_weights(&mut self) {
-        let Some(weights) = self.script.register.weights else { return };
+        let Some(weights) = self.script.discovery.weights else { return };
         let sampled = self.nodes.iter().map(|node| self.weight(node)).collect();
         self.schedule(self.now + weights.late, SimulationEvent::WeightUpdate { weights: sampled });
         if self.now + weights.every <= self.script.end() {
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -12,7 +12,7 @@
     fn gateways_to_kill(&self) -> Vec<usize> {
         let count = initial_gateways(self.script, self.gateways.len());
         let every_other = (0..count).step_by(2).chain((1..count).step_by(2));
-        every_other.take(self.script.fleet.killed.min(count - 1)).collect()
+        every_other.take(self.script.fleet.killed_gateways.min(count - 1)).collect()
     }
 
     /// Kills gateways. Their machines reset all connections, which clients and endpoints observe at once.
@@ -45,7 +45,7 @@
             self.fail_request(request_index, ClientOutcome::Failed);
         }
         let fleet = &self.script.fleet;
-        let (notice_at, restart_at) = (self.now + fleet.noticed, self.now + fleet.back_after);
+        let (notice_at, restart_at) = (self.now + fleet.failover_delay, self.now + fleet.restart_delay);
         self.schedule(notice_at, SimulationEvent::KillNoticed);
         self.schedule(restart_at, SimulationEvent::RestartGateways);
     }
@@ -54,7 +54,7 @@
     pub(super) fn fail_request(&mut self, request_index: usize, outcome: ClientOutcome) {
         self.requests[request_index].answered = true;
         if !self.requests[request_index].closed {
-            self.ledger.gave_up(self.requests[request_index].number, self.now);
+            self.ledger.record_give_up(self.requests[request_index].number, self.now);
             self.close_request(request_index, outcome);
         }
     }
@@ -94,7 +94,7 @@
             };
             (gateway.alive, gateway.incarnation, gateway.version) = (true, incarnation, 0);
             gateway.endpoints.clear();
-            gateway.watching = script.register.pushed;
+            gateway.watching = script.discovery.pushed;
             let list = self.discovery.list_since(self.now, 0);
             self.deliver_list(gateway_index, list);
         }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -7,12 +7,12 @@
 mod killed;
 
 use crate::baseline::BaselineBalancer;
+use crate::checker::{AttemptEnd, Checker, FinalAnswer, ObservedAttempt, Rules, SentRequest};
 use crate::client::{client_timeout, next_retry, ClientOutcome};
 use crate::discovery::{endpoint_actions, Discovery, EndpointAction, EndpointList};
 use crate::endpoint_models::{carry_out, kinds, ledger, nodes};
-use crate::ledger::{Ask, AttemptSeen, Ended, Got, Ledger, Rules};
 use crate::model::{Answer, EndpointModel, Output, State, Work};
-use crate::plan::{attempt_seconds, plan, Asked};
+use crate::plan::{attempt_seconds, plan, PlannedRequest};
 use crate::random_variates::{Purpose, RandomStreams};
 use crate::report::{back, fresh, service, tallies, Counts, Report, Runner, Sample};
 use crate::script::Script;
@@ -221,7 +221,7 @@
     now: Duration,
     scheduled: BinaryHeap<ScheduledEvent>,
     order: u64,
-    planned: Vec<Asked>,
+    planned: Vec<PlannedRequest>,
     first_sent: Vec<Duration>,
     sends: Vec<Vec<(u64, Duration)>>,
     requests: Vec<ClientRequest>,
@@ -240,7 +240,7 @@
     weights: Vec<f64>,
     /// The version of the endpoint list that the gateways' agents have, if discovery pushes changes.
     agent_version: u64,
-    ledger: Ledger,
+    ledger: Checker,
     counts: Counts,
     timeline: Vec<Sample>,
     sampled_counts: Counts,
@@ -345,7 +345,7 @@
                 endpoints: Vec::new(),
                 idle: vec![Vec::new(); script.fleet.nodes],
                 version: 0,
-                watching: script.register.pushed && gateway_index < initial_count,
+                watching: script.discovery.pushed && gateway_index < initial_count,
                 incarnation: 0,
                 alive: true,
             });
@@ -387,9 +387,9 @@
             simulation.deliver_list(gateway_index, list);
         }
         if initial_count < count {
-            simulation.schedule(script.fleet.joins_at, SimulationEvent::GatewaysJoin);
+            simulation.schedule(script.fleet.late_start_at, SimulationEvent::GatewaysJoin);
         }
-        if script.fleet.killed > 0 {
+        if script.fleet.killed_gateways > 0 {
             simulation.schedule(script.fleet.killed_at, SimulationEvent::KillGateways);
         }
         for plan_index in 0..planned_count {
@@ -401,7 +401,7 @@
         }
         (0..simulation.nodes.len()).for_each(|node| simulation.schedule_endpoint(node));
         simulation.schedule_discovery_change();
-        if script.register.weights.is_some() {
+        if script.discovery.weights.is_some() {
             simulation.schedule(Duration::ZERO, SimulationEvent::SampleWeights);
         }
         simulation.schedule(Duration::ZERO, SimulationEvent::RecordSample);
@@ -428,8 +428,11 @@
         let attempt = &self.attempts[attempt_index];
         let gateway = &self.gateways[self.requests[attempt.request_index].gateway];
         let network = &self.script.network;
-        let base =
-            if gateway.zone == self.script.zone_of(attempt.node) { network.same } else { network.cross };
+        let base = if gateway.zone == self.script.zone_of(attempt.node) {
+            network.same_zone
+        } else {
+            network.cross_zone
+        };
         self.network_delay(
             base,
             self.requests[attempt.request_index].number.wrapping_add(u64::from(attempt.attempt_number)),
@@ -490,7 +493,7 @@
             }
             SimulationEvent::ConnectionClosed { node, connection, attempt } => {
                 if let Some(attempt) = attempt {
-                    self.ledger.ended(attempt, self.now, Ended::Left);
+                    self.ledger.record_end(attempt, self.now, AttemptEnd::Left);
                 }
                 self.nodes[node].disconnect(self.now, connection);
                 self.take_outputs(node);
@@ -507,7 +510,7 @@
             SimulationEvent::EndpointAction { node, action } => {
                 carry_out(&mut self.nodes[node], self.now, action);
                 if action == EndpointAction::Start && self.nodes[node].state() == State::Up {
-                    self.ledger.started(node, self.now);
+                    self.ledger.record_cold_start(node, self.now);
                 }
                 self.take_outputs(node);
             }
@@ -530,11 +533,11 @@
         self.counts.tries += 1;
         let number = planned.number(self.draws, retries);
         self.sends[plan_index].push((number, self.now));
-        let until = self.now + client_timeout(self.script, planned, self.first_sent[plan_index], self.now);
+        let deadline = self.now + client_timeout(self.script, planned, self.first_sent[plan_index], self.now);
         let class = planned.class;
         let own = &self.gateways_by_zone[planned.zone];
         let gateway = own[weldworks_balancer::mix(number) as usize % own.len()];
-        self.ledger.asked(number, Ask { gateway, class, at: self.now, until });
+        self.ledger.record_request(number, SentRequest { gateway, class, sent_at: self.now, deadline });
         let request_index = self.requests.len();
         let (closed, answered, attempts) = Default::default();
         self.requests.push(ClientRequest {
@@ -542,21 +545,21 @@
             number,
             retries,
             gateway,
-            until,
+            until: deadline,
             closed,
             answered,
             attempts,
         });
         let delay = self.client_delay(request_index, MessageKind::ToGateway);
         self.schedule(self.now + delay, SimulationEvent::RequestArrives { request_index });
-        self.schedule(until, SimulationEvent::ClientTimeout { request_index });
+        self.schedule(deadline, SimulationEvent::ClientTimeout { request_index });
     }
 
     /// The gateways that join during the run receive their first endpoint list, and the front begins to send them requests.
     fn start_joining_gateways(&mut self) {
         let count = self.gateways.len();
         for gateway_index in initial_gateways(self.script, count)..self.module_count() {
-            self.gateways[gateway_index].watching = self.script.register.pushed;
+            self.gateways[gateway_index].watching = self.script.discovery.pushed;
             let list = self.discovery.list_since(self.now, 0);
             self.deliver_list(gateway_index, list);
         }
@@ -567,7 +570,7 @@
         if self.requests[request_index].closed {
             return;
         }
-        self.ledger.gave_up(self.requests[request_index].number, self.now);
+        self.ledger.record_give_up(self.requests[request_index].number, self.now);
         self.close_request(request_index, ClientOutcome::Failed);
         if !self.requests[request_index].answered {
             self.requests[request_index].answered = true;
@@ -581,11 +584,11 @@
     fn on_answer(&mut self, request_index: usize, outcome: ClientOutcome) {
         let number = self.requests[request_index].number;
         let got = match outcome {
-            ClientOutcome::Served => Got::Served,
-            ClientOutcome::Rejected { .. } => Got::Refused,
-            ClientOutcome::Failed | ClientOutcome::Unreachable => Got::Failed,
+            ClientOutcome::Served => FinalAnswer::Served,
+            ClientOutcome::Rejected { .. } => FinalAnswer::Refused,
+            ClientOutcome::Failed | ClientOutcome::Unreachable => FinalAnswer::Failed,
         };
-        self.ledger.got(number, self.now, got);
+        self.ledger.record_answer(number, self.now, got);
         if !self.requests[request_index].closed {
             self.close_request(request_index, outcome);
         }
@@ -599,7 +602,7 @@
         match outcome {
             ClientOutcome::Served => {
                 self.counts.served += 1;
-                let in_time_until = first + self.script.classes[planned.class].aim;
+                let in_time_until = first + self.script.classes[planned.class].latency_objective;
                 self.in_time.0 += u64::from(self.now <= in_time_until);
             }
             ClientOutcome::Rejected { .. } => self.counts.refused += 1,
@@ -623,7 +626,7 @@
         }
         let planned = &self.planned[plan_index];
         let answer_by = until.saturating_sub(ANSWER_MARGIN);
-        let (weight, mean) = (self.script.classes[planned.class].worth, self.mean_weight);
+        let (weight, mean) = (self.script.classes[planned.class].priority_weight, self.mean_weight);
         let arriving = ArrivingRequest {
             is_client_retry: retries > 0,
             identity: retry_identity(planned),
@@ -640,7 +643,7 @@
             class: planned.class,
             tenant: planned.tenant,
             key: planned.subject.map(weldworks_balancer::mix),
-            cost_hint: self.script.clients.hints.then(|| Duration::from_secs_f64(planned.seconds)),
+            cost_hint: self.script.clients.send_cost_hints.then(|| Duration::from_secs_f64(planned.work_s)),
             is_client_retry: retries > 0,
             admission_share: admitted_share,
             client_deadline: CLOCK_AT_START + answer_by,
@@ -745,7 +748,7 @@
             }
             Action::PollDiscovery => {
                 self.gateways[gateway].watching = false;
-                let at = self.now + self.script.network.same;
+                let at = self.now + self.script.network.same_zone;
                 self.schedule(at, SimulationEvent::DiscoveryPolled { gateway });
             }
         }
@@ -818,7 +821,10 @@
             self.counts.connections += 1;
             let delay = self.endpoint_delay(attempt_index, MessageKind::Dial);
             self.schedule(self.now + delay, SimulationEvent::DialArrives { attempt_index });
-            self.schedule(self.now + self.script.limits.dial, SimulationEvent::DialTimeout { attempt_index });
+            self.schedule(
+                self.now + self.script.limits.connect_timeout,
+                SimulationEvent::DialTimeout { attempt_index },
+            );
         }
     }
 
@@ -870,24 +876,26 @@
         let ClientRequest { number, plan_index, gateway, .. } = self.requests[request_index];
         let planned = &self.planned[plan_index];
         let class = &self.script.classes[planned.class];
-        let seconds = attempt_seconds(self.draws, class, planned, node as u64);
-        let keyed = match class.effect {
+        let work_s = attempt_seconds(self.draws, class, planned, node as u64);
+        let keyed = match class.idempotency {
             Idempotency::IdempotencyKey { scope: key_scope, window } => {
                 Some((planned.key, key_scope, window))
             }
             _ => None,
         };
-        let (attempt, whole) = (attempt_index as u64, Some(self.now));
-        let (first, began, ended) = (self.now, None, None);
-        self.ledger
-            .attempt(number, AttemptSeen { attempt, node, gateway, first, whole, began, ended, seconds });
+        let (attempt, last_byte_at) = (attempt_index as u64, Some(self.now));
+        let (first_byte_at, started_at, end) = (self.now, None, None);
+        self.ledger.record_attempt(
+            number,
+            ObservedAttempt { attempt, node, gateway, first_byte_at, last_byte_at, started_at, end, work_s },
+        );
         self.counts.attempts += 1;
-        let work = Work { request: number, seconds, subject: planned.subject, keyed, until };
+        let work = Work { request: number, seconds: work_s, subject: planned.subject, keyed, until };
         let is_running = matches!(self.nodes[node].state(), State::Up | State::Draining);
         self.nodes[node].request(self.now, connection, attempt, work);
         self.take_outputs(node);
         if !is_running {
-            self.ledger.ended(attempt, self.now, Ended::Broken);
+            self.ledger.record_end(attempt, self.now, AttemptEnd::Broken);
             let delay = self.endpoint_delay(attempt_index, MessageKind::FromEndpoint);
             self.schedule(
                 self.now + delay,
@@ -975,17 +983,17 @@
         let outputs: Vec<Output> = self.nodes[node].outputs().collect();
         for output in outputs {
             match output {
-                Output::Began { attempt } => self.ledger.began(attempt, self.now),
+                Output::Began { attempt } => self.ledger.record_start(attempt, self.now),
                 Output::Answered { attempt, answer, report, .. } => {
                     let (ended, outcome) = match answer {
                         Answer::Served { dropped } => {
                             self.counts.repeats_dropped += u64::from(dropped);
-                            (Ended::Served, Outcome::Served)
+                            (AttemptEnd::Served, Outcome::Served)
                         }
-                        Answer::Error => (Ended::Error, Outcome::Error),
-                        Answer::Rejected(_) => (Ended::TurnedAway, Outcome::Rejected),
+                        Answer::Error => (AttemptEnd::Error, Outcome::Error),
+                        Answer::Rejected(_) => (AttemptEnd::TurnedAway, Outcome::Rejected),
                     };
-                    self.ledger.ended(attempt, self.now, ended);
+                    self.ledger.record_end(attempt, self.now, ended);
                     let attempt_index = attempt as usize;
                     let delay = self.endpoint_delay(attempt_index, MessageKind::FromEndpoint);
                     let report =
@@ -996,7 +1004,7 @@
                     );
                 }
                 Output::Ended { attempt: Some(attempt), .. } => {
-                    self.ledger.ended(attempt, self.now, Ended::Broken);
+                    self.ledger.record_end(attempt, self.now, AttemptEnd::Broken);
                     let attempt_index = attempt as usize;
                     let delay = self.endpoint_delay(attempt_index, MessageKind::FromEndpoint);
                     self.schedule(
@@ -1009,13 +1017,13 @@
                     );
                 }
                 Output::Ended { connection, attempt: None } => {
-                    let at = self.now + self.script.network.same;
+                    let at = self.now + self.script.network.same_zone;
                     let gateway = self.connection_gateways[connection as usize];
                     self.schedule(at, SimulationEvent::IdleConnectionEnded { gateway, node, connection });
                 }
                 Output::Crashed => {
                     self.counts.fallen += 1;
-                    self.ledger.fell(node, self.now);
+                    self.ledger.record_fall(node, self.now);
                     self.discovery.record_crash(node, self.now);
                     self.schedule_discovery_change();
                 }
@@ -1066,9 +1074,9 @@
             gateways: self.gateways.len(),
             nodes: self.nodes.len(),
             service: Some(service(self.script, &tallies)),
-            breaches: self
+            violations: self
                 .ledger
-                .breaches(Rules { drain_grace: self.script.limits.drain_grace, ..Rules::virtual_time() }),
+                .violations(Rules { drain_grace: self.script.limits.drain_grace, ..Rules::virtual_time() }),
             unsound: None,
             counts: self.counts,
             fresh,
@@ -1089,7 +1097,7 @@
     /// The gateway to which a planned request was first sent.
     fn taken_by(&self, plan_index: usize) -> Option<usize> {
         let (number, _) = self.sends.get(plan_index)?.first()?;
-        self.ledger.of(*number)?.ask.as_ref().map(|ask| ask.gateway)
+        self.ledger.of(*number)?.request.as_ref().map(|ask| ask.gateway)
     }
 }
 
@@ -1109,7 +1117,7 @@
 
 /// How many of `count` gateways run from the start.
 fn initial_gateways(script: &Script, count: usize) -> usize {
-    count - script.fleet.joining.min(count.saturating_sub(1))
+    count - script.fleet.late_gateways.min(count.saturating_sub(1))
 }
 
 /// For each zone, the gateways among the first `count` to which the front sends the zone's requests.
@@ -1127,14 +1135,14 @@
 }
 
 /// The identity of a planned request, which its retries share.
-fn retry_identity(planned: &Asked) -> Option<u64> {
+fn retry_identity(planned: &PlannedRequest) -> Option<u64> {
     Some(planned.key)
 }
 
 /// The mean priority weight of a request, by the classes' shares of the load.
 fn mean_weight(script: &Script) -> f64 {
     let (weight_sum, share_sum) = script.classes.iter().fold((0.0, 0.0), |(weights, shares), class| {
-        (weights + class.worth * class.share, shares + class.share)
+        (weights + class.priority_weight * class.share, shares + class.share)
     });
     weight_sum / share_sum
 }
