--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -2,7 +2,7 @@
 //!
 //! It respects the idempotency of request classes and sends nothing to draining endpoints.
 //! Endpoints in slow start get as many requests as others, and a request to an unreachable endpoint is held up by the connection attempt.
-//! The ledger records both.
+//! The checker records both effects.
 //! The gateway program does not use this balancer.
 
 use crate::random_variates::RandomStream;
--- a/crates/testbed/src/endpoint_models.rs
+++ b/crates/testbed/src/endpoint_models.rs
@@ -85,8 +85,8 @@
     }
 }
 
-/// An empty ledger with the script's classes and with the zone and rack of each endpoint.
-pub fn ledger(script: &Script) -> Checker {
+/// An empty checker with the script's classes and with the zone and rack of each endpoint.
+pub fn empty_checker(script: &Script) -> Checker {
     let terms = |class: &crate::script::Class| ClassTerms {
         latency_objective: class.latency_objective,
         idempotency: class.idempotency,
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -114,7 +114,7 @@
     fn check_idle(&self, connection: &mut Connection, last: u64) -> bool {
         let received = connection.look();
         if connection.has_surplus() {
-            self.run.ledger.borrow_mut().record_answer(last, self.run.clock.now(), FinalAnswer::Foreign);
+            self.run.checker.borrow_mut().record_answer(last, self.run.clock.now(), FinalAnswer::Foreign);
         }
         received == Some(0)
     }
@@ -198,7 +198,7 @@
             let written = connection.write(text.as_bytes()).await.is_ok();
             let at = run.clock.now();
             let deadline = at + wait;
-            run.ledger
+            run.checker
                 .borrow_mut()
                 .record_request(number, SentRequest { gateway, class: planned.class, sent_at: at, deadline });
             let reading = connection.read(Kind::Answer, || run.clock.now(), |_, _| {});
@@ -213,17 +213,17 @@
                 // A gateway may close a connection between requests. A request that is sent at that moment is sent again on a new connection.
                 Ok(Err(ReadError::Ended { partly: false })) if reused || !written => reuse = false,
                 Ok(Err(_)) => {
-                    run.ledger.borrow_mut().record_lost_connection(number, now);
+                    run.checker.borrow_mut().record_lost_connection(number, now);
                     return ClientOutcome::Failed;
                 }
                 Err(_) => {
-                    run.ledger.borrow_mut().record_give_up(number, now);
+                    run.checker.borrow_mut().record_give_up(number, now);
                     return ClientOutcome::Failed;
                 }
             }
             if !reused {
                 target.excluded_until.set(now + UNREACHABLE_EXCLUSION);
-                run.ledger.borrow_mut().record_lost_connection(number, now);
+                run.checker.borrow_mut().record_lost_connection(number, now);
                 return ClientOutcome::Unreachable;
             }
         }
@@ -260,17 +260,17 @@
         }
     }
 
-    /// Records an answer in the ledger and returns its outcome for the client.
+    /// Records an answer in the checker and returns its outcome for the client.
     fn record_answer(&self, request: u64, answer: &Message, now: Duration) -> ClientOutcome {
-        let mut ledger = self.run.ledger.borrow_mut();
+        let mut checker = self.run.checker.borrow_mut();
         match answer.status() {
             200 => {
                 let body = serde_json::from_slice::<AnswerBody>(&answer.body);
                 let is_own = body.is_ok_and(|body| {
                     parse_request_number(Some(&body.request)) == Some(request)
-                        && ledger.is_attempt_of(body.attempt, request)
+                        && checker.is_attempt_of(body.attempt, request)
                 });
-                ledger.record_answer(
+                checker.record_answer(
                     request,
                     now,
                     if is_own { FinalAnswer::Served } else { FinalAnswer::Foreign },
@@ -278,14 +278,14 @@
                 ClientOutcome::Served
             }
             429 | 503 => {
-                ledger.record_answer(request, now, FinalAnswer::Refused);
+                checker.record_answer(request, now, FinalAnswer::Refused);
                 let header_value = answer.header("retry-after").and_then(|text| text.parse().ok());
                 let retry_after =
                     header_value.and_then(|seconds: f64| Duration::try_from_secs_f64(seconds).ok());
                 ClientOutcome::Rejected { retry_after: retry_after.filter(|delay| !delay.is_zero()) }
             }
             _ => {
-                ledger.record_answer(request, now, FinalAnswer::Failed);
+                checker.record_answer(request, now, FinalAnswer::Failed);
                 ClientOutcome::Failed
             }
         }
--- a/crates/testbed/src/live/discovery.rs
+++ b/crates/testbed/src/live/discovery.rs
@@ -194,14 +194,14 @@
 
     /// Records a list that was sent to a gateway.
     fn record_list(&self, gateway: usize, list: &EndpointList) {
-        let (now, mut ledger) = (self.run.clock.now(), self.run.ledger.borrow_mut());
+        let (now, mut checker) = (self.run.clock.now(), self.run.checker.borrow_mut());
         for entry in &list.entries {
-            ledger.record_notice(gateway, entry.node, now, entry.notification());
+            checker.record_notice(gateway, entry.node, now, entry.notification());
         }
         if list.is_snapshot {
             let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
             for node in (0..self.nodes.len()).filter(|node| !listed(node)) {
-                ledger.record_notice(gateway, node, now, EndpointNotice::Removed);
+                checker.record_notice(gateway, node, now, EndpointNotice::Removed);
             }
         }
     }
--- a/crates/testbed/src/live/endpoints.rs
+++ b/crates/testbed/src/live/endpoints.rs
@@ -140,7 +140,7 @@
         let after = self.model.borrow().state();
         self.process_outputs();
         if action == EndpointAction::Start && after == State::Up {
-            self.run.ledger.borrow_mut().record_cold_start(self.number, now);
+            self.run.checker.borrow_mut().record_cold_start(self.number, now);
         }
         if before != after {
             self.update_ports(before, after);
@@ -217,7 +217,7 @@
         let outputs: Vec<Output> = self.model.borrow_mut().outputs().collect();
         for output in outputs {
             match output {
-                Output::Began { attempt } => self.run.ledger.borrow_mut().record_start(attempt, now),
+                Output::Began { attempt } => self.run.checker.borrow_mut().record_start(attempt, now),
                 Output::Answered { attempt, connection, answer, report } => {
                     if let Answer::Served { dropped: true } = answer {
                         self.run.count(|counts| counts.repeats_dropped += 1);
@@ -226,7 +226,7 @@
                 }
                 Output::Ended { connection, attempt } => {
                     if let Some(attempt) = attempt {
-                        self.run.ledger.borrow_mut().record_end(attempt, now, AttemptEnd::Broken);
+                        self.run.checker.borrow_mut().record_end(attempt, now, AttemptEnd::Broken);
                     }
                     // A process that dies resets its connections; an idle connection is closed normally.
                     let process_ended = !matches!(self.model.borrow().state(), State::Up | State::Draining);
@@ -237,7 +237,7 @@
                 }
                 Output::Crashed => {
                     self.run.count(|counts| counts.fallen += 1);
-                    self.run.ledger.borrow_mut().record_fall(self.number, now);
+                    self.run.checker.borrow_mut().record_fall(self.number, now);
                     (self.on_crash)(self.number, now);
                     for port in self.ports.borrow().iter() {
                         if let Some(accepting) = port.listening.take() {
@@ -280,7 +280,7 @@
         self.commands.borrow_mut().remove(&connection);
         if let Some(attempt) = attempt_in_flight {
             // The gateway closed the connection before the answer. Recorded even if the endpoint's machine is cut off and could not observe the close.
-            self.run.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Left);
+            self.run.checker.borrow_mut().record_end(attempt, now(), AttemptEnd::Left);
         }
         self.model.borrow_mut().disconnect(now(), connection);
         self.process_outputs();
@@ -316,7 +316,7 @@
                     Ok(request) => request,
                     Err(ReadError::Ended { partly }) => {
                         if partly {
-                            self.run.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Unsent);
+                            self.run.checker.borrow_mut().record_end(attempt, now(), AttemptEnd::Unsent);
                         }
                         return None;
                     }
@@ -328,17 +328,17 @@
             };
             if self.model.borrow().state() == State::CutOff {
                 // The machine is cut off: the request counts as not sent, and the task waits until the connection is reset.
-                self.run.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Unsent);
+                self.run.checker.borrow_mut().record_end(attempt, now(), AttemptEnd::Unsent);
                 while !matches!(commands_received.recv().await, Some(ConnectionCommand::End { .. }) | None) {}
                 stream_connection.reset_on_drop();
                 return None;
             }
-            self.run.ledger.borrow_mut().record_whole_attempt(attempt, now());
+            self.run.checker.borrow_mut().record_whole_attempt(attempt, now());
             let number = parse_request_number(request.header("x-request-id"));
             let work = number
                 .and_then(|number| self.work(number, request.header("x-timeout")).map(|work| (number, work)));
             let Some((number, work)) = work else {
-                self.run.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Error);
+                self.run.checker.borrow_mut().record_end(attempt, now(), AttemptEnd::Error);
                 let status = if number.is_some() { 400 } else { 404 };
                 let text = format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n");
                 if stream_connection.write(text.as_bytes()).await.is_err() {
@@ -365,7 +365,7 @@
                         Answer::Rejected(_) => AttemptEnd::TurnedAway,
                     };
                     // Recorded before the answer is written, because the gateway may receive it at any time from then on.
-                    self.run.ledger.borrow_mut().record_end(attempt, now(), ended);
+                    self.run.checker.borrow_mut().record_end(attempt, now(), ended);
                     let text = answer_text(answer, report, number, attempt);
                     if stream_connection.write(text.as_bytes()).await.is_err() {
                         return None;
@@ -387,7 +387,7 @@
         let (node, last_byte_at, started_at, end) = (self.number, None, None, None);
         let seen =
             ObservedAttempt { attempt, node, gateway, first_byte_at, last_byte_at, started_at, end, work_s };
-        self.run.ledger.borrow_mut().record_attempt(number, seen);
+        self.run.checker.borrow_mut().record_attempt(number, seen);
     }
 
     /// The work of a request at this endpoint; `None` if no client sent a request with this number.
--- a/crates/testbed/src/live/mod.rs
+++ b/crates/testbed/src/live/mod.rs
@@ -1,5 +1,5 @@
 //! Stand-in endpoints, discovery and clients on loopback sockets.
-//! All of them run on one thread, so the ledger needs no lock and all its times are of one clock.
+//! All of them run on one thread, so the checker needs no lock and all its times are of one clock.
 
 pub mod clients;
 pub mod discovery;
@@ -53,7 +53,7 @@
     /// The clock of the run.
     pub clock: Clock,
     /// What clients, endpoints and discovery have observed.
-    pub ledger: RefCell<Checker>,
+    pub checker: RefCell<Checker>,
     /// The counters of the report.
     pub counts: Cell<Counts>,
     /// Number of requests that were served in time.
@@ -74,7 +74,7 @@
             gateways,
             plan: crate::plan::plan(script, draws),
             clock: Clock(Cell::new(None)),
-            ledger: RefCell::new(crate::endpoint_models::ledger(script)),
+            checker: RefCell::new(crate::endpoint_models::empty_checker(script)),
             counts: Cell::default(),
             in_time: Cell::default(),
             timeline: RefCell::default(),
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -171,7 +171,7 @@
 }
 
 fn report(day: &RunState, seed: u64, clients: &Clients, lateness: Lateness) -> Report {
-    let checker = day.ledger.borrow();
+    let checker = day.checker.borrow();
     let tallies = tallies(&day.script, &day.plan, &checker, &clients.sends());
     let unsound = lateness.too_busy();
     Report {
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -3,7 +3,7 @@
 //! [`crate::live`] runs whole scenarios. These stand-ins reproduce single situations:
 //! a truncated answer, a watch that falls silent, a request hidden in the body of another.
 //! Each stand-in runs on a thread of its own with blocking I/O.
-//! What endpoints and clients observe is recorded in one ledger per test, which is checked against the rules when the test's [`Gateway`] is dropped.
+//! One checker per test records what endpoints and clients observe, and applies the rules when the test's [`Gateway`] is dropped.
 //!
 //! These functions are for tests: a missing port or program ends the test with a panic.
 
@@ -30,7 +30,7 @@
 /// What all stand-ins of a test have observed.
 #[derive(Clone)]
 pub struct Observations {
-    ledger: Arc<Mutex<Checker>>,
+    checker: Arc<Mutex<Checker>>,
     start: Instant,
     attempts: Arc<AtomicU64>,
 }
@@ -58,8 +58,12 @@
             latency_objective: Duration::from_millis(*objective_ms),
             idempotency: *idempotency,
         };
-        let ledger = Checker::new(CLASSES.iter().map(terms).collect(), Vec::new());
-        Observations { ledger: Arc::new(Mutex::new(ledger)), start: Instant::now(), attempts: Arc::default() }
+        let checker = Checker::new(CLASSES.iter().map(terms).collect(), Vec::new());
+        Observations {
+            checker: Arc::new(Mutex::new(checker)),
+            start: Instant::now(),
+            attempts: Arc::default(),
+        }
     }
 
     /// The record of the current test.
@@ -69,17 +73,17 @@
 
     fn record(&self, update: impl FnOnce(&mut Checker, Duration)) {
         let now = self.start.elapsed();
-        update(&mut self.ledger.lock().expect("the lock is poisoned"), now);
+        update(&mut self.checker.lock().expect("the lock is poisoned"), now);
     }
 
     /// Records that an endpoint has received a complete request; returns the attempt's number.
     fn arrived(&self, request: &HttpMessage, node: usize) -> Option<u64> {
         let request = parse_request_number(request.header("x-request-id"))?;
         let attempt = self.attempts.fetch_add(1, Ordering::SeqCst);
-        self.record(|ledger, now| {
+        self.record(|checker, now| {
             let (first_byte_at, last_byte_at, started_at, end) = (now, Some(now), Some(now), None);
             let (gateway, work_s) = (0, 0.0);
-            ledger.record_attempt(
+            checker.record_attempt(
                 request,
                 ObservedAttempt {
                     attempt,
@@ -109,7 +113,7 @@
 
     fn ended(&self, attempt: Option<u64>, outcome: AttemptEnd) {
         if let Some(attempt) = attempt {
-            self.record(|ledger, now| ledger.record_end(attempt, now, outcome));
+            self.record(|checker, now| checker.record_end(attempt, now, outcome));
         }
     }
 
@@ -127,7 +131,7 @@
         let timeout = Duration::try_from_secs_f64(timeout * unit).ok()?;
         // A text with a known request number is an altered copy, which the test that sends it checks itself.
         let is_known = self
-            .ledger
+            .checker
             .lock()
             .expect("the lock is poisoned")
             .of(request)
@@ -135,8 +139,8 @@
         if is_known {
             return None;
         }
-        self.record(|ledger, at| {
-            ledger.record_request(
+        self.record(|checker, at| {
+            checker.record_request(
                 request,
                 SentRequest { gateway: 0, class, sent_at: at, deadline: at + timeout },
             );
@@ -151,7 +155,7 @@
     pub fn check(&self) {
         let slack = Duration::from_secs(2);
         let rules = Rules { slack, held_back: slack, ..Rules::sockets() };
-        let mut violations = self.ledger.lock().expect("the lock is poisoned").violations(rules);
+        let mut violations = self.checker.lock().expect("the lock is poisoned").violations(rules);
         violations.retain(|breach| breach.rule != Rule::NobodyAsked);
         assert!(violations.is_empty(), "{violations:#?}");
     }
@@ -739,7 +743,7 @@
 impl Drop for Client {
     fn drop(&mut self) {
         for request in self.unanswered.drain(..).flatten() {
-            self.observations.record(|ledger, now| ledger.record_give_up(request, now));
+            self.observations.record(|checker, now| checker.record_give_up(request, now));
         }
     }
 }
@@ -779,7 +783,7 @@
     /// Records that no answers are expected any more, because the gateway was killed.
     pub fn expect_no_answers(&mut self) {
         for request in self.unanswered.drain(..).flatten() {
-            self.observations.record(|ledger, now| ledger.record_give_up(request, now));
+            self.observations.record(|checker, now| checker.record_give_up(request, now));
         }
     }
 
@@ -791,11 +795,11 @@
             return answer;
         }
         if let Some(request) = self.unanswered.pop_front().flatten() {
-            self.observations.record(|ledger, now| match status {
-                Some(200) => ledger.record_answer(request, now, FinalAnswer::Served),
-                Some(429 | 503) => ledger.record_answer(request, now, FinalAnswer::Refused),
-                Some(_) => ledger.record_answer(request, now, FinalAnswer::Failed),
-                None => ledger.record_lost_connection(request, now),
+            self.observations.record(|checker, now| match status {
+                Some(200) => checker.record_answer(request, now, FinalAnswer::Served),
+                Some(429 | 503) => checker.record_answer(request, now, FinalAnswer::Refused),
+                Some(_) => checker.record_answer(request, now, FinalAnswer::Failed),
+                None => checker.record_lost_connection(request, now),
             });
         }
         answer
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -74,11 +74,11 @@
         self.agent_version = list.version;
         for gateway in 0..self.module_count() {
             for entry in &list.entries {
-                self.ledger.record_notice(gateway, entry.node, self.now, entry.notification());
+                self.checker.record_notice(gateway, entry.node, self.now, entry.notification());
             }
             let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
             for node in (0..self.nodes.len()).filter(|node| list.is_snapshot && !listed(node)) {
-                self.ledger.record_notice(gateway, node, self.now, EndpointNotice::Removed);
+                self.checker.record_notice(gateway, node, self.now, EndpointNotice::Removed);
             }
         }
     }
@@ -96,7 +96,7 @@
             for known in &mut gateway_state.endpoints {
                 if !endpoints.iter().any(|endpoint| endpoint.id == known.id) {
                     known.state = EndpointState::Removed;
-                    self.ledger.record_notice(
+                    self.checker.record_notice(
                         gateway,
                         known.id.0 as usize,
                         self.now,
@@ -110,7 +110,7 @@
                 Some(known) => *known = endpoint.clone(),
                 None => gateway_state.endpoints.push(endpoint.clone()),
             }
-            self.ledger.record_notice(gateway, entry.node, self.now, entry.notification());
+            self.checker.record_notice(gateway, entry.node, self.now, entry.notification());
         }
         if let Some(storm) = &mut gateway_state.storm {
             let up = gateway_state.endpoints.iter().filter(|endpoint| endpoint.state == EndpointState::Up);
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -54,7 +54,7 @@
     pub(super) fn fail_request(&mut self, request_index: usize, outcome: ClientOutcome) {
         self.requests[request_index].answered = true;
         if !self.requests[request_index].closed {
-            self.ledger.record_give_up(self.requests[request_index].number, self.now);
+            self.checker.record_give_up(self.requests[request_index].number, self.now);
             self.close_request(request_index, outcome);
         }
     }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -10,7 +10,7 @@
 use crate::checker::{AttemptEnd, Checker, FinalAnswer, ObservedAttempt, Rules, SentRequest};
 use crate::client::{client_timeout, next_retry, ClientOutcome};
 use crate::discovery::{endpoint_actions, Discovery, EndpointAction, EndpointList};
-use crate::endpoint_models::{carry_out, kinds, ledger, nodes};
+use crate::endpoint_models::{carry_out, empty_checker, kinds, nodes};
 use crate::model::{Answer, EndpointModel, Output, State, Work};
 use crate::plan::{attempt_seconds, plan, PlannedRequest};
 use crate::random_variates::{Purpose, RandomStreams};
@@ -240,7 +240,7 @@
     weights: Vec<f64>,
     /// The version of the endpoint list that the gateways' agents have, if discovery pushes changes.
     agent_version: u64,
-    ledger: Checker,
+    checker: Checker,
     counts: Counts,
     timeline: Vec<Sample>,
     sampled_counts: Counts,
@@ -373,7 +373,7 @@
             discovery: Discovery::new(script, draws),
             weights: vec![1.0; script.fleet.nodes],
             agent_version: 1,
-            ledger: ledger(script),
+            checker: empty_checker(script),
             counts: Counts::default(),
             timeline: Vec::new(),
             sampled_counts: Counts::default(),
@@ -493,7 +493,7 @@
             }
             SimulationEvent::ConnectionClosed { node, connection, attempt } => {
                 if let Some(attempt) = attempt {
-                    self.ledger.record_end(attempt, self.now, AttemptEnd::Left);
+                    self.checker.record_end(attempt, self.now, AttemptEnd::Left);
                 }
                 self.nodes[node].disconnect(self.now, connection);
                 self.take_outputs(node);
@@ -510,7 +510,7 @@
             SimulationEvent::EndpointAction { node, action } => {
                 carry_out(&mut self.nodes[node], self.now, action);
                 if action == EndpointAction::Start && self.nodes[node].state() == State::Up {
-                    self.ledger.record_cold_start(node, self.now);
+                    self.checker.record_cold_start(node, self.now);
                 }
                 self.take_outputs(node);
             }
@@ -537,7 +537,7 @@
         let class = planned.class;
         let own = &self.gateways_by_zone[planned.zone];
         let gateway = own[weldworks_balancer::mix(number) as usize % own.len()];
-        self.ledger.record_request(number, SentRequest { gateway, class, sent_at: self.now, deadline });
+        self.checker.record_request(number, SentRequest { gateway, class, sent_at: self.now, deadline });
         let request_index = self.requests.len();
         let (closed, answered, attempts) = Default::default();
         self.requests.push(ClientRequest {
@@ -570,7 +570,7 @@
         if self.requests[request_index].closed {
             return;
         }
-        self.ledger.record_give_up(self.requests[request_index].number, self.now);
+        self.checker.record_give_up(self.requests[request_index].number, self.now);
         self.close_request(request_index, ClientOutcome::Failed);
         if !self.requests[request_index].answered {
             self.requests[request_index].answered = true;
@@ -588,7 +588,7 @@
             ClientOutcome::Rejected { .. } => FinalAnswer::Refused,
             ClientOutcome::Failed | ClientOutcome::Unreachable => FinalAnswer::Failed,
         };
-        self.ledger.record_answer(number, self.now, got);
+        self.checker.record_answer(number, self.now, got);
         if !self.requests[request_index].closed {
             self.close_request(request_index, outcome);
         }
@@ -885,7 +885,7 @@
         };
         let (attempt, last_byte_at) = (attempt_index as u64, Some(self.now));
         let (first_byte_at, started_at, end) = (self.now, None, None);
-        self.ledger.record_attempt(
+        self.checker.record_attempt(
             number,
             ObservedAttempt { attempt, node, gateway, first_byte_at, last_byte_at, started_at, end, work_s },
         );
@@ -895,7 +895,7 @@
         self.nodes[node].request(self.now, connection, attempt, work);
         self.take_outputs(node);
         if !is_running {
-            self.ledger.record_end(attempt, self.now, AttemptEnd::Broken);
+            self.checker.record_end(attempt, self.now, AttemptEnd::Broken);
             let delay = self.endpoint_delay(attempt_index, MessageKind::FromEndpoint);
             self.schedule(
                 self.now + delay,
@@ -983,7 +983,7 @@
         let outputs: Vec<Output> = self.nodes[node].outputs().collect();
         for output in outputs {
             match output {
-                Output::Began { attempt } => self.ledger.record_start(attempt, self.now),
+                Output::Began { attempt } => self.checker.record_start(attempt, self.now),
                 Output::Answered { attempt, answer, report, .. } => {
                     let (ended, outcome) = match answer {
                         Answer::Served { dropped } => {
@@ -993,7 +993,7 @@
                         Answer::Error => (AttemptEnd::Error, Outcome::Error),
                         Answer::Rejected(_) => (AttemptEnd::TurnedAway, Outcome::Rejected),
                     };
-                    self.ledger.record_end(attempt, self.now, ended);
+                    self.checker.record_end(attempt, self.now, ended);
                     let attempt_index = attempt as usize;
                     let delay = self.endpoint_delay(attempt_index, MessageKind::FromEndpoint);
                     let report =
@@ -1004,7 +1004,7 @@
                     );
                 }
                 Output::Ended { attempt: Some(attempt), .. } => {
-                    self.ledger.record_end(attempt, self.now, AttemptEnd::Broken);
+                    self.checker.record_end(attempt, self.now, AttemptEnd::Broken);
                     let attempt_index = attempt as usize;
                     let delay = self.endpoint_delay(attempt_index, MessageKind::FromEndpoint);
                     self.schedule(
@@ -1023,7 +1023,7 @@
                 }
                 Output::Crashed => {
                     self.counts.fallen += 1;
-                    self.ledger.record_fall(node, self.now);
+                    self.checker.record_fall(node, self.now);
                     self.discovery.record_crash(node, self.now);
                     self.schedule_discovery_change();
                 }
@@ -1063,7 +1063,7 @@
     }
 
     fn report(self, seed: u64) -> (Report, Cost) {
-        let tallies = tallies(self.script, &self.planned, &self.ledger, &self.sends);
+        let tallies = tallies(self.script, &self.planned, &self.checker, &self.sends);
         let initial_count = initial_gateways(self.script, self.gateways.len());
         let fresh = (initial_count < self.gateways.len())
             .then(|| fresh(self.script, &tallies, initial_count, |plan_index| self.taken_by(plan_index)));
@@ -1075,13 +1075,13 @@
             nodes: self.nodes.len(),
             service: Some(service(self.script, &tallies)),
             violations: self
-                .ledger
+                .checker
                 .violations(Rules { drain_grace: self.script.limits.drain_grace, ..Rules::virtual_time() }),
             unsound: None,
             counts: self.counts,
             fresh,
             back_s: back(self.script, &tallies),
-            dispersion: self.ledger.dispersion(self.script.lasts),
+            dispersion: self.checker.dispersion(self.script.lasts),
             cold_peak: self
                 .nodes
                 .iter()
@@ -1097,7 +1097,7 @@
     /// The gateway to which a planned request was first sent.
     fn taken_by(&self, plan_index: usize) -> Option<usize> {
         let (number, _) = self.sends.get(plan_index)?.first()?;
-        self.ledger.of(*number)?.request.as_ref().map(|ask| ask.gateway)
+        self.checker.of(*number)?.request.as_ref().map(|ask| ask.gateway)
     }
 }
 
