--- a/crates/testbed/src/checker/evenness.rs
+++ b/crates/testbed/src/checker/evenness.rs
@@ -59,8 +59,8 @@
         for window in 0..windows {
             let (from, until) = (WINDOW * window as u32, WINDOW * (window as u32 + 1));
             let mut whole = true;
-            while let Some((at, what)) = notices.get(next).filter(|(at, _)| *at < until) {
-                up = matches!(what, EndpointNotice::Up(_));
+            while let Some((at, notice)) = notices.get(next).filter(|(at, _)| *at < until) {
+                up = matches!(notice, EndpointNotice::Up(_));
                 whole &= *at <= from;
                 next += 1;
             }
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -215,10 +215,10 @@
     }
 
     /// Records that discovery notified a gateway of an endpoint's state.
-    pub fn record_notice(&mut self, gateway: usize, node: usize, at: Duration, what: EndpointNotice) {
+    pub fn record_notice(&mut self, gateway: usize, node: usize, at: Duration, notice: EndpointNotice) {
         let notices = self.notices.entry((gateway, node)).or_default();
-        if notices.last().is_none_or(|(_, last)| *last != what) {
-            notices.push((at, what));
+        if notices.last().is_none_or(|(_, last)| *last != notice) {
+            notices.push((at, notice));
         }
     }
 
--- a/crates/testbed/src/checker/rules.rs
+++ b/crates/testbed/src/checker/rules.rs
@@ -229,7 +229,7 @@
                 .iter()
                 .rev()
                 .skip_while(|(notified_at, _)| notified_at > at)
-                .take_while(|(_, what)| !matches!(what, EndpointNotice::Up(_)))
+                .take_while(|(_, notice)| !matches!(notice, EndpointNotice::Up(_)))
                 .last()
                 .map_or(*at, |(notified_at, _)| *notified_at);
             if attempt.first_byte_at > since + self.rules.drain_grace + self.rules.slack {
@@ -256,8 +256,8 @@
                         .get(&(attempt.gateway, node))
                         .map(Vec::as_slice)
                         .unwrap_or_default();
-                    let was_notified = notices.iter().any(|(notified_at, what)| {
-                        *notified_at <= attempt.first_byte_at && matches!(what, EndpointNotice::Up(Some(listed_start)) if *listed_start + self.rules.slack >= start)
+                    let was_notified = notices.iter().any(|(notified_at, notice)| {
+                        *notified_at <= attempt.first_byte_at && matches!(notice, EndpointNotice::Up(Some(listed_start)) if *listed_start + self.rules.slack >= start)
                     });
                     notified_work_s +=
                         if was_notified || attempt.first_byte_at > start + self.rules.notice_deadline {
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -147,7 +147,7 @@
 #[derive(Clone, Debug)]
 pub struct Discovery {
     changes: Vec<Change>,
-    nodes: usize,
+    endpoint_count: usize,
     outages: Vec<(Duration, Duration, Vec<usize>)>,
     /// Time that discovery needs to answer one poll.
     call_time: Duration,
@@ -214,7 +214,7 @@
         });
         Discovery {
             changes,
-            nodes: script.fleet.nodes,
+            endpoint_count: script.fleet.nodes,
             outages: outages.collect(),
             call_time: script.discovery.call_time,
             timeout: script.discovery.timeout,
@@ -284,7 +284,7 @@
     /// The entries of a snapshot at a time.
     pub fn snapshot_entries(&self, now: Duration) -> Vec<ListEntry> {
         let initial = |node| ListEntry { node, status: EndpointStatus::Active, started: None };
-        let mut entries: Vec<ListEntry> = (0..self.nodes).map(initial).collect();
+        let mut entries: Vec<ListEntry> = (0..self.endpoint_count).map(initial).collect();
         for change in self.changes.iter().filter(|change| change.at <= now) {
             entries[change.entry.node] = change.entry;
         }
--- a/crates/testbed/src/endpoint_models.rs
+++ b/crates/testbed/src/endpoint_models.rs
@@ -41,7 +41,7 @@
 }
 
 /// Models of all endpoints, up and warm.
-pub fn nodes(script: &Script, draws: RandomStreams) -> Vec<EndpointModel> {
+pub fn endpoints(script: &Script, draws: RandomStreams) -> Vec<EndpointModel> {
     let kinds = kinds(script);
     let fleet_repeats = Rc::<RefCell<RepeatCache>>::default();
     let mut zone_repeats: Vec<Rc<RefCell<RepeatCache>>> = Vec::new();
@@ -55,12 +55,12 @@
     let build_endpoint = |number: usize| {
         let zone = shared_repeats(&mut zone_repeats, script.zone_of(number));
         let rack = shared_repeats(&mut rack_repeats, script.rack_of(number));
-        let memories = RepeatCaches { all: fleet_repeats.clone(), zone, rack };
+        let caches = RepeatCaches { all: fleet_repeats.clone(), zone, rack };
         EndpointModel::new(
             number as u64,
             endpoint_spec(script, draws, number, kinds[number]),
             draws,
-            memories,
+            caches,
             Duration::ZERO,
         )
     };
@@ -68,7 +68,7 @@
 }
 
 /// Applies a scripted action to an endpoint.
-pub fn carry_out(model: &mut EndpointModel, now: Duration, action: EndpointAction) {
+pub fn apply_to_model(model: &mut EndpointModel, now: Duration, action: EndpointAction) {
     match action {
         EndpointAction::Kill => model.kill(now),
         EndpointAction::CutOff => model.cut_off(now),
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -134,7 +134,7 @@
                 self.lateness.borrow_mut().push(sent.saturating_sub(planned.at));
             }
             self.sends.borrow_mut()[plan_index].push((number, sent));
-            run.count(|counts| counts.tries += 1);
+            run.count(|counts| counts.client_attempts += 1);
             let outcome = self.send_once(planned, number, first, retries).await;
             retries += 1;
             let now = run.clock.now();
--- a/crates/testbed/src/live/discovery.rs
+++ b/crates/testbed/src/live/discovery.rs
@@ -23,7 +23,7 @@
 pub struct LiveDiscovery {
     run: Rc<RunState>,
     model: RefCell<Discovery>,
-    nodes: Vec<Rc<LiveEndpoint>>,
+    endpoints: Vec<Rc<LiveEndpoint>>,
     changed: Notify,
     /// The weight of each endpoint that gateways are sent.
     weights: RefCell<Vec<f64>>,
@@ -33,10 +33,10 @@
 
 impl LiveDiscovery {
     /// Discovery that lists these endpoints.
-    pub fn new(run: Rc<RunState>, model: Discovery, nodes: Vec<Rc<LiveEndpoint>>) -> Rc<LiveDiscovery> {
-        let (changed, weights) = (Notify::new(), RefCell::new(weights(&run, &nodes)));
+    pub fn new(run: Rc<RunState>, model: Discovery, endpoints: Vec<Rc<LiveEndpoint>>) -> Rc<LiveDiscovery> {
+        let (changed, weights) = (Notify::new(), RefCell::new(weights(&run, &endpoints)));
         let (model, weight_updates) = (RefCell::new(model), Cell::new(0));
-        Rc::new(LiveDiscovery { run, model, nodes, changed, weights, weight_updates })
+        Rc::new(LiveDiscovery { run, model, endpoints, changed, weights, weight_updates })
     }
 
     /// Updates the live weights until the run ends; returns at once if the script has none.
@@ -44,7 +44,7 @@
         let Some(live_weights) = self.run.script.discovery.weights else { return };
         for round in 0u32.. {
             sleep_until(self.run.clock.instant(live_weights.every * round)).await;
-            let sampled = weights(&self.run, &self.nodes);
+            let sampled = weights(&self.run, &self.endpoints);
             sleep_until(
                 self.run
                     .clock
@@ -200,7 +200,7 @@
         }
         if list.is_snapshot {
             let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
-            for node in (0..self.nodes.len()).filter(|node| !listed(node)) {
+            for node in (0..self.endpoints.len()).filter(|node| !listed(node)) {
                 checker.record_notice(gateway, node, now, EndpointNotice::Removed);
             }
         }
@@ -220,8 +220,10 @@
 
     fn entry(&self, gateway: usize, entry: &ListEntry) -> Value {
         let script = &self.run.script;
-        let address =
-            self.nodes[entry.node].address(gateway).map(|address| address.to_string()).unwrap_or_default();
+        let address = self.endpoints[entry.node]
+            .address(gateway)
+            .map(|address| address.to_string())
+            .unwrap_or_default();
         let status = match entry.status {
             EndpointStatus::Active => "active",
             EndpointStatus::Leaving => "leaving",
@@ -241,9 +243,9 @@
 }
 
 /// The current live weight of each endpoint: its capacity divided by 1 + its requests in flight per core; 1 without live weights.
-fn weights(run: &RunState, nodes: &[Rc<LiveEndpoint>]) -> Vec<f64> {
+fn weights(run: &RunState, endpoints: &[Rc<LiveEndpoint>]) -> Vec<f64> {
     let has_live_weights = run.script.discovery.weights.is_some();
-    nodes
+    endpoints
         .iter()
         .map(|node| if has_live_weights { node.read_model(|model| model.live_weight()) } else { 1.0 })
         .collect()
--- a/crates/testbed/src/live/endpoints.rs
+++ b/crates/testbed/src/live/endpoints.rs
@@ -8,7 +8,7 @@
 use super::{node_address, RunState};
 use crate::checker::{AttemptEnd, ObservedAttempt};
 use crate::discovery::EndpointAction;
-use crate::endpoint_models::carry_out;
+use crate::endpoint_models::apply_to_model;
 use crate::model::{
     Answer, AttemptId, ConnectionId, EndpointModel, Output, RejectionReason, Report, State, Work,
 };
@@ -136,7 +136,7 @@
     pub fn apply_action(self: &Rc<Self>, action: EndpointAction) {
         let now = self.run.clock.now();
         let before = self.model.borrow().state();
-        carry_out(&mut self.model.borrow_mut(), now, action);
+        apply_to_model(&mut self.model.borrow_mut(), now, action);
         let after = self.model.borrow().state();
         self.process_outputs();
         if action == EndpointAction::Start && after == State::Up {
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -182,16 +182,16 @@
     let mut study = Study::read(&arguments.study)?;
     study.seeds = arguments.seeds.unwrap_or(study.seeds);
     study
-        .played
-        .retain(|played| arguments.only.as_deref().is_none_or(|part| played.script.name.contains(part)));
-    if study.seeds == 0 || study.played.is_empty() {
+        .scripts
+        .retain(|entry| arguments.only.as_deref().is_none_or(|part| entry.script.name.contains(part)));
+    if study.seeds == 0 || study.scripts.is_empty() {
         return Err(format!("{}: no run is left; see --seeds and --only", arguments.study.display()).into());
     }
     if let Some(program) = arguments.against.clone() {
         let program =
             Some(std::fs::canonicalize(&program).map_err(|error| format!("{}: {error}", program.display()))?);
         study.variants.insert(0, study::Variant { program, ..study::Variant::plain("against") });
-        study.played.iter_mut().for_each(|played| played.changed.insert(0, None));
+        study.scripts.iter_mut().for_each(|entry| entry.changed.insert(0, None));
     }
     let threads = arguments.threads.or_else(|| std::thread::available_parallelism().ok().map(usize::from));
     let show_progress = |done: usize, of: usize| {
@@ -282,22 +282,22 @@
             let text =
                 std::fs::read_to_string(&script).map_err(|error| format!("{}: {error}", script.display()))?;
             let script = fleet_scenario::script::Script::parse(&script.display().to_string(), &text)?;
-            let (breaches, report, history_text) = if in_virtual_time {
-                let played = fleet_scenario::virtual_time::run_script(
+            let (violations, report, history_text) = if in_virtual_time {
+                let outcome = fleet_scenario::virtual_time::run_script(
                     &script,
                     seed,
                     fleet_scenario::virtual_time::Mutation::None,
                 );
                 let report = serde_json::json!({
-                    "script": script.name, "seed": seed, "breaches": played.violations, "figures": played.figures,
+                    "script": script.name, "seed": seed, "breaches": outcome.violations, "figures": outcome.figures,
                 });
-                (played.violations, report, played.history.to_text())
+                (outcome.violations, report, outcome.history.to_text())
             } else {
                 let program = given.map_or_else(workspace_gateway, Ok)?;
                 let folder = fleet_scenario::live::create_run_folder(&script, seed, &std::env::temp_dir())?;
-                let played = fleet_scenario::live::run_script(&script, seed, &program, &folder);
+                let outcome = fleet_scenario::live::run_script(&script, seed, &program, &folder);
                 let _ = std::fs::remove_dir_all(&folder); // files left in the temporary folder do no harm
-                let (report, events) = played?;
+                let (report, events) = outcome?;
                 (report.violations.clone(), serde_json::to_value(&report)?, events.join("\n") + "\n")
             };
             println!("{report:#}");
@@ -307,7 +307,7 @@
             if let Some(path) = &history {
                 write_file(path, &history_text)?;
             }
-            Ok(ExitCode::from(u8::from(!breaches.is_empty())))
+            Ok(ExitCode::from(u8::from(!violations.is_empty())))
         }
         TestbedCommand::Sweep(arguments) => run_study(&arguments),
         TestbedCommand::Simulate { run_args } => {
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -2,7 +2,7 @@
 
 use crate::checker::Rules;
 use crate::discovery::{endpoint_actions, Discovery};
-use crate::endpoint_models::nodes;
+use crate::endpoint_models::endpoints;
 use crate::live::clients::Clients;
 use crate::live::discovery::LiveDiscovery;
 use crate::live::endpoints::LiveEndpoint;
@@ -61,86 +61,95 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(Report, Spent), ReplayError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let day = Rc::new(RunState::new(script, seed, gateways.unwrap_or(script.fleet.on_sockets)));
+    let run_state = Rc::new(RunState::new(script, seed, gateways.unwrap_or(script.fleet.on_sockets)));
     LocalSet::new().block_on(&runtime, async {
         tokio::select! {
-            result = run(day, seed, start, progress) => result,
+            result = run(run_state, seed, start, progress) => result,
             () = stop => Err(ReplayError::Stopped),
         }
     })
 }
 
 /// The configuration of a gateway, in the form in which the platform provides it.
-fn config(day: &RunState, gateway: usize, discovery: &str, known: &Value) -> Value {
-    let limits = &day.script.limits;
+fn config(run_state: &RunState, gateway: usize, discovery_address: &str, known: &Value) -> Value {
+    let limits = &run_state.script.limits;
     json!({
         "name": format!("g{gateway}"),
         "listen": "127.0.0.1:0",
-        "discovery": discovery,
-        "seed": format!("{:016x}", day.draws.number(crate::random_variates::Purpose::GatewaySeed, gateway as u64)),
+        "discovery": discovery_address,
+        "seed": format!("{:016x}", run_state.draws.number(crate::random_variates::Purpose::GatewaySeed, gateway as u64)),
         "limits": {"cores": 1.0, "memory_mb": limits.memory_mb, "sockets": limits.descriptors},
         "known": known,
-        "settings": day.script.settings(gateway, day.gateways),
+        "settings": run_state.script.settings(gateway, run_state.gateways),
     })
 }
 
 async fn run(
-    day: Rc<RunState>,
+    run_state: Rc<RunState>,
     seed: u64,
     start: &dyn StartGateway,
     progress: &dyn Fn(Duration, Counts, u64),
 ) -> Result<(Report, Spent), ReplayError> {
-    let (ids, register_cell) = (Rc::new(Cell::new(0)), Rc::new(RefCell::new(Weak::<LiveDiscovery>::new())));
+    let (ids, discovery_cell) = (Rc::new(Cell::new(0)), Rc::new(RefCell::new(Weak::<LiveDiscovery>::new())));
     let mut fleet = Vec::new();
-    for (number, model) in nodes(&day.script, day.draws).into_iter().enumerate() {
-        let register = register_cell.clone();
-        let fell = Box::new(move |node, at| {
-            if let Some(register) = register.borrow().upgrade() {
-                register.record_crash(node, at);
+    for (number, model) in endpoints(&run_state.script, run_state.draws).into_iter().enumerate() {
+        let discovery = discovery_cell.clone();
+        let fell = Box::new(move |endpoint, at| {
+            if let Some(discovery) = discovery.borrow().upgrade() {
+                discovery.record_crash(endpoint, at);
             }
         });
-        fleet.push(LiveEndpoint::start(number, model, day.clone(), ids.clone(), fell)?);
+        fleet.push(LiveEndpoint::start(number, model, run_state.clone(), ids.clone(), fell)?);
     }
-    let register = LiveDiscovery::new(day.clone(), Discovery::new(&day.script, day.draws), fleet.clone());
-    register_cell.replace(Rc::downgrade(&register));
+    let discovery = LiveDiscovery::new(
+        run_state.clone(),
+        Discovery::new(&run_state.script, run_state.draws),
+        fleet.clone(),
+    );
+    discovery_cell.replace(Rc::downgrade(&discovery));
     let mut running: Vec<Box<dyn RunningGateway>> = Vec::new();
-    for gateway in 0..day.gateways {
-        let discovery = register.listen(gateway).await?.to_string();
+    for gateway in 0..run_state.gateways {
+        let discovery_address = discovery.listen(gateway).await?.to_string();
         running.push(
-            start.start(gateway, config(&day, gateway, &discovery, &register.initial_list(gateway))).await?,
+            start
+                .start(
+                    gateway,
+                    config(&run_state, gateway, &discovery_address, &discovery.initial_list(gateway)),
+                )
+                .await?,
         );
     }
     for (number, gateway) in running.iter().enumerate() {
         ready(number, gateway.address()).await?;
     }
     let addresses: Vec<_> = running.iter().map(|gateway| gateway.address()).collect();
-    let clients = Clients::new(day.clone(), &addresses);
+    let clients = Clients::new(run_state.clone(), &addresses);
     let cpu = |running: &[Box<dyn RunningGateway>]| -> Option<Duration> {
         running.iter().map(|gateway| gateway.cpu()).sum()
     };
     let (gateways_before, test_bed_before) = (cpu(&running), own_cpu());
-    day.clock.begin();
+    run_state.clock.begin();
     let stall = Rc::new(Cell::new(Duration::ZERO));
     let stall_check = spawn_local(record_stalls(stall.clone()));
     let notifications = spawn_local({
-        let register = register.clone();
-        async move { tokio::join!(register.update_weights(), register.record_agent_lists()) }
+        let discovery = discovery.clone();
+        async move { tokio::join!(discovery.update_weights(), discovery.record_agent_lists()) }
     });
-    let events = spawn_local(run_events(day.clone(), fleet.clone()));
-    let timeline = spawn_local(record_timeline(day.clone(), fleet.clone()));
+    let events = spawn_local(run_events(run_state.clone(), fleet.clone()));
+    let timeline = spawn_local(record_timeline(run_state.clone(), fleet.clone()));
     let requests = clients.run();
     tokio::pin!(requests);
     let mut tick = Duration::from_secs(1);
     loop {
         tokio::select! {
             () = requests.as_mut() => break,
-            () = sleep_until(day.clock.instant(tick)) => {
-                progress(tick, day.counts.get(), day.in_time.get());
+            () = sleep_until(run_state.clock.instant(tick)) => {
+                progress(tick, run_state.counts.get(), run_state.in_time.get());
                 tick += Duration::from_secs(1);
             }
         }
     }
-    while clients.open() > 0 && day.clock.now() < day.script.end() {
+    while clients.open() > 0 && run_state.clock.now() < run_state.script.end() {
         sleep(Duration::from_millis(20)).await;
     }
     clients.check_idle_connections();
@@ -162,7 +171,7 @@
         }
     }
     let lateness = lateness(&clients.lateness(), stall.get());
-    let mut report = report(&day, seed, &clients, lateness);
+    let mut report = report(&run_state, seed, &clients, lateness);
     if !problems.is_empty() {
         report.unsound = Some(problems.join("; "));
         report.service = None;
@@ -170,55 +179,55 @@
     Ok((report, spent))
 }
 
-fn report(day: &RunState, seed: u64, clients: &Clients, lateness: Lateness) -> Report {
-    let checker = day.checker.borrow();
-    let tallies = tallies(&day.script, &day.plan, &checker, &clients.sends());
+fn report(run_state: &RunState, seed: u64, clients: &Clients, lateness: Lateness) -> Report {
+    let checker = run_state.checker.borrow();
+    let tallies = tallies(&run_state.script, &run_state.plan, &checker, &clients.sends());
     let unsound = lateness.too_busy();
     Report {
-        script: day.script.name.clone(),
+        script: run_state.script.name.clone(),
         seed,
         runner: Runner::Sockets,
-        gateways: day.gateways,
-        nodes: day.script.fleet.nodes,
-        service: unsound.is_none().then(|| service(&day.script, &tallies)),
+        gateways: run_state.gateways,
+        nodes: run_state.script.fleet.nodes,
+        service: unsound.is_none().then(|| service(&run_state.script, &tallies)),
         violations: checker
-            .violations(Rules { drain_grace: day.script.limits.drain_grace, ..Rules::sockets() }),
+            .violations(Rules { drain_grace: run_state.script.limits.drain_grace, ..Rules::sockets() }),
         unsound,
-        counts: day.counts.get(),
+        counts: run_state.counts.get(),
         fresh: None,
-        back_s: back(&day.script, &tallies),
-        dispersion: checker.dispersion(day.script.lasts),
+        back_s: back(&run_state.script, &tallies),
+        dispersion: checker.dispersion(run_state.script.lasts),
         cold_peak: None,
         lateness: Some(lateness),
-        timeline: day.timeline.borrow().clone(),
+        timeline: run_state.timeline.borrow().clone(),
     }
 }
 
-async fn run_events(day: Rc<RunState>, fleet: Vec<Rc<LiveEndpoint>>) {
-    for (at, node, deed) in endpoint_actions(&day.script, day.draws) {
-        sleep_until(day.clock.instant(at)).await;
-        fleet[node].apply_action(deed);
+async fn run_events(run_state: Rc<RunState>, fleet: Vec<Rc<LiveEndpoint>>) {
+    for (at, endpoint, action) in endpoint_actions(&run_state.script, run_state.draws) {
+        sleep_until(run_state.clock.instant(at)).await;
+        fleet[endpoint].apply_action(action);
     }
 }
 
-async fn record_timeline(day: Rc<RunState>, fleet: Vec<Rc<LiveEndpoint>>) {
-    let step = (day.script.lasts / 240).max(Duration::from_millis(100));
+async fn record_timeline(run_state: Rc<RunState>, fleet: Vec<Rc<LiveEndpoint>>) {
+    let step = (run_state.script.lasts / 240).max(Duration::from_millis(100));
     let (mut at, mut before, mut in_time) = (step, Counts::default(), 0);
     loop {
-        sleep_until(day.clock.instant(at)).await;
-        let now = day.counts.get();
+        sleep_until(run_state.clock.instant(at)).await;
+        let now = run_state.counts.get();
         let rate = |now: u64, before: u64| ((now - before) as f64 / step.as_secs_f64() * 10.0).round() / 10.0;
         let mut sample = Sample {
             at_s: at.as_secs_f64(),
-            asked: rate(now.tries, before.tries),
-            in_time: rate(day.in_time.get(), in_time),
+            asked: rate(now.client_attempts, before.client_attempts),
+            in_time: rate(run_state.in_time.get(), in_time),
             refused: rate(now.refused, before.refused),
             failed: rate(now.failed, before.failed),
             ..Sample::default()
         };
-        fleet.iter().for_each(|node| node.read_model(|model| sample.see(model)));
-        day.timeline.borrow_mut().push(sample);
-        (before, in_time, at) = (now, day.in_time.get(), at + step);
+        fleet.iter().for_each(|endpoint| endpoint.read_model(|model| sample.see(model)));
+        run_state.timeline.borrow_mut().push(sample);
+        (before, in_time, at) = (now, run_state.in_time.get(), at + step);
     }
 }
 
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -16,7 +16,8 @@
     /// First attempts of clients.
     pub asked: u64,
     /// All attempts of clients, retries included.
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub client_attempts: u64,
     /// Client attempts that were served, in time or not.
     pub served: u64,
     /// Client attempts that were rejected.
@@ -177,7 +178,12 @@
         let _ = writeln!(
             text,
             "  {} requests, {} client attempts: {} served, {} rejected, {} failed, {} unreachable",
-            counts.asked, counts.tries, counts.served, counts.refused, counts.failed, counts.unreachable
+            counts.asked,
+            counts.client_attempts,
+            counts.served,
+            counts.refused,
+            counts.failed,
+            counts.unreachable
         );
         let _ = writeln!(
             text,
@@ -249,13 +255,13 @@
     script: &Script,
     plan: &[PlannedRequest],
     checker: &Checker,
-    tries: &[Vec<(u64, Duration)>],
+    sends: &[Vec<(u64, Duration)>],
 ) -> Vec<RequestResult> {
     let tally = |asked: &PlannedRequest| {
-        let tries = tries.get(asked.index).map(Vec::as_slice).unwrap_or_default();
-        let first = tries.first().map_or(asked.at, |(_, at)| *at);
+        let sends = sends.get(asked.index).map(Vec::as_slice).unwrap_or_default();
+        let first = sends.first().map_or(asked.at, |(_, at)| *at);
         let objective_end = first + script.classes[asked.class].latency_objective;
-        let in_time = tries.iter().any(|(number, _)| {
+        let in_time = sends.iter().any(|(number, _)| {
             let got = checker.of(*number).and_then(|record| record.answers.first());
             got.is_some_and(|(at, got)| *got == FinalAnswer::Served && *at <= objective_end)
         });
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -156,7 +156,7 @@
         let slack = Duration::from_secs(2);
         let rules = Rules { slack, held_back: slack, ..Rules::sockets() };
         let mut violations = self.checker.lock().expect("the lock is poisoned").violations(rules);
-        violations.retain(|breach| breach.rule != Rule::NobodyAsked);
+        violations.retain(|violation| violation.rule != Rule::NobodyAsked);
         assert!(violations.is_empty(), "{violations:#?}");
     }
 }
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -77,7 +77,7 @@
                 self.checker.record_notice(gateway, entry.node, self.now, entry.notification());
             }
             let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
-            for node in (0..self.nodes.len()).filter(|node| list.is_snapshot && !listed(node)) {
+            for node in (0..self.endpoint_models.len()).filter(|node| list.is_snapshot && !listed(node)) {
                 self.checker.record_notice(gateway, node, self.now, EndpointNotice::Removed);
             }
         }
@@ -135,7 +135,7 @@
     /// Samples the live weights of all endpoints, which reach the gateways after a delay, and schedules the next sample.
     pub(super) fn sample_weights(&mut self) {
         let Some(weights) = self.script.discovery.weights else { return };
-        let sampled = self.nodes.iter().map(|node| self.weight(node)).collect();
+        let sampled = self.endpoint_models.iter().map(|node| self.weight(node)).collect();
         self.schedule(self.now + weights.late, SimulationEvent::WeightUpdate { weights: sampled });
         if self.now + weights.every <= self.script.end() {
             self.schedule(self.now + weights.every, SimulationEvent::SampleWeights);
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -22,7 +22,7 @@
         for &gateway_index in &killed {
             self.gateways[gateway_index].alive = false;
             self.gateways[gateway_index].watching = false;
-            for node in 0..self.nodes.len() {
+            for node in 0..self.endpoint_models.len() {
                 for (connection, _) in std::mem::take(&mut self.gateways[gateway_index].idle[node]) {
                     self.schedule(
                         self.now,
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -10,7 +10,7 @@
 use crate::checker::{AttemptEnd, Checker, FinalAnswer, ObservedAttempt, Rules, SentRequest};
 use crate::client::{client_timeout, next_retry, ClientOutcome};
 use crate::discovery::{endpoint_actions, Discovery, EndpointAction, EndpointList};
-use crate::endpoint_models::{carry_out, empty_checker, kinds, nodes};
+use crate::endpoint_models::{apply_to_model, empty_checker, endpoints, kinds};
 use crate::model::{Answer, EndpointModel, Output, State, Work};
 use crate::plan::{attempt_seconds, plan, PlannedRequest};
 use crate::random_variates::{Purpose, RandomStreams};
@@ -229,8 +229,8 @@
     /// The gateway that opened each connection.
     connection_gateways: Vec<usize>,
     kinds: Vec<usize>,
-    nodes: Vec<EndpointModel>,
-    node_due: Vec<Option<Duration>>,
+    endpoint_models: Vec<EndpointModel>,
+    endpoint_due: Vec<Option<Duration>>,
     gateways: Vec<Gateway>,
     modules: DecisionModules,
     gateways_by_zone: Vec<Vec<usize>>,
@@ -350,7 +350,7 @@
                 alive: true,
             });
         }
-        let (nodes, planned_count) = (nodes(script, draws), planned.len());
+        let (endpoint_models, planned_count) = (endpoints(script, draws), planned.len());
         let mut simulation = Simulation {
             script,
             draws,
@@ -364,8 +364,8 @@
             attempts: Vec::new(),
             connection_gateways: Vec::new(),
             kinds: kinds(script),
-            node_due: vec![None; nodes.len()],
-            nodes,
+            endpoint_due: vec![None; endpoint_models.len()],
+            endpoint_models,
             gateways,
             modules,
             gateways_by_zone: front_targets(script, initial_count),
@@ -381,7 +381,7 @@
             cost: Cost::default(),
             actions: Vec::new(),
         };
-        simulation.weights = simulation.nodes.iter().map(|node| simulation.weight(node)).collect();
+        simulation.weights = simulation.endpoint_models.iter().map(|node| simulation.weight(node)).collect();
         for gateway_index in 0..simulation.module_count().min(initial_count) {
             let list = simulation.discovery.list_since(Duration::ZERO, 0);
             simulation.deliver_list(gateway_index, list);
@@ -399,7 +399,7 @@
         for (at, node, action) in endpoint_actions(script, draws) {
             simulation.schedule(at, SimulationEvent::EndpointAction { node, action });
         }
-        (0..simulation.nodes.len()).for_each(|node| simulation.schedule_endpoint(node));
+        (0..simulation.endpoint_models.len()).for_each(|node| simulation.schedule_endpoint(node));
         simulation.schedule_discovery_change();
         if script.discovery.weights.is_some() {
             simulation.schedule(Duration::ZERO, SimulationEvent::SampleWeights);
@@ -471,9 +471,9 @@
             }
             SimulationEvent::AttemptArrives { attempt_index } => self.on_attempt_arrival(attempt_index),
             SimulationEvent::EndpointChange { node, due } => {
-                if self.node_due[node] == Some(due) {
-                    self.node_due[node] = None;
-                    self.nodes[node].advance(self.now);
+                if self.endpoint_due[node] == Some(due) {
+                    self.endpoint_due[node] = None;
+                    self.endpoint_models[node].advance(self.now);
                     self.take_outputs(node);
                 }
             }
@@ -495,7 +495,7 @@
                 if let Some(attempt) = attempt {
                     self.checker.record_end(attempt, self.now, AttemptEnd::Left);
                 }
-                self.nodes[node].disconnect(self.now, connection);
+                self.endpoint_models[node].disconnect(self.now, connection);
                 self.take_outputs(node);
             }
             SimulationEvent::IdleConnectionEnded { gateway, node, connection } => {
@@ -508,8 +508,8 @@
             SimulationEvent::SampleWeights => self.sample_weights(),
             SimulationEvent::WeightUpdate { weights } => self.on_weight_update(weights),
             SimulationEvent::EndpointAction { node, action } => {
-                carry_out(&mut self.nodes[node], self.now, action);
-                if action == EndpointAction::Start && self.nodes[node].state() == State::Up {
+                apply_to_model(&mut self.endpoint_models[node], self.now, action);
+                if action == EndpointAction::Start && self.endpoint_models[node].state() == State::Up {
                     self.checker.record_cold_start(node, self.now);
                 }
                 self.take_outputs(node);
@@ -530,7 +530,7 @@
             self.first_sent[plan_index] = self.now;
             self.counts.asked += 1;
         }
-        self.counts.tries += 1;
+        self.counts.client_attempts += 1;
         let number = planned.number(self.draws, retries);
         self.sends[plan_index].push((number, self.now));
         let deadline = self.now + client_timeout(self.script, planned, self.first_sent[plan_index], self.now);
@@ -830,10 +830,10 @@
 
     fn on_dial(&mut self, attempt_index: usize) {
         let Attempt { node, connection, .. } = self.attempts[attempt_index];
-        if self.nodes[node].state() == State::CutOff {
+        if self.endpoint_models[node].state() == State::CutOff {
             return;
         }
-        let is_up = self.nodes[node].connect(self.now, connection);
+        let is_up = self.endpoint_models[node].connect(self.now, connection);
         self.take_outputs(node);
         let delay = self.endpoint_delay(attempt_index, MessageKind::DialEnded);
         self.schedule(self.now + delay, SimulationEvent::DialEnded { attempt_index, is_up });
@@ -870,7 +870,7 @@
 
     fn on_attempt_arrival(&mut self, attempt_index: usize) {
         let Attempt { request_index, node, connection, until, .. } = self.attempts[attempt_index];
-        if self.nodes[node].state() == State::CutOff || self.attempts[attempt_index].ended {
+        if self.endpoint_models[node].state() == State::CutOff || self.attempts[attempt_index].ended {
             return;
         }
         let ClientRequest { number, plan_index, gateway, .. } = self.requests[request_index];
@@ -891,8 +891,8 @@
         );
         self.counts.attempts += 1;
         let work = Work { request: number, seconds: work_s, subject: planned.subject, keyed, until };
-        let is_running = matches!(self.nodes[node].state(), State::Up | State::Draining);
-        self.nodes[node].request(self.now, connection, attempt, work);
+        let is_running = matches!(self.endpoint_models[node].state(), State::Up | State::Draining);
+        self.endpoint_models[node].request(self.now, connection, attempt, work);
         self.take_outputs(node);
         if !is_running {
             self.checker.record_end(attempt, self.now, AttemptEnd::Broken);
@@ -980,7 +980,7 @@
 
     /// Processes the outputs of an endpoint and schedules its next internal change.
     fn take_outputs(&mut self, node: usize) {
-        let outputs: Vec<Output> = self.nodes[node].outputs().collect();
+        let outputs: Vec<Output> = self.endpoint_models[node].outputs().collect();
         for output in outputs {
             match output {
                 Output::Began { attempt } => self.checker.record_start(attempt, self.now),
@@ -1033,11 +1033,11 @@
     }
 
     fn schedule_endpoint(&mut self, node: usize) {
-        let next = self.nodes[node].next();
-        if let Some(due) = next.filter(|_| self.node_due[node] != next) {
+        let next = self.endpoint_models[node].next();
+        if let Some(due) = next.filter(|_| self.endpoint_due[node] != next) {
             self.schedule(due, SimulationEvent::EndpointChange { node, due });
         }
-        self.node_due[node] = next;
+        self.endpoint_due[node] = next;
     }
 
     // ---- reporting ----
@@ -1048,13 +1048,13 @@
         let rate = |now: u64, before: u64| ((now - before) as f64 / step_s * 10.0).round() / 10.0;
         let mut sample = Sample {
             at_s: (self.now.as_secs_f64() * 1000.0).round() / 1000.0,
-            asked: rate(now.tries, before.tries),
+            asked: rate(now.client_attempts, before.client_attempts),
             in_time: rate(self.in_time.0, self.in_time.1),
             refused: rate(now.refused, before.refused),
             failed: rate(now.failed, before.failed),
             ..Sample::default()
         };
-        self.nodes.iter().for_each(|node| sample.see(node));
+        self.endpoint_models.iter().for_each(|node| sample.see(node));
         self.timeline.push(sample);
         (self.sampled_counts, self.in_time.1) = (now, self.in_time.0);
         if self.now + step <= self.script.end() {
@@ -1072,7 +1072,7 @@
             seed,
             runner: Runner::VirtualTime,
             gateways: self.gateways.len(),
-            nodes: self.nodes.len(),
+            nodes: self.endpoint_models.len(),
             service: Some(service(self.script, &tallies)),
             violations: self
                 .checker
@@ -1083,7 +1083,7 @@
             back_s: back(self.script, &tallies),
             dispersion: self.checker.dispersion(self.script.lasts),
             cold_peak: self
-                .nodes
+                .endpoint_models
                 .iter()
                 .map(EndpointModel::slow_start_peak)
                 .reduce(f64::max)
--- a/crates/testbed/src/sweep/run.rs
+++ b/crates/testbed/src/sweep/run.rs
@@ -1,6 +1,6 @@
 //! Carries out the runs of a study on several threads.
 
-use super::study::{Played, Study, Variant};
+use super::study::{Study, StudyScript, Variant};
 use crate::script::Script;
 use crate::simulate::{simulate_with, DecisionModules};
 use serde::{Deserialize, Serialize};
@@ -83,7 +83,7 @@
 }
 
 struct Job<'s> {
-    played: &'s Played,
+    study_script: &'s StudyScript,
     gateways: usize,
     variant: Option<&'s Variant>,
     changed: Option<&'s Script>,
@@ -92,21 +92,21 @@
 
 fn jobs(study: &Study) -> Vec<Job<'_>> {
     let mut jobs = Vec::new();
-    for played in &study.played {
+    for study_script in &study.scripts {
         for seed in 1..=study.seeds {
-            for &gateways in &played.gateways {
+            for &gateways in &study_script.gateways {
                 if study.oracle {
-                    jobs.push(Job { played, gateways, variant: None, changed: None, seed });
+                    jobs.push(Job { study_script, gateways, variant: None, changed: None, seed });
                 }
                 for (index, variant) in study.variants.iter().enumerate() {
-                    let changed = played.changed.get(index).and_then(Option::as_ref);
-                    jobs.push(Job { played, gateways, variant: Some(variant), changed, seed });
+                    let changed = study_script.changed.get(index).and_then(Option::as_ref);
+                    jobs.push(Job { study_script, gateways, variant: Some(variant), changed, seed });
                 }
             }
         }
     }
     // The longest runs start first, so that no thread is still busy with a long run when all others have finished.
-    jobs.sort_by_key(|job| std::cmp::Reverse(job.played.script.fleet.nodes * job.gateways));
+    jobs.sort_by_key(|job| std::cmp::Reverse(job.study_script.script.fleet.nodes * job.gateways));
     jobs
 }
 
@@ -150,7 +150,8 @@
         return Err(error);
     }
     let mut runs: Vec<Run> = runs.into_inner().unwrap_or_default();
-    let script_index = |run: &Run| study.played.iter().position(|played| played.script.name == run.script);
+    let script_index =
+        |run: &Run| study.scripts.iter().position(|study_script| study_script.script.name == run.script);
     let variant_index = |run: &Run| {
         study.variants.iter().position(|variant| variant.name == run.variant).unwrap_or(usize::MAX)
     };
@@ -162,7 +163,7 @@
     match job.variant {
         Some(Variant { program: Some(program), settings, .. }) => {
             let mut command = Command::new(program);
-            command.arg("simulate").arg(&job.played.file).args(["--json", "/dev/stdout"]);
+            command.arg("simulate").arg(&job.study_script.file).args(["--json", "/dev/stdout"]);
             command.args(["--seed", &job.seed.to_string(), "--gateways", &job.gateways.to_string()]);
             if let Some(settings) = settings {
                 command.arg("--settings").arg(settings);
@@ -175,7 +176,7 @@
             let json = text.find("\n{").map_or("", |at| &text[at..]);
             let no_report = |why: String| RunError::NoReport {
                 program: name.clone(),
-                script: job.played.file.display().to_string(),
+                script: job.study_script.file.display().to_string(),
                 gateways: job.gateways,
                 seed: job.seed,
                 why,
@@ -189,7 +190,7 @@
         }
         variant => {
             let storm = variant.and_then(|variant| variant.storm);
-            let script = job.changed.unwrap_or(&job.played.script);
+            let script = job.changed.unwrap_or(&job.study_script.script);
             let minds = match variant {
                 Some(Variant { plain: true, .. }) => DecisionModules::Baseline,
                 Some(_) => DecisionModules::PerGateway,
@@ -200,7 +201,7 @@
             let figures: ReportFigures =
                 serde_json::from_str(&report.to_json()).map_err(|error| RunError::NoReport {
                     program: "this build".into(),
-                    script: job.played.file.display().to_string(),
+                    script: job.study_script.file.display().to_string(),
                     gateways: job.gateways,
                     seed: job.seed,
                     why: error.to_string(),
@@ -254,7 +255,7 @@
     fn into_run(self, job: &Job<'_>) -> Run {
         let asked = self.counts.asked.max(1) as f64;
         Run {
-            script: job.played.script.name.clone(),
+            script: job.study_script.script.name.clone(),
             gateways: job.gateways,
             variant: job.variant.map_or(ORACLE, |variant| &variant.name).to_owned(),
             seed: job.seed,
--- a/crates/testbed/src/sweep/study.rs
+++ b/crates/testbed/src/sweep/study.rs
@@ -28,7 +28,7 @@
 
 /// A script of a study, with the numbers of gateways that it is run with.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Played {
+pub struct StudyScript {
     /// Path of the script.
     pub file: PathBuf,
     /// The script as its file has it.
@@ -47,7 +47,7 @@
     /// Purpose of the study, in one line.
     pub about: String,
     /// Scripts of the study.
-    pub played: Vec<Played>,
+    pub scripts: Vec<StudyScript>,
     /// Number of seeds, counted from 1.
     pub seeds: u64,
     /// Whether the upper bound is run as well: one balancer that receives the events of all gateways.
@@ -190,7 +190,8 @@
             (root.require::<String>("name").unwrap_or_default(), root.get_or("about", String::new()));
         let oracle = root.get_or("oracle", false);
         root.finish();
-        let mut study = document.check(Study { name, about, played: Vec::new(), seeds, oracle, variants })?;
+        let mut study =
+            document.check(Study { name, about, scripts: Vec::new(), seeds, oracle, variants })?;
         for variant in &mut study.variants {
             variant.storm = variant.settings.as_deref().map(storm).transpose()?.flatten();
         }
@@ -208,7 +209,7 @@
                     }
                 });
             }
-            study.played.push(Played { file, script, changed, gateways });
+            study.scripts.push(StudyScript { file, script, changed, gateways });
         }
         Ok(study)
     }
--- a/crates/testbed/tests/at_size.rs
+++ b/crates/testbed/tests/at_size.rs
@@ -66,10 +66,10 @@
 #[test]
 fn a_wrong_number_of_gateways_in_the_settings_costs_little_service() {
     let text = include_str!("../scripts/herd-at-size.toml");
-    for told in ["0.5", "2.0"] {
-        let wrong = text.replace("gateways = 100", &format!("gateways = 100\ntold = {told}"));
+    for factor in ["0.5", "2.0"] {
+        let wrong = text.replace("gateways = 100", &format!("gateways = 100\ntold = {factor}"));
         let service = run(&wrong, 1).whole;
-        assert!(service > 0.97, "{told} times the actual number of gateways: {service}");
+        assert!(service > 0.97, "{factor} times the actual number of gateways: {service}");
     }
 }
 
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -163,14 +163,14 @@
 
 #[test]
 fn attempts_are_violations_from_two_seconds_after_a_drain_or_removal_is_notified() {
-    for (told, at, rules) in [
+    for (notice, at, rules) in [
         (EndpointNotice::Draining, 3010, vec![]),
         (EndpointNotice::Draining, 3011, vec![Rule::SentToDrained]),
         (EndpointNotice::Removed, 3011, vec![Rule::SentToDrained]),
         (EndpointNotice::Up(None), 3011, vec![]),
     ] {
         let mut checker = checker();
-        checker.record_notice(0, 0, ms(1000), told);
+        checker.record_notice(0, 0, ms(1000), notice);
         checker.record_notice(1, 0, ms(0), EndpointNotice::Removed); // a notification binds only the gateway that received it
         checker.record_request(
             1,
@@ -178,7 +178,7 @@
         );
         attempt(&mut checker, 1, 0, at, at + 10, AttemptEnd::Served);
         checker.record_answer(1, ms(at + 11), FinalAnswer::Served);
-        assert_eq!(found(&checker), rules, "{told:?}, attempt at {at} ms");
+        assert_eq!(found(&checker), rules, "{notice:?}, attempt at {at} ms");
     }
     // The removal of an endpoint that was draining does not restart the drain grace; only a notification that it is up ends the grace.
     let mut checker = checker();
--- a/crates/testbed/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -210,8 +210,8 @@
     // Two endpoints in one rack, and a third in another rack.
     let (rack, all) = (RepeatCaches::default(), RepeatCaches::default());
     let other = RepeatCaches { all: rack.all.clone(), ..all };
-    let of = |memories: &RepeatCaches| {
-        EndpointModel::new(0, EndpointSpec::default(), RandomStreams::new(1), memories.clone(), ms(0))
+    let of = |caches: &RepeatCaches| {
+        EndpointModel::new(0, EndpointSpec::default(), RandomStreams::new(1), caches.clone(), ms(0))
     };
     let mut nodes = [of(&rack), of(&rack), of(&other)];
     let mut ask = |n: usize, at: Duration, key: u64, group: KeyScope| {
--- a/crates/testbed/tests/mutants.rs
+++ b/crates/testbed/tests/mutants.rs
@@ -212,10 +212,10 @@
 
 /// The rules that the checker finds violated in a run of this length with a gateway that has this fault.
 fn found(fault: Fault, lasts: &str, event: &str) -> BTreeSet<Rule> {
-    played(fault, lasts, event).violations.iter().map(|violation| violation.rule).collect()
+    run_with_fault(fault, lasts, event).violations.iter().map(|violation| violation.rule).collect()
 }
 
-fn played(fault: Fault, lasts: &str, event: &str) -> Report {
+fn run_with_fault(fault: Fault, lasts: &str, event: &str) -> Report {
     let text = format!(
         r#"
         name = "mutant"
@@ -321,7 +321,7 @@
 
 #[test]
 fn reports_a_cold_endpoint_that_falls_over_and_the_endpoint_stays_down() {
-    let report = played(Fault::None, "4s", RESTARTING);
+    let report = run_with_fault(Fault::None, "4s", RESTARTING);
     let rules: BTreeSet<Rule> = report.violations.iter().map(|violation| violation.rule).collect();
     assert_eq!(rules, only(Rule::PushedOver), "{}", report.to_text());
     assert_eq!((report.violations[0].node, report.counts.fallen), (Some(1), 1));
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -197,7 +197,7 @@
     assert_eq!(draining, Some(2), "two endpoints should have drained");
     // A gateway that was not notified would send requests to endpoints that reject them, and retry each of them.
     let counts = report.counts;
-    assert!(counts.attempts < counts.tries + counts.tries / 20, "{}", report.to_text());
+    assert!(counts.attempts < counts.client_attempts + counts.client_attempts / 20, "{}", report.to_text());
 }
 
 #[test]
