--- a/crates/testbed/src/checker/evenness.rs
+++ b/crates/testbed/src/checker/evenness.rs
@@ -23,8 +23,8 @@
         let mut counts: FxHashMap<usize, Vec<f64>> = FxHashMap::default();
         for (_, record) in self.records() {
             for seen in &record.attempts {
-                let of_node = counts.entry(seen.node).or_insert_with(|| vec![0.0; windows]);
-                if let Some(count) = of_node.get_mut(window_of(seen.first_byte_at)) {
+                let of_endpoint = counts.entry(seen.endpoint).or_insert_with(|| vec![0.0; windows]);
+                if let Some(count) = of_endpoint.get_mut(window_of(seen.first_byte_at)) {
                     *count += 1.0;
                 }
             }
@@ -32,10 +32,10 @@
         let (mut sum, mut weight) = (0.0, 0.0);
         // The sum runs in the order of the endpoints: in a hash map's order it would not be the same to the last bit.
         let mut counts: Vec<_> = counts.into_iter().collect();
-        counts.sort_unstable_by_key(|(node, _)| *node);
-        for (node, of_node) in counts {
-            let offered = self.offered(node, windows);
-            let counted: Vec<f64> = of_node
+        counts.sort_unstable_by_key(|(endpoint, _)| *endpoint);
+        for (endpoint, of_endpoint) in counts {
+            let offered = self.offered(endpoint, windows);
+            let counted: Vec<f64> = of_endpoint
                 .iter()
                 .zip(offered)
                 .filter(|(_, is_offered)| *is_offered)
@@ -52,8 +52,8 @@
     }
 
     /// For each window, whether the first gateway considers the endpoint up throughout.
-    fn offered(&self, node: usize, windows: usize) -> Vec<bool> {
-        let notices = self.notices.get(&(0, node)).map(Vec::as_slice).unwrap_or_default();
+    fn offered(&self, endpoint: usize, windows: usize) -> Vec<bool> {
+        let notices = self.notices.get(&(0, endpoint)).map(Vec::as_slice).unwrap_or_default();
         let mut offered = Vec::with_capacity(windows);
         let (mut next, mut up) = (0, false);
         for window in 0..windows {
@@ -84,10 +84,10 @@
             for n in 0..*count {
                 attempt += 1;
                 let first_byte_at = WINDOW * window as u32 + Duration::from_millis(n);
-                let (gateway, node, last_byte_at, started_at, end) = (0, 0, None, None, None);
+                let (gateway, endpoint, last_byte_at, started_at, end) = (0, 0, None, None, None);
                 let seen = ObservedAttempt {
                     attempt,
-                    node,
+                    endpoint,
                     gateway,
                     first_byte_at,
                     last_byte_at,
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -84,7 +84,7 @@
     /// Number of the attempt.
     pub attempt: AttemptId,
     /// Endpoint that received the attempt.
-    pub node: usize,
+    pub endpoint: usize,
     /// Gateway that sent the attempt.
     pub gateway: usize,
     /// Time at which the attempt's first byte arrived.
@@ -215,21 +215,21 @@
     }
 
     /// Records that discovery notified a gateway of an endpoint's state.
-    pub fn record_notice(&mut self, gateway: usize, node: usize, at: Duration, notice: EndpointNotice) {
-        let notices = self.notices.entry((gateway, node)).or_default();
+    pub fn record_notice(&mut self, gateway: usize, endpoint: usize, at: Duration, notice: EndpointNotice) {
+        let notices = self.notices.entry((gateway, endpoint)).or_default();
         if notices.last().is_none_or(|(_, last)| *last != notice) {
             notices.push((at, notice));
         }
     }
 
     /// Records the cold start of an endpoint.
-    pub fn record_cold_start(&mut self, node: usize, at: Duration) {
-        self.starts.entry(node).or_default().push(at);
+    pub fn record_cold_start(&mut self, endpoint: usize, at: Duration) {
+        self.starts.entry(endpoint).or_default().push(at);
     }
 
     /// Records that an endpoint has fallen over.
-    pub fn record_fall(&mut self, node: usize, at: Duration) {
-        self.fallen.push((node, at));
+    pub fn record_fall(&mut self, endpoint: usize, at: Duration) {
+        self.fallen.push((endpoint, at));
     }
 
     /// Endpoints that have fallen over, each with the time.
--- a/crates/testbed/src/checker/rules.rs
+++ b/crates/testbed/src/checker/rules.rs
@@ -41,7 +41,8 @@
     /// Number of the request, in hexadecimal as in its header.
     pub request: Option<String>,
     /// Endpoint that the violation concerns, if any.
-    pub node: Option<usize>,
+    #[serde(rename = "node")]
+    pub endpoint: Option<usize>,
     /// Time of the violation, in seconds from the start of the run.
     pub at_s: f64,
     /// Events of the request, in the order of time.
@@ -115,11 +116,17 @@
         rule: Rule,
         number: RequestNumber,
         record: &Record,
-        node: Option<usize>,
+        endpoint: Option<usize>,
         at: Duration,
     ) {
         let request = Some(format!("{number:016x}"));
-        self.violations.push(Violation { rule, request, node, at_s: seconds(at), events: events(record) });
+        self.violations.push(Violation {
+            rule,
+            request,
+            endpoint,
+            at_s: seconds(at),
+            events: events(record),
+        });
     }
 
     /// Checks that the client got one final answer in time, that this answer was made for the request and not held back,
@@ -127,7 +134,7 @@
     fn check_answers(&mut self, number: RequestNumber, record: &Record) {
         let Some(request) = &record.request else {
             if let Some(first) = record.attempts.first() {
-                self.report(Rule::NobodyAsked, number, record, Some(first.node), first.first_byte_at);
+                self.report(Rule::NobodyAsked, number, record, Some(first.endpoint), first.first_byte_at);
             }
             return;
         };
@@ -148,7 +155,7 @@
         }
         let after = record.attempts.iter().find(|attempt| attempt.first_byte_at > at + self.rules.slack);
         if let Some(attempt) = after {
-            self.report(Rule::SentAfterAnswer, number, record, Some(attempt.node), attempt.first_byte_at);
+            self.report(Rule::SentAfterAnswer, number, record, Some(attempt.endpoint), attempt.first_byte_at);
         }
         let Some(class) = self.checker.classes.get(request.class) else { return };
         if matches!(answer, FinalAnswer::Refused | FinalAnswer::Failed) {
@@ -170,7 +177,7 @@
             if let Some(attempt) =
                 record.attempts.iter().find(possibly_processed).filter(|_| !is_repeatable_anywhere)
             {
-                self.report(Rule::RefusedAfterRun, number, record, Some(attempt.node), at);
+                self.report(Rule::RefusedAfterRun, number, record, Some(attempt.endpoint), at);
             }
         }
     }
@@ -186,31 +193,31 @@
             if let Some(previous) = previous {
                 let still_in_flight = previous.end.is_none_or(|(end, _)| end > arrived_at + self.rules.slack);
                 if still_in_flight {
-                    self.report(Rule::TwoCopies, number, record, Some(attempt.node), arrived_at);
+                    self.report(Rule::TwoCopies, number, record, Some(attempt.endpoint), arrived_at);
                 }
             }
-            if let (Some((sent, node)), Some(class)) = (possibly_processed, class) {
+            if let (Some((sent, endpoint)), Some(class)) = (possibly_processed, class) {
                 let allowed = match class.idempotency {
                     Idempotency::Idempotent => true,
                     Idempotency::NotIdempotent => false,
                     Idempotency::IdempotencyKey { scope: key_scope, window } => {
                         arrived_at <= sent + window + self.rules.slack
-                            && self.share_scope(key_scope, node, attempt.node)
+                            && self.share_scope(key_scope, endpoint, attempt.endpoint)
                     }
                 };
                 if !allowed {
-                    self.report(Rule::ResentAgainstClass, number, record, Some(attempt.node), arrived_at);
+                    self.report(Rule::ResentAgainstClass, number, record, Some(attempt.endpoint), arrived_at);
                 }
             }
             if attempt.end.is_none_or(|(_, how)| !how.not_processed()) {
-                possibly_processed.get_or_insert((arrived_at, attempt.node));
+                possibly_processed.get_or_insert((arrived_at, attempt.endpoint));
             }
             previous = Some(attempt);
         }
     }
 
     fn share_scope(&self, scope: KeyScope, one: usize, other: usize) -> bool {
-        let zone_and_rack = |node: usize| self.checker.groups.get(node).copied().unwrap_or_default();
+        let zone_and_rack = |endpoint: usize| self.checker.groups.get(endpoint).copied().unwrap_or_default();
         match scope {
             KeyScope::All => true,
             KeyScope::Zone => zone_and_rack(one).0 == zone_and_rack(other).0,
@@ -221,7 +228,9 @@
     /// Checks that no attempt was sent to an endpoint later than the drain grace after the gateway was notified that it drains or was removed.
     fn check_drained(&mut self, number: RequestNumber, record: &Record) {
         for attempt in &record.attempts {
-            let Some(notices) = self.checker.notices.get(&(attempt.gateway, attempt.node)) else { continue };
+            let Some(notices) = self.checker.notices.get(&(attempt.gateway, attempt.endpoint)) else {
+                continue;
+            };
             let last = notices.iter().rev().find(|(at, _)| *at <= attempt.first_byte_at);
             let Some((at, EndpointNotice::Draining | EndpointNotice::Removed)) = last else { continue };
             // The drain grace begins at the first of several successive notifications that forbid attempts.
@@ -233,7 +242,13 @@
                 .last()
                 .map_or(*at, |(notified_at, _)| *notified_at);
             if attempt.first_byte_at > since + self.rules.drain_grace + self.rules.slack {
-                self.report(Rule::SentToDrained, number, record, Some(attempt.node), attempt.first_byte_at);
+                self.report(
+                    Rule::SentToDrained,
+                    number,
+                    record,
+                    Some(attempt.endpoint),
+                    attempt.first_byte_at,
+                );
             }
         }
     }
@@ -241,19 +256,21 @@
     /// Checks the cold endpoints that fell over. A fall is a violation where at least two thirds of the work came from gateways
     /// that had been notified of the endpoint's start, or count as notified.
     fn check_falls(&mut self) {
-        for &(node, at) in &self.checker.fallen {
-            let starts = self.checker.starts.get(&node).map(Vec::as_slice).unwrap_or_default();
+        for &(endpoint, at) in &self.checker.fallen {
+            let starts = self.checker.starts.get(&endpoint).map(Vec::as_slice).unwrap_or_default();
             let Some(&start) = starts.iter().rev().find(|start| **start <= at) else { continue };
             let from = at.saturating_sub(self.rules.fall_over).max(start);
             let (mut notified_work_s, mut total_work_s, mut count) = (0.0, 0.0, 0u32);
             for (_, record) in self.checker.records() {
                 for attempt in record.attempts.iter().filter(|attempt| {
-                    attempt.node == node && attempt.first_byte_at >= from && attempt.first_byte_at <= at
+                    attempt.endpoint == endpoint
+                        && attempt.first_byte_at >= from
+                        && attempt.first_byte_at <= at
                 }) {
                     let notices = self
                         .checker
                         .notices
-                        .get(&(attempt.gateway, node))
+                        .get(&(attempt.gateway, endpoint))
                         .map(Vec::as_slice)
                         .unwrap_or_default();
                     let was_notified = notices.iter().any(|(notified_at, notice)| {
@@ -270,7 +287,7 @@
             }
             if total_work_s > 0.0 && notified_work_s * 3.0 >= total_work_s * 2.0 {
                 let events = vec![
-                    format!("{:.3} s: node {node} starts, cold", start.as_secs_f64()),
+                    format!("{:.3} s: node {endpoint} starts, cold", start.as_secs_f64()),
                     format!(
                         "{count} attempts of {total_work_s:.3} s of work since {:.3} s",
                         from.as_secs_f64()
@@ -278,9 +295,9 @@
                     format!("{:.0}% of it from gateways that knew", 100.0 * notified_work_s / total_work_s),
                     format!("{:.3} s: it falls over", at.as_secs_f64()),
                 ];
-                let node = Some(node);
+                let endpoint = Some(endpoint);
                 let violation =
-                    Violation { rule: Rule::PushedOver, request: None, node, at_s: seconds(at), events };
+                    Violation { rule: Rule::PushedOver, request: None, endpoint, at_s: seconds(at), events };
                 self.violations.push(violation);
             }
         }
@@ -298,15 +315,16 @@
         ));
     }
     for attempt in &record.attempts {
-        let (node, id) = (attempt.node, attempt.attempt);
+        let (endpoint, id) = (attempt.endpoint, attempt.attempt);
         events.push((
             attempt.first_byte_at,
-            format!("node {node} sees attempt {id}'s first byte, from gateway {}", attempt.gateway),
+            format!("node {endpoint} sees attempt {id}'s first byte, from gateway {}", attempt.gateway),
         ));
-        events.extend(attempt.last_byte_at.map(|at| (at, format!("node {node} has attempt {id} whole"))));
-        events.extend(attempt.started_at.map(|at| (at, format!("node {node} runs attempt {id}"))));
-        events
-            .extend(attempt.end.map(|(at, how)| (at, format!("attempt {id} ends at node {node}: {how:?}"))));
+        events.extend(attempt.last_byte_at.map(|at| (at, format!("node {endpoint} has attempt {id} whole"))));
+        events.extend(attempt.started_at.map(|at| (at, format!("node {endpoint} runs attempt {id}"))));
+        events.extend(
+            attempt.end.map(|(at, how)| (at, format!("attempt {id} ends at node {endpoint}: {how:?}"))),
+        );
     }
     events.extend(
         record.answers.iter().map(|(at, answer)| (*at, format!("the client has its answer: {answer:?}"))),
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListEntry {
     /// The index of the endpoint.
-    pub node: usize,
+    pub endpoint: usize,
     /// The state of the endpoint.
     pub status: EndpointStatus,
     /// When the endpoint last started; `None` if it has not started during the run.
@@ -90,10 +90,10 @@
     let mut actions = Vec::new();
     for (event_index, event) in script.events.iter().enumerate() {
         let (from, until) = (event.at, event.until());
-        for (order, node) in affected_endpoints(script, draws, event_index).into_iter().enumerate() {
+        for (order, endpoint) in affected_endpoints(script, draws, event_index).into_iter().enumerate() {
             let mut during = |start: EndpointAction, end: EndpointAction| {
-                actions.push((from, node, start));
-                actions.extend(until.map(|until| (until, node, end)));
+                actions.push((from, endpoint, start));
+                actions.extend(until.map(|until| (until, endpoint, end)));
             };
             match event.fault {
                 FaultKind::Fail { share } => during(EndpointAction::Fail(share), EndpointAction::Fail(0.0)),
@@ -111,35 +111,35 @@
                     );
                 }
                 FaultKind::Pause => {
-                    actions.push((from, node, EndpointAction::Pause(event.lasts.unwrap_or_default())));
+                    actions.push((from, endpoint, EndpointAction::Pause(event.lasts.unwrap_or_default())));
                 }
                 FaultKind::Restart { gone, apart } => {
                     let restart_at = from + apart * order as u32;
-                    actions.push((restart_at, node, EndpointAction::Kill));
-                    actions.push((restart_at + gone, node, EndpointAction::Start));
+                    actions.push((restart_at, endpoint, EndpointAction::Kill));
+                    actions.push((restart_at + gone, endpoint, EndpointAction::Start));
                 }
                 FaultKind::Neighbour { takes, turns } => {
                     let mut stream =
-                        draws.stream_for_pair(Purpose::NoisyNeighbour, event_index as u64, node as u64);
+                        draws.stream_for_pair(Purpose::NoisyNeighbour, event_index as u64, endpoint as u64);
                     let range = (turns.0.as_secs_f64(), turns.1.as_secs_f64());
                     let (mut at, mut is_active) = (from, true);
                     let end = until.unwrap_or(script.lasts);
                     while at < end {
                         actions.push((
                             at,
-                            node,
+                            endpoint,
                             EndpointAction::Neighbour(if is_active { takes } else { 0.0 }),
                         ));
                         (at, is_active) =
                             (at + Duration::from_secs_f64(stream.uniform_in(range)), !is_active);
                     }
-                    actions.push((end, node, EndpointAction::Neighbour(0.0)));
+                    actions.push((end, endpoint, EndpointAction::Neighbour(0.0)));
                 }
                 FaultKind::Heavy { .. } | FaultKind::RegisterDown { .. } | FaultKind::Surge { .. } => {}
             }
         }
     }
-    actions.sort_by_key(|(at, node, _)| (*at, *node));
+    actions.sort_by_key(|(at, endpoint, _)| (*at, *endpoint));
     actions
 }
 
@@ -178,34 +178,35 @@
         };
         let mut started = vec![None; script.fleet.nodes];
         let mut is_silent = vec![false; script.fleet.nodes];
-        for (at, node, action) in endpoint_actions(script, draws) {
+        for (at, endpoint, action) in endpoint_actions(script, draws) {
             let status = match action {
                 EndpointAction::Kill => EndpointStatus::Left,
                 EndpointAction::CutOff => {
-                    is_silent[node] = true;
-                    let entry = ListEntry { node, status: EndpointStatus::Left, started: started[node] };
+                    is_silent[endpoint] = true;
+                    let entry =
+                        ListEntry { endpoint, status: EndpointStatus::Left, started: started[endpoint] };
                     changes
                         .push(Change { at: at + notice_delay(script.discovery.silent_notice_delay), entry });
                     continue;
                 }
                 EndpointAction::Start => {
-                    (started[node], is_silent[node]) = (Some(at), false);
+                    (started[endpoint], is_silent[endpoint]) = (Some(at), false);
                     EndpointStatus::Active
                 }
                 EndpointAction::Drain(true) => EndpointStatus::Leaving,
                 EndpointAction::Drain(false) => EndpointStatus::Active,
                 _ => continue,
             };
-            let entry = ListEntry { node, status, started: started[node] };
+            let entry = ListEntry { endpoint, status, started: started[endpoint] };
             changes.push(Change { at: at + notice_delay(script.discovery.notice_delay), entry });
         }
         // A change of an endpoint is never listed before an earlier change of the same endpoint.
         let mut last_change = vec![Duration::ZERO; script.fleet.nodes];
         for change in &mut changes {
-            change.at = change.at.max(last_change[change.entry.node]);
-            last_change[change.entry.node] = change.at;
+            change.at = change.at.max(last_change[change.entry.endpoint]);
+            last_change[change.entry.endpoint] = change.at;
         }
-        changes.sort_by_key(|change| (change.at, change.entry.node));
+        changes.sort_by_key(|change| (change.at, change.entry.endpoint));
         let outages = script.events.iter().filter_map(|event| match &event.fault {
             FaultKind::RegisterDown { without } => {
                 Some((event.at, event.until().unwrap_or(Duration::MAX), without.clone()))
@@ -224,10 +225,10 @@
     }
 
     /// Adds to the timeline that an endpoint has crashed from too much work; a script does not say when this happens.
-    pub fn record_crash(&mut self, node: usize, at: Duration) {
-        let entry = ListEntry { node, status: EndpointStatus::Left, started: None };
+    pub fn record_crash(&mut self, endpoint: usize, at: Duration) {
+        let entry = ListEntry { endpoint, status: EndpointStatus::Left, started: None };
         let at = at + self.silent_notice;
-        self.changes.retain(|change| change.entry.node != node || change.at < at);
+        self.changes.retain(|change| change.entry.endpoint != endpoint || change.at < at);
         let position = self.changes.partition_point(|change| change.at <= at);
         self.changes.insert(position, Change { at, entry });
     }
@@ -283,15 +284,15 @@
 
     /// The entries of a snapshot at a time.
     pub fn snapshot_entries(&self, now: Duration) -> Vec<ListEntry> {
-        let initial = |node| ListEntry { node, status: EndpointStatus::Active, started: None };
+        let initial = |endpoint| ListEntry { endpoint, status: EndpointStatus::Active, started: None };
         let mut entries: Vec<ListEntry> = (0..self.endpoint_count).map(initial).collect();
         for change in self.changes.iter().filter(|change| change.at <= now) {
-            entries[change.entry.node] = change.entry;
+            entries[change.entry.endpoint] = change.entry;
         }
-        let lost = |node: usize| {
-            self.outages.iter().any(|(_, until, without)| *until <= now && without.contains(&node))
+        let lost = |endpoint: usize| {
+            self.outages.iter().any(|(_, until, without)| *until <= now && without.contains(&endpoint))
         };
-        entries.retain(|entry| entry.status != EndpointStatus::Left && !lost(entry.node));
+        entries.retain(|entry| entry.status != EndpointStatus::Left && !lost(entry.endpoint));
         entries
     }
 
--- a/crates/testbed/src/large_bodies.rs
+++ b/crates/testbed/src/large_bodies.rs
@@ -246,15 +246,15 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("binding a port failed");
         let address = listener.local_addr().expect("reading the local address failed");
         let (seen, broken, left, done) = Default::default();
-        let node = LargeBodyEndpoint { address, seen, broken, left, done };
-        let (accepting, observations) = (node.clone(), Observations::of_this_test());
+        let endpoint = LargeBodyEndpoint { address, seen, broken, left, done };
+        let (accepting, observations) = (endpoint.clone(), Observations::of_this_test());
         spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (accepting, observations) = (accepting.clone(), observations.clone());
                 spawn(move || accepting.serve(stream, answer, &observations));
             }
         });
-        node
+        endpoint
     }
 
     fn serve(&self, stream: TcpStream, answer: LargeBody, observations: &Observations) {
--- a/crates/testbed/src/live/discovery.rs
+++ b/crates/testbed/src/live/discovery.rs
@@ -113,8 +113,8 @@
     }
 
     /// Records that an endpoint has crashed from too much work in its slow start.
-    pub fn record_crash(&self, node: usize, at: Duration) {
-        self.model.borrow_mut().record_crash(node, at);
+    pub fn record_crash(&self, endpoint: usize, at: Duration) {
+        self.model.borrow_mut().record_crash(endpoint, at);
         self.changed.notify_waiters();
     }
 
@@ -196,12 +196,12 @@
     fn record_list(&self, gateway: usize, list: &EndpointList) {
         let (now, mut checker) = (self.run.clock.now(), self.run.checker.borrow_mut());
         for entry in &list.entries {
-            checker.record_notice(gateway, entry.node, now, entry.notification());
+            checker.record_notice(gateway, entry.endpoint, now, entry.notification());
         }
         if list.is_snapshot {
-            let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
-            for node in (0..self.endpoints.len()).filter(|node| !listed(node)) {
-                checker.record_notice(gateway, node, now, EndpointNotice::Removed);
+            let listed = |endpoint: &usize| list.entries.iter().any(|entry| entry.endpoint == *endpoint);
+            for endpoint in (0..self.endpoints.len()).filter(|endpoint| !listed(endpoint)) {
+                checker.record_notice(gateway, endpoint, now, EndpointNotice::Removed);
             }
         }
     }
@@ -220,7 +220,7 @@
 
     fn entry(&self, gateway: usize, entry: &ListEntry) -> Value {
         let script = &self.run.script;
-        let address = self.endpoints[entry.node]
+        let address = self.endpoints[entry.endpoint]
             .address(gateway)
             .map(|address| address.to_string())
             .unwrap_or_default();
@@ -234,11 +234,11 @@
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             unix.saturating_sub(age).as_millis() as u64
         });
-        let kind = crate::endpoint_models::kinds(script)[entry.node];
-        json!({"name": script.node_name(entry.node), "address": address, "status": status,
-            "weight": self.weights.borrow()[entry.node],
-            "zone": script.fleet.zones[script.zone_of(entry.node)], "type": script.fleet.kinds[kind].name,
-            "group": script.rack_of(entry.node), "since_ms": since})
+        let kind = crate::endpoint_models::kinds(script)[entry.endpoint];
+        json!({"name": script.endpoint_name(entry.endpoint), "address": address, "status": status,
+            "weight": self.weights.borrow()[entry.endpoint],
+            "zone": script.fleet.zones[script.zone_of(entry.endpoint)], "type": script.fleet.kinds[kind].name,
+            "group": script.rack_of(entry.endpoint), "since_ms": since})
     }
 }
 
@@ -247,6 +247,6 @@
     let has_live_weights = run.script.discovery.weights.is_some();
     endpoints
         .iter()
-        .map(|node| if has_live_weights { node.read_model(|model| model.live_weight()) } else { 1.0 })
+        .map(|endpoint| if has_live_weights { endpoint.read_model(|model| model.live_weight()) } else { 1.0 })
         .collect()
 }
--- a/crates/testbed/src/live/endpoints.rs
+++ b/crates/testbed/src/live/endpoints.rs
@@ -5,7 +5,7 @@
 //! Another protocol can be added: its connection tasks pass requests to [`LiveEndpoint::submit`] and are sent the answers to write.
 
 use super::http::{Connection, Kind, ReadError};
-use super::{node_address, RunState};
+use super::{endpoint_address, RunState};
 use crate::checker::{AttemptEnd, ObservedAttempt};
 use crate::discovery::EndpointAction;
 use crate::endpoint_models::apply_to_model;
@@ -91,16 +91,16 @@
     ) -> io::Result<Rc<LiveEndpoint>> {
         let (model, ports, commands, changed) =
             (RefCell::new(model), RefCell::default(), RefCell::default(), Notify::new());
-        let node = Rc::new(LiveEndpoint { number, run, model, ports, commands, changed, ids, on_crash });
-        for gateway in 0..node.run.gateways {
-            let listener = listen(SocketAddr::from((node_address(gateway, number), 0)), BACKLOG)?;
+        let endpoint = Rc::new(LiveEndpoint { number, run, model, ports, commands, changed, ids, on_crash });
+        for gateway in 0..endpoint.run.gateways {
+            let listener = listen(SocketAddr::from((endpoint_address(gateway, number), 0)), BACKLOG)?;
             let (address, listening) = (listener.local_addr()?, RefCell::default());
             let port = Rc::new(Port { gateway, address, listening, full_listener: RefCell::default() });
-            node.accept(&port, listener);
-            node.ports.borrow_mut().push(port);
+            endpoint.accept(&port, listener);
+            endpoint.ports.borrow_mut().push(port);
         }
-        spawn_local(node.clone().run());
-        Ok(node)
+        spawn_local(endpoint.clone().run());
+        Ok(endpoint)
     }
 
     /// The address at which the endpoint listens for a gateway.
@@ -119,11 +119,11 @@
     }
 
     fn accept(self: &Rc<Self>, port: &Rc<Port>, listener: TcpListener) {
-        let (node, gateway) = (self.clone(), port.gateway);
+        let (endpoint, gateway) = (self.clone(), port.gateway);
         let accepting = spawn_local(async move {
             loop {
                 if let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(node.clone().serve(Connection::new(stream), gateway));
+                    spawn_local(endpoint.clone().serve(Connection::new(stream), gateway));
                 }
             }
         });
@@ -157,11 +157,14 @@
             port.full_listener.take();
             let captured = (self.clone(), port.clone());
             spawn_local(async move {
-                let (node, port) = captured;
+                let (endpoint, port) = captured;
                 // The aborted task drops its listener the next time the runtime polls the task.
                 tokio::task::yield_now().await;
-                if let Err(error) = node.reopen(&port, after) {
-                    eprintln!("endpoint {}: cannot listen at {} again: {error}", node.number, port.address);
+                if let Err(error) = endpoint.reopen(&port, after) {
+                    eprintln!(
+                        "endpoint {}: cannot listen at {} again: {error}",
+                        endpoint.number, port.address
+                    );
                 }
             });
         }
@@ -384,9 +387,17 @@
 
     fn record_attempt(&self, number: u64, attempt: AttemptId, gateway: usize, first_byte_at: Duration) {
         let work_s = self.work(number, None).map_or(0.0, |work| work.seconds);
-        let (node, last_byte_at, started_at, end) = (self.number, None, None, None);
-        let seen =
-            ObservedAttempt { attempt, node, gateway, first_byte_at, last_byte_at, started_at, end, work_s };
+        let (endpoint, last_byte_at, started_at, end) = (self.number, None, None, None);
+        let seen = ObservedAttempt {
+            attempt,
+            endpoint,
+            gateway,
+            first_byte_at,
+            last_byte_at,
+            started_at,
+            end,
+            work_s,
+        };
         self.run.checker.borrow_mut().record_attempt(number, seen);
     }
 
--- a/crates/testbed/src/live/mod.rs
+++ b/crates/testbed/src/live/mod.rs
@@ -91,7 +91,7 @@
 }
 
 /// The address of an endpoint for one gateway. Every pair has an address of its own, by which the endpoint knows which gateway sends.
-pub fn node_address(gateway: usize, node: usize) -> Ipv4Addr {
-    let (gateway, node) = (gateway as u32, node as u32);
-    Ipv4Addr::new(127, 16 + (gateway / 250) as u8, (gateway % 250) as u8, 1 + node as u8)
+pub fn endpoint_address(gateway: usize, endpoint: usize) -> Ipv4Addr {
+    let (gateway, endpoint) = (gateway as u32, endpoint as u32);
+    Ipv4Addr::new(127, 16 + (gateway / 250) as u8, (gateway % 250) as u8, 1 + endpoint as u8)
 }
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -52,10 +52,10 @@
 }
 
 /// Work of an attempt at an endpoint, in seconds: the request's work with the variation of this endpoint.
-pub fn attempt_seconds(draws: RandomStreams, class: &Class, asked: &PlannedRequest, node: u64) -> f64 {
+pub fn attempt_seconds(draws: RandomStreams, class: &Class, asked: &PlannedRequest, endpoint: u64) -> f64 {
     asked.work_s
         * draws
-            .stream_for_pair(Purpose::AttemptCost, asked.index as u64, node)
+            .stream_for_pair(Purpose::AttemptCost, asked.index as u64, endpoint)
             .log_normal(class.attempt_spread)
 }
 
@@ -84,16 +84,21 @@
     match &script.events[event].target {
         Target::All => all.collect(),
         Target::Nodes(nodes) => nodes.clone(),
-        Target::Zone(zone) => all.filter(|&node| script.zone_of(node) == *zone).collect(),
+        Target::Zone(zone) => all.filter(|&endpoint| script.zone_of(endpoint) == *zone).collect(),
         Target::Share(share) => {
             let count = (share * script.fleet.nodes as f64).round() as usize;
             let mut drawn: Vec<_> = all
-                .map(|node| {
-                    (draws.stream_for_pair(Purpose::ScriptedEvent, event as u64, node as u64).uniform(), node)
+                .map(|endpoint| {
+                    (
+                        draws
+                            .stream_for_pair(Purpose::ScriptedEvent, event as u64, endpoint as u64)
+                            .uniform(),
+                        endpoint,
+                    )
                 })
                 .collect();
             drawn.sort_by(|a, b| a.0.total_cmp(&b.0));
-            let mut met: Vec<_> = drawn.into_iter().take(count).map(|(_, node)| node).collect();
+            let mut met: Vec<_> = drawn.into_iter().take(count).map(|(_, endpoint)| endpoint).collect();
             met.sort_unstable();
             met
         }
--- a/crates/testbed/src/script/defaults.rs
+++ b/crates/testbed/src/script/defaults.rs
@@ -63,12 +63,12 @@
         speed,
         report_every: (ms(440), ms(1000)),
         report_late: (ms(220), ms(460)),
-        spec: node(),
+        spec: endpoint(),
     }
 }
 
 /// Default properties of an endpoint.
-fn node() -> EndpointSpec {
+fn endpoint() -> EndpointSpec {
     EndpointSpec {
         cores: 2,
         speed: 1.0,
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -351,8 +351,8 @@
     }
 
     /// Name of an endpoint, as discovery lists it.
-    pub fn node_name(&self, node: usize) -> String {
-        format!("n{node:02}")
+    pub fn endpoint_name(&self, endpoint: usize) -> String {
+        format!("n{endpoint:02}")
     }
 
     /// Zone of an endpoint or of a gateway, by its number.
@@ -361,9 +361,9 @@
     }
 
     /// Rack of an endpoint; every gateway uses the same number for a rack.
-    pub fn rack_of(&self, node: usize) -> usize {
+    pub fn rack_of(&self, endpoint: usize) -> usize {
         let zones = self.fleet.zones.len();
-        (node / zones / self.fleet.rack.max(1)) * zones + node % zones
+        (endpoint / zones / self.fleet.rack.max(1)) * zones + endpoint % zones
     }
 
     /// Capacity of the service in requests a second, by the mean speeds of the endpoints and without any cached key.
--- a/crates/testbed/src/script/read.rs
+++ b/crates/testbed/src/script/read.rs
@@ -132,7 +132,7 @@
         if kinds.is_empty() {
             kinds = defaults::kinds();
             // Without tables of kinds, the keys of the table `fleet` apply to the endpoints of all default kinds.
-            kinds.iter_mut().for_each(|kind| node(table, kind));
+            kinds.iter_mut().for_each(|kind| read_endpoint(table, kind));
         }
         if kinds.iter().map(|kind| kind.share).sum::<f64>() <= 0.0 {
             table.report("kind", "the shares of all kinds together are 0");
@@ -171,13 +171,13 @@
     let name = table.require::<String>("name").unwrap_or_default();
     let share = table.get_in_range("share", SHARE, 1.0);
     let mut kind = defaults::kind(&name, share, (1.0, 1.0));
-    node(table, &mut kind);
+    read_endpoint(table, &mut kind);
     table.finish();
     kind
 }
 
 /// Reads the properties of a kind of endpoints, or of all endpoints; a missing key leaves the property as it is.
-fn node(table: &Table<'_, '_>, kind: &mut Kind) {
+fn read_endpoint(table: &Table<'_, '_>, kind: &mut Kind) {
     kind.speed = positive(table, "speed", kind.speed);
     kind.report_every = table.get_or("report_every", kind.report_every);
     if kind.report_every.0 < ms(1) {
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -77,7 +77,7 @@
     }
 
     /// Records that an endpoint has received a complete request; returns the attempt's number.
-    fn arrived(&self, request: &HttpMessage, node: usize) -> Option<u64> {
+    fn arrived(&self, request: &HttpMessage, endpoint: usize) -> Option<u64> {
         let request = parse_request_number(request.header("x-request-id"))?;
         let attempt = self.attempts.fetch_add(1, Ordering::SeqCst);
         self.record(|checker, now| {
@@ -87,7 +87,7 @@
                 request,
                 ObservedAttempt {
                     attempt,
-                    node,
+                    endpoint,
                     gateway,
                     first_byte_at,
                     last_byte_at,
--- a/crates/testbed/src/simulate/discovery.rs
+++ b/crates/testbed/src/simulate/discovery.rs
@@ -74,11 +74,13 @@
         self.agent_version = list.version;
         for gateway in 0..self.module_count() {
             for entry in &list.entries {
-                self.checker.record_notice(gateway, entry.node, self.now, entry.notification());
+                self.checker.record_notice(gateway, entry.endpoint, self.now, entry.notification());
             }
-            let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
-            for node in (0..self.endpoint_models.len()).filter(|node| list.is_snapshot && !listed(node)) {
-                self.checker.record_notice(gateway, node, self.now, EndpointNotice::Removed);
+            let listed = |endpoint: &usize| list.entries.iter().any(|entry| entry.endpoint == *endpoint);
+            for endpoint in
+                (0..self.endpoint_models.len()).filter(|endpoint| list.is_snapshot && !listed(endpoint))
+            {
+                self.checker.record_notice(gateway, endpoint, self.now, EndpointNotice::Removed);
             }
         }
     }
@@ -110,7 +112,7 @@
                 Some(known) => *known = endpoint.clone(),
                 None => gateway_state.endpoints.push(endpoint.clone()),
             }
-            self.checker.record_notice(gateway, entry.node, self.now, entry.notification());
+            self.checker.record_notice(gateway, entry.endpoint, self.now, entry.notification());
         }
         if let Some(storm) = &mut gateway_state.storm {
             let up = gateway_state.endpoints.iter().filter(|endpoint| endpoint.state == EndpointState::Up);
@@ -125,9 +127,9 @@
     }
 
     /// The current live weight of an endpoint: its capacity divided by 1 + its requests in flight per core; 1 without live weights.
-    pub(super) fn weight(&self, node: &EndpointModel) -> f64 {
+    pub(super) fn weight(&self, endpoint: &EndpointModel) -> f64 {
         match self.script.discovery.weights {
-            Some(_) => node.live_weight(),
+            Some(_) => endpoint.live_weight(),
             None => 1.0,
         }
     }
@@ -135,7 +137,7 @@
     /// Samples the live weights of all endpoints, which reach the gateways after a delay, and schedules the next sample.
     pub(super) fn sample_weights(&mut self) {
         let Some(weights) = self.script.discovery.weights else { return };
-        let sampled = self.endpoint_models.iter().map(|node| self.weight(node)).collect();
+        let sampled = self.endpoint_models.iter().map(|endpoint| self.weight(endpoint)).collect();
         self.schedule(self.now + weights.late, SimulationEvent::WeightUpdate { weights: sampled });
         if self.now + weights.every <= self.script.end() {
             self.schedule(self.now + weights.every, SimulationEvent::SampleWeights);
@@ -171,12 +173,15 @@
         };
         weldworks_balancer::Endpoint {
             state,
-            zone: script.zone_of(entry.node) as u32,
-            cell: script.rack_of(entry.node) as u32,
+            zone: script.zone_of(entry.endpoint) as u32,
+            cell: script.rack_of(entry.endpoint) as u32,
             started: entry.started.map(|at| CLOCK_AT_START + at),
-            weight: self.weights[entry.node],
-            kind: self.kinds[entry.node] as u32,
-            ..weldworks_balancer::Endpoint::new(EndpointId(entry.node as u32), &script.node_name(entry.node))
+            weight: self.weights[entry.endpoint],
+            kind: self.kinds[entry.endpoint] as u32,
+            ..weldworks_balancer::Endpoint::new(
+                EndpointId(entry.endpoint as u32),
+                &script.endpoint_name(entry.endpoint),
+            )
         }
     }
 }
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -22,11 +22,11 @@
         for &gateway_index in &killed {
             self.gateways[gateway_index].alive = false;
             self.gateways[gateway_index].watching = false;
-            for node in 0..self.endpoint_models.len() {
-                for (connection, _) in std::mem::take(&mut self.gateways[gateway_index].idle[node]) {
+            for endpoint in 0..self.endpoint_models.len() {
+                for (connection, _) in std::mem::take(&mut self.gateways[gateway_index].idle[endpoint]) {
                     self.schedule(
                         self.now,
-                        SimulationEvent::ConnectionClosed { node, connection, attempt: None },
+                        SimulationEvent::ConnectionClosed { endpoint, connection, attempt: None },
                     );
                 }
             }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -93,15 +93,15 @@
     /// The request of an attempt reaches its endpoint.
     AttemptArrives { attempt_index: usize },
     /// The next internal change of an endpoint is due.
-    EndpointChange { node: usize, due: Duration },
+    EndpointChange { endpoint: usize, due: Duration },
     /// An endpoint's answer, or the end of the connection to the endpoint, reaches the gateway.
     AttemptReply { attempt_index: usize, outcome: Outcome, report: Option<LoadReport> },
     /// The time limit of an attempt has passed.
     AttemptTimeout { attempt_index: usize },
     /// An endpoint learns that a gateway has closed a connection.
-    ConnectionClosed { node: usize, connection: u64, attempt: Option<u64> },
+    ConnectionClosed { endpoint: usize, connection: u64, attempt: Option<u64> },
     /// A gateway learns that an endpoint has closed an idle connection.
-    IdleConnectionEnded { gateway: usize, node: usize, connection: u64 },
+    IdleConnectionEnded { gateway: usize, endpoint: usize, connection: u64 },
     /// An answer reaches its client.
     Answered { request_index: usize, outcome: ClientOutcome },
     /// A gateway's poll reaches discovery.
@@ -115,7 +115,7 @@
     /// Sampled live weights reach the gateways.
     WeightUpdate { weights: Vec<f64> },
     /// An action of the script is applied to an endpoint.
-    EndpointAction { node: usize, action: EndpointAction },
+    EndpointAction { endpoint: usize, action: EndpointAction },
     /// The gateways that join during the run start.
     GatewaysJoin,
     /// The gateways that the script names are killed.
@@ -206,7 +206,7 @@
 struct Attempt {
     request_index: usize,
     attempt_number: u32,
-    node: usize,
+    endpoint: usize,
     connection: u64,
     sent: Duration,
     until: Duration,
@@ -381,7 +381,8 @@
             cost: Cost::default(),
             actions: Vec::new(),
         };
-        simulation.weights = simulation.endpoint_models.iter().map(|node| simulation.weight(node)).collect();
+        simulation.weights =
+            simulation.endpoint_models.iter().map(|endpoint| simulation.weight(endpoint)).collect();
         for gateway_index in 0..simulation.module_count().min(initial_count) {
             let list = simulation.discovery.list_since(Duration::ZERO, 0);
             simulation.deliver_list(gateway_index, list);
@@ -396,10 +397,10 @@
             let at = simulation.planned[plan_index].at;
             simulation.schedule(at, SimulationEvent::SendRequest { plan_index, retries: 0 });
         }
-        for (at, node, action) in endpoint_actions(script, draws) {
-            simulation.schedule(at, SimulationEvent::EndpointAction { node, action });
+        for (at, endpoint, action) in endpoint_actions(script, draws) {
+            simulation.schedule(at, SimulationEvent::EndpointAction { endpoint, action });
         }
-        (0..simulation.endpoint_models.len()).for_each(|node| simulation.schedule_endpoint(node));
+        (0..simulation.endpoint_models.len()).for_each(|endpoint| simulation.schedule_endpoint(endpoint));
         simulation.schedule_discovery_change();
         if script.discovery.weights.is_some() {
             simulation.schedule(Duration::ZERO, SimulationEvent::SampleWeights);
@@ -428,7 +429,7 @@
         let attempt = &self.attempts[attempt_index];
         let gateway = &self.gateways[self.requests[attempt.request_index].gateway];
         let network = &self.script.network;
-        let base = if gateway.zone == self.script.zone_of(attempt.node) {
+        let base = if gateway.zone == self.script.zone_of(attempt.endpoint) {
             network.same_zone
         } else {
             network.cross_zone
@@ -470,11 +471,11 @@
                 }
             }
             SimulationEvent::AttemptArrives { attempt_index } => self.on_attempt_arrival(attempt_index),
-            SimulationEvent::EndpointChange { node, due } => {
-                if self.endpoint_due[node] == Some(due) {
-                    self.endpoint_due[node] = None;
-                    self.endpoint_models[node].advance(self.now);
-                    self.take_outputs(node);
+            SimulationEvent::EndpointChange { endpoint, due } => {
+                if self.endpoint_due[endpoint] == Some(due) {
+                    self.endpoint_due[endpoint] = None;
+                    self.endpoint_models[endpoint].advance(self.now);
+                    self.take_outputs(endpoint);
                 }
             }
             SimulationEvent::AttemptReply { attempt_index, outcome, report } => {
@@ -491,15 +492,15 @@
                     self.end_attempt(attempt_index, outcome);
                 }
             }
-            SimulationEvent::ConnectionClosed { node, connection, attempt } => {
+            SimulationEvent::ConnectionClosed { endpoint, connection, attempt } => {
                 if let Some(attempt) = attempt {
                     self.checker.record_end(attempt, self.now, AttemptEnd::Left);
                 }
-                self.endpoint_models[node].disconnect(self.now, connection);
-                self.take_outputs(node);
+                self.endpoint_models[endpoint].disconnect(self.now, connection);
+                self.take_outputs(endpoint);
             }
-            SimulationEvent::IdleConnectionEnded { gateway, node, connection } => {
-                self.on_idle_connection_ended(gateway, node, connection);
+            SimulationEvent::IdleConnectionEnded { gateway, endpoint, connection } => {
+                self.on_idle_connection_ended(gateway, endpoint, connection);
             }
             SimulationEvent::Answered { request_index, outcome } => self.on_answer(request_index, outcome),
             SimulationEvent::DiscoveryPolled { gateway } => self.on_discovery_poll(gateway),
@@ -507,12 +508,12 @@
             SimulationEvent::DiscoveryChange => self.on_discovery_change(),
             SimulationEvent::SampleWeights => self.sample_weights(),
             SimulationEvent::WeightUpdate { weights } => self.on_weight_update(weights),
-            SimulationEvent::EndpointAction { node, action } => {
-                apply_to_model(&mut self.endpoint_models[node], self.now, action);
-                if action == EndpointAction::Start && self.endpoint_models[node].state() == State::Up {
-                    self.checker.record_cold_start(node, self.now);
+            SimulationEvent::EndpointAction { endpoint, action } => {
+                apply_to_model(&mut self.endpoint_models[endpoint], self.now, action);
+                if action == EndpointAction::Start && self.endpoint_models[endpoint].state() == State::Up {
+                    self.checker.record_cold_start(endpoint, self.now);
                 }
-                self.take_outputs(node);
+                self.take_outputs(endpoint);
             }
             SimulationEvent::GatewaysJoin => self.start_joining_gateways(),
             SimulationEvent::KillGateways => self.kill_gateways(),
@@ -733,14 +734,14 @@
                 self.handle(gateway, Event::ProbeEnded { endpoint: endpoint_id, outcome, latency });
             }
             Action::CloseIdleConnections { endpoint: endpoint_id } => {
-                let node = endpoint_id.0 as usize;
+                let endpoint = endpoint_id.0 as usize;
                 for gateway_index in 0..self.gateways.len() {
                     if self.module_of(gateway_index) == gateway {
-                        let idle = std::mem::take(&mut self.gateways[gateway_index].idle[node]);
+                        let idle = std::mem::take(&mut self.gateways[gateway_index].idle[endpoint]);
                         for (connection, _) in idle {
                             self.schedule(
                                 self.now,
-                                SimulationEvent::ConnectionClosed { node, connection, attempt: None },
+                                SimulationEvent::ConnectionClosed { endpoint, connection, attempt: None },
                             );
                         }
                     }
@@ -783,13 +784,13 @@
         until: Duration,
         write_by: Option<Duration>,
     ) {
-        let node = endpoint_id.0 as usize;
+        let endpoint = endpoint_id.0 as usize;
         let until = until.min(self.requests[request_index].until.saturating_sub(ANSWER_MARGIN));
         let attempt_index = self.attempts.len();
         let attempt_number = self.requests[request_index].attempts.len() as u32;
         self.requests[request_index].attempts.push(attempt_index);
         let reuse_limit = self.reuse_limit(); // like the gateway program, prefers the connection that was used last
-        let idle = &mut self.gateways[gateway].idle[node];
+        let idle = &mut self.gateways[gateway].idle[endpoint];
         let reused = loop {
             match idle.pop() {
                 Some((connection, since)) if self.now - since < reuse_limit => break Some(connection),
@@ -805,7 +806,7 @@
         self.attempts.push(Attempt {
             request_index,
             attempt_number,
-            node,
+            endpoint,
             connection,
             sent,
             until,
@@ -829,24 +830,25 @@
     }
 
     fn on_dial(&mut self, attempt_index: usize) {
-        let Attempt { node, connection, .. } = self.attempts[attempt_index];
-        if self.endpoint_models[node].state() == State::CutOff {
+        let Attempt { endpoint, connection, .. } = self.attempts[attempt_index];
+        if self.endpoint_models[endpoint].state() == State::CutOff {
             return;
         }
-        let is_up = self.endpoint_models[node].connect(self.now, connection);
-        self.take_outputs(node);
+        let is_up = self.endpoint_models[endpoint].connect(self.now, connection);
+        self.take_outputs(endpoint);
         let delay = self.endpoint_delay(attempt_index, MessageKind::DialEnded);
         self.schedule(self.now + delay, SimulationEvent::DialEnded { attempt_index, is_up });
     }
 
     fn on_dial_ended(&mut self, attempt_index: usize, is_up: bool) {
-        let Attempt { request_index, node, connection, write_by, ended, .. } = self.attempts[attempt_index];
+        let Attempt { request_index, endpoint, connection, write_by, ended, .. } =
+            self.attempts[attempt_index];
         let gateway = self.requests[request_index].gateway;
         if ended {
             if is_up {
                 self.schedule(
                     self.now,
-                    SimulationEvent::ConnectionClosed { node, connection, attempt: None },
+                    SimulationEvent::ConnectionClosed { endpoint, connection, attempt: None },
                 );
             }
             return;
@@ -858,9 +860,9 @@
         let takes_work = self.gateways[self.module_of(gateway)]
             .endpoints
             .iter()
-            .any(|endpoint| endpoint.id.0 as usize == node && endpoint.state == EndpointState::Up);
+            .any(|listed| listed.id.0 as usize == endpoint && listed.state == EndpointState::Up);
         if self.requests[request_index].answered || !takes_work || write_by.is_some_and(|by| self.now >= by) {
-            self.gateways[gateway].idle[node].push((connection, self.now));
+            self.gateways[gateway].idle[endpoint].push((connection, self.now));
             return self.end_attempt(attempt_index, Outcome::NotSent);
         }
         self.attempts[attempt_index].written = true;
@@ -869,14 +871,14 @@
     }
 
     fn on_attempt_arrival(&mut self, attempt_index: usize) {
-        let Attempt { request_index, node, connection, until, .. } = self.attempts[attempt_index];
-        if self.endpoint_models[node].state() == State::CutOff || self.attempts[attempt_index].ended {
+        let Attempt { request_index, endpoint, connection, until, .. } = self.attempts[attempt_index];
+        if self.endpoint_models[endpoint].state() == State::CutOff || self.attempts[attempt_index].ended {
             return;
         }
         let ClientRequest { number, plan_index, gateway, .. } = self.requests[request_index];
         let planned = &self.planned[plan_index];
         let class = &self.script.classes[planned.class];
-        let work_s = attempt_seconds(self.draws, class, planned, node as u64);
+        let work_s = attempt_seconds(self.draws, class, planned, endpoint as u64);
         let keyed = match class.idempotency {
             Idempotency::IdempotencyKey { scope: key_scope, window } => {
                 Some((planned.key, key_scope, window))
@@ -887,13 +889,22 @@
         let (first_byte_at, started_at, end) = (self.now, None, None);
         self.checker.record_attempt(
             number,
-            ObservedAttempt { attempt, node, gateway, first_byte_at, last_byte_at, started_at, end, work_s },
+            ObservedAttempt {
+                attempt,
+                endpoint,
+                gateway,
+                first_byte_at,
+                last_byte_at,
+                started_at,
+                end,
+                work_s,
+            },
         );
         self.counts.attempts += 1;
         let work = Work { request: number, seconds: work_s, subject: planned.subject, keyed, until };
-        let is_running = matches!(self.endpoint_models[node].state(), State::Up | State::Draining);
-        self.endpoint_models[node].request(self.now, connection, attempt, work);
-        self.take_outputs(node);
+        let is_running = matches!(self.endpoint_models[endpoint].state(), State::Up | State::Draining);
+        self.endpoint_models[endpoint].request(self.now, connection, attempt, work);
+        self.take_outputs(endpoint);
         if !is_running {
             self.checker.record_end(attempt, self.now, AttemptEnd::Broken);
             let delay = self.endpoint_delay(attempt_index, MessageKind::FromEndpoint);
@@ -905,19 +916,19 @@
     }
 
     fn on_reply(&mut self, attempt_index: usize, outcome: Outcome, report: Option<LoadReport>) {
-        let Attempt { request_index, node, connection, ended, .. } = self.attempts[attempt_index];
+        let Attempt { request_index, endpoint, connection, ended, .. } = self.attempts[attempt_index];
         if ended {
             return;
         }
         if let Some(report) = report {
-            let endpoint_id = EndpointId(node as u32);
+            let endpoint_id = EndpointId(endpoint as u32);
             self.handle(
                 self.requests[request_index].gateway,
                 Event::LoadReport { endpoint: endpoint_id, report },
             );
         }
         if outcome != Outcome::Reset {
-            self.gateways[self.requests[request_index].gateway].idle[node].push((connection, self.now));
+            self.gateways[self.requests[request_index].gateway].idle[endpoint].push((connection, self.now));
         }
         if outcome == Outcome::Served {
             self.send_answer(request_index, ClientOutcome::Served);
@@ -926,9 +937,9 @@
     }
 
     /// A gateway learns that an endpoint has closed an idle connection.
-    fn on_idle_connection_ended(&mut self, gateway: usize, node: usize, connection: u64) {
+    fn on_idle_connection_ended(&mut self, gateway: usize, endpoint: usize, connection: u64) {
         let (now, reuse_limit, module) = (self.now, self.reuse_limit(), self.module_of(gateway));
-        let idle = &mut self.gateways[gateway].idle[node];
+        let idle = &mut self.gateways[gateway].idle[endpoint];
         let Some(at) = idle.iter().position(|(id, _)| *id == connection) else { return };
         let (_, since) = idle.remove(at);
         // A connection that has been idle for longer is closed by the gateway program itself, so its end says nothing about the endpoint.
@@ -936,12 +947,12 @@
             let gateways_of_module =
                 (0..self.gateways.len()).filter(|gateway_index| self.module_of(*gateway_index) == module);
             let idle_of_module =
-                gateways_of_module.flat_map(|gateway_index| &self.gateways[gateway_index].idle[node]);
+                gateways_of_module.flat_map(|gateway_index| &self.gateways[gateway_index].idle[endpoint]);
             let remaining_count = idle_of_module.filter(|(_, since)| now - *since < reuse_limit).count();
             self.handle(
                 gateway,
                 Event::IdleConnectionClosed {
-                    endpoint: EndpointId(node as u32),
+                    endpoint: EndpointId(endpoint as u32),
                     idle: now - since,
                     remaining: remaining_count,
                 },
@@ -956,10 +967,10 @@
 
     /// The gateway closes the connection of an attempt.
     fn close_connection(&mut self, attempt_index: usize) {
-        let Attempt { node, connection, written, .. } = self.attempts[attempt_index];
+        let Attempt { endpoint, connection, written, .. } = self.attempts[attempt_index];
         let delay = self.endpoint_delay(attempt_index, MessageKind::Disconnect);
         let attempt = written.then_some(attempt_index as u64);
-        self.schedule(self.now + delay, SimulationEvent::ConnectionClosed { node, connection, attempt });
+        self.schedule(self.now + delay, SimulationEvent::ConnectionClosed { endpoint, connection, attempt });
     }
 
     fn end_attempt(&mut self, attempt_index: usize, outcome: Outcome) {
@@ -979,8 +990,8 @@
     // ---- endpoints ----
 
     /// Processes the outputs of an endpoint and schedules its next internal change.
-    fn take_outputs(&mut self, node: usize) {
-        let outputs: Vec<Output> = self.endpoint_models[node].outputs().collect();
+    fn take_outputs(&mut self, endpoint: usize) {
+        let outputs: Vec<Output> = self.endpoint_models[endpoint].outputs().collect();
         for output in outputs {
             match output {
                 Output::Began { attempt } => self.checker.record_start(attempt, self.now),
@@ -1019,25 +1030,25 @@
                 Output::Ended { connection, attempt: None } => {
                     let at = self.now + self.script.network.same_zone;
                     let gateway = self.connection_gateways[connection as usize];
-                    self.schedule(at, SimulationEvent::IdleConnectionEnded { gateway, node, connection });
+                    self.schedule(at, SimulationEvent::IdleConnectionEnded { gateway, endpoint, connection });
                 }
                 Output::Crashed => {
                     self.counts.fallen += 1;
-                    self.checker.record_fall(node, self.now);
-                    self.discovery.record_crash(node, self.now);
+                    self.checker.record_fall(endpoint, self.now);
+                    self.discovery.record_crash(endpoint, self.now);
                     self.schedule_discovery_change();
                 }
             }
         }
-        self.schedule_endpoint(node);
+        self.schedule_endpoint(endpoint);
     }
 
-    fn schedule_endpoint(&mut self, node: usize) {
-        let next = self.endpoint_models[node].next();
-        if let Some(due) = next.filter(|_| self.endpoint_due[node] != next) {
-            self.schedule(due, SimulationEvent::EndpointChange { node, due });
+    fn schedule_endpoint(&mut self, endpoint: usize) {
+        let next = self.endpoint_models[endpoint].next();
+        if let Some(due) = next.filter(|_| self.endpoint_due[endpoint] != next) {
+            self.schedule(due, SimulationEvent::EndpointChange { endpoint, due });
         }
-        self.endpoint_due[node] = next;
+        self.endpoint_due[endpoint] = next;
     }
 
     // ---- reporting ----
@@ -1054,7 +1065,7 @@
             failed: rate(now.failed, before.failed),
             ..Sample::default()
         };
-        self.endpoint_models.iter().for_each(|node| sample.see(node));
+        self.endpoint_models.iter().for_each(|endpoint| sample.see(endpoint));
         self.timeline.push(sample);
         (self.sampled_counts, self.in_time.1) = (now, self.in_time.0);
         if self.now + step <= self.script.end() {
@@ -1103,11 +1114,11 @@
 
 impl Sample {
     /// Adds an endpoint to the counts of this sample.
-    pub fn see(&mut self, node: &EndpointModel) {
-        self.held += node.in_flight();
-        match node.state() {
-            State::Up if node.is_choked() => self.choked += 1,
-            State::Up if node.warm_up_fraction() < 1.0 => self.cold += 1,
+    pub fn see(&mut self, endpoint: &EndpointModel) {
+        self.held += endpoint.in_flight();
+        match endpoint.state() {
+            State::Up if endpoint.is_choked() => self.choked += 1,
+            State::Up if endpoint.warm_up_fraction() < 1.0 => self.cold += 1,
             State::Up => self.warm += 1,
             State::Draining => self.draining += 1,
             State::Down | State::CutOff | State::Crashed => self.down += 1,
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -30,14 +30,14 @@
 }
 
 /// Records attempt `number` at an endpoint, from `from` to `until` in milliseconds.
-fn attempt(checker: &mut Checker, number: u64, node: usize, from: u64, until: u64, how: AttemptEnd) {
+fn attempt(checker: &mut Checker, number: u64, endpoint: usize, from: u64, until: u64, how: AttemptEnd) {
     let (last_byte_at, started_at, end) = (Some(ms(from)), None, None);
     let (first_byte_at, work_s, gateway) = (ms(from), 0.01, 0);
     checker.record_attempt(
         1,
         ObservedAttempt {
             attempt: number,
-            node,
+            endpoint,
             gateway,
             first_byte_at,
             last_byte_at,
@@ -109,14 +109,14 @@
         (ALL, AttemptEnd::Left, 2, 200, true),
         (ALL, AttemptEnd::Left, 2, 1021, false),
     ];
-    for (class, how, node, again, allowed) in cases {
+    for (class, how, endpoint, again, allowed) in cases {
         let mut checker = checker();
         checker.record_request(1, SentRequest { gateway: 0, class, sent_at: ms(0), deadline: ms(5000) });
         attempt(&mut checker, 1, 0, 10, 100, how);
-        attempt(&mut checker, 2, node, again, again + 50, AttemptEnd::Served);
+        attempt(&mut checker, 2, endpoint, again, again + 50, AttemptEnd::Served);
         checker.record_answer(1, ms(again + 51), FinalAnswer::Served);
         let rules = if allowed { vec![] } else { vec![Rule::ResentAgainstClass] };
-        assert_eq!(found(&checker), rules, "class {class}, {how:?}, then node {node} at {again}");
+        assert_eq!(found(&checker), rules, "class {class}, {how:?}, then endpoint {endpoint} at {again}");
     }
 }
 
--- a/crates/testbed/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -20,19 +20,19 @@
     Work { request, seconds, subject: None, keyed: None, until: NEVER }
 }
 
-fn node(spec: EndpointSpec) -> EndpointModel {
+fn endpoint(spec: EndpointSpec) -> EndpointModel {
     EndpointModel::new(0, spec, RandomStreams::new(7), RepeatCaches::default(), Duration::ZERO)
 }
 
 /// Advances the endpoint step by step and returns its outputs, each with its time.
-fn run_until(node: &mut EndpointModel, until: Duration) -> Vec<(Duration, Output)> {
+fn run_until(endpoint: &mut EndpointModel, until: Duration) -> Vec<(Duration, Output)> {
     let mut out = Vec::new();
-    while let Some(next) = node.next().filter(|next| *next <= until) {
-        node.advance(next);
-        out.extend(node.outputs().map(|o| (next, o)));
+    while let Some(next) = endpoint.next().filter(|next| *next <= until) {
+        endpoint.advance(next);
+        out.extend(endpoint.outputs().map(|o| (next, o)));
     }
-    node.advance(until);
-    out.extend(node.outputs().map(|o| (until, o)));
+    endpoint.advance(until);
+    out.extend(endpoint.outputs().map(|o| (until, o)));
     out
 }
 
@@ -61,8 +61,8 @@
 fn mean_wait_agrees_with_queueing_theory() {
     for (servers, load, requests) in [(2, 0.5, 200_000), (2, 0.8, 400_000), (4, 0.7, 300_000)] {
         let queue = 1_000_000;
-        let mut node =
-            node(EndpointSpec { cores: servers, slots: servers, queue, ..EndpointSpec::default() });
+        let mut endpoint =
+            endpoint(EndpointSpec { cores: servers, slots: servers, queue, ..EndpointSpec::default() });
         let mut draws = RandomStreams::new(11).stream(Purpose::Arrivals, u64::from(servers));
         let (service, mut at) = (0.05, 0.0);
         let (mut came, mut waited, mut began) = (HashMap::new(), 0.0, 0u32);
@@ -78,15 +78,15 @@
         for request in 0..requests {
             at += draws.exponential() * service / (f64::from(servers) * load);
             let now = Duration::from_secs_f64(at);
-            record(run_until(&mut node, now), &mut came);
-            assert!(node.connect(now, request));
+            record(run_until(&mut endpoint, now), &mut came);
+            assert!(endpoint.connect(now, request));
             came.insert(request, now);
-            node.request(now, request, request, work(request, service * draws.exponential()));
-            record(node.outputs().map(|output| (now, output)).collect(), &mut came);
+            endpoint.request(now, request, request, work(request, service * draws.exponential()));
+            record(endpoint.outputs().map(|output| (now, output)).collect(), &mut came);
             // Only the processing of work is tested: each connection ends some time after its answer, so that none runs short.
             let done = request.saturating_sub(500);
             if request >= 500 && !came.contains_key(&done) {
-                node.disconnect(now, done);
+                endpoint.disconnect(now, done);
             }
         }
         let (mean, theory) = (waited / f64::from(began) / service, erlang_wait(servers, load));
@@ -128,43 +128,43 @@
         fall_over: ms(2000),
         ..EndpointSpec::default()
     };
-    let mut node = node(spec);
-    node.kill(ms(1000));
-    assert!(!node.connect(ms(1500), 1), "an endpoint without a process accepted a connection");
-    node.start_cold(ms(2000));
-    node
+    let mut endpoint = endpoint(spec);
+    endpoint.kill(ms(1000));
+    assert!(!endpoint.connect(ms(1500), 1), "an endpoint without a process accepted a connection");
+    endpoint.start_cold(ms(2000));
+    endpoint
 }
 
 #[test]
 fn a_cold_endpoint_falls_over_above_its_budget_and_stays_down() {
     // At its start the endpoint does 0.1 s of work a second, so that its limit is 0.5 s of work within 2 s.
     for (each, falls) in [(0.049, false), (0.051, true)] {
-        let mut node = cold();
+        let mut endpoint = cold();
         for n in 0..10 {
-            if node.connect(ms(2000), n) {
-                node.request(ms(2000), n, n, work(n, each));
+            if endpoint.connect(ms(2000), n) {
+                endpoint.request(ms(2000), n, n, work(n, each));
             }
         }
-        let fell = node.outputs().any(|output| output == Output::Crashed);
-        assert_eq!((fell, node.state() == State::Crashed), (falls, falls), "ten requests of {each} s");
+        let fell = endpoint.outputs().any(|output| output == Output::Crashed);
+        assert_eq!((fell, endpoint.state() == State::Crashed), (falls, falls), "ten requests of {each} s");
         if falls {
-            node.start_cold(ms(60_000));
-            assert_eq!(node.state(), State::Crashed, "an endpoint that fell over started again");
-            assert!(!node.connect(ms(60_001), 99));
+            endpoint.start_cold(ms(60_000));
+            assert_eq!(endpoint.state(), State::Crashed, "an endpoint that fell over started again");
+            assert!(!endpoint.connect(ms(60_001), 99));
         }
     }
 }
 
 #[test]
 fn a_warm_endpoint_bears_a_load_that_pushes_a_cold_one_over() {
-    let mut node = cold();
-    run_until(&mut node, ms(12_001));
-    assert!((node.warm_up_fraction() - 1.0).abs() < 1e-9);
+    let mut endpoint = cold();
+    run_until(&mut endpoint, ms(12_001));
+    assert!((endpoint.warm_up_fraction() - 1.0).abs() < 1e-9);
     for n in 0..50 {
-        assert!(node.connect(ms(12_001), n));
-        node.request(ms(12_001), n, n, work(n, 1.0));
+        assert!(endpoint.connect(ms(12_001), n));
+        endpoint.request(ms(12_001), n, n, work(n, 1.0));
     }
-    assert_eq!(node.state(), State::Up);
+    assert_eq!(endpoint.state(), State::Up);
 }
 
 #[test]
@@ -174,7 +174,7 @@
     assert!((by_time.warm_up_fraction() - 0.55).abs() < 1e-6, "{}", by_time.warm_up_fraction());
     let mut spec = EndpointSpec { cold_from: 0.1, cold_for: ms(10_000), ..EndpointSpec::default() };
     spec.warm_by = WarmBy::Work;
-    let mut by_work = node(spec);
+    let mut by_work = endpoint(spec);
     by_work.start_cold(Duration::ZERO);
     for n in 0..4u64 {
         let at = ms(1500 * n);
@@ -213,12 +213,12 @@
     let of = |caches: &RepeatCaches| {
         EndpointModel::new(0, EndpointSpec::default(), RandomStreams::new(1), caches.clone(), ms(0))
     };
-    let mut nodes = [of(&rack), of(&rack), of(&other)];
+    let mut endpoints = [of(&rack), of(&rack), of(&other)];
     let mut ask = |n: usize, at: Duration, key: u64, group: KeyScope| {
-        let (id, node) = (at.as_millis() as u64 + key * 1_000_000, &mut nodes[n]);
-        assert!(node.connect(at, id));
-        node.request(at, id, id, Work { keyed: Some((key, group, window)), ..work(id, 0.01) });
-        let out = run_until(node, at + ms(50));
+        let (id, endpoint) = (at.as_millis() as u64 + key * 1_000_000, &mut endpoints[n]);
+        assert!(endpoint.connect(at, id));
+        endpoint.request(at, id, id, Work { keyed: Some((key, group, window)), ..work(id, 0.01) });
+        let out = run_until(endpoint, at + ms(50));
         answers(&out, id)[0].1 == Answer::Served { dropped: true }
     };
     assert!(!ask(0, ms(0), 1, KeyScope::Cell), "the first request was dropped");
@@ -232,16 +232,16 @@
 #[test]
 fn a_repeat_of_a_cancelled_or_failed_request_is_processed_in_full() {
     let keyed = |n| Work { keyed: Some((9, KeyScope::All, ms(1200))), ..work(n, 0.1) };
-    let mut node = node(EndpointSpec { cores: 1, ..EndpointSpec::default() });
-    assert!(node.connect(ms(0), 0) && node.connect(ms(0), 1) && node.connect(ms(0), 2));
-    node.request(ms(0), 0, 0, keyed(0));
-    run_until(&mut node, ms(60));
-    node.disconnect(ms(60), 0);
-    node.request(ms(61), 1, 1, keyed(0));
-    let out = run_until(&mut node, ms(400));
+    let mut endpoint = endpoint(EndpointSpec { cores: 1, ..EndpointSpec::default() });
+    assert!(endpoint.connect(ms(0), 0) && endpoint.connect(ms(0), 1) && endpoint.connect(ms(0), 2));
+    endpoint.request(ms(0), 0, 0, keyed(0));
+    run_until(&mut endpoint, ms(60));
+    endpoint.disconnect(ms(60), 0);
+    endpoint.request(ms(61), 1, 1, keyed(0));
+    let out = run_until(&mut endpoint, ms(400));
     assert_eq!(answers(&out, 1), [(ms(161), Answer::Served { dropped: false })]);
-    node.request(ms(500), 2, 2, keyed(0));
-    let out = run_until(&mut node, ms(700));
+    endpoint.request(ms(500), 2, 2, keyed(0));
+    let out = run_until(&mut endpoint, ms(700));
     assert!(
         matches!(answers(&out, 2)[..], [(_, Answer::Served { dropped: true })]),
         "a repeat of a processed request was not dropped"
@@ -264,41 +264,41 @@
 
 #[test]
 fn a_queued_request_that_is_cancelled_is_not_processed() {
-    let mut node = node(EndpointSpec { cores: 1, slots: 1, ..EndpointSpec::default() });
+    let mut endpoint = endpoint(EndpointSpec { cores: 1, slots: 1, ..EndpointSpec::default() });
     for n in 0..2 {
-        assert!(node.connect(ms(0), n));
-        node.request(ms(0), n, n, Work { keyed: Some((9, KeyScope::All, ms(1000))), ..work(n, 0.1) });
+        assert!(endpoint.connect(ms(0), n));
+        endpoint.request(ms(0), n, n, Work { keyed: Some((9, KeyScope::All, ms(1000))), ..work(n, 0.1) });
     }
-    node.disconnect(ms(10), 1);
-    let out = run_until(&mut node, ms(500));
+    endpoint.disconnect(ms(10), 1);
+    let out = run_until(&mut endpoint, ms(500));
     assert_eq!(answers(&out, 0), [(ms(100), Answer::Served { dropped: false })]);
     assert!(answers(&out, 1).is_empty());
-    assert_eq!(node.in_flight(), 0);
+    assert_eq!(endpoint.in_flight(), 0);
 }
 
 #[test]
 fn cancelled_work_stops_only_on_endpoints_that_support_cancelling() {
     for (cancels, ends) in [(true, ms(100)), (false, ms(190))] {
-        let mut node = node(EndpointSpec { cores: 1, slots: 4, cancels, ..EndpointSpec::default() });
-        assert!(node.connect(ms(0), 1) && node.connect(ms(0), 2));
-        node.request(ms(0), 1, 1, work(1, 0.095));
-        node.request(ms(0), 2, 2, work(2, 0.095));
-        run_until(&mut node, ms(10));
-        node.disconnect(ms(10), 1);
-        let out = run_until(&mut node, ms(1000));
+        let mut endpoint = endpoint(EndpointSpec { cores: 1, slots: 4, cancels, ..EndpointSpec::default() });
+        assert!(endpoint.connect(ms(0), 1) && endpoint.connect(ms(0), 2));
+        endpoint.request(ms(0), 1, 1, work(1, 0.095));
+        endpoint.request(ms(0), 2, 2, work(2, 0.095));
+        run_until(&mut endpoint, ms(10));
+        endpoint.disconnect(ms(10), 1);
+        let out = run_until(&mut endpoint, ms(1000));
         assert_eq!(answers(&out, 2)[0].0, ends, "cancels: {cancels}");
     }
 }
 
 #[test]
 fn requests_are_rejected_when_the_queue_is_full_or_their_deadline_has_passed() {
-    let mut node = node(EndpointSpec { cores: 1, slots: 1, queue: 1, ..EndpointSpec::default() });
+    let mut endpoint = endpoint(EndpointSpec { cores: 1, slots: 1, queue: 1, ..EndpointSpec::default() });
     for n in 0..3 {
-        assert!(node.connect(ms(0), n));
+        assert!(endpoint.connect(ms(0), n));
         let until = if n == 1 { ms(50) } else { NEVER };
-        node.request(ms(0), n, n, Work { until, ..work(n, 0.1) });
+        endpoint.request(ms(0), n, n, Work { until, ..work(n, 0.1) });
     }
-    let out = run_until(&mut node, ms(1000));
+    let out = run_until(&mut endpoint, ms(1000));
     assert_eq!(answers(&out, 0), [(ms(100), Answer::Served { dropped: false })]);
     assert_eq!(answers(&out, 1), [(ms(100), Answer::Rejected(RejectionReason::Expired))]);
     let full: Vec<_> = answers(&out, 2).into_iter().map(|(_, answer)| answer).collect();
@@ -307,49 +307,53 @@
 
 #[test]
 fn a_draining_endpoint_finishes_its_requests_and_rejects_new_ones() {
-    let mut node = node(EndpointSpec::default());
-    assert!(node.connect(ms(0), 1) && node.connect(ms(0), 2));
-    node.request(ms(0), 1, 1, work(1, 0.1));
-    node.drain(ms(10), true);
-    node.request(ms(20), 2, 2, work(2, 0.1));
-    let out = run_until(&mut node, ms(500));
+    let mut endpoint = endpoint(EndpointSpec::default());
+    assert!(endpoint.connect(ms(0), 1) && endpoint.connect(ms(0), 2));
+    endpoint.request(ms(0), 1, 1, work(1, 0.1));
+    endpoint.drain(ms(10), true);
+    endpoint.request(ms(20), 2, 2, work(2, 0.1));
+    let out = run_until(&mut endpoint, ms(500));
     assert_eq!(answers(&out, 1)[0].1, Answer::Served { dropped: false });
     assert_eq!(answers(&out, 2)[0].1, Answer::Rejected(RejectionReason::Draining));
-    node.drain(ms(600), false);
-    assert_eq!(node.state(), State::Up);
+    endpoint.drain(ms(600), false);
+    assert_eq!(endpoint.state(), State::Up);
 }
 
 #[test]
 fn the_number_of_connections_is_limited_and_idle_connections_are_closed() {
-    let mut node = node(EndpointSpec { connections: 2, keep_alive: ms(1000), ..EndpointSpec::default() });
-    assert!(node.connect(ms(0), 1) && node.connect(ms(400), 2));
-    assert!(!node.connect(ms(500), 3), "a connection was accepted with a full connection table");
-    let out = run_until(&mut node, ms(1200));
+    let mut endpoint =
+        endpoint(EndpointSpec { connections: 2, keep_alive: ms(1000), ..EndpointSpec::default() });
+    assert!(endpoint.connect(ms(0), 1) && endpoint.connect(ms(400), 2));
+    assert!(!endpoint.connect(ms(500), 3), "a connection was accepted with a full connection table");
+    let out = run_until(&mut endpoint, ms(1200));
     assert_eq!(out, [(ms(1000), Output::Ended { connection: 1, attempt: None })]);
-    assert!(node.connect(ms(1200), 4));
+    assert!(endpoint.connect(ms(1200), 4));
 }
 
 #[test]
 fn a_connection_that_was_dropped_silently_resets_the_next_request() {
-    let mut node = node(EndpointSpec::default());
-    assert!(node.connect(ms(0), 1));
-    node.set_idle_timeout(ms(100), Some((ms(500), true)));
-    assert!(run_until(&mut node, ms(2000)).is_empty(), "the endpoint announced the end of the connection");
-    assert_eq!(node.open_connections(), 0);
-    node.request(ms(2000), 1, 7, work(7, 0.01));
-    let out: Vec<_> = node.outputs().collect();
+    let mut endpoint = endpoint(EndpointSpec::default());
+    assert!(endpoint.connect(ms(0), 1));
+    endpoint.set_idle_timeout(ms(100), Some((ms(500), true)));
+    assert!(
+        run_until(&mut endpoint, ms(2000)).is_empty(),
+        "the endpoint announced the end of the connection"
+    );
+    assert_eq!(endpoint.open_connections(), 0);
+    endpoint.request(ms(2000), 1, 7, work(7, 0.01));
+    let out: Vec<_> = endpoint.outputs().collect();
     assert_eq!(out, [Output::Ended { connection: 1, attempt: Some(7) }]);
 }
 
 #[test]
 fn a_handshake_costs_work_and_only_the_first_request_waits_for_it() {
-    let mut node = node(EndpointSpec { cores: 1, handshake: 0.03, ..EndpointSpec::default() });
-    assert!(node.connect(ms(0), 1));
-    node.request(ms(1), 1, 1, work(1, 0.1));
-    assert_eq!(answers(&run_until(&mut node, ms(500)), 1)[0].0, ms(130));
-    node.request(ms(500), 1, 2, work(2, 0.1));
+    let mut endpoint = endpoint(EndpointSpec { cores: 1, handshake: 0.03, ..EndpointSpec::default() });
+    assert!(endpoint.connect(ms(0), 1));
+    endpoint.request(ms(1), 1, 1, work(1, 0.1));
+    assert_eq!(answers(&run_until(&mut endpoint, ms(500)), 1)[0].0, ms(130));
+    endpoint.request(ms(500), 1, 2, work(2, 0.1));
     assert_eq!(
-        answers(&run_until(&mut node, ms(900)), 2)[0].0,
+        answers(&run_until(&mut endpoint, ms(900)), 2)[0].0,
         ms(600),
         "the second request waited for a handshake"
     );
@@ -357,16 +361,16 @@
 
 #[test]
 fn a_neighbour_takes_its_share_of_the_processor_and_a_pause_takes_all() {
-    let mut node = node(EndpointSpec { cores: 1, ..EndpointSpec::default() });
-    assert!(node.connect(ms(0), 1));
-    node.set_neighbour_share(ms(0), 0.5);
-    node.request(ms(0), 1, 1, work(1, 0.1));
-    assert_eq!(answers(&run_until(&mut node, ms(1000)), 1)[0].0, ms(200));
-    node.set_neighbour_share(ms(1000), 0.0);
-    node.request(ms(1000), 1, 2, work(2, 0.1));
-    run_until(&mut node, ms(1050));
-    node.pause(ms(1050), ms(300));
-    assert_eq!(answers(&run_until(&mut node, ms(3000)), 2)[0].0, ms(1400));
+    let mut endpoint = endpoint(EndpointSpec { cores: 1, ..EndpointSpec::default() });
+    assert!(endpoint.connect(ms(0), 1));
+    endpoint.set_neighbour_share(ms(0), 0.5);
+    endpoint.request(ms(0), 1, 1, work(1, 0.1));
+    assert_eq!(answers(&run_until(&mut endpoint, ms(1000)), 1)[0].0, ms(200));
+    endpoint.set_neighbour_share(ms(1000), 0.0);
+    endpoint.request(ms(1000), 1, 2, work(2, 0.1));
+    run_until(&mut endpoint, ms(1050));
+    endpoint.pause(ms(1050), ms(300));
+    assert_eq!(answers(&run_until(&mut endpoint, ms(3000)), 2)[0].0, ms(1400));
     let pause = PauseSpec { every: ms(500), lasts: ms(100), grows: 0.0 };
     let mut paused = EndpointModel::new(
         3,
@@ -385,11 +389,11 @@
 fn a_recently_seen_subject_costs_less_work() {
     let spec =
         EndpointSpec { cores: 1, key_gain: 0.5, key_for: ms(1000), key_places: 2, ..EndpointSpec::default() };
-    let mut node = node(spec);
-    assert!(node.connect(ms(0), 1));
+    let mut endpoint = endpoint(spec);
+    assert!(endpoint.connect(ms(0), 1));
     let mut took = |at: u64, key: u64| {
-        node.request(ms(at), 1, at, Work { subject: Some(key), ..work(at, 0.1) });
-        (answers(&run_until(&mut node, ms(at + 200)), at)[0].0 - ms(at)).as_millis()
+        endpoint.request(ms(at), 1, at, Work { subject: Some(key), ..work(at, 0.1) });
+        (answers(&run_until(&mut endpoint, ms(at + 200)), at)[0].0 - ms(at)).as_millis()
     };
     assert_eq!(took(0, 1), 100);
     assert_eq!(took(500, 1), 50);
@@ -402,39 +406,40 @@
 fn an_endpoint_chokes_after_too_many_requests_in_flight_and_recovers_after_a_rest() {
     let choke =
         ChokeSpec { at: 4.0, over: ms(1000), slower: 3.0, below: 0.3, rest: ms(1000), most: ms(20_000) };
-    let mut node = node(EndpointSpec { cores: 1, slots: 100, choke: Some(choke), ..EndpointSpec::default() });
+    let mut endpoint =
+        endpoint(EndpointSpec { cores: 1, slots: 100, choke: Some(choke), ..EndpointSpec::default() });
     for n in 0..8 {
-        assert!(node.connect(ms(0), n));
-        node.request(ms(0), n, n, work(n, 0.5));
+        assert!(endpoint.connect(ms(0), n));
+        endpoint.request(ms(0), n, n, work(n, 0.5));
     }
-    run_until(&mut node, ms(900));
-    assert!(!node.is_choked(), "the endpoint choked before 1 s");
-    run_until(&mut node, ms(1200));
-    assert!(node.is_choked(), "eight requests on one core for a second did not choke the endpoint");
+    run_until(&mut endpoint, ms(900));
+    assert!(!endpoint.is_choked(), "the endpoint choked before 1 s");
+    run_until(&mut endpoint, ms(1200));
+    assert!(endpoint.is_choked(), "eight requests on one core for a second did not choke the endpoint");
     // The work is 4 s in all: about 1 s of it is done at full speed, and the remaining work takes three times as long.
-    let out = run_until(&mut node, ms(30_000));
+    let out = run_until(&mut endpoint, ms(30_000));
     let last = (0..8).map(|n| answers(&out, n)[0].0).max().expect("no request was answered");
     assert!((ms(9000)..ms(11_500)).contains(&last), "{last:?}");
-    assert!(!node.is_choked(), "the endpoint did not recover after its rest");
+    assert!(!endpoint.is_choked(), "the endpoint did not recover after its rest");
 }
 
 #[test]
 fn load_reports_change_only_at_their_period_and_with_their_delay() {
     let mut spec = EndpointSpec { cores: 4, ..EndpointSpec::default() };
     (spec.report.period, spec.report.late) = (ms(500), ms(200));
-    let mut node = node(spec);
+    let mut endpoint = endpoint(spec);
     for n in 0..5 {
-        assert!(node.connect(ms(0), n));
-        node.request(ms(0), n, n, work(n, 100.0));
+        assert!(endpoint.connect(ms(0), n));
+        endpoint.request(ms(0), n, n, work(n, 100.0));
     }
     let mut seen = Vec::new();
     for at in (50..2500).step_by(50) {
-        run_until(&mut node, ms(at));
+        run_until(&mut endpoint, ms(at));
         let id = 1000 + at;
-        assert!(node.connect(ms(at), id));
-        node.set_failure_share(ms(at), 1.0);
-        node.request(ms(at), id, id, work(id, 0.001));
-        let report = node.outputs().find_map(|o| match o {
+        assert!(endpoint.connect(ms(at), id));
+        endpoint.set_failure_share(ms(at), 1.0);
+        endpoint.request(ms(at), id, id, work(id, 0.001));
+        let report = endpoint.outputs().find_map(|o| match o {
             Output::Answered { report, .. } => Some(report.inflight),
             _ => None,
         });
@@ -484,7 +489,7 @@
         let pause = Some(PauseSpec { every: ms(700), lasts: ms(40), grows: 1.0 });
         let spec = EndpointSpec { slots: 3, queue: 2, connections: 12, handshake: 0.002, choke, pause,
             keep_alive: ms(900), error_rate: 0.1, ..EndpointSpec::default() };
-        let mut node = EndpointModel::new(1, spec, RandomStreams::new(seed), RepeatCaches::default(), Duration::ZERO);
+        let mut endpoint = EndpointModel::new(1, spec, RandomStreams::new(seed), RepeatCaches::default(), Duration::ZERO);
         let (mut now, mut ids) = (Duration::ZERO, 0u64);
         let (mut open, mut out): (Vec<u64>, HashMap<u64, u64>) = (Vec::new(), HashMap::new());
         let mut ended = HashSet::new();
@@ -492,7 +497,7 @@
             match step {
                 Step::Connect => {
                     ids += 1;
-                    if node.connect(now, ids) {
+                    if endpoint.connect(now, ids) {
                         open.push(ids);
                     }
                 }
@@ -500,33 +505,33 @@
                     let free: Vec<u64> = open.iter().copied().filter(|c| !out.values().any(|o| o == c)).collect();
                     if let Some(&connection) = free.get(c % free.len().max(1)) {
                         ids += 1;
-                        if node.state() != State::CutOff {
+                        if endpoint.state() != State::CutOff {
                             out.insert(ids, connection); // an endpoint that is cut off never answers
                         }
-                        node.request(now, connection, ids, work(ids, f64::from(w) * 1e-3));
+                        endpoint.request(now, connection, ids, work(ids, f64::from(w) * 1e-3));
                     }
                 }
                 Step::Leave(c) => {
                     if !open.is_empty() {
                         let connection = open.remove(c % open.len());
                         out.retain(|_, o| *o != connection);
-                        node.disconnect(now, connection);
+                        endpoint.disconnect(now, connection);
                     }
                 }
                 Step::Wait(t) => {
                     now += ms(t);
-                    node.advance(now);
+                    endpoint.advance(now);
                 }
-                Step::Kill => node.kill(now),
+                Step::Kill => endpoint.kill(now),
                 Step::CutOff => {
-                    node.cut_off(now);
+                    endpoint.cut_off(now);
                     out.clear(); // attempts in flight at the cut-off are never answered
                 }
-                Step::Start => node.start_cold(now),
-                Step::Drain(on) => node.drain(now, on),
-                Step::Neighbour(share) => node.set_neighbour_share(now, share),
+                Step::Start => endpoint.start_cold(now),
+                Step::Drain(on) => endpoint.drain(now, on),
+                Step::Neighbour(share) => endpoint.set_neighbour_share(now, share),
             }
-            for output in node.outputs() {
+            for output in endpoint.outputs() {
                 let (attempt, connection) = match output {
                     Output::Answered { attempt, .. } => (Some(attempt), None),
                     Output::Ended { attempt, connection } => (attempt, Some(connection)),
@@ -540,11 +545,11 @@
                     open.retain(|c| *c != connection);
                 }
             }
-            prop_assert!(node.in_flight() <= 12 && node.open_connections() <= 12);
-            prop_assert!((0.0..=1.0).contains(&node.warm_up_fraction()));
+            prop_assert!(endpoint.in_flight() <= 12 && endpoint.open_connections() <= 12);
+            prop_assert!((0.0..=1.0).contains(&endpoint.warm_up_fraction()));
         }
-        if node.state() == State::Up {
-            prop_assert_eq!(node.in_flight(), 0, "{:?}", out);
+        if endpoint.state() == State::Up {
+            prop_assert_eq!(endpoint.in_flight(), 0, "{:?}", out);
             prop_assert!(out.is_empty(), "{:?} got no answer", out);
         }
     }
--- a/crates/testbed/tests/mutants.rs
+++ b/crates/testbed/tests/mutants.rs
@@ -76,7 +76,7 @@
 struct Proxy {
     fault: Fault,
     discovery: SocketAddr,
-    nodes: RefCell<Vec<(SocketAddr, u64)>>,
+    endpoints: RefCell<Vec<(SocketAddr, u64)>>,
     turn: Cell<usize>,
     last_body: RefCell<Vec<u8>>,
 }
@@ -84,7 +84,7 @@
 fn listed(list: &Value) -> Vec<(SocketAddr, u64)> {
     let entries = list["endpoints"].as_array().expect("the endpoint list has no array of endpoints");
     let active = entries.iter().filter(|entry| entry["status"] == "active");
-    let node = |entry: &Value| {
+    let address_and_rack = |entry: &Value| {
         let address = entry["address"]
             .as_str()
             .expect("an entry has no address")
@@ -92,7 +92,7 @@
             .expect("an address is invalid");
         (address, entry["group"].as_u64().expect("an entry has no group"))
     };
-    active.map(node).collect()
+    active.map(address_and_rack).collect()
 }
 
 fn text(message: &Message) -> Vec<u8> {
@@ -109,8 +109,8 @@
             .expect("the configuration has no discovery address")
             .parse()
             .expect("the discovery address is invalid");
-        let nodes = RefCell::new(listed(&config["known"]));
-        Proxy { fault, discovery, nodes, turn: Cell::default(), last_body: RefCell::default() }
+        let endpoints = RefCell::new(listed(&config["known"]));
+        Proxy { fault, discovery, endpoints, turn: Cell::default(), last_body: RefCell::default() }
     }
 
     async fn poll_discovery(self: Rc<Self>) {
@@ -123,7 +123,7 @@
             if let (Ok(()), Ok(answer)) = (sent, answer) {
                 let list = serde_json::from_slice(&answer.body).expect("the endpoint list is not JSON");
                 if self.fault != Fault::SendsToDrained {
-                    self.nodes.replace(listed(&list));
+                    self.endpoints.replace(listed(&list));
                 }
             }
         }
@@ -132,8 +132,8 @@
     fn next_endpoint(&self, excluded_rack: Option<u64>) -> SocketAddr {
         loop {
             self.turn.set(self.turn.get() + 1);
-            let nodes = self.nodes.borrow();
-            let (address, rack) = nodes[self.turn.get() % nodes.len()];
+            let endpoints = self.endpoints.borrow();
+            let (address, rack) = endpoints[self.turn.get() % endpoints.len()];
             if Some(rack) != excluded_rack {
                 return address;
             }
@@ -141,7 +141,7 @@
     }
 
     fn rack(&self, address: SocketAddr) -> Option<u64> {
-        self.nodes.borrow().iter().find(|node| node.0 == address).map(|node| node.1)
+        self.endpoints.borrow().iter().find(|endpoint| endpoint.0 == address).map(|endpoint| endpoint.1)
     }
 
     async fn attempt(&self, to: SocketAddr, request: &[u8]) -> Option<Message> {
@@ -324,7 +324,7 @@
     let report = run_with_fault(Fault::None, "4s", RESTARTING);
     let rules: BTreeSet<Rule> = report.violations.iter().map(|violation| violation.rule).collect();
     assert_eq!(rules, only(Rule::PushedOver), "{}", report.to_text());
-    assert_eq!((report.violations[0].node, report.counts.fallen), (Some(1), 1));
+    assert_eq!((report.violations[0].endpoint, report.counts.fallen), (Some(1), 1));
     let last = report.timeline.last().expect("the timeline is empty");
     assert_eq!((last.down, last.warm), (1, 5), "the endpoint is not down at the end of the run");
 }
