--- a/crates/gateway/tests/crossings/client_disconnects.rs
+++ b/crates/gateway/tests/crossings/client_disconnects.rs
@@ -191,7 +191,7 @@
 }
 
 /// A body that is too long to be buffered is read further only once an endpoint takes it.
-/// This body is no longer than what the gateway and its kernel are certain to read, 64 KiB each:
+/// The test's body is no longer than what the gateway and its kernel are certain to read, 64 KiB each:
 /// with a longer body the client's end of stream stays behind unread bytes, which `unread_input.rs` tests.
 #[test]
 fn no_attempt_after_disconnect_while_a_long_body_waits_for_an_endpoint() {
--- a/crates/gateway/tests/crossings/single_processing.rs
+++ b/crates/gateway/tests/crossings/single_processing.rs
@@ -170,7 +170,7 @@
 }
 
 /// An endpoint that answers before it has received the whole request never receives the rest, with which it would begin to process the request.
-/// Such an early answer is not served either, as it answers something else.
+/// An answer sent before the end of the request is not served either, as it answers something else.
 #[test]
 fn answer_before_the_end_of_the_request_closes_the_connection() {
     let answers: [(&[u8], u16); 3] = [
--- a/crates/gateway/tests/day_by_day/admin_api.rs
+++ b/crates/gateway/tests/day_by_day/admin_api.rs
@@ -114,7 +114,7 @@
     assert_eq!(gateway.call("PUT", "/_lameduck/on").status(), 200, "a second call changes nothing");
     assert_eq!(front_health_status(&gateway), 503, "the health check must fail at once");
     assert_eq!(gateway.call("GET", "/_ready").status(), 200, "a draining gateway must still be ready");
-    // Clients that connect before the front has noticed the drain are served; soon afterwards answers close their connections.
+    // Clients that connect before the front load balancer has noticed the drain are served; soon afterwards answers close their connections.
     wait_for("answers with Connection: close", || gateway.ask("look").header("connection") == Some("close"));
     assert_eq!(idle_client.ask("look").status(), 200);
     assert!(idle_client.read().is_none(), "the connection must close after its answer");
@@ -123,7 +123,7 @@
     if before.elapsed() < Duration::from_secs(3) {
         assert!(
             before.elapsed() > Duration::from_millis(400),
-            "idle connections must stay open until the front has noticed"
+            "idle connections must stay open until the front load balancer has noticed"
         );
     }
     endpoint.release();
--- a/crates/gateway/tests/day_by_day/hot_restart.rs
+++ b/crates/gateway/tests/day_by_day/hot_restart.rs
@@ -264,7 +264,7 @@
     // The first process is replaced while it drains; the second process does not drain.
     assert_eq!(first.call("PUT", "/_lameduck/on").status(), 200);
     let (mut second, _second_discovery) = shared.start_ready("often-2", &endpoints);
-    // Either process may answer the front's health check; the second process reports success.
+    // Either process may answer the front load balancer's health check; the second process reports success.
     wait_for("the health check to succeed", || front_health_status(&second) == 200);
     // A third process starts while the first hangs, which affects nobody; then the first is killed and the second is told to exit.
     first.signal("STOP");
--- a/crates/gateway/tests/soak/clients.rs
+++ b/crates/gateway/tests/soak/clients.rs
@@ -9,12 +9,12 @@
 use std::time::{Duration, Instant};
 use weldworks_testbed::scripted::HttpMessage;
 
-/// Time for which the front still sends new connections to a process after SIGTERM.
+/// Time for which the front load balancer still sends new connections to a process after SIGTERM.
 const NOTICE_DELAY: Duration = Duration::from_millis(300);
 /// Time after the client's timeout for which a client waits for the final answer; a later answer counts as none.
 const ANSWER_GRACE: Duration = Duration::from_millis(1500);
 
-/// A gateway as the front knows it: the address and number of its current process, and since when the process is stopping.
+/// A gateway as the front load balancer knows it: the address and number of its current process, and since when the process is stopping.
 #[derive(Clone, Debug, Default)]
 pub struct Backend {
     pub address: String,
--- a/crates/testbed/src/baseline.rs
+++ b/crates/testbed/src/baseline.rs
@@ -1,6 +1,6 @@
 //! A baseline balancer to compare with: it picks endpoints at random, retries at once and admits every request.
 //!
-//! It respects the idempotency of request classes and sends nothing to draining endpoints.
+//! The balancer respects the idempotency of request classes and sends nothing to draining endpoints.
 //! Endpoints in slow start get as many requests as others, and a request to an unreachable endpoint is held up by the connection attempt.
 //! The checker records both effects.
 //! The gateway program does not use this balancer.
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -238,7 +238,7 @@
     }
 
     /// All that was observed of a request; `None` for an unknown number.
-    pub fn of(&self, request: RequestNumber) -> Option<&Record> {
+    pub fn record_of(&self, request: RequestNumber) -> Option<&Record> {
         self.records.get(&request)
     }
 
--- a/crates/testbed/src/large_bodies.rs
+++ b/crates/testbed/src/large_bodies.rs
@@ -1,5 +1,5 @@
 //! An endpoint and a client for bodies of any length, pace and framing, which neither of them holds in memory.
-//! They generate bodies while they write and compute a digest of what they read.
+//! Endpoint and client generate bodies while they write and compute a digest of what they read.
 //! A forwarded body must have the digest of the body that was sent, however it was split.
 
 use crate::scripted::Observations;
--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -1,4 +1,4 @@
-//! Clients on sockets, and the front that distributes their connections over the gateways of a zone.
+//! Clients on sockets, and the front load balancer, which distributes their connections over the gateways of a zone.
 
 use super::endpoints::parse_request_number;
 use super::http::{Connection, Kind, Message, ReadError};
@@ -19,12 +19,12 @@
 
 /// Time after the client's timeout for which an answer is still read, so that a slightly late answer can be told from none.
 const LATE_ANSWER_WAIT: Duration = Duration::from_millis(60);
-/// Time for which the front sends no requests to a gateway that could not be reached.
+/// Time for which the front load balancer sends no requests to a gateway that could not be reached.
 const UNREACHABLE_EXCLUSION: Duration = Duration::from_secs(2);
 /// Idle connections kept open for each gateway by clients that send one request per connection.
 const MAX_UNUSED_CONNECTIONS: usize = 40;
 
-/// A gateway as the front knows it.
+/// A gateway as the front load balancer knows it.
 #[derive(Debug)]
 struct FrontTarget {
     address: SocketAddr,
@@ -33,11 +33,11 @@
     idle: RefCell<Vec<(Connection, u64)>>,
     /// Connections that clients keep open and do not use again, each with the number of its last request.
     unused_connections: RefCell<VecDeque<(Connection, u64)>>,
-    /// Until when the front sends this gateway no requests.
+    /// Until when the front load balancer sends this gateway no requests.
     excluded_until: Cell<Duration>,
 }
 
-/// The clients of a run, together with the front that distributes their requests.
+/// The clients of a run, together with the front load balancer that distributes their requests.
 #[derive(Debug)]
 pub struct Clients {
     run: Rc<RunState>,
@@ -112,7 +112,7 @@
 
     /// Whether an idle connection can be used again. Bytes received on an idle connection are recorded as an answer to no request.
     fn check_idle(&self, connection: &mut Connection, last: u64) -> bool {
-        let received = connection.look();
+        let received = connection.read_available();
         if connection.has_surplus() {
             self.run.checker.borrow_mut().record_answer(last, self.run.clock.now(), FinalAnswer::Foreign);
         }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// The gateway to which the front sends a request: a reachable gateway of the request's zone, or of any zone if it has none.
+    /// The gateway to which the front load balancer sends a request: a reachable gateway of the request's zone, or of any zone if it has none.
     fn choose_gateway(&self, planned: &PlannedRequest, number: u64) -> Option<usize> {
         let now = self.run.clock.now();
         let is_available = |gateway: &usize| self.gateways[*gateway].excluded_until.get() <= now;
--- a/crates/testbed/src/live/discovery.rs
+++ b/crates/testbed/src/live/discovery.rs
@@ -183,7 +183,7 @@
             has_sent = true;
             tokio::select! {
                 _ = timeout(HEARTBEAT_INTERVAL, self.next_change(now)) => {}
-                is_open = connection.more() => if !is_open {
+                is_open = connection.read_more() => if !is_open {
                     return;
                 }
             }
--- a/crates/testbed/src/live/endpoints.rs
+++ b/crates/testbed/src/live/endpoints.rs
@@ -355,7 +355,7 @@
                 tokio::select! {
                     biased;
                     command = commands_received.recv() => break command,
-                    is_open = stream_connection.more() => if !is_open {
+                    is_open = stream_connection.read_more() => if !is_open {
                         return Some(attempt);
                     }
                 }
--- a/crates/testbed/src/live/http.rs
+++ b/crates/testbed/src/live/http.rs
@@ -102,7 +102,7 @@
     }
 
     /// Reads what has been received, without waiting, and returns the number of buffered bytes; `None` if the connection has ended.
-    pub fn look(&mut self) -> Option<usize> {
+    pub fn read_available(&mut self) -> Option<usize> {
         let mut chunk = [0; 4096];
         loop {
             match self.stream.try_read(&mut chunk) {
@@ -117,7 +117,7 @@
     /// Waits for more bytes; `false` if the connection has ended or the buffer is full.
     ///
     /// Cancel-safe: received bytes stay in the buffer.
-    pub async fn more(&mut self) -> bool {
+    pub async fn read_more(&mut self) -> bool {
         if self.buffer.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
             return false;
         }
@@ -140,7 +140,7 @@
                 on_head(&message, first_byte_at.unwrap_or_else(&now));
                 let body_bytes = body_length(&message)?;
                 while self.buffer.len() < length + body_bytes {
-                    if !self.more().await {
+                    if !self.read_more().await {
                         return Err(ReadError::Ended { partly: true });
                     }
                 }
@@ -151,7 +151,7 @@
             if self.buffer.len() > MAX_HEAD_BYTES {
                 return Err(ReadError::Malformed("the head is too long".to_owned()));
             }
-            if !self.more().await {
+            if !self.read_more().await {
                 return Err(ReadError::Ended { partly: !self.buffer.is_empty() });
             }
             first_byte_at = first_byte_at.or_else(|| Some(now()));
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -262,7 +262,7 @@
         let first = sends.first().map_or(asked.at, |(_, at)| *at);
         let objective_end = first + script.classes[asked.class].latency_objective;
         let in_time = sends.iter().any(|(number, _)| {
-            let got = checker.of(*number).and_then(|record| record.answers.first());
+            let got = checker.record_of(*number).and_then(|record| record.answers.first());
             got.is_some_and(|(at, got)| *got == FinalAnswer::Served && *at <= objective_end)
         });
         RequestResult {
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -5,7 +5,7 @@
 //! Each stand-in runs on a thread of its own with blocking I/O.
 //! One checker per test records what endpoints and clients observe, and applies the rules when the test's [`Gateway`] is dropped.
 //!
-//! These functions are for tests: a missing port or program ends the test with a panic.
+//! The functions of this module are for tests: a missing port or program ends the test with a panic.
 
 use crate::checker::{
     AttemptEnd, Checker, ClassTerms, FinalAnswer, ObservedAttempt, Rule, Rules, SentRequest,
@@ -134,7 +134,7 @@
             .checker
             .lock()
             .expect("the lock is poisoned")
-            .of(request)
+            .record_of(request)
             .is_some_and(|request| request.request.is_some());
         if is_known {
             return None;
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The front sends requests only to the gateways of a zone that are alive, if there are any.
+    /// The front load balancer sends requests only to the gateways of a zone that are alive, if there are any.
     pub(super) fn update_front(&mut self) {
         let mut gateways_by_zone = front_targets(self.script, self.gateways.len());
         for targets in &mut gateways_by_zone {
@@ -82,7 +82,7 @@
             let seed =
                 draws.number(Purpose::GatewaySeed, gateway_index as u64).wrapping_add(u64::from(incarnation));
             let settings = parse_settings(&script.settings(gateway_index, count).to_string());
-            // This cannot fail: the settings were read at the start of the run.
+            // Reading the settings cannot fail: the same settings were read at the start of the run.
             let Ok(settings) = settings else { continue };
             let gateway = &mut self.gateways[gateway_index];
             gateway.module = match gateway.module {
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -120,7 +120,7 @@
     GatewaysJoin,
     /// The gateways that the script names are killed.
     KillGateways,
-    /// The front notices which gateways were killed.
+    /// The front load balancer notices which gateways were killed.
     KillNoticed,
     /// The killed gateways start again.
     RestartGateways,
@@ -556,7 +556,7 @@
         self.schedule(deadline, SimulationEvent::ClientTimeout { request_index });
     }
 
-    /// The gateways that join during the run receive their first endpoint list, and the front begins to send them requests.
+    /// The gateways that join during the run receive their first endpoint list, and the front load balancer begins to send them requests.
     fn start_joining_gateways(&mut self) {
         let count = self.gateways.len();
         for gateway_index in initial_gateways(self.script, count)..self.module_count() {
@@ -1108,7 +1108,7 @@
     /// The gateway to which a planned request was first sent.
     fn taken_by(&self, plan_index: usize) -> Option<usize> {
         let (number, _) = self.sends.get(plan_index)?.first()?;
-        self.checker.of(*number)?.request.as_ref().map(|ask| ask.gateway)
+        self.checker.record_of(*number)?.request.as_ref().map(|request| request.gateway)
     }
 }
 
@@ -1131,11 +1131,11 @@
     count - script.fleet.late_gateways.min(count.saturating_sub(1))
 }
 
-/// For each zone, the gateways among the first `count` to which the front sends the zone's requests.
+/// For each zone, the gateways among the first `count` to which the front load balancer sends the zone's requests.
 fn front_targets(script: &Script, count: usize) -> Vec<Vec<usize>> {
     let mut gateways_by_zone = vec![Vec::new(); script.fleet.zones.len()];
     for gateway_index in 0..count {
-        // With uneven load, every other gateway of a zone is in the front's list several times.
+        // With uneven load, every other gateway of a zone is in the front load balancer's list several times.
         let is_favoured = (gateway_index / script.fleet.zones.len()).is_multiple_of(2);
         let copies = if is_favoured { script.load.uneven } else { 1 };
         gateways_by_zone[script.zone_of(gateway_index)].extend(std::iter::repeat_n(gateway_index, copies));
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -25,7 +25,7 @@
     Checker::new(terms, vec![(0, 0), (0, 0), (1, 1)])
 }
 
-fn ask(checker: &mut Checker, class: usize) {
+fn send_request(checker: &mut Checker, class: usize) {
     checker.record_request(1, SentRequest { gateway: 0, class, sent_at: ms(0), deadline: ms(1000) });
 }
 
@@ -66,7 +66,7 @@
     ];
     for (answers, rules) in cases {
         let mut checker = checker();
-        ask(&mut checker, SAFE);
+        send_request(&mut checker, SAFE);
         attempt(&mut checker, 1, 0, 10, 190, AttemptEnd::Served);
         answers.iter().for_each(|(at, got)| checker.record_answer(1, ms(*at), *got));
         assert_eq!(found(&checker), rules, "{answers:?}");
@@ -77,7 +77,7 @@
 fn a_client_that_gives_up_before_its_deadline_is_owed_no_answer() {
     for (left, rules) in [(500, vec![]), (1000, vec![Rule::Unanswered])] {
         let mut checker = checker();
-        ask(&mut checker, SAFE);
+        send_request(&mut checker, SAFE);
         checker.record_give_up(1, ms(left));
         assert_eq!(found(&checker), rules);
     }
@@ -87,7 +87,7 @@
 fn only_one_attempt_of_a_request_may_be_in_flight() {
     for (second, rules) in [(100, vec![]), (89, vec![Rule::TwoCopies])] {
         let mut checker = checker();
-        ask(&mut checker, SAFE);
+        send_request(&mut checker, SAFE);
         attempt(&mut checker, 1, 0, 10, 100, AttemptEnd::Left);
         attempt(&mut checker, 2, 1, second, 200, AttemptEnd::Served);
         checker.record_answer(1, ms(201), FinalAnswer::Served);
@@ -123,7 +123,7 @@
 #[test]
 fn attempts_after_the_answer_and_late_rejections_are_violations() {
     let mut sent = checker();
-    ask(&mut sent, SAFE);
+    send_request(&mut sent, SAFE);
     sent.record_answer(1, ms(50), FinalAnswer::Refused);
     attempt(&mut sent, 1, 0, 70, 100, AttemptEnd::Served);
     assert_eq!(found(&sent), [Rule::SentAfterAnswer]);
@@ -135,7 +135,7 @@
         (600, 641, vec![Rule::HeldBack]),
     ] {
         let mut held = checker();
-        ask(&mut held, SAFE);
+        send_request(&mut held, SAFE);
         if last > 0 {
             attempt(&mut held, 1, 0, 10, last, AttemptEnd::Error);
         }
@@ -154,7 +154,7 @@
         (UNSAFE, AttemptEnd::TurnedAway, vec![]),
     ] {
         let mut checker = checker();
-        ask(&mut checker, class);
+        send_request(&mut checker, class);
         attempt(&mut checker, 1, 0, 10, 50, how);
         checker.record_answer(1, ms(60), FinalAnswer::Refused);
         assert_eq!(found(&checker), rules, "class {class}, {how:?}");
--- a/crates/testbed/tests/model.rs
+++ b/crates/testbed/tests/model.rs
@@ -214,18 +214,21 @@
         EndpointModel::new(0, EndpointSpec::default(), RandomStreams::new(1), caches.clone(), ms(0))
     };
     let mut endpoints = [of(&rack), of(&rack), of(&other)];
-    let mut ask = |n: usize, at: Duration, key: u64, group: KeyScope| {
+    let mut is_dropped = |n: usize, at: Duration, key: u64, group: KeyScope| {
         let (id, endpoint) = (at.as_millis() as u64 + key * 1_000_000, &mut endpoints[n]);
         assert!(endpoint.connect(at, id));
         endpoint.request(at, id, id, Work { keyed: Some((key, group, window)), ..work(id, 0.01) });
         let out = run_until(endpoint, at + ms(50));
         answers(&out, id)[0].1 == Answer::Served { dropped: true }
     };
-    assert!(!ask(0, ms(0), 1, KeyScope::Cell), "the first request was dropped");
-    assert!(ask(1, ms(100), 1, KeyScope::Cell), "a repeat in the same rack was processed again");
-    assert!(!ask(2, ms(200), 1, KeyScope::Cell), "a request in another rack was dropped");
-    assert!(!ask(0, ms(300), 2, KeyScope::All));
-    assert!(ask(2, ms(400), 2, KeyScope::All), "a repeat with a key for all endpoints was processed again");
+    assert!(!is_dropped(0, ms(0), 1, KeyScope::Cell), "the first request was dropped");
+    assert!(is_dropped(1, ms(100), 1, KeyScope::Cell), "a repeat in the same rack was processed again");
+    assert!(!is_dropped(2, ms(200), 1, KeyScope::Cell), "a request in another rack was dropped");
+    assert!(!is_dropped(0, ms(300), 2, KeyScope::All));
+    assert!(
+        is_dropped(2, ms(400), 2, KeyScope::All),
+        "a repeat with a key for all endpoints was processed again"
+    );
 }
 
 /// A request that was cancelled halfway, such as a payment, has had no effect, so that its repeat must be processed in full.
