--- a/crates/gateway/tests/crossings/client_disconnects.rs
+++ b/crates/gateway/tests/crossings/client_disconnects.rs
@@ -38,7 +38,7 @@
         let (gateway, discovery) = start(&format!("left-host-{n}"), &[]);
         disconnect_and_wait(&gateway, open_waiting_request(&gateway, "look", unread_input, 0), 0);
         discovery.push(snapshot(42, &[endpoint.entry("s-1", 1)]));
-        assert_eq!(gateway.ask("look").status(), 200);
+        assert_eq!(gateway.request("look").status(), 200);
         assert_eq!(endpoint.count(), 1, "{n}: sent for a disconnected client");
     }
 }
@@ -57,7 +57,7 @@
         wait_for("the first attempt", || breaking_endpoint.count() == 1);
         disconnect_and_wait(&gateway, client, 0);
         discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [other.entry("s-2", 1)]}));
-        assert_eq!(gateway.ask("look").status(), 200);
+        assert_eq!(gateway.request("look").status(), 200);
         assert_eq!(breaking_endpoint.count() + other.count(), 2, "{n}: sent again for a disconnected client");
     }
 }
@@ -80,7 +80,7 @@
         // The request of the disconnected client is skipped, and the next request with the key is sent.
         assert_eq!(first.read().expect("no answer").status(), 200);
         assert_eq!(third.read().expect("no answer").status(), 200);
-        assert_eq!(gateway.ask("look").status(), 200);
+        assert_eq!(gateway.request("look").status(), 200);
         assert_eq!(endpoint.count(), 3, "{n}: sent for a disconnected client");
         wait_for_open_requests(&gateway, 0);
     }
@@ -149,7 +149,7 @@
         disconnect_and_wait(&gateway, open_waiting_request(&gateway, "once", unread_input, 0), 0);
         let (connections, requests) = endpoint.accept_all();
         wait_for("the late connection", || connections.load(Ordering::SeqCst) > 0);
-        assert_eq!(gateway.ask("look").status(), 200);
+        assert_eq!(gateway.request("look").status(), 200);
         assert_eq!(requests.load(Ordering::SeqCst), 1, "{n}: sent for a disconnected client");
     }
 }
@@ -160,7 +160,7 @@
         let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
         let (gateway, _discovery) = start(&format!("left-queue-{n}"), &listed_thirty_times(&endpoint));
         let mut known_client = gateway.connect();
-        assert_eq!(known_client.ask("look").status(), 200);
+        assert_eq!(known_client.request("look").status(), 200);
         gateway.signal("STOP");
         let mut new_client = gateway.connect();
         for client in [&mut known_client, &mut new_client] {
@@ -168,7 +168,7 @@
         }
         drop((known_client, new_client));
         gateway.signal("CONT");
-        assert_eq!(gateway.ask("look").status(), 200);
+        assert_eq!(gateway.request("look").status(), 200);
         wait_for_open_requests(&gateway, 0);
         assert_eq!(endpoint.count(), 2, "{n}: sent for a disconnected client");
     }
@@ -185,7 +185,7 @@
         client.write(text.replace("\r\n\r\nbody", "\r\n\r\n").as_bytes());
         client.write(&vec![b'x'; sent_length]);
     }
-    assert_eq!(gateway.ask("look").status(), 200);
+    assert_eq!(gateway.request("look").status(), 200);
     wait_for("the disconnected clients' requests to end", || gateway.metric("router_current") == Some(0));
     assert_eq!(endpoint.count(), 1);
 }
@@ -212,7 +212,7 @@
     assert_eq!(String::from_utf8_lossy(&answer), "");
     assert!(disconnected_at.elapsed() < Duration::from_secs(20), "{:?}", disconnected_at.elapsed());
     discovery.push(snapshot(42, &[endpoint.entry("s-1", 1)]));
-    assert_eq!(gateway.ask("look").status(), 200);
+    assert_eq!(gateway.request("look").status(), 200);
     assert_eq!(endpoint.count(), 1, "sent for a disconnected client");
 }
 
@@ -231,7 +231,7 @@
         drop(clients);
         wait_for_open_requests(&gateway, 0);
         wait_for("the connections to close", || endpoint.left.load(Ordering::SeqCst) == 20 * (round + 1));
-        assert_eq!(gateway.ask("look").status(), 200);
+        assert_eq!(gateway.request("look").status(), 200);
     }
 }
 
--- a/crates/gateway/tests/crossings/connection_closes.rs
+++ b/crates/gateway/tests/crossings/connection_closes.rs
@@ -41,7 +41,7 @@
     );
     for (n, class) in ["brief", "brief-once"].into_iter().enumerate() {
         let sent_at = Instant::now();
-        let status = gateway.ask(class).status();
+        let status = gateway.request(class).status();
         assert!(
             [502, 503, 504].contains(&status) && (class == "brief" || status == 504),
             "{class}: {status}"
@@ -52,7 +52,7 @@
     }
     let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     discovery.push(snapshot(42, &[endpoint.entry("s-2", 1)]));
-    wait_for("the other endpoint", || gateway.ask("look").status() == 200);
+    wait_for("the other endpoint", || gateway.request("look").status() == 200);
 }
 
 /// A connection is reset after the first byte of an answer: the request is possibly processed, so an unsafe request is not sent again.
@@ -75,7 +75,7 @@
         });
         let entry = |name: &str| weldworks_testbed::scripted::entry(name, &endpoint.address, 1, "active");
         let (gateway, _discovery) = start(&format!("reset-{class}"), &[entry("s-1"), entry("s-2")]);
-        let answer = gateway.ask(class);
+        let answer = gateway.request(class);
         let expected_body: &[u8] = if status == 200 { b"whole" } else { b"failed\n" };
         assert_eq!((answer.status(), &answer.body[..]), (status, expected_body), "{class}");
         assert_eq!(attempt_counter.load(Ordering::SeqCst), expected_attempts, "{class}");
--- a/crates/gateway/tests/crossings/descriptor_limits.rs
+++ b/crates/gateway/tests/crossings/descriptor_limits.rs
@@ -40,12 +40,14 @@
         gateway.signal("HUP");
         wait_for("a poll after the outage", || discovery_stand_in.calls() > 1);
         let idle_clients = open_idle_clients(&gateway, 128, sends_request);
-        assert_eq!(gateway.ask("look").status(), 200, "a new client must be served by the retained list");
+        assert_eq!(gateway.request("look").status(), 200, "a new client must be served by the retained list");
         assert_eq!(gateway.call("GET", "/_ready").status(), 200);
         let calls = discovery_stand_in.calls();
         wait_for("another poll of discovery", || discovery_stand_in.calls() > calls);
         discovery_restored.store(true, Ordering::SeqCst);
-        wait_for("the new list to be in use", || gateway.ask("look").status() == 200 && other.count() > 0);
+        wait_for("the new list to be in use", || {
+            gateway.request("look").status() == 200 && other.count() > 0
+        });
         assert_eq!(gateway.call("GET", "/_ready").status(), 200);
         drop(idle_clients);
     }
@@ -75,11 +77,11 @@
         &config,
     );
     let idle_clients = open_idle_clients(&gateway, 100, true);
-    assert_eq!(gateway.ask("look").status(), 200);
+    assert_eq!(gateway.request("look").status(), 200);
     assert_eq!(gateway.call("GET", "/_ready").status(), 200);
     let other = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     discovery.push(json!({"index": 43, "snapshot": true, "endpoints": [other.entry("s-2", 1)]}));
-    wait_for("the new list to be in use", || gateway.ask("look").status() == 200 && other.count() > 0);
+    wait_for("the new list to be in use", || gateway.request("look").status() == 200 && other.count() > 0);
     drop(idle_clients);
     let mut too_few = weldworks_testbed::scripted::spawn_gateway(
         &program_with_limit("too-few-descriptors", 40),
--- a/crates/gateway/tests/crossings/short_reads.rs
+++ b/crates/gateway/tests/crossings/short_reads.rs
@@ -82,7 +82,7 @@
     send_signal.send(()).expect("the discovery stand-in has ended");
     written.recv().expect("the list was not written");
     gateway.signal("CONT");
-    assert_eq!(gateway.ask("look").status(), 200);
+    assert_eq!(gateway.request("look").status(), 200);
     assert_eq!(discovery_stand_in.calls(), 1, "the watch was ended although the list was complete");
 }
 
--- a/crates/gateway/tests/crossings/single_processing.rs
+++ b/crates/gateway/tests/crossings/single_processing.rs
@@ -217,7 +217,7 @@
         });
         let entry_at = |name: &str| entry(name, &endpoint.address, 1, "active");
         let (gateway, _discovery) = start(&format!("odd-{n}"), &[entry_at("s-1"), entry_at("s-2")]);
-        let status = gateway.ask("once").status();
+        let status = gateway.request("once").status();
         assert_eq!(
             (status, endpoint.calls()),
             (if expected_attempts == 2 { 200 } else { 502 }, expected_attempts),
@@ -317,7 +317,7 @@
             3.0,
             &[entry_at("s-1", &first_place), entry_at("s-2", &second_place)],
         );
-        let status = gateway.ask("book").status();
+        let status = gateway.request("book").status();
         let expected_attempts = if expected == 200 { 2 } else { 1 };
         assert_eq!(
             (status, endpoint.calls()),
@@ -366,7 +366,7 @@
         });
         let entry_at = |name: &str| entry(name, &endpoint.address, 1, "active");
         let (gateway, _discovery) = start(&format!("half-{n}"), &[entry_at("s-1"), entry_at("s-2")]);
-        assert_eq!((gateway.ask("once").status(), endpoint.calls()), (502, 1), "{n}");
+        assert_eq!((gateway.request("once").status(), endpoint.calls()), (502, 1), "{n}");
     }
 }
 
--- a/crates/gateway/tests/crossings/unread_input.rs
+++ b/crates/gateway/tests/crossings/unread_input.rs
@@ -41,7 +41,7 @@
     drop(client);
     sleep(Duration::from_millis(300));
     discovery.push(snapshot(42, &listed_thirty_times(&endpoint)));
-    wait_for("an endpoint", || gateway.ask("look").status() == 200);
+    wait_for("an endpoint", || gateway.request("look").status() == 200);
     sleep(CLIENT_CHECK_INTERVAL);
     assert_eq!(attempts(&endpoint, "/once"), 0, "an attempt began for a disconnected client");
 }
@@ -58,7 +58,7 @@
     write_and_disconnect(&gateway, &text);
     sleep(Duration::from_millis(300));
     discovery.push(snapshot(42, &listed_thirty_times(&endpoint)));
-    wait_for("an endpoint", || gateway.ask("pay").status() == 200);
+    wait_for("an endpoint", || gateway.request("pay").status() == 200);
     sleep(CLIENT_CHECK_INTERVAL);
     assert_eq!(attempts(&endpoint, "/once"), 0, "an attempt began for a disconnected client");
 }
--- a/crates/gateway/tests/crossings/watches.rs
+++ b/crates/gateway/tests/crossings/watches.rs
@@ -50,12 +50,12 @@
     });
     let gateway = start_with_pushed_lists("silent-drain", &discovery_stand_in, &[draining.entry("s-1", 1)]);
     wait_for("some calls", || discovery_stand_in.calls() > 3);
-    assert_eq!(gateway.ask("look").status(), 200, "the list in force is retained");
+    assert_eq!(gateway.request("look").status(), 200, "the list in force is retained");
     discovery_restored.store(true, Ordering::SeqCst);
-    wait_for("the new list to be in use", || gateway.ask("look").status() == 200 && other.count() > 0);
+    wait_for("the new list to be in use", || gateway.request("look").status() == 200 && other.count() > 0);
     let before = draining.count();
     for _ in 0..10 {
-        assert_eq!(gateway.ask("look").status(), 200);
+        assert_eq!(gateway.request("look").status(), 200);
     }
     assert_eq!(draining.count(), before);
 }
@@ -105,9 +105,9 @@
         hold_until_closed(stream);
     });
     let gateway = start_with_pushed_lists("layout", &discovery_stand_in, &[]);
-    wait_for("the indented list", || gateway.ask("look").status() == 200);
+    wait_for("the indented list", || gateway.request("look").status() == 200);
     step.store(1, Ordering::SeqCst);
-    wait_for("the last list", || gateway.ask("look").status() == 200 && endpoints[2].count() > 0);
+    wait_for("the last list", || gateway.request("look").status() == 200 && endpoints[2].count() > 0);
     assert!(endpoints[0].count() > 0);
     assert_eq!(discovery_stand_in.calls(), 1, "all lists must come on one watch");
 }
@@ -137,11 +137,11 @@
     config["settings"]["safety"]["ask_within_s"] = 10.0.into();
     let gateway = Gateway::start_with(&PROGRAM, "two-silent", &unused_discovery, &config);
     gateway.signal("HUP");
-    wait_for("the first list", || gateway.ask("look").status() == 200);
-    wait_for("the drain to take effect", || gateway.ask("look").status() == 200 && other.count() > 0);
+    wait_for("the first list", || gateway.request("look").status() == 200);
+    wait_for("the drain to take effect", || gateway.request("look").status() == 200 && other.count() > 0);
     let before = draining.count();
     for _ in 0..10 {
-        assert_eq!(gateway.ask("look").status(), 200);
+        assert_eq!(gateway.request("look").status(), 200);
     }
     assert_eq!(draining.count(), before);
     // Time between two consecutive calls: 3.5 s on an idle machine, and up to 12 s with the fault that this test guards against.
--- a/crates/gateway/tests/day_by_day/admin_api.rs
+++ b/crates/gateway/tests/day_by_day/admin_api.rs
@@ -50,7 +50,7 @@
     );
     let statuses: Vec<u16> = ["look", "look", "look", "brief-once", "once"]
         .iter()
-        .map(|class| gateway.ask(class).status())
+        .map(|class| gateway.request(class).status())
         .collect();
     assert_eq!(statuses, [200, 200, 200, 503, 502]);
     let mut malformed = gateway.connect();
@@ -102,7 +102,7 @@
         ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (mut gateway, _discovery) = start("drain", &listed_thirty_times(|name| endpoint.entry(name, 1)));
     let (mut idle_client, mut busy_client) = (gateway.connect(), gateway.connect());
-    assert_eq!(idle_client.ask("look").header("connection"), None);
+    assert_eq!(idle_client.request("look").header("connection"), None);
     busy_client.send("once");
     wait_for("the attempt", || endpoint.count() == 2);
     let mut silent_client = TcpStream::connect(&gateway.address).expect("connect failed");
@@ -115,8 +115,10 @@
     assert_eq!(front_health_status(&gateway), 503, "the health check must fail at once");
     assert_eq!(gateway.call("GET", "/_ready").status(), 200, "a draining gateway must still be ready");
     // Clients that connect before the front load balancer has noticed the drain are served; soon afterwards answers close their connections.
-    wait_for("answers with Connection: close", || gateway.ask("look").header("connection") == Some("close"));
-    assert_eq!(idle_client.ask("look").status(), 200);
+    wait_for("answers with Connection: close", || {
+        gateway.request("look").header("connection") == Some("close")
+    });
+    assert_eq!(idle_client.request("look").status(), 200);
     assert!(idle_client.read().is_none(), "the connection must close after its answer");
     wait_for_close(&mut silent_client);
     wait_for_close(&mut resting_client);
@@ -132,8 +134,8 @@
     assert_eq!(gateway.call("PUT", "/_lameduck/off").status(), 200);
     assert_eq!(front_health_status(&gateway), 200);
     let mut new_client = gateway.connect();
-    assert_eq!(new_client.ask("look").header("connection"), None);
-    assert_eq!(new_client.ask("look").status(), 200);
+    assert_eq!(new_client.request("look").header("connection"), None);
+    assert_eq!(new_client.request("look").status(), 200);
 }
 
 #[test]
@@ -141,12 +143,12 @@
     let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("drain-back", &[endpoint.entry("s-1", 1)]);
     let mut idle_client = gateway.connect();
-    idle_client.ask("look");
+    idle_client.request("look");
     for call in ["/_lameduck/on", "/_lameduck/off", "/_lameduck/on", "/_lameduck/off"] {
         assert_eq!(gateway.call("PUT", call).status(), 200);
     }
     sleep(Duration::from_millis(2500)); // a drain that is still in force would have closed the connection by now
-    assert_eq!(idle_client.ask("look").header("connection"), None);
+    assert_eq!(idle_client.request("look").header("connection"), None);
     assert_eq!(front_health_status(&gateway), 200);
 }
 
--- a/crates/gateway/tests/day_by_day/hot_restart.rs
+++ b/crates/gateway/tests/day_by_day/hot_restart.rs
@@ -197,7 +197,7 @@
     gateway.wait();
     wait_for("the close of the endpoint connections", || endpoint.left.load(Ordering::SeqCst) == 8);
     let (next, _discovery) = start("killed", &endpoints);
-    assert_eq!(next.ask("look").status(), 200);
+    assert_eq!(next.request("look").status(), 200);
     assert_eq!(next.metric("router_sends"), Some(1), "each process must count from 0");
     open_clients.iter_mut().for_each(weldworks_testbed::scripted::Client::expect_no_answers);
 }
@@ -214,7 +214,7 @@
     let shared = SharedListener::new("memory");
     let (mut old, _old_discovery) = shared.start_ready("memory-old", &endpoints);
     for _ in 0..40 {
-        assert_eq!(old.ask("look").status(), 200);
+        assert_eq!(old.request("look").status(), 200);
     }
     let snapshot = shared.snapshot_path();
     wait_for("the snapshot of both endpoints", || {
@@ -226,7 +226,7 @@
     // Until the raised latency estimate has faded, the slow endpoint is sent almost nothing.
     let before = slow_endpoint.count();
     for _ in 0..20 {
-        assert_eq!(new.ask("look").status(), 200);
+        assert_eq!(new.request("look").status(), 200);
     }
     assert!(
         slow_endpoint.count() - before <= 4,
@@ -237,7 +237,7 @@
     // An invalid snapshot file costs the snapshot and nothing else.
     std::fs::write(&snapshot, "ottervane-handover 2\nwritten soon\n").expect("file write failed");
     let (invalid_snapshot, _new_discovery) = shared.start_ready("memory-spoilt", &endpoints);
-    assert_eq!(invalid_snapshot.ask("look").status(), 200);
+    assert_eq!(invalid_snapshot.request("look").status(), 200);
 }
 
 /// Hot restarts that fail, or that overlap with a drain or with another hot restart.
--- a/crates/gateway/tests/day_by_day/settings.rs
+++ b/crates/gateway/tests/day_by_day/settings.rs
@@ -25,9 +25,9 @@
     let mut client = gateway.connect();
     client.write(glance.as_bytes());
     assert_eq!(client.read().expect("no answer").status(), 200);
-    wait_for("the removal of class look", || gateway.ask("look").status() == 400);
-    assert_eq!(gateway.ask("pay").status(), 400, "the new class pay allows no idempotency key");
-    assert_eq!(gateway.ask("once").status(), 200);
+    wait_for("the removal of class look", || gateway.request("look").status() == 400);
+    assert_eq!(gateway.request("pay").status(), 400, "the new class pay allows no idempotency key");
+    assert_eq!(gateway.request("once").status(), 200);
     endpoint.release();
     assert_eq!(
         open_client.read().expect("no answer").status(),
@@ -57,7 +57,7 @@
     (0..10).for_each(|_| gateway.signal("HUP"));
     let changed = Instant::now();
     wait_for("the reload of the configuration", || gateway.metric("router_conf_loaded") > Some(0));
-    let (look, pay) = (gateway.ask("look").status(), gateway.ask("pay").status());
+    let (look, pay) = (gateway.request("look").status(), gateway.request("pay").status());
     if changed.elapsed() < Duration::from_millis(1500) {
         assert_eq!((look, pay), (200, 200), "the old settings must still apply");
     }
@@ -70,7 +70,7 @@
         "the new settings must apply from the reload on"
     );
     wait_for("the removal of the old settings", || {
-        gateway.ask("pay").status() == 405 && gateway.ask("look").status() == 400
+        gateway.request("pay").status() == 405 && gateway.request("look").status() == 400
     });
 }
 
@@ -138,11 +138,11 @@
         wait_for("the rejection of the file", || gateway.metric("router_conf_invalid") == Some(n));
     }
     assert_eq!(gateway.metric("router_conf_loaded"), Some(0));
-    assert_eq!(gateway.ask("look").status(), 200, "the settings must be unchanged");
+    assert_eq!(gateway.request("look").status(), 200, "the settings must be unchanged");
     write_config(&PROGRAM, "bad-files", &valid_file);
     gateway.signal("HUP");
     wait_for("the reload of the valid file", || gateway.metric("router_conf_loaded") == Some(1));
-    wait_for("the removal of class look", || gateway.ask("look").status() == 400);
+    wait_for("the removal of class look", || gateway.request("look").status() == 400);
 }
 
 #[test]
@@ -161,9 +161,9 @@
         }
     };
     reload_rounds(0..50);
-    assert_eq!(gateway.ask("look").status(), 200);
+    assert_eq!(gateway.request("look").status(), 200);
     let before = gateway.peak_memory();
     reload_rounds(50..1000);
-    assert_eq!(gateway.ask("brief").status(), 200);
+    assert_eq!(gateway.request("brief").status(), 200);
     assert!(gateway.peak_memory() < before + 1024, "{before} KiB, then {}", gateway.peak_memory());
 }
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -81,12 +81,12 @@
     let (gateway, _discovery) = start("served", &[endpoint.entry("s-1", 1)]);
     let mut client = gateway.connect();
     for round in 1..=3 {
-        let answer = client.ask("once");
+        let answer = client.request("once");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"re: body"[..]));
         assert_eq!(answer.header("x-kind"), Some("fine"));
         assert_eq!(endpoint.count(), round);
     }
-    gateway.ask("pay");
+    gateway.request("pay");
     let seen = endpoint.seen.lock().expect("lock poisoned").pop().expect("no request received");
     assert_eq!(seen.first, "POST /pay HTTP/1.1");
     assert_eq!(seen.header("x-request-id").map(str::len), Some(16));
@@ -102,7 +102,7 @@
 fn rejects_unprocessed_request_with_retry_after() {
     let endpoint = ScriptedEndpoint::start(|_| Reply::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()));
     let (gateway, _discovery) = start("refused", &[endpoint.entry("s-1", 1)]);
-    let answer = gateway.ask("brief-once");
+    let answer = gateway.request("brief-once");
     assert_eq!(answer.status(), 503);
     let after: f64 = answer.header("retry-after").and_then(|s| s.parse().ok()).expect("no valid Retry-After");
     assert!(after > 0.0 && after <= 1.2, "{after} is not within the settings' limit");
@@ -115,7 +115,7 @@
     for (name, status) in [("failed-500", 500), ("failed-503", 503), ("failed-404", 404)] {
         let endpoints = endpoints_with_first_reply(Reply::Answer(status, "", Vec::new()), &[1, 1]);
         let (gateway, _discovery) = start(name, &entries(&endpoints, &[1, 1]));
-        assert_eq!(gateway.ask("once").status(), 502);
+        assert_eq!(gateway.request("once").status(), 502);
         assert_eq!(total_requests(&endpoints), 1);
     }
 }
@@ -137,7 +137,7 @@
     for (name, reply) in [("safe-break", Reply::Break), ("safe-half", Reply::Half)] {
         let endpoints = endpoints_with_first_reply(reply, &[1, 2]);
         let (gateway, _discovery) = start(name, &entries(&endpoints, &[1, 2]));
-        let answer = gateway.ask("look");
+        let answer = gateway.request("look");
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"ok"[..]));
         assert_eq!(total_requests(&endpoints), 2);
     }
@@ -157,7 +157,7 @@
     let (gateway, _discovery) = start("many-breaks", &entries(&endpoints, &[1, 1, 1]));
     for round in 0..5 {
         assert_eq!(
-            gateway.ask("look").status(),
+            gateway.request("look").status(),
             200,
             "request {round}: the retry after the broken attempt failed"
         );
@@ -181,7 +181,7 @@
             let endpoints = endpoints_with_first_reply(Reply::Raw(vec![text.to_owned()]), &[1, 1]);
             let (gateway, _discovery) = start(&format!("spoilt-{n}-{class}"), &entries(&endpoints, &[1, 1]));
             let sent_at = Instant::now();
-            assert_eq!(gateway.ask(class).status(), status, "{class}: {text}");
+            assert_eq!(gateway.request(class).status(), status, "{class}: {text}");
             assert_eq!(total_requests(&endpoints), attempts, "{class}: {text}");
             assert!(sent_at.elapsed() < Duration::from_secs(15), "{class}: waited for the rest of {text}");
         }
@@ -194,7 +194,7 @@
     let answer = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate".to_owned();
     let endpoint = ScriptedEndpoint::start(move |_| Reply::Raw(vec![early.clone(), answer.clone()]));
     let (gateway, _discovery) = start("early", &[endpoint.entry("s-1", 1)]);
-    let answer = gateway.ask("once");
+    let answer = gateway.request("once");
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"late"[..]));
 }
 
@@ -233,7 +233,7 @@
     let cells = [1, 1, 2, 2];
     let endpoints = endpoints_with_first_reply(Reply::Break, &cells);
     let (gateway, _discovery) = start("keyed", &entries(&endpoints, &cells));
-    assert_eq!(gateway.ask("book").status(), 200);
+    assert_eq!(gateway.request("book").status(), 200);
     let cells: Vec<u32> =
         endpoints.iter().zip(cells).filter(|(h, _)| h.count() > 0).map(|(_, c)| c).collect();
     assert!(cells == [1, 1] || cells == [2, 2], "sent to cells {cells:?}");
@@ -253,7 +253,7 @@
     for (name, reply) in [("unsafe-break", Reply::Break), ("unsafe-half", Reply::Half)] {
         let endpoints = endpoints_with_first_reply(reply, &[1, 1]);
         let (gateway, _discovery) = start(name, &entries(&endpoints, &[1, 1]));
-        assert_eq!(gateway.ask("once").status(), 502);
+        assert_eq!(gateway.request("once").status(), 502);
         assert_eq!(total_requests(&endpoints), 1);
     }
 }
@@ -262,8 +262,8 @@
 fn answers_at_the_deadline_and_disconnects_from_the_endpoint() {
     let endpoint = ScriptedEndpoint::start(|_| Reply::Hang);
     let (gateway, _discovery) = start("time-out", &[endpoint.entry("s-1", 1)]);
-    assert_eq!(gateway.ask("brief").status(), 503);
-    assert_eq!(gateway.ask("brief-once").status(), 504);
+    assert_eq!(gateway.request("brief").status(), 503);
+    assert_eq!(gateway.request("brief-once").status(), 504);
     // The gateway's own deadline timer: the latency objective of this class is far off, but the client's timeout is 1.5 s.
     let mut client = gateway.connect();
     let sent_at = Instant::now();
@@ -278,7 +278,7 @@
     let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("stalled", &[endpoint.entry("s-1", 1)]);
     let mut client = gateway.connect();
-    assert_eq!(client.ask("look").status(), 200);
+    assert_eq!(client.request("look").status(), 200);
     gateway.signal("STOP");
     client.write(request("look").replace("40000m", "1000m").as_bytes());
     sleep(Duration::from_millis(2000));
@@ -321,14 +321,14 @@
     let [draining, missing, added] = [(); 3].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let known = [draining.entry("s-1", 1), missing.entry("s-2", 1)];
     let (gateway, discovery) = start("drain", &known);
-    assert_eq!(gateway.ask("look").status(), 200);
+    assert_eq!(gateway.request("look").status(), 200);
     let draining_entry = entry("s-1", &draining.address.to_string(), 1, "leaving");
     discovery
         .push(json!({"index": 42, "snapshot": true, "endpoints": [draining_entry, added.entry("s-3", 1)]}));
-    wait_for("the new list to be in use", || gateway.ask("look").status() == 200 && added.count() > 0);
+    wait_for("the new list to be in use", || gateway.request("look").status() == 200 && added.count() > 0);
     let before = draining.count() + missing.count();
     for _ in 0..20 {
-        assert_eq!(gateway.ask("look").status(), 200);
+        assert_eq!(gateway.request("look").status(), 200);
     }
     assert_eq!(draining.count() + missing.count(), before);
 }
@@ -349,10 +349,10 @@
     let draining_entry = entry("s-1", &draining.address.to_string(), 1, "leaving");
     discovery
         .push(json!({"index": 42, "snapshot": false, "endpoints": [draining_entry, other.entry("s-2", 1)]}));
-    wait_for("the new list to be in use", || gateway.ask("look").status() == 200 && other.count() > 0);
+    wait_for("the new list to be in use", || gateway.request("look").status() == 200 && other.count() > 0);
     let before = draining.count();
     for _ in 0..20 {
-        assert_eq!(gateway.ask("look").status(), 200);
+        assert_eq!(gateway.request("look").status(), 200);
     }
     assert_eq!(draining.count(), before);
 }
@@ -370,18 +370,18 @@
     }
     wait_for("a watch", || discovery.calls() > 20);
     discovery.push(json!({"index": 57, "snapshot": true, "endpoints": []}));
-    wait_for("the new list to be in use", || gateway.ask("look").status() != 200);
+    wait_for("the new list to be in use", || gateway.request("look").status() != 200);
 }
 
 #[test]
 fn uses_the_new_address_of_an_endpoint() {
     let [old, new] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let (gateway, discovery) = start("address", &[old.entry("s-1", 1)]);
-    assert_eq!(gateway.ask("look").status(), 200);
+    assert_eq!(gateway.request("look").status(), 200);
     discovery.push(json!({"index": 42, "snapshot": false, "endpoints": [new.entry("s-1", 1)]}));
-    wait_for("the new address to be in use", || gateway.ask("look").status() == 200 && new.count() > 0);
+    wait_for("the new address to be in use", || gateway.request("look").status() == 200 && new.count() > 0);
     let before = old.count();
-    assert_eq!(gateway.ask("look").status(), 200);
+    assert_eq!(gateway.request("look").status(), 200);
     assert_eq!(old.count(), before);
 }
 
@@ -389,13 +389,15 @@
 fn new_endpoint_at_an_old_address_gets_new_connections() {
     let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, discovery) = start("churn", &[endpoint.entry("s-0", 1)]);
-    assert_eq!(gateway.ask("look").status(), 200);
+    assert_eq!(gateway.request("look").status(), 200);
     for n in 1..8 {
         let before = endpoint.connections();
         let list = [endpoint.entry(&format!("s-{n}"), 1)];
         discovery.push(json!({"index": 41 + n, "snapshot": true, "endpoints": list}));
         // The old endpoint's open connections would otherwise be reused without end.
-        wait_for("a reconnect", || gateway.ask("look").status() == 200 && endpoint.connections() > before);
+        wait_for("a reconnect", || {
+            gateway.request("look").status() == 200 && endpoint.connections() > before
+        });
     }
 }
 
@@ -414,7 +416,7 @@
     wait_for("a poll after the invalid list", || discovery.calls() > 1);
     discovery.push_incomplete("{\"index\": 60, \"snapshot\": true, \"endpoints\": [");
     wait_for("a poll after the truncated list", || discovery.calls() > 2);
-    assert_eq!(gateway.ask("look").status(), 200, "the list in force is retained");
+    assert_eq!(gateway.request("look").status(), 200, "the list in force is retained");
     let bad = json!({"name": "s-9", "address": "nowhere"});
     let drain =
         json!({"name": "s-1", "group": 1, "address": drained.address.to_string(), "status": "leaving"});
@@ -422,7 +424,7 @@
     // The gateway is notified once discovery has written the drain; the next list follows the drain on the same watch.
     wait_for("the drain", || {
         let before = drained.count();
-        let statuses: Vec<u16> = (0..6).map(|_| gateway.ask("look").status()).collect();
+        let statuses: Vec<u16> = (0..6).map(|_| gateway.request("look").status()).collect();
         assert_eq!(statuses, [200; 6]);
         drained.count() == before
     });
@@ -432,7 +434,7 @@
     );
     let before = drained.count();
     for _ in 0..20 {
-        assert_eq!(gateway.ask("look").status(), 200);
+        assert_eq!(gateway.request("look").status(), 200);
         sleep(Duration::from_millis(10));
     }
     assert_eq!(drained.count(), before, "an older list index undoes no drain");
@@ -456,13 +458,13 @@
     let [old, new] = [(); 2].map(|()| ScriptedEndpoint::start(|_| Reply::ok("ok")));
     let (mut gateway, discovery) = start("reload", &[old.entry("s-1", 1)]);
     let mut client = gateway.connect();
-    assert_eq!(client.ask("look").status(), 200);
+    assert_eq!(client.request("look").status(), 200);
     wait_for("the first watch", || discovery.calls() > 0);
     // An invalid configuration file changes nothing and ends no connection.
     for bad in ["{".to_owned(), config("nowhere", 1024, &[]).to_string()] {
         write_config(&PROGRAM, "reload", &bad);
         gateway.signal("HUP");
-        assert_eq!(client.ask("look").status(), 200);
+        assert_eq!(client.request("look").status(), 200);
     }
     let next = ScriptedDiscovery::start();
     write_config(&PROGRAM, "reload", &config(&next.address.to_string(), 1024, &[]).to_string());
@@ -474,9 +476,9 @@
     let call = next.calls.lock().expect("lock poisoned")[0].clone();
     assert_eq!(call, "GET /registry/instances?follow=1&since=0 HTTP/1.1");
     next.push(json!({"index": 3, "snapshot": true, "endpoints": [new.entry("s-2", 1)]}));
-    wait_for("the new list to be in use", || client.ask("look").status() == 200 && new.count() > 0);
+    wait_for("the new list to be in use", || client.request("look").status() == 200 && new.count() > 0);
     let before = old.count();
-    assert_eq!(client.ask("look").status(), 200);
+    assert_eq!(client.request("look").status(), 200);
     assert_eq!(old.count(), before);
     gateway.signal("TERM");
     gateway.signal("HUP");
@@ -493,7 +495,7 @@
         // An idle client is closed to make room for a new client, but not at once.
         wait_for("capacity for the client", || {
             let mut client = gateway.connect();
-            let status = client.ask("look").status();
+            let status = client.request("look").status();
             clients.push(client);
             status == 200
         });
@@ -509,7 +511,7 @@
     // A client may be closed after an answer with `Connection: close`; no client is closed between two requests without it.
     for _ in 0..2 {
         clients.retain_mut(|c| {
-            let answer = c.ask("look");
+            let answer = c.request("look");
             assert_eq!(answer.status(), 200);
             answer.header("connection").is_none()
         });
@@ -530,7 +532,7 @@
     let mut rejected_clients = Vec::new();
     for _ in 0..10 {
         let mut client = gateway.connect();
-        let answer = client.ask("once");
+        let answer = client.request("once");
         assert_eq!((answer.status(), answer.header("connection")), (503, Some("close")));
         let after: f64 =
             answer.header("retry-after").and_then(|s| s.parse().ok()).expect("no valid Retry-After");
@@ -542,7 +544,7 @@
     // The gateway has fewer descriptors for endpoints than for clients, so some requests may be rejected.
     let answers: Vec<_> = open_clients.iter_mut().map(|c| c.read().expect("no answer").status()).collect();
     assert!(answers.contains(&200) && answers.iter().all(|a| [200, 503].contains(a)), "{answers:?}");
-    wait_for("an idle connection to be closed for a new client", || gateway.ask("once").status() == 200);
+    wait_for("an idle connection to be closed for a new client", || gateway.request("once").status() == 200);
 }
 
 #[test]
@@ -566,12 +568,12 @@
     // or the next client can open no connection for its request.
     for n in 0..sockets {
         let mut client = gateway.connect();
-        let answer = client.ask("look");
+        let answer = client.request("look");
         assert_eq!(answer.status(), 200, "client {n}");
         if answer.header("connection") != Some("close") {
             idle_clients.push(client);
         }
-        let answer = active_client.ask("look");
+        let answer = active_client.request("look");
         assert_eq!((answer.status(), answer.header("connection")), (200, None), "after client {n}");
     }
     assert!(idle_clients.len() < sockets / 4, "{} connections are idle", idle_clients.len());
@@ -628,10 +630,10 @@
     wait_for("the descriptors to run out", || endpoint.count() >= 10);
     // The request was not sent for lack of a descriptor, so it was surely not processed:
     // the gateway rejects the request although the request is unsafe to repeat.
-    assert_eq!(gateway.ask("brief-once").status(), 503);
+    assert_eq!(gateway.request("brief-once").status(), 503);
     endpoint.release();
     open_clients.iter_mut().for_each(|c| assert!(c.read().is_some()));
-    assert_eq!(gateway.ask("once").status(), 200);
+    assert_eq!(gateway.request("once").status(), 200);
 }
 
 #[test]
@@ -639,7 +641,7 @@
     let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("stale", &[endpoint.entry("s-1", 1)]);
     for _ in 0..5 {
-        assert_eq!(gateway.ask("once").status(), 200);
+        assert_eq!(gateway.request("once").status(), 200);
         endpoint.close_all();
     }
 }
@@ -695,7 +697,7 @@
         ScriptedEndpoint::start(|r| if r.first.contains("once") { Reply::Hang } else { Reply::ok("ok") });
     let (mut gateway, _discovery) = start("sigterm", &listed_thirty_times(&endpoint));
     let mut idle = gateway.connect();
-    assert_eq!(idle.ask("look").status(), 200);
+    assert_eq!(idle.request("look").status(), 200);
     let mut open_clients: Vec<_> = (0..3).map(|_| gateway.connect()).collect();
     open_clients.iter_mut().for_each(|c| c.send("once"));
     wait_for("the attempts", || endpoint.count() == 4);
@@ -747,7 +749,7 @@
         assert!((400..500).contains(&status) && status != 429, "{status} to {head}");
     }
     assert_eq!(endpoint.count(), 0);
-    assert_eq!(gateway.ask("look").status(), 200);
+    assert_eq!(gateway.request("look").status(), 200);
 }
 
 #[test]
@@ -829,11 +831,11 @@
     let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     let (gateway, _discovery) = start("silent", &[endpoint.entry("s-1", 1)]);
     let mut idle_client = gateway.connect();
-    assert_eq!(idle_client.ask("look").status(), 200);
+    assert_eq!(idle_client.request("look").status(), 200);
     let started = Instant::now();
     let mut incomplete_clients: Vec<_> = (0..4).map(|_| gateway.connect()).collect();
     incomplete_clients[1].write(b"GET /look HTTP/1.1\r\nX-Half: ");
-    assert_eq!(incomplete_clients[2].ask("look").status(), 200);
+    assert_eq!(incomplete_clients[2].request("look").status(), 200);
     incomplete_clients[2].write(b"GET /look HTTP/1.1\r\n");
     incomplete_clients[3].write(request("pay").replace("\r\n\r\nbody", "\r\n\r\nbo").as_bytes());
     for (n, client) in incomplete_clients.iter_mut().enumerate() {
@@ -841,7 +843,7 @@
         assert_eq!(status, (n == 3).then_some(408), "client {n}");
     }
     assert!(started.elapsed() < Duration::from_secs(25), "the connections stayed open");
-    assert_eq!(idle_client.ask("look").status(), 200, "an idle client was closed below capacity");
+    assert_eq!(idle_client.request("look").status(), 200, "an idle client was closed below capacity");
 }
 
 #[test]
@@ -856,7 +858,7 @@
     let endpoint = ScriptedEndpoint::start(|_| Reply::ok("ok"));
     discovery.push(json!({"index": 42, "snapshot": true, "endpoints": [endpoint.entry("s-1", 1)]}));
     wait_for("readiness", || ready() == 200);
-    assert_eq!(gateway.ask("look").status(), 200);
+    assert_eq!(gateway.request("look").status(), 200);
 }
 
 #[test]
--- a/crates/gateway/tests/growth.rs
+++ b/crates/gateway/tests/growth.rs
@@ -44,7 +44,7 @@
     config["settings"]["fleet_size"] = 300.into();
     let gateway = Gateway::start_with(&PROGRAM, &format!("growth-{endpoint_count}"), &discovery, &config);
     discovery.push(json!({ "index": 100, "snapshot": true, "endpoints": listed }));
-    wait_for("an endpoint", || gateway.ask("look").status() == 200);
+    wait_for("an endpoint", || gateway.request("look").status() == 200);
     let (started_at, mut changed_at, mut served, mut descriptors) = (Instant::now(), Instant::now(), 0, 0);
     let mut clients: Vec<_> = (0..4).map(|_| gateway.connect()).collect();
     for round in 0.. {
@@ -52,7 +52,7 @@
         if started_at.elapsed() >= RUN_TIME {
             break;
         }
-        served += usize::from(clients[round as usize % 4].ask("look").status() == 200);
+        served += usize::from(clients[round as usize % 4].request("look").status() == 200);
         descriptors = descriptors.max(gateway.descriptors());
         if changed_at.elapsed() >= LIST_CHANGE_INTERVAL {
             changed_at = Instant::now();
--- a/crates/testbed/src/discovery.rs
+++ b/crates/testbed/src/discovery.rs
@@ -113,10 +113,10 @@
                 FaultKind::Pause => {
                     actions.push((from, endpoint, EndpointAction::Pause(event.lasts.unwrap_or_default())));
                 }
-                FaultKind::Restart { gone, apart } => {
+                FaultKind::Restart { downtime, apart } => {
                     let restart_at = from + apart * order as u32;
                     actions.push((restart_at, endpoint, EndpointAction::Kill));
-                    actions.push((restart_at + gone, endpoint, EndpointAction::Start));
+                    actions.push((restart_at + downtime, endpoint, EndpointAction::Start));
                 }
                 FaultKind::Neighbour { takes, turns } => {
                     let mut stream =
--- a/crates/testbed/src/fleet_scenario/checker.rs
+++ b/crates/testbed/src/fleet_scenario/checker.rs
@@ -13,7 +13,7 @@
 
 /// Time from the first list that marks an endpoint as draining, after which gateways with an older list may not send it requests either.
 const MAX_DRAIN_DELAY: Duration = Duration::from_secs(2);
-/// Longest part of a killed process's life, up to its end, that may be missing from its audit log. The gateways promise 1 s if the disk
+/// Longest part of a killed process's run, up to its end, that may be missing from its audit log. The gateways promise 1 s if the disk
 /// completes a write within 0.5 s; a busy machine is allowed more, and the measured time is in the report.
 const MAX_UNKNOWN_BEFORE_KILL: Duration = Duration::from_secs(5);
 
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -50,7 +50,8 @@
     /// Client attempts a second that failed.
     pub failed: f64,
     /// Requests in flight at endpoints.
-    pub held: usize,
+    #[serde(rename = "held")]
+    pub in_flight: usize,
     /// Endpoints that are up and warm.
     pub warm: usize,
     /// Endpoints that are up and cold.
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -283,7 +283,7 @@
     /// Processes of endpoints end, one after another, and each starts cold after a delay.
     Restart {
         /// Time from the end of an endpoint's process to its new start.
-        gone: Duration,
+        downtime: Duration,
         /// Time between the restarts of two endpoints.
         apart: Duration,
     },
--- a/crates/testbed/src/script/read.rs
+++ b/crates/testbed/src/script/read.rs
@@ -459,9 +459,9 @@
         FaultChoice::Kill => FaultKind::Kill,
         FaultChoice::CutOff => FaultKind::CutOff,
         FaultChoice::Restart => {
-            let gone = table.get_in_range("gone", Duration::ZERO..=MAX_DURATION, ms(500));
+            let downtime = table.get_in_range("gone", Duration::ZERO..=MAX_DURATION, ms(500));
             FaultKind::Restart {
-                gone,
+                downtime,
                 apart: table.get_in_range("apart", Duration::ZERO..=MAX_DURATION, Duration::ZERO),
             }
         }
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -118,7 +118,7 @@
     }
 
     /// Records that a client has written this text; returns the number of the request, if the text is exactly one request.
-    fn asked(&self, text: &str) -> Option<u64> {
+    fn request_sent(&self, text: &str) -> Option<u64> {
         let value = |name: &str| text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
         if text.matches("X-Request-ID: ").count() != 1 || text.matches(" HTTP/1.1").count() != 1 {
             return None;
@@ -697,8 +697,8 @@
     }
 
     /// Sends a request on a new connection and returns its answer.
-    pub fn ask(&self, class: &str) -> HttpMessage {
-        self.connect().ask(class)
+    pub fn request(&self, class: &str) -> HttpMessage {
+        self.connect().request(class)
     }
 
     /// Sends the gateway process a signal, given by its name without SIG.
@@ -770,7 +770,7 @@
     pub fn write(&mut self, text: &[u8]) {
         let written = String::from_utf8_lossy(text);
         if written.contains("X-Request-ID") {
-            self.unanswered.push_back(self.observations.asked(&written));
+            self.unanswered.push_back(self.observations.request_sent(&written));
         }
         let _ = self.reader.get_mut().write_all(text);
     }
@@ -806,7 +806,7 @@
     }
 
     /// Sends a valid request of the class and returns its answer.
-    pub fn ask(&mut self, class: &str) -> HttpMessage {
+    pub fn request(&mut self, class: &str) -> HttpMessage {
         self.send(class);
         self.read().expect("the gateway did not answer")
     }
--- a/crates/testbed/src/simulate/mod.rs
+++ b/crates/testbed/src/simulate/mod.rs
@@ -1115,7 +1115,7 @@
 impl Sample {
     /// Adds an endpoint to the counts of this sample.
     pub fn see(&mut self, endpoint: &EndpointModel) {
-        self.held += endpoint.in_flight();
+        self.in_flight += endpoint.in_flight();
         match endpoint.state() {
             State::Up if endpoint.is_choked() => self.choked += 1,
             State::Up if endpoint.warm_up_fraction() < 1.0 => self.cold += 1,
--- a/crates/testbed/src/timeline.rs
+++ b/crates/testbed/src/timeline.rs
@@ -38,7 +38,7 @@
         lines(
             in_flight,
             &report.timeline,
-            &[("requests in flight at endpoints", BLUE, |sample| sample.held as f64)],
+            &[("requests in flight at endpoints", BLUE, |sample| sample.in_flight as f64)],
         )?;
         stacked(states, &report.timeline)?;
         area.present()?;
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -134,13 +134,13 @@
         (600, 640, vec![]),
         (600, 641, vec![Rule::HeldBack]),
     ] {
-        let mut held = checker();
-        send_request(&mut held, SAFE);
+        let mut rejecting = checker();
+        send_request(&mut rejecting, SAFE);
         if last > 0 {
-            attempt(&mut held, 1, 0, 10, last, AttemptEnd::Error);
+            attempt(&mut rejecting, 1, 0, 10, last, AttemptEnd::Error);
         }
-        held.record_answer(1, ms(at), FinalAnswer::Refused);
-        assert_eq!(found(&held), rules, "rejected at {at} ms");
+        rejecting.record_answer(1, ms(at), FinalAnswer::Refused);
+        assert_eq!(found(&rejecting), rules, "rejected at {at} ms");
     }
 }
 
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -205,7 +205,7 @@
     let report = run(&script("name = \"t\"\nlasts = \"2s\""), 1);
     let picture = svg(&report).expect("the timeline was not drawn");
     assert!(picture.starts_with("<svg") && picture.contains("answers in time") && picture.contains("warm"));
-    assert!(report.timeline.iter().any(|sample| sample.held > 0), "no sample has a request in flight");
+    assert!(report.timeline.iter().any(|sample| sample.in_flight > 0), "no sample has a request in flight");
 }
 
 proptest! {
