--- a/crates/testbed/src/checker/service.rs
+++ b/crates/testbed/src/checker/service.rs
@@ -51,20 +51,20 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Sum {
-    asked: f64,
+    requested: f64,
     served: f64,
     count: usize,
 }
 
 impl Sum {
     fn add(&mut self, tally: &RequestResult) {
-        self.asked += tally.priority_weight;
+        self.requested += tally.priority_weight;
         self.served += if tally.in_time { tally.priority_weight } else { 0.0 };
         self.count += 1;
     }
 
     fn named(self, name: String) -> Window {
-        let service = if self.asked > 0.0 { self.served / self.asked } else { 1.0 };
+        let service = if self.requested > 0.0 { self.served / self.requested } else { 1.0 };
         Window { name, service, asked: self.count }
     }
 }
@@ -89,9 +89,10 @@
     // The last second is rarely complete and is left out.
     by_second.pop();
     let is_low = |window: &[Sum]| {
-        let (served, asked) =
-            window.iter().fold((0.0, 0.0), |(served, asked), sum| (served + sum.served, asked + sum.asked));
-        served < RECOVERED_SERVICE * asked
+        let (served, requested) = window
+            .iter()
+            .fold((0.0, 0.0), |(served, requested), sum| (served + sum.served, requested + sum.requested));
+        served < RECOVERED_SERVICE * requested
     };
     let last = by_second.windows(RECOVERY_WINDOW_S).rposition(is_low);
     let recovered = last.map_or(0, |at| at + RECOVERY_WINDOW_S);
@@ -122,7 +123,7 @@
         let windows =
             by_second.windows(WINDOW_S.min(by_second.len()).max(1)).enumerate().map(|(from, seconds)| {
                 let sum = seconds.iter().fold(Sum::default(), |a, b| Sum {
-                    asked: a.asked + b.asked,
+                    requested: a.requested + b.requested,
                     served: a.served + b.served,
                     count: a.count + b.count,
                 });
@@ -133,8 +134,8 @@
         };
         let (classes, tenants) = (named(by_class, classes), named(by_tenant, tenants));
         let worst = |windows: &[Window]| {
-            let asked = windows.iter().filter(|window| window.asked > 0);
-            let worst = asked.min_by(|a, b| a.service.total_cmp(&b.service)).cloned();
+            let with_requests = windows.iter().filter(|window| window.asked > 0);
+            let worst = with_requests.min_by(|a, b| a.service.total_cmp(&b.service)).cloned();
             worst.unwrap_or(Window { name: "none".to_owned(), service: 1.0, asked: 0 })
         };
         Service {
--- a/crates/testbed/src/plan.rs
+++ b/crates/testbed/src/plan.rs
@@ -52,10 +52,10 @@
 }
 
 /// Work of an attempt at an endpoint, in seconds: the request's work with the variation of this endpoint.
-pub fn attempt_seconds(draws: RandomStreams, class: &Class, asked: &PlannedRequest, endpoint: u64) -> f64 {
-    asked.work_s
+pub fn attempt_seconds(draws: RandomStreams, class: &Class, planned: &PlannedRequest, endpoint: u64) -> f64 {
+    planned.work_s
         * draws
-            .stream_for_pair(Purpose::AttemptCost, asked.index as u64, endpoint)
+            .stream_for_pair(Purpose::AttemptCost, planned.index as u64, endpoint)
             .log_normal(class.attempt_spread)
 }
 
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -258,20 +258,20 @@
     checker: &Checker,
     sends: &[Vec<(u64, Duration)>],
 ) -> Vec<RequestResult> {
-    let tally = |asked: &PlannedRequest| {
-        let sends = sends.get(asked.index).map(Vec::as_slice).unwrap_or_default();
-        let first = sends.first().map_or(asked.at, |(_, at)| *at);
-        let objective_end = first + script.classes[asked.class].latency_objective;
+    let tally = |planned: &PlannedRequest| {
+        let sends = sends.get(planned.index).map(Vec::as_slice).unwrap_or_default();
+        let first = sends.first().map_or(planned.at, |(_, at)| *at);
+        let objective_end = first + script.classes[planned.class].latency_objective;
         let in_time = sends.iter().any(|(number, _)| {
             let got = checker.record_of(*number).and_then(|record| record.answers.first());
             got.is_some_and(|(at, got)| *got == FinalAnswer::Served && *at <= objective_end)
         });
         RequestResult {
-            at: asked.at,
-            class: asked.class,
-            tenant: asked.tenant,
-            priority_weight: asked.priority_weight,
-            in_share: asked.in_share,
+            at: planned.at,
+            class: planned.class,
+            tenant: planned.tenant,
+            priority_weight: planned.priority_weight,
+            in_share: planned.in_share,
             in_time,
         }
     };
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -378,12 +378,12 @@
 
     /// Mean work of a request, in seconds on a core of speed 1.
     pub fn mean_work(&self) -> f64 {
-        let (mut work, mut asked) = (0.0, 0.0);
+        let (mut work, mut total_share) = (0.0, 0.0);
         for class in &self.classes {
             work += class.share * class.work.as_secs_f64();
-            asked += class.share;
+            total_share += class.share;
         }
-        work / asked
+        work / total_share
     }
 
     /// Quota of a tenant, in requests a second over all gateways.
