--- a/crates/testbed/src/live/clients.rs
+++ b/crates/testbed/src/live/clients.rs
@@ -1,4 +1,4 @@
-//! Clients on sockets, and the front that distributes their connections over the gateways of a zone.
+//! Clients on sockets, and the front load balancer, which distributes their connections over the gateways of a zone.
 
 use super::endpoints::parse_request_number;
 use super::http::{Connection, Kind, Message, ReadError};
@@ -19,12 +19,12 @@
 
 /// Time after the client's timeout for which an answer is still read, so that a slightly late answer can be told from none.
 const LATE_ANSWER_WAIT: Duration = Duration::from_millis(60);
-/// Time for which the front sends no requests to a gateway that could not be reached.
+/// Time for which the front load balancer sends no requests to a gateway that could not be reached.
 const UNREACHABLE_EXCLUSION: Duration = Duration::from_secs(2);
 /// Idle connections kept open for each gateway by clients that send one request per connection.
 const MAX_UNUSED_CONNECTIONS: usize = 40;
 
-/// A gateway as the front knows it.
+/// A gateway as the front load balancer knows it.
 #[derive(Debug)]
 struct FrontTarget {
     address: SocketAddr,
@@ -33,11 +33,11 @@
     idle: RefCell<Vec<(Connection, u64)>>,
     /// Connections that clients keep open and do not use again, each with the number of its last request.
     unused_connections: RefCell<VecDeque<(Connection, u64)>>,
-    /// Until when the front sends this gateway no requests.
+    /// Until when the front load balancer sends this gateway no requests.
     excluded_until: Cell<Duration>,
 }
 
-/// The clients of a run, together with the front that distributes their requests.
+/// The clients of a run, together with the front load balancer that distributes their requests.
 #[derive(Debug)]
 pub struct Clients {
     run: Rc<RunState>,
@@ -112,9 +112,9 @@
 
     /// Whether an idle connection can be used again. Bytes received on an idle connection are recorded as an answer to no request.
     fn check_idle(&self, connection: &mut Connection, last: u64) -> bool {
-        let received = connection.look();
+        let received = connection.read_available();
         if connection.has_surplus() {
-            self.run.ledger.borrow_mut().record_answer(last, self.run.clock.now(), FinalAnswer::Foreign);
+            self.run.checker.borrow_mut().record_answer(last, self.run.clock.now(), FinalAnswer::Foreign);
         }
         received == Some(0)
     }
@@ -134,7 +134,7 @@
                 self.lateness.borrow_mut().push(sent.saturating_sub(planned.at));
             }
             self.sends.borrow_mut()[plan_index].push((number, sent));
-            run.count(|counts| counts.tries += 1);
+            run.count(|counts| counts.client_attempts += 1);
             let outcome = self.send_once(planned, number, first, retries).await;
             retries += 1;
             let now = run.clock.now();
@@ -155,7 +155,7 @@
         }
     }
 
-    /// The gateway to which the front sends a request: a reachable gateway of the request's zone, or of any zone if it has none.
+    /// The gateway to which the front load balancer sends a request: a reachable gateway of the request's zone, or of any zone if it has none.
     fn choose_gateway(&self, planned: &PlannedRequest, number: u64) -> Option<usize> {
         let now = self.run.clock.now();
         let is_available = |gateway: &usize| self.gateways[*gateway].excluded_until.get() <= now;
@@ -198,7 +198,7 @@
             let written = connection.write(text.as_bytes()).await.is_ok();
             let at = run.clock.now();
             let deadline = at + wait;
-            run.ledger
+            run.checker
                 .borrow_mut()
                 .record_request(number, SentRequest { gateway, class: planned.class, sent_at: at, deadline });
             let reading = connection.read(Kind::Answer, || run.clock.now(), |_, _| {});
@@ -213,17 +213,17 @@
                 // A gateway may close a connection between requests. A request that is sent at that moment is sent again on a new connection.
                 Ok(Err(ReadError::Ended { partly: false })) if reused || !written => reuse = false,
                 Ok(Err(_)) => {
-                    run.ledger.borrow_mut().record_lost_connection(number, now);
+                    run.checker.borrow_mut().record_lost_connection(number, now);
                     return ClientOutcome::Failed;
                 }
                 Err(_) => {
-                    run.ledger.borrow_mut().record_give_up(number, now);
+                    run.checker.borrow_mut().record_give_up(number, now);
                     return ClientOutcome::Failed;
                 }
             }
             if !reused {
                 target.excluded_until.set(now + UNREACHABLE_EXCLUSION);
-                run.ledger.borrow_mut().record_lost_connection(number, now);
+                run.checker.borrow_mut().record_lost_connection(number, now);
                 return ClientOutcome::Unreachable;
             }
         }
@@ -260,17 +260,17 @@
         }
     }
 
-    /// Records an answer in the ledger and returns its outcome for the client.
+    /// Records an answer in the checker and returns its outcome for the client.
     fn record_answer(&self, request: u64, answer: &Message, now: Duration) -> ClientOutcome {
-        let mut ledger = self.run.ledger.borrow_mut();
+        let mut checker = self.run.checker.borrow_mut();
         match answer.status() {
             200 => {
                 let body = serde_json::from_slice::<AnswerBody>(&answer.body);
                 let is_own = body.is_ok_and(|body| {
                     parse_request_number(Some(&body.request)) == Some(request)
-                        && ledger.is_attempt_of(body.attempt, request)
+                        && checker.is_attempt_of(body.attempt, request)
                 });
-                ledger.record_answer(
+                checker.record_answer(
                     request,
                     now,
                     if is_own { FinalAnswer::Served } else { FinalAnswer::Foreign },
@@ -278,14 +278,14 @@
                 ClientOutcome::Served
             }
             429 | 503 => {
-                ledger.record_answer(request, now, FinalAnswer::Refused);
+                checker.record_answer(request, now, FinalAnswer::Refused);
                 let header_value = answer.header("retry-after").and_then(|text| text.parse().ok());
                 let retry_after =
                     header_value.and_then(|seconds: f64| Duration::try_from_secs_f64(seconds).ok());
                 ClientOutcome::Rejected { retry_after: retry_after.filter(|delay| !delay.is_zero()) }
             }
             _ => {
-                ledger.record_answer(request, now, FinalAnswer::Failed);
+                checker.record_answer(request, now, FinalAnswer::Failed);
                 ClientOutcome::Failed
             }
         }
--- a/crates/testbed/src/scripted.rs
+++ b/crates/testbed/src/scripted.rs
@@ -3,9 +3,9 @@
 //! [`crate::live`] runs whole scenarios. These stand-ins reproduce single situations:
 //! a truncated answer, a watch that falls silent, a request hidden in the body of another.
 //! Each stand-in runs on a thread of its own with blocking I/O.
-//! What endpoints and clients observe is recorded in one ledger per test, which is checked against the rules when the test's [`Gateway`] is dropped.
+//! One checker per test records what endpoints and clients observe, and applies the rules when the test's [`Gateway`] is dropped.
 //!
-//! These functions are for tests: a missing port or program ends the test with a panic.
+//! The functions of this module are for tests: a missing port or program ends the test with a panic.
 
 use crate::checker::{
     AttemptEnd, Checker, ClassTerms, FinalAnswer, ObservedAttempt, Rule, Rules, SentRequest,
@@ -30,7 +30,7 @@
 /// What all stand-ins of a test have observed.
 #[derive(Clone)]
 pub struct Observations {
-    ledger: Arc<Mutex<Checker>>,
+    checker: Arc<Mutex<Checker>>,
     start: Instant,
     attempts: Arc<AtomicU64>,
 }
@@ -58,8 +58,12 @@
             latency_objective: Duration::from_millis(*objective_ms),
             idempotency: *idempotency,
         };
-        let ledger = Checker::new(CLASSES.iter().map(terms).collect(), Vec::new());
-        Observations { ledger: Arc::new(Mutex::new(ledger)), start: Instant::now(), attempts: Arc::default() }
+        let checker = Checker::new(CLASSES.iter().map(terms).collect(), Vec::new());
+        Observations {
+            checker: Arc::new(Mutex::new(checker)),
+            start: Instant::now(),
+            attempts: Arc::default(),
+        }
     }
 
     /// The record of the current test.
@@ -69,21 +73,21 @@
 
     fn record(&self, update: impl FnOnce(&mut Checker, Duration)) {
         let now = self.start.elapsed();
-        update(&mut self.ledger.lock().expect("the lock is poisoned"), now);
+        update(&mut self.checker.lock().expect("the lock is poisoned"), now);
     }
 
     /// Records that an endpoint has received a complete request; returns the attempt's number.
-    fn arrived(&self, request: &HttpMessage, node: usize) -> Option<u64> {
+    fn arrived(&self, request: &HttpMessage, endpoint: usize) -> Option<u64> {
         let request = parse_request_number(request.header("x-request-id"))?;
         let attempt = self.attempts.fetch_add(1, Ordering::SeqCst);
-        self.record(|ledger, now| {
+        self.record(|checker, now| {
             let (first_byte_at, last_byte_at, started_at, end) = (now, Some(now), Some(now), None);
             let (gateway, work_s) = (0, 0.0);
-            ledger.record_attempt(
+            checker.record_attempt(
                 request,
                 ObservedAttempt {
                     attempt,
-                    node,
+                    endpoint,
                     gateway,
                     first_byte_at,
                     last_byte_at,
@@ -109,12 +113,12 @@
 
     fn ended(&self, attempt: Option<u64>, outcome: AttemptEnd) {
         if let Some(attempt) = attempt {
-            self.record(|ledger, now| ledger.record_end(attempt, now, outcome));
+            self.record(|checker, now| checker.record_end(attempt, now, outcome));
         }
     }
 
     /// Records that a client has written this text; returns the number of the request, if the text is exactly one request.
-    fn asked(&self, text: &str) -> Option<u64> {
+    fn request_sent(&self, text: &str) -> Option<u64> {
         let value = |name: &str| text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "));
         if text.matches("X-Request-ID: ").count() != 1 || text.matches(" HTTP/1.1").count() != 1 {
             return None;
@@ -127,16 +131,16 @@
         let timeout = Duration::try_from_secs_f64(timeout * unit).ok()?;
         // A text with a known request number is an altered copy, which the test that sends it checks itself.
         let is_known = self
-            .ledger
+            .checker
             .lock()
             .expect("the lock is poisoned")
-            .of(request)
+            .record_of(request)
             .is_some_and(|request| request.request.is_some());
         if is_known {
             return None;
         }
-        self.record(|ledger, at| {
-            ledger.record_request(
+        self.record(|checker, at| {
+            checker.record_request(
                 request,
                 SentRequest { gateway: 0, class, sent_at: at, deadline: at + timeout },
             );
@@ -151,8 +155,8 @@
     pub fn check(&self) {
         let slack = Duration::from_secs(2);
         let rules = Rules { slack, held_back: slack, ..Rules::sockets() };
-        let mut violations = self.ledger.lock().expect("the lock is poisoned").violations(rules);
-        violations.retain(|breach| breach.rule != Rule::NobodyAsked);
+        let mut violations = self.checker.lock().expect("the lock is poisoned").violations(rules);
+        violations.retain(|violation| violation.rule != Rule::NobodyAsked);
         assert!(violations.is_empty(), "{violations:#?}");
     }
 }
@@ -693,8 +697,8 @@
     }
 
     /// Sends a request on a new connection and returns its answer.
-    pub fn ask(&self, class: &str) -> HttpMessage {
-        self.connect().ask(class)
+    pub fn request(&self, class: &str) -> HttpMessage {
+        self.connect().request(class)
     }
 
     /// Sends the gateway process a signal, given by its name without SIG.
@@ -739,7 +743,7 @@
 impl Drop for Client {
     fn drop(&mut self) {
         for request in self.unanswered.drain(..).flatten() {
-            self.observations.record(|ledger, now| ledger.record_give_up(request, now));
+            self.observations.record(|checker, now| checker.record_give_up(request, now));
         }
     }
 }
@@ -766,7 +770,7 @@
     pub fn write(&mut self, text: &[u8]) {
         let written = String::from_utf8_lossy(text);
         if written.contains("X-Request-ID") {
-            self.unanswered.push_back(self.observations.asked(&written));
+            self.unanswered.push_back(self.observations.request_sent(&written));
         }
         let _ = self.reader.get_mut().write_all(text);
     }
@@ -779,7 +783,7 @@
     /// Records that no answers are expected any more, because the gateway was killed.
     pub fn expect_no_answers(&mut self) {
         for request in self.unanswered.drain(..).flatten() {
-            self.observations.record(|ledger, now| ledger.record_give_up(request, now));
+            self.observations.record(|checker, now| checker.record_give_up(request, now));
         }
     }
 
@@ -791,18 +795,18 @@
             return answer;
         }
         if let Some(request) = self.unanswered.pop_front().flatten() {
-            self.observations.record(|ledger, now| match status {
-                Some(200) => ledger.record_answer(request, now, FinalAnswer::Served),
-                Some(429 | 503) => ledger.record_answer(request, now, FinalAnswer::Refused),
-                Some(_) => ledger.record_answer(request, now, FinalAnswer::Failed),
-                None => ledger.record_lost_connection(request, now),
+            self.observations.record(|checker, now| match status {
+                Some(200) => checker.record_answer(request, now, FinalAnswer::Served),
+                Some(429 | 503) => checker.record_answer(request, now, FinalAnswer::Refused),
+                Some(_) => checker.record_answer(request, now, FinalAnswer::Failed),
+                None => checker.record_lost_connection(request, now),
             });
         }
         answer
     }
 
     /// Sends a valid request of the class and returns its answer.
-    pub fn ask(&mut self, class: &str) -> HttpMessage {
+    pub fn request(&mut self, class: &str) -> HttpMessage {
         self.send(class);
         self.read().expect("the gateway did not answer")
     }
--- a/crates/testbed/tests/scripts.rs
+++ b/crates/testbed/tests/scripts.rs
@@ -197,7 +197,7 @@
     assert_eq!(draining, Some(2), "two endpoints should have drained");
     // A gateway that was not notified would send requests to endpoints that reject them, and retry each of them.
     let counts = report.counts;
-    assert!(counts.attempts < counts.tries + counts.tries / 20, "{}", report.to_text());
+    assert!(counts.attempts < counts.client_attempts + counts.client_attempts / 20, "{}", report.to_text());
 }
 
 #[test]
@@ -205,7 +205,7 @@
     let report = run(&script("name = \"t\"\nlasts = \"2s\""), 1);
     let picture = svg(&report).expect("the timeline was not drawn");
     assert!(picture.starts_with("<svg") && picture.contains("answers in time") && picture.contains("warm"));
-    assert!(report.timeline.iter().any(|sample| sample.held > 0), "no sample has a request in flight");
+    assert!(report.timeline.iter().any(|sample| sample.in_flight > 0), "no sample has a request in flight");
 }
 
 proptest! {
