--- a/crates/testbed/src/live/discovery.rs
+++ b/crates/testbed/src/live/discovery.rs
@@ -23,7 +23,7 @@
 pub struct LiveDiscovery {
     run: Rc<RunState>,
     model: RefCell<Discovery>,
-    nodes: Vec<Rc<LiveEndpoint>>,
+    endpoints: Vec<Rc<LiveEndpoint>>,
     changed: Notify,
     /// The weight of each endpoint that gateways are sent.
     weights: RefCell<Vec<f64>>,
@@ -33,10 +33,10 @@
 
 impl LiveDiscovery {
     /// Discovery that lists these endpoints.
-    pub fn new(run: Rc<RunState>, model: Discovery, nodes: Vec<Rc<LiveEndpoint>>) -> Rc<LiveDiscovery> {
-        let (changed, weights) = (Notify::new(), RefCell::new(weights(&run, &nodes)));
+    pub fn new(run: Rc<RunState>, model: Discovery, endpoints: Vec<Rc<LiveEndpoint>>) -> Rc<LiveDiscovery> {
+        let (changed, weights) = (Notify::new(), RefCell::new(weights(&run, &endpoints)));
         let (model, weight_updates) = (RefCell::new(model), Cell::new(0));
-        Rc::new(LiveDiscovery { run, model, nodes, changed, weights, weight_updates })
+        Rc::new(LiveDiscovery { run, model, endpoints, changed, weights, weight_updates })
     }
 
     /// Updates the live weights until the run ends; returns at once if the script has none.
@@ -44,7 +44,7 @@
         let Some(live_weights) = self.run.script.discovery.weights else { return };
         for round in 0u32.. {
             sleep_until(self.run.clock.instant(live_weights.every * round)).await;
-            let sampled = weights(&self.run, &self.nodes);
+            let sampled = weights(&self.run, &self.endpoints);
             sleep_until(
                 self.run
                     .clock
@@ -113,8 +113,8 @@
     }
 
     /// Records that an endpoint has crashed from too much work in its slow start.
-    pub fn record_crash(&self, node: usize, at: Duration) {
-        self.model.borrow_mut().record_crash(node, at);
+    pub fn record_crash(&self, endpoint: usize, at: Duration) {
+        self.model.borrow_mut().record_crash(endpoint, at);
         self.changed.notify_waiters();
     }
 
@@ -183,7 +183,7 @@
             has_sent = true;
             tokio::select! {
                 _ = timeout(HEARTBEAT_INTERVAL, self.next_change(now)) => {}
-                is_open = connection.more() => if !is_open {
+                is_open = connection.read_more() => if !is_open {
                     return;
                 }
             }
@@ -194,14 +194,14 @@
 
     /// Records a list that was sent to a gateway.
     fn record_list(&self, gateway: usize, list: &EndpointList) {
-        let (now, mut ledger) = (self.run.clock.now(), self.run.ledger.borrow_mut());
+        let (now, mut checker) = (self.run.clock.now(), self.run.checker.borrow_mut());
         for entry in &list.entries {
-            ledger.record_notice(gateway, entry.node, now, entry.notification());
+            checker.record_notice(gateway, entry.endpoint, now, entry.notification());
         }
         if list.is_snapshot {
-            let listed = |node: &usize| list.entries.iter().any(|entry| entry.node == *node);
-            for node in (0..self.nodes.len()).filter(|node| !listed(node)) {
-                ledger.record_notice(gateway, node, now, EndpointNotice::Removed);
+            let listed = |endpoint: &usize| list.entries.iter().any(|entry| entry.endpoint == *endpoint);
+            for endpoint in (0..self.endpoints.len()).filter(|endpoint| !listed(endpoint)) {
+                checker.record_notice(gateway, endpoint, now, EndpointNotice::Removed);
             }
         }
     }
@@ -220,8 +220,10 @@
 
     fn entry(&self, gateway: usize, entry: &ListEntry) -> Value {
         let script = &self.run.script;
-        let address =
-            self.nodes[entry.node].address(gateway).map(|address| address.to_string()).unwrap_or_default();
+        let address = self.endpoints[entry.endpoint]
+            .address(gateway)
+            .map(|address| address.to_string())
+            .unwrap_or_default();
         let status = match entry.status {
             EndpointStatus::Active => "active",
             EndpointStatus::Leaving => "leaving",
@@ -232,19 +234,19 @@
             let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
             unix.saturating_sub(age).as_millis() as u64
         });
-        let kind = crate::endpoint_models::kinds(script)[entry.node];
-        json!({"name": script.node_name(entry.node), "address": address, "status": status,
-            "weight": self.weights.borrow()[entry.node],
-            "zone": script.fleet.zones[script.zone_of(entry.node)], "type": script.fleet.kinds[kind].name,
-            "group": script.rack_of(entry.node), "since_ms": since})
+        let kind = crate::endpoint_models::kinds(script)[entry.endpoint];
+        json!({"name": script.endpoint_name(entry.endpoint), "address": address, "status": status,
+            "weight": self.weights.borrow()[entry.endpoint],
+            "zone": script.fleet.zones[script.zone_of(entry.endpoint)], "type": script.fleet.kinds[kind].name,
+            "group": script.rack_of(entry.endpoint), "since_ms": since})
     }
 }
 
 /// The current live weight of each endpoint: its capacity divided by 1 + its requests in flight per core; 1 without live weights.
-fn weights(run: &RunState, nodes: &[Rc<LiveEndpoint>]) -> Vec<f64> {
+fn weights(run: &RunState, endpoints: &[Rc<LiveEndpoint>]) -> Vec<f64> {
     let has_live_weights = run.script.discovery.weights.is_some();
-    nodes
+    endpoints
         .iter()
-        .map(|node| if has_live_weights { node.read_model(|model| model.live_weight()) } else { 1.0 })
+        .map(|endpoint| if has_live_weights { endpoint.read_model(|model| model.live_weight()) } else { 1.0 })
         .collect()
 }
--- a/crates/testbed/src/live/endpoints.rs
+++ b/crates/testbed/src/live/endpoints.rs
@@ -5,10 +5,10 @@
 //! Another protocol can be added: its connection tasks pass requests to [`LiveEndpoint::submit`] and are sent the answers to write.
 
 use super::http::{Connection, Kind, ReadError};
-use super::{node_address, RunState};
+use super::{endpoint_address, RunState};
 use crate::checker::{AttemptEnd, ObservedAttempt};
 use crate::discovery::EndpointAction;
-use crate::endpoint_models::carry_out;
+use crate::endpoint_models::apply_to_model;
 use crate::model::{
     Answer, AttemptId, ConnectionId, EndpointModel, Output, RejectionReason, Report, State, Work,
 };
@@ -91,16 +91,16 @@
     ) -> io::Result<Rc<LiveEndpoint>> {
         let (model, ports, commands, changed) =
             (RefCell::new(model), RefCell::default(), RefCell::default(), Notify::new());
-        let node = Rc::new(LiveEndpoint { number, run, model, ports, commands, changed, ids, on_crash });
-        for gateway in 0..node.run.gateways {
-            let listener = listen(SocketAddr::from((node_address(gateway, number), 0)), BACKLOG)?;
+        let endpoint = Rc::new(LiveEndpoint { number, run, model, ports, commands, changed, ids, on_crash });
+        for gateway in 0..endpoint.run.gateways {
+            let listener = listen(SocketAddr::from((endpoint_address(gateway, number), 0)), BACKLOG)?;
             let (address, listening) = (listener.local_addr()?, RefCell::default());
             let port = Rc::new(Port { gateway, address, listening, full_listener: RefCell::default() });
-            node.accept(&port, listener);
-            node.ports.borrow_mut().push(port);
+            endpoint.accept(&port, listener);
+            endpoint.ports.borrow_mut().push(port);
         }
-        spawn_local(node.clone().run());
-        Ok(node)
+        spawn_local(endpoint.clone().run());
+        Ok(endpoint)
     }
 
     /// The address at which the endpoint listens for a gateway.
@@ -119,11 +119,11 @@
     }
 
     fn accept(self: &Rc<Self>, port: &Rc<Port>, listener: TcpListener) {
-        let (node, gateway) = (self.clone(), port.gateway);
+        let (endpoint, gateway) = (self.clone(), port.gateway);
         let accepting = spawn_local(async move {
             loop {
                 if let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(node.clone().serve(Connection::new(stream), gateway));
+                    spawn_local(endpoint.clone().serve(Connection::new(stream), gateway));
                 }
             }
         });
@@ -136,11 +136,11 @@
     pub fn apply_action(self: &Rc<Self>, action: EndpointAction) {
         let now = self.run.clock.now();
         let before = self.model.borrow().state();
-        carry_out(&mut self.model.borrow_mut(), now, action);
+        apply_to_model(&mut self.model.borrow_mut(), now, action);
         let after = self.model.borrow().state();
         self.process_outputs();
         if action == EndpointAction::Start && after == State::Up {
-            self.run.ledger.borrow_mut().record_cold_start(self.number, now);
+            self.run.checker.borrow_mut().record_cold_start(self.number, now);
         }
         if before != after {
             self.update_ports(before, after);
@@ -157,11 +157,14 @@
             port.full_listener.take();
             let captured = (self.clone(), port.clone());
             spawn_local(async move {
-                let (node, port) = captured;
+                let (endpoint, port) = captured;
                 // The aborted task drops its listener the next time the runtime polls the task.
                 tokio::task::yield_now().await;
-                if let Err(error) = node.reopen(&port, after) {
-                    eprintln!("endpoint {}: cannot listen at {} again: {error}", node.number, port.address);
+                if let Err(error) = endpoint.reopen(&port, after) {
+                    eprintln!(
+                        "endpoint {}: cannot listen at {} again: {error}",
+                        endpoint.number, port.address
+                    );
                 }
             });
         }
@@ -217,7 +220,7 @@
         let outputs: Vec<Output> = self.model.borrow_mut().outputs().collect();
         for output in outputs {
             match output {
-                Output::Began { attempt } => self.run.ledger.borrow_mut().record_start(attempt, now),
+                Output::Began { attempt } => self.run.checker.borrow_mut().record_start(attempt, now),
                 Output::Answered { attempt, connection, answer, report } => {
                     if let Answer::Served { dropped: true } = answer {
                         self.run.count(|counts| counts.repeats_dropped += 1);
@@ -226,7 +229,7 @@
                 }
                 Output::Ended { connection, attempt } => {
                     if let Some(attempt) = attempt {
-                        self.run.ledger.borrow_mut().record_end(attempt, now, AttemptEnd::Broken);
+                        self.run.checker.borrow_mut().record_end(attempt, now, AttemptEnd::Broken);
                     }
                     // A process that dies resets its connections; an idle connection is closed normally.
                     let process_ended = !matches!(self.model.borrow().state(), State::Up | State::Draining);
@@ -237,7 +240,7 @@
                 }
                 Output::Crashed => {
                     self.run.count(|counts| counts.fallen += 1);
-                    self.run.ledger.borrow_mut().record_fall(self.number, now);
+                    self.run.checker.borrow_mut().record_fall(self.number, now);
                     (self.on_crash)(self.number, now);
                     for port in self.ports.borrow().iter() {
                         if let Some(accepting) = port.listening.take() {
@@ -280,7 +283,7 @@
         self.commands.borrow_mut().remove(&connection);
         if let Some(attempt) = attempt_in_flight {
             // The gateway closed the connection before the answer. Recorded even if the endpoint's machine is cut off and could not observe the close.
-            self.run.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Left);
+            self.run.checker.borrow_mut().record_end(attempt, now(), AttemptEnd::Left);
         }
         self.model.borrow_mut().disconnect(now(), connection);
         self.process_outputs();
@@ -316,7 +319,7 @@
                     Ok(request) => request,
                     Err(ReadError::Ended { partly }) => {
                         if partly {
-                            self.run.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Unsent);
+                            self.run.checker.borrow_mut().record_end(attempt, now(), AttemptEnd::Unsent);
                         }
                         return None;
                     }
@@ -328,17 +331,17 @@
             };
             if self.model.borrow().state() == State::CutOff {
                 // The machine is cut off: the request counts as not sent, and the task waits until the connection is reset.
-                self.run.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Unsent);
+                self.run.checker.borrow_mut().record_end(attempt, now(), AttemptEnd::Unsent);
                 while !matches!(commands_received.recv().await, Some(ConnectionCommand::End { .. }) | None) {}
                 stream_connection.reset_on_drop();
                 return None;
             }
-            self.run.ledger.borrow_mut().record_whole_attempt(attempt, now());
+            self.run.checker.borrow_mut().record_whole_attempt(attempt, now());
             let number = parse_request_number(request.header("x-request-id"));
             let work = number
                 .and_then(|number| self.work(number, request.header("x-timeout")).map(|work| (number, work)));
             let Some((number, work)) = work else {
-                self.run.ledger.borrow_mut().record_end(attempt, now(), AttemptEnd::Error);
+                self.run.checker.borrow_mut().record_end(attempt, now(), AttemptEnd::Error);
                 let status = if number.is_some() { 400 } else { 404 };
                 let text = format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n\r\n");
                 if stream_connection.write(text.as_bytes()).await.is_err() {
@@ -352,7 +355,7 @@
                 tokio::select! {
                     biased;
                     command = commands_received.recv() => break command,
-                    is_open = stream_connection.more() => if !is_open {
+                    is_open = stream_connection.read_more() => if !is_open {
                         return Some(attempt);
                     }
                 }
@@ -365,7 +368,7 @@
                         Answer::Rejected(_) => AttemptEnd::TurnedAway,
                     };
                     // Recorded before the answer is written, because the gateway may receive it at any time from then on.
-                    self.run.ledger.borrow_mut().record_end(attempt, now(), ended);
+                    self.run.checker.borrow_mut().record_end(attempt, now(), ended);
                     let text = answer_text(answer, report, number, attempt);
                     if stream_connection.write(text.as_bytes()).await.is_err() {
                         return None;
@@ -384,10 +387,18 @@
 
     fn record_attempt(&self, number: u64, attempt: AttemptId, gateway: usize, first_byte_at: Duration) {
         let work_s = self.work(number, None).map_or(0.0, |work| work.seconds);
-        let (node, last_byte_at, started_at, end) = (self.number, None, None, None);
-        let seen =
-            ObservedAttempt { attempt, node, gateway, first_byte_at, last_byte_at, started_at, end, work_s };
-        self.run.ledger.borrow_mut().record_attempt(number, seen);
+        let (endpoint, last_byte_at, started_at, end) = (self.number, None, None, None);
+        let seen = ObservedAttempt {
+            attempt,
+            endpoint,
+            gateway,
+            first_byte_at,
+            last_byte_at,
+            started_at,
+            end,
+            work_s,
+        };
+        self.run.checker.borrow_mut().record_attempt(number, seen);
     }
 
     /// The work of a request at this endpoint; `None` if no client sent a request with this number.
--- a/crates/testbed/src/script/mod.rs
+++ b/crates/testbed/src/script/mod.rs
@@ -283,7 +283,7 @@
     /// Processes of endpoints end, one after another, and each starts cold after a delay.
     Restart {
         /// Time from the end of an endpoint's process to its new start.
-        gone: Duration,
+        downtime: Duration,
         /// Time between the restarts of two endpoints.
         apart: Duration,
     },
@@ -351,8 +351,8 @@
     }
 
     /// Name of an endpoint, as discovery lists it.
-    pub fn node_name(&self, node: usize) -> String {
-        format!("n{node:02}")
+    pub fn endpoint_name(&self, endpoint: usize) -> String {
+        format!("n{endpoint:02}")
     }
 
     /// Zone of an endpoint or of a gateway, by its number.
@@ -361,9 +361,9 @@
     }
 
     /// Rack of an endpoint; every gateway uses the same number for a rack.
-    pub fn rack_of(&self, node: usize) -> usize {
+    pub fn rack_of(&self, endpoint: usize) -> usize {
         let zones = self.fleet.zones.len();
-        (node / zones / self.fleet.rack.max(1)) * zones + node % zones
+        (endpoint / zones / self.fleet.rack.max(1)) * zones + endpoint % zones
     }
 
     /// Capacity of the service in requests a second, by the mean speeds of the endpoints and without any cached key.
@@ -378,12 +378,12 @@
 
     /// Mean work of a request, in seconds on a core of speed 1.
     pub fn mean_work(&self) -> f64 {
-        let (mut work, mut asked) = (0.0, 0.0);
+        let (mut work, mut total_share) = (0.0, 0.0);
         for class in &self.classes {
             work += class.share * class.work.as_secs_f64();
-            asked += class.share;
+            total_share += class.share;
         }
-        work / asked
+        work / total_share
     }
 
     /// Quota of a tenant, in requests a second over all gateways.
--- a/crates/testbed/src/simulate/killed.rs
+++ b/crates/testbed/src/simulate/killed.rs
@@ -22,11 +22,11 @@
         for &gateway_index in &killed {
             self.gateways[gateway_index].alive = false;
             self.gateways[gateway_index].watching = false;
-            for node in 0..self.nodes.len() {
-                for (connection, _) in std::mem::take(&mut self.gateways[gateway_index].idle[node]) {
+            for endpoint in 0..self.endpoint_models.len() {
+                for (connection, _) in std::mem::take(&mut self.gateways[gateway_index].idle[endpoint]) {
                     self.schedule(
                         self.now,
-                        SimulationEvent::ConnectionClosed { node, connection, attempt: None },
+                        SimulationEvent::ConnectionClosed { endpoint, connection, attempt: None },
                     );
                 }
             }
@@ -54,12 +54,12 @@
     pub(super) fn fail_request(&mut self, request_index: usize, outcome: ClientOutcome) {
         self.requests[request_index].answered = true;
         if !self.requests[request_index].closed {
-            self.ledger.record_give_up(self.requests[request_index].number, self.now);
+            self.checker.record_give_up(self.requests[request_index].number, self.now);
             self.close_request(request_index, outcome);
         }
     }
 
-    /// The front sends requests only to the gateways of a zone that are alive, if there are any.
+    /// The front load balancer sends requests only to the gateways of a zone that are alive, if there are any.
     pub(super) fn update_front(&mut self) {
         let mut gateways_by_zone = front_targets(self.script, self.gateways.len());
         for targets in &mut gateways_by_zone {
@@ -82,7 +82,7 @@
             let seed =
                 draws.number(Purpose::GatewaySeed, gateway_index as u64).wrapping_add(u64::from(incarnation));
             let settings = parse_settings(&script.settings(gateway_index, count).to_string());
-            // This cannot fail: the settings were read at the start of the run.
+            // Reading the settings cannot fail: the same settings were read at the start of the run.
             let Ok(settings) = settings else { continue };
             let gateway = &mut self.gateways[gateway_index];
             gateway.module = match gateway.module {
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -25,19 +25,19 @@
     Checker::new(terms, vec![(0, 0), (0, 0), (1, 1)])
 }
 
-fn ask(checker: &mut Checker, class: usize) {
+fn send_request(checker: &mut Checker, class: usize) {
     checker.record_request(1, SentRequest { gateway: 0, class, sent_at: ms(0), deadline: ms(1000) });
 }
 
 /// Records attempt `number` at an endpoint, from `from` to `until` in milliseconds.
-fn attempt(checker: &mut Checker, number: u64, node: usize, from: u64, until: u64, how: AttemptEnd) {
+fn attempt(checker: &mut Checker, number: u64, endpoint: usize, from: u64, until: u64, how: AttemptEnd) {
     let (last_byte_at, started_at, end) = (Some(ms(from)), None, None);
     let (first_byte_at, work_s, gateway) = (ms(from), 0.01, 0);
     checker.record_attempt(
         1,
         ObservedAttempt {
             attempt: number,
-            node,
+            endpoint,
             gateway,
             first_byte_at,
             last_byte_at,
@@ -66,7 +66,7 @@
     ];
     for (answers, rules) in cases {
         let mut checker = checker();
-        ask(&mut checker, SAFE);
+        send_request(&mut checker, SAFE);
         attempt(&mut checker, 1, 0, 10, 190, AttemptEnd::Served);
         answers.iter().for_each(|(at, got)| checker.record_answer(1, ms(*at), *got));
         assert_eq!(found(&checker), rules, "{answers:?}");
@@ -77,7 +77,7 @@
 fn a_client_that_gives_up_before_its_deadline_is_owed_no_answer() {
     for (left, rules) in [(500, vec![]), (1000, vec![Rule::Unanswered])] {
         let mut checker = checker();
-        ask(&mut checker, SAFE);
+        send_request(&mut checker, SAFE);
         checker.record_give_up(1, ms(left));
         assert_eq!(found(&checker), rules);
     }
@@ -87,7 +87,7 @@
 fn only_one_attempt_of_a_request_may_be_in_flight() {
     for (second, rules) in [(100, vec![]), (89, vec![Rule::TwoCopies])] {
         let mut checker = checker();
-        ask(&mut checker, SAFE);
+        send_request(&mut checker, SAFE);
         attempt(&mut checker, 1, 0, 10, 100, AttemptEnd::Left);
         attempt(&mut checker, 2, 1, second, 200, AttemptEnd::Served);
         checker.record_answer(1, ms(201), FinalAnswer::Served);
@@ -109,21 +109,21 @@
         (ALL, AttemptEnd::Left, 2, 200, true),
         (ALL, AttemptEnd::Left, 2, 1021, false),
     ];
-    for (class, how, node, again, allowed) in cases {
+    for (class, how, endpoint, again, allowed) in cases {
         let mut checker = checker();
         checker.record_request(1, SentRequest { gateway: 0, class, sent_at: ms(0), deadline: ms(5000) });
         attempt(&mut checker, 1, 0, 10, 100, how);
-        attempt(&mut checker, 2, node, again, again + 50, AttemptEnd::Served);
+        attempt(&mut checker, 2, endpoint, again, again + 50, AttemptEnd::Served);
         checker.record_answer(1, ms(again + 51), FinalAnswer::Served);
         let rules = if allowed { vec![] } else { vec![Rule::ResentAgainstClass] };
-        assert_eq!(found(&checker), rules, "class {class}, {how:?}, then node {node} at {again}");
+        assert_eq!(found(&checker), rules, "class {class}, {how:?}, then endpoint {endpoint} at {again}");
     }
 }
 
 #[test]
 fn attempts_after_the_answer_and_late_rejections_are_violations() {
     let mut sent = checker();
-    ask(&mut sent, SAFE);
+    send_request(&mut sent, SAFE);
     sent.record_answer(1, ms(50), FinalAnswer::Refused);
     attempt(&mut sent, 1, 0, 70, 100, AttemptEnd::Served);
     assert_eq!(found(&sent), [Rule::SentAfterAnswer]);
@@ -134,13 +134,13 @@
         (600, 640, vec![]),
         (600, 641, vec![Rule::HeldBack]),
     ] {
-        let mut held = checker();
-        ask(&mut held, SAFE);
+        let mut rejecting = checker();
+        send_request(&mut rejecting, SAFE);
         if last > 0 {
-            attempt(&mut held, 1, 0, 10, last, AttemptEnd::Error);
+            attempt(&mut rejecting, 1, 0, 10, last, AttemptEnd::Error);
         }
-        held.record_answer(1, ms(at), FinalAnswer::Refused);
-        assert_eq!(found(&held), rules, "rejected at {at} ms");
+        rejecting.record_answer(1, ms(at), FinalAnswer::Refused);
+        assert_eq!(found(&rejecting), rules, "rejected at {at} ms");
     }
 }
 
@@ -154,7 +154,7 @@
         (UNSAFE, AttemptEnd::TurnedAway, vec![]),
     ] {
         let mut checker = checker();
-        ask(&mut checker, class);
+        send_request(&mut checker, class);
         attempt(&mut checker, 1, 0, 10, 50, how);
         checker.record_answer(1, ms(60), FinalAnswer::Refused);
         assert_eq!(found(&checker), rules, "class {class}, {how:?}");
@@ -163,14 +163,14 @@
 
 #[test]
 fn attempts_are_violations_from_two_seconds_after_a_drain_or_removal_is_notified() {
-    for (told, at, rules) in [
+    for (notice, at, rules) in [
         (EndpointNotice::Draining, 3010, vec![]),
         (EndpointNotice::Draining, 3011, vec![Rule::SentToDrained]),
         (EndpointNotice::Removed, 3011, vec![Rule::SentToDrained]),
         (EndpointNotice::Up(None), 3011, vec![]),
     ] {
         let mut checker = checker();
-        checker.record_notice(0, 0, ms(1000), told);
+        checker.record_notice(0, 0, ms(1000), notice);
         checker.record_notice(1, 0, ms(0), EndpointNotice::Removed); // a notification binds only the gateway that received it
         checker.record_request(
             1,
@@ -178,7 +178,7 @@
         );
         attempt(&mut checker, 1, 0, at, at + 10, AttemptEnd::Served);
         checker.record_answer(1, ms(at + 11), FinalAnswer::Served);
-        assert_eq!(found(&checker), rules, "{told:?}, attempt at {at} ms");
+        assert_eq!(found(&checker), rules, "{notice:?}, attempt at {at} ms");
     }
     // The removal of an endpoint that was draining does not restart the drain grace; only a notification that it is up ends the grace.
     let mut checker = checker();
